--- a/crates/door/tests/door.rs
+++ b/crates/admission/tests/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use valehatch_door::*;
+use valehatch_admission::*;
 use valehatch_policy::{GroupId, RequestId, Span, Time};
 
 const fn ms(n: i64) -> Span {
--- a/crates/door/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
-use valehatch_door::{Arrival, Class, Door, Room, Settings, Verdict};
+use valehatch_admission::{Arrival, Class, Door, Room, Settings, Verdict};
 use valehatch_policy::{GroupId, RequestId, Span, Time};
 
 #[global_allocator]
--- a/crates/pace/tests/pace.rs
+++ b/crates/backoff/tests/backoff.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rstest::rstest;
-use valehatch_pace::{Backoff, hold};
+use valehatch_backoff::{Backoff, hold};
 use valehatch_policy::Span;
 
 const FIRST: Span = Span::from_millis(50);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use valehatch_accounts::{Ending, Fault, Outcomes, Record, Refusal, Try};
-use valehatch_door::{Arrival, Door, Reason, Room as DoorRoom, Verdict};
+use valehatch_admission::{Arrival, Door, Reason, Room as DoorRoom, Verdict};
 use valehatch_policy::{
     Action, AttemptEnd, Entry, Event as Told, GroupId, NodeId, NodeState, Outcome, Request, RequestId,
     Router, SettingsError, Span, Time, Why,
 };
+use valehatch_request_log::{Ending, Fault, Outcomes, Record, Refusal, Try};
 
 use permission::{
     Acceptance, Denial, ProcessStage, SendPermit, Sending, may_accept, may_close, may_probe, may_send,
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use valehatch_accounts::{Figures, Record, Refusal};
-use valehatch_door::{Settings as DoorSettings, Shown};
+use valehatch_admission::{Settings as DoorSettings, Shown};
 use valehatch_policy::{
     Entry, GroupId, GroupView, NodeView, Outcome, Report, Role, SessionKey, Settings, Span, Time,
 };
+use valehatch_request_log::{Figures, Record, Refusal};
 
 use crate::permission::{Decisions, Denial, SendPermit};
 
@@ -276,7 +276,7 @@
         outcome: Outcome,
     },
     /// It had its final answer, or its client left.
-    Concluded(valehatch_accounts::Ending),
+    Concluded(valehatch_request_log::Ending),
     /// Something was not done for it.
     Denied(Denial),
 }
--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -1,5 +1,5 @@
 //! Nodes that speak the Cassandra native protocol: few connections to each, many requests on every one. What goes where
-//! is decided by [`valehatch_streams`]; here it is written and read.
+//! is decided by [`valehatch_stream_multiplexing`]; here it is written and read.
 //!
 //! The core's thread queues frames and writes them at the end of its turn, without waiting; what a node does not take at
 //! once is left to a thread. Each connection has a thread that reads: it tells the core of all that came with one read.
@@ -13,12 +13,12 @@
 
 use crossbeam_channel::Sender;
 use socket2::SockRef;
-use valehatch_accounts::Figures;
 use valehatch_core::{ConnId, Event, Job, Reply};
 use valehatch_net::servers::Upstream;
 use valehatch_net::{Clock, lock, spawn};
 use valehatch_policy::{Outcome, Span, Time};
-use valehatch_streams::{Do, End, JobId, LinkId, Settings, Streams, Whose};
+use valehatch_request_log::Figures;
+use valehatch_stream_multiplexing::{Do, End, JobId, LinkId, Settings, Streams, Whose};
 
 use super::Prepared;
 use super::codec::{self, Fault, Frame, op};
--- a/crates/cql/tests/nodes.rs
+++ b/crates/cql/tests/nodes.rs
@@ -7,7 +7,6 @@
 use std::time::Duration;
 
 use crossbeam_channel::{Receiver, bounded};
-use valehatch_accounts::Figures;
 use valehatch_core::permission::SendPermit;
 use valehatch_core::{ConnId, Event, Job, Payload};
 use valehatch_cql::Prepared;
@@ -15,6 +14,7 @@
 use valehatch_net::Clock;
 use valehatch_net::servers::Upstream;
 use valehatch_policy::{Outcome, Span};
+use valehatch_request_log::Figures;
 
 const STARTUP: u8 = 0x01;
 const READY: u8 = 0x02;
--- a/crates/gateway/benches/snmp.rs
+++ b/crates/gateway/benches/snmp.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench -p valehatch --bench snmp`; a few minutes, so it is kept out of CI. Give it idle cores.
 
-#[path = "../tests/stand/mod.rs"]
-mod stand;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use stand::manager::{Walk, own, v2c};
-use stand::watched::{Plan, run, statement};
-use stand::{Client, Does, database, folder, free_address, tagged};
+use support::manager::{Walk, own, v2c};
+use support::watched::{Plan, run, statement};
+use support::{Client, Does, database, folder, free_address, tagged};
 
 const CONNECTIONS: usize = 8;
 /// Requests a second in all while latencies are taken: a good part of what the gateway can do, not all of it.
@@ -121,7 +121,7 @@
     all[all.len() / 2]
 }
 
-fn gateways() -> (stand::watched::Watched, SocketAddr, stand::Program) {
+fn gateways() -> (support::watched::Watched, SocketAddr, support::Program) {
     let serve = |_: usize, _: &str| Does::Say(tagged("x", "SELECT 1"));
     let pg = vec![
         ("db-1", database("read-write", serve).0, true),
@@ -197,7 +197,7 @@
     let _program = run(&file, listen);
     let mut session = v2c(agent);
     let mut times = vec![];
-    stand::until("the members are shown", || {
+    support::until("the members are shown", || {
         Walk::of(&mut session, &own(&[14, 1, 3])).is_ok_and(|w| w.texts.len() == members as usize)
     });
     for _ in 0..5 {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -6,17 +6,17 @@
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{Receiver, Sender};
 use tracing::{debug, error, info, warn};
-use valehatch_accounts::Figures;
 use valehatch_config::Site;
 use valehatch_config::operators::Door;
+use valehatch_connection_limits::SETTLES;
 use valehatch_core::permission::Decisions;
 use valehatch_core::{Effect, Event, Facts, Note, State, Watched};
 use valehatch_net::Clock;
 use valehatch_net::clients::{Clients, Limits, Serves};
-use valehatch_net::places::Places;
+use valehatch_net::connection_limits::Places;
 use valehatch_net::servers::Upstream;
-use valehatch_places::SETTLES;
 use valehatch_policy::{Need, Span};
+use valehatch_request_log::Figures;
 use valehatch_snmp::world::Board;
 use valehatch_state::Recorder;
 
@@ -54,18 +54,18 @@
 const ASKING: usize = 3;
 
 /// Of so many descriptors of the platform's.
-pub fn platform_limits(sockets: usize) -> valehatch_places::Limits {
-    valehatch_places::Limits { asking: sockets / ASKING, ..place_limits(sockets, true) }
+pub fn platform_limits(sockets: usize) -> valehatch_connection_limits::Limits {
+    valehatch_connection_limits::Limits { asking: sockets / ASKING, ..place_limits(sockets, true) }
 }
 
 /// Of so many descriptors.
-fn place_limits(sockets: usize, shared: bool) -> valehatch_places::Limits {
+fn place_limits(sockets: usize, shared: bool) -> valehatch_connection_limits::Limits {
     let (members, extra) = (connections(sockets), spare(sockets) / EXTRA);
     let most = if shared { sockets - spare(sockets) } else { members };
     let members = if shared { members } else { 0 };
     // Cassandra's protocol has no last word: what is ended there must have rested for longer.
     let settles = if shared { SETTLES } else { Span::from_millis(2_000) };
-    valehatch_places::Limits { most, extra, members, asking: usize::MAX, settles }
+    valehatch_connection_limits::Limits { most, extra, members, asking: usize::MAX, settles }
 }
 
 /// Who watches a front: the names that its records carry, the ledger, and where beliefs are published.
@@ -76,14 +76,14 @@
 }
 
 /// A door for a front, with the tenants' shares.
-pub fn door(door: Door, site: &Site, shares: Vec<f64>) -> valehatch_door::Settings {
-    let class = |c: &valehatch_policy::Class| valehatch_door::Class {
+pub fn door(door: Door, site: &Site, shares: Vec<f64>) -> valehatch_admission::Settings {
+    let class = |c: &valehatch_policy::Class| valehatch_admission::Class {
         worth: c.worth,
         aim: c.aim,
         late_counts: c.need == Need::Write && c.late_worth > 0.0,
         write: c.need == Need::Write,
     };
-    valehatch_door::Settings {
+    valehatch_admission::Settings {
         shares,
         classes: site.settings.classes.iter().map(class).collect(),
         most: door.most.min(site.settings.limits.max_open),
@@ -108,7 +108,7 @@
     pub streams: Option<usize>,
     pub inbox: (Sender<Event>, Receiver<Event>),
     pub watcher: Option<Watcher>,
-    pub door: Option<valehatch_door::Settings>,
+    pub door: Option<valehatch_admission::Settings>,
     /// What operators read, if anybody does.
     pub figures: Option<Arc<Figures>>,
     /// What is denied, and why.
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -5,10 +5,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use tracing::info;
-use valehatch_accounts::{Figures, figures};
 use valehatch_config::Site;
 use valehatch_core::permission::Decisions;
 use valehatch_management::{Door, Source};
+use valehatch_request_log::{Figures, figures};
 
 /// One front: its own figures, and whether it holds a list of members.
 struct Part {
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -10,7 +10,6 @@
 
 use arc_swap::ArcSwapOption;
 use tracing::{info, warn};
-use valehatch_accounts::Ending;
 use valehatch_config::operators::{Members, Operators};
 use valehatch_net::link::Link;
 use valehatch_net::list::Taker;
@@ -20,6 +19,7 @@
 use valehatch_recovery::snapshot::{Cold, Front, MOST, Primary, Snapshot};
 use valehatch_recovery::trust::{Belief, Source, Trust, trust};
 use valehatch_recovery::{Restored, cold_since, restore};
+use valehatch_request_log::Ending;
 use valehatch_snmp::world::Board;
 use valehatch_state::snapshot;
 
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -10,11 +10,11 @@
 use crossbeam_channel::Sender;
 use tracing::{info, warn};
 use valehatch_core::Event;
-use valehatch_handover::Room;
+use valehatch_hot_restart::Room;
 use valehatch_net::Clock;
 use valehatch_net::clients::{Clients, listener};
-use valehatch_net::handover::{Asked, Hands, Stops, Upgrade, ask};
-use valehatch_net::places::Places;
+use valehatch_net::connection_limits::Places;
+use valehatch_net::hot_restart::{Asked, Hands, Stops, Upgrade, ask};
 use valehatch_recovery::book::Book;
 use valehatch_recovery::snapshot::Snapshot;
 
--- a/crates/gateway/tests/agent.rs
+++ b/crates/gateway/tests/agent.rs
@@ -1,6 +1,6 @@
 //! The agent of the real program, asked by a client library that was not written here, against the request log.
 
-mod stand;
+mod support;
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Mutex;
@@ -8,11 +8,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use stand::manager::{Walk, audit, expected, index, own, security, v2c, v3};
-use stand::watched::{PASSWORD, Plan, databases, keys, load_cql, load_pg, nodes, rows, run, statement, wait};
-use stand::{Answer, Client, Does, Program, Stops, database, error, row, tagged, until};
+use support::manager::{Walk, audit, expected, index, own, security, v2c, v3};
+use support::watched::{
+    PASSWORD, Plan, databases, keys, load_cql, load_pg, nodes, rows, run, statement, wait,
+};
+use support::{Answer, Client, Does, Program, Stops, database, error, row, tagged, until};
 
-const REQUESTS: [u32; 10] = stand::manager::ROOT;
+const REQUESTS: [u32; 10] = support::manager::ROOT;
 /// Columns of the classes' table: in time, late, refused, failed, aborted.
 const ENDS: [u32; 5] = [4, 5, 6, 7, 8];
 
@@ -178,7 +180,7 @@
 }
 
 /// One database that takes all, and a gateway over it.
-fn simple(state: &str, more: &str, user: bool) -> stand::watched::Watched {
+fn simple(state: &str, more: &str, user: bool) -> support::watched::Watched {
     let serve = |_: usize, q: &str| {
         Does::Say(tagged("x", if q.contains("INSERT") { "INSERT 0 1" } else { "SELECT 1" }))
     };
@@ -277,9 +279,9 @@
     let watched = simple("", "", false);
     let text = std::fs::read_to_string(&watched.file).unwrap();
     let other = watched.file.with_extension("other");
-    let listens = stand::free_address();
+    let listens = support::free_address();
     let text = text.replace(&watched.pg.to_string(), &listens.to_string());
-    std::fs::write(&other, text.replace(&watched.agent.to_string(), &stand::free_address().to_string()))
+    std::fs::write(&other, text.replace(&watched.agent.to_string(), &support::free_address().to_string()))
         .unwrap();
     let program = std::process::Command::new(env!("CARGO_BIN_EXE_valehatch"));
     let out = { program }.args(["serve", other.to_str().unwrap()]).output().unwrap();
@@ -324,7 +326,7 @@
 impl Receiver {
     fn new() -> (Self, SocketAddr) {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(stand::WAIT)).unwrap();
+        socket.set_read_timeout(Some(support::WAIT)).unwrap();
         let address = socket.local_addr().unwrap();
         (Self { socket }, address)
     }
--- a/crates/gateway/tests/begin.rs
+++ b/crates/gateway/tests/begin.rs
@@ -1,14 +1,14 @@
 //! What has lost its reason while a connection to its database came up does not begin: the program as a process, between
 //! stand-ins that greet late.
 
-mod stand;
+mod support;
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
 use socket2::SockRef;
-use stand::*;
+use support::*;
 
 /// STANDING: a client that closes its connection has gone; no attempt begins for it from so long after.
 const GONE: Duration = Duration::from_millis(100);
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -1,6 +1,6 @@
 //! The Cassandra front as a process, between stand-in clients and stand-in nodes.
 
-mod stand;
+mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::cql::*;
-use stand::{Program, folder, free_address, until};
+use support::cql::*;
+use support::{Program, folder, free_address, until};
 use valehatch_config::operators::{Members, Operators};
 
 struct Gateway {
--- a/crates/gateway/tests/close.rs
+++ b/crates/gateway/tests/close.rs
@@ -1,13 +1,13 @@
 //! How the gateway ends connections: what is owed is answered, nothing behind the end runs, and no reset tears the last word away.
 
-mod stand;
+mod support;
 
 use std::io::Write;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 /// A database that answers once it is let go.
 fn held() -> (std::net::SocketAddr, Arc<Seen>, Arc<AtomicBool>) {
--- a/crates/gateway/tests/stage.rs
+++ b/crates/gateway/tests/cluster_test.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use rstest::rstest;
-use valehatch_lab::stage::{Plan, Way};
+use valehatch_testbed::cluster_test::{Plan, Way};
 
 fn plan(seconds: f64, events: &str) -> Result<Plan, String> {
     // The fault waits until service is whole, and the play ends when it is whole again: on a loaded machine it takes longer.
--- a/crates/gateway/tests/command.rs
+++ b/crates/gateway/tests/command.rs
@@ -1,12 +1,12 @@
 //! The command line and the operators' file: every fault is named with its key and its line.
 
-mod stand;
+mod support;
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
 use rstest::rstest;
-use stand::folder;
+use support::folder;
 
 const DEPLOYED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gateway.toml");
 
--- a/crates/gateway/tests/crowd.rs
+++ b/crates/gateway/tests/crowd.rs
@@ -1,18 +1,18 @@
 //! Crowds that connect and then idle or stop half way, and those who ask meanwhile, on the platform's front.
 
-mod stand;
+mod support;
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::{Answer, Client, Does, Platform, database, message, platform_edited, row, target, until};
+use support::{Answer, Client, Does, Platform, database, message, platform_edited, row, target, until};
 
 /// As on a crowded day of the bench.
 const SOCKETS: usize = 192;
 const MEMORY_MB: usize = 24;
 
-fn crowded() -> (Platform, std::sync::Arc<stand::Seen>) {
+fn crowded() -> (Platform, std::sync::Arc<support::Seen>) {
     let (at, seen) = database("read-write", |_, q| {
         // What the quoted key says: as long as the databases on that day take.
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/gateway/tests/database.rs
+++ b/crates/gateway/tests/database.rs
@@ -1,6 +1,6 @@
 //! Databases whose answers come to no end: the attempt is over at once, memory and the connection are given back.
 
-mod stand;
+mod support;
 
 use std::io::Write;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 fn read(id: u32, d: u32) -> String {
     format!("/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'")
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery in every trouble: the program as a process, between stand-ins. What a change binds is counted where it is
 //! felt: by the times at which the member that is told to leave is still sent something.
 
-mod stand;
+mod support;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::script::{Asked, End, Form, Hangs, Says, Scripted, answer};
-use stand::*;
+use support::script::{Asked, End, Form, Hangs, Says, Scripted, answer};
+use support::*;
 
 /// A member that is told to leave may be sent to for so long.
 const GRACE: Duration = Duration::from_millis(500);
@@ -193,7 +193,7 @@
 }
 
 fn config_of(address: SocketAddr, discovery: SocketAddr, known: &str) -> String {
-    stand::config(address, discovery, known, 15_000)
+    support::config(address, discovery, known, 15_000)
 }
 
 /// What becomes of calls.
--- a/crates/gateway/tests/door.rs
+++ b/crates/gateway/tests/door.rs
@@ -1,6 +1,6 @@
 //! The door of the real program: tenants by their shares, shares changed in service, nobody forgotten at a stop.
 
-mod stand;
+mod support;
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-use stand::manager::{Walk, index, own, v2c};
-use stand::watched::run;
-use stand::{
+use support::manager::{Walk, index, own, v2c};
+use support::watched::run;
+use support::{
     Answer, Client, Does, Program, Stops, WAIT, database, folder, free_address, message, row, until, within,
 };
 
--- a/crates/gateway/tests/failing_disk.rs
+++ b/crates/gateway/tests/failing_disk.rs
@@ -1,16 +1,16 @@
 //! Writes, syncs and renames in the state folder fail for a while, and a kill leaves a write half done: what was shown as
 //! counted never goes back.
 
-mod stand;
+mod support;
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
 
-use stand::manager::*;
-use stand::watched::{Plan, databases, load_pg, wait};
-use stand::*;
+use support::manager::*;
+use support::watched::{Plan, databases, load_pg, wait};
+use support::*;
 use valehatch_fault_control::{CONTROL_FILE_VARIABLE, FaultControl, Switch};
 
 const ROUNDS: usize = 16;
@@ -31,7 +31,7 @@
     let control = FaultControl::create(&place.join("faults")).unwrap();
     let faults = place.join("faults").display().to_string();
     let variables = [
-        ("LD_PRELOAD", stand::faults::library().to_str().unwrap()),
+        ("LD_PRELOAD", support::faults::library().to_str().unwrap()),
         (CONTROL_FILE_VARIABLE, faults.as_str()),
     ];
     let set = |rate: i64| DISK.iter().for_each(|switch| control.set(*switch, rate).unwrap());
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! What a gateway does so that a whole fleet of them can: the program as a process, between stand-ins.
 
-mod stand;
+mod support;
 
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use stand::*;
+use support::*;
 
 #[test]
 fn an_overbooked_discovery_is_asked_for_what_changed_and_waited_for() {
--- a/crates/gateway/tests/flood.rs
+++ b/crates/gateway/tests/flood.rs
@@ -1,6 +1,6 @@
 //! Idle crowds and slow writers that fill the descriptors while discovery is down: it is heard again, and good clients get in.
 
-mod stand;
+mod support;
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 const SOCKETS: usize = 192;
 /// Of new connections, one in so many may be closed with no answer (STANDING.md, days at full size).
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,6 +1,6 @@
 //! The gateway as a process, between stand-ins for clients, databases and discovery.
 
-mod stand;
+mod support;
 
 use std::io::{Read, Write};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 fn read(id: u32, d: u32) -> String {
     format!("/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'")
--- a/crates/gateway/tests/leave.rs
+++ b/crates/gateway/tests/leave.rs
@@ -1,7 +1,7 @@
 //! Clients that leave while the gateway has requests of theirs: what has not begun is not sent on, and what they held is given
 //! back.
 
-mod stand;
+mod support;
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 /// Requests that the gateway takes from one connection before it has answered the first.
 const PIPELINE: u32 = 256;
--- a/crates/gateway/tests/long.rs
+++ b/crates/gateway/tests/long.rs
@@ -1,6 +1,6 @@
 //! Values too long to be held, between databases and clients that take their time.
 
-mod stand;
+mod support;
 
 use std::io::{Read, Write};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 const MIB: usize = 1024 * 1024;
 const LONG: usize = 64 * 1024;
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -1,6 +1,6 @@
 //! The operators' door of the running program: health and figures, beside what the stand-ins saw.
 
-mod stand;
+mod support;
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use stand::manager::{ROOT, Walk, audit, index, own, v2c};
-use stand::watched::{Plan, load_cql, load_pg, seen_databases, seen_nodes, statement, wait};
-use stand::*;
-use valehatch_accounts::{Cell, Key, Outcomes, Scope};
+use support::manager::{ROOT, Walk, audit, index, own, v2c};
+use support::watched::{Plan, load_cql, load_pg, seen_databases, seen_nodes, statement, wait};
+use support::*;
+use valehatch_request_log::{Cell, Key, Outcomes, Scope};
 
 fn call(at: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(at).expect("the door is open");
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Several gateways as processes, with relays between them that lose, delay, double and cut.
 
-mod stand;
+mod support;
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use stand::*;
-use valehatch_lab::relay::{Relays, Weather};
+use support::*;
+use valehatch_testbed::relay::{Relays, Weather};
 
 struct Fleet {
     relays: Arc<Relays>,
--- a/crates/gateway/tests/pipeline.rs
+++ b/crates/gateway/tests/pipeline.rs
@@ -1,12 +1,12 @@
 //! Many requests on one connection at once: each begins as it comes, whatever is before it, and is answered in its turn.
 
-mod stand;
+mod support;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use stand::*;
+use support::*;
 
 /// STANDING: an attempt that tells its database so much more than its client has left is at fault.
 const MORE: Duration = Duration::from_millis(150);
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,6 +1,6 @@
 //! Starts after kill -9: what is taken over from the snapshot, what is not, and when service is whole.
 
-mod stand;
+mod support;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rstest::rstest;
-use stand::*;
+use support::*;
 use valehatch_recovery::snapshot::Snapshot;
 
 /// A gateway with a state folder, whose members discovery lists.
--- a/crates/gateway/tests/sites.rs
+++ b/crates/gateway/tests/sites.rs
@@ -1,6 +1,6 @@
 //! One program, and the settings of two sites that have nothing in common: it does for each what that one asks.
 
-mod stand;
+mod support;
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -8,7 +8,7 @@
 
 use rstest::rstest;
 use serde_json::{Value, json};
-use stand::*;
+use support::*;
 
 /// A class whose name, effect, window and deadline a site chooses.
 fn class(name: &str, effect: &str, window_ms: u32, deadline_ms: u32) -> Value {
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,11 +1,11 @@
-//! The fault soak with a few processes of the program, short enough for each run of the tests; `valehatch-lab soak`
+//! The fault soak with a few processes of the program, short enough for each run of the tests; `valehatch-testbed soak`
 //! plays longer ones.
 
 use std::path::{Path, PathBuf};
 
 use rstest::rstest;
-use valehatch_lab::soak::schedule::{Fault, FaultKind, Schedule};
-use valehatch_lab::soak::{Plan, play};
+use valehatch_testbed::soak::schedule::{Fault, FaultKind, Schedule};
+use valehatch_testbed::soak::{Plan, play};
 
 fn fault(at_ms: u64, for_ms: u64, kind: FaultKind, targets: &[usize]) -> Fault {
     Fault { at_ms, for_ms, kind, targets: targets.to_vec() }
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/stop.rs
@@ -1,6 +1,6 @@
 //! Planned stops and restarts: what was taken is answered before the end, which resets nothing.
 
-mod stand;
+mod support;
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::*;
+use support::*;
 
 fn value(id: u32) -> Answer {
     Answer::Value(format!("x{id}"))
--- a/crates/gateway/tests/stand/manager.rs
+++ b/crates/gateway/tests/support/manager.rs
@@ -8,7 +8,7 @@
 
 use snmp2::v3::{Auth, AuthProtocol, Cipher, Security};
 use snmp2::{Oid, SyncSession, Value};
-use valehatch_accounts::{Cell, Counters, Key, Record, Row, Scope};
+use valehatch_request_log::{Cell, Counters, Key, Record, Row, Scope};
 
 pub const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
 
--- a/crates/gateway/tests/stand/watched.rs
+++ b/crates/gateway/tests/support/watched.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use valehatch_accounts::{Key, Scope};
+use valehatch_request_log::{Key, Scope};
 
 use super::cql;
 use super::{Client, Does, Program, Seen, database, folder, free_address, tagged};
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -1,14 +1,14 @@
 //! System calls of the gateway's machine fail for a moment in ways that Linux documents: neither clients nor endpoints
 //! may pay for that.
 
-mod stand;
+mod support;
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::faults::faulty;
-use stand::*;
+use support::faults::faulty;
+use support::*;
 use valehatch_fault_control::Switch;
 
 fn served(client: &mut Client, id: u32) -> bool {
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,6 +1,6 @@
 //! Two processes over one folder: upgrades under load, and each side's end at each step.
 
-mod stand;
+mod support;
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use stand::*;
-use valehatch_handover::words::{HEAD, Word, decode, encode, length};
+use support::*;
+use valehatch_hot_restart::words::{HEAD, Word, decode, encode, length};
 
 /// What a gateway's processes share.
 struct Place {
@@ -36,7 +36,7 @@
         let (listen, folder) = (free_address(), folder());
         let config = folder.join("config.json");
         // So long that a loaded machine takes none of it for a time-out.
-        let text = stand::config(listen, discovery_at, known, 15_000);
+        let text = support::config(listen, discovery_at, known, 15_000);
         std::fs::write(&config, text.replace("\"deadline-ms\":5000.0", "\"deadline-ms\":20000.0")).unwrap();
         Self { listen, folder, config, known: known.to_owned(), discovery_at, discovery }
     }
--- a/crates/gateway/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -1,13 +1,13 @@
 //! A machine's wall clock may be off, or be stepped while the gateway runs; its monotonic clock runs on. Positions,
 //! commit times and starts of endpoints are told as Unix times of their own clock and must be understood all the same.
 
-mod stand;
+mod support;
 
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
 use rstest::rstest;
-use stand::faults::{Faulty, faulty};
-use stand::*;
+use support::faults::{Faulty, faulty};
+use support::*;
 use valehatch_fault_control::Switch;
 
 const SECOND: i64 = 1_000_000;
--- a/crates/handover/tests/steps.rs
+++ b/crates/hot-restart/tests/steps.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use valehatch_handover::share::{LEAST, of_new, of_old};
-use valehatch_handover::words::{HEAD, Word, decode, encode, length};
-use valehatch_handover::{Does, Heard, Room, Stage, Steps};
+use valehatch_hot_restart::share::{LEAST, of_new, of_old};
+use valehatch_hot_restart::words::{HEAD, Word, decode, encode, length};
+use valehatch_hot_restart::{Does, Heard, Room, Stage, Steps};
 
 const WHOLE: Room = Room { descriptors: 384, bytes: 48 << 20 };
 
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -20,14 +20,14 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Socket, Type};
 
-use valehatch_accounts::Refusal;
-use valehatch_places::{SETTLES, Verdict};
+use valehatch_connection_limits::{SETTLES, Verdict};
 use valehatch_policy::{GroupId, Span};
+use valehatch_request_log::Refusal;
 
 use super::{lock, spawn};
 use crate::Clock;
+use crate::connection_limits::Places;
 use crate::pipe::Budget;
-use crate::places::Places;
 use line::{AT_ONCE, Gate, LINGER_BYTES, Line, Patient, Waits};
 use outbox::Outbox;
 use rests::{Resting, Rests};
--- a/crates/net/src/clients/line.rs
+++ b/crates/net/src/clients/line.rs
@@ -12,13 +12,13 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::SockRef;
 
+use valehatch_connection_limits::{Doing, SETTLES};
 use valehatch_core::ClientId;
-use valehatch_places::{Doing, SETTLES};
 use valehatch_policy::{Span, Time};
 
 use super::outbox::Outbox;
 use super::{Next, Serves};
-use crate::places::Places;
+use crate::connection_limits::Places;
 use crate::{Clock, lock};
 
 /// A connection that has asked nothing is closed after this long.
--- a/crates/net/src/clients/tests.rs
+++ b/crates/net/src/clients/tests.rs
@@ -1,7 +1,7 @@
 //! Connections between a reading thread and its client, without the protocol of any front.
 
 use socket2::SockRef;
-use valehatch_places::Doing;
+use valehatch_connection_limits::Doing;
 
 use super::*;
 
@@ -25,8 +25,13 @@
     }
 }
 
-const PLACES: valehatch_places::Limits =
-    valehatch_places::Limits { most: 0, extra: 0, members: 0, asking: usize::MAX, settles: SETTLES };
+const PLACES: valehatch_connection_limits::Limits = valehatch_connection_limits::Limits {
+    most: 0,
+    extra: 0,
+    members: 0,
+    asking: usize::MAX,
+    settles: SETTLES,
+};
 
 /// A connection as its reading thread has it, and the client's end of it.
 fn connection() -> (Arc<Line>, Incoming, TcpStream) {
--- a/crates/net/src/places.rs
+++ b/crates/net/src/connection_limits.rs
@@ -1,9 +1,9 @@
-//! A front's descriptors, as its threads share them: [`valehatch_places`] decides.
+//! A front's descriptors, as its threads share them: [`valehatch_connection_limits`] decides.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use valehatch_places::{Doing, Limits, Verdict};
+use valehatch_connection_limits::{Doing, Limits, Verdict};
 use valehatch_policy::Time;
 
 use crate::{Clock, lock};
@@ -16,13 +16,13 @@
 /// The places of a front. The lock is held for a moment only, and no other is taken under it.
 pub struct Places {
     clock: Clock,
-    heart: Mutex<valehatch_places::Places>,
+    heart: Mutex<valehatch_connection_limits::Places>,
     freed: Condvar,
 }
 
 impl Places {
     pub fn new(clock: Clock, limits: Limits) -> Arc<Self> {
-        let heart = Mutex::new(valehatch_places::Places::new(limits));
+        let heart = Mutex::new(valehatch_connection_limits::Places::new(limits));
         Arc::new(Self { clock, heart, freed: Condvar::new() })
     }
 
@@ -70,7 +70,7 @@
 
     /// A place for a connection to a member, while it is held; none where even those who idle hold too much.
     pub(crate) fn member(self: &Arc<Self>) -> Option<Member> {
-        let full = |heart: &mut valehatch_places::Places| !heart.member_enters();
+        let full = |heart: &mut valehatch_connection_limits::Places| !heart.member_enters();
         let waited = self.freed.wait_timeout_while(lock(&self.heart), MEMBER_WAITS, full);
         let (_heart, waited) = waited.unwrap_or_else(PoisonError::into_inner);
         (!waited.timed_out()).then(|| Member(Arc::clone(self)))
--- a/crates/net/src/handover.rs
+++ b/crates/net/src/hot_restart.rs
@@ -1,5 +1,5 @@
 //! The Unix socket over which two processes that are one gateway meet: the listening socket goes along with the first word.
-//! One thread takes the steps that `valehatch_handover` says; each side is read by a thread of its own.
+//! One thread takes the steps that `valehatch_hot_restart` says; each side is read by a thread of its own.
 
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -15,8 +15,8 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
 };
-use valehatch_handover::words::{self, HEAD, Word};
-use valehatch_handover::{Does, Heard, Room, Stage, Steps};
+use valehatch_hot_restart::words::{self, HEAD, Word};
+use valehatch_hot_restart::{Does, Heard, Room, Stage, Steps};
 
 /// How long the old process may take to hand everything over: its core is asked what it believes.
 const HAND: Duration = Duration::from_millis(1_500);
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -5,14 +5,14 @@
 
 mod call;
 pub mod clients;
-pub mod handover;
+pub mod connection_limits;
+pub mod hot_restart;
 pub mod http;
 pub mod link;
 pub mod list;
 pub mod log;
 pub mod members;
 pub mod pipe;
-pub mod places;
 pub mod servers;
 pub mod signals;
 mod turn;
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -10,8 +10,8 @@
 use crossbeam_channel::Sender;
 use serde::Deserialize;
 use serde_json::Value;
+use valehatch_backoff::Backoff;
 use valehatch_config::{Site, number};
-use valehatch_pace::Backoff;
 use valehatch_policy::{Entry, GroupId, KindId, ListMode, NodeId, NodeState, Span, Time, ZoneId};
 use valehatch_recovery::book::{Ahead, Book, Listed, TOLD, TOLD_AFTER_WAIT};
 
@@ -158,7 +158,7 @@
             // call each.
             Teller::Asked => {
                 let turn = duration(within.times(0.25).min(room));
-                let round = valehatch_pace::round(site.settings.routers, CALLS_S).min(room);
+                let round = valehatch_backoff::round(site.settings.routers, CALLS_S).min(room);
                 let whole = Patience { late: turn, pieces: turn, end: turn };
                 (whole, Patience { late: SILENCE.min(turn), ..whole }, (round.max(PAUSE), room))
             }
@@ -334,7 +334,7 @@
         match self.teller {
             Teller::Agent => HOLD_AGENT,
             _ if trouble => duration(HOLD.0),
-            _ => duration(valehatch_pace::hold(fleet, CALLS_S, HOLD.0, HOLD.1)),
+            _ => duration(valehatch_backoff::hold(fleet, CALLS_S, HOLD.0, HOLD.1)),
         }
     }
 
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/servers.rs
@@ -11,13 +11,13 @@
 
 use crossbeam_channel::{Sender, bounded};
 use socket2::SockRef;
-use valehatch_accounts::Figures;
 use valehatch_policy::{Outcome, Role, Span, Time};
+use valehatch_request_log::Figures;
 
 use crate::Clock;
 use crate::clients::{BUFFER, Passage};
+use crate::connection_limits::{Member, Places};
 use crate::lock;
-use crate::places::{Member, Places};
 use valehatch_core::cluster_clock::{ClusterClock, Told};
 use valehatch_core::{ConnId, Event, Job, Reply};
 
--- a/crates/alarms/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use valehatch_accounts::{Counters, Scope};
 use valehatch_core::Live;
 use valehatch_policy::{GroupId, Known, NodeId, Reachable, Span, Time};
+use valehatch_request_log::{Counters, Scope};
 
 pub use outbox::{Outbox, Post, Tally};
 
--- a/crates/alarms/tests/alarms.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use valehatch_accounts::{Counters, Ending, Record, Refusal};
-use valehatch_alarms::*;
 use valehatch_core::{Live, LiveMember};
+use valehatch_notifications::*;
 use valehatch_policy::*;
+use valehatch_request_log::{Counters, Ending, Record, Refusal};
 
 const fn ms(n: i64) -> Span {
     Span::from_millis(n)
@@ -183,7 +183,7 @@
     let mut world = World::new(thresholds());
     let mut told = vec![];
     for (n, waited) in [0, 390, 410, 150, 399, 99, 0].into_iter().enumerate() {
-        world.live.door = vec![valehatch_door::Shown { oldest: ms(waited), ..Default::default() }];
+        world.live.door = vec![valehatch_admission::Shown { oldest: ms(waited), ..Default::default() }];
         told.extend(world.look(i64::try_from(n).unwrap() * 1000));
     }
     assert_eq!(
--- a/crates/policy/tests/clock_correction.rs
+++ b/crates/policy/tests/clock_correction.rs
@@ -1,9 +1,9 @@
 //! What a correction of the cluster's clock leaves of what was known.
 
-mod script;
+mod support;
 
 use rstest::rstest;
-use script::*;
+use support::*;
 use valehatch_policy::*;
 
 /// A clock that was a little behind makes positions a little older, and nothing has to be asked again at once: a gateway
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -1,8 +1,8 @@
 //! Settings at the ends of what they may be: each is acted on as it says, and no decision rests on a number that is none.
 
-mod script;
+mod support;
 
-use script::*;
+use support::*;
 use valehatch_policy::*;
 
 /// Requests that a member answers at once, one after another; how many of them were refused.
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -1,8 +1,8 @@
 //! The mechanism and each departure, through the interface.
 
-mod script;
+mod support;
 
-use script::*;
+use support::*;
 use valehatch_policy::*;
 
 const PRIMARY: Option<Role> = Some(Role::Primary);
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -1,11 +1,11 @@
 //! Seeded random worlds: the checks of the script hold whatever outcomes come, and the same events give the
 //! same actions.
 
-mod script;
+mod support;
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use script::*;
+use support::*;
 use valehatch_policy::*;
 
 #[derive(Clone, Debug)]
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,10 +1,10 @@
 //! The slow-start budget of an endpoint that has just started, over the sum of all gateways, where some queries are
 //! far longer than the mean.
 
-mod script;
+mod support;
 
 use rstest::rstest;
-use script::*;
+use support::*;
 use valehatch_policy::*;
 
 /// Gateways that share the group, each with its part of the traffic.
@@ -21,7 +21,7 @@
 const WARM_MS: i64 = 10_000;
 const COLD_MS: i64 = 8_000;
 
-/// The settings of [`script::settings`] and one class more: reports, which any member may answer.
+/// The settings of [`support::settings`] and one class more: reports, which any member may answer.
 fn with_reports() -> (Settings, ClassId) {
     let mut settings = settings();
     let report = Class {
--- a/crates/guard/tests/guard.rs
+++ b/crates/rate-limit/tests/rate_limit.rs
@@ -3,7 +3,7 @@
 use std::num::NonZeroUsize;
 
 use proptest::prelude::*;
-use valehatch_guard::*;
+use valehatch_rate_limit::*;
 
 fn size(n: usize) -> NonZeroUsize {
     NonZeroUsize::new(n).unwrap()
--- a/crates/accounts/tests/ledger.rs
+++ b/crates/request-log/tests/ledger.rs
@@ -4,7 +4,7 @@
 
 use memory::{Memory, SIZES, record};
 use proptest::prelude::*;
-use valehatch_accounts::*;
+use valehatch_request_log::*;
 
 /// Batches of three; every third is followed by a checkpoint. What was shown after each.
 fn work(ledger: &mut Ledger<Memory>, batches: u64) -> Counters {
--- a/crates/accounts/tests/memory/mod.rs
+++ b/crates/request-log/tests/memory/mod.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-use valehatch_accounts::*;
+use valehatch_request_log::*;
 
 /// A folder in memory. After so many calls that write it fails: all further ones do nothing, or half of their work.
 #[derive(Clone, Default)]
--- a/crates/accounts/tests/replay.rs
+++ b/crates/request-log/tests/replay.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use valehatch_accounts::replay::Trouble;
-use valehatch_accounts::*;
+use valehatch_request_log::replay::Trouble;
+use valehatch_request_log::*;
 
 fn record(n: u64) -> Record {
     let pick = |names: &[&str], n: u64| Arc::<str>::from(names[usize::try_from(n).unwrap() % names.len()]);
--- a/crates/accounts/tests/torn_mark.rs
+++ b/crates/request-log/tests/torn_mark.rs
@@ -3,7 +3,7 @@
 mod memory;
 
 use memory::{Memory, SIZES, record};
-use valehatch_accounts::Ledger;
+use valehatch_request_log::Ledger;
 
 /// Counts that the request log never had are in the marks alone. After the disk was full twice, the second time in the
 /// middle of a mark, and had room again, what was shown is found again after a power loss.
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -158,7 +158,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("valehatch-drill: {text}");
+            eprintln!("valehatch-simulator-adapter: {text}");
             ExitCode::from(2)
         }
     }
--- a/crates/drill/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_valehatch-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_valehatch-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/snmp/examples/stack.rs
+++ b/crates/snmp/examples/stack.rs
@@ -3,13 +3,13 @@
 //!
 //! `cargo run --release --example stack -p valehatch-snmp`
 
-#[path = "../tests/script/mod.rs"]
-mod script;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
 use std::process::{Command, Stdio};
 use std::thread::Builder;
 
-use script::{Scene, Secure, Verb, request, snmp};
+use support::{Scene, Secure, Verb, request, snmp};
 use valehatch_config::operators::{Level, Log};
 
 fn agent() {
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -8,9 +8,9 @@
 
 use arc_swap::ArcSwap;
 use rasn_snmp::v2::{Pdus, VarBind};
-use valehatch_alarms::Tally;
 use valehatch_config::snmp::{ROOT, Snmp, User, View};
-use valehatch_guard::{Pins, Window};
+use valehatch_notifications::Tally;
+use valehatch_rate_limit::{Pins, Window};
 
 use crate::message::{self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb};
 use crate::picture::{Layout, Oid, Own, Picture, Value};
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -32,7 +32,7 @@
 use arc_swap::ArcSwap;
 use tracing::{error, info, warn};
 use valehatch_config::snmp::{Limits, Snmp};
-use valehatch_guard::{Share, Sources, Verdict};
+use valehatch_rate_limit::{Share, Sources, Verdict};
 
 use engine::{Engine, Shared, Stat};
 use notify::Notifier;
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -9,10 +9,10 @@
 
 use rasn_snmp::v2::VarBind;
 use tracing::{info, warn};
-use valehatch_alarms::{Alarms, FrontNow, GroupNotice, MemberNotice, Notice, Outbox, Thresholds};
 use valehatch_config::snmp::{Credentials, Notify, ROOT, Receiver, User};
-use valehatch_guard::Window;
+use valehatch_notifications::{Alarms, FrontNow, GroupNotice, MemberNotice, Notice, Outbox, Thresholds};
 use valehatch_policy::{Span, Time};
+use valehatch_rate_limit::Window;
 
 use crate::engine::{Salt, Shared, Stat};
 use crate::message::{self, AUTH, Incoming, PRIV, Said, Sealing};
@@ -208,9 +208,9 @@
         // What is older than what is known may be a replay: nothing is learned from it, nothing acknowledged.
         let known = self.engine.map(|_| self.receivers_window(now));
         let (boots, time) = secured.window;
-        if known
-            .is_some_and(|k| boots < k.boots || boots == k.boots && time + valehatch_guard::WINDOW < k.time)
-        {
+        if known.is_some_and(|k| {
+            boots < k.boots || boots == k.boots && time + valehatch_rate_limit::WINDOW < k.time
+        }) {
             return;
         }
         let learned = known.unwrap_or(Window { boots: 0, time: 0 }).learn(boots, time);
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -4,10 +4,10 @@
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-use valehatch_accounts::counters::{BOUNDS_US, BUCKETS};
-use valehatch_accounts::{Cell, Key, Row, Scope};
 use valehatch_core::LiveMember;
 use valehatch_policy::{GroupView, Known, NodeState, Reachable, Role, Span, Time};
+use valehatch_request_log::counters::{BOUNDS_US, BUCKETS};
+use valehatch_request_log::{Cell, Key, Row, Scope};
 use valehatch_state::Shown;
 
 use crate::schema::{self, At, Object, Rows, Scalars, TABLES, Table};
@@ -169,7 +169,7 @@
     /// Values of the scalars that the engine itself knows, by group and number.
     pub scalars: Vec<(&'static str, u32, Value)>,
     /// Of each receiver: its address, what waits, and what became of the rest.
-    pub receivers: Vec<(String, usize, valehatch_alarms::Tally)>,
+    pub receivers: Vec<(String, usize, valehatch_notifications::Tally)>,
     /// The process.
     pub process: Process,
 }
--- a/crates/snmp/src/schema.rs
+++ b/crates/snmp/src/schema.rs
@@ -1,7 +1,7 @@
 //! Every object that the agent has, once: its place, its syntax, and what the MIB says of it. The agent answers from this
 //! table and `mibs/VALEHATCH-MIB.txt` is printed from it, so neither can drift from the other.
 
-use valehatch_accounts::{Cell, Fault, Outcomes, Refusal};
+use valehatch_request_log::{Cell, Fault, Outcomes, Refusal};
 
 /// What an object's value is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/snmp/tests/engine.rs
+++ b/crates/snmp/tests/engine.rs
@@ -1,10 +1,10 @@
 //! The engine by datagrams: versions, users, views, walks, limits, and bytes that mean nothing.
 
-mod script;
+mod support;
 
 use proptest::prelude::*;
 use rstest::rstest;
-use script::*;
+use support::*;
 use valehatch_snmp::engine::Stat;
 use valehatch_snmp::message::{self, AUTH, PRIV};
 use valehatch_snmp::picture::Value;
--- a/crates/snmp/tests/notify.rs
+++ b/crates/snmp/tests/notify.rs
@@ -1,13 +1,13 @@
 //! Notifications over v3: traps under this engine's authority, informs under the receiver's.
 
-mod script;
+mod support;
 
 use std::net::UdpSocket;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use script::{ENGINE, PASSWORD, Scene, snmp};
+use support::{ENGINE, PASSWORD, Scene, snmp};
 use valehatch_snmp::message::{self, AUTH, Incoming, PRIV, Sealing};
 use valehatch_snmp::notify::Notifier;
 use valehatch_snmp::usm;
@@ -28,7 +28,7 @@
         Pdus::Trap(p) => (false, &p.0),
         other => panic!("{other:?}"),
     };
-    let named = script::value(pdu.variable_bindings[1].value.clone());
+    let named = support::value(pdu.variable_bindings[1].value.clone());
     let valehatch_snmp::picture::Value::Name(name) = named else { panic!("{named:?}") };
     (inform, pdu.request_id, *name.last().unwrap())
 }
@@ -53,7 +53,7 @@
         let (length, _) = receiver.recv_from(&mut datagram).unwrap();
         let Some(Incoming::V3(secured)) = message::read(&datagram[..length]) else { panic!() };
         assert_eq!((hex::encode(&secured.engine).as_str(), secured.window.0), (ENGINE, 6));
-        let (auth, privacy) = script::keys();
+        let (auth, privacy) = support::keys();
         assert!(message::authentic(&datagram[..length], &secured.digest, &auth));
         let scoped = message::scoped(&secured, Some(&privacy)).unwrap();
         let (inform, _, kind) = kind(&scoped.data);
@@ -77,7 +77,7 @@
     let scene = Scene::new(snmp(&more), 6, 2);
     // Groups that have not changed: the start is all there is to tell.
     for front in 0..2 {
-        let mut board = script::live(1..=2);
+        let mut board = support::live(1..=2);
         board.groups[0].changes = 1;
         scene.publish(front, board);
     }
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -6,7 +6,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::PathBuf;
 
-use valehatch_accounts::Folder;
+use valehatch_request_log::Folder;
 
 /// A folder on a disk.
 pub struct Disk {
--- a/crates/state/src/recorder.rs
+++ b/crates/state/src/recorder.rs
@@ -10,8 +10,8 @@
 use arc_swap::ArcSwap;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
-use valehatch_accounts::{Counters, Ending, Key, Ledger, Record, Sizes, Status, Times};
 use valehatch_config::operators::State;
+use valehatch_request_log::{Counters, Ending, Key, Ledger, Record, Sizes, Status, Times};
 
 use crate::folder::Disk;
 
--- a/crates/streams/tests/streams.rs
+++ b/crates/stream-multiplexing/tests/stream_multiplexing.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use valehatch_policy::{Span, Time};
-use valehatch_streams::{Do, End, JobId, LinkId, Settings, Streams, Whose};
+use valehatch_stream_multiplexing::{Do, End, JobId, LinkId, Settings, Streams, Whose};
 
 fn settings() -> Settings {
     let whole = Settings::new(Span::from_millis(250), Span::from_millis(10_000));
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,6 +3,7 @@
 #![forbid(unsafe_code)]
 #![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
 
+pub mod cluster_test;
 pub mod experiment;
 pub mod fleet;
 pub mod judge;
@@ -12,6 +13,5 @@
 pub mod relay;
 pub mod report;
 pub mod soak;
-pub mod stage;
 pub mod view;
 pub mod world;
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `valehatch-lab`: experiments in virtual time with the real reducer, door and decision module.
+//! `valehatch-testbed`: experiments in virtual time with the real reducer, door and decision module.
 
 #![forbid(unsafe_code)]
 #![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
@@ -8,9 +8,9 @@
 
 use clap::{Parser, Subcommand};
 use indicatif::ProgressBar;
-use valehatch_lab::experiment::{Experiment, Way};
-use valehatch_lab::world::{Outcome, World};
-use valehatch_lab::{load, membership, report, soak, stage, view};
+use valehatch_testbed::experiment::{Experiment, Way};
+use valehatch_testbed::world::{Outcome, World};
+use valehatch_testbed::{cluster_test, load, membership, report, soak, view};
 
 /// Experiments in virtual time.
 #[derive(Parser)]
@@ -34,7 +34,8 @@
         out: Option<PathBuf>,
     },
     /// Play several processes of the real program under a timetable of faults; write table, CSV and JSON.
-    Stage {
+    #[command(name = "cluster-test", alias = "stage")]
+    ClusterTest {
         /// The experiment, in TOML.
         experiment: PathBuf,
         /// Seeds, such as 1..5 (both included) or 7.
@@ -186,21 +187,21 @@
 ) -> Result<(), String> {
     let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
-    let plan = stage::Plan::parse(&text).map_err(|e| named(&e))?;
+    let plan = cluster_test::Plan::parse(&text).map_err(|e| named(&e))?;
     let mut rows = vec![];
     for size in &plan.gateways {
         for (seed, way) in seeds.iter().flat_map(|s| plan.ways.iter().map(move |w| (*s, *w))) {
-            let program = if way == stage::Way::Plain { before } else { program };
+            let program = if way == cluster_test::Way::Plain { before } else { program };
             rows.push(plan.play(program, way, *size, seed)?);
         }
     }
-    print!("{}", stage::table(&rows));
+    print!("{}", cluster_test::table(&rows));
     let broken: Vec<String> = rows
         .iter()
         .flat_map(|r| r.broken.iter().map(|b| format!("{} seed {}: {b}", r.way, r.seed)))
         .collect();
     if let Some(dir) = out {
-        stage::write(&dir, &plan, &rows).map_err(|e| format!("{}: {e}", dir.display()))?;
+        cluster_test::write(&dir, &plan, &rows).map_err(|e| format!("{}: {e}", dir.display()))?;
     }
     if broken.is_empty() {
         println!("{}: {} plays, no rule broken", plan.name, rows.len());
@@ -223,7 +224,7 @@
     for ((way, seed), outcome) in jobs.iter().zip(outcomes) {
         let outcome = outcome.map_err(|e| {
             format!(
-                "{e}\nsee it again: valehatch-lab replay {} --seed {seed} --door {}",
+                "{e}\nsee it again: valehatch-testbed replay {} --seed {seed} --door {}",
                 path.display(),
                 way.name()
             )
@@ -243,7 +244,7 @@
 fn main() -> ExitCode {
     let outcome = match Arguments::parse().command {
         Command::Run { experiment, seeds: text, out } => seeds(&text).and_then(|s| run(&experiment, &s, out)),
-        Command::Stage { experiment, seed, program, before, out } => {
+        Command::ClusterTest { experiment, seed, program, before, out } => {
             let before = before.unwrap_or_else(|| program.clone());
             seeds(&seed).and_then(|s| run_stage(&experiment, &s, &program, &before, out))
         }
--- a/crates/lab/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -275,7 +275,7 @@
 }
 
 /// Served of asked by second, each way's plays of the largest fleet added up.
-pub fn served(path: &Path, rows: &[crate::stage::Row]) -> Result<(), Box<dyn Error>> {
+pub fn served(path: &Path, rows: &[crate::cluster_test::Row]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let size = rows.iter().map(|r| r.gateways).max().unwrap_or(0);
--- a/crates/lab/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,4 +1,4 @@
-//! `valehatch-lab soak`: plays seeds or a schedule from a file, says what broke, and makes what broke smaller.
+//! `valehatch-testbed soak`: plays seeds or a schedule from a file, says what broke, and makes what broke smaller.
 
 use std::path::PathBuf;
 
--- a/crates/lab/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -241,12 +241,12 @@
             Way::RoundRobin => plan.tenant.iter().map(|_| 1.0).collect(),
             Way::Fair | Way::Calm => plan.tenant.iter().map(|t| t.share).collect(),
         };
-        let door = (way != Way::None).then(|| valehatch_door::Settings {
+        let door = (way != Way::None).then(|| valehatch_admission::Settings {
             shares,
             classes: settings
                 .classes
                 .iter()
-                .map(|c| valehatch_door::Class {
+                .map(|c| valehatch_admission::Class {
                     worth: c.worth,
                     aim: c.aim,
                     late_counts: c.need == Need::Write && c.late_worth > 0.0,
--- a/crates/lab/tests/cold.rs
+++ b/crates/testbed/tests/cold.rs
@@ -2,10 +2,10 @@
 //! clients that come back, probes, a burst, a member that comes back, one that joins, and one that is made primary.
 
 use rstest::rstest;
-use valehatch_lab::experiment::{Experiment, Way};
-use valehatch_lab::fleet::{Fleet, Network};
-use valehatch_lab::world::{Cold, TIP_AFTER, TIP_MULTIPLE, World, warm_part};
 use valehatch_policy::Span;
+use valehatch_testbed::experiment::{Experiment, Way};
+use valehatch_testbed::fleet::{Fleet, Network};
+use valehatch_testbed::world::{Cold, TIP_AFTER, TIP_MULTIPLE, World, warm_part};
 
 /// What a warm member can do in a second: its cores by the mean work of a request, which is the same for all classes.
 const WORK_MS: f64 = 40.0;
--- a/crates/lab/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Memberships of a fleet in virtual time under faults: what each believes, and how soon.
 
 use rstest::rstest;
-use valehatch_lab::fleet::{Fleet, Network, address};
 use valehatch_membership::Note;
 use valehatch_membership::wire::State;
 use valehatch_policy::Span;
+use valehatch_testbed::fleet::{Fleet, Network, address};
 
 const PERIOD: Span = Span::from_millis(500);
 const BYTES: u32 = 8192;
--- a/crates/lab/tests/soak_oracle.rs
+++ b/crates/testbed/tests/soak_oracle.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use valehatch_lab::soak::oracle::{Attempt, Effect, Invariant, Oracle};
-use valehatch_lab::soak::schedule::{Coverage, Fault, FaultKind, Schedule};
-use valehatch_lab::soak::world::slow_start;
+use valehatch_testbed::soak::oracle::{Attempt, Effect, Invariant, Oracle};
+use valehatch_testbed::soak::schedule::{Coverage, Fault, FaultKind, Schedule};
+use valehatch_testbed::soak::world::slow_start;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/lab/tests/lab.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -5,7 +5,7 @@
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_valehatch-lab")).current_dir(ROOT).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_valehatch-testbed")).current_dir(ROOT).args(args).output().unwrap()
 }
 
 fn out(output: &Output) -> String {
@@ -36,7 +36,7 @@
 
 #[test]
 fn what_is_wrong_is_named() {
-    let path = std::env::temp_dir().join(format!("valehatch-lab-{}.toml", std::process::id()));
+    let path = std::env::temp_dir().join(format!("valehatch-testbed-{}.toml", std::process::id()));
     let text = std::fs::read_to_string(format!("{ROOT}/experiments/opening-day.toml")).unwrap();
     for (good, bad, wanted) in [
         ("members = 6", "members = 0", "members"),
--- a/crates/lab/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -2,9 +2,9 @@
 //! settled is wrong on the way. What judges that sees a join that is spoilt.
 
 use rstest::rstest;
-use valehatch_lab::view::{Case, Plan, Play};
 use valehatch_membership::view::Mutant;
 use valehatch_policy::Span;
+use valehatch_testbed::view::{Case, Plan, Play};
 
 fn plan() -> Plan {
     Plan::parse(
