--- a/crates/admission/src/calendar.rs
+++ b/crates/admission/src/calendar.rs
@@ -29,7 +29,7 @@
 
 /// A tenant's calendar in a lane.
 #[derive(Debug)]
-pub struct Calendar {
+pub struct RetryAfterCalendar {
     /// Cost reserved in each slot, the first of them beginning here.
     slots: std::collections::VecDeque<f64>,
     begin: Time,
@@ -39,7 +39,7 @@
     clients: LruCache<u64, Time, BuildHasherDefault<SipHasher13>>,
 }
 
-impl Calendar {
+impl RetryAfterCalendar {
     /// Nothing is reserved. It grows with the slots that are looked at and with the clients that are remembered.
     #[must_use]
     pub fn new(now: Time) -> Self {
--- a/crates/admission/src/codel.rs
+++ b/crates/admission/src/codel.rs
@@ -11,7 +11,7 @@
 
 /// The state of a lane's queue.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct StandingQueue {
     /// When the wait will have been too long for an interval.
     above_until: Option<Time>,
     dropping: bool,
@@ -19,7 +19,7 @@
     count: u32,
 }
 
-impl Standing {
+impl StandingQueue {
     /// One leaves the queue after a wait, and so many are behind it: whether it is cut.
     pub fn drops(&mut self, now: Time, waited: Span, behind: usize) -> bool {
         let long = waited >= TARGET && behind > 0;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,7 @@
 //! Admission: a state machine in front of the decision module. It decides who is let in next, who is refused at once, and
 //! when those are to come back; it never decides where a request goes.
 //!
-//! A [`Door`] has lanes, one for the writes and one for the reads of each group. In a lane tenants share by weight
+//! A [`AdmissionQueue`] has lanes, one for the writes and one for the reads of each group. In a lane tenants share by weight
 //! (start-time fair queueing over cost), the clients of a tenant share evenly (deficit round robin over buckets that their
 //! names are hashed into with a seed), and of a client's requests the one of most worth for its cost goes first. How many
 //! of a lane are let in at once follows what the decision module has room for: [`Window`]. Everything has its size in the
@@ -27,11 +27,11 @@
 
 use valehatch_policy::{GroupId, RequestId, Span, Time};
 
-use calendar::Calendar;
-use codel::Standing;
+use calendar::RetryAfterCalendar;
+use codel::StandingQueue;
 use cost::{Costs, Drain};
 use queue::{Entry, Queue};
-pub use window::{Room, Window};
+pub use window::{Capacity, Window};
 
 /// What the door knows of a class.
 #[derive(Clone, Debug, PartialEq)]
@@ -82,20 +82,20 @@
 
 /// Why one is refused at the door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum QueueRejection {
     /// It would not be served in time: what is before it takes too long.
-    Wait,
+    WaitTooLong,
     /// As many wait as may, and its tenant has the most of them for its share.
-    Full,
+    QueueFull,
     /// It has waited until it could no longer be served in time.
-    Waited,
+    ExpiredInQueue,
     /// The queue has stood for too long: it is cut from the front, so that those behind are served in time.
-    Standing,
+    StandingQueue,
 }
 
 /// When a refused client is to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hint {
+pub struct RetryAfterHint {
     /// After so long.
     pub after: Span,
     /// Room is reserved for it then. If not, the longest hint that is heeded is too short to be honest.
@@ -104,16 +104,16 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It is let in.
     Admit(RequestId),
     /// It is refused.
-    Refuse(RequestId, Reason, Hint),
+    Reject(RequestId, QueueRejection, RetryAfterHint),
 }
 
 /// What is shown of a tenant in all lanes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct TenantQueueView {
     /// Requests that wait.
     pub waiting: u64,
     /// How long the oldest has waited.
@@ -140,8 +140,8 @@
     queue: Queue,
     window: Window,
     drain: Drain,
-    standing: Standing,
-    calendars: Vec<Calendar>,
+    standing: StandingQueue,
+    calendars: Vec<RetryAfterCalendar>,
     out: u64,
 }
 
@@ -161,7 +161,7 @@
 
 /// The door.
 #[derive(Debug)]
-pub struct Door {
+pub struct AdmissionQueue {
     settings: Settings,
     weights: Vec<f64>,
     costs: Costs,
@@ -170,7 +170,7 @@
     /// When those that wait are given up.
     due: BTreeSet<(Time, RequestId)>,
     inside: BTreeMap<RequestId, Inside>,
-    shown: Vec<Shown>,
+    shown: Vec<TenantQueueView>,
     seed: u64,
 }
 
@@ -182,7 +182,7 @@
     shares.iter().map(sound).chain([left]).collect()
 }
 
-impl Door {
+impl AdmissionQueue {
     /// A door that nobody has come to. The seed decides which clients share a bucket.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
@@ -193,7 +193,7 @@
             waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             inside: BTreeMap::new(),
-            shown: vec![Shown::default(); weights.len()],
+            shown: vec![TenantQueueView::default(); weights.len()],
             weights,
             settings,
             seed,
@@ -227,7 +227,7 @@
 
     /// What is shown of each tenant, the last for those that are not known.
     #[must_use]
-    pub fn shown(&self, now: Time) -> Vec<Shown> {
+    pub fn shown(&self, now: Time) -> Vec<TenantQueueView> {
         let mut shown = self.shown.clone();
         for lane in self.lanes.values() {
             for (tenant, shown) in shown.iter_mut().enumerate() {
@@ -247,7 +247,7 @@
     }
 
     /// A request has come.
-    pub fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<Verdict>) {
+    pub fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<AdmissionDecision>) {
         let tenant = arrival.tenant.filter(|t| *t < self.settings.shares.len());
         let tenant = tenant.unwrap_or(self.settings.shares.len());
         let class = self.settings.classes[arrival.class].clone();
@@ -291,11 +291,11 @@
         let wait = lane.wait(now, &entry, &self.weights);
         if kept.is_none() && now + wait > entry.until {
             let hint = self.hint(now, key, &entry);
-            return out.push(Verdict::Refuse(arrival.id, Reason::Wait, hint));
+            return out.push(AdmissionDecision::Reject(arrival.id, QueueRejection::WaitTooLong, hint));
         }
         if self.waiting.len() >= self.settings.most && !self.make_room(now, key, tenant, out) {
             let hint = self.hint(now, key, &entry);
-            return out.push(Verdict::Refuse(arrival.id, Reason::Full, hint));
+            return out.push(AdmissionDecision::Reject(arrival.id, QueueRejection::QueueFull, hint));
         }
         self.waiting.insert(arrival.id, key);
         self.due.insert((entry.until.max(now), arrival.id));
@@ -312,14 +312,14 @@
         lane: LaneKey,
         arrival: &Arrival,
         tenant: usize,
-        out: &mut Vec<Verdict>,
+        out: &mut Vec<AdmissionDecision>,
     ) {
         self.shown[tenant].admitted += 1;
         self.inside.insert(arrival.id, Inside { lane, class: arrival.class, admitted: now });
-        out.push(Verdict::Admit(arrival.id));
+        out.push(AdmissionDecision::Admit(arrival.id));
     }
 
-    fn admit(&mut self, now: Time, key: LaneKey, entry: Entry, out: &mut Vec<Verdict>) {
+    fn admit(&mut self, now: Time, key: LaneKey, entry: Entry, out: &mut Vec<AdmissionDecision>) {
         let shown = &mut self.shown[entry.tenant];
         shown.admitted += 1;
         shown.got_us += u64::try_from(entry.cost.0).unwrap_or(0);
@@ -328,11 +328,11 @@
             lane.queue.served(&entry, &self.weights);
         }
         self.inside.insert(entry.id, Inside { lane: key, class: entry.class, admitted: now });
-        out.push(Verdict::Admit(entry.id));
+        out.push(AdmissionDecision::Admit(entry.id));
     }
 
     /// Lets in what there is room for.
-    fn pull(&mut self, now: Time, key: LaneKey, out: &mut Vec<Verdict>) {
+    fn pull(&mut self, now: Time, key: LaneKey, out: &mut Vec<AdmissionDecision>) {
         loop {
             let Some(lane) = self.lanes.get_mut(&key) else { return };
             if !lane.window.admits(lane.out) {
@@ -343,9 +343,13 @@
             self.due.remove(&(entry.until.max(entry.arrived), entry.id));
             let standing = lane.standing.drops(now, now - entry.arrived, lane.queue.len());
             if entry.until < now || standing && !entry.reserved {
-                let reason = if entry.until < now { Reason::Waited } else { Reason::Standing };
+                let reason = if entry.until < now {
+                    QueueRejection::ExpiredInQueue
+                } else {
+                    QueueRejection::StandingQueue
+                };
                 let hint = self.hint(now, key, &entry);
-                out.push(Verdict::Refuse(entry.id, reason, hint));
+                out.push(AdmissionDecision::Reject(entry.id, reason, hint));
                 continue;
             }
             self.admit(now, key, entry, out);
@@ -354,7 +358,13 @@
 
     /// Takes the place of one that waits, of the tenant that has the most of them for its share; false if that is the one
     /// that asks.
-    fn make_room(&mut self, now: Time, asks: LaneKey, tenant: usize, out: &mut Vec<Verdict>) -> bool {
+    fn make_room(
+        &mut self,
+        now: Time,
+        asks: LaneKey,
+        tenant: usize,
+        out: &mut Vec<AdmissionDecision>,
+    ) -> bool {
         let most = |lane: &Lane| lane.queue.fullest(&self.weights);
         let found = self.lanes.iter().filter_map(|(key, lane)| Some((*key, most(lane)?)));
         let found = found.max_by(|a, b| a.1.1.total_cmp(&b.1.1).then(b.0.cmp(&a.0)));
@@ -367,23 +377,28 @@
         self.waiting.remove(&entry.id);
         self.due.remove(&(entry.until.max(entry.arrived), entry.id));
         let hint = self.hint(now, key, &entry);
-        out.push(Verdict::Refuse(entry.id, Reason::Full, hint));
+        out.push(AdmissionDecision::Reject(entry.id, QueueRejection::QueueFull, hint));
         true
     }
 
     /// When one that is refused is to come back: room is reserved for it.
-    fn hint(&mut self, now: Time, key: LaneKey, entry: &Entry) -> Hint {
+    fn hint(&mut self, now: Time, key: LaneKey, entry: &Entry) -> RetryAfterHint {
         let most = self.settings.max_hint;
-        let Some(lane) = self.lanes.get_mut(&key) else { return Hint { after: most, honest: false } };
+        let Some(lane) = self.lanes.get_mut(&key) else {
+            return RetryAfterHint { after: most, honest: false };
+        };
         let rate = lane.rate_of(entry.tenant, &self.weights);
         let backlog = lane.queue.backlog(entry.tenant);
         let hint = lane.calendars[entry.tenant].reserve(now, entry.client, entry.cost, backlog, rate, most);
         self.shown[entry.tenant].hinted += 1;
-        hint.map_or(Hint { after: most, honest: false }, |after| Hint { after, honest: true })
+        hint.map_or(RetryAfterHint { after: most, honest: false }, |after| RetryAfterHint {
+            after,
+            honest: true,
+        })
     }
 
     /// A request that was let in is over; `served` if a member answered it.
-    pub fn leave(&mut self, now: Time, id: RequestId, served: bool, out: &mut Vec<Verdict>) {
+    pub fn leave(&mut self, now: Time, id: RequestId, served: bool, out: &mut Vec<AdmissionDecision>) {
         let Some(inside) = self.inside.remove(&id) else { return };
         if served {
             self.costs.learn(inside.class, now - inside.admitted);
@@ -397,7 +412,7 @@
     }
 
     /// The client of a request has left.
-    pub fn abort(&mut self, now: Time, id: RequestId, out: &mut Vec<Verdict>) {
+    pub fn abort(&mut self, now: Time, id: RequestId, out: &mut Vec<AdmissionDecision>) {
         if let Some(key) = self.waiting.remove(&id) {
             let entry = self.lanes.get_mut(&key).and_then(|lane| lane.queue.remove(id));
             if let Some(entry) = entry {
@@ -408,7 +423,14 @@
     }
 
     /// What the decision module has room for in a group, for writes or for reads.
-    pub fn room(&mut self, now: Time, group: GroupId, write: bool, room: Room, out: &mut Vec<Verdict>) {
+    pub fn room(
+        &mut self,
+        now: Time,
+        group: GroupId,
+        write: bool,
+        room: Capacity,
+        out: &mut Vec<AdmissionDecision>,
+    ) {
         let key = (group, write);
         if let Some(lane) = self.lanes.get_mut(&key) {
             lane.window.follow(room, lane.out);
@@ -417,14 +439,14 @@
     }
 
     /// Time has passed: those that have waited too long are refused, at once and with a hint.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Verdict>) {
+    pub fn tick(&mut self, now: Time, out: &mut Vec<AdmissionDecision>) {
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, id));
             let Some(key) = self.waiting.remove(&id) else { continue };
             let entry = self.lanes.get_mut(&key).and_then(|lane| lane.queue.remove(id));
             if let Some(entry) = entry {
                 let hint = self.hint(now, key, &entry);
-                out.push(Verdict::Refuse(id, Reason::Waited, hint));
+                out.push(AdmissionDecision::Reject(id, QueueRejection::ExpiredInQueue, hint));
             }
         }
         for key in self.lanes.keys().copied().collect::<Vec<_>>() {
@@ -467,8 +489,8 @@
             queue: Queue::new(tenants, buckets, seed),
             window: Window::default(),
             drain: Drain::new(now),
-            standing: Standing::default(),
-            calendars: (0..tenants).map(|_| Calendar::new(now)).collect(),
+            standing: StandingQueue::default(),
+            calendars: (0..tenants).map(|_| RetryAfterCalendar::new(now)).collect(),
             out: 0,
         }
     }
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -3,7 +3,7 @@
 
 /// What the decision module has room for in a lane.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Attempts that the members which can be used may have at once: their limits, the cold ones' by their warm part.
     pub limit: f64,
     /// Requests of the lane that wait inside.
@@ -34,7 +34,7 @@
 impl Window {
     /// Follows what there is room for. It closes at once to what is inside and not waiting, and opens again step by step.
     #[allow(clippy::cast_precision_loss)]
-    pub fn follow(&mut self, room: Room, out: u64) {
+    pub fn follow(&mut self, room: Capacity, out: u64) {
         let limit = if room.searching { SEEKERS } else { (room.limit + AHEAD).max(1.0) };
         // What waits inside was let in too soon.
         let busy = (out as f64 - room.waiting as f64 + AHEAD).max(1.0);
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -29,7 +29,7 @@
 
 /// A door before members that have so many places, each of which takes a fixed time for a class.
 struct World {
-    door: Door,
+    door: AdmissionQueue,
     now: Time,
     places: f64,
     busy: BTreeSet<(Time, RequestId)>,
@@ -37,7 +37,7 @@
     of: BTreeMap<RequestId, (usize, Time)>,
     /// Admitted and refused, by tenant; hints as they were given.
     admitted: Vec<Vec<Span>>,
-    refused: Vec<Vec<(Reason, Hint, u64)>>,
+    refused: Vec<Vec<(QueueRejection, RetryAfterHint, u64)>>,
     verdicts: BTreeSet<RequestId>,
     cost: BTreeMap<RequestId, i64>,
     when: BTreeMap<RequestId, Time>,
@@ -51,7 +51,7 @@
         #[allow(clippy::cast_precision_loss)]
         let places = places as f64;
         Self {
-            door: Door::new(settings, 7),
+            door: AdmissionQueue::new(settings, 7),
             now: Time(1_000_000_000),
             places,
             busy: BTreeSet::new(),
@@ -65,18 +65,18 @@
         }
     }
 
-    fn take(&mut self, verdicts: Vec<Verdict>) {
+    fn take(&mut self, verdicts: Vec<AdmissionDecision>) {
         for verdict in verdicts {
-            let (Verdict::Admit(id) | Verdict::Refuse(id, ..)) = verdict;
+            let (AdmissionDecision::Admit(id) | AdmissionDecision::Reject(id, ..)) = verdict;
             assert!(self.verdicts.insert(id), "one verdict for each");
             let (tenant, came) = self.of[&id];
             match verdict {
-                Verdict::Admit(_) => {
+                AdmissionDecision::Admit(_) => {
                     self.admitted[tenant].push(self.now - came);
                     self.when.insert(id, self.now);
                     self.busy.insert((self.now + Span(self.cost[&id]), id));
                 }
-                Verdict::Refuse(_, reason, hint) => {
+                AdmissionDecision::Reject(_, reason, hint) => {
                     assert!(hint.after > Span(0) && hint.after <= ms(2000), "{hint:?}");
                     self.refused[tenant].push((reason, hint, id.0));
                 }
@@ -110,7 +110,7 @@
                 self.busy.pop_first();
                 self.door.leave(self.now, id, true, &mut out);
             }
-            let room = Room { limit: self.places, waiting: 0, searching: false };
+            let room = Capacity { limit: self.places, waiting: 0, searching: false };
             for write in [false, true] {
                 self.door.room(self.now, GroupId(0), write, room, &mut out);
             }
@@ -173,13 +173,13 @@
     load(&mut world, 20, &[(0, 100, 50, 1), (1, 600, 50, 0)]);
     let cost = [0, 1].map(|n| (world.admitted[n].len() - before[n]) as i64 * TIMES[1 - n]);
     for n in 0..2 {
-        let kinds = |r: Reason| world.refused[n].iter().filter(|(reason, ..)| *reason == r).count();
+        let kinds = |r: QueueRejection| world.refused[n].iter().filter(|(reason, ..)| *reason == r).count();
         println!(
             "cost: tenant {n} wait {} full {} waited {} standing {} admitted {}",
-            kinds(Reason::Wait),
-            kinds(Reason::Full),
-            kinds(Reason::Waited),
-            kinds(Reason::Standing),
+            kinds(QueueRejection::WaitTooLong),
+            kinds(QueueRejection::QueueFull),
+            kinds(QueueRejection::ExpiredInQueue),
+            kinds(QueueRejection::StandingQueue),
             world.admitted[n].len()
         );
     }
@@ -233,10 +233,14 @@
 fn what_cannot_be_served_in_time_is_refused_on_arrival_and_not_after_waiting() {
     let mut world = World::new(settings(&[1.0]), 20);
     load(&mut world, 10, &[(0, 2000, 200, 0)]);
-    let reasons = |r: Reason| world.refused[0].iter().filter(|(reason, ..)| *reason == r).count();
+    let reasons = |r: QueueRejection| world.refused[0].iter().filter(|(reason, ..)| *reason == r).count();
     let all = world.refused[0].len();
     assert!(all > 10_000);
-    assert!(reasons(Reason::Wait) * 10 >= all * 9, "{} of {all}", reasons(Reason::Wait));
+    assert!(
+        reasons(QueueRejection::WaitTooLong) * 10 >= all * 9,
+        "{} of {all}",
+        reasons(QueueRejection::WaitTooLong)
+    );
 }
 
 #[test]
@@ -272,14 +276,14 @@
     };
     let right = came.iter().filter(|c| is_right(c)).count();
     let wrong = came.len() - right;
-    let kinds = |r: Reason| world.refused[0].iter().filter(|(reason, ..)| *reason == r).count();
+    let kinds = |r: QueueRejection| world.refused[0].iter().filter(|(reason, ..)| *reason == r).count();
     let honest = world.refused[0].iter().filter(|(_, h, _)| h.honest).count();
     println!(
         "right {right} wrong {wrong} honest {honest} wait {} full {} waited {} standing {} admitted {}",
-        kinds(Reason::Wait),
-        kinds(Reason::Full),
-        kinds(Reason::Waited),
-        kinds(Reason::Standing),
+        kinds(QueueRejection::WaitTooLong),
+        kinds(QueueRejection::QueueFull),
+        kinds(QueueRejection::ExpiredInQueue),
+        kinds(QueueRejection::StandingQueue),
         world.admitted[0].len()
     );
     assert!(right > 200, "{right}");
@@ -288,7 +292,7 @@
 
 #[test]
 fn hints_spread_a_crowd_and_say_when_they_cannot_be_honest() {
-    let mut calendar = calendar::Calendar::new(Time(0));
+    let mut calendar = calendar::RetryAfterCalendar::new(Time(0));
     // Twenty checks at once, 400 a second; a crowd of 1,000 refused in one moment.
     let hints: Vec<Option<Span>> =
         (0..1000).map(|n| calendar.reserve(Time(0), n, ms(50), ms(1000), 20.0, ms(2000))).collect();
@@ -307,7 +311,7 @@
 
 #[test]
 fn a_client_that_comes_early_all_the_time_gains_nothing() {
-    let mut calendar = calendar::Calendar::new(Time(0));
+    let mut calendar = calendar::RetryAfterCalendar::new(Time(0));
     let hint = calendar.reserve(Time(0), 1, ms(50), ms(20_000), 20.0, ms(2000)).unwrap();
     assert_eq!(calendar.take(Time(0) + hint - ms(51), 1), None);
     assert_eq!(calendar.take(Time(0) + hint - ms(50), 1), Some(Time(0) + hint));
@@ -321,7 +325,7 @@
     for n in 0..50 {
         world.ask(0, n, 2, ms(5000));
     }
-    let searching = Room { limit: 20.0, waiting: 8, searching: true };
+    let searching = Capacity { limit: 20.0, waiting: 8, searching: true };
     world.door.room(world.now, GroupId(0), true, searching, &mut out);
     world.take(out);
     assert!(world.door.len() >= 30, "they keep their places");
@@ -359,7 +363,7 @@
 
 #[test]
 fn groups_beyond_the_lanes_are_let_in_as_they_come() {
-    let mut door = Door::new(Settings { lanes: 2, ..settings(&[1.0]) }, 1);
+    let mut door = AdmissionQueue::new(Settings { lanes: 2, ..settings(&[1.0]) }, 1);
     let mut out = vec![];
     for n in 0..50_u16 {
         let id = RequestId(u64::from(n) + 1);
@@ -367,7 +371,7 @@
         door.arrive(Time(0), Arrival { id, tenant: None, client: 1, class: 0, group, deadline }, &mut out);
     }
     assert_eq!(out.len(), 50);
-    assert!(out.iter().all(|v| matches!(v, Verdict::Admit(_))));
+    assert!(out.iter().all(|v| matches!(v, AdmissionDecision::Admit(_))));
     (1..=50).for_each(|n| door.leave(Time(1), RequestId(n), true, &mut out));
     assert!(door.is_empty());
 }
--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
-use valehatch_admission::{Arrival, Class, Door, Room, Settings, Verdict};
+use valehatch_admission::{AdmissionDecision, AdmissionQueue, Arrival, Capacity, Class, Settings};
 use valehatch_policy::{GroupId, RequestId, Span, Time};
 
 #[global_allocator]
@@ -33,9 +33,9 @@
         lanes: 64,
     };
     let mut inside: VecDeque<(Time, RequestId)> = VecDeque::with_capacity(4 * MOST);
-    let mut out: Vec<Verdict> = Vec::with_capacity(4 * MOST);
+    let mut out: Vec<AdmissionDecision> = Vec::with_capacity(4 * MOST);
     let region = Region::new(COUNTED);
-    let mut door = Door::new(settings, 7);
+    let mut door = AdmissionQueue::new(settings, 7);
     let (mut seconds, mut most_waiting, mut peak) = (vec![], 0, 0);
     // Each arrival is a client that was never seen before, in one of eight groups; a hundred a second are served of each.
     for n in 0..1_000_000_u64 {
@@ -52,7 +52,7 @@
         door.arrive(now, arrival, &mut out);
         if n % 500 == 0 {
             for group in 0..8 {
-                let room = Room { limit: 5.0, waiting: 0, searching: false };
+                let room = Capacity { limit: 5.0, waiting: 0, searching: false };
                 door.room(now, GroupId(group), false, room, &mut out);
                 door.room(now, GroupId(group), true, room, &mut out);
             }
@@ -64,7 +64,7 @@
             door.leave(now, id, true, &mut out);
         }
         for verdict in out.drain(..) {
-            if let Verdict::Admit(id) = verdict {
+            if let AdmissionDecision::Admit(id) = verdict {
                 inside.push_back((now + Span::from_millis(50), id));
             }
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use self::settings::WireFacts;
-use valehatch_policy::{NodeId, Settings};
+use valehatch_policy::{EndpointId, Settings};
 
 /// What the platform tells a gateway.
 #[derive(Clone, Debug)]
@@ -59,11 +59,11 @@
 /// A member's number from its name, the same at every gateway and whatever else the list holds: the hexadecimal
 /// digits that the name ends in, or else a hash of it.
 #[must_use]
-pub fn number(name: &str) -> NodeId {
+pub fn number(name: &str) -> EndpointId {
     let digits = name.rsplit('-').next().filter(|h| h.len() == 8);
     let hash = |h: u32, b: u8| (h ^ u32::from(b)).wrapping_mul(16_777_619);
     let hashed = || name.bytes().fold(2_166_136_261, hash);
-    NodeId(digits.and_then(|h| u32::from_str_radix(h, 16).ok()).unwrap_or_else(hashed))
+    EndpointId(digits.and_then(|h| u32::from_str_radix(h, 16).ok()).unwrap_or_else(hashed))
 }
 
 /// The names that clients and discovery use, as they use them.
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use toml_edit::DocumentMut;
-use valehatch_policy::{Entry, GroupId, KindId, NodeState, ZoneId};
+use valehatch_policy::{EndpointRecord, EndpointState, GroupId, KindId, ZoneId};
 
 use super::peers::Peers;
 use super::reader::{Fault, Section, Source};
@@ -102,7 +102,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// As the list would tell it.
-    pub entry: Entry,
+    pub entry: EndpointRecord,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -408,14 +408,14 @@
     budget: Option<String>,
     group: u16,
     statements: Vec<String>,
-    need: &'static str,
+    consistency: &'static str,
     bound_ms: f64,
-    effect: &'static str,
+    idempotency: &'static str,
     window_ms: f64,
     aim_ms: f64,
     deadline_ms: f64,
-    worth: f64,
-    late_worth: f64,
+    priority_weight: f64,
+    late_priority_weight: f64,
 }
 
 /// A day: longer than any client waits.
@@ -434,25 +434,25 @@
             ("bounded", "lag_bound"),
         ]
     };
-    let need = section.choice("need", None, needs);
-    let bounded = need == "lag_bound";
-    let effect =
+    let consistency = section.choice("need", None, needs);
+    let bounded = consistency == "lag_bound";
+    let idempotency =
         section.choice("effect", None, &[("safe", "safe"), ("keyed", "keyed"), ("unsafe", "unsafe")]);
-    let keyed = effect == "keyed";
+    let keyed = idempotency == "keyed";
     let group = u16::try_from(section.whole("group", Some(0), 0..=65_535)).unwrap_or(0);
     let read = Line {
         name: section.name("name", None),
         budget: section.text_if("budget"),
         group,
         statements: if cassandra { section.texts("statements", None) } else { vec![] },
-        need,
+        consistency,
         bound_ms: if bounded { section.above_zero("bound-ms", None, DAY_MS) } else { 0.0 },
-        effect,
+        idempotency,
         window_ms: if keyed { section.above_zero("window-ms", None, DAY_MS) } else { 0.0 },
         aim_ms: section.above_zero("aim-ms", None, DAY_MS),
         deadline_ms: section.number("deadline-ms", None, SHORTEST_DEADLINE_MS..=DAY_MS),
-        worth: section.above_zero("worth", Some(1.0), 1e9),
-        late_worth: section.number("late-worth", Some(0.0), 0.0..=1.0),
+        priority_weight: section.above_zero("worth", Some(1.0), 1e9),
+        late_priority_weight: section.number("late-worth", Some(0.0), 0.0..=1.0),
     };
     if read.deadline_ms < read.aim_ms {
         section.fault("deadline-ms", format!("is {}, below aim-ms, {}", read.deadline_ms, read.aim_ms));
@@ -484,7 +484,7 @@
     let mut shown = vec![];
     for member in section.list("member") {
         let read = fixed(&member);
-        if all.iter().any(|other| other.entry.node == read.entry.node) {
+        if all.iter().any(|other| other.entry.endpoint == read.entry.endpoint) {
             member.fault("name", format!("is {:?}, which cannot be told from another's", read.name));
         }
         all.push(read);
@@ -499,10 +499,10 @@
 
 fn fixed(section: &Section<'_>) -> Fixed {
     let name = section.name("name", None);
-    let states = [("active", NodeState::Ready), ("leaving", NodeState::Draining)];
-    let entry = Entry {
+    let states = [("active", EndpointState::Ready), ("leaving", EndpointState::Draining)];
+    let entry = EndpointRecord {
         // By its name, so that it stays the same when others are taken out of the file.
-        node: number(&name),
+        endpoint: number(&name),
         group: GroupId(u16::try_from(section.whole("group", Some(0), 0..=65_535)).unwrap_or(0)),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -568,7 +568,7 @@
     }
     if protocol == Protocol::Cassandra {
         let group = groups.iter().flatten().min().copied().unwrap_or(0);
-        for (n, (name, need, effect, key)) in [
+        for (n, (name, consistency, idempotency, key)) in [
             ("unknown", "mutate", "unsafe", "unknown-deadline-ms"),
             ("prepare", "eventual", "safe", "prepare-deadline-ms"),
         ]
@@ -579,20 +579,20 @@
             contracts.push(Contract { class: own + n, tenant: None, group, starts: vec![] });
             let name = name.to_owned();
             let (budget, statements, aim_ms) = (None, vec![], deadline_ms / 4.0);
-            let (bound_ms, window_ms, worth, late_worth) = (0.0, 0.0, 1.0, 0.0);
+            let (bound_ms, window_ms, priority_weight, late_priority_weight) = (0.0, 0.0, 1.0, 0.0);
             lines.push(Line {
                 name,
                 budget,
                 group,
                 statements,
-                need,
+                consistency,
                 bound_ms,
-                effect,
+                idempotency,
                 window_ms,
                 aim_ms,
                 deadline_ms,
-                worth,
-                late_worth,
+                priority_weight,
+                late_priority_weight,
             });
         }
     }
@@ -631,21 +631,21 @@
         let _ = writeln!(out, "{key}={value}");
     };
     for (n, line) in lines.iter().enumerate() {
-        put(format!("classes.{n}.effect"), line.effect.into());
+        put(format!("classes.{n}.effect"), line.idempotency.into());
         put(format!("classes.{n}.group"), "cell".into());
         for (key, value) in [
             ("slo-ms", line.aim_ms),
             ("deadline-ms", line.deadline_ms),
             ("window-ms", line.window_ms),
-            ("worth", line.worth),
-            ("late-worth", line.late_worth),
+            ("worth", line.priority_weight),
+            ("late-worth", line.late_priority_weight),
         ] {
             put(format!("classes.{n}.{key}"), value.to_string());
         }
     }
     let joined = |of: &dyn Fn(&Line) -> String| lines.iter().map(of).collect::<Vec<_>>().join(",");
     put("classes.count".into(), lines.len().to_string());
-    put("family-info.needs-by-class".into(), joined(&|l| l.need.to_owned()));
+    put("family-info.needs-by-class".into(), joined(&|l| l.consistency.to_owned()));
     put("family-info.staleness-bound-ms".into(), joined(&|l| l.bound_ms.to_string()));
     put("tenants.count".into(), budgets.len().to_string());
     for (n, b) in budgets.iter().enumerate() {
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -5,8 +5,8 @@
 use std::ops::{Bound, RangeInclusive};
 
 use valehatch_policy::{
-    Checks, Class, DedupScope, Effect, Limits, ListMode, ListedRole, Need, Report, Rules, Sessions, Settings,
-    Span, Tenant, Time, ZoneId,
+    Consistency, DedupScope, DiscoveryMode, Idempotency, Limits, ListedRole, LoadReport, RequestClass, Rules,
+    SessionTracking, Settings, Span, StaleReadPolicy, Tenant, Time, ZoneId,
 };
 
 /// Milliseconds, as the settings and the simulator's wire give them, to microseconds.
@@ -46,8 +46,8 @@
 
 impl WireFacts {
     /// The report that a node's values make, where `place` turns a position in seconds into a time.
-    pub fn report(&self, values: &[f64], place: impl Fn(f64) -> Time) -> Option<Report> {
-        let mut out = Report::default();
+    pub fn report(&self, values: &[f64], place: impl Fn(f64) -> Time) -> Option<LoadReport> {
+        let mut out = LoadReport::default();
         for (field, value) in self.fields.iter().zip(values) {
             match field {
                 Field::Position => out.position = Some(place(*value)),
@@ -144,38 +144,41 @@
     })
 }
 
-fn need(text: &Text<'_>, n: usize) -> Result<Need, String> {
+fn consistency(text: &Text<'_>, n: usize) -> Result<Consistency, String> {
     let key = "family-info.needs-by-class";
     let names = [
-        ("mutate", Need::Write),
-        ("strong", Need::Fresh),
-        ("causal", Need::Session),
-        ("eventual", Need::Any),
-        ("lag_bound", Need::Bounded(Span(0))),
+        ("mutate", Consistency::Write),
+        ("strong", Consistency::Strong),
+        ("causal", Consistency::Session),
+        ("eventual", Consistency::Eventual),
+        ("lag_bound", Consistency::BoundedStaleness(Span(0))),
     ];
     let found = choice(&format!("{key} item {n}"), text.item(key, n)?, &names)?;
-    let Need::Bounded(_) = found else { return Ok(found) };
+    let Consistency::BoundedStaleness(_) = found else { return Ok(found) };
     let bound = "family-info.staleness-bound-ms";
     let ms = within(&format!("{bound} item {n}"), text.item(bound, n)?, 0.0..=LONGEST_MS)?;
-    Ok(Need::Bounded(Span(micros(ms))))
+    Ok(Consistency::BoundedStaleness(Span(micros(ms))))
 }
 
-fn class(text: &Text<'_>, n: usize) -> Result<Class, String> {
+fn class(text: &Text<'_>, n: usize) -> Result<RequestClass, String> {
     let key = |name: &str| format!("classes.{n}.{name}");
     let scopes = [("cell", DedupScope::Group), ("all", DedupScope::All), ("zone", DedupScope::Zone)];
-    Ok(Class {
-        need: need(text, n)?,
-        effect: match text.choice(&key("effect"), &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
-            0 => Effect::Safe,
+    Ok(RequestClass {
+        consistency: consistency(text, n)?,
+        idempotency: match text.choice(&key("effect"), &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
+            0 => Idempotency::Idempotent,
             // A window of 0 is one in which nothing is repeated.
-            1 => Effect::Keyed(text.choice(&key("group"), &scopes)?, text.span(&key("window-ms"), 0.0)?),
-            _ => Effect::Unsafe,
+            1 => Idempotency::IdempotencyKey(
+                text.choice(&key("group"), &scopes)?,
+                text.span(&key("window-ms"), 0.0)?,
+            ),
+            _ => Idempotency::NonIdempotent,
         },
-        aim: text.span(&key("slo-ms"), SHORTEST_MS)?,
-        aim_stretch: text.number_or(&key("aim-stretch"), 0.0, 0.0..=1e6)?,
+        latency_objective: text.span(&key("slo-ms"), SHORTEST_MS)?,
+        latency_objective_stretch: text.number_or(&key("aim-stretch"), 0.0, 0.0..=1e6)?,
         deadline: text.span(&key("deadline-ms"), SHORTEST_DEADLINE_MS)?,
-        worth: text.number(&key("worth"), 0.0..=1e9)?,
-        late_worth: text.number(&key("late-worth"), 0.0..=1.0)?,
+        priority_weight: text.number(&key("worth"), 0.0..=1e9)?,
+        late_priority_weight: text.number(&key("late-worth"), 0.0..=1.0)?,
     })
 }
 
@@ -191,9 +194,9 @@
 }
 
 /// How often the list has to be asked for. Where it comes unasked that bounds pauses only, and 0 is no bound.
-fn ask_within(text: &Text<'_>, mode: ListMode) -> Result<Span, String> {
+fn max_poll_interval(text: &Text<'_>, mode: DiscoveryMode) -> Result<Span, String> {
     let key = "rules.ask-within-ms";
-    if mode == ListMode::Asked {
+    if mode == DiscoveryMode::Poll {
         // An answer is waited for over a quarter of it.
         return text.span(key, 100.0);
     }
@@ -221,48 +224,56 @@
     let classes = text.whole("classes.count", 1.0..=MOST_ITEMS)? as usize;
     let tenants = tenants(&text)?;
     let removal = "rules.removal-not-binding";
-    let list_mode =
-        text.choice("membership-mode", &[("push", ListMode::Pushed), ("ask", ListMode::Asked)])?;
+    let discovery_mode =
+        text.choice("membership-mode", &[("push", DiscoveryMode::Watch), ("ask", DiscoveryMode::Poll)])?;
     let settings = Settings {
         classes: (0..classes).map(|n| class(&text, n)).collect::<Result<_, _>>()?,
-        over_share_worth: match tenants.len() {
+        over_quota_priority_weight: match tenants.len() {
             0 => None,
             _ => Some(text.number("over-share-worth", 0.0..=1.0)?),
         },
         tenants,
-        list_mode,
+        discovery_mode,
         listed_role: text.choice(
             "family-info.role-listed",
-            &[("trailing", ListedRole::Trailing), ("static", ListedRole::Static), ("off", ListedRole::Off)],
+            &[
+                ("trailing", ListedRole::Trailing),
+                ("static", ListedRole::Static),
+                ("off", ListedRole::Ignored),
+            ],
         )?,
-        checks: match text.choice("family-info.server-checks", &[("off", 0), ("bounce", 1), ("await", 2)])? {
-            0 => Checks::Off,
-            1 => Checks::Bounce,
-            _ => Checks::Await(text.span("family-info.catch-up-wait-ms", 0.0)?),
+        stale_read_policy: match text
+            .choice("family-info.server-checks", &[("off", 0), ("bounce", 1), ("await", 2)])?
+        {
+            0 => StaleReadPolicy::Serve,
+            1 => StaleReadPolicy::Reject,
+            _ => StaleReadPolicy::WaitThenReject(text.span("family-info.catch-up-wait-ms", 0.0)?),
         },
-        sessions: text
-            .choice("family-info.token-mode", &[("brought", Sessions::Brought), ("kept", Sessions::Kept)])?,
+        sessions: text.choice(
+            "family-info.token-mode",
+            &[("brought", SessionTracking::ClientProvided), ("kept", SessionTracking::RouterTracked)],
+        )?,
         routers: text.whole("fleet-size", 1.0..=1e6)?,
         zone: ZoneId(u8::try_from(text.whole("zone", 0.0..=254.0)?).unwrap_or(u8::MAX)),
         // Twice as long is waited between looks at what waits: shorter turns would take the whole core.
         tick: Span(micros(text.number("tick-ms", 0.1..=1000.0)?)),
         limits: Limits {
             cancel: text.flag("limits.cancel")?,
-            probing: text.flag("limits.probing")?,
-            second_copies: text.flag("limits.second-copies")?,
+            health_checks: text.flag("limits.probing")?,
+            hedged_requests: text.flag("limits.second-copies")?,
             retry_after: text.flag("limits.retry-after")?,
             max_attempts: text.whole("limits.max-attempts", 1.0..=1e9)?.min(MOST_ATTEMPTS),
             max_retry_after: text.span("limits.max-retry-after-ms", 0.0)?,
-            max_open: text.whole("limits.most-held", 1.0..=1e7)? as usize,
-            conn_idle: text.span("limits.conn-idle-ms", 0.0)?,
+            max_open_requests: text.whole("limits.most-held", 1.0..=1e7)? as usize,
+            idle_connection_timeout: text.span("limits.conn-idle-ms", 0.0)?,
         },
         rules: Rules {
-            ask_within: ask_within(&text, list_mode)?,
-            cold_from: text.number("rules.cold-from", 0.0..=1.0)?,
+            max_poll_interval: max_poll_interval(&text, discovery_mode)?,
+            slow_start_initial_capacity: text.number("rules.cold-from", 0.0..=1.0)?,
             cold: text.span("rules.cold-ms", 0.0)?,
-            tip_multiple: text.number("rules.tip-multiple", 0.001..=1e6)?,
-            tip_after: text.span("rules.tip-after-ms", SHORTEST_MS)?,
-            removal_not_binding: text.find(removal).is_some() && text.flag(removal)?,
+            overload_multiple: text.number("rules.tip-multiple", 0.001..=1e6)?,
+            overload_duration: text.span("rules.tip-after-ms", SHORTEST_MS)?,
+            removal_is_advisory: text.find(removal).is_some() && text.flag(removal)?,
         },
     };
     let field = |name: &str| match name {
@@ -283,7 +294,7 @@
     let wire = WireFacts {
         fields: names.into_iter().map(field).collect(),
         zero: Time(micros(text.number("family-info.position-zero-ms", -1e15..=1e15)?)),
-        brought: settings.sessions == Sessions::Brought,
+        brought: settings.sessions == SessionTracking::ClientProvided,
         classes,
         tenants: settings.tenants.len(),
     };
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -92,31 +92,31 @@
     router: Router,
     now: Time,
     timer: Option<Time>,
-    out: BTreeMap<(RequestId, u32), (NodeId, Time)>,
+    out: BTreeMap<(RequestId, u32), (EndpointId, Time)>,
     sent: BTreeMap<RequestId, u32>,
     open: BTreeMap<RequestId, Time>,
-    probes: Vec<NodeId>,
+    probes: Vec<EndpointId>,
     attempts: u32,
 }
 
 impl World {
-    fn step(&mut self, events: &[Event]) {
+    fn step(&mut self, events: &[PolicyEvent]) {
         let mut actions = vec![];
         self.router.step(self.now, events, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, node, .. } => {
+                Action::Send { request, endpoint, .. } => {
                     let n = self.sent.entry(request).or_default();
                     assert!(*n < self.attempts, "{request:?} is sent more often than allowed");
-                    self.out.insert((request, *n), (node, self.now));
+                    self.out.insert((request, *n), (endpoint, self.now));
                     *n += 1;
                 }
-                Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+                Action::Reject { request, .. } | Action::Fail { request, .. } => {
                     assert!(self.open.remove(&request).is_some(), "two answers for {request:?}");
                 }
-                Action::Probe { node } => self.probes.push(node),
+                Action::HealthCheck { endpoint } => self.probes.push(endpoint),
                 Action::SetTimer { at, .. } => self.timer = Some(self.timer.map_or(at, |t| t.min(at))),
-                Action::Cancel { .. } | Action::Subscribe => {}
+                Action::Cancel { .. } | Action::RefreshEndpointList => {}
             }
         }
         let shown = format!("{:?}", self.router);
@@ -124,11 +124,11 @@
     }
 
     fn end(&mut self, how: u8) {
-        let Some(((request, attempt), (node, sent))) = self.out.pop_first() else { return };
+        let Some(((request, attempt), (endpoint, sent))) = self.out.pop_first() else { return };
         let (outcome, role) = match how % 7 {
             0 | 1 => (Outcome::Ok, Some(Role::Primary)),
-            2 => (Outcome::Miss, Some(Role::Replica)),
-            3 => (Outcome::Full, None),
+            2 => (Outcome::Misdirected, Some(Role::Replica)),
+            3 => (Outcome::Rejected, None),
             4 => (Outcome::Error, None),
             5 => (Outcome::ConnectFailed, None),
             _ => (Outcome::Reset, None),
@@ -139,8 +139,8 @@
         }
         let latency = self.now - sent;
         let (position, report) = (None, None);
-        let end = AttemptEnd { request, attempt, node, outcome, closed, latency, role, position, report };
-        self.step(&[Event::Ended(end)]);
+        let end = AttemptEnd { request, attempt, endpoint, outcome, closed, latency, role, position, report };
+        self.step(&[PolicyEvent::AttemptEnded(end)]);
     }
 }
 
@@ -158,25 +158,25 @@
         probes: vec![],
         attempts,
     };
-    let entry = |n: u32, started| Entry {
-        node: NodeId(n),
+    let entry = |n: u32, started| EndpointRecord {
+        endpoint: EndpointId(n),
         group: GroupId(0),
         zone: ZoneId(1),
         kind: KindId(0),
         weight: 1.0,
         started,
         primary: n == 1,
-        state: NodeState::Ready,
+        state: EndpointState::Ready,
     };
     let list = vec![entry(1, None), entry(2, None), entry(3, Some(world.now)), entry(4, Some(world.now))];
-    world.step(&[Event::List { complete: true, entries: list }]);
+    world.step(&[PolicyEvent::EndpointList { complete: true, entries: list }]);
     for (n, (what, how, after)) in moves.iter().enumerate() {
         match what % 6 {
             0 | 1 => {
                 let (id, class) = (RequestId(n as u64 + 1), usize::from(*how) % classes.len());
                 let time_left = classes[class].deadline;
                 world.open.insert(id, world.now + time_left);
-                world.step(&[Event::Request(Request {
+                world.step(&[PolicyEvent::Request(Request {
                     id,
                     session: Some(SessionKey(5)),
                     time_left,
@@ -185,20 +185,26 @@
                     tenant: None,
                     work: Some(Span::from_millis(i64::from(*how))),
                     repeat: false,
-                    wrote_ago: None,
+                    since_last_write: None,
                 })]);
             }
             2 | 3 => world.end(*how),
             4 => {
-                let Some(node) = world.probes.pop() else { continue };
+                let Some(endpoint) = world.probes.pop() else { continue };
                 let position = Some(world.now - Span::from_millis(i64::from(*how)));
-                let report = Some(Report { position, primary: Some(node == NodeId(1)), busy: None });
+                let report =
+                    Some(LoadReport { position, primary: Some(endpoint == EndpointId(1)), busy: None });
                 let outcome = if how % 3 > 0 { Outcome::Ok } else { Outcome::ConnectFailed };
-                world.step(&[Event::Probed { node, outcome, latency: Span(900), report }]);
+                world.step(&[PolicyEvent::HealthCheckEnded {
+                    endpoint,
+                    outcome,
+                    latency: Span(900),
+                    report,
+                }]);
             }
             _ => {
                 world.now = world.now + Span(i64::from(*after).pow(2));
-                world.step(&[Event::Timer(0), Event::ListFailed]);
+                world.step(&[PolicyEvent::Timer(0), PolicyEvent::DiscoveryFailed]);
             }
         }
     }
@@ -208,7 +214,7 @@
         let soon = world.timer.take().unwrap_or(deadlines).min(deadlines);
         world.now = world.now.max(soon) + Span(1);
         if world.out.is_empty() {
-            world.step(&[Event::Timer(0)]);
+            world.step(&[PolicyEvent::Timer(0)]);
             let late = world.open.values().any(|at| world.now - *at > Span::from_millis(10_000));
             assert!(!late, "no end for {:?}", world.open);
         } else {
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use site::{settings, with, without};
 use valehatch_config::Site;
-use valehatch_policy::{Checks, DedupScope, Effect, Need, Span};
+use valehatch_policy::{Consistency, DedupScope, Idempotency, Span, StaleReadPolicy};
 
 fn read(settings: &Value) -> Result<Site, String> {
     Site::from_json(settings)
@@ -220,7 +220,10 @@
     bare.as_object_mut().unwrap().remove("over-share-worth");
     let site = read(&bare).unwrap();
     assert!(site.wire.fields.is_empty() && site.tenants.is_empty());
-    assert_eq!((site.settings.checks, site.settings.over_share_worth), (Checks::Off, None));
+    assert_eq!(
+        (site.settings.stale_read_policy, site.settings.over_quota_priority_weight),
+        (StaleReadPolicy::Serve, None)
+    );
 }
 
 #[test]
@@ -232,11 +235,14 @@
     other["family-info"]["needs-by-class"] = json!(["mutate", "mutate", "strong", "causal"]);
     let second = read(&other).unwrap();
     let (one, two) = (&first.settings.classes, &second.settings.classes);
-    assert_eq!((one[0].effect, one[0].need), (Effect::Safe, Need::Bounded(Span::from_millis(300))));
-    assert_eq!((two[0].effect, two[0].need), (Effect::Unsafe, Need::Write));
-    assert_eq!(one[1].effect, Effect::Keyed(DedupScope::Group, Span::from_millis(2_000)));
-    assert_eq!(two[1].effect, Effect::Keyed(DedupScope::Zone, Span::from_millis(90_000)));
-    assert_eq!((two[2].need, two[3].need), (Need::Fresh, Need::Session));
+    assert_eq!(
+        (one[0].idempotency, one[0].consistency),
+        (Idempotency::Idempotent, Consistency::BoundedStaleness(Span::from_millis(300)))
+    );
+    assert_eq!((two[0].idempotency, two[0].consistency), (Idempotency::NonIdempotent, Consistency::Write));
+    assert_eq!(one[1].idempotency, Idempotency::IdempotencyKey(DedupScope::Group, Span::from_millis(2_000)));
+    assert_eq!(two[1].idempotency, Idempotency::IdempotencyKey(DedupScope::Zone, Span::from_millis(90_000)));
+    assert_eq!((two[2].consistency, two[3].consistency), (Consistency::Strong, Consistency::Session));
 }
 
 #[rstest]
--- a/crates/config/tests/site/mod.rs
+++ b/crates/config/tests/site/mod.rs
@@ -5,9 +5,9 @@
 
 /// Four classes, two tenants and two zones, with names as people write them; every key that may be missing is there.
 pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, worth: f64| {
-        json!({"name": name, "effect": effect, "group": "cell", "deadline-ms": 3000.0, "slo-ms": 600.0,
-            "late-worth": 0.3, "window-ms": 2000.0, "worth": worth, "aim-stretch": 1.5, "stream": false})
+    let class = |name: &str, idempotency: &str, priority_weight: f64| {
+        json!({"name": name, "effect": idempotency, "group": "cell", "deadline-ms": 3000.0, "slo-ms": 600.0,
+            "late-worth": 0.3, "window-ms": 2000.0, "worth": priority_weight, "aim-stretch": 1.5, "stream": false})
     };
     json!({
         "areas": ["hal a", "hal ø"],
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -28,7 +28,7 @@
 use valehatch_policy::{Span, Time};
 
 /// Behind an answer, a last word within this time would pass for a second answer.
-pub const SETTLES: Span = Span::from_millis(250);
+pub const ANSWER_SETTLE_TIME: Span = Span::from_millis(250);
 /// A new one is left in peace for so long: what it asks may be on its way.
 pub const ARRIVES: Span = Span::from_millis(50);
 /// How long those who come wait while there is no place, before a few more are taken in.
@@ -59,7 +59,7 @@
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Doing {
+pub enum ConnectionActivity {
     /// It has asked nothing: it never sent anything, or only its greeting, all at once.
     Unasked,
     /// A message has begun to come in, or is about to from a client that writes in pieces.
@@ -78,18 +78,18 @@
 
 /// What becomes of a request that is whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It is taken.
     Serve,
     /// Open requests hold all places: it is told to come back.
-    Refuse,
+    Reject,
 }
 
 /// All connections that count.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct ConnectionLimiter {
     limits: Limits,
-    lines: BTreeMap<u64, (Doing, Time)>,
+    lines: BTreeMap<u64, (ConnectionActivity, Time)>,
     /// The same by what they do, each since when.
     by: [BTreeSet<(Time, u64)>; STATES],
     members: usize,
@@ -97,7 +97,7 @@
     full: Option<Time>,
 }
 
-impl Places {
+impl ConnectionLimiter {
     /// None are taken yet.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
@@ -109,13 +109,13 @@
         self.limits = limits;
     }
 
-    fn count(&self, doing: Doing) -> usize {
+    fn count(&self, doing: ConnectionActivity) -> usize {
         self.by[doing as usize].len()
     }
 
     /// What members have or are about to need.
     fn reserved(&self) -> usize {
-        let soon = self.members.max(self.count(Doing::Open)) + self.limits.most / READY;
+        let soon = self.members.max(self.count(ConnectionActivity::Open)) + self.limits.most / READY;
         self.members.max(soon.min(self.limits.members))
     }
 
@@ -133,13 +133,13 @@
     /// A connection came up. Whoever lets it in has asked before; a number that is held already stays as it is.
     pub fn enter(&mut self, now: Time, id: u64) {
         if let Entry::Vacant(free) = self.lines.entry(id) {
-            free.insert((Doing::Unasked, now));
-            self.by[Doing::Unasked as usize].insert((now, id));
+            free.insert((ConnectionActivity::Unasked, now));
+            self.by[ConnectionActivity::Unasked as usize].insert((now, id));
         }
     }
 
     /// What a connection does now, since when. One that is not held is of no account.
-    pub fn turn(&mut self, id: u64, doing: Doing, since: Time) {
+    pub fn turn(&mut self, id: u64, doing: ConnectionActivity, since: Time) {
         let Some(line) = self.lines.get_mut(&id) else { return };
         let (was, at) = std::mem::replace(line, (doing, since));
         self.by[was as usize].remove(&(at, id));
@@ -154,33 +154,36 @@
     }
 
     /// Who is to be ended next so that others find room, if that is needed, and what it was doing. It counts as parting;
-    /// where it turns out that it cannot be ended, [`Places::turn`] says so.
-    pub fn make_way(&mut self, now: Time) -> Option<(u64, Doing)> {
+    /// where it turns out that it cannot be ended, [`ConnectionLimiter::turn`] says so.
+    pub fn make_way(&mut self, now: Time) -> Option<(u64, ConnectionActivity)> {
         let most = self.limits.most;
-        let free = most.saturating_sub(self.lines.len() - self.count(Doing::Parting) + self.reserved());
-        let longest = |doing: Doing, least: usize, peace: Span| {
+        let free =
+            most.saturating_sub(self.lines.len() - self.count(ConnectionActivity::Parting) + self.reserved());
+        let longest = |doing: ConnectionActivity, least: usize, peace: Span| {
             let first = self.by[doing as usize].first().filter(|(since, _)| *since + peace <= now);
             first.filter(|_| free < least).map(|(_, id)| (*id, doing))
         };
         // Whoever asks once and stays takes what clients can have until nobody can ask any more.
-        let asking = self.count(Doing::Open) + self.count(Doing::Once) + self.count(Doing::Kept);
+        let asking = self.count(ConnectionActivity::Open)
+            + self.count(ConnectionActivity::Once)
+            + self.count(ConnectionActivity::Kept);
         let few = self.limits.asking.saturating_sub(asking) < self.limits.asking / TO_ASK;
         let once = if few { usize::MAX } else { most / NEAR };
-        let halves = if self.count(Doing::Half) > most / 2 { most / NEAR } else { 0 };
-        let (id, doing) = longest(Doing::Unasked, most / AHEAD, ARRIVES)
-            .or_else(|| longest(Doing::Once, once, self.limits.settles))
-            .or_else(|| longest(Doing::Kept, most / NEAR, self.limits.settles))
-            .or_else(|| longest(Doing::Half, halves, SETTLES))?;
-        self.turn(id, Doing::Parting, now);
+        let halves = if self.count(ConnectionActivity::Half) > most / 2 { most / NEAR } else { 0 };
+        let (id, doing) = longest(ConnectionActivity::Unasked, most / AHEAD, ARRIVES)
+            .or_else(|| longest(ConnectionActivity::Once, once, self.limits.settles))
+            .or_else(|| longest(ConnectionActivity::Kept, most / NEAR, self.limits.settles))
+            .or_else(|| longest(ConnectionActivity::Half, halves, ANSWER_SETTLE_TIME))?;
+        self.turn(id, ConnectionActivity::Parting, now);
         Some((id, doing))
     }
 
     /// A request of a connection is whole.
     #[must_use]
-    pub fn ask(&self) -> Verdict {
-        let (open, half) = (self.count(Doing::Open), self.count(Doing::Half));
+    pub fn ask(&self) -> AdmissionDecision {
+        let (open, half) = (self.count(ConnectionActivity::Open), self.count(ConnectionActivity::Half));
         let full = open + half + self.reserved() > self.limits.most;
-        if full && open >= half { Verdict::Refuse } else { Verdict::Serve }
+        if full && open >= half { AdmissionDecision::Reject } else { AdmissionDecision::Serve }
     }
 
     /// Whether a connection to a member may be opened; it is counted from then on.
@@ -206,8 +209,9 @@
     /// # Errors
     /// What does not hold.
     pub fn check(&self) -> Result<(), String> {
-        let noted =
-            |(id, (doing, since)): (&u64, &(Doing, Time))| self.by[*doing as usize].contains(&(*since, *id));
+        let noted = |(id, (doing, since)): (&u64, &(ConnectionActivity, Time))| {
+            self.by[*doing as usize].contains(&(*since, *id))
+        };
         if !self.lines.iter().all(noted)
             || self.by.iter().map(BTreeSet::len).sum::<usize>() != self.lines.len()
         {
--- a/crates/connection-limits/src/tests.rs
+++ b/crates/connection-limits/src/tests.rs
@@ -3,15 +3,16 @@
 
 use super::*;
 
-const LIMITS: Limits = Limits { most: 64, extra: 8, members: 32, asking: usize::MAX, settles: SETTLES };
+const LIMITS: Limits =
+    Limits { most: 64, extra: 8, members: 32, asking: usize::MAX, settles: ANSWER_SETTLE_TIME };
 
 fn ms(n: i64) -> Time {
     Time(n * 1000)
 }
 
 /// Connections from 1 on, all of which have done `doing` since 0.
-fn held(doing: Doing, count: u64) -> Places {
-    let mut places = Places::new(LIMITS);
+fn held(doing: ConnectionActivity, count: u64) -> ConnectionLimiter {
+    let mut places = ConnectionLimiter::new(LIMITS);
     for id in 1..=count {
         places.enter(ms(0), id);
         places.turn(id, doing, ms(0));
@@ -20,22 +21,27 @@
 }
 
 /// All that make way at a time.
-fn ended(places: &mut Places, now: Time) -> Vec<(u64, Doing)> {
+fn ended(places: &mut ConnectionLimiter, now: Time) -> Vec<(u64, ConnectionActivity)> {
     std::iter::from_fn(|| places.make_way(now)).collect()
 }
 
 #[rstest]
 // Of 64 places 8 are kept free at the cost of those that never asked, 2 at that of others; 2 are members'.
-#[case::silence_before_others_and_at_once(Doing::Unasked, 57, 50, 3)]
-#[case::what_it_asks_may_be_on_its_way(Doing::Unasked, 57, 49, 0)]
-#[case::places_are_free(Doing::Unasked, 54, 9_000, 0)]
-#[case::an_answer_settles_first(Doing::Once, 62, 249, 0)]
-#[case::then_its_place_goes(Doing::Once, 62, 250, 2)]
-#[case::few_are_kept_free_of_it(Doing::Once, 60, 9_000, 0)]
-#[case::one_that_came_back(Doing::Kept, 62, 250, 2)]
-#[case::halves_beyond_half_of_all(Doing::Half, 62, 250, 2)]
-#[case::what_is_open_stays(Doing::Open, 62, 9_000, 0)]
-fn who_makes_way(#[case] doing: Doing, #[case] count: u64, #[case] at: i64, #[case] goes: usize) {
+#[case::silence_before_others_and_at_once(ConnectionActivity::Unasked, 57, 50, 3)]
+#[case::what_it_asks_may_be_on_its_way(ConnectionActivity::Unasked, 57, 49, 0)]
+#[case::places_are_free(ConnectionActivity::Unasked, 54, 9_000, 0)]
+#[case::an_answer_settles_first(ConnectionActivity::Once, 62, 249, 0)]
+#[case::then_its_place_goes(ConnectionActivity::Once, 62, 250, 2)]
+#[case::few_are_kept_free_of_it(ConnectionActivity::Once, 60, 9_000, 0)]
+#[case::one_that_came_back(ConnectionActivity::Kept, 62, 250, 2)]
+#[case::halves_beyond_half_of_all(ConnectionActivity::Half, 62, 250, 2)]
+#[case::what_is_open_stays(ConnectionActivity::Open, 62, 9_000, 0)]
+fn who_makes_way(
+    #[case] doing: ConnectionActivity,
+    #[case] count: u64,
+    #[case] at: i64,
+    #[case] goes: usize,
+) {
     let mut places = held(doing, count);
     let gone = ended(&mut places, ms(at));
     assert_eq!(gone, (1..=goes as u64).map(|id| (id, doing)).collect::<Vec<_>>(), "the longest first");
@@ -44,15 +50,15 @@
 
 #[rstest]
 // Of 32 connections to ask on 8 are to be free.
-#[case::enough_are_free(Doing::Once, 24, 9_000, 0)]
-#[case::one_too_many(Doing::Once, 25, 9_000, 1)]
-#[case::far_too_many(Doing::Once, 40, 9_000, 16)]
-#[case::an_answer_settles_first(Doing::Once, 40, 249, 0)]
-#[case::who_comes_back_uses_its_own(Doing::Kept, 40, 9_000, 0)]
-#[case::what_is_open_stays(Doing::Open, 40, 9_000, 0)]
-#[case::silence_takes_none(Doing::Unasked, 40, 9_000, 0)]
+#[case::enough_are_free(ConnectionActivity::Once, 24, 9_000, 0)]
+#[case::one_too_many(ConnectionActivity::Once, 25, 9_000, 1)]
+#[case::far_too_many(ConnectionActivity::Once, 40, 9_000, 16)]
+#[case::an_answer_settles_first(ConnectionActivity::Once, 40, 249, 0)]
+#[case::who_comes_back_uses_its_own(ConnectionActivity::Kept, 40, 9_000, 0)]
+#[case::what_is_open_stays(ConnectionActivity::Open, 40, 9_000, 0)]
+#[case::silence_takes_none(ConnectionActivity::Unasked, 40, 9_000, 0)]
 fn who_asked_once_makes_way_for_others_to_ask(
-    #[case] doing: Doing,
+    #[case] doing: ConnectionActivity,
     #[case] count: u64,
     #[case] at: i64,
     #[case] goes: usize,
@@ -66,34 +72,38 @@
 
 #[test]
 fn a_half_keeps_its_place_while_others_are_the_most() {
-    let mut places = held(Doing::Half, 32);
+    let mut places = held(ConnectionActivity::Half, 32);
     (33..=62).for_each(|id| places.enter(ms(0), id));
     let gone = ended(&mut places, ms(9_000));
     assert!(
-        gone.len() == 8 && gone.iter().all(|(id, doing)| *id > 32 && *doing == Doing::Unasked),
+        gone.len() == 8 && gone.iter().all(|(id, doing)| *id > 32 && *doing == ConnectionActivity::Unasked),
         "{gone:?}"
     );
 }
 
 #[test]
 fn those_that_came_back_to_ask_again_go_behind_those_that_asked_once() {
-    let mut places = held(Doing::Kept, 61);
+    let mut places = held(ConnectionActivity::Kept, 61);
     places.enter(ms(0), 62);
-    places.turn(62, Doing::Once, ms(5_000));
-    assert_eq!(places.make_way(ms(9_000)), Some((62, Doing::Once)), "though it has idled for less");
+    places.turn(62, ConnectionActivity::Once, ms(5_000));
+    assert_eq!(
+        places.make_way(ms(9_000)),
+        Some((62, ConnectionActivity::Once)),
+        "though it has idled for less"
+    );
 }
 
 #[test]
 fn one_that_could_not_be_ended_is_left_in_peace_anew() {
-    let mut places = held(Doing::Once, 62);
-    assert_eq!(places.make_way(ms(1_000)), Some((1, Doing::Once)));
-    places.turn(1, Doing::Half, ms(1_000));
-    assert_eq!(ended(&mut places, ms(1_000)).first(), Some(&(2, Doing::Once)));
+    let mut places = held(ConnectionActivity::Once, 62);
+    assert_eq!(places.make_way(ms(1_000)), Some((1, ConnectionActivity::Once)));
+    places.turn(1, ConnectionActivity::Half, ms(1_000));
+    assert_eq!(ended(&mut places, ms(1_000)).first(), Some(&(2, ConnectionActivity::Once)));
 }
 
 #[test]
 fn no_place_makes_those_who_come_wait_and_then_a_few_more_are_let_in() {
-    let mut places = held(Doing::Half, 61);
+    let mut places = held(ConnectionActivity::Half, 61);
     assert!(places.may_enter(ms(0)));
     places.enter(ms(0), 62);
     assert!(!places.may_enter(ms(0)) && !places.may_enter(ms(49)));
@@ -107,21 +117,21 @@
 }
 
 #[rstest]
-#[case::requests_hold_all(30, 10, Verdict::Refuse)]
-#[case::half_messages_hold_all_and_members_are_idle(10, 50, Verdict::Serve)]
-#[case::there_is_room(20, 10, Verdict::Serve)]
-fn what_is_asked(#[case] open: u64, #[case] half: u64, #[case] verdict: Verdict) {
-    let mut places = held(Doing::Half, half);
+#[case::requests_hold_all(30, 10, AdmissionDecision::Reject)]
+#[case::half_messages_hold_all_and_members_are_idle(10, 50, AdmissionDecision::Serve)]
+#[case::there_is_room(20, 10, AdmissionDecision::Serve)]
+fn what_is_asked(#[case] open: u64, #[case] half: u64, #[case] verdict: AdmissionDecision) {
+    let mut places = held(ConnectionActivity::Half, half);
     for id in 100..100 + open {
         places.enter(ms(0), id);
-        places.turn(id, Doing::Open, ms(0));
+        places.turn(id, ConnectionActivity::Open, ms(0));
     }
     assert_eq!(places.ask(), verdict);
 }
 
 #[test]
 fn members_take_what_they_need_and_nothing_is_set_aside_for_them() {
-    let mut places = Places::new(LIMITS);
+    let mut places = ConnectionLimiter::new(LIMITS);
     let mut clients = 0;
     while places.may_enter(ms(0)) {
         clients += 1;
@@ -137,7 +147,7 @@
 
 #[test]
 fn smaller_limits_make_those_go_that_idle() {
-    let mut places = held(Doing::Once, 60);
+    let mut places = held(ConnectionActivity::Once, 60);
     places.resize(Limits { most: 32, members: 16, ..LIMITS });
     assert!(!places.may_enter(ms(250)));
     assert_eq!(ended(&mut places, ms(250)).len(), 30);
@@ -146,7 +156,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Come,
-    Does(u64, Doing),
+    Does(u64, ConnectionActivity),
     Leave(u64),
     Member(bool),
     Room,
@@ -154,7 +164,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    use Doing::{Half, Kept, Once, Open, Unasked};
+    use ConnectionActivity::{Half, Kept, Once, Open, Unasked};
     let doing = prop::sample::select(vec![Unasked, Half, Open, Once, Kept]);
     prop_oneof![
         6 => Just(Step::Come),
@@ -169,7 +179,7 @@
 proptest! {
     #[test]
     fn whatever_comes_the_limits_hold_and_nobody_is_ended_under_a_request(steps in prop::collection::vec(step(), 1..400)) {
-        let mut places = Places::new(LIMITS);
+        let mut places = ConnectionLimiter::new(LIMITS);
         let (mut now, mut next, mut members) = (ms(0), 0, 0_usize);
         for step in steps {
             match step {
@@ -185,7 +195,7 @@
                     members -= 1;
                 },
                 Step::Room => while let Some((id, doing)) = places.make_way(now) {
-                    prop_assert!(!matches!(doing, Doing::Open | Doing::Parting), "{id} {doing:?}");
+                    prop_assert!(!matches!(doing, ConnectionActivity::Open | ConnectionActivity::Parting), "{id} {doing:?}");
                 },
                 Step::Wait(n) => now = now + Span::from_millis(n),
             }
--- a/crates/core/src/cluster_clock.rs
+++ b/crates/core/src/cluster_clock.rs
@@ -33,7 +33,7 @@
 
 /// What a time that an endpoint told shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ClockSample {
     /// A position of the primary, or a commit, in the answer to a request: from between asking and answering.
     PrimaryAnswer,
     /// The position in a primary's report, which may have been drawn up some time before it was asked for.
@@ -77,7 +77,7 @@
 
     /// Takes in a Unix time in microseconds that was asked for and came in at these times of the monotonic clock. Says by
     /// how much the offset grew, if it was corrected.
-    pub fn observe(&mut self, unix: i64, asked: Time, came: Time, told: Told) -> Option<i64> {
+    pub fn observe(&mut self, unix: i64, asked: Time, came: Time, told: ClockSample) -> Option<i64> {
         let lower = unix.checked_sub(came.0)?;
         if !self.corroborates(lower) {
             return None;
@@ -88,15 +88,16 @@
         if lower > self.offset + BEHIND.0 {
             self.offset = lower;
         }
-        if told != Told::Replica {
-            let slack = if told == Told::PrimaryAnswer { ROUNDING } else { REPORT_AGE };
+        if told != ClockSample::Replica {
+            let slack = if told == ClockSample::PrimaryAnswer { ROUNDING } else { REPORT_AGE };
             let upper = (unix - asked.0 + slack.0).max(greatest);
             let steady = self.is_steady(lower, came);
             if self.offset <= upper + SMALL.0 {
                 self.verified = true;
             } else if steady {
                 self.verified = true;
-                self.offset = if told == Told::PrimaryAnswer { upper } else { greatest + REPORT_MARGIN.0 };
+                self.offset =
+                    if told == ClockSample::PrimaryAnswer { upper } else { greatest + REPORT_MARGIN.0 };
             }
         }
         (self.offset != before).then_some(self.offset - before)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,15 +10,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use valehatch_admission::{Arrival, Door, Reason, Room as DoorRoom, Verdict};
+use valehatch_admission::{AdmissionDecision, AdmissionQueue, Arrival, Capacity, QueueRejection};
 use valehatch_policy::{
-    Action, AttemptEnd, Entry, Event as Told, GroupId, NodeId, NodeState, Outcome, Request, RequestId,
-    Router, SettingsError, Span, Time, Why,
+    Action, AttemptEnd, EndpointId, EndpointRecord, EndpointState, GiveUpReason, GroupId, Outcome,
+    PolicyEvent, Request, RequestId, Router, SettingsError, Span, Time,
+};
+use valehatch_request_log::{
+    AttemptOutcome, AttemptRecord, FailureReason, FinalOutcome, RejectionReason, RequestRecord,
 };
-use valehatch_request_log::{Ending, Fault, Outcomes, Record, Refusal, Try};
 
 use permission::{
-    Acceptance, Denial, ProcessStage, SendPermit, Sending, may_accept, may_close, may_probe, may_send,
+    AcceptCheck, Denial, ProcessStage, SendCheck, SendPermit, may_accept, may_close, may_probe, may_send,
 };
 pub use words::*;
 
@@ -60,11 +62,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Router(u64),
-    Attempt(ConnId),
+    Attempt(ConnectionId),
     Overdue(RequestId),
     Sweep,
     Publish,
-    Door,
+    Admission,
     Unlisten,
     Stop,
     LastAsked,
@@ -82,11 +84,11 @@
     arrived: Time,
     deadline: Time,
     payload: Arc<Payload>,
-    _room: Room,
+    _memory: MemoryReservation,
     attempts: u32,
     /// When the first attempt was sent, and what came of those that are over.
     first: Option<Time>,
-    tries: Vec<Try>,
+    tries: Vec<AttemptRecord>,
     /// What the module is told once the door lets it in.
     queued: Option<Box<Request>>,
     /// The member that has the attempt which is out, and since when.
@@ -113,7 +115,7 @@
 }
 
 struct Conn {
-    node: NodeId,
+    endpoint: EndpointId,
     used: Use,
     /// When what it carries is over.
     until: Time,
@@ -124,27 +126,27 @@
 /// All that a gateway knows.
 pub struct State {
     router: Router,
-    facts: Facts,
+    facts: CoreConfig,
     requests: BTreeMap<RequestId, Held>,
     /// The names of the requests that are open.
     names: BTreeSet<Arc<str>>,
-    attempts: BTreeMap<(RequestId, u32), ConnId>,
-    conns: BTreeMap<ConnId, Conn>,
+    attempts: BTreeMap<(RequestId, u32), ConnectionId>,
+    conns: BTreeMap<ConnectionId, Conn>,
     /// Those of each member that carry nothing, by when they last did.
-    idle: BTreeMap<NodeId, BTreeSet<(Time, ConnId)>>,
+    idle: BTreeMap<EndpointId, BTreeSet<(Time, ConnectionId)>>,
     /// Names and addresses.
-    members: BTreeMap<NodeId, (Arc<str>, Arc<str>)>,
+    members: BTreeMap<EndpointId, (Arc<str>, Arc<str>)>,
     /// Those of them that take new work.
-    ready: BTreeSet<NodeId>,
+    ready: BTreeSet<EndpointId>,
     clients: BTreeMap<ClientId, Client>,
     due: BTreeSet<(Time, Due)>,
     /// What the router is told on the next turn: a turn steps it once.
-    pending: Vec<Told>,
+    pending: Vec<PolicyEvent>,
     next_request: u64,
     next_conn: u64,
     /// Where requests wait before the module hears of them; what it said that was not acted on yet.
-    door: Option<Door>,
-    verdicts: Vec<Verdict>,
+    door: Option<AdmissionQueue>,
+    verdicts: Vec<AdmissionDecision>,
     looked: Time,
     door_due: bool,
     stopping: bool,
@@ -161,11 +163,11 @@
 
 impl State {
     /// A gateway that knows no members yet.
-    pub fn new(facts: Facts, seed: u64) -> Result<Self, SettingsError> {
+    pub fn new(facts: CoreConfig, seed: u64) -> Result<Self, SettingsError> {
         let rates = vec![[0; 2]; facts.settings.tenants.len()];
         let mut due = BTreeSet::from([(Time(0), Due::Sweep)]);
         due.extend(facts.watched.iter().map(|_| (Time(0), Due::Publish)));
-        let door = facts.door.clone().map(|settings| Door::new(settings, seed));
+        let door = facts.door.clone().map(|settings| AdmissionQueue::new(settings, seed));
         Ok(Self {
             door,
             verdicts: vec![],
@@ -205,11 +207,10 @@
         if out != on {
             return Err(format!("{out} attempts are out, on {on} connections"));
         }
-        let idle = self
-            .conns
-            .iter()
-            .filter_map(|(id, c)| if let Use::Idle(at) = c.used { Some((c.node, at, *id)) } else { None });
-        let noted = self.idle.iter().flat_map(|(node, s)| s.iter().map(|(at, id)| (*node, *at, *id)));
+        let idle = self.conns.iter().filter_map(|(id, c)| {
+            if let Use::Idle(at) = c.used { Some((c.endpoint, at, *id)) } else { None }
+        });
+        let noted = self.idle.iter().flat_map(|(endpoint, s)| s.iter().map(|(at, id)| (*endpoint, *at, *id)));
         if idle.collect::<BTreeSet<_>>() != noted.collect() {
             return Err("connections that carry nothing are not those that are noted".into());
         }
@@ -234,7 +235,7 @@
         let mut told = std::mem::take(&mut self.pending);
         // An attempt may have ended its request since its end was noted.
         for event in &mut told {
-            if let Told::Ended(end) = event {
+            if let PolicyEvent::AttemptEnded(end) = event {
                 end.closed |= !self.requests.contains_key(&end.request);
             }
         }
@@ -260,27 +261,28 @@
         }
     }
 
-    fn on_event(&mut self, now: Time, event: Event, told: &mut Vec<Told>, effects: &mut Vec<Effect>) {
+    fn on_event(&mut self, now: Time, event: Event, told: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
         match event {
-            Event::List { complete, members } => {
+            Event::EndpointList { complete, members } => {
                 told.push(self.on_list(complete, members, effects));
                 // What was decided on before this and is still being dialled must not begin any more.
-                let barred = |(id, c): (&ConnId, &Conn)| (!self.ready.contains(&c.node)).then_some(*id);
+                let barred =
+                    |(id, c): (&ConnectionId, &Conn)| (!self.ready.contains(&c.endpoint)).then_some(*id);
                 for conn in self.conns.iter().filter_map(barred).collect::<Vec<_>>() {
                     told.extend(self.cancel_pending_attempt(now, conn, effects));
                 }
             }
-            Event::Connected(client) => {
+            Event::ClientConnected(client) => {
                 self.clients.entry(client).or_default();
             }
-            Event::Asked { client, ticket, ask } => {
+            Event::RequestReceived { client, ticket, ask } => {
                 told.extend(self.on_asked(now, client, ticket, ask, effects));
             }
-            Event::Disconnected(client) => {
+            Event::ClientDisconnected(client) => {
                 for id in self.clients.remove(&client).unwrap_or_default().open {
                     // Nobody takes what is passed on to it any more.
                     if let Some(conn) = self.passing(id) {
-                        let end = Reply::bare(Outcome::Cancelled);
+                        let end = UpstreamReply::bare(Outcome::Cancelled);
                         told.extend(self.on_reply(now, conn, end, false, effects));
                         continue;
                     }
@@ -289,36 +291,36 @@
                     }
                     if let Some(held) = self.drop_request(now, id, effects) {
                         let known = held.queued.is_none();
-                        self.record(now, held, Ending::Aborted, effects);
-                        told.extend(known.then_some(Told::Aborted(id)));
+                        self.record(now, held, FinalOutcome::Aborted, effects);
+                        told.extend(known.then_some(PolicyEvent::ClientDisconnected(id)));
                     }
                 }
             }
-            Event::Declined { class, tenant, group, why } => {
+            Event::RequestRejected { class, tenant, group, why } => {
                 self.count_asked(tenant, now);
-                self.record_unheld(class, tenant, group, Ending::Refused(why), effects);
+                self.record_unheld(class, tenant, group, FinalOutcome::Refused(why), effects);
             }
-            Event::Abandoned { class, tenant, group } => {
+            Event::RequestAbandoned { class, tenant, group } => {
                 self.count_asked(tenant, now);
-                self.record_unheld(class, tenant, group, Ending::Aborted, effects);
+                self.record_unheld(class, tenant, group, FinalOutcome::Aborted, effects);
             }
-            Event::Began(conn) => told.extend(self.on_began(now, conn, effects)),
-            Event::Ended { conn, reply, reusable } => {
+            Event::ResponseStarted(conn) => told.extend(self.on_began(now, conn, effects)),
+            Event::AttemptEnded { conn, reply, reusable } => {
                 told.extend(self.on_reply(now, conn, reply, reusable, effects));
             }
-            Event::Routers(count) => told.push(Told::Routers(count)),
-            Event::ClockCorrected(by) => told.push(Told::ClockCorrected(by)),
-            Event::Shares(shares) => {
+            Event::GatewayCount(count) => told.push(PolicyEvent::RouterCount(count)),
+            Event::ClockCorrected(by) => told.push(PolicyEvent::ClockCorrected(by)),
+            Event::TenantQuotas(shares) => {
                 if let Some(Err(what)) = self.door.as_mut().map(|door| door.set_shares(&shares)) {
-                    effects.push(Effect::Note(Note::Shares(what)));
+                    effects.push(Effect::Log(LogEvent::InvalidQuotas(what)));
                 }
             }
             // The thread that accepts ends before anything is closed: what it took last is served too.
-            Event::Leave => {
+            Event::HandoffStarted => {
                 self.left = true;
                 self.due.extend([(now, Due::Unlisten), (now + LEAVES, Due::Stop)]);
             }
-            Event::ServerConns(most) => {
+            Event::UpstreamConnectionLimit(most) => {
                 while self.conns.len() > most
                     && let Some((_, spare)) = self.idle.values().filter_map(BTreeSet::first).min().copied()
                 {
@@ -327,8 +329,8 @@
                 // Those that carry something are used until they are idle.
                 self.facts.server_conns = most.max(self.conns.len());
             }
-            Event::Show => effects.push(Effect::Publish(Box::new(self.live(now)))),
-            Event::Terminate => {
+            Event::PublishView => effects.push(Effect::PublishView(Box::new(self.live(now)))),
+            Event::ShutdownRequested => {
                 self.stopping = true;
                 let longest = self.facts.settings.classes.iter().map(|c| c.deadline).max();
                 let end = longest.unwrap_or(LONGEST).min(LONGEST) + MORE;
@@ -345,36 +347,41 @@
         }
     }
 
-    fn on_list(&mut self, complete: bool, members: Vec<Member>, effects: &mut Vec<Effect>) -> Told {
-        let mut entries: Vec<Entry> = vec![];
-        for Member { entry, name, address } in members {
+    fn on_list(
+        &mut self,
+        complete: bool,
+        members: Vec<ListedEndpoint>,
+        effects: &mut Vec<Effect>,
+    ) -> PolicyEvent {
+        let mut entries: Vec<EndpointRecord> = vec![];
+        for ListedEndpoint { entry, name, address } in members {
             // A draining member gets nothing new: what stands open to it unused is given back at once.
             // One that listens elsewhere now is not reached over what was open to where it was.
-            let moved = self.members.get(&entry.node).is_some_and(|(_, old)| *old != address);
-            if entry.state != NodeState::Ready || moved {
-                self.close_idle(entry.node, effects);
+            let moved = self.members.get(&entry.endpoint).is_some_and(|(_, old)| *old != address);
+            if entry.state != EndpointState::Ready || moved {
+                self.close_idle(entry.endpoint, effects);
             }
-            if entry.state == NodeState::Ready {
-                self.ready.insert(entry.node);
+            if entry.state == EndpointState::Ready {
+                self.ready.insert(entry.endpoint);
             } else {
-                self.ready.remove(&entry.node);
+                self.ready.remove(&entry.endpoint);
             }
-            if entry.state == NodeState::Gone {
-                self.members.remove(&entry.node);
+            if entry.state == EndpointState::Removed {
+                self.members.remove(&entry.endpoint);
             } else {
-                self.members.insert(entry.node, (name, address));
+                self.members.insert(entry.endpoint, (name, address));
             }
             entries.push(entry);
         }
         if complete {
-            let named: BTreeSet<NodeId> = entries.iter().map(|e| e.node).collect();
-            for node in self.members.keys().copied().filter(|n| !named.contains(n)).collect::<Vec<_>>() {
-                self.close_idle(node, effects);
-                self.members.remove(&node);
-                self.ready.remove(&node);
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+            for endpoint in self.members.keys().copied().filter(|n| !named.contains(n)).collect::<Vec<_>>() {
+                self.close_idle(endpoint, effects);
+                self.members.remove(&endpoint);
+                self.ready.remove(&endpoint);
             }
         }
-        Told::List { complete, entries }
+        PolicyEvent::EndpointList { complete, entries }
     }
 
     fn on_asked(
@@ -382,15 +389,15 @@
         now: Time,
         client: ClientId,
         ticket: u64,
-        ask: Ask,
+        ask: IncomingRequest,
         effects: &mut Vec<Effect>,
-    ) -> Option<Told> {
+    ) -> Option<PolicyEvent> {
         self.count_asked(ask.tenant, now);
-        let asked = Acceptance {
+        let asked = AcceptCheck {
             stage: self.stage(),
             name_is_open: ask.name.as_ref().is_some_and(|name| self.names.contains(name)),
             open: self.requests.len(),
-            most_open: self.facts.settings.limits.max_open,
+            most_open: self.facts.settings.limits.max_open_requests,
         };
         if let Err(why) = may_accept(&asked) {
             self.facts.decisions.on_denied(why);
@@ -420,7 +427,7 @@
                 arrived,
                 deadline,
                 payload: ask.payload,
-                _room: ask.room,
+                _memory: ask.room,
                 attempts: 0,
                 first: None,
                 tries: vec![],
@@ -441,9 +448,9 @@
             tenant: ask.tenant.map(valehatch_policy::TenantId),
             work: None,
             repeat: ask.repeat,
-            wrote_ago: ask.wrote_at.map(|at| Span((now - at).0.max(0))),
+            since_last_write: ask.wrote_at.map(|at| Span((now - at).0.max(0))),
         };
-        let Some(door) = &mut self.door else { return Some(Told::Request(request)) };
+        let Some(door) = &mut self.door else { return Some(PolicyEvent::Request(request)) };
         let (tenant, class, group) = (ask.tenant, ask.class, ask.group);
         self.requests.get_mut(&id)?.queued = Some(Box::new(request));
         let arrival = Arrival { id, tenant, client: ask.client, class, group, deadline };
@@ -466,40 +473,45 @@
     }
 
     /// The final answer of a request that is not accepted.
-    fn turned_away(&self, why: Denial, class: usize) -> (Ending, Answer) {
+    fn turned_away(&self, why: Denial, class: usize) -> (FinalOutcome, FinalAnswer) {
         let refused = match why {
-            Denial::DuplicateName => return (Ending::Failed(Fault::Named), Answer::Failed(Failure::Named)),
-            Denial::TooManyOpen => Refusal::Open,
-            _ => Refusal::Stopping,
+            Denial::DuplicateName => {
+                return (
+                    FinalOutcome::Failed(FailureReason::DuplicateName),
+                    FinalAnswer::Failed(Failure::DuplicateName),
+                );
+            }
+            Denial::TooManyOpen => RejectionReason::TooManyOpen,
+            _ => RejectionReason::Stopping,
         };
         let after = if self.left { AT_ONCE } else { self.facts.come_back(class) };
-        (Ending::Refused(refused), Answer::Refused { after, crowded: false })
+        (FinalOutcome::Refused(refused), FinalAnswer::Rejected { after, crowded: false })
     }
 
     /// Lets in what the door says, and refuses what it does not let in.
-    fn act_on_verdicts(&mut self, now: Time, told: &mut Vec<Told>, effects: &mut Vec<Effect>) {
+    fn act_on_verdicts(&mut self, now: Time, told: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
         while !self.verdicts.is_empty() {
             for verdict in std::mem::take(&mut self.verdicts) {
                 match verdict {
-                    Verdict::Admit(id) => {
+                    AdmissionDecision::Admit(id) => {
                         let Some(held) = self.requests.get_mut(&id) else { continue };
                         let deadline = held.deadline;
                         told.extend(held.queued.take().map(|request| {
                             let waited = Span((now - held.arrived).0.max(0));
-                            let wrote_ago = request.wrote_ago.map(|ago| ago + waited);
+                            let since_last_write = request.since_last_write.map(|ago| ago + waited);
                             let time_left = Span((deadline - now).0.max(1));
-                            Told::Request(Request { time_left, wrote_ago, ..*request })
+                            PolicyEvent::Request(Request { time_left, since_last_write, ..*request })
                         }));
                     }
-                    Verdict::Refuse(id, reason, hint) => {
+                    AdmissionDecision::Reject(id, reason, hint) => {
                         let why = match reason {
-                            Reason::Wait => Refusal::QueueWait,
-                            Reason::Full => Refusal::QueueFull,
-                            Reason::Waited => Refusal::QueueWaited,
-                            Reason::Standing => Refusal::QueueStanding,
+                            QueueRejection::WaitTooLong => RejectionReason::QueueWait,
+                            QueueRejection::QueueFull => RejectionReason::QueueFull,
+                            QueueRejection::ExpiredInQueue => RejectionReason::QueueWaited,
+                            QueueRejection::StandingQueue => RejectionReason::QueueStanding,
                         };
-                        let answer = Answer::Refused { after: hint.after, crowded: !hint.honest };
-                        self.answer(now, id, answer, Ending::Refused(why), effects);
+                        let answer = FinalAnswer::Rejected { after: hint.after, crowded: !hint.honest };
+                        self.answer(now, id, answer, FinalOutcome::Refused(why), effects);
                     }
                 }
             }
@@ -510,7 +522,7 @@
     fn wake_door(&mut self, now: Time) {
         if !self.door_due && self.door.as_ref().is_some_and(|door| !door.is_empty()) {
             self.door_due = true;
-            self.due.insert((now + LOOK_FOR_ROOM, Due::Door));
+            self.due.insert((now + LOOK_FOR_ROOM, Due::Admission));
         }
     }
 
@@ -524,14 +536,17 @@
         self.looked = now;
         let view = self.router.view();
         for group in &view.groups {
-            let usable = |n: &&valehatch_policy::NodeView| {
+            let usable = |n: &&valehatch_policy::EndpointView| {
                 n.group == group.group
-                    && n.state == NodeState::Ready
-                    && n.reach == valehatch_policy::Reachable::Open
+                    && n.state == EndpointState::Ready
+                    && n.health == valehatch_policy::EndpointHealth::Healthy
             };
             let room = |primary: bool| -> f64 {
-                let own =
-                    view.nodes.iter().filter(usable).filter(|n| (group.primary == Some(n.node)) == primary);
+                let own = view
+                    .endpoints
+                    .iter()
+                    .filter(usable)
+                    .filter(|n| (group.primary == Some(n.endpoint)) == primary);
                 own.map(|n| (n.limit * n.warm.unwrap_or(1.0)).max(1.0).ceil()).sum()
             };
             let (writes, mut reads) = (room(true), room(false));
@@ -539,9 +554,9 @@
                 reads = writes;
             }
             let searching = group.searching.is_some();
-            let write = DoorRoom { limit: writes, waiting: group.writes_held, searching };
-            let waiting = group.waiting.saturating_sub(group.writes_held);
-            let read = DoorRoom { limit: reads, waiting, searching: false };
+            let write = Capacity { limit: writes, waiting: group.queued_writes, searching };
+            let waiting = group.waiting.saturating_sub(group.queued_writes);
+            let read = Capacity { limit: reads, waiting, searching: false };
             door.room(now, group.group, true, write, &mut self.verdicts);
             door.room(now, group.group, false, read, &mut self.verdicts);
         }
@@ -549,25 +564,25 @@
 
     /// An answer has begun that is passed on as it comes. From here on it belongs to its client: no deadline strikes it,
     /// nothing is sent again, and its member has done its work.
-    fn on_began(&mut self, now: Time, conn: ConnId, effects: &mut Vec<Effect>) -> Option<Told> {
+    fn on_began(&mut self, now: Time, conn: ConnectionId, effects: &mut Vec<Effect>) -> Option<PolicyEvent> {
         let slot = self.conns.get_mut(&conn)?;
         let Use::Attempt(request, ..) = slot.used else { return None };
         let Some(held) = self.requests.get_mut(&request).filter(|held| held.began.is_none()) else {
-            return self.on_reply(now, conn, Reply::bare(Outcome::Cancelled), false, effects);
+            return self.on_reply(now, conn, UpstreamReply::bare(Outcome::Cancelled), false, effects);
         };
         held.began = Some(now);
         let due = std::mem::replace(&mut slot.until, Time(i64::MAX));
         self.due.remove(&(due, Due::Attempt(conn)));
         self.due.remove(&(held.deadline + HEADSTART + HEADSTART, Due::Overdue(request)));
-        effects.push(Effect::Pass { conn, client: held.client, ticket: held.ticket });
+        effects.push(Effect::ForwardBody { conn, client: held.client, ticket: held.ticket });
         if let Some(door) = &mut self.door {
             door.leave(now, request, true, &mut self.verdicts);
         }
-        Some(Told::Streaming(request))
+        Some(PolicyEvent::ResponseStarted(request))
     }
 
     /// The connection whose answer is passed on to a request's client, if one is.
-    fn passing(&self, id: RequestId) -> Option<ConnId> {
+    fn passing(&self, id: RequestId) -> Option<ConnectionId> {
         self.requests.get(&id)?.began?;
         self.attempts.range((id, 0)..=(id, u32::MAX)).next().map(|(_, conn)| *conn)
     }
@@ -576,37 +591,44 @@
     fn on_reply(
         &mut self,
         now: Time,
-        conn: ConnId,
-        mut reply: Reply,
+        conn: ConnectionId,
+        mut reply: UpstreamReply,
         reusable: bool,
         effects: &mut Vec<Effect>,
-    ) -> Option<Told> {
+    ) -> Option<PolicyEvent> {
         let slot = self.conns.get_mut(&conn)?;
-        let (node, used) = (slot.node, slot.used);
+        let (endpoint, used) = (slot.endpoint, slot.used);
         // What is given up before anything of it was written has not run.
         let given_up = matches!(reply.outcome, Outcome::Timeout | Outcome::Cancelled);
         if slot.permit.take().is_some_and(|permit| given_up && permit.revoke()) {
-            reply.outcome = Outcome::Moot;
+            reply.outcome = Outcome::NotSent;
         }
         if !matches!(used, Use::Idle(_)) {
             slot.used = Use::Idle(now);
-            self.idle.entry(node).or_default().insert((now, conn));
+            self.idle.entry(endpoint).or_default().insert((now, conn));
         }
         // A deadline left by what it carried must not strike what it carries next.
         self.due.remove(&(slot.until, Due::Attempt(conn)));
-        let kept = reusable && self.members.contains_key(&node);
+        let kept = reusable && self.members.contains_key(&endpoint);
         if !kept {
             self.close(conn, effects);
         }
         match used {
             Use::Idle(_) => None,
-            Use::Probe(sent) => {
-                Some(Told::Probed { node, outcome: reply.outcome, latency: now - sent, report: reply.report })
-            }
+            Use::Probe(sent) => Some(PolicyEvent::HealthCheckEnded {
+                endpoint,
+                outcome: reply.outcome,
+                latency: now - sent,
+                report: reply.report,
+            }),
             Use::Attempt(request, attempt, sent) => {
                 self.attempts.remove(&(request, attempt));
                 if self.facts.traced {
-                    self.trace(request, Step::Ended { attempt, outcome: reply.outcome }, effects);
+                    self.trace(
+                        request,
+                        RequestStep::AttemptEnded { attempt, outcome: reply.outcome },
+                        effects,
+                    );
                 }
                 // Of an answer that was passed on the beginning is timed: its client had the rest as it could take it.
                 let began = self.requests.get(&request).and_then(|held| held.began);
@@ -621,8 +643,8 @@
                     Some(held) if began.is_some() => {
                         let how = match reply.outcome {
                             Outcome::Ok => self.facts.ending(held, at),
-                            Outcome::Cancelled => Ending::Aborted,
-                            _ => Ending::Failed(Fault::Broken),
+                            Outcome::Cancelled => FinalOutcome::Aborted,
+                            _ => FinalOutcome::Failed(FailureReason::ConnectionLost),
                         };
                         let served = reply.outcome == Outcome::Ok;
                         if let Some(held) = self.conclude(now, request, served, effects) {
@@ -635,12 +657,18 @@
                         match reply.body {
                             Some(body) if reply.outcome == Outcome::Ok => {
                                 let how = self.facts.ending(held, now);
-                                self.answer(now, request, Answer::Served(body), how, effects);
+                                self.answer(now, request, FinalAnswer::Served(body), how, effects);
                                 true
                             }
                             Some(body) if reply.last => {
-                                let answer = Answer::Failed(Failure::Told(body));
-                                self.answer(now, request, answer, Ending::Failed(Fault::Statement), effects);
+                                let answer = FinalAnswer::Failed(Failure::UpstreamError(body));
+                                self.answer(
+                                    now,
+                                    request,
+                                    answer,
+                                    FinalOutcome::Failed(FailureReason::Statement),
+                                    effects,
+                                );
                                 true
                             }
                             word => {
@@ -650,10 +678,10 @@
                         }
                     }
                 };
-                Some(Told::Ended(AttemptEnd {
+                Some(PolicyEvent::AttemptEnded(AttemptEnd {
                     request,
                     attempt,
-                    node,
+                    endpoint,
                     outcome: reply.outcome,
                     closed,
                     latency: at - sent,
@@ -665,38 +693,38 @@
         }
     }
 
-    fn on_due(&mut self, now: Time, due: Due, told: &mut Vec<Told>, effects: &mut Vec<Effect>) {
+    fn on_due(&mut self, now: Time, due: Due, told: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
         match due {
-            Due::Router(token) => told.push(Told::Timer(token)),
+            Due::Router(token) => told.push(PolicyEvent::Timer(token)),
             // An attempt or a probe that is out for too long: the connection goes with it, so that what comes
             // late can never reach another request.
             Due::Attempt(conn) => {
-                told.extend(self.on_reply(now, conn, Reply::bare(Outcome::Timeout), false, effects));
+                told.extend(self.on_reply(now, conn, UpstreamReply::bare(Outcome::Timeout), false, effects));
             }
             Due::Overdue(id) => {
                 if self.requests.contains_key(&id) {
-                    let how = Ending::Failed(Fault::Timeout);
-                    self.answer(now, id, Answer::Failed(Failure::Timeout), how, effects);
-                    told.push(Told::Aborted(id));
+                    let how = FinalOutcome::Failed(FailureReason::Timeout);
+                    self.answer(now, id, FinalAnswer::Failed(Failure::Timeout), how, effects);
+                    told.push(PolicyEvent::ClientDisconnected(id));
                 }
             }
             Due::Publish => {
                 let Some(watched) = self.facts.watched.clone() else { return };
                 let each = Span(PUBLISH_EACH.0 * i64::try_from(self.members.len()).unwrap_or(i64::MAX));
                 self.due.insert((now + watched.publish.max(each), Due::Publish));
-                effects.push(Effect::Publish(Box::new(self.live(now))));
+                effects.push(Effect::PublishView(Box::new(self.live(now))));
             }
             Due::Sweep => {
                 let oldest = now - self.facts.idle();
-                let old = |s: &BTreeSet<(Time, ConnId)>| -> Vec<ConnId> {
-                    s.range(..(oldest, ConnId(0))).map(|(_, id)| *id).collect()
+                let old = |s: &BTreeSet<(Time, ConnectionId)>| -> Vec<ConnectionId> {
+                    s.range(..(oldest, ConnectionId(0))).map(|(_, id)| *id).collect()
                 };
                 for conn in self.idle.values().flat_map(old).collect::<Vec<_>>() {
                     self.close(conn, effects);
                 }
                 self.due.insert((now + SWEEP, Due::Sweep));
             }
-            Due::Door => {
+            Due::Admission => {
                 self.door_due = false;
                 if let Some(door) = &mut self.door {
                     door.tick(now, &mut self.verdicts);
@@ -707,7 +735,7 @@
             Due::Stop => {
                 self.stopped = true;
                 if self.ended {
-                    effects.push(Effect::CloseClients);
+                    effects.push(Effect::CloseIdleClients);
                 } else {
                     let idle = self.clients.iter().filter(|(_, c)| may_close(c.open.len()).is_ok());
                     effects.extend(idle.map(|(id, _)| Effect::CloseClient(*id)));
@@ -727,20 +755,23 @@
                     let held = &self.requests[&id];
                     let after = self.facts.come_back(held.class);
                     let (answer, how) = if held.attempts == 0 {
-                        (Answer::Refused { after, crowded: false }, Ending::Refused(Refusal::Stopping))
+                        (
+                            FinalAnswer::Rejected { after, crowded: false },
+                            FinalOutcome::Refused(RejectionReason::Stopping),
+                        )
                     } else {
-                        (Answer::Failed(Failure::Timeout), Ending::Failed(Fault::Stopping))
+                        (FinalAnswer::Failed(Failure::Timeout), FinalOutcome::Failed(FailureReason::Stopping))
                     };
                     // Nobody waits any more for what is out: it must not be out still when its client asks elsewhere.
                     let out = self.attempts.range((id, 0)..=(id, u32::MAX)).map(|(_, conn)| *conn);
-                    let out: Vec<ConnId> = out.collect();
+                    let out: Vec<ConnectionId> = out.collect();
                     self.answer(now, id, answer, how, effects);
-                    told.push(Told::Aborted(id));
+                    told.push(PolicyEvent::ClientDisconnected(id));
                     for conn in out {
                         told.extend(self.on_reply(
                             now,
                             conn,
-                            Reply::bare(Outcome::Cancelled),
+                            UpstreamReply::bare(Outcome::Cancelled),
                             false,
                             effects,
                         ));
@@ -753,56 +784,74 @@
     fn carry_out(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
         if let Action::Send { request, .. }
         | Action::Cancel { request, .. }
-        | Action::Refuse { request, .. }
+        | Action::Reject { request, .. }
         | Action::Fail { request, .. } = &action
             && self.passing(*request).is_some()
         {
             return;
         }
         match action {
-            Action::Send { request, node, timeout, begin_by } => {
-                self.send(now, request, node, timeout, begin_by, effects);
+            Action::Send { request, endpoint, timeout, send_before } => {
+                self.send(now, request, endpoint, timeout, send_before, effects);
             }
             Action::Cancel { request, attempt } => {
                 let Some(conn) = self.attempts.get(&(request, attempt)).copied() else { return };
-                let end = self.on_reply(now, conn, Reply::bare(Outcome::Cancelled), false, effects);
+                let end = self.on_reply(now, conn, UpstreamReply::bare(Outcome::Cancelled), false, effects);
                 self.pending.extend(end);
             }
-            Action::Refuse { request, retry_after, why } => {
+            Action::Reject { request, retry_after, why } => {
                 if let Some(held) = self.requests.get(&request) {
                     let after = retry_after.unwrap_or_else(|| self.facts.come_back(held.class));
-                    let how = Ending::Refused(refusal(why));
-                    self.answer(now, request, Answer::Refused { after, crowded: false }, how, effects);
+                    let how = FinalOutcome::Refused(refusal(why));
+                    self.answer(now, request, FinalAnswer::Rejected { after, crowded: false }, how, effects);
                 }
             }
             Action::Fail { request, .. } => {
                 if let Some(held) = self.requests.get_mut(&request) {
                     let (failure, how) = match (held.last, held.word.take()) {
                         (Some(Outcome::Timeout | Outcome::Cancelled), _) => {
-                            (Failure::Timeout, Fault::Timeout)
+                            (Failure::Timeout, FailureReason::Timeout)
+                        }
+                        (Some(Outcome::Error), Some(word)) => {
+                            (Failure::UpstreamError(word), FailureReason::UpstreamError)
                         }
-                        (Some(Outcome::Error), Some(word)) => (Failure::Told(word), Fault::Told),
-                        _ => (Failure::Broken, Fault::Broken),
+                        _ => (Failure::ConnectionLost, FailureReason::ConnectionLost),
                     };
-                    self.answer(now, request, Answer::Failed(failure), Ending::Failed(how), effects);
+                    self.answer(
+                        now,
+                        request,
+                        FinalAnswer::Failed(failure),
+                        FinalOutcome::Failed(how),
+                        effects,
+                    );
                 }
             }
-            Action::Probe { node } => {
-                if let Err(why) = may_probe(self.ready.contains(&node)) {
+            Action::HealthCheck { endpoint } => {
+                if let Err(why) = may_probe(self.ready.contains(&endpoint)) {
                     self.facts.decisions.on_denied(why);
-                    let (outcome, latency) = (Outcome::Moot, Span(0));
-                    return self.pending.push(Told::Probed { node, outcome, latency, report: None });
+                    let (outcome, latency) = (Outcome::NotSent, Span(0));
+                    return self.pending.push(PolicyEvent::HealthCheckEnded {
+                        endpoint,
+                        outcome,
+                        latency,
+                        report: None,
+                    });
                 }
-                let took = self.take_conn(now, node, Use::Probe(now), effects);
+                let took = self.take_conn(now, endpoint, Use::Probe(now), effects);
                 let Some(conn) = took else {
                     let latency = Span(0);
-                    let outcome = self.no_connection(node);
-                    return self.pending.push(Told::Probed { node, outcome, latency, report: None });
+                    let outcome = self.no_connection(endpoint);
+                    return self.pending.push(PolicyEvent::HealthCheckEnded {
+                        endpoint,
+                        outcome,
+                        latency,
+                        report: None,
+                    });
                 };
                 self.wait_until(conn, now + self.facts.probe_timeout);
-                effects.push(Effect::Submit { conn, job: Job::Probe });
+                effects.push(Effect::Submit { conn, job: UpstreamJob::HealthCheck });
             }
-            Action::Subscribe => {} // The list is watched all the time.
+            Action::RefreshEndpointList => {} // The list is watched all the time.
             Action::SetTimer { at, token } => {
                 self.due.insert((at, Due::Router(token)));
             }
@@ -813,50 +862,50 @@
         &mut self,
         now: Time,
         request: RequestId,
-        node: NodeId,
+        endpoint: EndpointId,
         timeout: Option<Span>,
-        begin_by: Option<Time>,
+        send_before: Option<Time>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(held) = self.requests.get(&request) else {
             return self.facts.decisions.on_denied(Denial::RequestOver);
         };
         let until = timeout.map_or(held.deadline, |t| held.deadline.min(now + t));
-        let asked = Sending {
+        let asked = SendCheck {
             now,
             until,
             streaming: held.began.is_some(),
             attempts_out: self.attempts.range((request, 0)..=(request, u32::MAX)).count(),
             attempts: held.attempts,
             most_attempts: self.facts.settings.limits.max_attempts,
-            effect: self.facts.settings.classes[held.class].effect,
+            idempotency: self.facts.settings.classes[held.class].idempotency,
             may_have_run_since: held.may_have_run_since,
-            endpoint_is_ready: self.ready.contains(&node) || self.may_use_unlisted(node),
+            endpoint_is_ready: self.ready.contains(&endpoint) || self.may_use_unlisted(endpoint),
         };
         let permitted = may_send(&asked);
         if permitted.is_ok() && asked.attempts > 0 {
             self.facts.decisions.on_retry();
         }
         if let Err(why) = permitted {
-            self.on_send_denied(request, node, why, effects);
+            self.on_send_denied(request, endpoint, why, effects);
         }
         let Some(held) = self.requests.get_mut(&request) else { return };
         let attempt = held.attempts;
         held.attempts += 1;
         let payload = Arc::clone(&held.payload);
         let used = Use::Attempt(request, attempt, now);
-        let took = if permitted.is_err() { None } else { self.take_conn(now, node, used, effects) };
+        let took = if permitted.is_err() { None } else { self.take_conn(now, endpoint, used, effects) };
         if let Some(held) = self.requests.get_mut(&request).filter(|_| self.facts.watched.is_some()) {
             held.first = held.first.or(Some(now));
-            held.out = self.members.get(&node).map(|(name, _)| (Arc::clone(name), now));
+            held.out = self.members.get(&endpoint).map(|(name, _)| (Arc::clone(name), now));
         }
         let Some(conn) = took else {
-            let outcome = if permitted.is_err() { Outcome::Moot } else { self.no_connection(node) };
+            let outcome = if permitted.is_err() { Outcome::NotSent } else { self.no_connection(endpoint) };
             self.requests.get_mut(&request).into_iter().for_each(|held| held.note_try(outcome, now));
-            return self.pending.push(Told::Ended(AttemptEnd {
+            return self.pending.push(PolicyEvent::AttemptEnded(AttemptEnd {
                 request,
                 attempt,
-                node,
+                endpoint,
                 outcome,
                 closed: false,
                 latency: Span(0),
@@ -867,32 +916,38 @@
         };
         self.attempts.insert((request, attempt), conn);
         if self.facts.traced {
-            let endpoint = self.endpoint_name(node);
-            self.trace(request, Step::Sent { attempt, endpoint, connection: conn }, effects);
+            let endpoint = self.endpoint_name(endpoint);
+            self.trace(request, RequestStep::AttemptSent { attempt, endpoint, connection: conn }, effects);
         }
         self.wait_until(conn, until);
-        let permit = SendPermit::new(begin_by.map_or(until, |at| at.min(until)));
+        let permit = SendPermit::new(send_before.map_or(until, |at| at.min(until)));
         self.conns.get_mut(&conn).into_iter().for_each(|c| c.permit = Some(permit.clone()));
-        effects.push(Effect::Submit { conn, job: Job::Run { payload, until, permit } });
+        effects.push(Effect::Submit { conn, job: UpstreamJob::Request { payload, until, permit } });
     }
 
     /// Where a removal does not bind, the module may go on with an endpoint that is no longer listed; never with one that
     /// drains.
-    fn may_use_unlisted(&self, node: NodeId) -> bool {
-        self.facts.settings.rules.removal_not_binding && !self.members.contains_key(&node)
+    fn may_use_unlisted(&self, endpoint: EndpointId) -> bool {
+        self.facts.settings.rules.removal_is_advisory && !self.members.contains_key(&endpoint)
     }
 
     /// An attempt is not sent; that the module asked for it may be a fault of its own.
-    fn on_send_denied(&self, request: RequestId, node: NodeId, why: Denial, effects: &mut Vec<Effect>) {
+    fn on_send_denied(
+        &self,
+        request: RequestId,
+        endpoint: EndpointId,
+        why: Denial,
+        effects: &mut Vec<Effect>,
+    ) {
         self.facts.decisions.on_denied(why);
         if self.facts.traced {
-            self.trace(request, Step::Denied(why), effects);
+            self.trace(request, RequestStep::Denied(why), effects);
         }
         if why.is_violation() {
             self.facts.decisions.on_violated(why);
-            let (request, endpoint) = (self.request_name(request), self.endpoint_name(node));
+            let (request, endpoint) = (self.request_name(request), self.endpoint_name(endpoint));
             debug_assert!(false, "invariant violated: {}: {request} to {endpoint}", why.name());
-            effects.push(Effect::Note(Note::Violated { why, request, endpoint }));
+            effects.push(Effect::Log(LogEvent::InvariantViolated { why, request, endpoint }));
         }
     }
 
@@ -902,80 +957,91 @@
         name.unwrap_or_else(|| Arc::from(format!("#{}", id.0)))
     }
 
-    fn endpoint_name(&self, node: NodeId) -> Arc<str> {
+    fn endpoint_name(&self, endpoint: EndpointId) -> Arc<str> {
         self.members
-            .get(&node)
-            .map_or_else(|| Arc::from(format!("#{}", node.0)), |(name, _)| Arc::clone(name))
+            .get(&endpoint)
+            .map_or_else(|| Arc::from(format!("#{}", endpoint.0)), |(name, _)| Arc::clone(name))
     }
 
-    fn trace(&self, request: RequestId, what: Step, effects: &mut Vec<Effect>) {
-        effects.push(Effect::Note(Note::Step { request: self.request_name(request), what }));
+    fn trace(&self, request: RequestId, what: RequestStep, effects: &mut Vec<Effect>) {
+        effects.push(Effect::Log(LogEvent::RequestStep { request: self.request_name(request), what }));
     }
 
     /// Ends the attempt that a connection carries if nothing of it was written yet; one that has begun goes on.
-    fn cancel_pending_attempt(&mut self, now: Time, conn: ConnId, effects: &mut Vec<Effect>) -> Option<Told> {
+    fn cancel_pending_attempt(
+        &mut self,
+        now: Time,
+        conn: ConnectionId,
+        effects: &mut Vec<Effect>,
+    ) -> Option<PolicyEvent> {
         let unwritten = self.conns.get(&conn)?.permit.as_ref().is_some_and(SendPermit::revoke);
         if !unwritten {
             return None;
         }
         self.facts.decisions.on_cancelled_unsent();
-        self.on_reply(now, conn, Reply::bare(Outcome::Moot), false, effects)
+        self.on_reply(now, conn, UpstreamReply::bare(Outcome::NotSent), false, effects)
     }
 
     /// What it means that there is no connection to a node: it is not listed, or this machine has none to give.
-    fn no_connection(&self, node: NodeId) -> Outcome {
-        if self.members.contains_key(&node) { Outcome::LocalFailure } else { Outcome::ConnectFailed }
+    fn no_connection(&self, endpoint: EndpointId) -> Outcome {
+        if self.members.contains_key(&endpoint) { Outcome::LocalFailure } else { Outcome::ConnectFailed }
     }
 
     /// The connection to a node that was used last, or a new one while the budget of descriptors lasts.
-    fn take_conn(&mut self, now: Time, node: NodeId, used: Use, effects: &mut Vec<Effect>) -> Option<ConnId> {
-        let address = Arc::clone(&self.members.get(&node)?.1);
+    fn take_conn(
+        &mut self,
+        now: Time,
+        endpoint: EndpointId,
+        used: Use,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ConnectionId> {
+        let address = Arc::clone(&self.members.get(&endpoint)?.1);
         let oldest = now - self.facts.idle();
-        let last = self.idle.get(&node).and_then(|s| s.last().copied()).filter(|(at, _)| *at >= oldest);
+        let last = self.idle.get(&endpoint).and_then(|s| s.last().copied()).filter(|(at, _)| *at >= oldest);
         let id = match last {
             Some(last) => {
-                self.idle.entry(node).or_default().remove(&last);
+                self.idle.entry(endpoint).or_default().remove(&last);
                 last.1
             }
             None => {
                 if self.conns.len() >= self.facts.server_conns {
                     let oldest = self.idle.values().filter_map(BTreeSet::first).min();
                     let Some((_, spare)) = oldest.copied() else {
-                        effects.push(Effect::Note(Note::ServersFull(self.conns.len())));
+                        effects.push(Effect::Log(LogEvent::UpstreamConnectionsExhausted(self.conns.len())));
                         return None;
                     };
                     self.close(spare, effects);
                 }
                 self.next_conn += 1;
-                let id = ConnId(self.next_conn);
+                let id = ConnectionId(self.next_conn);
                 effects.push(Effect::Connect { conn: id, address });
                 id
             }
         };
-        self.conns.insert(id, Conn { node, used, until: Time(i64::MAX), permit: None });
+        self.conns.insert(id, Conn { endpoint, used, until: Time(i64::MAX), permit: None });
         Some(id)
     }
 
-    fn wait_until(&mut self, conn: ConnId, until: Time) {
+    fn wait_until(&mut self, conn: ConnectionId, until: Time) {
         self.conns.get_mut(&conn).into_iter().for_each(|c| c.until = until);
         self.due.insert((until, Due::Attempt(conn)));
     }
 
-    fn close(&mut self, conn: ConnId, effects: &mut Vec<Effect>) {
+    fn close(&mut self, conn: ConnectionId, effects: &mut Vec<Effect>) {
         let Some(closed) = self.conns.remove(&conn) else { return };
         if let Use::Idle(at) = closed.used
-            && let Some(idle) = self.idle.get_mut(&closed.node)
+            && let Some(idle) = self.idle.get_mut(&closed.endpoint)
         {
             idle.remove(&(at, conn));
             if idle.is_empty() {
-                self.idle.remove(&closed.node);
+                self.idle.remove(&closed.endpoint);
             }
         }
-        effects.push(Effect::Close(conn));
+        effects.push(Effect::CloseUpstream(conn));
     }
 
-    fn close_idle(&mut self, node: NodeId, effects: &mut Vec<Effect>) {
-        for (_, conn) in self.idle.get(&node).cloned().unwrap_or_default() {
+    fn close_idle(&mut self, endpoint: EndpointId, effects: &mut Vec<Effect>) {
+        for (_, conn) in self.idle.get(&endpoint).cloned().unwrap_or_default() {
             self.close(conn, effects);
         }
     }
@@ -994,8 +1060,17 @@
     }
 
     /// The one final answer of a request.
-    fn answer(&mut self, now: Time, id: RequestId, answer: Answer, how: Ending, effects: &mut Vec<Effect>) {
-        let Some(held) = self.conclude(now, id, matches!(answer, Answer::Served(_)), effects) else { return };
+    fn answer(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        answer: FinalAnswer,
+        how: FinalOutcome,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(held) = self.conclude(now, id, matches!(answer, FinalAnswer::Served(_)), effects) else {
+            return;
+        };
         effects.push(Effect::Answer { client: held.client, ticket: held.ticket, answer });
         self.record(now, held, how, effects);
     }
@@ -1023,13 +1098,20 @@
     }
 
     /// What is counted and written down of a request that is over.
-    fn record(&self, now: Time, mut held: Held, ending: Ending, effects: &mut Vec<Effect>) {
+    fn record(&self, now: Time, mut held: Held, ending: FinalOutcome, effects: &mut Vec<Effect>) {
         if self.facts.traced {
             let request = held.name.clone().unwrap_or_else(|| Arc::from("unnamed"));
-            effects.push(Effect::Note(Note::Step { request, what: Step::Concluded(ending) }));
+            effects.push(Effect::Log(LogEvent::RequestStep {
+                request,
+                what: RequestStep::RequestEnded(ending),
+            }));
         }
         if let Some((member, sent)) = held.out.take() {
-            held.tries.push(Try { member, outcome: Outcomes::Out, took_us: micros(now - sent) });
+            held.tries.push(AttemptRecord {
+                member,
+                outcome: AttemptOutcome::Unfinished,
+                took_us: micros(now - sent),
+            });
         }
         let waited = held.first.unwrap_or(now) - held.arrived;
         let (attempts, times) = (held.tries, [waited, now - held.arrived]);
@@ -1042,7 +1124,7 @@
         class: usize,
         tenant: Option<usize>,
         group: GroupId,
-        ending: Ending,
+        ending: FinalOutcome,
         effects: &mut Vec<Effect>,
     ) {
         self.account(class, tenant, group, ending, vec![], [Span(0); 2], effects);
@@ -1056,8 +1138,8 @@
         class: usize,
         tenant: Option<usize>,
         group: GroupId,
-        ending: Ending,
-        attempts: Vec<Try>,
+        ending: FinalOutcome,
+        attempts: Vec<AttemptRecord>,
         [waited, total]: [Span; 2],
         effects: &mut Vec<Effect>,
     ) {
@@ -1065,7 +1147,7 @@
             figures.ended(class, &ending);
         }
         let Some(watched) = &self.facts.watched else { return };
-        effects.push(Effect::Record(Box::new(Record {
+        effects.push(Effect::RecordOutcome(Box::new(RequestRecord {
             front: Arc::clone(&watched.front),
             class: Arc::clone(&watched.classes[class]),
             tenant: tenant.and_then(|t| watched.tenants.get(t).cloned()),
@@ -1092,14 +1174,14 @@
     }
 
     /// What is believed and carried now.
-    fn live(&mut self, now: Time) -> Live {
+    fn live(&mut self, now: Time) -> LiveView {
         self.turn_second(now);
         let view = self.router.view();
-        let members = view.nodes.into_iter().filter_map(|view| {
-            let (name, address) = self.members.get(&view.node)?.clone();
-            Some(LiveMember { name, address, view })
+        let members = view.endpoints.into_iter().filter_map(|view| {
+            let (name, address) = self.members.get(&view.endpoint)?.clone();
+            Some(LiveEndpoint { name, address, view })
         });
-        Live {
+        LiveView {
             at: now,
             groups: view.groups,
             members: members.collect(),
@@ -1115,7 +1197,7 @@
 impl Held {
     fn note_try(&mut self, outcome: Outcome, now: Time) {
         let Some((member, sent)) = self.out.take() else { return };
-        self.tries.push(Try { member, outcome: outcome.into(), took_us: micros(now - sent) });
+        self.tries.push(AttemptRecord { member, outcome: outcome.into(), took_us: micros(now - sent) });
     }
 }
 
@@ -1124,27 +1206,27 @@
     u64::try_from(span.0).unwrap_or(0)
 }
 
-const fn refusal(why: Why) -> Refusal {
+const fn refusal(why: GiveUpReason) -> RejectionReason {
     match why {
-        Why::Deadline => Refusal::Deadline,
-        Why::Strain => Refusal::Strain,
-        Why::Unsent => Refusal::Unsent,
-        Why::Late => Refusal::Late,
-        Why::Attempts => Refusal::Attempts,
-        Why::Window => Refusal::Window,
+        GiveUpReason::DeadlineExceeded => RejectionReason::DeadlineExceeded,
+        GiveUpReason::Overloaded => RejectionReason::Overloaded,
+        GiveUpReason::NeverSent => RejectionReason::NeverSent,
+        GiveUpReason::TooLate => RejectionReason::TooLate,
+        GiveUpReason::AttemptsExhausted => RejectionReason::AttemptsExhausted,
+        GiveUpReason::RetryWindowClosed => RejectionReason::RetryWindowClosed,
     }
 }
 
-impl Facts {
+impl CoreConfig {
     /// How a request ends whose answer comes now.
-    fn ending(&self, held: &Held, now: Time) -> Ending {
-        let aim = self.settings.classes[held.class].aim;
-        if now - held.arrived <= aim { Ending::InTime } else { Ending::Late }
+    fn ending(&self, held: &Held, now: Time) -> FinalOutcome {
+        let latency_objective = self.settings.classes[held.class].latency_objective;
+        if now - held.arrived <= latency_objective { FinalOutcome::InTime } else { FinalOutcome::Late }
     }
 
     /// How long a connection to a server may stand idle here: well below what the server allows.
     fn idle(&self) -> Span {
-        Span(self.settings.limits.conn_idle.0 / 10 * IDLE_TENTHS)
+        Span(self.settings.limits.idle_connection_timeout.0 / 10 * IDLE_TENTHS)
     }
 
     /// When a refused client should come back, where the module leaves that open. What it met, too much work or
@@ -1152,7 +1234,7 @@
     /// early would only add to the load.
     fn come_back(&self, class: usize) -> Span {
         let longest = self.settings.limits.max_retry_after;
-        let late_counts = self.settings.classes.get(class).is_some_and(|c| c.late_worth > 0.0);
+        let late_counts = self.settings.classes.get(class).is_some_and(|c| c.late_priority_weight > 0.0);
         if late_counts { Span(longest.0 / 4) } else { longest }
     }
 }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 
-use valehatch_policy::{DedupScope, Effect, Time};
+use valehatch_policy::{DedupScope, Idempotency, Time};
 
 /// Where the process stands between its start and its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -117,7 +117,7 @@
 
 /// What is known of a request as it comes in.
 #[derive(Clone, Copy, Debug)]
-pub struct Acceptance {
+pub struct AcceptCheck {
     pub stage: ProcessStage,
     pub name_is_open: bool,
     pub open: usize,
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 /// Why not.
-pub fn may_accept(asked: &Acceptance) -> Result<(), Denial> {
+pub fn may_accept(asked: &AcceptCheck) -> Result<(), Denial> {
     if asked.name_is_open {
         return Err(Denial::DuplicateName);
     }
@@ -143,7 +143,7 @@
 
 /// What is known of a request and an endpoint as an attempt is asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending {
+pub struct SendCheck {
     pub now: Time,
     /// The attempt is given up then.
     pub until: Time,
@@ -151,7 +151,7 @@
     pub attempts_out: usize,
     pub attempts: u32,
     pub most_attempts: u32,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// When the first attempt was sent that may have run.
     pub may_have_run_since: Option<Time>,
     pub endpoint_is_ready: bool,
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Why not.
-pub fn may_send(asked: &Sending) -> Result<(), Denial> {
+pub fn may_send(asked: &SendCheck) -> Result<(), Denial> {
     if asked.streaming {
         return Err(Denial::StreamBegan);
     }
@@ -177,20 +177,26 @@
     if !asked.endpoint_is_ready {
         return Err(Denial::EndpointNotReady);
     }
-    may_repeat(asked.effect, asked.may_have_run_since, asked.now)
+    may_repeat(asked.idempotency, asked.may_have_run_since, asked.now)
 }
 
 /// Whether a request that may have run since a time may be sent again.
 ///
 /// # Errors
 /// Why not.
-pub fn may_repeat(effect: Effect, may_have_run_since: Option<Time>, now: Time) -> Result<(), Denial> {
+pub fn may_repeat(
+    idempotency: Idempotency,
+    may_have_run_since: Option<Time>,
+    now: Time,
+) -> Result<(), Denial> {
     let Some(since) = may_have_run_since else { return Ok(()) };
-    match effect {
-        Effect::Safe => Ok(()),
-        Effect::Unsafe | Effect::Keyed(DedupScope::Zone, _) => Err(Denial::RepeatForbidden),
-        Effect::Keyed(_, window) if now < since + window => Ok(()),
-        Effect::Keyed(..) => Err(Denial::RepeatWindowOver),
+    match idempotency {
+        Idempotency::Idempotent => Ok(()),
+        Idempotency::NonIdempotent | Idempotency::IdempotencyKey(DedupScope::Zone, _) => {
+            Err(Denial::RepeatForbidden)
+        }
+        Idempotency::IdempotencyKey(_, window) if now < since + window => Ok(()),
+        Idempotency::IdempotencyKey(..) => Err(Denial::RepeatWindowOver),
     }
 }
 
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -3,11 +3,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use valehatch_admission::{Settings as DoorSettings, Shown};
+use valehatch_admission::{Settings as DoorSettings, TenantQueueView};
 use valehatch_policy::{
-    Entry, GroupId, GroupView, NodeView, Outcome, Report, Role, SessionKey, Settings, Span, Time,
+    EndpointRecord, EndpointView, GroupId, GroupView, LoadReport, Outcome, Role, SessionKey, Settings, Span,
+    Time,
 };
-use valehatch_request_log::{Figures, Record, Refusal};
+use valehatch_request_log::{OutcomeMetrics, RejectionReason, RequestRecord};
 
 use crate::permission::{Decisions, Denial, SendPermit};
 
@@ -20,16 +21,16 @@
 }
 
 id!(/** A connection from a client. */ ClientId);
-id!(/** A connection to a server. */ ConnId);
+id!(/** A connection to a server. */ ConnectionId);
 
 /// Room taken for the bytes of a request; it is given back when they are let go of.
 #[derive(Debug)]
-pub struct Room {
+pub struct MemoryReservation {
     used: Arc<AtomicUsize>,
     bytes: usize,
 }
 
-impl Room {
+impl MemoryReservation {
     /// Takes room for so many bytes, if that leaves no more than `most` in use.
     pub fn take(used: &Arc<AtomicUsize>, bytes: usize, most: usize) -> Option<Self> {
         let room = Self { used: Arc::clone(used), bytes };
@@ -37,7 +38,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.used.fetch_sub(self.bytes, Ordering::Relaxed);
     }
@@ -56,7 +57,7 @@
 
 /// A request as a front understood it.
 #[derive(Debug)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// What the client calls it, where clients name their requests: no two that are open share a name.
     pub name: Option<Arc<str>>,
     pub class: usize,
@@ -72,7 +73,7 @@
     pub wrote_at: Option<Time>,
     pub payload: Arc<Payload>,
     /// The room that its bytes take for as long as it is open.
-    pub room: Room,
+    pub room: MemoryReservation,
     /// Who asks, as far as the front can tell clients apart: they share evenly at the door.
     pub client: u64,
 }
@@ -83,21 +84,21 @@
     /// No answer came in time; it may have run.
     Timeout,
     /// An error or a break; it may have run.
-    Broken,
+    ConnectionLost,
     /// The same, in the words of the server that tried last.
-    Told(Vec<u8>),
+    UpstreamError(Vec<u8>),
     /// Its name is that of a request that is open.
-    Named,
+    DuplicateName,
 }
 
 /// The final answer of a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalAnswer {
     /// As a server gave it.
     Served(Vec<u8>),
     /// Trying again is harmless, after this time; `crowded` if more wait than can be served by then, so that the longest
     /// time that clients heed is too short to be honest.
-    Refused {
+    Rejected {
         after: Span,
         crowded: bool,
     },
@@ -106,18 +107,18 @@
 
 /// What came back for a job.
 #[derive(Debug)]
-pub struct Reply {
+pub struct UpstreamReply {
     pub outcome: Outcome,
     pub role: Option<Role>,
     pub position: Option<Time>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The whole answer, where there is one; of an error, where the server's words are to be passed on.
     pub body: Option<Vec<u8>>,
     /// An error that every server would answer with: it is passed on, and the request is not sent again.
     pub last: bool,
 }
 
-impl Reply {
+impl UpstreamReply {
     /// An outcome that nothing came along with.
     pub const fn bare(outcome: Outcome) -> Self {
         Self { outcome, role: None, position: None, report: None, body: None, last: false }
@@ -126,8 +127,8 @@
 
 /// A line of the list, with where the server listens.
 #[derive(Clone, Debug)]
-pub struct Member {
-    pub entry: Entry,
+pub struct ListedEndpoint {
+    pub entry: EndpointRecord,
     pub name: Arc<str>,
     pub address: Arc<str>,
 }
@@ -135,111 +136,111 @@
 /// What happened.
 #[derive(Debug)]
 pub enum Event {
-    List {
+    EndpointList {
         complete: bool,
-        members: Vec<Member>,
+        members: Vec<ListedEndpoint>,
     },
-    Connected(ClientId),
+    ClientConnected(ClientId),
     /// A request; the ticket comes back with its answer.
-    Asked {
+    RequestReceived {
         client: ClientId,
         ticket: u64,
-        ask: Ask,
+        ask: IncomingRequest,
     },
     /// A request that was whole when its client had left: it is counted, and does not run.
-    Abandoned {
+    RequestAbandoned {
         class: usize,
         tenant: Option<usize>,
         group: GroupId,
     },
     /// A request that a front refused itself, for want of room or of places.
-    Declined {
+    RequestRejected {
         class: usize,
         tenant: Option<usize>,
         group: GroupId,
-        why: Refusal,
+        why: RejectionReason,
     },
-    Disconnected(ClientId),
+    ClientDisconnected(ClientId),
     /// An answer that is too long to be held has begun on a connection: it waits for its way to the client.
-    Began(ConnId),
+    ResponseStarted(ConnectionId),
     /// What a connection carried has ended; an answer that was passed on has been taken up whole, or was cut.
-    Ended {
-        conn: ConnId,
-        reply: Reply,
+    AttemptEnded {
+        conn: ConnectionId,
+        reply: UpstreamReply,
         reusable: bool,
     },
     /// Unix times that were placed on this process's clock before lie so much later than was taken (earlier if negative).
     ClockCorrected(Span),
     /// So many gateways share the members now.
-    Routers(u32),
+    GatewayCount(u32),
     /// Other shares of the tenants, where requests wait at a door.
-    Shares(Vec<f64>),
+    TenantQuotas(Vec<f64>),
     /// A planned stop.
-    Terminate,
+    ShutdownRequested,
     /// Another process takes the connections from now on, from the same queue: those that are open end as they rest.
-    Leave,
+    HandoffStarted,
     /// So many connections to servers at the most, from now on.
-    ServerConns(usize),
+    UpstreamConnectionLimit(usize),
     /// What is believed is to be published.
-    Show,
+    PublishView,
 }
 
 /// What a connection is to carry.
 #[derive(Clone, Debug)]
-pub enum Job {
+pub enum UpstreamJob {
     /// A request, when the gateway stops waiting for its answer, and the leave to write it.
-    Run { payload: Arc<Payload>, until: Time, permit: SendPermit },
+    Request { payload: Arc<Payload>, until: Time, permit: SendPermit },
     /// The server is asked how it is.
-    Probe,
+    HealthCheck,
 }
 
 /// What is to be done.
 #[derive(Debug)]
 pub enum Effect {
     Connect {
-        conn: ConnId,
+        conn: ConnectionId,
         address: Arc<str>,
     },
     Submit {
-        conn: ConnId,
-        job: Job,
+        conn: ConnectionId,
+        job: UpstreamJob,
     },
-    Close(ConnId),
+    CloseUpstream(ConnectionId),
     /// The answer that has begun on a connection goes to the client as it comes, in its turn.
-    Pass {
-        conn: ConnId,
+    ForwardBody {
+        conn: ConnectionId,
         client: ClientId,
         ticket: u64,
     },
     Answer {
         client: ClientId,
         ticket: u64,
-        answer: Answer,
+        answer: FinalAnswer,
     },
     CloseClient(ClientId),
     /// The program is about to end: all connections of clients on which nothing is open end, however short a time ago they were
     /// answered.
-    CloseClients,
+    CloseIdleClients,
     StopListening,
     /// Something that whoever reads the log should know.
-    Note(Note),
+    Log(LogEvent),
     /// A request had its final answer.
-    Record(Box<Record>),
+    RecordOutcome(Box<RequestRecord>),
     /// What is to be shown to whoever watches.
-    Publish(Box<Live>),
+    PublishView(Box<LiveView>),
     /// The program is to end, once nothing is half read or half written: it is asked for again until then.
     Exit,
 }
 
 /// What the log is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogEvent {
     /// All connections to servers are in use, so many.
-    ServersFull(usize),
+    UpstreamConnectionsExhausted(usize),
     /// Shares that cannot be taken over, and why.
-    Shares(String),
+    InvalidQuotas(String),
     /// The decision module asked for what must never be done; it was not done.
-    Violated {
+    InvariantViolated {
         /// What forbids it.
         why: Denial,
         /// The request, by its client's name for it or by its number here.
@@ -248,48 +249,48 @@
         endpoint: Arc<str>,
     },
     /// A step of a request, where steps are traced.
-    Step {
+    RequestStep {
         /// The request, by its client's name for it or by its number here.
         request: Arc<str>,
         /// What became of it.
-        what: Step,
+        what: RequestStep,
     },
 }
 
 /// A step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RequestStep {
     /// An attempt was handed to a connection.
-    Sent {
+    AttemptSent {
         /// Counted from 0.
         attempt: u32,
         /// The endpoint.
         endpoint: Arc<str>,
         /// The connection.
-        connection: ConnId,
+        connection: ConnectionId,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// Counted from 0.
         attempt: u32,
         /// How.
         outcome: Outcome,
     },
     /// It had its final answer, or its client left.
-    Concluded(valehatch_request_log::Ending),
+    RequestEnded(valehatch_request_log::FinalOutcome),
     /// Something was not done for it.
     Denied(Denial),
 }
 
 /// What a gateway believes and carries at a moment, for those who watch it.
 #[derive(Clone, Debug)]
-pub struct Live {
+pub struct LiveView {
     /// When it was so.
     pub at: Time,
     /// What is believed of the groups, by number.
     pub groups: Vec<GroupView>,
     /// The members, by number.
-    pub members: Vec<LiveMember>,
+    pub members: Vec<LiveEndpoint>,
     /// Requests of each tenant in the last whole second.
     pub rates: Vec<u64>,
     /// Requests that are open, connections to servers, connections from clients.
@@ -299,23 +300,23 @@
     /// A planned stop was asked for.
     pub stopping: bool,
     /// What waits at the door of each tenant, where there is a door; the last for those that are not known.
-    pub door: Vec<Shown>,
+    pub door: Vec<TenantQueueView>,
 }
 
 /// A member, as it is believed to be.
 #[derive(Clone, Debug)]
-pub struct LiveMember {
+pub struct LiveEndpoint {
     /// Its name.
     pub name: Arc<str>,
     /// Where it listens.
     pub address: Arc<str>,
     /// What is believed of it.
-    pub view: NodeView,
+    pub view: EndpointView,
 }
 
 /// For those who watch: names of what is counted, and how often what is believed is published.
 #[derive(Clone, Debug)]
-pub struct Watched {
+pub struct Observability {
     /// The front's name.
     pub front: Arc<str>,
     /// The classes' names, in the settings' order.
@@ -328,13 +329,13 @@
 
 /// What the core needs to know of the deployment.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct CoreConfig {
     /// Set where requests wait at a door.
     pub door: Option<DoorSettings>,
     /// Set where somebody watches: final answers are recorded and beliefs published.
-    pub watched: Option<Arc<Watched>>,
+    pub watched: Option<Arc<Observability>>,
     /// Set where operators read figures.
-    pub figures: Option<Arc<Figures>>,
+    pub figures: Option<Arc<OutcomeMetrics>>,
     pub settings: Settings,
     /// What was denied, and why.
     pub decisions: Arc<Decisions>,
--- a/crates/core/tests/begin.rs
+++ b/crates/core/tests/begin.rs
@@ -7,11 +7,13 @@
 
 use valehatch_core::permission::{Decisions, SendPermit};
 use valehatch_core::{
-    Answer, Ask, ClientId, ConnId, Effect, Event, Facts, Job, Member, Payload, Reply, Room, State,
+    ClientId, ConnectionId, CoreConfig, Effect, Event, FinalAnswer, IncomingRequest, ListedEndpoint,
+    MemoryReservation, Payload, State, UpstreamJob, UpstreamReply,
 };
 use valehatch_policy::{
-    Checks, Class, DedupScope, Effect as Rerun, Entry, GroupId, KindId, Limits, ListMode, ListedRole, Need,
-    NodeId, NodeState, Outcome, Rules, Sessions, Settings, Span, Time, ZoneId,
+    Consistency, DedupScope, DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId,
+    Idempotency as Rerun, KindId, Limits, ListedRole, Outcome, RequestClass, Rules, SessionTracking,
+    Settings, Span, StaleReadPolicy, Time, ZoneId,
 };
 
 const WRITE: usize = 0;
@@ -22,43 +24,46 @@
 }
 
 fn settings() -> Settings {
-    let class = |effect| Class {
-        need: Need::Write,
-        effect,
-        aim: ms(600),
-        aim_stretch: 0.0,
+    let class = |idempotency| RequestClass {
+        consistency: Consistency::Write,
+        idempotency,
+        latency_objective: ms(600),
+        latency_objective_stretch: 0.0,
         deadline: ms(3_000),
-        worth: 1.0,
-        late_worth: 0.3,
+        priority_weight: 1.0,
+        late_priority_weight: 0.3,
     };
     Settings {
-        classes: vec![class(Rerun::Keyed(DedupScope::Group, ms(2_000))), class(Rerun::Unsafe)],
+        classes: vec![
+            class(Rerun::IdempotencyKey(DedupScope::Group, ms(2_000))),
+            class(Rerun::NonIdempotent),
+        ],
         tenants: vec![],
-        over_share_worth: None,
-        list_mode: ListMode::Pushed,
+        over_quota_priority_weight: None,
+        discovery_mode: DiscoveryMode::Watch,
         listed_role: ListedRole::Trailing,
-        checks: Checks::Off,
-        sessions: Sessions::Brought,
+        stale_read_policy: StaleReadPolicy::Serve,
+        sessions: SessionTracking::ClientProvided,
         routers: 1,
         zone: ZoneId(0),
         tick: ms(5),
         limits: Limits {
             cancel: true,
-            probing: false,
-            second_copies: false,
+            health_checks: false,
+            hedged_requests: false,
             retry_after: true,
             max_attempts: 6,
             max_retry_after: ms(500),
-            max_open: 1_000,
-            conn_idle: ms(15_000),
+            max_open_requests: 1_000,
+            idle_connection_timeout: ms(15_000),
         },
         rules: Rules {
-            ask_within: ms(8_000),
-            cold_from: 0.2,
+            max_poll_interval: ms(8_000),
+            slow_start_initial_capacity: 0.2,
             cold: ms(10_000),
-            tip_multiple: 2.0,
-            tip_after: ms(1_500),
-            removal_not_binding: false,
+            overload_multiple: 2.0,
+            overload_duration: ms(1_500),
+            removal_is_advisory: false,
         },
     }
 }
@@ -69,14 +74,14 @@
     now: Time,
     room: Arc<AtomicUsize>,
     permit: SendPermit,
-    conn: ConnId,
+    conn: ConnectionId,
     /// When its attempt is given up.
     until: Time,
 }
 
-fn member(id: u32, state: NodeState, primary: bool) -> Member {
-    let entry = Entry {
-        node: NodeId(id),
+fn member(id: u32, state: EndpointState, primary: bool) -> ListedEndpoint {
+    let entry = EndpointRecord {
+        endpoint: EndpointId(id),
         group: GroupId(0),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -85,12 +90,16 @@
         primary,
         state,
     };
-    Member { entry, name: format!("s-{id}").into(), address: format!("127.0.0.1:{}", 9000 + id).into() }
+    ListedEndpoint {
+        entry,
+        name: format!("s-{id}").into(),
+        address: format!("127.0.0.1:{}", 9000 + id).into(),
+    }
 }
 
 /// A request of a class that was read at a time.
-fn ask(room: &Arc<AtomicUsize>, class: usize, received: Time) -> Ask {
-    Ask {
+fn ask(room: &Arc<AtomicUsize>, class: usize, received: Time) -> IncomingRequest {
+    IncomingRequest {
         name: Some("one".into()),
         class,
         tenant: None,
@@ -101,29 +110,29 @@
         repeat: false,
         wrote_at: None,
         payload: Arc::new(Payload { bytes: vec![0; 10], write: true, class }),
-        room: Room::take(room, 10, 100).unwrap(),
+        room: MemoryReservation::take(room, 10, 100).unwrap(),
         client: 1,
     }
 }
 
 /// When the attempt that was submitted is given up.
 fn until(effects: &[Effect]) -> Time {
-    let until = |effect: &Effect| match effect {
-        Effect::Submit { job: Job::Run { until, .. }, .. } => Some(*until),
+    let until = |idempotency: &Effect| match idempotency {
+        Effect::Submit { job: UpstreamJob::Request { until, .. }, .. } => Some(*until),
         _ => None,
     };
     effects.iter().find_map(until).expect("an attempt was submitted")
 }
 
-fn submitted(effects: &[Effect]) -> Option<(ConnId, SendPermit)> {
-    effects.iter().find_map(|effect| match effect {
-        Effect::Submit { conn, job: Job::Run { permit, .. } } => Some((*conn, permit.clone())),
+fn submitted(effects: &[Effect]) -> Option<(ConnectionId, SendPermit)> {
+    effects.iter().find_map(|idempotency| match idempotency {
+        Effect::Submit { conn, job: UpstreamJob::Request { permit, .. } } => Some((*conn, permit.clone())),
         _ => None,
     })
 }
 
-fn closed(effects: &[Effect], conn: ConnId) -> bool {
-    effects.iter().any(|e| matches!(e, Effect::Close(closed) if *closed == conn))
+fn closed(effects: &[Effect], conn: ConnectionId) -> bool {
+    effects.iter().any(|e| matches!(e, Effect::CloseUpstream(closed) if *closed == conn))
 }
 
 impl Scene {
@@ -134,11 +143,12 @@
     /// One whose request was read this long before the turn that took it.
     fn read_before(waited: Span) -> Self {
         let mut scene = Self::new(UNSAFE);
-        let end = Reply { body: Some(b"done".to_vec()), ..Reply::bare(Outcome::Ok) };
-        scene.turn(1, vec![Event::Ended { conn: scene.conn, reply: end, reusable: true }]);
+        let end = UpstreamReply { body: Some(b"done".to_vec()), ..UpstreamReply::bare(Outcome::Ok) };
+        scene.turn(1, vec![Event::AttemptEnded { conn: scene.conn, reply: end, reusable: true }]);
         let (room, now) = (Arc::clone(&scene.room), scene.now + ms(1));
         let asked = ask(&room, UNSAFE, now - waited);
-        let effects = scene.turn(1, vec![Event::Asked { client: ClientId(1), ticket: 1, ask: asked }]);
+        let effects =
+            scene.turn(1, vec![Event::RequestReceived { client: ClientId(1), ticket: 1, ask: asked }]);
         (scene.conn, scene.permit) = submitted(&effects).expect("it goes to the primary at once");
         scene.until = until(&effects);
         scene
@@ -146,7 +156,7 @@
 
     /// The same where so much happened, and so much time went by, before it was asked for.
     fn asked_after(class: usize, before: Vec<Event>, time: Span) -> Self {
-        let facts = Facts {
+        let facts = CoreConfig {
             door: None,
             watched: None,
             figures: None,
@@ -161,10 +171,11 @@
         state.reduce(began, before, &mut vec![]);
         let now = began + time;
         let ask = ask(&room, class, now);
-        let list = Event::List { complete: true, members: vec![member(1, NodeState::Ready, true)] };
-        let asked = Event::Asked { client: ClientId(1), ticket: 0, ask };
+        let list =
+            Event::EndpointList { complete: true, members: vec![member(1, EndpointState::Ready, true)] };
+        let asked = Event::RequestReceived { client: ClientId(1), ticket: 0, ask };
         let mut effects = vec![];
-        state.reduce(now, vec![list, Event::Connected(ClientId(1)), asked], &mut effects);
+        state.reduce(now, vec![list, Event::ClientConnected(ClientId(1)), asked], &mut effects);
         let (conn, permit) = submitted(&effects).expect("it goes to the primary at once");
         Self { state, now, room, permit, conn, until: until(&effects) }
     }
@@ -212,14 +223,14 @@
 fn what_was_not_written_when_its_client_left_is_called_off_and_all_it_held_is_given_back_once() {
     for class in [WRITE, UNSAFE] {
         let mut scene = Scene::new(class);
-        let effects = scene.turn(50, vec![Event::Disconnected(ClientId(1))]);
+        let effects = scene.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
         assert!(scene.permit.try_acquire(scene.now).is_err(), "it must not begin any more");
         assert!(closed(&effects, scene.conn));
         assert_eq!(scene.room.load(Ordering::Relaxed), 0, "its room is free");
         // Whoever carried it says so as well, late.
-        let reply = Reply::bare(Outcome::Moot);
-        let ended = Event::Ended { conn: scene.conn, reply, reusable: true };
-        let effects = scene.turn(200, vec![ended, Event::Disconnected(ClientId(1))]);
+        let reply = UpstreamReply::bare(Outcome::NotSent);
+        let ended = Event::AttemptEnded { conn: scene.conn, reply, reusable: true };
+        let effects = scene.turn(200, vec![ended, Event::ClientDisconnected(ClientId(1))]);
         assert!(effects.is_empty(), "{effects:?}");
     }
 }
@@ -228,21 +239,22 @@
 fn what_was_written_goes_on_when_its_client_leaves() {
     let mut scene = Scene::new(UNSAFE);
     assert!(scene.permit.try_acquire(scene.now).is_ok());
-    let effects = scene.turn(50, vec![Event::Disconnected(ClientId(1))]);
+    let effects = scene.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
     assert!(!closed(&effects, scene.conn), "it runs, and its member is not disturbed");
     assert_eq!(scene.room.load(Ordering::Relaxed), 0);
 }
 
 #[test]
 fn what_was_not_written_when_its_member_drains_goes_elsewhere_at_once() {
-    for (state, complete) in [(NodeState::Draining, false), (NodeState::Gone, false), (NodeState::Gone, true)]
+    for (state, complete) in
+        [(EndpointState::Draining, false), (EndpointState::Removed, false), (EndpointState::Removed, true)]
     {
         let mut scene = Scene::new(UNSAFE);
-        let mut members = vec![member(2, NodeState::Ready, true)];
+        let mut members = vec![member(2, EndpointState::Ready, true)];
         if !complete {
             members.push(member(1, state, false));
         }
-        let effects = scene.turn(50, vec![Event::List { complete, members }]);
+        let effects = scene.turn(50, vec![Event::EndpointList { complete, members }]);
         assert!(scene.permit.try_acquire(scene.now).is_err(), "{state:?}: it must not begin there any more");
         let (conn, _) = submitted(&effects).expect("the other one has it at once");
         assert_ne!(conn, scene.conn);
@@ -253,12 +265,12 @@
 fn what_was_written_to_a_member_that_drains_is_waited_for() {
     let mut scene = Scene::new(UNSAFE);
     assert!(scene.permit.try_acquire(scene.now).is_ok());
-    let members = vec![member(1, NodeState::Draining, false), member(2, NodeState::Ready, true)];
-    let effects = scene.turn(50, vec![Event::List { complete: false, members }]);
+    let members = vec![member(1, EndpointState::Draining, false), member(2, EndpointState::Ready, true)];
+    let effects = scene.turn(50, vec![Event::EndpointList { complete: false, members }]);
     assert!(submitted(&effects).is_none(), "it may have run");
-    let reply = Reply { body: Some(b"done".to_vec()), ..Reply::bare(Outcome::Ok) };
-    let effects = scene.turn(50, vec![Event::Ended { conn: scene.conn, reply, reusable: true }]);
-    assert!(effects.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Served(_), .. })));
+    let reply = UpstreamReply { body: Some(b"done".to_vec()), ..UpstreamReply::bare(Outcome::Ok) };
+    let effects = scene.turn(50, vec![Event::AttemptEnded { conn: scene.conn, reply, reusable: true }]);
+    assert!(effects.iter().any(|e| matches!(e, Effect::Answer { answer: FinalAnswer::Served(_), .. })));
 }
 
 #[test]
@@ -267,19 +279,22 @@
     // Half of its time is over: what was never written is refused, which is harmless, and not failed.
     let effects: Vec<Effect> = (0..50).flat_map(|_| scene.turn(50, vec![])).collect();
     let answers: Vec<_> = effects.iter().filter(|e| matches!(e, Effect::Answer { .. })).collect();
-    assert!(matches!(answers[..], [Effect::Answer { answer: Answer::Refused { .. }, .. }]), "{answers:?}");
+    assert!(
+        matches!(answers[..], [Effect::Answer { answer: FinalAnswer::Rejected { .. }, .. }]),
+        "{answers:?}"
+    );
     assert!(scene.permit.try_acquire(scene.now).is_err());
 }
 
 #[test]
 fn what_is_out_as_the_program_is_about_to_end_is_given_up_with_its_answer() {
     // A planned stop was asked for 3 s ago; what is open 0.45 s later is answered, whatever its client would wait.
-    let mut scene = Scene::asked_after(UNSAFE, vec![Event::Terminate], ms(3_000));
+    let mut scene = Scene::asked_after(UNSAFE, vec![Event::ShutdownRequested], ms(3_000));
     assert!(scene.permit.try_acquire(scene.now).is_ok());
     let early = scene.turn(400, vec![]);
     assert!(!closed(&early, scene.conn), "it may be answered yet");
     let effects = scene.turn(60, vec![]);
-    let failed = |e: &Effect| matches!(e, Effect::Answer { answer: Answer::Failed(_), .. });
+    let failed = |e: &Effect| matches!(e, Effect::Answer { answer: FinalAnswer::Failed(_), .. });
     assert!(effects.iter().any(failed), "it may have run: {effects:?}");
     assert!(closed(&effects, scene.conn), "it is not out any more when its client asks elsewhere");
 }
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -2,56 +2,56 @@
 
 use rstest::rstest;
 use valehatch_core::permission::{
-    Acceptance, Decisions, Denial, ProcessStage, SendPermit, Sending, may_accept, may_close, may_probe,
+    AcceptCheck, Decisions, Denial, ProcessStage, SendCheck, SendPermit, may_accept, may_close, may_probe,
     may_repeat, may_send,
 };
-use valehatch_policy::{DedupScope, Effect, Span, Time};
+use valehatch_policy::{DedupScope, Idempotency, Span, Time};
 
 const WINDOW: Span = Span::from_millis(2_000);
-const KEYED: Effect = Effect::Keyed(DedupScope::Group, WINDOW);
+const KEYED: Idempotency = Idempotency::IdempotencyKey(DedupScope::Group, WINDOW);
 
-fn sending() -> Sending {
-    Sending {
+fn sending() -> SendCheck {
+    SendCheck {
         now: Time(1_000),
         until: Time(1_001),
         streaming: false,
         attempts_out: 0,
         attempts: 5,
         most_attempts: 6,
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         may_have_run_since: None,
         endpoint_is_ready: true,
     }
 }
 
 #[rstest]
-#[case::all_well(|_: &mut Sending| {}, Ok(()))]
-#[case::streaming(|s: &mut Sending| s.streaming = true, Err(Denial::StreamBegan))]
-#[case::attempt_out(|s: &mut Sending| s.attempts_out = 1, Err(Denial::AttemptOut))]
-#[case::attempts_spent(|s: &mut Sending| s.attempts = 6, Err(Denial::AttemptsSpent))]
-#[case::deadline_over(|s: &mut Sending| s.until = s.now, Err(Denial::DeadlineOver))]
-#[case::endpoint_drains(|s: &mut Sending| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
-#[case::may_have_run(|s: &mut Sending| s.may_have_run_since = Some(Time(1)), Err(Denial::RepeatForbidden))]
-fn send(#[case] change: fn(&mut Sending), #[case] want: Result<(), Denial>) {
+#[case::all_well(|_: &mut SendCheck| {}, Ok(()))]
+#[case::streaming(|s: &mut SendCheck| s.streaming = true, Err(Denial::StreamBegan))]
+#[case::attempt_out(|s: &mut SendCheck| s.attempts_out = 1, Err(Denial::AttemptOut))]
+#[case::attempts_spent(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsSpent))]
+#[case::deadline_over(|s: &mut SendCheck| s.until = s.now, Err(Denial::DeadlineOver))]
+#[case::endpoint_drains(|s: &mut SendCheck| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
+#[case::may_have_run(|s: &mut SendCheck| s.may_have_run_since = Some(Time(1)), Err(Denial::RepeatForbidden))]
+fn send(#[case] change: fn(&mut SendCheck), #[case] want: Result<(), Denial>) {
     let mut asked = sending();
     change(&mut asked);
     assert_eq!(may_send(&asked), want);
 }
 
 #[rstest]
-#[case::safe(Effect::Safe, i64::MAX / 2, Ok(()))]
+#[case::safe(Idempotency::Idempotent, i64::MAX / 2, Ok(()))]
 #[case::inside_its_window(KEYED, WINDOW.0 - 1, Ok(()))]
 #[case::at_its_end(KEYED, WINDOW.0, Err(Denial::RepeatWindowOver))]
 #[case::keys_of_a_zone_hold_in_that_zone_only(
-    Effect::Keyed(DedupScope::Zone, WINDOW),
+    Idempotency::IdempotencyKey(DedupScope::Zone, WINDOW),
     1,
     Err(Denial::RepeatForbidden)
 )]
-#[case::not_to_be_repeated(Effect::Unsafe, 0, Err(Denial::RepeatForbidden))]
-fn repeat(#[case] effect: Effect, #[case] after: i64, #[case] want: Result<(), Denial>) {
+#[case::not_to_be_repeated(Idempotency::NonIdempotent, 0, Err(Denial::RepeatForbidden))]
+fn repeat(#[case] idempotency: Idempotency, #[case] after: i64, #[case] want: Result<(), Denial>) {
     let first = Time(5_000_000);
-    assert_eq!(may_repeat(effect, Some(first), first + Span(after)), want);
-    assert_eq!(may_repeat(effect, None, first + Span(after)), Ok(()), "it never ran");
+    assert_eq!(may_repeat(idempotency, Some(first), first + Span(after)), want);
+    assert_eq!(may_repeat(idempotency, None, first + Span(after)), Ok(()), "it never ran");
 }
 
 #[rstest]
@@ -67,7 +67,7 @@
     #[case] open: usize,
     #[case] want: Result<(), Denial>,
 ) {
-    assert_eq!(may_accept(&Acceptance { stage, name_is_open, open, most_open: 10 }), want);
+    assert_eq!(may_accept(&AcceptCheck { stage, name_is_open, open, most_open: 10 }), want);
 }
 
 #[test]
--- a/crates/cql/src/clients.rs
+++ b/crates/cql/src/clients.rs
@@ -6,13 +6,13 @@
 
 use valehatch_config::Site;
 use valehatch_config::operators::{Contract, Contracts};
-use valehatch_policy::{GroupId, Need, Span};
+use valehatch_policy::{Consistency, GroupId, Span};
 
 use super::Prepared;
 use super::codec::{self, Fault, Frame, Reader, code, error, op, put_string};
-use valehatch_core::{Answer, Ask, Failure, Payload};
+use valehatch_core::{Failure, FinalAnswer, IncomingRequest, Payload};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Incoming, Next, Progress, Serves, Session, Talk};
+use valehatch_net::clients::{Incoming, Next, Progress, RequestHandler, Session, Talk};
 
 /// Drivers keep a pool of connections and look after them with a heartbeat every half minute or so.
 const IDLE: Span = Span::from_millis(120_000);
@@ -106,21 +106,23 @@
         let prepare = frame.opcode() == op::PREPARE;
         let contract = if prepare { self.contracts.preparing() } else { self.contract(&asked.statements) };
         let class = &self.site.settings.classes[contract.class];
-        let write = class.need == Need::Write;
+        let write = class.consistency == Consistency::Write;
         let ticket = ticket(stream, write, asked.consistency);
         let room = match session.room(frame.bytes().len()) {
             Ok(room) => room,
             Err(why) => {
                 session.declined(contract.class, contract.tenant, GroupId(contract.group), why);
-                let answer =
-                    Answer::Refused { after: self.site.settings.limits.max_retry_after, crowded: false };
+                let answer = FinalAnswer::Rejected {
+                    after: self.site.settings.limits.max_retry_after,
+                    crowded: false,
+                };
                 return session.reply(0, self.encode(ticket, answer));
             }
         };
         let payload = Payload { bytes: frame.into_bytes(), write, class: contract.class };
         session.ask(
             ticket,
-            Ask {
+            IncomingRequest {
                 name: None,
                 class: contract.class,
                 tenant: contract.tenant,
@@ -167,7 +169,7 @@
     read().unwrap_or_else(Some)
 }
 
-impl Serves for Front {
+impl RequestHandler for Front {
     fn serve(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Talk> {
         loop {
             from.ends();
@@ -222,19 +224,21 @@
         }
     }
 
-    fn encode(&self, ticket: u64, answer: Answer) -> Vec<u8> {
+    fn encode(&self, ticket: u64, answer: FinalAnswer) -> Vec<u8> {
         #[allow(clippy::cast_possible_truncation)]
         let (stream, write, consistency) =
             ((ticket as u16).cast_signed(), ticket >> 16 & 1 == 1, (ticket >> 32) as u16);
         match answer {
-            Answer::Served(bytes) | Answer::Failed(Failure::Told(bytes)) => {
+            FinalAnswer::Served(bytes) | FinalAnswer::Failed(Failure::UpstreamError(bytes)) => {
                 Frame::from_bytes(bytes).on_stream(stream).into_bytes()
             }
-            Answer::Refused { after, crowded } => codec::overloaded(stream, (after.0 / 1000).max(1), crowded),
-            Answer::Failed(Failure::Broken | Failure::Named) => {
+            FinalAnswer::Rejected { after, crowded } => {
+                codec::overloaded(stream, (after.0 / 1000).max(1), crowded)
+            }
+            FinalAnswer::Failed(Failure::ConnectionLost | Failure::DuplicateName) => {
                 error(stream, code::SERVER, "the answer was lost; the request may have run", &[])
             }
-            Answer::Failed(Failure::Timeout) => {
+            FinalAnswer::Failed(Failure::Timeout) => {
                 let mut more = consistency.to_be_bytes().to_vec();
                 more.extend_from_slice(&[0, 0, 0, 0, 0, 0, 0, 1]);
                 if write {
--- a/crates/cql/src/exchange.rs
+++ b/crates/cql/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use valehatch_core::{Job, Reply};
+use valehatch_core::{UpstreamJob, UpstreamReply};
 use valehatch_policy::{Outcome, Role, Span, Time};
 
 use super::Prepared;
@@ -24,7 +24,7 @@
     /// It is over. If the answer was spoilt, its connection is of no further use.
     Over {
         /// What the core is told.
-        reply: Reply,
+        reply: UpstreamReply,
         /// The answer could not be one.
         spoilt: bool,
     },
@@ -32,7 +32,7 @@
 
 /// One job's exchange with a node.
 pub struct Exchange {
-    job: Job,
+    job: UpstreamJob,
     began: Time,
     /// The statement that the node is being told again.
     telling: Option<Vec<u8>>,
@@ -43,7 +43,7 @@
 
 impl Exchange {
     /// A job that is submitted now.
-    pub const fn new(job: Job, now: Time) -> Self {
+    pub const fn new(job: UpstreamJob, now: Time) -> Self {
         Self { job, began: now, telling: None, told: 0, permitted: false }
     }
 
@@ -51,8 +51,8 @@
     /// its leave already.
     pub fn may_begin(&mut self, now: Time) -> bool {
         self.permitted |= match &self.job {
-            Job::Run { permit, .. } => permit.try_acquire(now).is_ok(),
-            Job::Probe => true,
+            UpstreamJob::Request { permit, .. } => permit.try_acquire(now).is_ok(),
+            UpstreamJob::HealthCheck => true,
         };
         self.permitted
     }
@@ -60,16 +60,16 @@
     /// What is asked first; its stream is set by whoever sends it.
     pub fn opening(&self) -> Frame {
         match &self.job {
-            Job::Run { payload, .. } => Frame::from_bytes(payload.bytes.clone()),
-            Job::Probe => heartbeat(),
+            UpstreamJob::Request { payload, .. } => Frame::from_bytes(payload.bytes.clone()),
+            UpstreamJob::HealthCheck => heartbeat(),
         }
     }
 
     /// The class of the request; none for a probe.
     pub fn class(&self) -> Option<usize> {
         match &self.job {
-            Job::Run { payload, .. } => Some(payload.class),
-            Job::Probe => None,
+            UpstreamJob::Request { payload, .. } => Some(payload.class),
+            UpstreamJob::HealthCheck => None,
         }
     }
 
@@ -81,9 +81,9 @@
     /// Takes an answer.
     pub fn take(&mut self, now: Time, frame: Frame, prepared: &Prepared) -> Next {
         let over = |reply, spoilt| Next::Over { reply, spoilt };
-        let Job::Run { payload, .. } = &self.job else {
+        let UpstreamJob::Request { payload, .. } = &self.job else {
             let outcome = if frame.opcode() == op::SUPPORTED { Outcome::Ok } else { judge(&frame).0 };
-            return over(Reply::bare(outcome), outcome != Outcome::Ok);
+            return over(UpstreamReply::bare(outcome), outcome != Outcome::Ok);
         };
         let soon = now - self.began <= REPREPARE;
         if let Some(id) = self.telling.take() {
@@ -92,13 +92,13 @@
             return if known && soon {
                 Next::Ask(self.opening())
             } else {
-                over(Reply::bare(Outcome::Miss), false)
+                over(UpstreamReply::bare(Outcome::Misdirected), false)
             };
         }
         // A spoilt answer may have run; nothing of it is passed on.
         if !whole(&frame) {
             tracing::warn!("a node's answer is spoilt: opcode {:#04x}", frame.opcode());
-            return over(Reply::bare(Outcome::Error), true);
+            return over(UpstreamReply::bare(Outcome::Error), true);
         }
         let (outcome, forgotten) = judge(&frame);
         if let Some((id, statement)) =
@@ -110,7 +110,7 @@
             self.telling = Some(id);
             return Next::Ask(prepare(&statement));
         }
-        let mut reply = Reply::bare(outcome);
+        let mut reply = UpstreamReply::bare(outcome);
         if payload.bytes.get(OPCODE) == Some(&op::PREPARE)
             && let Some(id) = prepared_id(&frame)
         {
@@ -145,7 +145,7 @@
 pub fn greeted(frame: &Frame) -> Result<(), Outcome> {
     match frame.opcode() {
         op::READY => Ok(()),
-        op::ERROR if judge(frame).0 == Outcome::Full => Err(Outcome::Full),
+        op::ERROR if judge(frame).0 == Outcome::Rejected => Err(Outcome::Rejected),
         other => {
             tracing::warn!("a node answered STARTUP with opcode {other:#04x}");
             Err(Outcome::ConnectFailed)
@@ -188,8 +188,8 @@
     };
     match read() {
         // Turned away before anything was done.
-        Ok((code::UNAVAILABLE | code::OVERLOADED | code::BOOTSTRAPPING, _)) => (Outcome::Full, None),
-        Ok((code::UNPREPARED, id)) => (Outcome::Miss, id),
+        Ok((code::UNAVAILABLE | code::OVERLOADED | code::BOOTSTRAPPING, _)) => (Outcome::Rejected, None),
+        Ok((code::UNPREPARED, id)) => (Outcome::Misdirected, id),
         Ok((
             code::SERVER
             | code::WRITE_TIMEOUT
--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -13,12 +13,15 @@
 
 use crossbeam_channel::Sender;
 use socket2::SockRef;
-use valehatch_core::{ConnId, Event, Job, Reply};
+use valehatch_core::{ConnectionId, Event, UpstreamJob, UpstreamReply};
 use valehatch_net::servers::Upstream;
 use valehatch_net::{Clock, lock, spawn};
 use valehatch_policy::{Outcome, Span, Time};
-use valehatch_request_log::Figures;
-use valehatch_stream_multiplexing::{Do, End, JobId, LinkId, Settings, Streams, Whose};
+use valehatch_request_log::OutcomeMetrics;
+use valehatch_stream_multiplexing::{
+    AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction, Settings,
+    StreamMultiplexer,
+};
 
 use super::Prepared;
 use super::codec::{self, Fault, Frame, op};
@@ -42,7 +45,7 @@
     clock: Clock,
     connect_timeout: Duration,
     settings: Settings,
-    figures: Option<Arc<Figures>>,
+    figures: Option<Arc<OutcomeMetrics>>,
     /// Connections to all nodes, and how many there may be.
     held: AtomicUsize,
     most: usize,
@@ -52,7 +55,7 @@
 pub struct Nodes {
     context: Arc<Context>,
     nodes: HashMap<Arc<str>, Arc<Node>>,
-    jobs: HashMap<ConnId, Arc<Node>>,
+    jobs: HashMap<ConnectionId, Arc<Node>>,
     /// Those that have something to be written at the end of the turn.
     touched: Vec<Arc<Node>>,
 }
@@ -65,8 +68,8 @@
 }
 
 struct Inner {
-    streams: Streams,
-    links: BTreeMap<LinkId, Line>,
+    streams: StreamMultiplexer,
+    links: BTreeMap<MultiplexedConnectionId, Line>,
     exchanges: HashMap<JobId, Exchange>,
 }
 
@@ -97,14 +100,15 @@
 /// What the core is told once nothing is locked any more.
 type Told = Vec<Event>;
 
-fn ended(job: JobId, reply: Reply) -> Event {
-    let reusable = matches!(reply.outcome, Outcome::Ok | Outcome::Full | Outcome::Miss | Outcome::Error);
-    Event::Ended { conn: ConnId(job.0), reply, reusable }
+fn ended(job: JobId, reply: UpstreamReply) -> Event {
+    let reusable =
+        matches!(reply.outcome, Outcome::Ok | Outcome::Rejected | Outcome::Misdirected | Outcome::Error);
+    Event::AttemptEnded { conn: ConnectionId(job.0), reply, reusable }
 }
 
-fn bare(job: JobId, end: End) -> Event {
-    let outcome = if end == End::Unsent { Outcome::ConnectFailed } else { Outcome::Reset };
-    ended(job, Reply::bare(outcome))
+fn bare(job: JobId, end: AttemptFailure) -> Event {
+    let outcome = if end == AttemptFailure::Unsent { Outcome::ConnectFailed } else { Outcome::Reset };
+    ended(job, UpstreamReply::bare(outcome))
 }
 
 impl Context {
@@ -129,11 +133,11 @@
         connect_timeout: Duration,
         idle: Span,
         most: usize,
-        figures: Option<Arc<Figures>>,
+        figures: Option<Arc<OutcomeMetrics>>,
     ) -> Result<Self, String> {
         let patience = Span(i64::try_from(connect_timeout.as_micros()).unwrap_or(250_000)).min(STANDS);
         let settings = Settings::new(patience, idle);
-        Streams::new(settings)?;
+        StreamMultiplexer::new(settings)?;
         let held = AtomicUsize::new(0);
         let context = Context { prepared, events, clock, connect_timeout, settings, figures, held, most };
         let (nodes, jobs) = (HashMap::new(), HashMap::new());
@@ -156,7 +160,7 @@
         if self.nodes.len() >= REMEMBERED {
             self.nodes.retain(|_, node| lock(&node.inner).streams.size() != (0, 0));
         }
-        let streams = Streams::new(self.context.settings).ok()?;
+        let streams = StreamMultiplexer::new(self.context.settings).ok()?;
         let inner = Inner { streams, links: BTreeMap::new(), exchanges: HashMap::new() };
         let node = Arc::new(Node {
             address: address.parse().ok(),
@@ -175,13 +179,13 @@
 }
 
 impl Upstream for Nodes {
-    fn connect(&mut self, conn: ConnId, address: &Arc<str>) {
+    fn connect(&mut self, conn: ConnectionId, address: &Arc<str>) {
         if let Some(node) = self.node(address) {
             self.jobs.insert(conn, node);
         }
     }
 
-    fn submit(&mut self, conn: ConnId, job: Job) {
+    fn submit(&mut self, conn: ConnectionId, job: UpstreamJob) {
         let Some(node) = self.jobs.get(&conn).cloned() else { return };
         let now = self.context.clock.now();
         let mut told = vec![];
@@ -193,7 +197,7 @@
         self.tell(told);
     }
 
-    fn close(&mut self, conn: ConnId) {
+    fn close(&mut self, conn: ConnectionId) {
         let Some(node) = self.jobs.remove(&conn) else { return };
         let now = self.context.clock.now();
         let mut told = vec![];
@@ -217,29 +221,29 @@
 
 impl Node {
     /// Changes what is known, and does what comes of it, but for writing.
-    fn with(self: &Arc<Self>, told: &mut Told, change: impl FnOnce(&mut Inner, &mut Vec<Do>)) {
+    fn with(self: &Arc<Self>, told: &mut Told, change: impl FnOnce(&mut Inner, &mut Vec<MultiplexerAction>)) {
         let mut inner = lock(&self.inner);
         let mut out = vec![];
         change(&mut inner, &mut out);
         self.carry_out(&mut inner, out, told);
     }
 
-    fn carry_out(self: &Arc<Self>, inner: &mut Inner, mut todo: Vec<Do>, told: &mut Told) {
+    fn carry_out(self: &Arc<Self>, inner: &mut Inner, mut todo: Vec<MultiplexerAction>, told: &mut Told) {
         while !todo.is_empty() {
             for what in std::mem::take(&mut todo) {
                 match what {
-                    Do::Open(link) => {
+                    MultiplexerAction::Open(link) => {
                         if !self.open(inner, link) {
                             inner.links.remove(&link);
                             inner.streams.lost(self.context.clock.now(), link, &mut todo);
                         }
                     }
-                    Do::Send { link, stream, job } => {
+                    MultiplexerAction::Send { link, stream, job } => {
                         let now = self.context.clock.now();
                         if inner.exchanges.get_mut(&job).is_some_and(|e| !e.may_begin(now)) {
                             inner.exchanges.remove(&job);
                             inner.streams.cancel(now, job, &mut todo);
-                            told.push(ended(job, Reply::bare(Outcome::Moot)));
+                            told.push(ended(job, UpstreamReply::bare(Outcome::NotSent)));
                             continue;
                         }
                         let asked = inner.exchanges.get(&job).map(|e| (e.opening(), e.class()));
@@ -247,26 +251,26 @@
                             line.queue.push_back(Queued::new(stream, frame, class));
                         }
                     }
-                    Do::Unqueue { link, stream } => {
+                    MultiplexerAction::Unqueue { link, stream } => {
                         if let Some(line) = inner.links.get_mut(&link) {
                             line.queue.retain(|queued| queued.stream != stream);
                         }
                     }
-                    Do::Beat { link, stream } => {
+                    MultiplexerAction::Beat { link, stream } => {
                         if let Some(line) = inner.links.get_mut(&link) {
                             line.queue.push_back(Queued::new(stream, exchange::heartbeat(), None));
                         }
                     }
-                    Do::Close(link) => {
+                    MultiplexerAction::Close(link) => {
                         if let Some(stream) = inner.links.remove(&link).and_then(|line| line.stream) {
                             let _ = stream.shutdown(Shutdown::Both);
                         }
                     }
-                    Do::End(job, end) => {
+                    MultiplexerAction::AttemptFailed(job, end) => {
                         let exchange = inner.exchanges.remove(&job);
                         // While a statement is told again nothing of the request itself is out.
                         let unsent = exchange.is_some_and(|e| e.is_telling());
-                        told.push(bare(job, if unsent { End::Unsent } else { end }));
+                        told.push(bare(job, if unsent { AttemptFailure::Unsent } else { end }));
                     }
                 }
             }
@@ -274,7 +278,7 @@
     }
 
     /// Starts the thread of a connection, if there may be one more.
-    fn open(self: &Arc<Self>, inner: &mut Inner, link: LinkId) -> bool {
+    fn open(self: &Arc<Self>, inner: &mut Inner, link: MultiplexedConnectionId) -> bool {
         let held = &self.context.held;
         if held.fetch_add(1, Ordering::Relaxed) >= self.context.most {
             held.fetch_sub(1, Ordering::Relaxed);
@@ -315,14 +319,14 @@
         }
     }
 
-    fn lose(self: &Arc<Self>, inner: &mut Inner, link: LinkId, told: &mut Told) {
-        let mut todo = vec![Do::Close(link)];
+    fn lose(self: &Arc<Self>, inner: &mut Inner, link: MultiplexedConnectionId, told: &mut Told) {
+        let mut todo = vec![MultiplexerAction::Close(link)];
         inner.streams.lost(self.context.clock.now(), link, &mut todo);
         self.carry_out(inner, todo, told);
     }
 
     /// Writes to a node that is slow to take things, frame by frame, until it has them all.
-    fn write_rest(self: &Arc<Self>, link: LinkId) {
+    fn write_rest(self: &Arc<Self>, link: MultiplexedConnectionId) {
         loop {
             let mut inner = lock(&self.inner);
             let Inner { streams, links, .. } = &mut *inner;
@@ -363,7 +367,7 @@
     }
 
     /// A connection's thread: connects, greets, reads until it ends.
-    fn run(self: &Arc<Self>, link: LinkId) {
+    fn run(self: &Arc<Self>, link: MultiplexedConnectionId) {
         let opened = self.greet(link);
         if let Ok(stream) = &opened {
             let mut told = vec![];
@@ -387,7 +391,7 @@
     }
 
     /// Connects and greets, within the one time limit for both.
-    fn greet(&self, link: LinkId) -> io::Result<Arc<TcpStream>> {
+    fn greet(&self, link: MultiplexedConnectionId) -> io::Result<Arc<TcpStream>> {
         let address = self.address.ok_or(ErrorKind::InvalidInput)?;
         let began = self.context.clock.now();
         let stream = Arc::new(TcpStream::connect_timeout(&address, self.context.connect_timeout)?);
@@ -408,7 +412,7 @@
     }
 
     /// Reads answers until the connection ends or is of no more use.
-    fn read(self: &Arc<Self>, link: LinkId, stream: &TcpStream) {
+    fn read(self: &Arc<Self>, link: MultiplexedConnectionId, stream: &TcpStream) {
         let (mut buffer, mut chunk) = (vec![], vec![0; CHUNK]);
         let mut last = self.context.clock.now();
         loop {
@@ -446,7 +450,13 @@
     }
 
     /// Takes the whole frames of what has come in; false if the connection is of no more use.
-    fn take(self: &Arc<Self>, link: LinkId, now: Time, buffer: &mut Vec<u8>, told: &mut Told) -> bool {
+    fn take(
+        self: &Arc<Self>,
+        link: MultiplexedConnectionId,
+        now: Time,
+        buffer: &mut Vec<u8>,
+        told: &mut Told,
+    ) -> bool {
         let mut at = 0;
         let mut good = true;
         self.with(told, |inner, out| inner.streams.heard(now, link, out));
@@ -477,16 +487,22 @@
         good
     }
 
-    fn answered(self: &Arc<Self>, link: LinkId, now: Time, frame: Frame, told: &mut Told) -> bool {
+    fn answered(
+        self: &Arc<Self>,
+        link: MultiplexedConnectionId,
+        now: Time,
+        frame: Frame,
+        told: &mut Told,
+    ) -> bool {
         if frame.opcode() == op::EVENT {
             return true;
         }
         let number = frame.stream();
         let mut inner = lock(&self.inner);
         let job = match inner.streams.answer(now, link, number) {
-            Whose::Job(job) => job,
-            Whose::Nobodys => return true,
-            Whose::Unasked => {
+            FrameOwner::Job(job) => job,
+            FrameOwner::Nobodys => return true,
+            FrameOwner::Unasked => {
                 tracing::warn!("a node answered on stream {number}, where nothing was asked");
                 return false;
             }
@@ -500,7 +516,7 @@
                 inner.exchanges.remove(&job);
                 inner.streams.done(now, job, &mut todo);
                 let mut event = ended(job, reply);
-                if let Event::Ended { reusable, .. } = &mut event {
+                if let Event::AttemptEnded { reusable, .. } = &mut event {
                     *reusable &= !spoilt;
                 }
                 told.push(event);
@@ -511,7 +527,7 @@
                 if inner.streams.again(now, job, &mut sends) {
                     for send in sends {
                         match send {
-                            Do::Send { link, stream, .. } => {
+                            MultiplexerAction::Send { link, stream, .. } => {
                                 if let Some(line) = inner.links.get_mut(&link) {
                                     line.queue.push_back(Queued::new(stream, frame.clone(), None));
                                 }
@@ -521,7 +537,7 @@
                     }
                 } else {
                     inner.exchanges.remove(&job);
-                    told.push(bare(job, End::Unsent));
+                    told.push(bare(job, AttemptFailure::Unsent));
                 }
             }
         }
@@ -532,7 +548,12 @@
 
 impl Line {
     /// Writes as much as the node takes at once, many frames with one call.
-    fn write(&mut self, link: LinkId, streams: &mut Streams, context: &Context) -> io::Result<()> {
+    fn write(
+        &mut self,
+        link: MultiplexedConnectionId,
+        streams: &mut StreamMultiplexer,
+        context: &Context,
+    ) -> io::Result<()> {
         let Some(stream) = &self.stream else { return Ok(()) };
         let socket = SockRef::from(&**stream);
         let mut chunk = vec![];
@@ -606,12 +627,17 @@
             let query = Frame::new(false, 0, 0, op::QUERY, b"\0\0\0\x01x\0\x01\0").into_bytes();
             let payload = Arc::new(Payload { bytes: query, write: true, class: 0 });
             let until = Clock::start().now() + Span::from_millis(60_000);
-            nodes.connect(ConnId(n), &address);
-            nodes.submit(ConnId(n), Job::Run { payload, until, permit: SendPermit::new(until) });
+            nodes.connect(ConnectionId(n), &address);
+            nodes.submit(
+                ConnectionId(n),
+                UpstreamJob::Request { payload, until, permit: SendPermit::new(until) },
+            );
             nodes.flush();
             ends.recv_timeout(patience).expect("what the core sends next cannot go out on it");
             let told = inbox.recv_timeout(patience).unwrap();
-            assert!(matches!(told, Event::Ended { conn, reusable: false, .. } if conn == ConnId(n)));
+            assert!(
+                matches!(told, Event::AttemptEnded { conn, reusable: false, .. } if conn == ConnectionId(n))
+            );
         }
     }
 }
--- a/crates/cql/tests/nodes.rs
+++ b/crates/cql/tests/nodes.rs
@@ -8,13 +8,13 @@
 
 use crossbeam_channel::{Receiver, bounded};
 use valehatch_core::permission::SendPermit;
-use valehatch_core::{ConnId, Event, Job, Payload};
+use valehatch_core::{ConnectionId, Event, Payload, UpstreamJob};
 use valehatch_cql::Prepared;
 use valehatch_cql::nodes::Nodes;
 use valehatch_net::Clock;
 use valehatch_net::servers::Upstream;
 use valehatch_policy::{Outcome, Span};
-use valehatch_request_log::Figures;
+use valehatch_request_log::OutcomeMetrics;
 
 const STARTUP: u8 = 0x01;
 const READY: u8 = 0x02;
@@ -51,7 +51,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: Arc<str> = listener.local_addr().unwrap().to_string().into();
     let (events, told) = bounded(8192);
-    let (clock, figures) = (Clock::start(), Arc::new(Figures::new(&["write".into()])));
+    let (clock, figures) = (Clock::start(), Arc::new(OutcomeMetrics::new(&["write".into()])));
     let (timeout, idle) = (Duration::from_secs(5), Span::from_millis(60_000));
     let prepared = Arc::<Prepared>::default();
     let mut nodes =
@@ -60,18 +60,18 @@
     let seen = thread::spawn(move || node(&listener, &may));
     let bytes = frame(4, QUERY, &vec![b'9'; 250_000]);
     let payload = Arc::new(Payload { bytes, write: true, class: 0 });
-    for conn in (0..JOBS).map(ConnId) {
+    for conn in (0..JOBS).map(ConnectionId) {
         nodes.connect(conn, &address);
         let until = clock.now() + Span::from_millis(60_000);
         let (payload, permit) = (Arc::clone(&payload), SendPermit::new(until));
-        nodes.submit(conn, Job::Run { payload, until, permit });
+        nodes.submit(conn, UpstreamJob::Request { payload, until, permit });
     }
     nodes.flush();
     // The node says nothing: the connection is given up, and each attempt has its end.
     let mut unsent = 0;
     for _ in 0..JOBS {
         match told.recv_timeout(WAIT).expect("an end for each") {
-            Event::Ended { reply, .. } => unsent += u64::from(reply.outcome == Outcome::ConnectFailed),
+            Event::AttemptEnded { reply, .. } => unsent += u64::from(reply.outcome == Outcome::ConnectFailed),
             other => panic!("{other:?}"),
         }
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -8,15 +8,15 @@
 use tracing::{debug, error, info, warn};
 use valehatch_config::Site;
 use valehatch_config::operators::Door;
-use valehatch_connection_limits::SETTLES;
+use valehatch_connection_limits::ANSWER_SETTLE_TIME;
 use valehatch_core::permission::Decisions;
-use valehatch_core::{Effect, Event, Facts, Note, State, Watched};
+use valehatch_core::{CoreConfig, Effect, Event, LogEvent, Observability, State};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Clients, Limits, Serves};
-use valehatch_net::connection_limits::Places;
+use valehatch_net::clients::{Clients, Limits, RequestHandler};
+use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::servers::Upstream;
-use valehatch_policy::{Need, Span};
-use valehatch_request_log::Figures;
+use valehatch_policy::{Consistency, Span};
+use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
 use valehatch_state::Recorder;
 
@@ -46,8 +46,8 @@
 
 /// The descriptors for connections from clients and to servers, as they need them; `shared` is unset where those to servers
 /// are counted elsewhere and have their half.
-pub fn places(clock: Clock, sockets: usize, shared: bool) -> Arc<Places> {
-    Places::new(clock, place_limits(sockets, shared))
+pub fn places(clock: Clock, sockets: usize, shared: bool) -> Arc<SharedConnectionLimiter> {
+    SharedConnectionLimiter::new(clock, place_limits(sockets, shared))
 }
 
 /// The part of the descriptors that clients of the platform hold at the most to ask on: one in so many.
@@ -64,29 +64,29 @@
     let most = if shared { sockets - spare(sockets) } else { members };
     let members = if shared { members } else { 0 };
     // Cassandra's protocol has no last word: what is ended there must have rested for longer.
-    let settles = if shared { SETTLES } else { Span::from_millis(2_000) };
+    let settles = if shared { ANSWER_SETTLE_TIME } else { Span::from_millis(2_000) };
     valehatch_connection_limits::Limits { most, extra, members, asking: usize::MAX, settles }
 }
 
 /// Who watches a front: the names that its records carry, the ledger, and where beliefs are published.
 pub struct Watcher {
-    pub names: Arc<Watched>,
+    pub names: Arc<Observability>,
     pub recorder: Recorder,
     pub service: crate::recovery::Shared,
 }
 
 /// A door for a front, with the tenants' shares.
 pub fn door(door: Door, site: &Site, shares: Vec<f64>) -> valehatch_admission::Settings {
-    let class = |c: &valehatch_policy::Class| valehatch_admission::Class {
-        worth: c.worth,
-        aim: c.aim,
-        late_counts: c.need == Need::Write && c.late_worth > 0.0,
-        write: c.need == Need::Write,
+    let class = |c: &valehatch_policy::RequestClass| valehatch_admission::Class {
+        worth: c.priority_weight,
+        aim: c.latency_objective,
+        late_counts: c.consistency == Consistency::Write && c.late_priority_weight > 0.0,
+        write: c.consistency == Consistency::Write,
     };
     valehatch_admission::Settings {
         shares,
         classes: site.settings.classes.iter().map(class).collect(),
-        most: door.most.min(site.settings.limits.max_open),
+        most: door.most.min(site.settings.limits.max_open_requests),
         buckets: door.buckets,
         max_hint: site.settings.limits.max_retry_after,
         lanes: door.lanes,
@@ -101,16 +101,16 @@
     pub seed: u64,
     pub listener: TcpListener,
     pub clock: Clock,
-    pub front: Arc<dyn Serves>,
+    pub front: Arc<dyn RequestHandler>,
     pub upstream: Box<dyn Upstream>,
-    pub places: Arc<Places>,
+    pub places: Arc<SharedConnectionLimiter>,
     /// Requests that connections to servers may carry at once, where that is not one for each descriptor.
     pub streams: Option<usize>,
     pub inbox: (Sender<Event>, Receiver<Event>),
     pub watcher: Option<Watcher>,
     pub door: Option<valehatch_admission::Settings>,
     /// What operators read, if anybody does.
-    pub figures: Option<Arc<Figures>>,
+    pub figures: Option<Arc<OutcomeMetrics>>,
     /// What is denied, and why.
     pub decisions: Arc<Decisions>,
     /// Where what is believed is published.
@@ -136,7 +136,7 @@
         let Parts { figures, board, decisions, .. } = parts;
         let Parts { upstream, streams, places, .. } = parts;
         let (events, inbox) = inbox;
-        let facts = Facts {
+        let facts = CoreConfig {
             settings: site.settings,
             decisions,
             traced: tracing::enabled!(tracing::Level::DEBUG),
@@ -172,25 +172,29 @@
             match effect {
                 Effect::Connect { conn, address } => servers.connect(conn, &address),
                 Effect::Submit { conn, job } => servers.submit(conn, job),
-                Effect::Close(conn) => servers.close(conn),
-                Effect::Pass { conn, client, ticket } => servers.pass(conn, clients.passage(client, ticket)),
+                Effect::CloseUpstream(conn) => servers.close(conn),
+                Effect::ForwardBody { conn, client, ticket } => {
+                    servers.pass(conn, clients.passage(client, ticket))
+                }
                 Effect::Answer { client, ticket, answer } => clients.answer(client, ticket, answer),
                 Effect::CloseClient(client) => clients.close(client),
-                Effect::CloseClients => clients.close_all(),
+                Effect::CloseIdleClients => clients.close_all(),
                 Effect::StopListening => clients.stop(false),
-                Effect::Note(Note::Shares(what)) => warn!("door: shares stay as they were: {what}"),
-                Effect::Note(Note::ServersFull(n)) => warn!("all {n} connections to servers are in use"),
-                Effect::Note(Note::Violated { why, request, endpoint }) => {
+                Effect::Log(LogEvent::InvalidQuotas(what)) => warn!("door: shares stay as they were: {what}"),
+                Effect::Log(LogEvent::UpstreamConnectionsExhausted(n)) => {
+                    warn!("all {n} connections to servers are in use")
+                }
+                Effect::Log(LogEvent::InvariantViolated { why, request, endpoint }) => {
                     error!(%request, %endpoint, "invariant violated: {}; it was not sent", why.name());
                 }
-                Effect::Note(Note::Step { request, what }) => debug!(%request, "{what:?}"),
-                Effect::Record(record) => {
+                Effect::Log(LogEvent::RequestStep { request, what }) => debug!(%request, "{what:?}"),
+                Effect::RecordOutcome(record) => {
                     if let Some(watcher) = &mut watcher {
                         crate::recovery::answered(&watcher.service, clock, &record.ending);
                         watcher.recorder.record(record.clone());
                     }
                 }
-                Effect::Publish(live) => {
+                Effect::PublishView(live) => {
                     if let Some(watcher) = &mut watcher {
                         watcher.recorder.hand_over_missed();
                     }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -7,13 +7,13 @@
 use tracing::info;
 use valehatch_config::Site;
 use valehatch_core::permission::Decisions;
-use valehatch_management::{Door, Source};
-use valehatch_request_log::{Figures, figures};
+use valehatch_management::{ManagementEndpoint, Source};
+use valehatch_request_log::{OutcomeMetrics, figures};
 
 /// One front: its own figures, and whether it holds a list of members.
 struct Part {
     name: Arc<str>,
-    figures: Arc<Figures>,
+    figures: Arc<OutcomeMetrics>,
     decisions: Arc<Decisions>,
     listed: AtomicBool,
 }
@@ -29,7 +29,7 @@
     /// Nothing is so yet.
     pub fn new<'a>(fronts: impl IntoIterator<Item = (Arc<str>, &'a Site)>) -> Arc<Self> {
         let part = |(name, site): (Arc<str>, &Site)| {
-            let figures = Arc::new(Figures::new(&site.classes));
+            let figures = Arc::new(OutcomeMetrics::new(&site.classes));
             Part { name, figures, decisions: Arc::default(), listed: AtomicBool::new(false) }
         };
         let fronts = fronts.into_iter().map(part).collect();
@@ -39,13 +39,13 @@
     /// Answers there from now on.
     pub fn serve(self: &Arc<Self>, listen: SocketAddr) -> Result<(), String> {
         let source: Arc<dyn Source> = Arc::clone(self) as _;
-        let bound = valehatch_management::start(Door::new(listen), source);
+        let bound = valehatch_management::start(ManagementEndpoint::new(listen), source);
         info!("operators call at {}", bound.map_err(|e| format!("{listen}: {e}"))?);
         Ok(())
     }
 
     /// The book of a front.
-    pub fn figures(&self, front: usize) -> Arc<Figures> {
+    pub fn figures(&self, front: usize) -> Arc<OutcomeMetrics> {
         Arc::clone(&self.fronts[front].figures)
     }
 
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -10,18 +10,18 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{error, info};
 use valehatch_config::operators::{self, Members, Operators, Protocol};
-use valehatch_core::{Event, Watched};
-use valehatch_net::clients::Serves;
-use valehatch_net::connection_limits::Places;
-use valehatch_net::link::Link;
-use valehatch_net::members::Named;
-use valehatch_net::servers::{Servers, Upstream};
+use valehatch_core::{Event, Observability};
+use valehatch_net::clients::RequestHandler;
+use valehatch_net::connection_limits::SharedConnectionLimiter;
+use valehatch_net::link::GossipTransport;
+use valehatch_net::members::ConfiguredEndpoints;
+use valehatch_net::servers::{EndpointPools, Upstream};
 use valehatch_net::{Clock, list, members, signals};
 use valehatch_policy::Span;
-use valehatch_request_log::Figures;
+use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::Agent;
 use valehatch_snmp::world::{self, Board, World};
-use valehatch_state::Writer;
+use valehatch_state::RecordWriter;
 
 use crate::front::{Front, Parts, QUEUE, Watcher, connections, places};
 use crate::management::Told;
@@ -31,9 +31,9 @@
 const PUBLISH: Span = Span::from_millis(100);
 
 /// What a front's records and the agent's rows are named by.
-fn names(front: &operators::Front) -> Arc<Watched> {
+fn names(front: &operators::Front) -> Arc<Observability> {
     let all = |names: &[String]| names.iter().map(|n| Arc::from(n.as_str())).collect();
-    Arc::new(Watched {
+    Arc::new(Observability {
         front: Arc::clone(&front.name),
         classes: all(&front.site.classes),
         tenants: all(&front.site.tenants),
@@ -42,7 +42,7 @@
 }
 
 /// A front as the agent shows it.
-fn shown(front: &operators::Front, names: &Watched, board: Arc<ArcSwapOption<Board>>) -> world::Front {
+fn shown(front: &operators::Front, names: &Observability, board: Arc<ArcSwapOption<Board>>) -> world::Front {
     let routers = f64::from(front.site.settings.routers.max(1));
     let allowances = front.site.settings.tenants.iter().map(|t| t.allowance / routers);
     world::Front {
@@ -57,9 +57,9 @@
 
 /// What speaks a front's protocol on both sides.
 struct Speakers {
-    clients: Arc<dyn Serves>,
+    clients: Arc<dyn RequestHandler>,
     servers: Box<dyn Upstream>,
-    places: Arc<Places>,
+    places: Arc<SharedConnectionLimiter>,
     /// Requests that connections to servers carry at once, where one carries many.
     streams: Option<usize>,
 }
@@ -68,7 +68,7 @@
     front: &operators::Front,
     clock: Clock,
     events: Sender<Event>,
-    figures: Option<Arc<Figures>>,
+    figures: Option<Arc<OutcomeMetrics>>,
 ) -> Result<Speakers, String> {
     let site = front.site.clone();
     let timeout = Duration::from_millis(site.connect_timeout_ms);
@@ -77,7 +77,7 @@
         Protocol::Postgresql => Speakers {
             clients: Arc::new(valehatch_pg::clients::Front { site, clock }),
             servers: Box::new(
-                Servers::new(
+                EndpointPools::new(
                     Arc::new(valehatch_pg::servers::Databases { clock }),
                     events,
                     clock,
@@ -92,7 +92,7 @@
         Protocol::Cassandra => {
             let prepared = Arc::new(valehatch_cql::Prepared::default());
             let limits = &site.settings.limits;
-            let (idle, streams) = (limits.conn_idle, Some(limits.max_open.max(1)));
+            let (idle, streams) = (limits.idle_connection_timeout, Some(limits.max_open_requests.max(1)));
             let most = connections(front.sockets);
             let known = Arc::clone(&prepared);
             let nodes = valehatch_cql::nodes::Nodes::new(known, events, clock, timeout, idle, most, figures)?;
@@ -106,7 +106,7 @@
 /// What a front is made of beside the file.
 struct Made {
     inbox: (Sender<Event>, Receiver<Event>),
-    names: Arc<Watched>,
+    names: Arc<Observability>,
     board: Arc<ArcSwapOption<Board>>,
 }
 
@@ -197,14 +197,16 @@
     mgmt.listens();
     let events: Vec<Sender<Event>> = made.iter().map(|m| m.inbox.0.clone()).collect();
     let again = Arc::new(AtomicBool::new(false));
-    let named = made.iter().map(|m| Named { front: Arc::clone(&m.names.front), events: m.inbox.0.clone() });
+    let named = made
+        .iter()
+        .map(|m| ConfiguredEndpoints { front: Arc::clone(&m.names.front), events: m.inbox.0.clone() });
     let agent = Arc::new(agent);
     let told = Arc::downgrade(&agent);
     let doors: Vec<Sender<Event>> = made.iter().map(|m| m.inbox.0.clone()).collect();
     let with_door = read.door.is_some();
     let reread = move |read: Operators| {
         if with_door {
-            doors.iter().for_each(|core| drop(core.send(Event::Shares(read.shares.clone()))));
+            doors.iter().for_each(|core| drop(core.send(Event::TenantQuotas(read.shares.clone()))));
         }
         if let (Some(agent), Some(snmp)) = (told.upgrade(), read.snmp) {
             agent.iter().for_each(|agent| agent.reread(snmp.clone()));
@@ -221,7 +223,7 @@
             let seed = getrandom::u64().map_err(|e| format!("peers: no random number: {e}"))?;
             let lists = fronts.iter().zip(&takers);
             let lists = lists.filter_map(|((name, _), taker)| Some((Arc::clone(name), taker.clone()?)));
-            Some(Link::start(peers, read.routers, seed, events.clone(), fleet, lists.collect())?)
+            Some(GossipTransport::start(peers, read.routers, seed, events.clone(), fleet, lists.collect())?)
         }
         None => None,
     };
@@ -259,14 +261,14 @@
     }
     Arc::into_inner(agent).flatten().into_iter().for_each(Agent::finish);
     keeper.into_iter().for_each(Keeper::finish);
-    writer.into_iter().for_each(Writer::finish);
+    writer.into_iter().for_each(RecordWriter::finish);
     Ok(())
 }
 
 fn agent(
     read: &Operators,
     made: &[Made],
-    writer: Option<&Writer>,
+    writer: Option<&RecordWriter>,
     clock: Clock,
     began: Instant,
 ) -> Result<Option<Agent>, String> {
