--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -10,10 +10,10 @@
 use tracing::{info, warn};
 use valehatch_config::Gateway;
 use valehatch_config::operators::{Door, Level, Log};
-use valehatch_hot_restart::Room;
-use valehatch_net::connection_limits::Places;
-use valehatch_net::hot_restart::Stops;
-use valehatch_net::servers::Servers;
+use valehatch_hot_restart::ProcessLimits;
+use valehatch_net::connection_limits::SharedConnectionLimiter;
+use valehatch_net::hot_restart::HandoffHandle;
+use valehatch_net::servers::EndpointPools;
 use valehatch_net::{Clock, list, signals};
 use valehatch_snmp::world::Board;
 
@@ -68,7 +68,7 @@
     let watch = list::Watch::new(Arc::clone(&place), true, site.clone(), clock, inbox.0.clone(), fleet, seed);
     let taker = watch.taker();
     let confirms = Arc::clone(&told);
-    let both: Arc<OnceLock<Stops>> = Arc::default();
+    let both: Arc<OnceLock<HandoffHandle>> = Arc::default();
     let other = Arc::clone(&both);
     let watch = watch
         .telling(move || confirms.listed(0))
@@ -115,10 +115,10 @@
     let front = Arc::new(valehatch_pg::clients::Front { site: site.clone(), clock });
     let timeout = Duration::from_millis(site.connect_timeout_ms);
     let databases = Arc::new(valehatch_pg::servers::Databases { clock });
-    let places = Places::new(clock, platform_limits(sockets));
-    let upstream = Servers::new(databases, inbox.0.clone(), clock, timeout, Arc::clone(&places));
+    let places = SharedConnectionLimiter::new(clock, platform_limits(sockets));
+    let upstream = EndpointPools::new(databases, inbox.0.clone(), clock, timeout, Arc::clone(&places));
     let figures = mgmt.map(|_| told.figures(0));
-    let verifies = site.settings.checks == valehatch_policy::Checks::Off;
+    let verifies = site.settings.stale_read_policy == valehatch_policy::StaleReadPolicy::Serve;
     let upstream = Box::new(upstream.counting(figures.clone()).verifying(verifies));
     // What a budget allows is its weight: the platform tells no shares.
     let shares = site.settings.tenants.iter().map(|t| t.allowance).collect::<Vec<_>>();
@@ -146,7 +146,7 @@
     let front = Front::listen(parts)?;
     let clients = front.clients();
     let kept = Kept { name: FRONT.to_owned(), taker: Some(Arc::clone(&taker)), board, settings };
-    let whole = Room { descriptors: sockets, bytes: memory_mb * 1024 * 1024 };
+    let whole = ProcessLimits { descriptors: sockets, bytes: memory_mb * 1024 * 1024 };
     let second = begin.is_second();
     let shares = Shares {
         gateway: name,
@@ -175,7 +175,7 @@
     let ending = Arc::clone(&told);
     let leaves = move || {
         ending.stops();
-        stops.iter().for_each(Stops::stop);
+        stops.iter().for_each(HandoffHandle::stop);
     };
     signals::watch(signals, vec![terminate], reload, leaves).map_err(|e| format!("signals: {e}"))?;
     front.run();
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -11,15 +11,15 @@
 use arc_swap::ArcSwapOption;
 use tracing::{info, warn};
 use valehatch_config::operators::{Members, Operators};
-use valehatch_net::link::Link;
-use valehatch_net::list::Taker;
+use valehatch_net::link::GossipTransport;
+use valehatch_net::list::EndpointListStore;
 use valehatch_net::{Clock, lock};
-use valehatch_policy::{Known, Settings, Time};
+use valehatch_policy::{PrimaryEvidence, Settings, Time};
 use valehatch_recovery::service::{Service, State};
 use valehatch_recovery::snapshot::{Cold, Front, MOST, Primary, Snapshot};
 use valehatch_recovery::trust::{Belief, Source, Trust, trust};
 use valehatch_recovery::{Restored, cold_since, restore};
-use valehatch_request_log::Ending;
+use valehatch_request_log::FinalOutcome;
 use valehatch_snmp::world::Board;
 use valehatch_state::snapshot;
 
@@ -94,22 +94,22 @@
 pub type Shared = Arc<Mutex<Service>>;
 
 /// A request of a front had its final answer.
-pub fn answered(service: &Shared, clock: Clock, ending: &Ending) {
+pub fn answered(service: &Shared, clock: Clock, ending: &FinalOutcome) {
     let served = match ending {
-        Ending::InTime | Ending::Late => true,
-        Ending::Refused(_) | Ending::Failed(_) => false,
-        Ending::Aborted => return,
+        FinalOutcome::InTime | FinalOutcome::Late => true,
+        FinalOutcome::Refused(_) | FinalOutcome::Failed(_) => false,
+        FinalOutcome::Aborted => return,
     };
     lock(service).answered(served, clock.now());
 }
 
 /// What takes a front's list in, where discovery tells it, and the front's board.
-pub type Held = (Option<Arc<Mutex<Taker>>>, Arc<ArcSwapOption<Board>>);
+pub type Held = (Option<Arc<Mutex<EndpointListStore>>>, Arc<ArcSwapOption<Board>>);
 
 /// A front as the next start is to find it.
 pub struct Kept {
     pub name: String,
-    pub taker: Option<Arc<Mutex<Taker>>>,
+    pub taker: Option<Arc<Mutex<EndpointListStore>>>,
     pub board: Arc<ArcSwapOption<Board>>,
     pub settings: Settings,
 }
@@ -125,7 +125,7 @@
     gateway: String,
     every: Duration,
     fronts: Vec<Kept>,
-    link: Option<Arc<Link>>,
+    link: Option<Arc<GossipTransport>>,
     service: Shared,
     clock: Clock,
     began_ms: u64,
@@ -145,7 +145,7 @@
     pub fn start(
         read: &Operators,
         fronts: Vec<Held>,
-        link: Option<Arc<Link>>,
+        link: Option<Arc<GossipTransport>>,
         service: Shared,
         clock: Clock,
     ) -> std::io::Result<Option<Self>> {
@@ -257,19 +257,20 @@
         let live = board.as_ref().map(|b| &b.live);
         let members = live.map(|l| l.members.as_slice()).unwrap_or_default();
         let groups = live.map(|l| l.groups.as_slice()).unwrap_or_default();
-        let primaries = groups.iter().filter(|g| g.known != Known::Not).filter_map(|group| {
-            let member = members.iter().find(|m| Some(m.view.node) == group.primary)?;
+        let primaries = groups.iter().filter(|g| g.known != PrimaryEvidence::Unknown).filter_map(|group| {
+            let member = members.iter().find(|m| Some(m.view.endpoint) == group.primary)?;
             let age_ms = u64::try_from((now - group.since).0 / 1000).unwrap_or(0);
             Some(Primary {
                 group: group.group.0,
                 member: member.name.to_string(),
                 since_ms: at_ms.saturating_sub(age_ms),
-                proved: group.known != Known::List,
+                proved: group.known != PrimaryEvidence::EndpointList,
             })
         });
         let rules = &self.settings.rules;
         let cold = members.iter().filter_map(|member| {
-            let since_ms = cold_since(member.view.warm?, rules.cold, rules.cold_from, at_ms);
+            let since_ms =
+                cold_since(member.view.warm?, rules.cold, rules.slow_start_initial_capacity, at_ms);
             Some(Cold { member: member.name.to_string(), since_ms })
         });
         Front { name: self.name.clone(), book, primaries: primaries.collect(), cold: cold.collect() }
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -10,12 +10,12 @@
 use crossbeam_channel::Sender;
 use tracing::{info, warn};
 use valehatch_core::Event;
-use valehatch_hot_restart::Room;
+use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::Clock;
 use valehatch_net::clients::{Clients, listener};
-use valehatch_net::connection_limits::Places;
-use valehatch_net::hot_restart::{Asked, Hands, Stops, Upgrade, ask};
-use valehatch_recovery::book::Book;
+use valehatch_net::connection_limits::SharedConnectionLimiter;
+use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
+use valehatch_recovery::book::EndpointListCache;
 use valehatch_recovery::snapshot::Snapshot;
 
 use crate::front::{SPARE, bytes, connections, platform_limits};
@@ -47,9 +47,9 @@
         Ok(listener) => Ok(Begin { listener, known, old }),
         Err(e) => Err(format!("listen: {listen}: {e}")),
     };
-    match path.map_or(Asked::Nobody, |path| ask(path, gateway)) {
-        Asked::Nobody => own(None, None),
-        Asked::Handed(handed) => {
+    match path.map_or(HandoffOutcome::Nobody, |path| ask(path, gateway)) {
+        HandoffOutcome::Nobody => own(None, None),
+        HandoffOutcome::Inherited(handed) => {
             let known = told(&handed.snapshot, gateway);
             let bytes = handed.snapshot.len();
             let (listener, old) = handed.parts();
@@ -60,8 +60,10 @@
             info!("upgrade: the process before handed its socket over, and {bytes} bytes");
             Ok(Begin { listener, known, old: Some(old) })
         }
-        Asked::Busy => Err("an upgrade is under way, and two processes are enough for one gateway".into()),
-        Asked::Silent(why, old) => {
+        HandoffOutcome::Busy => {
+            Err("an upgrade is under way, and two processes are enough for one gateway".into())
+        }
+        HandoffOutcome::Silent(why, old) => {
             warn!("upgrade: nothing was handed over, the start goes on as after a crash: {why}");
             own(None, old)
         }
@@ -71,29 +73,32 @@
 /// What is shared out and handed on.
 pub struct Shares {
     pub gateway: String,
-    pub whole: Room,
+    pub whole: ProcessLimits,
     pub routers: u32,
     pub events: Sender<Event>,
     pub clients: Arc<Clients>,
-    pub places: Arc<Places>,
+    pub places: Arc<SharedConnectionLimiter>,
     pub kept: Kept,
     pub clock: Clock,
     /// Looks at the configuration again, for where discovery is now.
     pub look: Arc<dyn Fn() + Send + Sync>,
 }
 
-impl Hands for Shares {
-    fn holds(&self) -> Room {
+impl HandoffHandler for Shares {
+    fn holds(&self) -> ProcessLimits {
         let (clients, members) = self.places.held();
         let descriptors = SPARE + clients + members;
         let resident = procfs::process::Process::myself().and_then(|p| p.statm()).map(|m| m.resident);
         let page = procfs::page_size();
-        Room { descriptors, bytes: resident.map_or(0, |pages| usize::try_from(pages * page).unwrap_or(0)) }
+        ProcessLimits {
+            descriptors,
+            bytes: resident.map_or(0, |pages| usize::try_from(pages * page).unwrap_or(0)),
+        }
     }
 
     fn snapshot(&self) -> Option<Vec<u8>> {
         let (asked, until) = (self.clock.now(), Instant::now() + BELIEFS);
-        let _ = self.events.try_send(Event::Show);
+        let _ = self.events.try_send(Event::PublishView);
         let fresh = || self.kept.board.load().as_ref().is_some_and(|b| b.live.at >= asked);
         while !fresh() && Instant::now() < until {
             sleep(Duration::from_millis(1));
@@ -103,17 +108,17 @@
         Snapshot { gateway: self.gateway.clone(), at_ms, fronts, fleet: vec![] }.encode()
     }
 
-    fn share(&self, room: Room, processes: u32) {
+    fn share(&self, room: ProcessLimits, processes: u32) {
         // What is held already is not refused for it: it goes as it rests.
         let held = room.descriptors.max(self.holds().descriptors);
         self.places.resize(platform_limits(held));
         self.clients.limit(bytes(room.bytes));
-        let _ = self.events.send(Event::ServerConns(connections(room.descriptors)));
-        let _ = self.events.send(Event::Routers(self.routers.saturating_mul(processes)));
+        let _ = self.events.send(Event::UpstreamConnectionLimit(connections(room.descriptors)));
+        let _ = self.events.send(Event::GatewayCount(self.routers.saturating_mul(processes)));
     }
 
     fn hear(&self, list: &[u8]) {
-        let (Some(taker), Some(book)) = (&self.kept.taker, Book::decode(list)) else { return };
+        let (Some(taker), Some(book)) = (&self.kept.taker, EndpointListCache::decode(list)) else { return };
         let mut taker = valehatch_net::lock(taker);
         taker.hear(&book);
         let held = taker.held().0.told;
@@ -128,7 +133,7 @@
 
     fn leave(&self, left: bool) {
         self.clients.stop(left);
-        let _ = self.events.send(Event::Leave);
+        let _ = self.events.send(Event::HandoffStarted);
     }
 }
 
@@ -144,7 +149,7 @@
     }
 
     /// This process serves: it says so to the one before it, and can be asked by the next.
-    pub fn serves(self, path: Option<PathBuf>, shares: Shares) -> Option<Stops> {
+    pub fn serves(self, path: Option<PathBuf>, shares: Shares) -> Option<HandoffHandle> {
         let path = path?;
         let (gateway, whole) = (shares.gateway.clone(), shares.whole);
         let upgrade = Upgrade { path, gateway, listener: Some(self.listener), whole };
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -395,7 +395,7 @@
     let second = text.rfind("[[front.member]]").unwrap();
     let one = load(&(text[..first].to_owned() + &text[second..]));
     assert_eq!(one.len(), 1);
-    assert_eq!((one[0].entry.node, one[0].address), (both[1].entry.node, members[1]));
+    assert_eq!((one[0].entry.endpoint, one[0].address), (both[1].entry.endpoint, members[1]));
 }
 
 #[test]
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -14,7 +14,7 @@
 use support::manager::{ROOT, Walk, audit, index, own, v2c};
 use support::watched::{Plan, load_cql, load_pg, seen_databases, seen_nodes, statement, wait};
 use support::*;
-use valehatch_request_log::{Cell, Key, Outcomes, Scope};
+use valehatch_request_log::{AttemptOutcome, Cell, Key, Scope};
 
 fn call(at: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(at).expect("the door is open");
@@ -211,9 +211,9 @@
         let served = written.get(Cell::InTime) + written.get(Cell::Late);
         assert_eq!(counts, [served, written.refused(), written.failed()], "{at:?}");
         // The ledger counts an attempt by its end: some ends say that it never left, and some do not say.
-        let of = |ends: &[Outcomes]| ends.iter().map(|o| written.get(Cell::Attempt(*o))).sum::<u64>();
-        let never = of(&[Outcomes::ConnectFailed, Outcomes::Moot]);
-        let perhaps = of(&[Outcomes::Cancelled, Outcomes::Timeout, Outcomes::Out]);
+        let of = |ends: &[AttemptOutcome]| ends.iter().map(|o| written.get(Cell::Attempt(*o))).sum::<u64>();
+        let never = of(&[AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent]);
+        let perhaps = of(&[AttemptOutcome::Cancelled, AttemptOutcome::Timeout, AttemptOutcome::Unfinished]);
         let relayed = told(class, "relayed");
         let most = written.attempts() - never;
         assert!(
@@ -231,7 +231,7 @@
         let came = members.iter().filter(|q| q.contains(word)).count() as u64;
         println!("{front} {class}: {counts:?}, {relayed} relayed, {came} came");
         // What was on its way when a member ended the connection, on which others were, it did not read.
-        let unread = perhaps + of(&[Outcomes::Reset]);
+        let unread = perhaps + of(&[AttemptOutcome::Reset]);
         assert!(
             (came..=came + unread).contains(&relayed),
             "{at:?}: {relayed} relayed, {came} came, {unread} perhaps"
--- a/crates/gateway/tests/support/manager.rs
+++ b/crates/gateway/tests/support/manager.rs
@@ -8,7 +8,7 @@
 
 use snmp2::v3::{Auth, AuthProtocol, Cipher, Security};
 use snmp2::{Oid, SyncSession, Value};
-use valehatch_request_log::{Cell, Counters, Key, Record, Row, Scope};
+use valehatch_request_log::{Cell, Counters, Key, RequestRecord, Row, Scope};
 
 pub const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
 
@@ -121,7 +121,8 @@
     let (mut counters, mut last, mut lines) = (Counters::default(), 0, 0);
     for path in names {
         for line in std::fs::read(&path).unwrap().split_inclusive(|b| *b == b'\n') {
-            let (seq, record) = Record::read(line).unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
+            let (seq, record) =
+                RequestRecord::read(line).unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
             assert_eq!(seq, last + 1, "{}: a record is missing, or there twice", path.display());
             (last, lines) = (seq, lines + 1);
             counters.count(&record);
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -13,7 +13,7 @@
 
 use rstest::rstest;
 use support::*;
-use valehatch_hot_restart::words::{HEAD, Word, decode, encode, length};
+use valehatch_hot_restart::words::{HEAD, HandoffMessage, decode, encode, length};
 
 /// What a gateway's processes share.
 struct Place {
@@ -518,12 +518,12 @@
     let path = scene.place.folder.join(format!("handover-{}", scene.place.listen));
     let mut line = UnixStream::connect(path).unwrap();
     line.set_read_timeout(Some(WAIT)).unwrap();
-    line.write_all(&encode(&Word::Ask("n0".into()))).unwrap();
+    line.write_all(&encode(&HandoffMessage::Ask("n0".into()))).unwrap();
     let mut head = [0; HEAD];
     line.read_exact(&mut head).unwrap();
     let mut body = vec![0; length(head).unwrap()];
     line.read_exact(&mut body).unwrap();
-    assert!(matches!(decode(&body), Ok(Word::Take(known)) if !known.is_empty()));
+    assert!(matches!(decode(&body), Ok(HandoffMessage::Take(known)) if !known.is_empty()));
     line
 }
 
@@ -713,7 +713,7 @@
         new.program.signal("HUP");
     }
     // One that is about to end hands no socket over.
-    line.write_all(&encode(&Word::Take(vec![]))).unwrap();
+    line.write_all(&encode(&HandoffMessage::Take(vec![]))).unwrap();
     until("it says yes", || new.healthy());
     assert!(!new.program.log().contains("nothing was handed over"), "it did not wait");
     new.program.says("is about to end, and handed 0 bytes over");
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod steps;
 pub mod words;
 
-pub use share::Room;
-pub use steps::{Does, Heard, Stage, Steps};
+pub use share::ProcessLimits;
+pub use steps::{HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine};
--- a/crates/hot-restart/src/share.rs
+++ b/crates/hot-restart/src/share.rs
@@ -12,7 +12,7 @@
 
 /// What a process takes up, or may.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct ProcessLimits {
     /// File descriptors, all of them.
     pub descriptors: usize,
     /// Bytes of memory.
@@ -20,9 +20,9 @@
 }
 
 /// What a process needs to start, and the least that it is left with: its files, its operators' callers, discovery.
-pub const LEAST: Room = Room { descriptors: 40, bytes: 6 * 1024 * 1024 };
+pub const LEAST: ProcessLimits = ProcessLimits { descriptors: 40, bytes: 6 * 1024 * 1024 };
 
-impl Room {
+impl ProcessLimits {
     fn map2(self, other: Self, f: impl Fn(usize, usize) -> usize) -> Self {
         Self { descriptors: f(self.descriptors, other.descriptors), bytes: f(self.bytes, other.bytes) }
     }
@@ -37,7 +37,7 @@
 /// What the old process takes on once it has handed over, before and after the new one serves, and once it `leaves`: then
 /// it needs connections to members only for what is open.
 #[must_use]
-pub fn of_old(whole: Room, followed: bool, leaves: bool) -> Room {
+pub fn of_old(whole: ProcessLimits, followed: bool, leaves: bool) -> ProcessLimits {
     if followed && leaves {
         return whole.half().half();
     }
@@ -51,7 +51,7 @@
 /// What the new process may take up beside an old one that holds so much, and may grow up to its half if it `grows`;
 /// `None`: it has not said.
 #[must_use]
-pub fn of_new(whole: Room, old: Option<Room>, grows: bool) -> Room {
+pub fn of_new(whole: ProcessLimits, old: Option<ProcessLimits>, grows: bool) -> ProcessLimits {
     let half = whole.half();
     let old = match old {
         None => half,
--- a/crates/hot-restart/src/steps.rs
+++ b/crates/hot-restart/src/steps.rs
@@ -3,18 +3,18 @@
 //! No more than two processes are one gateway at any time: who asks during an upgrade is told to ask again. Nothing here waits
 //! for the other side, and each step has an end if that one dies: see the table in `docs/design/handover.md`.
 
-use crate::share::{self, Room};
+use crate::share::{self, ProcessLimits};
 
 /// A process that has asked this one, by number.
 pub type Peer = u64;
 
 /// What a process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum HandoffStage {
     /// The only one.
     Alone,
     /// Beside an old one, which holds so much, as far as it has said; `grows` until it takes on nothing more.
-    New { old: Option<Room>, grows: bool },
+    New { old: Option<ProcessLimits>, grows: bool },
     /// It has handed over to a new one, which does not serve yet.
     Sharing(Peer),
     /// The new one serves.
@@ -23,9 +23,9 @@
 
 /// What it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HandoffEvent {
     /// By the old one.
-    Old { holds: Room, grows: bool },
+    Old { holds: ProcessLimits, grows: bool },
     /// The old one has ended, or cannot be heard any more.
     OldGone,
     /// A new one asks to be handed everything, whether or not this one is to end.
@@ -37,20 +37,20 @@
     /// A planned stop was asked for.
     Stop,
     /// Some time has passed; the process holds so much now.
-    Tick(Room),
+    Tick(ProcessLimits),
 }
 
 /// What it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
+pub enum HandoffAction {
     /// Hands the socket, unless it was given back with a planned stop, and what it knows to the new one.
     Hand(Peer),
     /// Tells it to ask again later.
     TurnAway(Peer),
     /// Tells the new one what this process holds.
-    Tell { peer: Peer, holds: Room, grows: bool },
+    Tell { peer: Peer, holds: ProcessLimits, grows: bool },
     /// Takes up no more than this, and divides what a fleet shares by so many processes for each gateway.
-    Share { room: Room, processes: u32 },
+    Share { room: ProcessLimits, processes: u32 },
     /// Takes no connections from now on: the new one does, from the same queue.
     Leave,
     /// Listens for new ones where they ask, in place of whoever did.
@@ -59,50 +59,50 @@
 
 /// The steps of one process.
 #[derive(Clone, Debug)]
-pub struct Steps {
-    whole: Room,
-    stage: Stage,
+pub struct HandoffStateMachine {
+    whole: ProcessLimits,
+    stage: HandoffStage,
     stopping: bool,
-    told: Option<(Room, bool)>,
+    told: Option<(ProcessLimits, bool)>,
 }
 
-impl Steps {
+impl HandoffStateMachine {
     /// A process that was handed everything by an old one (`beside` it), or not.
     #[must_use]
-    pub const fn new(whole: Room, beside: bool) -> Self {
-        let stage = if beside { Stage::New { old: None, grows: true } } else { Stage::Alone };
+    pub const fn new(whole: ProcessLimits, beside: bool) -> Self {
+        let stage = if beside { HandoffStage::New { old: None, grows: true } } else { HandoffStage::Alone };
         Self { whole, stage, stopping: false, told: None }
     }
 
     /// What it is now.
     #[must_use]
-    pub const fn stage(&self) -> Stage {
+    pub const fn stage(&self) -> HandoffStage {
         self.stage
     }
 
     /// What it may take up now.
     #[must_use]
-    pub fn room(&self) -> Room {
+    pub fn room(&self) -> ProcessLimits {
         match self.stage {
-            Stage::Alone => self.whole,
-            Stage::New { old, grows } => share::of_new(self.whole, old, grows),
-            Stage::Sharing(_) => share::of_old(self.whole, false, false),
-            Stage::Followed(_) => share::of_old(self.whole, true, self.stopping),
+            HandoffStage::Alone => self.whole,
+            HandoffStage::New { old, grows } => share::of_new(self.whole, old, grows),
+            HandoffStage::Sharing(_) => share::of_old(self.whole, false, false),
+            HandoffStage::Followed(_) => share::of_old(self.whole, true, self.stopping),
         }
     }
 
     /// Begins: what it may take up, and that it can be asked from now on. To be called once it serves.
-    pub fn serves(&self, out: &mut Vec<Does>) {
+    pub fn serves(&self, out: &mut Vec<HandoffAction>) {
         out.push(self.share());
-        out.push(Does::Own);
+        out.push(HandoffAction::Own);
     }
 
-    fn share(&self) -> Does {
-        let processes = if self.stage == Stage::Alone { 1 } else { 2 };
-        Does::Share { room: self.room(), processes }
+    fn share(&self) -> HandoffAction {
+        let processes = if self.stage == HandoffStage::Alone { 1 } else { 2 };
+        HandoffAction::Share { room: self.room(), processes }
     }
 
-    fn enter(&mut self, stage: Stage, out: &mut Vec<Does>) {
+    fn enter(&mut self, stage: HandoffStage, out: &mut Vec<HandoffAction>) {
         let before = self.share();
         self.stage = stage;
         let now = self.share();
@@ -112,44 +112,53 @@
     }
 
     /// Takes what it is told.
-    pub fn take(&mut self, heard: Heard, out: &mut Vec<Does>) {
+    pub fn take(&mut self, heard: HandoffEvent, out: &mut Vec<HandoffAction>) {
         match (heard, self.stage) {
-            (Heard::Old { holds, grows }, Stage::New { .. }) => {
-                self.enter(Stage::New { old: Some(holds), grows }, out);
+            (HandoffEvent::Old { holds, grows }, HandoffStage::New { .. }) => {
+                self.enter(HandoffStage::New { old: Some(holds), grows }, out);
             }
-            (Heard::OldGone, Stage::New { .. }) => self.enter(Stage::Alone, out),
+            (HandoffEvent::OldGone, HandoffStage::New { .. }) => self.enter(HandoffStage::Alone, out),
             // One that is to end hands on what it knows, and its socket if it still takes connections.
-            (Heard::Asked(peer), Stage::Alone) => {
+            (HandoffEvent::Asked(peer), HandoffStage::Alone) => {
                 self.told = None;
-                out.push(Does::Hand(peer));
-                self.enter(Stage::Sharing(peer), out);
+                out.push(HandoffAction::Hand(peer));
+                self.enter(HandoffStage::Sharing(peer), out);
             }
-            (Heard::Asked(peer), _) => out.push(Does::TurnAway(peer)),
-            (Heard::Ready(peer), Stage::Sharing(with)) if peer == with => {
-                self.enter(Stage::Followed(peer), out);
+            (HandoffEvent::Asked(peer), _) => out.push(HandoffAction::TurnAway(peer)),
+            (HandoffEvent::Ready(peer), HandoffStage::Sharing(with)) if peer == with => {
+                self.enter(HandoffStage::Followed(peer), out);
                 if self.stopping {
-                    out.push(Does::Leave);
+                    out.push(HandoffAction::Leave);
                 }
             }
             // Whoever it was handed to has gone: this one is the gateway again, as if nothing had been.
-            (Heard::Gone(peer), Stage::Sharing(with) | Stage::Followed(with)) if peer == with => {
-                self.enter(Stage::Alone, out);
-                out.push(Does::Own);
+            (HandoffEvent::Gone(peer), HandoffStage::Sharing(with) | HandoffStage::Followed(with))
+                if peer == with =>
+            {
+                self.enter(HandoffStage::Alone, out);
+                out.push(HandoffAction::Own);
             }
-            (Heard::Stop, stage) => {
+            (HandoffEvent::Stop, stage) => {
                 self.stopping = true;
-                if matches!(stage, Stage::Followed(_)) {
-                    out.extend([Does::Leave, self.share()]);
+                if matches!(stage, HandoffStage::Followed(_)) {
+                    out.extend([HandoffAction::Leave, self.share()]);
                 }
             }
-            (Heard::Tick(holds), Stage::Sharing(peer) | Stage::Followed(peer)) => {
+            (HandoffEvent::Tick(holds), HandoffStage::Sharing(peer) | HandoffStage::Followed(peer)) => {
                 let grows = !self.stopping;
                 if self.told != Some((holds, grows)) {
                     self.told = Some((holds, grows));
-                    out.push(Does::Tell { peer, holds, grows });
+                    out.push(HandoffAction::Tell { peer, holds, grows });
                 }
             }
-            (Heard::Old { .. } | Heard::OldGone | Heard::Ready(_) | Heard::Gone(_) | Heard::Tick(_), _) => {}
+            (
+                HandoffEvent::Old { .. }
+                | HandoffEvent::OldGone
+                | HandoffEvent::Ready(_)
+                | HandoffEvent::Gone(_)
+                | HandoffEvent::Tick(_),
+                _,
+            ) => {}
         }
     }
 }
--- a/crates/hot-restart/src/words.rs
+++ b/crates/hot-restart/src/words.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::share::Room;
+use crate::share::ProcessLimits;
 
 /// Another form takes another number; who does not speak it is answered nothing, and starts as after a crash.
 pub const VERSION: u16 = 2;
@@ -13,7 +13,7 @@
 
 /// A word.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum HandoffMessage {
     /// The new one asks, for the gateway of this name.
     Ask(String),
     /// The old one hands its listening socket over, which comes along, and what it knows: a snapshot.
@@ -21,9 +21,9 @@
     /// Another upgrade is under way, or the gateway has another name: ask again later.
     Busy,
     /// What the old one holds; it may take on more.
-    Held(Room),
+    Held(ProcessLimits),
     /// What the old one holds; it takes on nothing more.
-    Leaves(Room),
+    Leaves(ProcessLimits),
     /// The new one serves.
     Ready,
     /// Either was told of another list by discovery: all that it holds now.
@@ -32,7 +32,7 @@
 
 /// The bytes of a word.
 #[must_use]
-pub fn encode(word: &Word) -> Vec<u8> {
+pub fn encode(word: &HandoffMessage) -> Vec<u8> {
     let body = postcard::to_stdvec(word).unwrap_or_default();
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     [&length.to_be_bytes()[..], &VERSION.to_be_bytes(), &body].concat()
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// They are none.
-pub fn decode(body: &[u8]) -> Result<Word, String> {
+pub fn decode(body: &[u8]) -> Result<HandoffMessage, String> {
     match postcard::take_from_bytes(body) {
         Ok((word, [])) => Ok(word),
         Ok(_) => Err("bytes behind a word".into()),
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -24,7 +24,7 @@
 
 /// Where the door is and what it bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Door {
+pub struct ManagementEndpoint {
     pub listen: SocketAddr,
     /// So many callers at once; one more sends the oldest away that has not asked.
     pub places: usize,
@@ -32,14 +32,14 @@
     pub patience: Duration,
 }
 
-impl Door {
+impl ManagementEndpoint {
     pub const fn new(listen: SocketAddr) -> Self {
         Self { listen, places: 24, patience: Duration::from_secs(4) }
     }
 }
 
 /// Listens and answers on one thread of its own from then on; returns the bound address.
-pub fn start(door: Door, source: Arc<dyn Source>) -> io::Result<SocketAddr> {
+pub fn start(door: ManagementEndpoint, source: Arc<dyn Source>) -> io::Result<SocketAddr> {
     let mut serving = serve::Serving::new(door, source)?;
     let address = serving.address()?;
     std::thread::Builder::new().name("management".into()).stack_size(128 * 1024).spawn(move || {
--- a/crates/management/src/serve.rs
+++ b/crates/management/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::call::{Call, HEAD};
 use crate::table::{Room, Stage, Table};
-use crate::{Door, Source};
+use crate::{ManagementEndpoint, Source};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -43,7 +43,7 @@
 }
 
 impl Serving {
-    pub fn new(door: Door, source: Arc<dyn Source>) -> io::Result<Self> {
+    pub fn new(door: ManagementEndpoint, source: Arc<dyn Source>) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(door.listen), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.bind(&door.listen.into())?;
--- a/crates/management/tests/door.rs
+++ b/crates/management/tests/door.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use valehatch_management::{Door, Source, start};
+use valehatch_management::{ManagementEndpoint, Source, start};
 
 struct Given {
     ready: bool,
@@ -26,7 +26,7 @@
 }
 
 fn door(patience: Duration, ready: bool, stats: &str) -> SocketAddr {
-    let door = Door { patience, ..Door::new(([127, 0, 0, 1], 0).into()) };
+    let door = ManagementEndpoint { patience, ..ManagementEndpoint::new(([127, 0, 0, 1], 0).into()) };
     start(door, Arc::new(Given { ready, stats: stats.into() })).unwrap()
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,7 @@
 //! | [`size`] | how many gateways share what is shared |
 //! | `probe` | questions that are under way |
 //!
-//! Bounds: [`Settings::most`] gateways are known (one more is counted in [`Counts::full`] and
+//! Bounds: [`Settings::most`] gateways are known (one more is counted in [`MessageCounters::full`] and
 //! not taken in), [`Settings::bytes_s`] are sent in a second in the mean and twice as many in any one second; what is beyond is not
 //! sent, which is as good as lost, and counted.
 
@@ -41,7 +41,7 @@
 use table::{PARTS, Peer, Table, Taken, lives};
 use valehatch_policy::{Span, Time};
 use view::{CHANGES, Change, Reason, Shared, Standing, View};
-use wire::{Card, Datagram, Holders, Incarnation, Message, Phase, Rumor, State};
+use wire::{Datagram, Holders, Incarnation, MemberMetadata, Message, Phase, Rumor, State};
 
 /// Gateways that are asked to look for one that did not answer.
 const HELPERS: usize = 3;
@@ -108,15 +108,15 @@
 
 /// Settings that cannot be worked with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unfit(pub &'static str);
+pub struct InvalidSettings(pub &'static str);
 
-impl std::fmt::Display for Unfit {
+impl std::fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for InvalidSettings {}
 
 /// What is to be done or told.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -124,12 +124,12 @@
     /// Send this to that gateway.
     Send { to: SocketAddr, bytes: Vec<u8> },
     /// Something changed.
-    Note(Note),
+    Event(MembershipEvent),
 }
 
 /// What changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum MembershipEvent {
     /// A gateway was not known, or counted as gone, and lives.
     Joined(SocketAddr),
     /// It was started anew: what its former self held or had promised is gone.
@@ -158,7 +158,7 @@
 
 /// How many gateways there are, by three words that are never mixed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Numbers {
+pub struct MemberCounts {
     /// Those that this gateway takes to live, itself included. Rises first; says nothing of what others believe.
     pub mine: u32,
     /// Those in the view, while it is settled: what all of them hold.
@@ -169,7 +169,7 @@
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct MessageCounters {
     /// Datagrams and bytes that were sent.
     pub sent: u64,
     pub sent_bytes: u64,
@@ -237,11 +237,11 @@
 pub struct Membership {
     set: Settings,
     me: Incarnation,
-    card: Card,
+    card: MemberMetadata,
     state: State,
     outbid: Option<Outbid>,
     /// The life by which the others know this name, where another gateway has it too and has outbid this one for good.
-    yielded: Option<(Incarnation, Card)>,
+    yielded: Option<(Incarnation, MemberMetadata)>,
     rng: Xoshiro256PlusPlus,
     table: Table,
     /// Of those that are taken for suspect.
@@ -265,7 +265,7 @@
     spread_at: Time,
     /// The view and its holders when it was told last, and how often that has been told without change.
     told: (u64, usize, u32),
-    counts: Counts,
+    counts: MessageCounters,
 }
 
 impl Membership {
@@ -273,23 +273,23 @@
     ///
     /// # Errors
     /// Settings that cannot be worked with.
-    pub fn new(set: Settings, wall_ms: u64, seed: u64, now: Time) -> Result<Self, Unfit> {
+    pub fn new(set: Settings, wall_ms: u64, seed: u64, now: Time) -> Result<Self, InvalidSettings> {
         if set.me.ip().is_unspecified() || set.me.port() == 0 {
-            return Err(Unfit("the own address is none that others could send to"));
+            return Err(InvalidSettings("the own address is none that others could send to"));
         }
         if set.period < Span::from_millis(10) {
-            return Err(Unfit("the period is under 10 ms"));
+            return Err(InvalidSettings("the period is under 10 ms"));
         }
         if set.most == 0 {
-            return Err(Unfit("no gateway may be known"));
+            return Err(InvalidSettings("no gateway may be known"));
         }
         if set.bytes_s < 1024 {
-            return Err(Unfit("under 1,024 bytes a second leave questions unasked"));
+            return Err(InvalidSettings("under 1,024 bytes a second leave questions unasked"));
         }
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let me = Incarnation { number: wall_ms.min(Incarnation::MOST / 2), nonce: rng.next_u32() };
         let first = part(&mut rng);
-        let card = Card { zone: set.zone, version: set.version, ..Card::default() };
+        let card = MemberMetadata { zone: set.zone, version: set.version, ..MemberMetadata::default() };
         let mut new = Self {
             me,
             card,
@@ -315,7 +315,7 @@
             revive_at: now,
             spread_at: now,
             told: (0, 0, 0),
-            counts: Counts::default(),
+            counts: MessageCounters::default(),
             rng,
             set,
         };
@@ -452,7 +452,7 @@
     }
 
     /// Who is in the view, this gateway included, by address, with those that are gone and still remembered.
-    pub fn members(&self) -> impl Iterator<Item = (SocketAddr, Incarnation, Card, Standing)> {
+    pub fn members(&self) -> impl Iterator<Item = (SocketAddr, Incarnation, MemberMetadata, Standing)> {
         let (life, card) = self.yielded.unwrap_or((self.me, self.card));
         let me = (self.set.me, life, card, Standing::of(self.state, card));
         let others =
@@ -469,10 +469,10 @@
 
     /// How many gateways there are, by each word.
     #[must_use]
-    pub fn numbers(&self) -> Numbers {
+    pub fn numbers(&self) -> MemberCounts {
         let shared = self.view.shared();
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        Numbers {
+        MemberCounts {
             mine: count(self.table.alive() + 1),
             settled: shared.settled.map(|_| count(shared.members)),
             configured: self.set.configured,
@@ -505,7 +505,7 @@
 
     /// What was counted.
     #[must_use]
-    pub const fn counts(&self) -> Counts {
+    pub const fn counts(&self) -> MessageCounters {
         self.counts
     }
 
@@ -534,7 +534,7 @@
             self.suspicions.values_mut().for_each(|s| s.postpone(gap));
             // Others may have given it up by now; what it says next outweighs that.
             self.me.number += 1;
-            out.push(Effect::Note(Note::Slept(gap)));
+            out.push(Effect::Event(MembershipEvent::Slept(gap)));
         }
         now
     }
@@ -543,10 +543,10 @@
         self.turn(now);
         match self.view.look(self.synced && self.state != State::Left, now) {
             None => {}
-            Some(true) => out.push(Effect::Note(Note::Settled(self.view.shared()))),
-            Some(false) => out.push(Effect::Note(Note::Unsettled)),
+            Some(true) => out.push(Effect::Event(MembershipEvent::Settled(self.view.shared()))),
+            Some(false) => out.push(Effect::Event(MembershipEvent::Unsettled)),
         }
-        let Numbers { mine, settled, .. } = self.numbers();
+        let MemberCounts { mine, settled, .. } = self.numbers();
         self.size.count(self.synced.then_some(mine), settled.is_some(), now);
     }
 
@@ -585,15 +585,15 @@
             }
             // One that is gone and was never known: kept, and no news for anybody.
             Taken::New if !lives(rumor.state) => return,
-            Taken::New => Some(Note::Joined(about)),
-            Taken::Restarted if lives(rumor.state) => Some(Note::Restarted(about)),
+            Taken::New => Some(MembershipEvent::Joined(about)),
+            Taken::Restarted if lives(rumor.state) => Some(MembershipEvent::Restarted(about)),
             Taken::Renewed => None,
             Taken::Restarted | Taken::Turned(_) => Some(match (taken, rumor.state) {
-                (_, State::Suspect) => Note::Suspected(about),
-                (_, State::Dead) => Note::Failed(about),
-                (_, State::Left) => Note::Left(about),
-                (Taken::Turned(State::Suspect), State::Alive) => Note::Cleared(about),
-                (_, State::Alive) => Note::Joined(about),
+                (_, State::Suspect) => MembershipEvent::Suspected(about),
+                (_, State::Dead) => MembershipEvent::Failed(about),
+                (_, State::Left) => MembershipEvent::Left(about),
+                (Taken::Turned(State::Suspect), State::Alive) => MembershipEvent::Cleared(about),
+                (_, State::Alive) => MembershipEvent::Joined(about),
             }),
         };
         // Whatever was suspected before was of an earlier incarnation, or is settled.
@@ -604,14 +604,14 @@
             self.suspicions.insert(about, new);
         }
         self.gossip.add(*rumor);
-        out.extend(note.map(Effect::Note));
+        out.extend(note.map(Effect::Event));
     }
 
     /// Tells those that stand on the view, if this word has changed it.
-    fn change(&mut self, rumor: &Rumor, before: Option<(State, Card)>, taken: Taken, at: Time) {
+    fn change(&mut self, rumor: &Rumor, before: Option<(State, MemberMetadata)>, taken: Taken, at: Time) {
         let Rumor { about, incarnation: life, card, state, .. } = *rumor;
         let (was, is) = (before.map(|(state, card)| Standing::of(state, card)), Standing::of(state, card));
-        let says = |c: Card| (c.zone, c.version, c.phase);
+        let says = |c: MemberMetadata| (c.zone, c.version, c.phase);
         let why = match (taken, state) {
             (Taken::Known | Taken::Full, _) => return,
             (_, State::Dead) => Reason::GivenUp,
@@ -645,7 +645,7 @@
             let answered = before.map_or(0, |o| (o.answered + more).min(YIELDS));
             self.outbid = Some(Outbid { nonce, answered });
             if answered == NAMESAKES && before.is_some_and(|o| o.answered < answered) {
-                out.push(Effect::Note(Note::Namesake(rumor.incarnation)));
+                out.push(Effect::Event(MembershipEvent::Namesake(rumor.incarnation)));
             }
             // Outbidding each other for ever helps neither. The others know this name by the other life; it answers for both.
             if answered == YIELDS && lives(rumor.state) {
@@ -662,7 +662,7 @@
         self.card.epoch += u32::from(!lives(rumor.state));
         self.me.number = rumor.incarnation.number + 1;
         self.counts.refuted += 1;
-        out.push(Effect::Note(Note::Refuted));
+        out.push(Effect::Event(MembershipEvent::Refuted));
     }
 
     /// This gateway's word on itself.
@@ -806,7 +806,7 @@
         let dead: Vec<_> = over.map(|(about, s)| (*about, s.incarnation)).collect();
         for (about, incarnation) in dead {
             self.counts.failed += 1;
-            let card = self.table.get(&about).map_or(Card::default(), |p| p.card);
+            let card = self.table.get(&about).map_or(MemberMetadata::default(), |p| p.card);
             self.hear(&Rumor { about, incarnation, state: State::Dead, accuser: 0, card }, now, out);
         }
     }
@@ -1025,7 +1025,7 @@
 
     fn now_synced(&mut self, out: &mut Vec<Effect>) {
         if !std::mem::replace(&mut self.synced, true) {
-            out.push(Effect::Note(Note::Synced));
+            out.push(Effect::Event(MembershipEvent::Synced));
         }
     }
 
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -7,7 +7,7 @@
 use siphasher::sip::SipHasher13;
 use valehatch_policy::{Span, Time};
 
-use crate::wire::{Card, Incarnation, Rumor, State};
+use crate::wire::{Incarnation, MemberMetadata, Rumor, State};
 
 /// What is believed of a gateway.
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
     /// How it is.
     pub state: State,
     /// What it says of itself.
-    pub card: Card,
+    pub card: MemberMetadata,
     /// Since when that is believed here.
     pub since: Time,
     /// When it last spoke itself; all else is hearsay.
@@ -147,7 +147,7 @@
     }
 
     /// The same, with what was believed before.
-    pub(crate) fn take(&mut self, rumor: &Rumor, now: Time) -> (Taken, Option<(State, Card)>) {
+    pub(crate) fn take(&mut self, rumor: &Rumor, now: Time) -> (Taken, Option<(State, MemberMetadata)>) {
         let Some(peer) = self.peers.get_mut(&rumor.about) else {
             if self.peers.len() >= self.most && !self.make_room(now) {
                 return (Taken::Full, None);
@@ -259,7 +259,7 @@
 }
 
 /// What one that lives adds to a table's digest. A suspicion counts as life: it is over in a moment, one way or the other.
-pub(crate) fn mark(about: &SocketAddr, incarnation: Incarnation, card: Card) -> u64 {
+pub(crate) fn mark(about: &SocketAddr, incarnation: Incarnation, card: MemberMetadata) -> u64 {
     hashed(about, |h| {
         h.write_u64(incarnation.number.to_be());
         write(h, incarnation.nonce, card);
@@ -267,12 +267,12 @@
 }
 
 /// What one that lives adds to the view's digest.
-pub(crate) fn view_mark(about: &SocketAddr, incarnation: Incarnation, card: Card) -> u64 {
+pub(crate) fn view_mark(about: &SocketAddr, incarnation: Incarnation, card: MemberMetadata) -> u64 {
     hashed(about, |h| write(h, incarnation.nonce, card))
 }
 
 /// The canonical form: fixed widths, big-endian, in this order, after the address's octets and its port.
-fn write(hasher: &mut SipHasher13, nonce: u32, card: Card) {
+fn write(hasher: &mut SipHasher13, nonce: u32, card: MemberMetadata) {
     hasher.write_u32(nonce.to_be());
     hasher.write_u32(card.epoch.to_be());
     hasher.write_u16(card.zone.to_be());
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -14,7 +14,7 @@
 
 use valehatch_policy::{Span, Time};
 
-use crate::wire::{BLOCK, Card, Held, Holders, Incarnation, Phase, State};
+use crate::wire::{BLOCK, Held, Holders, Incarnation, MemberMetadata, Phase, State};
 
 /// Changes that are kept for those that stand on the view; one that reads too late is told how many it has missed.
 pub const CHANGES: usize = 512;
@@ -33,7 +33,7 @@
 impl Standing {
     /// Of a state that is believed, with what the gateway says of itself.
     #[must_use]
-    pub const fn of(state: State, card: Card) -> Self {
+    pub const fn of(state: State, card: MemberMetadata) -> Self {
         match state {
             State::Alive => Self::Is(card.phase),
             State::Suspect => Self::Suspected,
@@ -69,7 +69,7 @@
     pub at: Time,
     pub about: SocketAddr,
     pub life: Incarnation,
-    pub card: Card,
+    pub card: MemberMetadata,
     /// `None` where it was not in the view.
     pub was: Option<Standing>,
     pub is: Standing,
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -49,7 +49,7 @@
 
 /// What a gateway says of itself. A change takes the next incarnation, so that the later word holds everywhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Card {
+pub struct MemberMetadata {
     /// Grows whenever the fleet's view has to tell before from after within one life: each time that others had given it
     /// up, and with each change of what is below. A view that once held is thus never held again.
     pub epoch: u32,
@@ -74,13 +74,13 @@
     /// Of a suspicion: a mark of who suspects. Those of several count for more.
     pub accuser: u16,
     /// What it says of itself in that life.
-    pub card: Card,
+    pub card: MemberMetadata,
 }
 
 impl Rumor {
     /// What of two words about the same gateway holds.
     #[must_use]
-    pub const fn weight(&self) -> (Incarnation, State, Card) {
+    pub const fn weight(&self) -> (Incarnation, State, MemberMetadata) {
         (self.incarnation, self.state, self.card)
     }
 }
@@ -141,7 +141,7 @@
     /// Which life of its sender speaks.
     pub from: Incarnation,
     /// What it says of itself.
-    pub card: Card,
+    pub card: MemberMetadata,
     /// The view that it holds.
     pub held: Held,
     /// What for.
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -8,8 +8,10 @@
 use valehatch_membership::table::{Table, Taken};
 use valehatch_membership::view::{Change, Reason, Standing, View};
 use valehatch_membership::wire::Message::Word;
-use valehatch_membership::wire::{Card, Datagram, Held, Holders, Incarnation, Message, Phase, Rumor, State};
-use valehatch_membership::{Effect, Membership, Note, Settings};
+use valehatch_membership::wire::{
+    Datagram, Held, Holders, Incarnation, MemberMetadata, Message, Phase, Rumor, State,
+};
+use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 
 fn address(n: usize) -> SocketAddr {
@@ -75,7 +77,7 @@
             incarnation: Incarnation { number: *number, nonce: *nonce },
             state: [State::Alive, State::Suspect, State::Dead, State::Left][*state],
             accuser: 0,
-            card: Card { epoch: *epoch, zone: 1, version: 2, phase: Phase::Full },
+            card: MemberMetadata { epoch: *epoch, zone: 1, version: 2, phase: Phase::Full },
         }).collect();
         let mut other = rumors.clone();
         other.extend(order.iter().take(8).filter_map(|n| rumors.get(n % rumors.len().max(1))).copied());
@@ -147,7 +149,7 @@
 }
 
 /// A datagram of another that says nothing of others, or these words.
-fn said(from: (u64, u32), card: Card, message: Message, rumors: Vec<Rumor>) -> Vec<u8> {
+fn said(from: (u64, u32), card: MemberMetadata, message: Message, rumors: Vec<Rumor>) -> Vec<u8> {
     let from = Incarnation { number: from.0, nonce: from.1 };
     let held = Held::default();
     postcard::to_stdvec(&Datagram { from, card, held, message, rumors }).unwrap()
@@ -156,7 +158,7 @@
 #[test]
 fn each_change_is_told_once_in_order_and_with_its_reason() {
     let (mut heart, mut out) = (heart(), vec![]);
-    let card = |epoch, phase| Card { epoch, zone: 1, version: 1, phase };
+    let card = |epoch, phase| MemberMetadata { epoch, zone: 1, version: 1, phase };
     let (starting, full) = (card(0, Phase::Starting), card(1, Phase::Full));
     let two = |number, nonce, state, card| Rumor {
         about: address(2),
@@ -209,7 +211,7 @@
 fn a_reader_that_comes_too_late_is_told_how_many_it_has_missed() {
     let (mut heart, mut out) = (heart(), vec![]);
     for n in 2..902 {
-        let bytes = said((1, 1), Card::default(), Word, vec![]);
+        let bytes = said((1, 1), MemberMetadata::default(), Word, vec![]);
         heart.receive(Time(1), address(n), &bytes, &mut out);
     }
     let (missed, kept) = heart.changes(100);
@@ -225,13 +227,13 @@
         incarnation: Incarnation { number, nonce: 99 },
         state: State::Alive,
         accuser: 0,
-        card: Card::default(),
+        card: MemberMetadata::default(),
     };
     let mut hear = |heart: &mut Membership, number| {
         out.clear();
-        let bytes = said((5, 3), Card::default(), Word, vec![me(number)]);
+        let bytes = said((5, 3), MemberMetadata::default(), Word, vec![me(number)]);
         heart.receive(Time(1), address(2), &bytes, &mut out);
-        out.iter().any(|e| matches!(e, Effect::Note(Note::Namesake(_))))
+        out.iter().any(|e| matches!(e, Effect::Event(MembershipEvent::Namesake(_))))
     };
     // A former self whose clock stood later: outbid once, whatever else of it is still said.
     assert!(
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -7,8 +7,8 @@
 use valehatch_membership::size::Size;
 use valehatch_membership::suspicion::{CONFIRMATIONS, LONGEST, Suspicion};
 use valehatch_membership::table::Table;
-use valehatch_membership::wire::{Card, Datagram, Held, Incarnation, Message, Phase, Rumor, State};
-use valehatch_membership::{Effect, Membership, Note, Settings, Unfit};
+use valehatch_membership::wire::{Datagram, Held, Incarnation, MemberMetadata, Message, Phase, Rumor, State};
+use valehatch_membership::{Effect, InvalidSettings, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 
 fn address(n: u8) -> SocketAddr {
@@ -22,7 +22,7 @@
         incarnation: Incarnation { number, nonce },
         state,
         accuser: 0,
-        card: Card { epoch, zone: 1, version: 1, phase: Phase::Full },
+        card: MemberMetadata { epoch, zone: 1, version: 1, phase: Phase::Full },
     })
 }
 
@@ -78,7 +78,7 @@
 }
 
 fn datagram(from: Incarnation, message: Message, rumors: Vec<Rumor>) -> Vec<u8> {
-    let (card, held) = (Card::default(), Held::default());
+    let (card, held) = (MemberMetadata::default(), Held::default());
     postcard::to_stdvec(&Datagram { from, card, held, message, rumors }).unwrap()
 }
 
@@ -91,7 +91,7 @@
 fn settings_that_cannot_be_worked_with_are_refused(#[case] edit: fn(&mut Settings)) {
     let mut set = settings();
     edit(&mut set);
-    let refused: Unfit = Membership::new(set, 1, 1, Time(0)).unwrap_err();
+    let refused: InvalidSettings = Membership::new(set, 1, 1, Time(0)).unwrap_err();
     assert!(!refused.to_string().is_empty());
 }
 
@@ -105,7 +105,7 @@
         incarnation: Incarnation { number, nonce: 77 },
         state,
         accuser: 3,
-        card: Card::default(),
+        card: MemberMetadata::default(),
     };
     heart.receive(
         Time(1),
@@ -114,7 +114,7 @@
         &mut out,
     );
     assert_eq!(heart.incarnation(), Incarnation { number: 4001, ..me });
-    assert!(out.contains(&Effect::Note(Note::Refuted)));
+    assert!(out.contains(&Effect::Event(MembershipEvent::Refuted)));
     // Its answer already speaks for the later life.
     let answer = out.iter().find_map(|e| if let Effect::Send { bytes, .. } = e { Some(bytes) } else { None });
     let answer = Datagram::decode(answer.unwrap()).unwrap();
@@ -132,7 +132,13 @@
     let word = |n: u8, state| {
         let inc = Incarnation { number: 3, nonce: u32::from(n) };
         let rumors = if state == State::Left {
-            vec![Rumor { about: address(n), incarnation: inc, state, accuser: 0, card: Card::default() }]
+            vec![Rumor {
+                about: address(n),
+                incarnation: inc,
+                state,
+                accuser: 0,
+                card: MemberMetadata::default(),
+            }]
         } else {
             vec![]
         };
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -6,7 +6,7 @@
 mod rests;
 
 pub(crate) use outbox::BUFFER;
-pub use outbox::Passage;
+pub use outbox::ResponseBody;
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -20,18 +20,18 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Socket, Type};
 
-use valehatch_connection_limits::{SETTLES, Verdict};
+use valehatch_connection_limits::{ANSWER_SETTLE_TIME, AdmissionDecision};
 use valehatch_policy::{GroupId, Span};
-use valehatch_request_log::Refusal;
+use valehatch_request_log::RejectionReason;
 
 use super::{lock, spawn};
 use crate::Clock;
-use crate::connection_limits::Places;
+use crate::connection_limits::SharedConnectionLimiter;
 use crate::pipe::Budget;
 use line::{AT_ONCE, Gate, LINGER_BYTES, Line, Patient, Waits};
 use outbox::Outbox;
 use rests::{Resting, Rests};
-use valehatch_core::{Answer, Ask, ClientId, Event, Room};
+use valehatch_core::{ClientId, Event, FinalAnswer, IncomingRequest, MemoryReservation};
 
 /// How long a write to a client may stand still before the client counts as gone: some take seconds to read.
 const STUCK: Duration = Duration::from_secs(10);
@@ -49,11 +49,11 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// A session with a client, in the protocol of one front.
-pub trait Serves: Send + Sync + 'static {
+pub trait RequestHandler: Send + Sync + 'static {
     /// Reads until nothing more has come, or the client leaves or breaks the protocol.
     fn serve(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Talk>;
     /// The bytes of an answer.
-    fn encode(&self, ticket: u64, answer: Answer) -> Vec<u8>;
+    fn encode(&self, ticket: u64, answer: FinalAnswer) -> Vec<u8>;
     /// Whether answers leave in the order of their requests, by ticket from 0.
     fn ordered(&self) -> bool;
     /// Requests that a connection may have open; a client that sends more waits.
@@ -170,18 +170,19 @@
 
 impl Session {
     /// Room for a request and its bytes, while all that are open leave some, and answers on their way too.
-    pub fn room(&self, bytes: usize) -> Result<Room, Refusal> {
+    pub fn room(&self, bytes: usize) -> Result<MemoryReservation, RejectionReason> {
         let mut gate = lock(&self.line.gate);
         gate.whole = true;
         self.line.tell(&mut gate);
         drop(gate);
         self.all.make_room();
-        if self.all.places.ask() == Verdict::Refuse {
-            return Err(Refusal::Places);
+        if self.all.places.ask() == AdmissionDecision::Reject {
+            return Err(RejectionReason::OutOfConnections);
         }
         let most = self.all.most.load(Ordering::Relaxed);
-        let room = Room::take(&self.all.bytes, bytes, most).filter(|_| !self.all.passed.is_full());
-        room.ok_or(Refusal::Room)
+        let room =
+            MemoryReservation::take(&self.all.bytes, bytes, most).filter(|_| !self.all.passed.is_full());
+        room.ok_or(RejectionReason::OutOfMemory)
     }
 
     /// Who asks: the connection, which is all that tells clients apart.
@@ -190,7 +191,7 @@
     }
 
     /// Hands a request to the core, if its client is still there.
-    pub fn ask(&self, ticket: u64, ask: Ask) -> io::Result<()> {
+    pub fn ask(&self, ticket: u64, ask: IncomingRequest) -> io::Result<()> {
         let left = lock(&self.line.gate).left;
         match if left { Err(ErrorKind::ConnectionAborted.into()) } else { self.line.owe() } {
             Err(e) if e.kind() == ErrorKind::ConnectionAborted => {
@@ -206,24 +207,24 @@
             gate.idle = gate.idle.max(KEPT);
         }
         drop(gate);
-        let event = Event::Asked { client: self.id, ticket, ask };
+        let event = Event::RequestReceived { client: self.id, ticket, ask };
         self.events.send(event).map_err(|_| io::ErrorKind::BrokenPipe.into())
     }
 
     /// The client has left: what else is open of it is called off now, and this does not begin.
-    fn call_off(&self, ask: &Ask) {
+    fn call_off(&self, ask: &IncomingRequest) {
         let told = std::mem::replace(&mut lock(&self.line.gate).called_off, true);
-        let gone = (!told).then_some(Event::Disconnected(self.id));
+        let gone = (!told).then_some(Event::ClientDisconnected(self.id));
         let (class, tenant, group) = (ask.class, ask.tenant, ask.group);
-        let counted = self.all.watched.then_some(Event::Abandoned { class, tenant, group });
+        let counted = self.all.watched.then_some(Event::RequestAbandoned { class, tenant, group });
         // A core that has ended counts nothing any more.
         gone.into_iter().chain(counted).for_each(|event| drop(self.events.send(event)));
     }
 
     /// Says of a request that this front refused it itself.
-    pub fn declined(&self, class: usize, tenant: Option<usize>, group: GroupId, why: Refusal) {
+    pub fn declined(&self, class: usize, tenant: Option<usize>, group: GroupId, why: RejectionReason) {
         if self.all.watched {
-            let _ = self.events.send(Event::Declined { class, tenant, group, why });
+            let _ = self.events.send(Event::RequestRejected { class, tenant, group, why });
         }
     }
 
@@ -253,11 +254,11 @@
 
 /// All connections from clients.
 pub struct Clients {
-    front: Arc<dyn Serves>,
+    front: Arc<dyn RequestHandler>,
     events: Sender<Event>,
     clock: Clock,
     lines: Mutex<HashMap<ClientId, Arc<Line>>>,
-    places: Arc<Places>,
+    places: Arc<SharedConnectionLimiter>,
     rests: Rests,
     bytes: Arc<AtomicUsize>,
     passed: Arc<Budget>,
@@ -299,10 +300,10 @@
 
 impl Clients {
     pub fn new(
-        front: Arc<dyn Serves>,
+        front: Arc<dyn RequestHandler>,
         events: Sender<Event>,
         clock: Clock,
-        places: Arc<Places>,
+        places: Arc<SharedConnectionLimiter>,
         limits: Limits,
     ) -> io::Result<Arc<Self>> {
         let (lines, bytes, most) = (Mutex::default(), Arc::default(), limits.bytes.into());
@@ -417,7 +418,7 @@
         line.stream.set_write_timeout(Some(STUCK))?;
         lock(&self.lines).insert(id, Arc::clone(&line));
         self.make_room();
-        let _ = self.events.send(Event::Connected(id));
+        let _ = self.events.send(Event::ClientConnected(id));
         let from = Incoming::new(Arc::clone(&line));
         let session = Session { id, events: self.events.clone(), line, all: Arc::clone(self) };
         self.rest(Resting { from, session, at: Progress::default(), known: false });
@@ -431,28 +432,28 @@
     }
 
     fn end(&self, id: ClientId) {
-        let _ = self.events.send(Event::Disconnected(id));
+        let _ = self.events.send(Event::ClientDisconnected(id));
         lock(&self.lines).remove(&id);
     }
 
     /// Passes an answer on; never waits.
-    pub fn answer(&self, client: ClientId, ticket: u64, answer: Answer) {
+    pub fn answer(&self, client: ClientId, ticket: u64, answer: FinalAnswer) {
         if let Some(line) = lock(&self.lines).get(&client).cloned() {
             line.put(Some(ticket), self.front.encode(ticket, answer));
         }
     }
 
     /// The way to a client for an answer that is passed on as it comes; `None` if the client has left.
-    pub fn passage(&self, client: ClientId, ticket: u64) -> Option<Passage> {
+    pub fn passage(&self, client: ClientId, ticket: u64) -> Option<ResponseBody> {
         let line = lock(&self.lines).get(&client).cloned()?;
-        Some(Passage::new(line, ticket, self.events.clone()))
+        Some(ResponseBody::new(line, ticket, self.events.clone()))
     }
 
     /// Ends a connection if nothing is open on it and it has rested for a moment: a last word right behind an answer
     /// would pass for a second answer.
     pub fn close(&self, client: ClientId) {
         let Some(line) = lock(&self.lines).get(&client).cloned() else { return };
-        let settled = self.clock.now() - SETTLES;
+        let settled = self.clock.now() - ANSWER_SETTLE_TIME;
         line.end_if(AT_ONCE, |g| g.since < settled);
     }
 
--- a/crates/net/src/clients/line.rs
+++ b/crates/net/src/clients/line.rs
@@ -12,13 +12,13 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::SockRef;
 
-use valehatch_connection_limits::{Doing, SETTLES};
+use valehatch_connection_limits::{ANSWER_SETTLE_TIME, ConnectionActivity};
 use valehatch_core::ClientId;
 use valehatch_policy::{Span, Time};
 
 use super::outbox::Outbox;
-use super::{Next, Serves};
-use crate::connection_limits::Places;
+use super::{Next, RequestHandler};
+use crate::connection_limits::SharedConnectionLimiter;
 use crate::{Clock, lock};
 
 /// A connection that has asked nothing is closed after this long.
@@ -56,7 +56,7 @@
     pub asked: u32,
     pub slow: bool,
     /// What the places know of it.
-    pub told: Doing,
+    pub told: ConnectionActivity,
     /// When the connection came up or was last used, and how long it may go on without an open request.
     pub since: Time,
     pub idle: Span,
@@ -79,7 +79,7 @@
             open: 0,
             asked: 0,
             slow: false,
-            told: Doing::Unasked,
+            told: ConnectionActivity::Unasked,
             since: now,
             idle: IDLE,
             waits: false,
@@ -90,16 +90,16 @@
         }
     }
 
-    pub const fn doing(&self) -> Doing {
+    pub const fn doing(&self) -> ConnectionActivity {
         match self {
-            Self { over: Some(_), .. } | Self { ended: true, .. } => Doing::Parting,
-            Self { open: 1.., .. } | Self { whole: true, .. } => Doing::Open,
-            Self { reading: true, .. } => Doing::Half,
-            Self { asked: 1, .. } => Doing::Once,
-            Self { asked: 2.., .. } => Doing::Kept,
+            Self { over: Some(_), .. } | Self { ended: true, .. } => ConnectionActivity::Parting,
+            Self { open: 1.., .. } | Self { whole: true, .. } => ConnectionActivity::Open,
+            Self { reading: true, .. } => ConnectionActivity::Half,
+            Self { asked: 1, .. } => ConnectionActivity::Once,
+            Self { asked: 2.., .. } => ConnectionActivity::Kept,
             // What a slow client writes next is on its way.
-            Self { slow: true, .. } => Doing::Half,
-            _ => Doing::Unasked,
+            Self { slow: true, .. } => ConnectionActivity::Half,
+            _ => ConnectionActivity::Unasked,
         }
     }
 }
@@ -111,9 +111,9 @@
     pub gate: Mutex<Gate>,
     pub eased: Condvar,
     pub outbox: Outbox,
-    pub front: Arc<dyn Serves>,
+    pub front: Arc<dyn RequestHandler>,
     pub clock: Clock,
-    pub places: Arc<Places>,
+    pub places: Arc<SharedConnectionLimiter>,
 }
 
 impl Line {
@@ -131,14 +131,14 @@
     }
 
     /// Ends the connection so that others find room, if it still does what it was chosen for; else the places hear of it.
-    pub fn make_way(self: &Arc<Self>, chosen: Doing) {
+    pub fn make_way(self: &Arc<Self>, chosen: ConnectionActivity) {
         let mut gate = lock(&self.gate);
         let (now, come) = (self.clock.now(), self.has_come());
-        let settled = chosen == Doing::Unasked || gate.since + SETTLES <= now;
+        let settled = chosen == ConnectionActivity::Unasked || gate.since + ANSWER_SETTLE_TIME <= now;
         if gate.doing() == chosen && settled && !come {
             return self.part(gate, self.front.farewell(AT_ONCE));
         }
-        gate.told = if come { Doing::Half } else { gate.doing() };
+        gate.told = if come { ConnectionActivity::Half } else { gate.doing() };
         self.places.turn(self.id.0, gate.told, now);
     }
 
@@ -150,7 +150,7 @@
         if gate.whole || gate.open > 0 || gate.over.is_some() {
             return;
         }
-        let owed = gate.reading || self.has_come() || gate.since + SETTLES <= self.clock.now();
+        let owed = gate.reading || self.has_come() || gate.since + ANSWER_SETTLE_TIME <= self.clock.now();
         let word = if owed { self.front.farewell(AT_ONCE) } else { vec![] };
         self.part(gate, word);
     }
--- a/crates/net/src/clients/outbox.rs
+++ b/crates/net/src/clients/outbox.rs
@@ -221,7 +221,7 @@
 
 /// The way of one long answer to its client. What has begun is finished, or the connection is ended in the middle of it,
 /// so that the client can tell.
-pub struct Passage {
+pub struct ResponseBody {
     line: Arc<Line>,
     ticket: u64,
     piece: Piece,
@@ -229,7 +229,7 @@
     events: Sender<Event>,
 }
 
-impl Passage {
+impl ResponseBody {
     pub(super) fn new(line: Arc<Line>, ticket: u64, events: Sender<Event>) -> Self {
         let piece = line.outbox.budget.piece();
         Self { line, ticket, piece, whole: AtomicBool::new(false), events }
@@ -269,13 +269,13 @@
     }
 }
 
-impl Drop for Passage {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         if !*self.whole.get_mut() {
             self.line.cut_short();
             // What was asked behind it can have no answer: it need not be sent on. May be the core's own thread, which must not
             // wait for itself.
-            let _ = self.events.try_send(Event::Disconnected(self.line.id));
+            let _ = self.events.try_send(Event::ClientDisconnected(self.line.id));
         }
     }
 }
--- a/crates/net/src/clients/tests.rs
+++ b/crates/net/src/clients/tests.rs
@@ -1,17 +1,17 @@
 //! Connections between a reading thread and its client, without the protocol of any front.
 
 use socket2::SockRef;
-use valehatch_connection_limits::Doing;
+use valehatch_connection_limits::ConnectionActivity;
 
 use super::*;
 
 struct Mute;
 
-impl Serves for Mute {
+impl RequestHandler for Mute {
     fn serve(&self, _: &mut Progress, _: &mut Incoming, _: &Session) -> io::Result<Talk> {
         Ok(Talk::Over)
     }
-    fn encode(&self, _: u64, _: Answer) -> Vec<u8> {
+    fn encode(&self, _: u64, _: FinalAnswer) -> Vec<u8> {
         vec![]
     }
     fn ordered(&self) -> bool {
@@ -30,7 +30,7 @@
     extra: 0,
     members: 0,
     asking: usize::MAX,
-    settles: SETTLES,
+    settles: ANSWER_SETTLE_TIME,
 };
 
 /// A connection as its reading thread has it, and the client's end of it.
@@ -41,7 +41,7 @@
     let stream = listener.accept().unwrap().0;
     stream.set_read_timeout(Some(LOOK)).unwrap();
     let clock = Clock::start();
-    let places = Places::new(clock, PLACES);
+    let places = SharedConnectionLimiter::new(clock, PLACES);
     places.enter(1, clock.now());
     let line = Arc::new(Line {
         id: ClientId(1),
@@ -74,7 +74,7 @@
     only_now(&line);
     clients.close(ClientId(1));
     assert!(lock(&line.gate).over.is_none(), "it would pass for a second answer");
-    lock(&line.gate).since = line.clock.now() - SETTLES - Span::from_millis(1);
+    lock(&line.gate).since = line.clock.now() - ANSWER_SETTLE_TIME - Span::from_millis(1);
     clients.close(ClientId(1));
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
@@ -127,26 +127,26 @@
 #[test]
 fn one_that_was_chosen_to_make_way_is_ended_only_if_it_still_idles() {
     let (line, mut incoming, mut client) = connection();
-    let settled = || lock(&line.gate).since = line.clock.now() - SETTLES - Span::from_millis(1);
+    let settled = || lock(&line.gate).since = line.clock.now() - ANSWER_SETTLE_TIME - Span::from_millis(1);
     let over = || lock(&line.gate).over.is_some();
     only_now(&line);
-    line.make_way(Doing::Once);
+    line.make_way(ConnectionActivity::Once);
     assert!(!over(), "it was answered only now");
     settled();
     client.write_all(b"ask").unwrap();
     while !line.has_come() {
         std::thread::yield_now();
     }
-    line.make_way(Doing::Once);
+    line.make_way(ConnectionActivity::Once);
     assert!(!over(), "a request has come in");
     assert_eq!(incoming.begins().unwrap(), Next::Message);
     incoming.read_exact(&mut [0; 3]).unwrap();
     settled();
-    line.make_way(Doing::Once);
+    line.make_way(ConnectionActivity::Once);
     assert!(!over(), "it is being read");
     incoming.ends();
     settled();
-    line.make_way(Doing::Once);
+    line.make_way(ConnectionActivity::Once);
     assert!(over());
     assert!(line.owe().is_err(), "what came in as it was ended does not run: it has its answer");
 }
--- a/crates/net/src/connection_limits.rs
+++ b/crates/net/src/connection_limits.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use valehatch_connection_limits::{Doing, Limits, Verdict};
+use valehatch_connection_limits::{AdmissionDecision, ConnectionActivity, Limits};
 use valehatch_policy::Time;
 
 use crate::{Clock, lock};
@@ -14,15 +14,15 @@
 const MEMBER_WAITS: Duration = Duration::from_millis(100);
 
 /// The places of a front. The lock is held for a moment only, and no other is taken under it.
-pub struct Places {
+pub struct SharedConnectionLimiter {
     clock: Clock,
-    heart: Mutex<valehatch_connection_limits::Places>,
+    heart: Mutex<valehatch_connection_limits::ConnectionLimiter>,
     freed: Condvar,
 }
 
-impl Places {
+impl SharedConnectionLimiter {
     pub fn new(clock: Clock, limits: Limits) -> Arc<Self> {
-        let heart = Mutex::new(valehatch_connection_limits::Places::new(limits));
+        let heart = Mutex::new(valehatch_connection_limits::ConnectionLimiter::new(limits));
         Arc::new(Self { clock, heart, freed: Condvar::new() })
     }
 
@@ -51,7 +51,7 @@
         lock(&self.heart).enter(now, id);
     }
 
-    pub(crate) fn turn(&self, id: u64, doing: Doing, since: Time) {
+    pub(crate) fn turn(&self, id: u64, doing: ConnectionActivity, since: Time) {
         lock(&self.heart).turn(id, doing, since);
     }
 
@@ -60,17 +60,17 @@
         self.freed.notify_all();
     }
 
-    pub(crate) fn make_way(&self) -> Option<(u64, Doing)> {
+    pub(crate) fn make_way(&self) -> Option<(u64, ConnectionActivity)> {
         lock(&self.heart).make_way(self.clock.now())
     }
 
-    pub(crate) fn ask(&self) -> Verdict {
+    pub(crate) fn ask(&self) -> AdmissionDecision {
         lock(&self.heart).ask()
     }
 
     /// A place for a connection to a member, while it is held; none where even those who idle hold too much.
     pub(crate) fn member(self: &Arc<Self>) -> Option<Member> {
-        let full = |heart: &mut valehatch_connection_limits::Places| !heart.member_enters();
+        let full = |heart: &mut valehatch_connection_limits::ConnectionLimiter| !heart.member_enters();
         let waited = self.freed.wait_timeout_while(lock(&self.heart), MEMBER_WAITS, full);
         let (_heart, waited) = waited.unwrap_or_else(PoisonError::into_inner);
         (!waited.timed_out()).then(|| Member(Arc::clone(self)))
@@ -78,7 +78,7 @@
 }
 
 /// The place of a connection to a member.
-pub(crate) struct Member(Arc<Places>);
+pub(crate) struct Member(Arc<SharedConnectionLimiter>);
 
 impl Drop for Member {
     fn drop(&mut self) {
--- a/crates/net/src/hot_restart.rs
+++ b/crates/net/src/hot_restart.rs
@@ -15,8 +15,8 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
 };
-use valehatch_hot_restart::words::{self, HEAD, Word};
-use valehatch_hot_restart::{Does, Heard, Room, Stage, Steps};
+use valehatch_hot_restart::words::{self, HEAD, HandoffMessage};
+use valehatch_hot_restart::{HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessLimits};
 
 /// How long the old process may take to hand everything over: its core is asked what it believes.
 const HAND: Duration = Duration::from_millis(1_500);
@@ -31,7 +31,7 @@
 const PEERS: usize = 4;
 
 /// What an old process handed over.
-pub struct Handed {
+pub struct InheritedState {
     /// The socket on which both take connections; `None`: the old one was told to end and has given it back.
     pub listener: Option<TcpListener>,
     /// What it knows, as a snapshot.
@@ -40,11 +40,11 @@
 }
 
 /// What came of asking.
-pub enum Asked {
+pub enum HandoffOutcome {
     /// Nobody is there: no process listens, or its end left the path behind.
     Nobody,
     /// All that it has.
-    Handed(Box<Handed>),
+    Inherited(Box<InheritedState>),
     /// Another upgrade is under way and does not end.
     Busy,
     /// Somebody is there and hands nothing over: why.
@@ -52,25 +52,25 @@
 }
 
 /// Asks at a path for what the gateway of this name has.
-pub fn ask(path: &Path, gateway: &str) -> Asked {
+pub fn ask(path: &Path, gateway: &str) -> HandoffOutcome {
     let until = Instant::now() + ASKS;
     loop {
         let line = match UnixStream::connect(path) {
             Ok(line) => line,
             Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
-                return Asked::Nobody;
+                return HandoffOutcome::Nobody;
             }
             // A signal for this process: what it asks for is done once the start is through.
             Err(e) if e.kind() == ErrorKind::Interrupted && Instant::now() < until => continue,
-            Err(e) => return Asked::Silent(format!("{}: {e}", path.display()), None),
+            Err(e) => return HandoffOutcome::Silent(format!("{}: {e}", path.display()), None),
         };
         match handed(&line, gateway) {
             Ok(Some((listener, snapshot))) => {
-                return Asked::Handed(Box::new(Handed { listener, snapshot, line }));
+                return HandoffOutcome::Inherited(Box::new(InheritedState { listener, snapshot, line }));
             }
             Ok(None) if Instant::now() < until => std::thread::sleep(AGAIN),
-            Ok(None) => return Asked::Busy,
-            Err(e) => return Asked::Silent(e.to_string(), Some(line)),
+            Ok(None) => return HandoffOutcome::Busy,
+            Err(e) => return HandoffOutcome::Silent(e.to_string(), Some(line)),
         }
     }
 }
@@ -79,7 +79,7 @@
 fn handed(line: &UnixStream, gateway: &str) -> io::Result<Option<(Option<TcpListener>, Vec<u8>)>> {
     line.set_read_timeout(Some(HAND))?;
     line.set_write_timeout(Some(STUCK))?;
-    (&*line).write_all(&words::encode(&Word::Ask(gateway.to_owned())))?;
+    (&*line).write_all(&words::encode(&HandoffMessage::Ask(gateway.to_owned())))?;
     // The socket comes along with the first byte of the word.
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut came = RecvAncillaryBuffer::new(&mut space);
@@ -99,8 +99,8 @@
     }
     (&*line).read_exact(&mut head[got.bytes..])?;
     match (body(line, head)?, sockets.pop()) {
-        (Word::Take(snapshot), socket) => Ok(Some((socket.map(TcpListener::from), snapshot))),
-        (Word::Busy, _) => Ok(None),
+        (HandoffMessage::Take(snapshot), socket) => Ok(Some((socket.map(TcpListener::from), snapshot))),
+        (HandoffMessage::Busy, _) => Ok(None),
         (other, _) => Err(invalid(format!("{other:?} where a socket was to come"))),
     }
 }
@@ -109,7 +109,7 @@
     io::Error::new(ErrorKind::InvalidData, what)
 }
 
-fn body(from: &UnixStream, head: [u8; HEAD]) -> io::Result<Word> {
+fn body(from: &UnixStream, head: [u8; HEAD]) -> io::Result<HandoffMessage> {
     let length = words::length(head).map_err(invalid)?;
     let mut bytes = vec![];
     if Read::take(from, length as u64).read_to_end(&mut bytes)? < length {
@@ -118,20 +118,20 @@
     words::decode(&bytes).map_err(invalid)
 }
 
-fn hear(from: &UnixStream) -> io::Result<Word> {
+fn hear(from: &UnixStream) -> io::Result<HandoffMessage> {
     let mut head = [0; HEAD];
     (&*from).read_exact(&mut head)?;
     body(from, head)
 }
 
 /// What the process does when a step says so.
-pub trait Hands: Send + 'static {
+pub trait HandoffHandler: Send + 'static {
     /// What this process holds now.
-    fn holds(&self) -> Room;
+    fn holds(&self) -> ProcessLimits;
     /// What it knows, as a snapshot; may take some milliseconds.
     fn snapshot(&self) -> Option<Vec<u8>>;
     /// It takes up no more than that, and divides what a fleet shares by so many processes for each gateway.
-    fn share(&self, room: Room, processes: u32);
+    fn share(&self, room: ProcessLimits, processes: u32);
     /// Discovery told the other process of a list: what that holds now.
     fn hear(&self, list: &[u8]);
     /// It takes no connections any more; `left`: what waits in its queue is taken by the new one, from the same socket.
@@ -139,7 +139,7 @@
 }
 
 enum Event {
-    Heard(Heard),
+    Handoff(HandoffEvent),
     Came(u64, UnixStream),
     /// Discovery told this process of a list, or the other one.
     Told(Vec<u8>),
@@ -152,16 +152,16 @@
     pub gateway: String,
     /// The socket that is handed on; given back with a planned stop.
     pub listener: Option<TcpListener>,
-    pub whole: Room,
+    pub whole: ProcessLimits,
 }
 
 /// Tells the upgrade of a planned stop.
 #[derive(Clone)]
-pub struct Stops(Sender<Event>);
+pub struct HandoffHandle(Sender<Event>);
 
-impl Stops {
+impl HandoffHandle {
     pub fn stop(&self) {
-        let _ = self.0.try_send(Event::Heard(Heard::Stop));
+        let _ = self.0.try_send(Event::Handoff(HandoffEvent::Stop));
     }
 
     /// Discovery told this process of a list: the other one is told what it holds now.
@@ -172,8 +172,8 @@
 
 struct Thread {
     upgrade: Upgrade,
-    hands: Box<dyn Hands>,
-    steps: Steps,
+    hands: Box<dyn HandoffHandler>,
+    steps: HandoffStateMachine,
     events: Sender<Event>,
     /// The process that handed over to this one, and the one at a time that this one has handed over to.
     old: Option<UnixStream>,
@@ -182,7 +182,7 @@
     along: bool,
     listens: bool,
     /// What the log was told last.
-    stage: Option<std::mem::Discriminant<Stage>>,
+    stage: Option<std::mem::Discriminant<HandoffStage>>,
 }
 
 impl Upgrade {
@@ -191,34 +191,34 @@
     ///
     /// # Errors
     /// There is no thread for it.
-    pub fn start(self, old: Option<UnixStream>, hands: Box<dyn Hands>) -> io::Result<Stops> {
+    pub fn start(self, old: Option<UnixStream>, hands: Box<dyn HandoffHandler>) -> io::Result<HandoffHandle> {
         let (events, inbox) = bounded(64);
-        let steps = Steps::new(self.whole, old.is_some());
+        let steps = HandoffStateMachine::new(self.whole, old.is_some());
         let tells = old.as_ref().map(UnixStream::try_clone).transpose()?;
         if let Some(old) = old {
             // It takes the path back if this process ends, so it is told first.
             old.set_read_timeout(None)?;
             old.set_write_timeout(Some(STUCK))?;
-            let _ = (&old).write_all(&words::encode(&Word::Ready));
+            let _ = (&old).write_all(&words::encode(&HandoffMessage::Ready));
             let events = events.clone();
             super::spawn("handover", move || {
                 while let Ok(word) = hear(&old) {
                     let heard = match word {
-                        Word::List(list) => {
+                        HandoffMessage::List(list) => {
                             let _ = events.send(Event::Hear(list));
                             continue;
                         }
-                        Word::Held(holds) => Heard::Old { holds, grows: true },
-                        Word::Leaves(holds) => Heard::Old { holds, grows: false },
+                        HandoffMessage::Held(holds) => HandoffEvent::Old { holds, grows: true },
+                        HandoffMessage::Leaves(holds) => HandoffEvent::Old { holds, grows: false },
                         // One that hung hands everything over after all: too late.
                         _ => continue,
                     };
-                    let _ = events.send(Event::Heard(heard));
+                    let _ = events.send(Event::Handoff(heard));
                 }
-                let _ = events.send(Event::Heard(Heard::OldGone));
+                let _ = events.send(Event::Handoff(HandoffEvent::OldGone));
             })?;
         }
-        let stops = Stops(events.clone());
+        let stops = HandoffHandle(events.clone());
         let mut thread = Thread {
             upgrade: self,
             hands,
@@ -243,56 +243,59 @@
         let mut out = vec![];
         loop {
             match inbox.recv_timeout(LOOK) {
-                Ok(Event::Heard(heard)) => {
+                Ok(Event::Handoff(heard)) => {
                     match heard {
                         // What waits in its queue is nobody's if this keeps it open.
-                        Heard::Stop => self.upgrade.listener = None,
-                        Heard::Gone(peer) => drop(self.new.take_if(|(new, _)| *new == peer)),
-                        Heard::OldGone => self.old = None,
+                        HandoffEvent::Stop => self.upgrade.listener = None,
+                        HandoffEvent::Gone(peer) => drop(self.new.take_if(|(new, _)| *new == peer)),
+                        HandoffEvent::OldGone => self.old = None,
                         _ => {}
                     }
                     self.steps.take(heard, &mut out);
                 }
                 Ok(Event::Came(peer, line)) => {
-                    let heard = Heard::Asked(peer);
+                    let heard = HandoffEvent::Asked(peer);
                     let before = self.new.replace((peer, line));
                     self.steps.take(heard, &mut out);
-                    if out.contains(&Does::TurnAway(peer))
+                    if out.contains(&HandoffAction::TurnAway(peer))
                         && let Some((_, line)) = std::mem::replace(&mut self.new, before)
                     {
-                        let _ = (&line).write_all(&words::encode(&Word::Busy));
+                        let _ = (&line).write_all(&words::encode(&HandoffMessage::Busy));
                     }
                 }
                 Ok(Event::Told(list)) => {
-                    let word = words::encode(&Word::List(list));
+                    let word = words::encode(&HandoffMessage::List(list));
                     let others = self.old.iter().chain(self.new.iter().map(|(_, line)| line));
                     others.for_each(|mut line| drop(line.write_all(&word)));
                 }
                 Ok(Event::Hear(list)) => self.hands.hear(&list),
-                Err(RecvTimeoutError::Timeout) => self.steps.take(Heard::Tick(self.hands.holds()), &mut out),
+                Err(RecvTimeoutError::Timeout) => {
+                    self.steps.take(HandoffEvent::Tick(self.hands.holds()), &mut out)
+                }
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.carry_out(&mut out);
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Does>) {
+    fn carry_out(&mut self, out: &mut Vec<HandoffAction>) {
         for does in std::mem::take(out) {
             match does {
-                Does::Hand(peer) => {
+                HandoffAction::Hand(peer) => {
                     if let Err(e) = self.hand() {
                         tracing::warn!("upgrade: nothing could be handed over: {e}");
-                        let _ = self.events.try_send(Event::Heard(Heard::Gone(peer)));
+                        let _ = self.events.try_send(Event::Handoff(HandoffEvent::Gone(peer)));
                     }
                 }
-                Does::TurnAway(_) => tracing::info!("upgrade: another one is told to ask again"),
-                Does::Tell { holds, grows, .. } => {
-                    let word = if grows { Word::Held(holds) } else { Word::Leaves(holds) };
+                HandoffAction::TurnAway(_) => tracing::info!("upgrade: another one is told to ask again"),
+                HandoffAction::Tell { holds, grows, .. } => {
+                    let word =
+                        if grows { HandoffMessage::Held(holds) } else { HandoffMessage::Leaves(holds) };
                     if let Some((_, line)) = &self.new {
                         let _ = (&*line).write_all(&words::encode(&word));
                     }
                 }
-                Does::Share { room, processes } => {
+                HandoffAction::Share { room, processes } => {
                     let stage = std::mem::discriminant(&self.steps.stage());
                     if self.stage.replace(stage) != Some(stage) {
                         let (descriptors, mb) = (room.descriptors, room.bytes >> 20);
@@ -302,11 +305,11 @@
                     }
                     self.hands.share(room, processes);
                 }
-                Does::Leave => {
+                HandoffAction::Leave => {
                     tracing::info!("upgrade: the new process takes the connections from here on");
                     self.hands.leave(self.along);
                 }
-                Does::Own => {
+                HandoffAction::Own => {
                     if let Err(e) = self.own() {
                         tracing::warn!("upgrade: nobody can ask at {}: {e}", self.upgrade.path.display());
                     }
@@ -318,7 +321,7 @@
     fn hand(&mut self) -> io::Result<()> {
         let Some((_, line)) = &self.new else { return Err(ErrorKind::NotConnected.into()) };
         let snapshot = self.hands.snapshot().unwrap_or_default();
-        let bytes = words::encode(&Word::Take(snapshot));
+        let bytes = words::encode(&HandoffMessage::Take(snapshot));
         line.set_write_timeout(Some(STUCK))?;
         let sockets: Vec<_> = self.upgrade.listener.iter().map(AsFd::as_fd).collect();
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -378,7 +381,7 @@
             if let Err(e) = attend(peer, &line, &gateway, &events) {
                 tracing::info!("upgrade: who asked has gone: {e}");
             }
-            let _ = events.send(Event::Heard(Heard::Gone(peer)));
+            let _ = events.send(Event::Handoff(HandoffEvent::Gone(peer)));
             drop(heard);
         });
         if began.is_err() {
@@ -390,8 +393,8 @@
 fn attend(peer: u64, line: &UnixStream, gateway: &str, events: &Sender<Event>) -> io::Result<()> {
     line.set_read_timeout(Some(HAND))?;
     match hear(line)? {
-        Word::Ask(name) if name == gateway => {}
-        Word::Ask(name) => return Err(invalid(format!("it is the gateway {name:?}"))),
+        HandoffMessage::Ask(name) if name == gateway => {}
+        HandoffMessage::Ask(name) => return Err(invalid(format!("it is the gateway {name:?}"))),
         other => return Err(invalid(format!("{other:?} where it was to ask"))),
     }
     line.set_read_timeout(None)?;
@@ -399,14 +402,16 @@
     events.send(Event::Came(peer, line.try_clone()?)).map_err(closed)?;
     loop {
         match hear(line)? {
-            Word::Ready => events.send(Event::Heard(Heard::Ready(peer))).map_err(closed)?,
-            Word::List(list) => events.send(Event::Hear(list)).map_err(closed)?,
+            HandoffMessage::Ready => {
+                events.send(Event::Handoff(HandoffEvent::Ready(peer))).map_err(closed)?
+            }
+            HandoffMessage::List(list) => events.send(Event::Hear(list)).map_err(closed)?,
             other => return Err(invalid(format!("{other:?} from the new process"))),
         }
     }
 }
 
-impl Handed {
+impl InheritedState {
     /// The socket, and the line to the old process for as long as that lives.
     #[must_use]
     pub fn parts(self) -> (Option<TcpListener>, UnixStream) {
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -17,11 +17,11 @@
 use valehatch_core::Event;
 use valehatch_membership::view::{Change, Reason};
 use valehatch_membership::wire::Phase;
-use valehatch_membership::{Effect, Membership, Note, Settings};
+use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::peers as lists;
 
-use crate::list::Taker;
+use crate::list::EndpointListStore;
 use crate::lock;
 
 /// Bytes of a datagram at the most.
@@ -68,10 +68,10 @@
 }
 
 /// The fronts whose lists are asked of others, and told to them: name, and what takes their lists in.
-pub type Lists = Vec<(Arc<str>, Arc<Mutex<Taker>>)>;
+pub type Lists = Vec<(Arc<str>, Arc<Mutex<EndpointListStore>>)>;
 
 /// The link, and the membership that speaks on it.
-pub struct Link {
+pub struct GossipTransport {
     socket: UdpSocket,
     peers: Peers,
     heart: Mutex<Membership>,
@@ -85,7 +85,7 @@
     pub dropped: Dropped,
 }
 
-impl Link {
+impl GossipTransport {
     /// Listens, and speaks from then on until the program ends. Whenever the size of the fleet changes, `cores` and `fleet`
     /// are told.
     ///
@@ -188,7 +188,7 @@
             let share = lock(&self.heart).share(true);
             if self.fleet.swap(share, Ordering::Relaxed) != share {
                 tracing::info!("peers: what is shared is divided by {share}");
-                self.cores.iter().for_each(|core| drop(core.send(Event::Routers(share))));
+                self.cores.iter().for_each(|core| drop(core.send(Event::GatewayCount(share))));
             }
         }
     }
@@ -265,8 +265,8 @@
         for effect in out {
             match effect {
                 Effect::Send { to, bytes } => self.send(MEMBERSHIP, to, &bytes),
-                Effect::Note(note) => {
-                    if matches!(note, Note::Slept(_)) {
+                Effect::Event(note) => {
+                    if matches!(note, MembershipEvent::Slept(_)) {
                         // The clock by which lists are dated may have stood still too.
                         self.takers.iter().for_each(|(_, taker)| lock(taker).doubt());
                     }
@@ -291,28 +291,32 @@
     parts.next().unwrap_or(0) << 8 | parts.next().unwrap_or(0)
 }
 
-fn say(note: Note) {
+fn say(note: MembershipEvent) {
     match note {
-        Note::Joined(peer) => tracing::info!("peers: {peer} is there"),
-        Note::Restarted(peer) => tracing::info!("peers: {peer} has started anew"),
-        Note::Suspected(peer) => tracing::info!("peers: {peer} does not answer"),
-        Note::Cleared(peer) => tracing::info!("peers: {peer} answers after all"),
-        Note::Failed(peer) => tracing::warn!("peers: {peer} counts as dead"),
-        Note::Left(peer) => tracing::info!("peers: {peer} has ended as planned"),
-        Note::Slept(span) => tracing::warn!("peers: this gateway stood still for {} ms", span.0 / 1000),
-        Note::Refuted => tracing::info!("peers: was taken for gone or for a former self, and says otherwise"),
-        Note::Namesake(life) => tracing::warn!(
+        MembershipEvent::Joined(peer) => tracing::info!("peers: {peer} is there"),
+        MembershipEvent::Restarted(peer) => tracing::info!("peers: {peer} has started anew"),
+        MembershipEvent::Suspected(peer) => tracing::info!("peers: {peer} does not answer"),
+        MembershipEvent::Cleared(peer) => tracing::info!("peers: {peer} answers after all"),
+        MembershipEvent::Failed(peer) => tracing::warn!("peers: {peer} counts as dead"),
+        MembershipEvent::Left(peer) => tracing::info!("peers: {peer} has ended as planned"),
+        MembershipEvent::Slept(span) => {
+            tracing::warn!("peers: this gateway stood still for {} ms", span.0 / 1000)
+        }
+        MembershipEvent::Refuted => {
+            tracing::info!("peers: was taken for gone or for a former self, and says otherwise")
+        }
+        MembershipEvent::Namesake(life) => tracing::warn!(
             "peers: another gateway has this one's address (start {} of it): give each its own",
             life.number
         ),
-        Note::Settled(view) => tracing::info!(
+        MembershipEvent::Settled(view) => tracing::info!(
             "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
             view.members,
             view.digest,
             view.settled.map_or(0, |at| (at - view.held).0 / 1000)
         ),
-        Note::Unsettled => tracing::info!("peers: the view is not settled"),
-        Note::Synced => tracing::info!("peers: all that another gateway knew is known here"),
+        MembershipEvent::Unsettled => tracing::info!("peers: the view is not settled"),
+        MembershipEvent::Synced => tracing::info!("peers: all that another gateway knew is known here"),
     }
 }
 
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -12,8 +12,12 @@
 use serde_json::Value;
 use valehatch_backoff::Backoff;
 use valehatch_config::{Site, number};
-use valehatch_policy::{Entry, GroupId, KindId, ListMode, NodeId, NodeState, Span, Time, ZoneId};
-use valehatch_recovery::book::{Ahead, Book, Listed, TOLD, TOLD_AFTER_WAIT};
+use valehatch_policy::{
+    DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Span, Time, ZoneId,
+};
+use valehatch_recovery::book::{
+    DiscoveredEndpoint, EndpointListCache, ForwardedListGuard, TOLD, TOLD_AFTER_WAIT,
+};
 
 use super::servers::place_ms;
 use crate::Clock;
@@ -21,7 +25,7 @@
 use crate::call::{Call, Line, Patience, first};
 use crate::http::Answer;
 use crate::lock;
-use valehatch_core::{Event, Member};
+use valehatch_core::{Event, ListedEndpoint};
 
 /// How often all gateways together may call a discovery that has no news: one service answers them all.
 const CALLS_S: u32 = 5;
@@ -47,26 +51,26 @@
 struct List {
     rev: u64,
     all: bool,
-    targets: Vec<Listed>,
+    targets: Vec<DiscoveredEndpoint>,
 }
 
 /// What takes lists in, whoever tells them, and hands them to the core.
-pub struct Taker {
+pub struct EndpointListStore {
     site: Site,
     clock: Clock,
     events: Sender<Event>,
-    ids: HashMap<String, NodeId>,
+    ids: HashMap<String, EndpointId>,
     /// The list as it is held.
-    book: Book,
+    book: EndpointListCache,
     /// When discovery itself has confirmed it.
     confirmed_at: Option<Time>,
     /// How far the other process of this gateway has brought it.
-    ahead: Option<Ahead>,
+    ahead: Option<ForwardedListGuard>,
 }
 
-impl Taker {
+impl EndpointListStore {
     /// What is held, and when discovery confirmed it, if it has.
-    pub const fn held(&self) -> (&Book, Option<Time>) {
+    pub const fn held(&self) -> (&EndpointListCache, Option<Time>) {
         (&self.book, self.confirmed_at)
     }
 
@@ -82,9 +86,9 @@
 
     /// Takes what discovery told the other process of this gateway, if that is more than is held: the two are one gateway, which
     /// has been told.
-    pub fn hear(&mut self, book: &Book) {
+    pub fn hear(&mut self, book: &EndpointListCache) {
         if let Some(told) = book.told.filter(|_| book.is_ahead_of(&self.book)) {
-            self.ahead = Ahead::of(book, self.clock.now());
+            self.ahead = ForwardedListGuard::of(book, self.clock.now());
             self.take(told.0, List { rev: told.1, all: true, targets: book.members().cloned().collect() });
         }
     }
@@ -106,7 +110,7 @@
     }
 
     /// Takes a list that somebody else than discovery told, unless one is held.
-    pub fn guess(&mut self, listed: Vec<Listed>, told: (SocketAddr, u64)) -> bool {
+    pub fn guess(&mut self, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64)) -> bool {
         let none = self.book.told.is_none();
         if none {
             self.take(told.0, List { rev: told.1, all: true, targets: listed });
@@ -123,7 +127,7 @@
     /// A service elsewhere, which pushes its lists.
     Pushes,
     /// One service that all gateways ask, and that answers so many a second: a call waits for its turn.
-    Asked,
+    Poll,
 }
 
 /// How the teller is asked.
@@ -140,7 +144,7 @@
 
 impl Terms {
     fn of(teller: Teller, site: &Site) -> Self {
-        let within = site.settings.rules.ask_within;
+        let within = site.settings.rules.max_poll_interval;
         // Whatever failed before, what discovery has counts as told in the end: the next call has to go out as much
         // earlier as its answer may take.
         let room = (TOLD - TOLD_AFTER_WAIT).min(within.times(0.4));
@@ -156,7 +160,7 @@
             }
             // Hanging up on a call that waits for its turn only wastes it. The first bound is what the fleet takes for a
             // call each.
-            Teller::Asked => {
+            Teller::Poll => {
                 let turn = duration(within.times(0.25).min(room));
                 let round = valehatch_backoff::round(site.settings.routers, CALLS_S).min(room);
                 let whole = Patience { late: turn, pieces: turn, end: turn };
@@ -170,7 +174,7 @@
 /// Watches the list.
 pub struct Watch {
     place: Arc<Place>,
-    taker: Arc<Mutex<Taker>>,
+    taker: Arc<Mutex<EndpointListStore>>,
     teller: Teller,
     clock: Clock,
     /// Gateways that ask the same service.
@@ -180,7 +184,7 @@
     /// Called whenever discovery itself has confirmed the list.
     confirmed: Box<dyn Fn() + Send>,
     /// Called with all that is held whenever discovery itself has changed it.
-    changed: Box<dyn Fn(Book) + Send>,
+    changed: Box<dyn Fn(EndpointListCache) + Send>,
 }
 
 /// What discovery has told, in a call from a version on or for the whole list.
@@ -230,21 +234,22 @@
         fleet: Arc<AtomicU32>,
         seed: u64,
     ) -> Self {
-        let teller = match site.settings.list_mode {
-            ListMode::Asked => Teller::Asked,
-            ListMode::Pushed if own => Teller::Agent,
-            ListMode::Pushed => Teller::Pushes,
+        let teller = match site.settings.discovery_mode {
+            DiscoveryMode::Poll => Teller::Poll,
+            DiscoveryMode::Watch if own => Teller::Agent,
+            DiscoveryMode::Watch => Teller::Pushes,
         };
         let terms = Terms::of(teller, &site);
         let pace = Backoff::new(terms.pauses.0, terms.pauses.1, seed);
-        let (ids, book, confirmed_at, ahead) = (HashMap::new(), Book::default(), None, None);
-        let taker = Arc::new(Mutex::new(Taker { site, clock, events, ids, book, confirmed_at, ahead }));
+        let (ids, book, confirmed_at, ahead) = (HashMap::new(), EndpointListCache::default(), None, None);
+        let taker =
+            Arc::new(Mutex::new(EndpointListStore { site, clock, events, ids, book, confirmed_at, ahead }));
         let (confirmed, changed) = (Box::new(|| {}), Box::new(drop));
         Self { place, taker, teller, clock, fleet, terms, pace, confirmed, changed }
     }
 
     /// What takes the lists in.
-    pub fn taker(&self) -> Arc<Mutex<Taker>> {
+    pub fn taker(&self) -> Arc<Mutex<EndpointListStore>> {
         Arc::clone(&self.taker)
     }
 
@@ -257,13 +262,13 @@
 
     /// Tells of each change that discovery has made, with all that is held after it.
     #[must_use]
-    pub fn passing(mut self, changed: impl Fn(Book) + Send + 'static) -> Self {
+    pub fn passing(mut self, changed: impl Fn(EndpointListCache) + Send + 'static) -> Self {
         self.changed = Box::new(changed);
         self
     }
 
     /// Takes the list as it was held before the last stop, then watches: from there on if the same discovery told it.
-    pub fn resume(self, listed: Vec<Listed>, told: (SocketAddr, u64)) -> io::Result<()> {
+    pub fn resume(self, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64)) -> io::Result<()> {
         let rev = lock(&self.taker).take(told.0, List { rev: told.1, all: true, targets: listed });
         let held = (told.0 == self.place.address()).then_some((told.0, rev));
         super::spawn("list", move || self.run(held))
@@ -289,7 +294,7 @@
 
     fn run(mut self, mut told: Option<(SocketAddr, u64)>) {
         let (mut out, mut line, mut trouble) = (vec![], None::<Line>, Trouble::default());
-        if self.teller == Teller::Asked {
+        if self.teller == Teller::Poll {
             let pause = self.pace.start();
             self.place.rest(self.place.address(), duration(pause));
         }
@@ -387,7 +392,7 @@
     }
 }
 
-impl Taker {
+impl EndpointListStore {
     fn take(&mut self, from: SocketAddr, list: List) -> u64 {
         self.book.take(from, list.rev, list.all, &list.targets);
         // No news: the core need not be told of every call.
@@ -397,20 +402,20 @@
         // Names come and go all day: those that the list no longer holds are forgotten with it.
         let named: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
         self.ids.retain(|uid, _| !list.all || named.contains(uid.as_str()));
-        let left = |t: &&Listed| t.state == "left";
+        let left = |t: &&DiscoveredEndpoint| t.state == "left";
         let gone: Vec<String> = list.targets.iter().filter(left).map(|t| t.uid.clone()).collect();
         let members = list.targets.into_iter().filter_map(|t| self.member(t)).collect();
         self.ids.retain(|uid, _| !gone.contains(uid));
-        let _ = self.events.send(Event::List { complete: list.all, members });
+        let _ = self.events.send(Event::EndpointList { complete: list.all, members });
         list.rev
     }
 
     #[allow(clippy::cast_possible_truncation)]
-    fn member(&mut self, target: Listed) -> Option<Member> {
+    fn member(&mut self, target: DiscoveredEndpoint) -> Option<ListedEndpoint> {
         let state = match target.state.as_str() {
-            "active" => NodeState::Ready,
-            "leaving" => NodeState::Draining,
-            "left" => NodeState::Gone,
+            "active" => EndpointState::Ready,
+            "leaving" => EndpointState::Draining,
+            "left" => EndpointState::Removed,
             other => {
                 tracing::warn!("discovery: {} has the unknown state {other:?}", target.uid);
                 return None;
@@ -419,11 +424,11 @@
         let name = Arc::from(target.uid.as_str());
         let place =
             |all: &[String], name: &str| all.iter().position(|n| n == name).map_or(u8::MAX, |n| n as u8);
-        Some(Member {
-            entry: Entry {
+        Some(ListedEndpoint {
+            entry: EndpointRecord {
                 zone: ZoneId(place(&self.site.zones, &target.az)),
                 kind: KindId(place(&self.site.kinds, &target.model)),
-                node: self.id(target.uid),
+                endpoint: self.id(target.uid),
                 group: GroupId(target.pod_group),
                 weight: target.capacity_hint,
                 started: (target.boot_ms > 0.0).then(|| place_ms(self.clock, target.boot_ms)),
@@ -436,13 +441,13 @@
     }
 
     /// The same number for the same uid at every gateway, but where two fall together.
-    fn id(&mut self, uid: String) -> NodeId {
+    fn id(&mut self, uid: String) -> EndpointId {
         if let Some(id) = self.ids.get(&uid) {
             return *id;
         }
         let mut id = number(&uid);
         while self.ids.values().any(|known| *known == id) {
-            id = NodeId(id.0.wrapping_add(1));
+            id = EndpointId(id.0.wrapping_add(1));
         }
         self.ids.insert(uid, id);
         id
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -9,22 +9,22 @@
 use crossbeam_channel::Sender;
 use tracing::{info, warn};
 use valehatch_config::operators::{Fixed, Members, Operators};
-use valehatch_core::{Event, Member};
+use valehatch_core::{Event, ListedEndpoint};
 
 /// How often the file is looked at: well within the grace that a drain leaves.
 const LOOK: Duration = Duration::from_millis(100);
 
 fn list(members: &[Fixed]) -> Event {
-    let member = |m: &Fixed| Member {
+    let member = |m: &Fixed| ListedEndpoint {
         entry: m.entry.clone(),
         name: Arc::clone(&m.name),
         address: Arc::from(m.address.to_string()),
     };
-    Event::List { complete: true, members: members.iter().map(member).collect() }
+    Event::EndpointList { complete: true, members: members.iter().map(member).collect() }
 }
 
 /// A front whose members the file names.
-pub struct Named {
+pub struct ConfiguredEndpoints {
     /// Its name in the file.
     pub front: Arc<str>,
     /// Its core.
@@ -36,7 +36,7 @@
 pub fn watch(
     path: PathBuf,
     first: &Operators,
-    fronts: Vec<Named>,
+    fronts: Vec<ConfiguredEndpoints>,
     again: Arc<AtomicBool>,
     reread: impl Fn(Operators) + Send + 'static,
 ) -> std::io::Result<()> {
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/servers.rs
@@ -12,14 +12,14 @@
 use crossbeam_channel::{Sender, bounded};
 use socket2::SockRef;
 use valehatch_policy::{Outcome, Role, Span, Time};
-use valehatch_request_log::Figures;
+use valehatch_request_log::OutcomeMetrics;
 
 use crate::Clock;
-use crate::clients::{BUFFER, Passage};
-use crate::connection_limits::{Member, Places};
+use crate::clients::{BUFFER, ResponseBody};
+use crate::connection_limits::{Member, SharedConnectionLimiter};
 use crate::lock;
-use valehatch_core::cluster_clock::{ClusterClock, Told};
-use valehatch_core::{ConnId, Event, Job, Reply};
+use valehatch_core::cluster_clock::{ClockSample, ClusterClock};
+use valehatch_core::{ConnectionId, Event, UpstreamJob, UpstreamReply};
 
 /// How long a connect that fails for want of something on this machine is tried again, and the first pause: each is twice
 /// the one before.
@@ -31,30 +31,36 @@
 const OLDEST_POSITION: Span = Span::from_millis(86_400_000);
 
 /// Opens the way of an answer to its client. What is not finished on it is cut when the last hold on it goes.
-pub type Begin<'a> = &'a dyn Fn() -> Option<Arc<Passage>>;
+pub type Begin<'a> = &'a dyn Fn() -> Option<Arc<ResponseBody>>;
 
 /// A session with a server, in the protocol of one front.
-pub trait Speaks: Send + Sync + 'static {
+pub trait Protocol: Send + Sync + 'static {
     /// Makes a new connection ready for requests.
     fn open(&self, stream: &TcpStream) -> Result<(), Outcome>;
     /// The bytes of a job; `left` is how long the gateway will wait, in milliseconds.
-    fn request(&self, job: &Job, left_ms: i64) -> Vec<u8>;
+    fn request(&self, job: &UpstreamJob, left_ms: i64) -> Vec<u8>;
     /// Reads the whole answer to what was sent; the flag tells whether the connection can carry another request. One that
     /// is too long to be held goes the way that `begin` opens (`None` if nobody waits for it any more) but for its last
     /// bytes, which are the reply's body and are written once the core knows that the connection is free.
-    fn answer(&self, stream: &TcpStream, job: &Job, sent: &[u8], begin: Begin) -> (Reply, bool);
+    fn answer(
+        &self,
+        stream: &TcpStream,
+        job: &UpstreamJob,
+        sent: &[u8],
+        begin: Begin,
+    ) -> (UpstreamReply, bool);
 }
 
 /// All connections to servers, as the core's thread uses them: it never waits for any of them.
 pub trait Upstream: Send {
     /// A connection that the core will use; nothing need be opened before it carries something.
-    fn connect(&mut self, conn: ConnId, address: &Arc<str>);
+    fn connect(&mut self, conn: ConnectionId, address: &Arc<str>);
     /// A connection is to carry this; it carries nothing else meanwhile.
-    fn submit(&mut self, conn: ConnId, job: Job);
+    fn submit(&mut self, conn: ConnectionId, job: UpstreamJob);
     /// The answer that has begun on a connection goes this way; if there is none, the client is gone.
-    fn pass(&mut self, _conn: ConnId, _way: Option<Passage>) {}
+    fn pass(&mut self, _conn: ConnectionId, _way: Option<ResponseBody>) {}
     /// Ends a connection, whatever it carries.
-    fn close(&mut self, conn: ConnId);
+    fn close(&mut self, conn: ConnectionId);
     /// The turn is over: what was put together in it leaves now.
     fn flush(&mut self) {}
 }
@@ -65,7 +71,7 @@
     ended: bool,
     stream: Option<Arc<Kept>>,
     /// Who waits for the way of an answer that has begun.
-    waits: Option<Sender<Passage>>,
+    waits: Option<Sender<ResponseBody>>,
 }
 
 /// A connection that is up, with its place: it is given back behind the descriptor.
@@ -79,25 +85,25 @@
 }
 
 /// All connections to servers.
-pub struct Servers {
-    protocol: Arc<dyn Speaks>,
+pub struct EndpointPools {
+    protocol: Arc<dyn Protocol>,
     events: Sender<Event>,
     clock: Clock,
     connect_timeout: Duration,
     /// Positions count only once primaries have confirmed this machine's clock.
     verifies: bool,
-    figures: Option<Arc<Figures>>,
-    places: Arc<Places>,
-    handles: HashMap<ConnId, Arc<Link>>,
+    figures: Option<Arc<OutcomeMetrics>>,
+    places: Arc<SharedConnectionLimiter>,
+    handles: HashMap<ConnectionId, Arc<GossipTransport>>,
 }
 
-impl Servers {
+impl EndpointPools {
     pub fn new(
-        protocol: Arc<dyn Speaks>,
+        protocol: Arc<dyn Protocol>,
         events: Sender<Event>,
         clock: Clock,
         timeout: Duration,
-        places: Arc<Places>,
+        places: Arc<SharedConnectionLimiter>,
     ) -> Self {
         let (figures, handles) = (None, HashMap::new());
         let verifies = false;
@@ -114,16 +120,16 @@
 
     /// Counts attempts there whose last byte was written.
     #[must_use]
-    pub fn counting(mut self, figures: Option<Arc<Figures>>) -> Self {
+    pub fn counting(mut self, figures: Option<Arc<OutcomeMetrics>>) -> Self {
         self.figures = figures;
         self
     }
 }
 
-impl Upstream for Servers {
+impl Upstream for EndpointPools {
     /// Notes a connection; it connects when the first job comes.
-    fn connect(&mut self, conn: ConnId, address: &Arc<str>) {
-        let link = Link {
+    fn connect(&mut self, conn: ConnectionId, address: &Arc<str>) {
+        let link = GossipTransport {
             conn,
             address: address.parse().ok(),
             protocol: Arc::clone(&self.protocol),
@@ -141,19 +147,19 @@
 
     /// Hands a job of an idle connection to a thread: one that stands idle has none, since a gateway of a large fleet
     /// holds a connection to nearly every server and uses each seldom.
-    fn submit(&mut self, conn: ConnId, job: Job) {
+    fn submit(&mut self, conn: ConnectionId, job: UpstreamJob) {
         let Some(link) = self.handles.get(&conn).map(Arc::clone) else { return };
         if let Err(e) = super::spawn("server", move || link.run(&job)) {
             tracing::warn!("no thread for a connection to a server: {e}");
-            let reply = Reply::bare(Outcome::LocalFailure);
+            let reply = UpstreamReply::bare(Outcome::LocalFailure);
             // The core's own thread: its queue must not be waited for.
-            if self.events.try_send(Event::Ended { conn, reply, reusable: false }).is_err() {
+            if self.events.try_send(Event::AttemptEnded { conn, reply, reusable: false }).is_err() {
                 tracing::warn!("the core's queue is full: an outcome waits for its time-out");
             }
         }
     }
 
-    fn pass(&mut self, conn: ConnId, way: Option<Passage>) {
+    fn pass(&mut self, conn: ConnectionId, way: Option<ResponseBody>) {
         let waits = self.handles.get(&conn).and_then(|link| lock(&link.line).waits.take());
         if let (Some(waits), Some(way)) = (waits, way) {
             let _ = waits.send(way);
@@ -161,7 +167,7 @@
     }
 
     /// Ends a connection, whatever it carries.
-    fn close(&mut self, conn: ConnId) {
+    fn close(&mut self, conn: ConnectionId) {
         let Some(link) = self.handles.remove(&conn) else { return };
         let mut line = lock(&link.line);
         (line.ended, line.waits) = (true, None);
@@ -172,23 +178,23 @@
 }
 
 /// A connection, which carries one job at a time.
-struct Link {
-    conn: ConnId,
+struct GossipTransport {
+    conn: ConnectionId,
     address: Option<SocketAddr>,
-    protocol: Arc<dyn Speaks>,
+    protocol: Arc<dyn Protocol>,
     events: Sender<Event>,
     clock: Clock,
     connect_timeout: Duration,
     verifies: bool,
-    figures: Option<Arc<Figures>>,
-    places: Arc<Places>,
+    figures: Option<Arc<OutcomeMetrics>>,
+    places: Arc<SharedConnectionLimiter>,
     line: Mutex<Line>,
     /// What the last job left for the next.
     held: Mutex<Option<Arc<Kept>>>,
 }
 
-impl Link {
-    fn run(&self, job: &Job) {
+impl GossipTransport {
+    fn run(&self, job: &UpstreamJob) {
         // A server that closed an idle connection, or started anew, shows it before anything is written:
         // the request then goes over a new connection and has not been sent yet.
         let held = lock(&self.held).take();
@@ -199,7 +205,7 @@
         // An answer that breaks off cuts its client off only once the core has been told why.
         let way = RefCell::new(None);
         let (mut reply, reusable, asked) = match stream {
-            Err(outcome) => (Reply::bare(outcome), false, None),
+            Err(outcome) => (UpstreamReply::bare(outcome), false, None),
             Ok(stream) => {
                 let begin = || way.borrow_mut().insert(self.begin(&stream)?).clone().into();
                 let (reply, reusable, asked) = self.carry(&stream, job, &begin);
@@ -217,7 +223,7 @@
         let mut cluster = self.clock.cluster();
         asked.into_iter().for_each(|asked| self.check_times(&mut cluster, &mut reply, asked));
         // The core hears of it first: the client may ask again as soon as it has the last byte, on this connection.
-        let _ = self.events.send(Event::Ended { conn: self.conn, reply, reusable });
+        let _ = self.events.send(Event::AttemptEnded { conn: self.conn, reply, reusable });
         drop(cluster);
         if let (Some(way), Some(last)) = (streamed, last) {
             // That the client has left is told by its own connection.
@@ -244,14 +250,16 @@
     }
 
     /// Connects and greets, within the one time limit for both, and for no longer than the job is waited for.
-    fn open(&self, job: &Job) -> Result<Arc<Kept>, Outcome> {
+    fn open(&self, job: &UpstreamJob) -> Result<Arc<Kept>, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
         let address = self.address.ok_or(Outcome::ConnectFailed)?;
         let place = self.places.member().ok_or(Outcome::LocalFailure)?;
         let began = self.clock.now();
         let most = match job {
-            Job::Run { until, .. } => Duration::from_micros((*until - began).0.max(1_000).unsigned_abs()),
-            Job::Probe => self.connect_timeout,
+            UpstreamJob::Request { until, .. } => {
+                Duration::from_micros((*until - began).0.max(1_000).unsigned_abs())
+            }
+            UpstreamJob::HealthCheck => self.connect_timeout,
         };
         let most = most.min(self.connect_timeout);
         let stream = self.connect(&address, most)?;
@@ -274,22 +282,27 @@
 
     #[allow(clippy::cast_possible_truncation)]
     /// Writes a job and reads its answer; when it was written, if it was.
-    fn carry(&self, stream: &TcpStream, job: &Job, begin: Begin) -> (Reply, bool, Option<Time>) {
+    fn carry(
+        &self,
+        stream: &TcpStream,
+        job: &UpstreamJob,
+        begin: Begin,
+    ) -> (UpstreamReply, bool, Option<Time>) {
         let now = self.clock.now();
         let left = match job {
             // The dial may have outlived the request, its member's time or the window for its repeat.
-            Job::Run { permit, .. } if permit.try_acquire(now).is_err() => {
-                return (Reply::bare(Outcome::Moot), true, None);
+            UpstreamJob::Request { permit, .. } if permit.try_acquire(now).is_err() => {
+                return (UpstreamReply::bare(Outcome::NotSent), true, None);
             }
-            Job::Run { until, .. } => (*until - now).0 / 1000,
-            Job::Probe => self.connect_timeout.as_millis() as i64,
+            UpstreamJob::Request { until, .. } => (*until - now).0 / 1000,
+            UpstreamJob::HealthCheck => self.connect_timeout.as_millis() as i64,
         };
         let bytes = self.protocol.request(job, left.max(1));
         // A break before the last byte is written means that nothing ran; after it, that it may have.
         if (&mut &*stream).write_all(&bytes).is_err() {
-            return (Reply::bare(Outcome::ConnectFailed), false, None);
+            return (UpstreamReply::bare(Outcome::ConnectFailed), false, None);
         }
-        if let (Job::Run { payload, .. }, Some(figures)) = (job, &self.figures) {
+        if let (UpstreamJob::Request { payload, .. }, Some(figures)) = (job, &self.figures) {
             figures.relayed(payload.class);
         }
         let (reply, reusable) = self.protocol.answer(stream, job, &bytes, begin);
@@ -297,9 +310,9 @@
     }
 
     /// Learns from the times that came with an answer how this machine's clock is off, and drops those that cannot be.
-    fn check_times(&self, cluster: &mut ClusterClock, reply: &mut Reply, asked: Time) {
+    fn check_times(&self, cluster: &mut ClusterClock, reply: &mut UpstreamReply, asked: Time) {
         let came = self.clock.now();
-        let observe = |cluster: &mut ClusterClock, unix: i64, told: Told| {
+        let observe = |cluster: &mut ClusterClock, unix: i64, told: ClockSample| {
             if let Some(grew) = cluster.observe(unix, asked, came, told) {
                 let by = Span(-grew);
                 let error_ms = by.0 / 1_000;
@@ -315,11 +328,11 @@
             reply.report.and_then(|report| report.position).map(|at| self.clock.unix_by_wall_clock(at));
         if let Some(unix) = answered {
             let primary = reply.role == Some(Role::Primary);
-            observe(cluster, unix, if primary { Told::PrimaryAnswer } else { Told::Replica });
+            observe(cluster, unix, if primary { ClockSample::PrimaryAnswer } else { ClockSample::Replica });
         }
         if let Some(unix) = reported {
             let primary = reply.report.is_some_and(|report| report.primary == Some(true));
-            observe(cluster, unix, if primary { Told::PrimaryReport } else { Told::Replica });
+            observe(cluster, unix, if primary { ClockSample::PrimaryReport } else { ClockSample::Replica });
         }
         // Until a primary has shown that the clock is right, no data may pass for newer than it is.
         let known = !self.verifies || cluster.is_verified();
@@ -341,7 +354,7 @@
     }
 
     /// Tells the core that an answer has begun which is passed on, and waits for its way.
-    fn begin(&self, stream: &TcpStream) -> Option<Arc<Passage>> {
+    fn begin(&self, stream: &TcpStream) -> Option<Arc<ResponseBody>> {
         let (give, take) = bounded(1);
         {
             let mut line = lock(&self.line);
@@ -350,7 +363,7 @@
             }
             line.waits = Some(give);
         }
-        self.events.send(Event::Began(self.conn)).ok()?;
+        self.events.send(Event::ResponseStarted(self.conn)).ok()?;
         SockRef::from(stream).set_recv_buffer_size(BUFFER).ok()?;
         take.recv().ok().map(Arc::new)
     }
--- a/crates/notifications/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -1,6 +1,6 @@
-//! When somebody is to be told of what. [`Alarms`] compares what is believed and counted now with what was, and says each
+//! When somebody is to be told of what. [`NotificationMonitor`] compares what is believed and counted now with what was, and says each
 //! change once: thresholds have two edges, so that a figure that trembles on one is not told again and again, and what
-//! comes too thick is told as one [`Notice::Storm`]. [`Outbox`] holds what a receiver has not taken yet. No I/O, no clock.
+//! comes too thick is told as one [`Notification::Storm`]. [`Outbox`] holds what a receiver has not taken yet. No I/O, no clock.
 
 #![forbid(unsafe_code)]
 
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use valehatch_core::Live;
-use valehatch_policy::{GroupId, Known, NodeId, Reachable, Span, Time};
+use valehatch_core::LiveView;
+use valehatch_policy::{EndpointHealth, EndpointId, GroupId, PrimaryEvidence, Span, Time};
 use valehatch_request_log::{Counters, Scope};
 
 pub use outbox::{Outbox, Post, Tally};
@@ -38,27 +38,27 @@
 
 /// Something to be told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum Notification {
     /// The gateway serves.
     Started,
     /// A planned stop was asked for.
     Stopping,
     /// Another member is believed to be the primary, or none.
-    PrimaryChanged(GroupNotice),
+    PrimaryChanged(GroupNotification),
     /// A search for the primary has begun.
-    SearchBegun(GroupNotice),
+    SearchBegun(GroupNotification),
     /// It lasts.
-    SearchLasting(GroupNotice),
+    SearchLasting(GroupNotification),
     /// It is over.
-    SearchEnded(GroupNotice),
+    SearchEnded(GroupNotification),
     /// A group has been without a primary for long.
-    NoPrimary(GroupNotice),
+    NoPrimary(GroupNotification),
     /// It has one again.
-    PrimaryBack(GroupNotice),
+    PrimaryBack(GroupNotification),
     /// A member cannot be used.
-    MemberOutOfReach(MemberNotice),
+    MemberOutOfReach(EndpointNotification),
     /// It can again, or has left the list.
-    MemberBack(MemberNotice),
+    MemberBack(EndpointNotification),
     /// A class is refused much: the front, the class, refusals a second in thousandths.
     RefusalsRising(Arc<str>, Arc<str>, u64),
     /// It no longer is.
@@ -81,7 +81,7 @@
 
 /// Of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GroupNotice {
+pub struct GroupNotification {
     /// The front.
     pub front: Arc<str>,
     /// The group.
@@ -91,7 +91,7 @@
     /// The one before.
     pub before: Arc<str>,
     /// How it is known.
-    pub known: Known,
+    pub known: PrimaryEvidence,
     /// How often another one has been believed in.
     pub changes: u64,
     /// Writes that wait.
@@ -102,17 +102,17 @@
 
 /// Of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberNotice {
+pub struct EndpointNotification {
     /// The front.
     pub front: Arc<str>,
     /// The member.
-    pub member: NodeId,
+    pub member: EndpointId,
     /// Its name.
     pub name: Arc<str>,
     /// Its group.
     pub group: GroupId,
     /// Whether it can be used.
-    pub reach: Reachable,
+    pub health: EndpointHealth,
 }
 
 /// A notice without its particulars.
@@ -140,7 +140,7 @@
     QueueShort,
 }
 
-impl Notice {
+impl Notification {
     /// Its kind.
     #[must_use]
     pub const fn kind(&self) -> Kind {
@@ -174,7 +174,7 @@
     /// Its name.
     pub name: &'a Arc<str>,
     /// What its core published last.
-    pub live: &'a Live,
+    pub live: &'a LiveView,
     /// Its tenants, with what this gateway's part of their allowance is, in requests a second.
     pub tenants: &'a [(Arc<str>, f64)],
 }
@@ -192,7 +192,7 @@
 
 #[derive(Debug)]
 struct MemberWatch {
-    notice: MemberNotice,
+    notice: EndpointNotification,
     seen: u64,
 }
 
@@ -224,11 +224,11 @@
 
 /// Compares now with before.
 #[derive(Debug)]
-pub struct Alarms {
+pub struct NotificationMonitor {
     thresholds: Thresholds,
     round: u64,
     groups: BTreeMap<(Arc<str>, GroupId), GroupWatch>,
-    members: BTreeMap<(Arc<str>, NodeId), MemberWatch>,
+    members: BTreeMap<(Arc<str>, EndpointId), MemberWatch>,
     refusals: BTreeMap<(Arc<str>, Arc<str>), Rate>,
     budgets: BTreeMap<(Arc<str>, Arc<str>), Rate>,
     queues: BTreeMap<(Arc<str>, Arc<str>), Rate>,
@@ -238,10 +238,10 @@
     window: Option<Time>,
     told: usize,
     left_out: BTreeMap<Kind, u64>,
-    out: Vec<Notice>,
+    out: Vec<Notification>,
 }
 
-impl Alarms {
+impl NotificationMonitor {
     /// Nothing was before: the first look tells that the gateway has started, and what is wrong already.
     #[must_use]
     pub fn new(thresholds: Thresholds) -> Self {
@@ -274,10 +274,10 @@
         fronts: &[FrontNow<'_>],
         counters: &Counters,
         trouble: Option<&str>,
-    ) -> Vec<Notice> {
+    ) -> Vec<Notification> {
         self.round += 1;
         if self.round == 1 {
-            self.out.push(Notice::Started);
+            self.out.push(Notification::Started);
         }
         for front in fronts {
             self.look_at_groups(front);
@@ -288,20 +288,23 @@
         self.look_at_refusals(now, counters);
         if trouble.is_some() != self.trouble {
             self.trouble = trouble.is_some();
-            self.out.push(trouble.map_or(Notice::StateWell, |why| Notice::StateTrouble(why.into())));
+            self.out
+                .push(trouble.map_or(Notification::StateWell, |why| Notification::StateTrouble(why.into())));
         }
         if !self.stopping && fronts.iter().any(|f| f.live.stopping) {
             self.stopping = true;
-            self.out.push(Notice::Stopping);
+            self.out.push(Notification::Stopping);
         }
         let round = self.round;
         self.groups.retain(|_, g| g.seen == round);
-        // A member that has left the list is not out of reach any more: it is gone, and nobody waits for it.
+        // A member that has left the list is not out of health any more: it is gone, and nobody waits for it.
         let gone: Vec<_> =
             self.members.iter().filter(|(_, m)| m.seen != round).map(|(k, _)| k.clone()).collect();
         for key in gone {
-            if let Some(watch) = self.members.remove(&key).filter(|w| w.notice.reach != Reachable::Open) {
-                self.out.push(Notice::MemberBack(watch.notice));
+            if let Some(watch) =
+                self.members.remove(&key).filter(|w| w.notice.health != EndpointHealth::Healthy)
+            {
+                self.out.push(Notification::MemberBack(watch.notice));
             }
         }
         self.coalesce(now)
@@ -310,12 +313,12 @@
     fn look_at_groups(&mut self, front: &FrontNow<'_>) {
         let live = front.live;
         for group in &live.groups {
-            let name = |node: NodeId| {
-                let found = live.members.iter().find(|m| m.view.node == node);
-                found.map_or_else(|| Arc::from(format!("{:08x}", node.0)), |m| Arc::clone(&m.name))
+            let name = |endpoint: EndpointId| {
+                let found = live.members.iter().find(|m| m.view.endpoint == endpoint);
+                found.map_or_else(|| Arc::from(format!("{:08x}", endpoint.0)), |m| Arc::clone(&m.name))
             };
             // What only stands in for a primary is none that anybody believes in.
-            let primary = group.primary.filter(|_| group.known != Known::Not);
+            let primary = group.primary.filter(|_| group.known != PrimaryEvidence::Unknown);
             let primary: Arc<str> = primary.map_or_else(|| Arc::from(""), name);
             let without = primary.is_empty();
             let key = (Arc::clone(front.name), group.group);
@@ -331,14 +334,14 @@
                 seen: 0,
             });
             watch.seen = self.round;
-            let notice = |before: &Arc<str>, since: Time| GroupNotice {
+            let notice = |before: &Arc<str>, since: Time| GroupNotification {
                 front: Arc::clone(front.name),
                 group: group.group,
                 primary: Arc::clone(&primary),
                 before: Arc::clone(before),
                 known: group.known,
                 changes: group.changes,
-                held: group.writes_held as u64,
+                held: group.queued_writes as u64,
                 lasted_ms: u64::try_from((live.at - since).0 / 1000).unwrap_or(0),
             };
             let before = std::mem::replace(&mut watch.primary, Arc::clone(&primary));
@@ -346,33 +349,33 @@
             let again = group.changes > watch.changes + 1 && !without;
             watch.changes = group.changes;
             if !first && before != primary || again {
-                self.out.push(Notice::PrimaryChanged(notice(&before, group.since)));
+                self.out.push(Notification::PrimaryChanged(notice(&before, group.since)));
             }
             match (watch.searching, group.searching) {
                 (None, Some(since)) => {
                     (watch.searching, watch.lasting) = (Some(since), false);
-                    self.out.push(Notice::SearchBegun(notice(&before, since)));
+                    self.out.push(Notification::SearchBegun(notice(&before, since)));
                 }
                 (Some(since), None) => {
                     (watch.searching, watch.lasting) = (None, false);
-                    self.out.push(Notice::SearchEnded(notice(&before, since)));
+                    self.out.push(Notification::SearchEnded(notice(&before, since)));
                 }
                 _ => {}
             }
             let lasts = watch.searching.filter(|s| live.at - *s >= self.thresholds.search_lasting);
             if let Some(since) = lasts.filter(|_| !std::mem::replace(&mut watch.lasting, true)) {
-                self.out.push(Notice::SearchLasting(notice(&before, since)));
+                self.out.push(Notification::SearchLasting(notice(&before, since)));
             }
             if !without {
                 let since = watch.without_since.take();
                 if std::mem::take(&mut watch.without_told) {
-                    self.out.push(Notice::PrimaryBack(notice(&before, since.unwrap_or(live.at))));
+                    self.out.push(Notification::PrimaryBack(notice(&before, since.unwrap_or(live.at))));
                 }
             } else {
                 let since = *watch.without_since.get_or_insert(live.at);
                 let long = live.at - since >= self.thresholds.no_primary;
                 if long && !std::mem::replace(&mut watch.without_told, true) {
-                    self.out.push(Notice::NoPrimary(notice(&before, since)));
+                    self.out.push(Notification::NoPrimary(notice(&before, since)));
                 }
             }
         }
@@ -380,25 +383,26 @@
 
     fn look_at_members(&mut self, front: &FrontNow<'_>) {
         for member in &front.live.members {
-            let key = (Arc::clone(front.name), member.view.node);
-            let notice = MemberNotice {
+            let key = (Arc::clone(front.name), member.view.endpoint);
+            let notice = EndpointNotification {
                 front: Arc::clone(front.name),
-                member: member.view.node,
+                member: member.view.endpoint,
                 name: Arc::clone(&member.name),
                 group: member.view.group,
-                reach: member.view.reach,
+                health: member.view.health,
             };
             let watch = self.members.entry(key).or_insert_with(|| MemberWatch {
-                notice: MemberNotice { reach: Reachable::Open, ..notice.clone() },
+                notice: EndpointNotification { health: EndpointHealth::Healthy, ..notice.clone() },
                 seen: 0,
             });
             watch.seen = self.round;
-            let (was, is) = (watch.notice.reach == Reachable::Open, notice.reach == Reachable::Open);
+            let (was, is) =
+                (watch.notice.health == EndpointHealth::Healthy, notice.health == EndpointHealth::Healthy);
             watch.notice = notice.clone();
             if was && !is {
-                self.out.push(Notice::MemberOutOfReach(notice));
+                self.out.push(Notification::MemberOutOfReach(notice));
             } else if !was && is {
-                self.out.push(Notice::MemberBack(notice));
+                self.out.push(Notification::MemberBack(notice));
             }
         }
     }
@@ -410,8 +414,8 @@
             let key = (Arc::clone(front.name), Arc::clone(tenant));
             let watch = self.budgets.entry(key.clone()).or_default();
             match watch.crossed(used, self.thresholds.budget) {
-                Some(true) => self.out.push(Notice::BudgetOverrun(key.0, key.1, used)),
-                Some(false) => self.out.push(Notice::BudgetBack(key.0, key.1, used)),
+                Some(true) => self.out.push(Notification::BudgetOverrun(key.0, key.1, used)),
+                Some(false) => self.out.push(Notification::BudgetBack(key.0, key.1, used)),
                 None => {}
             }
         }
@@ -422,8 +426,8 @@
             let waited = u64::try_from(door.oldest.0 / 1000).unwrap_or(0);
             let key = (Arc::clone(front.name), Arc::clone(tenant));
             match self.queues.entry(key.clone()).or_default().crossed(waited, self.thresholds.queue) {
-                Some(true) => self.out.push(Notice::QueueLong(key.0, key.1, waited)),
-                Some(false) => self.out.push(Notice::QueueShort(key.0, key.1, waited)),
+                Some(true) => self.out.push(Notification::QueueLong(key.0, key.1, waited)),
+                Some(false) => self.out.push(Notification::QueueShort(key.0, key.1, waited)),
                 None => {}
             }
         }
@@ -435,8 +439,8 @@
             let watch = self.refusals.entry(of.clone()).or_default();
             let Some(rate) = watch.note(now, row.refused(), self.thresholds.refusals_over) else { continue };
             match watch.crossed(rate, self.thresholds.refusals) {
-                Some(true) => self.out.push(Notice::RefusalsRising(of.0, of.1, rate)),
-                Some(false) => self.out.push(Notice::RefusalsFallen(of.0, of.1, rate)),
+                Some(true) => self.out.push(Notification::RefusalsRising(of.0, of.1, rate)),
+                Some(false) => self.out.push(Notification::RefusalsFallen(of.0, of.1, rate)),
                 None => {}
             }
         }
@@ -444,12 +448,12 @@
 
     /// Lets through what the window has room for; what it has not is told as one at its end. That the gateway starts or
     /// stops is always told.
-    fn coalesce(&mut self, now: Time) -> Vec<Notice> {
+    fn coalesce(&mut self, now: Time) -> Vec<Notification> {
         let mut told = vec![];
         if self.window.is_some_and(|began| now - began >= self.thresholds.storm_window) {
             (self.window, self.told) = (None, 0);
             if !self.left_out.is_empty() {
-                told.push(Notice::Storm(std::mem::take(&mut self.left_out).into_iter().collect()));
+                told.push(Notification::Storm(std::mem::take(&mut self.left_out).into_iter().collect()));
             }
         }
         for notice in std::mem::take(&mut self.out) {
--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use valehatch_core::{Live, LiveMember};
+use valehatch_core::{LiveEndpoint, LiveView};
 use valehatch_notifications::*;
 use valehatch_policy::*;
-use valehatch_request_log::{Counters, Ending, Record, Refusal};
+use valehatch_request_log::{Counters, FinalOutcome, RejectionReason, RequestRecord};
 
 const fn ms(n: i64) -> Span {
     Span::from_millis(n)
@@ -26,8 +26,8 @@
 
 /// A front with one group of three, looked at whenever the test says.
 struct World {
-    alarms: Alarms,
-    live: Live,
+    alarms: NotificationMonitor,
+    live: LiveView,
     counters: Counters,
     trouble: Option<&'static str>,
     name: Arc<str>,
@@ -38,30 +38,30 @@
     fn new(thresholds: Thresholds) -> Self {
         let group = GroupView {
             group: GroupId(0),
-            primary: Some(NodeId(1)),
-            known: Known::List,
+            primary: Some(EndpointId(1)),
+            known: PrimaryEvidence::EndpointList,
             since: Time(0),
             changes: 1,
             searching: None,
-            writes_held: 0,
+            queued_writes: 0,
             waiting: 0,
         };
-        let member = |n: u32| LiveMember {
+        let member = |n: u32| LiveEndpoint {
             name: format!("m{n}").into(),
             address: "x".into(),
-            view: NodeView {
-                node: NodeId(n),
+            view: EndpointView {
+                endpoint: EndpointId(n),
                 group: GroupId(0),
-                state: NodeState::Ready,
+                state: EndpointState::Ready,
                 role: None,
-                reach: Reachable::Open,
+                health: EndpointHealth::Healthy,
                 in_flight: 0,
                 limit: 8.0,
                 position: None,
                 warm: None,
             },
         };
-        let live = Live {
+        let live = LiveView {
             at: Time(0),
             groups: vec![group],
             members: (1..=3).map(member).collect(),
@@ -72,40 +72,42 @@
             door: vec![],
         };
         let tenants = vec![("acme".into(), 100.0)];
-        let alarms = Alarms::new(thresholds);
+        let alarms = NotificationMonitor::new(thresholds);
         Self { alarms, live, counters: Counters::default(), trouble: None, name: "a".into(), tenants }
     }
 
-    fn look(&mut self, at_ms: i64) -> Vec<Notice> {
+    fn look(&mut self, at_ms: i64) -> Vec<Notification> {
         self.live.at = Time(at_ms * 1000);
         let front = FrontNow { name: &self.name, live: &self.live, tenants: &self.tenants };
         self.alarms.look(self.live.at, &[front], &self.counters, self.trouble)
     }
 
     fn kinds(&mut self, at_ms: i64) -> Vec<Kind> {
-        self.look(at_ms).iter().map(Notice::kind).collect()
+        self.look(at_ms).iter().map(Notification::kind).collect()
     }
 
     fn lose(&mut self, at_ms: i64) {
         let group = &mut self.live.groups[0];
-        (group.primary, group.known, group.searching) = (None, Known::Not, Some(Time(at_ms * 1000)));
+        (group.primary, group.known, group.searching) =
+            (None, PrimaryEvidence::Unknown, Some(Time(at_ms * 1000)));
         group.changes += 1;
     }
 
-    fn find(&mut self, node: u32) {
+    fn find(&mut self, endpoint: u32) {
         let group = &mut self.live.groups[0];
-        (group.primary, group.known, group.searching) = (Some(NodeId(node)), Known::Search, None);
+        (group.primary, group.known, group.searching) =
+            (Some(EndpointId(endpoint)), PrimaryEvidence::Search, None);
         group.changes += 1;
     }
 
     fn refuse(&mut self, times: usize) {
         for _ in 0..times {
-            self.counters.count(&Record {
+            self.counters.count(&RequestRecord {
                 front: "a".into(),
                 class: "read".into(),
                 tenant: None,
                 group: 0,
-                ending: Ending::Refused(Refusal::Strain),
+                ending: FinalOutcome::Refused(RejectionReason::Overloaded),
                 attempts: vec![],
                 waited_us: 0,
                 total_us: 0,
@@ -127,11 +129,15 @@
     assert_eq!(world.kinds(5200), [Kind::NoPrimary]);
     world.find(2);
     let said = world.look(11_000);
-    let [Notice::PrimaryChanged(changed), Notice::SearchEnded(ended), Notice::PrimaryBack(back)] = &said[..]
+    let [
+        Notification::PrimaryChanged(changed),
+        Notification::SearchEnded(ended),
+        Notification::PrimaryBack(back),
+    ] = &said[..]
     else {
         panic!("{said:?}")
     };
-    assert_eq!((&*changed.before, &*changed.primary, changed.known), ("", "m2", Known::Search));
+    assert_eq!((&*changed.before, &*changed.primary, changed.known), ("", "m2", PrimaryEvidence::Search));
     assert_eq!((ended.lasted_ms, back.lasted_ms), (10_900, 10_800));
     assert_eq!(world.kinds(11_100), []);
 }
@@ -183,14 +189,15 @@
     let mut world = World::new(thresholds());
     let mut told = vec![];
     for (n, waited) in [0, 390, 410, 150, 399, 99, 0].into_iter().enumerate() {
-        world.live.door = vec![valehatch_admission::Shown { oldest: ms(waited), ..Default::default() }];
+        world.live.door =
+            vec![valehatch_admission::TenantQueueView { oldest: ms(waited), ..Default::default() }];
         told.extend(world.look(i64::try_from(n).unwrap() * 1000));
     }
     assert_eq!(
         told[1..],
         [
-            Notice::QueueLong("a".into(), "acme".into(), 410),
-            Notice::QueueShort("a".into(), "acme".into(), 99)
+            Notification::QueueLong("a".into(), "acme".into(), 410),
+            Notification::QueueShort("a".into(), "acme".into(), 99)
         ]
     );
 }
@@ -199,14 +206,14 @@
 fn members_state_and_stop_are_told_and_a_member_that_left_is_not_waited_for() {
     let mut world = World::new(thresholds());
     world.look(0);
-    world.live.members[1].view.reach = Reachable::OutOfReach;
+    world.live.members[1].view.health = EndpointHealth::Unreachable;
     assert_eq!(world.kinds(100), [Kind::MemberOutOfReach]);
-    world.live.members[1].view.reach = Reachable::Silent;
+    world.live.members[1].view.health = EndpointHealth::Unresponsive;
     assert_eq!(world.kinds(200), [], "it still cannot be used");
     world.live.members.remove(1);
     assert_eq!(world.kinds(300), [Kind::MemberBack]);
     world.trouble = Some("disk full");
-    assert_eq!(world.look(400), [Notice::StateTrouble("disk full".into())]);
+    assert_eq!(world.look(400), [Notification::StateTrouble("disk full".into())]);
     world.trouble = None;
     assert_eq!(world.kinds(500), [Kind::StateWell]);
     world.live.stopping = true;
@@ -217,10 +224,10 @@
 #[test]
 fn a_storm_is_told_as_one_and_what_comes_after_it_one_by_one() {
     let mut world = World::new(thresholds());
-    let members: Vec<LiveMember> = (10..210)
+    let members: Vec<LiveEndpoint> = (10..210)
         .map(|n| {
             let mut member = world.live.members[0].clone();
-            (member.view.node, member.name) = (NodeId(n), format!("n{n}").into());
+            (member.view.endpoint, member.name) = (EndpointId(n), format!("n{n}").into());
             member
         })
         .collect();
@@ -228,17 +235,17 @@
     world.look(0);
     let mut told = vec![];
     for look in 1..100 {
-        let reach = if look % 2 == 1 { Reachable::OutOfReach } else { Reachable::Open };
-        world.live.members.iter_mut().for_each(|m| m.view.reach = reach);
+        let health = if look % 2 == 1 { EndpointHealth::Unreachable } else { EndpointHealth::Healthy };
+        world.live.members.iter_mut().for_each(|m| m.view.health = health);
         told.extend(world.look(look * 100));
     }
     assert_eq!(told.len(), 5, "200 members flap for ten seconds");
     let mut after = world.look(10_000);
     assert_eq!(after.len(), 1);
-    let Some(Notice::Storm(kinds)) = after.pop() else { panic!() };
+    let Some(Notification::Storm(kinds)) = after.pop() else { panic!() };
     let left_out: u64 = kinds.iter().map(|(_, n)| n).sum();
     assert_eq!(left_out, 99 * 200 - 5, "each is counted once: {kinds:?}");
-    world.live.members[0].view.reach = Reachable::Open;
+    world.live.members[0].view.health = EndpointHealth::Healthy;
     assert_eq!(world.kinds(10_100), [Kind::MemberBack]);
 }
 
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 use valehatch_config::Site;
-use valehatch_policy::{Class, Effect, GroupId, Need, SessionKey, Span};
+use valehatch_policy::{Consistency, GroupId, Idempotency, RequestClass, SessionKey, Span};
 
 use crate::codec::{self as pg, Opening};
-use valehatch_core::{Answer, Ask, Failure, Payload, Room};
+use valehatch_core::{Failure, FinalAnswer, IncomingRequest, MemoryReservation, Payload};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Incoming, Next, Progress, Serves, Session, Talk};
+use valehatch_net::clients::{Incoming, Next, Progress, RequestHandler, Session, Talk};
 use valehatch_net::servers::place_ms;
 
 /// How the platform's clients are spoken with.
@@ -26,8 +26,8 @@
         &self,
         client: u64,
         query: &[u8],
-        room: impl FnOnce(usize, Option<usize>, GroupId) -> Option<Room>,
-    ) -> Result<Option<Ask>, String> {
+        room: impl FnOnce(usize, Option<usize>, GroupId) -> Option<MemoryReservation>,
+    ) -> Result<Option<IncomingRequest>, String> {
         let text = std::str::from_utf8(query).map_err(|_| "the query is not UTF-8")?;
         let (comment, statement) = pg::comment(text).ok_or("the query has no leading comment")?;
         let pairs: Option<Vec<_>> = comment.split(',').map(|p| p.trim().split_once('=')).collect();
@@ -47,22 +47,24 @@
         let patience = wanted("d")?.parse::<u32>().ok().filter(|d| (1..=86_400_000).contains(d));
         let patience = patience.ok_or("d is not a number of milliseconds")?;
         let group = wanted("cluster")?.parse().map_err(|_| "cluster is not a number")?;
-        let Class { need, effect, deadline, .. } = self.site.settings.classes[class];
-        let keyed = matches!(effect, Effect::Keyed(..));
+        let RequestClass { consistency, idempotency, deadline, .. } = self.site.settings.classes[class];
+        let keyed = matches!(idempotency, Idempotency::IdempotencyKey(..));
         if keyed && wanted("k")?.is_empty() {
             return Err("the key is empty".into());
         }
-        let verb = if need == Need::Write { "INSERT " } else { "SELECT " };
+        let verb = if consistency == Consistency::Write { "INSERT " } else { "SELECT " };
         if statement.trim_start().get(..verb.len()).is_none_or(|s| !s.eq_ignore_ascii_case(verb)) {
             return Err(format!("the class takes statements that begin with {verb}"));
         }
         // Where no read asks for its session's writes, no session is remembered.
-        let asked = self.site.settings.classes.iter().any(|c| c.need == Need::Session);
-        let session = matches!(need, Need::Write | Need::Session).then(|| quoted(statement)).flatten();
+        let asked = self.site.settings.classes.iter().any(|c| c.consistency == Consistency::Session);
+        let session = matches!(consistency, Consistency::Write | Consistency::Session)
+            .then(|| quoted(statement))
+            .flatten();
         let session = session.filter(|_| asked);
         let (tenant, group) = (value("t").and_then(|t| place(&self.site.tenants, t)), GroupId(group));
         let Some(room) = room(class, tenant, group) else { return Ok(None) };
-        Ok(Some(Ask {
+        Ok(Some(IncomingRequest {
             name: Some(Arc::from(id)),
             class,
             tenant,
@@ -78,7 +80,11 @@
             repeat: value("r") == Some("1"),
             wrote_at: value("after").and_then(|a| a.parse().ok()).map(|ms| place_ms(self.clock, ms)),
             client,
-            payload: Arc::new(Payload { bytes: query.to_vec(), write: need == Need::Write, class }),
+            payload: Arc::new(Payload {
+                bytes: query.to_vec(),
+                write: consistency == Consistency::Write,
+                class,
+            }),
             room,
         }))
     }
@@ -220,7 +226,7 @@
     }
 }
 
-impl Serves for Front {
+impl RequestHandler for Front {
     fn serve(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Talk> {
         let mut step = if at.opened { Step::Opened } else { Self::open(at, from, session)? };
         if matches!(step, Step::Opened) {
@@ -239,11 +245,11 @@
         })
     }
 
-    fn encode(&self, _ticket: u64, answer: Answer) -> Vec<u8> {
+    fn encode(&self, _ticket: u64, answer: FinalAnswer) -> Vec<u8> {
         let mut out = vec![];
         match answer {
-            Answer::Served(body) => out = body,
-            Answer::Refused { after, crowded } => {
+            FinalAnswer::Served(body) => out = body,
+            FinalAnswer::Rejected { after, crowded } => {
                 let wait = (after.0 / 1000).max(1).to_string();
                 let text = if crowded {
                     "refused: nothing ran; more wait than can be served by the time that is given"
@@ -252,14 +258,14 @@
                 };
                 pg::put_error(&mut out, "ERROR", "53300", text, Some(&wait));
             }
-            Answer::Failed(Failure::Told(body)) => out = body,
-            Answer::Failed(Failure::Timeout) => {
+            FinalAnswer::Failed(Failure::UpstreamError(body)) => out = body,
+            FinalAnswer::Failed(Failure::Timeout) => {
                 pg::put_error(&mut out, "ERROR", "57014", "no answer in time; it may have run", None);
             }
-            Answer::Failed(Failure::Named) => {
+            FinalAnswer::Failed(Failure::DuplicateName) => {
                 pg::put_error(&mut out, "ERROR", "42710", "a request with this id is open", None);
             }
-            Answer::Failed(Failure::Broken) => {
+            FinalAnswer::Failed(Failure::ConnectionLost) => {
                 pg::put_error(&mut out, "ERROR", "58000", "the answer was lost; it may have run", None);
             }
         }
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use valehatch_policy::{Outcome, Report, Role, Time};
+use valehatch_policy::{LoadReport, Outcome, Role, Time};
 
 use crate::codec as pg;
-use valehatch_core::{Job, Reply};
+use valehatch_core::{UpstreamJob, UpstreamReply};
 use valehatch_net::Clock;
-use valehatch_net::clients::Passage;
-use valehatch_net::servers::{Begin, Speaks};
+use valehatch_net::clients::ResponseBody;
+use valehatch_net::servers::{Begin, Protocol};
 
 /// How long an answer that has begun may stand still, while another attempt may still take its place.
 const STALL: Duration = Duration::from_millis(400);
@@ -30,8 +30,8 @@
 impl Databases {
     /// `x0=1767225600.1,x1=1,busy=0.61,rif=7`: by name, in any order; a position is in Unix seconds. A report
     /// of which any part cannot be read, or cannot be, tells nothing: it is not taken for zeros.
-    fn report(&self, text: &str) -> Option<Report> {
-        let mut out = Report::default();
+    fn report(&self, text: &str) -> Option<LoadReport> {
+        let mut out = LoadReport::default();
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
             let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite())?;
@@ -43,7 +43,7 @@
                 _ => {}
             }
         }
-        (out != Report::default()).then_some(out)
+        (out != LoadReport::default()).then_some(out)
     }
 
     /// A position in Unix milliseconds. Whether it can be true is judged by who knows when it was asked for.
@@ -55,19 +55,19 @@
     /// Reads up to ReadyForQuery. What does not fit, in itself or in its place, spoils the answer: it may have
     /// run, nothing of it counts, and its connection is of no further use. A long value goes the way to its client
     /// that `begin` opens; what spoils the answer from then on ends the client's connection too.
-    fn read(&self, from: &mut BufReader<Answer>, job: &Job, begin: Begin) -> (Reply, bool) {
+    fn read(&self, from: &mut BufReader<Answer>, job: &UpstreamJob, begin: Begin) -> (UpstreamReply, bool) {
         let spoilt = |what: &str| {
             tracing::warn!("a database's answer is spoilt: {what}");
-            (Reply::bare(Outcome::Error), false)
+            (UpstreamReply::bare(Outcome::Error), false)
         };
-        let mut reply = Reply::bare(Outcome::Reset);
+        let mut reply = UpstreamReply::bare(Outcome::Reset);
         let (mut body, mut described, mut row, mut whole, mut way) = (vec![], false, None, false, None);
         let mut aside = 0;
         loop {
             let failed = reply.outcome != Outcome::Reset;
             let long = |kind, length| kind == b'D' && length > pg::LONG + pg::value_head(0).len();
             let message = match pg::read_head(from, pg::LONGEST) {
-                Ok((kind, length)) if long(kind, length) && matches!(job, Job::Run { .. }) => {
+                Ok((kind, length)) if long(kind, length) && matches!(job, UpstreamJob::Request { .. }) => {
                     if !described || row.is_some() || failed {
                         return spoilt("a long row out of place");
                     }
@@ -75,7 +75,7 @@
                         Ok(opened) => (row, way) = (Some(vec![]), Some(opened)),
                         Err((outcome, what)) => {
                             tracing::warn!("a long answer is not whole: {what}");
-                            return (Reply::bare(outcome), false);
+                            return (UpstreamReply::bare(outcome), false);
                         }
                     }
                     continue;
@@ -100,7 +100,7 @@
             match kind {
                 b'T' if !described && !failed && pg::one_column(&bytes) => described = true,
                 b'D' if described && row.is_none() && !failed => match pg::column(&bytes) {
-                    Some(value) if matches!(job, Job::Probe) => row = Some(value.to_vec()),
+                    Some(value) if matches!(job, UpstreamJob::HealthCheck) => row = Some(value.to_vec()),
                     Some(_) => row = Some(vec![]),
                     None => return spoilt("a row that is not one column"),
                 },
@@ -143,23 +143,23 @@
 
     fn finish(
         &self,
-        mut reply: Reply,
+        mut reply: UpstreamReply,
         whole: bool,
         row: Option<Vec<u8>>,
         mut body: Vec<u8>,
-        job: &Job,
-        way: Option<Arc<Passage>>,
-    ) -> Reply {
+        job: &UpstreamJob,
+        way: Option<Arc<ResponseBody>>,
+    ) -> UpstreamReply {
         if whole && reply.outcome == Outcome::Reset {
             reply.outcome = Outcome::Ok;
             match (job, way) {
-                (Job::Run { .. }, way) => {
+                (UpstreamJob::Request { .. }, way) => {
                     if way.is_some() {
                         pg::put_ready(&mut body);
                     }
                     reply.body = Some(body);
                 }
-                (Job::Probe, _) => {
+                (UpstreamJob::HealthCheck, _) => {
                     let text = row.and_then(|r| String::from_utf8(r).ok());
                     reply.report = text.and_then(|t| self.report(&t)).or(reply.report);
                 }
@@ -178,7 +178,7 @@
     before: &[u8],
     length: usize,
     begin: Begin,
-) -> Result<Arc<Passage>, (Outcome, String)> {
+) -> Result<Arc<ResponseBody>, (Outcome, String)> {
     let broken = |e: io::Error| (Outcome::Reset, e.to_string());
     let mut head = [0; 6];
     from.read_exact(&mut head).map_err(broken)?;
@@ -207,10 +207,12 @@
 }
 
 /// Whether a tag is that of what was asked: a row and a probe are told by others.
-fn fits(tag: &str, job: &Job) -> bool {
+fn fits(tag: &str, job: &UpstreamJob) -> bool {
     match job {
-        Job::Run { payload, .. } => tag.starts_with(if payload.write { "INSERT " } else { "SELECT " }),
-        Job::Probe => true,
+        UpstreamJob::Request { payload, .. } => {
+            tag.starts_with(if payload.write { "INSERT " } else { "SELECT " })
+        }
+        UpstreamJob::HealthCheck => true,
     }
 }
 
@@ -222,13 +224,13 @@
 /// What an error's code says of the attempt.
 fn outcome(code: &str) -> Outcome {
     match code {
-        "25006" | "72000" => Outcome::Miss,
-        "53300" | "57P03" => Outcome::Full,
+        "25006" | "72000" => Outcome::Misdirected,
+        "53300" | "57P03" => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
-impl Speaks for Databases {
+impl Protocol for Databases {
     fn open(&self, stream: &TcpStream) -> Result<(), Outcome> {
         pg::write_startup(&mut &*stream).map_err(|_| Outcome::ConnectFailed)?;
         let mut aside = 0;
@@ -237,9 +239,9 @@
             match pg::read_message(&mut &*stream, pg::FROM_SERVER) {
                 Ok((b'Z', _)) => return Ok(()),
                 Ok((b'E', bytes))
-                    if outcome(pg::field(&bytes, b'C').unwrap_or_default()) == Outcome::Full =>
+                    if outcome(pg::field(&bytes, b'C').unwrap_or_default()) == Outcome::Rejected =>
                 {
-                    return Err(Outcome::Full);
+                    return Err(Outcome::Rejected);
                 }
                 Ok((b'E', _)) | Err(_) => return Err(Outcome::ConnectFailed),
                 // Each is of five bytes at the least.
@@ -249,18 +251,24 @@
         Err(Outcome::ConnectFailed)
     }
 
-    fn request(&self, job: &Job, left_ms: i64) -> Vec<u8> {
+    fn request(&self, job: &UpstreamJob, left_ms: i64) -> Vec<u8> {
         let mut out = vec![];
         match job {
-            Job::Run { payload, .. } => {
+            UpstreamJob::Request { payload, .. } => {
                 pg::put(&mut out, b'Q', &[&pg::with_deadline(&payload.bytes, left_ms), b"\0"]);
             }
-            Job::Probe => pg::put(&mut out, b'Q', &[b"SHOW stats\0"]),
+            UpstreamJob::HealthCheck => pg::put(&mut out, b'Q', &[b"SHOW stats\0"]),
         }
         out
     }
 
-    fn answer(&self, stream: &TcpStream, job: &Job, _sent: &[u8], begin: Begin) -> (Reply, bool) {
+    fn answer(
+        &self,
+        stream: &TcpStream,
+        job: &UpstreamJob,
+        _sent: &[u8],
+        begin: Begin,
+    ) -> (UpstreamReply, bool) {
         let mut from = BufReader::with_capacity(4096, Answer { stream, begun: false, timed: false });
         let (reply, settled) = self.read(&mut from, job, begin);
         // What came along behind the answer would be taken for the next one.
