--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -61,7 +61,7 @@
     group: GroupId,
     zone: ZoneId,
     weight: f64,
-    state: NodeState,
+    state: EndpointState,
     started: Option<Time>,
     listed_primary: bool,
     /// The newest role told, and the time for which it was told.
@@ -81,7 +81,7 @@
     excess_at: Time,
     /// The share of its answers of late that were errors or broke off.
     faults: f64,
-    reach: Reach,
+    health: Reach,
     slow_start: SlowStartBudget,
     probe_out: bool,
     probed_at: Option<Time>,
@@ -91,7 +91,7 @@
 
 impl Node {
     fn ready(&self) -> bool {
-        self.state == NodeState::Ready && self.reach.shut.is_none()
+        self.state == EndpointState::Ready && self.health.shut.is_none()
     }
 }
 
@@ -130,8 +130,8 @@
 
 #[derive(Debug)]
 struct Search {
-    leader: Option<(RequestId, NodeId, Time)>,
-    tried: BTreeSet<NodeId>,
+    leader: Option<(RequestId, EndpointId, Time)>,
+    tried: BTreeSet<EndpointId>,
     pause_until: Option<Time>,
     ask_at: Time,
     gap: Span,
@@ -140,8 +140,8 @@
 
 #[derive(Debug, Default)]
 struct Group {
-    members: BTreeSet<NodeId>,
-    primary: Option<NodeId>,
+    members: BTreeSet<EndpointId>,
+    primary: Option<EndpointId>,
     /// The primary is known by list role, answer or report, not just the seed.
     known: bool,
     search: Option<Search>,
@@ -149,17 +149,17 @@
     /// What attempts at replicas and at the primary take of late, as a part of their class's aim.
     strain: [f64; 2],
     /// How and since when that primary is believed in, and how often another one was: for the view only.
-    belief: (Known, Time, u64),
+    belief: (PrimaryEvidence, Time, u64),
 }
 
 impl Group {
-    fn believe(&mut self, primary: Option<NodeId>, how: Known, now: Time) {
+    fn believe(&mut self, primary: Option<EndpointId>, how: PrimaryEvidence, now: Time) {
         if self.primary != primary {
             self.belief = (how, now, self.belief.2 + 1);
-        } else if how != Known::Not && self.belief.0 != how {
+        } else if how != PrimaryEvidence::Unknown && self.belief.0 != how {
             self.belief.0 = how;
         }
-        (self.primary, self.known) = (primary, how != Known::Not);
+        (self.primary, self.known) = (primary, how != PrimaryEvidence::Unknown);
         self.search.take_if(|_| self.known);
     }
 }
@@ -174,10 +174,10 @@
     useful_until: Time,
     floor: Option<Time>,
     attempts: u32,
-    out: BTreeMap<u32, NodeId>,
+    out: BTreeMap<u32, EndpointId>,
     /// When the first attempt that may have run was sent.
     ran_from: Option<Time>,
-    avoid: BTreeSet<NodeId>,
+    avoid: BTreeSet<EndpointId>,
     not_before: Time,
     probe_wait: Option<Time>,
     streaming: bool,
@@ -189,7 +189,7 @@
     cfg: Settings,
     rng: Xoshiro256PlusPlus,
     now: Time,
-    nodes: BTreeMap<NodeId, Node>,
+    endpoints: BTreeMap<EndpointId, Node>,
     groups: BTreeMap<GroupId, Group>,
     open: BTreeMap<RequestId, Open>,
     sessions: BTreeMap<SessionKey, Time>,
@@ -221,12 +221,13 @@
         if cfg.classes.is_empty() || cfg.routers == 0 || cfg.limits.max_attempts == 0 || cfg.tick.0 <= 0 {
             return Err(SettingsError("classes, routers, max_attempts and tick must be above 0".into()));
         }
-        let class_latency: Vec<f64> = cfg.classes.iter().map(|c| (c.aim.as_f64() / 4.0).max(1.0)).collect();
+        let class_latency: Vec<f64> =
+            cfg.classes.iter().map(|c| (c.latency_objective.as_f64() / 4.0).max(1.0)).collect();
         Ok(Self {
             costs: ClassCosts::new(&class_latency),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: Time(i64::MIN),
-            nodes: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             groups: BTreeMap::new(),
             open: BTreeMap::new(),
             sessions: BTreeMap::new(),
@@ -235,38 +236,38 @@
             served: 0.0,
             served_at: Time(i64::MIN),
             usual_value: 0.0,
-            class_deviation: cfg.classes.iter().map(|c| c.aim.as_f64() / 8.0).collect(),
+            class_deviation: cfg.classes.iter().map(|c| c.latency_objective.as_f64() / 8.0).collect(),
             class_latency,
             probe_latency: cfg.tick.as_f64(),
             clock_told: 0,
-            ask_at: (cfg.list_mode == ListMode::Asked).then_some(Time(i64::MIN)),
-            ask_gap: Span(cfg.rules.ask_within.0 / 16),
+            ask_at: (cfg.discovery_mode == DiscoveryMode::Poll).then_some(Time(i64::MIN)),
+            ask_gap: Span(cfg.rules.max_poll_interval.0 / 16),
             wake_at: None,
             cfg,
         })
     }
 
     /// Takes all events of one moment and appends what is to be done, in order.
-    pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
+    pub fn step(&mut self, now: Time, events: &[PolicyEvent], actions: &mut Vec<Action>) {
         let now = self.now.max(now);
         self.now = now;
         for event in events {
             match event {
-                Event::List { complete, entries } => self.on_list(*complete, entries),
-                Event::ListFailed => self.on_list_failed(),
-                Event::Request(request) => self.on_request(request),
-                Event::Streaming(id) => self.on_streaming(*id),
-                Event::Ended(end) => self.on_ended(end, actions),
-                Event::Aborted(id) => self.finish(*id, actions),
-                Event::ClockCorrected(by) => self.on_clock_corrected(*by),
-                Event::Routers(count) => self.on_routers((*count).max(1)),
-                Event::Timer(_) => self.wake_at = self.wake_at.filter(|at| *at > self.now),
-                Event::Probed { node, outcome, latency, report } => {
-                    self.on_probed(*node, *outcome, *latency, report.as_ref());
+                PolicyEvent::EndpointList { complete, entries } => self.on_list(*complete, entries),
+                PolicyEvent::DiscoveryFailed => self.on_list_failed(),
+                PolicyEvent::Request(request) => self.on_request(request),
+                PolicyEvent::ResponseStarted(id) => self.on_streaming(*id),
+                PolicyEvent::AttemptEnded(end) => self.on_ended(end, actions),
+                PolicyEvent::ClientDisconnected(id) => self.finish(*id, actions),
+                PolicyEvent::ClockCorrected(by) => self.on_clock_corrected(*by),
+                PolicyEvent::RouterCount(count) => self.on_routers((*count).max(1)),
+                PolicyEvent::Timer(_) => self.wake_at = self.wake_at.filter(|at| *at > self.now),
+                PolicyEvent::HealthCheckEnded { endpoint, outcome, latency, report } => {
+                    self.on_probed(*endpoint, *outcome, *latency, report.as_ref());
                 }
             }
         }
-        actions.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::Subscribe));
+        actions.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::RefreshEndpointList));
         self.tend_health(actions);
         let wanted = |(id, g): (&GroupId, &Group)| (!g.waiting.is_empty()).then_some(*id);
         // Any number may come from a client: a group that holds nothing is forgotten.
@@ -281,7 +282,7 @@
     /// Where more share the nodes, each keeps its part of what it has: two of a limit, as one is for writes.
     fn on_routers(&mut self, count: u32) {
         let part = (f64::from(self.cfg.routers) / f64::from(count)).min(1.0);
-        self.nodes.values_mut().for_each(|n| n.limit = n.limit.min((n.limit * part).max(2.0)));
+        self.endpoints.values_mut().for_each(|n| n.limit = n.limit.min((n.limit * part).max(2.0)));
         (self.cfg.routers, self.served) = (count, self.served * part);
     }
 
@@ -289,12 +290,12 @@
     /// where it would make them newer they are forgotten.
     fn on_clock_corrected(&mut self, by: Span) {
         let now = self.now;
-        for node in self.nodes.values_mut() {
-            node.started = node.started.map(|at| at + by);
-            node.role = node.role.map(|(role, told)| (role, told.min(now)));
-            node.position = node.position.filter(|_| by <= Span(0)).map(|at| at + by);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.started = endpoint.started.map(|at| at + by);
+            endpoint.role = endpoint.role.map(|(role, told)| (role, told.min(now)));
+            endpoint.position = endpoint.position.filter(|_| by <= Span(0)).map(|at| at + by);
             // Where the clock was ahead, all data looked older than it is; where it was behind, such times never came so far.
-            node.lag = Span((node.lag - by.max(Span(0))).0.max(0));
+            endpoint.lag = Span((endpoint.lag - by.max(Span(0))).0.max(0));
         }
         self.sessions.values_mut().for_each(|at| *at = *at + by);
         self.session_order.iter_mut().for_each(|(_, at)| *at = *at + by);
@@ -302,126 +303,134 @@
         self.open.values_mut().for_each(|open| open.floor = open.floor.map(|at| at + by));
     }
 
-    fn on_list(&mut self, complete: bool, entries: &[Entry]) {
+    fn on_list(&mut self, complete: bool, entries: &[EndpointRecord]) {
         if complete {
-            let named: BTreeSet<NodeId> = entries.iter().map(|e| e.node).collect();
-            let all: Vec<NodeId> = self.nodes.keys().copied().collect();
-            all.iter().filter(|n| !named.contains(n)).for_each(|n| self.leave(*n, NodeState::Gone));
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+            let all: Vec<EndpointId> = self.endpoints.keys().copied().collect();
+            all.iter().filter(|n| !named.contains(n)).for_each(|n| self.leave(*n, EndpointState::Removed));
         }
         entries.iter().for_each(|e| self.on_entry(e));
         self.groups.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.seed_primary(id));
-        self.ask_gap = Span(self.cfg.rules.ask_within.0 / 16);
+        self.ask_gap = Span(self.cfg.rules.max_poll_interval.0 / 16);
     }
 
-    fn on_entry(&mut self, entry: &Entry) {
-        if entry.state != NodeState::Ready {
-            return self.leave(entry.node, entry.state);
+    fn on_entry(&mut self, entry: &EndpointRecord) {
+        if entry.state != EndpointState::Ready {
+            return self.leave(entry.endpoint, entry.state);
         }
-        let node = self.nodes.entry(entry.node).or_insert_with(|| Node {
+        let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(|| Node {
             group: entry.group,
             started: entry.started,
             limit: START_LIMIT,
             ..Node::default()
         });
-        let restarted = node.started != entry.started;
-        (node.state, node.started, node.zone) = (entry.state, entry.started, entry.zone);
-        node.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
-        node.listed_primary = entry.primary;
+        let restarted = endpoint.started != entry.started;
+        (endpoint.state, endpoint.started, endpoint.zone) = (entry.state, entry.started, entry.zone);
+        endpoint.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+        endpoint.listed_primary = entry.primary;
         // A process that started anew holds nothing of what was sent to the old one.
         if restarted {
-            (node.reach, node.quiet_since) = (Reach::default(), None);
+            (endpoint.health, endpoint.quiet_since) = (Reach::default(), None);
         }
-        self.groups.entry(node.group).or_default().members.insert(entry.node);
+        self.groups.entry(endpoint.group).or_default().members.insert(entry.endpoint);
     }
 
     /// Takes a node out of use at once; the stated grace is never drawn on.
-    fn leave(&mut self, id: NodeId, state: NodeState) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
-        if state == NodeState::Gone && self.cfg.rules.removal_not_binding && node.state == NodeState::Ready {
+    fn leave(&mut self, id: EndpointId, state: EndpointState) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        if state == EndpointState::Removed
+            && self.cfg.rules.removal_is_advisory
+            && endpoint.state == EndpointState::Ready
+        {
             return;
         }
-        node.state = state;
+        endpoint.state = state;
         self.lose_primary(id);
         self.forget(id);
     }
 
     /// Memory is bounded: a node that is gone and holds nothing of this router is dropped.
-    fn forget(&mut self, id: NodeId) {
-        let Some(node) = self.nodes.get(&id).filter(|n| n.state == NodeState::Gone) else { return };
-        self.groups.entry(node.group).or_default().members.remove(&id);
-        if node.out.is_empty() {
-            self.nodes.remove(&id);
+    fn forget(&mut self, id: EndpointId) {
+        let Some(endpoint) = self.endpoints.get(&id).filter(|n| n.state == EndpointState::Removed) else {
+            return;
+        };
+        self.groups.entry(endpoint.group).or_default().members.remove(&id);
+        if endpoint.out.is_empty() {
+            self.endpoints.remove(&id);
         }
     }
 
     /// Design page: seeded from the list's role or the lowest sorted member. The list's word is the weakest:
     /// it counts only while nothing better is known, and not for a member that has told its role itself.
     fn seed_primary(&mut self, id: GroupId) {
-        let (nodes, trusted, now) = (&self.nodes, self.cfg.listed_role != ListedRole::Off, self.now);
+        let (endpoints, trusted, now) =
+            (&self.endpoints, self.cfg.listed_role != ListedRole::Ignored, self.now);
         let Some(group) = self.groups.get_mut(&id).filter(|g| !g.known) else { return };
-        let mut ready = group.members.iter().filter(|n| nodes[n].state == NodeState::Ready);
-        let listed = |n: &&NodeId| trusted && nodes[n].listed_primary && nodes[n].role.is_none();
+        let mut ready = group.members.iter().filter(|n| endpoints[n].state == EndpointState::Ready);
+        let listed = |n: &&EndpointId| trusted && endpoints[n].listed_primary && endpoints[n].role.is_none();
         if let Some(member) = ready.clone().find(listed) {
-            group.believe(Some(*member), Known::List, now);
+            group.believe(Some(*member), PrimaryEvidence::EndpointList, now);
         } else if group.primary.is_none() && group.search.is_none() {
-            group.believe(ready.next().copied(), Known::Not, now);
+            group.believe(ready.next().copied(), PrimaryEvidence::Unknown, now);
         }
     }
 
     /// Backs off with jitter, never beyond half of what the rules count as asked.
     fn on_list_failed(&mut self) {
-        if self.cfg.list_mode == ListMode::Asked {
+        if self.cfg.discovery_mode == DiscoveryMode::Poll {
             let jitter = 0.5 + self.random() * 0.5;
             self.ask_at = Some(self.now + self.ask_gap.times(jitter));
-            self.ask_gap = Span((self.ask_gap.0 * 2).min(self.cfg.rules.ask_within.0 / 2));
+            self.ask_gap = Span((self.ask_gap.0 * 2).min(self.cfg.rules.max_poll_interval.0 / 2));
         }
     }
 
     // ---- Health and probes ----
 
-    fn probe(&mut self, id: NodeId, actions: &mut Vec<Action>) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
-        if self.cfg.limits.probing && !node.probe_out && node.state == NodeState::Ready {
-            (node.probe_out, node.probed_at) = (true, Some(self.now));
-            actions.push(Action::Probe { node: id });
+    fn probe(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        if self.cfg.limits.health_checks && !endpoint.probe_out && endpoint.state == EndpointState::Ready {
+            (endpoint.probe_out, endpoint.probed_at) = (true, Some(self.now));
+            actions.push(Action::HealthCheck { endpoint: id });
         }
     }
 
     /// Probes a node that a read could use, if the answer can be expected to make it fresh enough.
-    fn probe_for(&mut self, id: NodeId, need: Time, actions: &mut Vec<Action>) {
-        let Some(node) = self.nodes.get(&id) else { return };
-        let since = node.probed_at.map(|at| self.now - at);
-        let helps = self.now - node.lag >= need;
+    fn probe_for(&mut self, id: EndpointId, consistency: Time, actions: &mut Vec<Action>) {
+        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        let since = endpoint.probed_at.map(|at| self.now - at);
+        let helps = self.now - endpoint.lag >= consistency;
         // A report is as old as its refreshing makes it: asking sooner than half of that tells nothing new.
-        let gap = Span(node.lag.0 / if helps { 2 } else { 4 });
+        let gap = Span(endpoint.lag.0 / if helps { 2 } else { 4 });
         if since.is_none_or(|s| s >= gap.max(self.cfg.tick)) {
             self.probe(id, actions);
         }
     }
 
-    fn on_probed(&mut self, id: NodeId, outcome: Outcome, latency: Span, report: Option<&Report>) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
-        node.probe_out = false;
+    fn on_probed(&mut self, id: EndpointId, outcome: Outcome, latency: Span, report: Option<&LoadReport>) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        endpoint.probe_out = false;
         if outcome == Outcome::Ok {
             self.probe_latency += GAIN * (latency.as_f64() - self.probe_latency);
-            if node.reach.shut != Some(Shut::Silent) {
-                node.reach.open(self.now);
+            if endpoint.health.shut != Some(Shut::Silent) {
+                endpoint.health.open(self.now);
             }
             report.into_iter().for_each(|r| self.on_report(id, r));
-        } else if matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout) && node.reach.shut.is_none() {
-            node.reach.doubts += u32::from(node.reach.doubts > 0);
-            if node.reach.doubts >= DOUBTS {
-                node.reach.shut(Shut::OutOfReach, self.now);
+        } else if matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout)
+            && endpoint.health.shut.is_none()
+        {
+            endpoint.health.doubts += u32::from(endpoint.health.doubts > 0);
+            if endpoint.health.doubts >= DOUBTS {
+                endpoint.health.shut(Shut::OutOfReach, self.now);
                 self.lose_primary(id);
             }
         }
     }
 
-    fn on_report(&mut self, id: NodeId, report: &Report) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
+    fn on_report(&mut self, id: EndpointId, report: &LoadReport) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if let Some(position) = report.position {
-            node.position = node.position.max(Some(position));
-            (node.lag, node.told_at) = (self.now - position, self.now);
+            endpoint.position = endpoint.position.max(Some(position));
+            (endpoint.lag, endpoint.told_at) = (self.now - position, self.now);
             self.clock_told = self.clock_told.saturating_add(u32::from(report.primary == Some(true)));
         }
         // A report's position is the earliest that its word on the role can be dated to.
@@ -440,71 +449,77 @@
     /// Departure: silence is evidence. A hung node never says miss, so one that leaves all its attempts
     /// unanswered for longer than this router's answers ever take gets nothing new but a trickle.
     fn tend_health(&mut self, actions: &mut Vec<Action>) {
-        let over = |(id, node): (&NodeId, &Node)| self.silence(node).filter(|at| *at < self.now).map(|_| *id);
-        for id in self.nodes.iter().filter_map(over).collect::<Vec<_>>() {
-            let Some(node) = self.nodes.get_mut(&id) else { continue };
-            node.reach.shut(Shut::Silent, self.now);
-            let harms = |o: &Open| self.cfg.classes[o.class.0].effect == Effect::Unsafe;
+        let over = |(id, endpoint): (&EndpointId, &Node)| {
+            self.silence(endpoint).filter(|at| *at < self.now).map(|_| *id)
+        };
+        for id in self.endpoints.iter().filter_map(over).collect::<Vec<_>>() {
+            let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
+            endpoint.health.shut(Shut::Silent, self.now);
+            let harms = |o: &Open| self.cfg.classes[o.class.0].idempotency == Idempotency::NonIdempotent;
             let off = |id: &RequestId| self.cfg.limits.cancel && self.open.get(id).is_some_and(|o| !harms(o));
-            let out = node.out.keys().copied().filter(|(id, _)| off(id));
+            let out = endpoint.out.keys().copied().filter(|(id, _)| off(id));
             actions.extend(out.map(|(request, attempt)| Action::Cancel { request, attempt }));
             self.lose_primary(id);
         }
     }
 
     /// When what is out at a node will count as silence.
-    fn silence(&self, node: &Node) -> Option<Time> {
+    fn silence(&self, endpoint: &Node) -> Option<Time> {
         let quiet = |(sent, class, _): &Sent| {
-            node.quiet_since.map_or(*sent, |q| q.max(*sent)) + self.patience(*class, node.out.len())
+            endpoint.quiet_since.map_or(*sent, |q| q.max(*sent)) + self.patience(*class, endpoint.out.len())
         };
-        node.out.values().filter(|_| node.reach.shut != Some(Shut::Silent)).map(quiet).min()
+        endpoint.out.values().filter(|_| endpoint.health.shut != Some(Shut::Silent)).map(quiet).min()
     }
 
     /// Takes new work: ready, and not shut (but for a trial now and then).
-    fn takes(&self, id: NodeId) -> bool {
-        let due = |n: &Node| n.reach.shut == Some(Shut::Silent) && self.now >= n.reach.again;
-        self.nodes.get(&id).is_some_and(|n| n.ready() || (n.state == NodeState::Ready && due(n)))
+    fn takes(&self, id: EndpointId) -> bool {
+        let due = |n: &Node| n.health.shut == Some(Shut::Silent) && self.now >= n.health.again;
+        self.endpoints.get(&id).is_some_and(|n| n.ready() || (n.state == EndpointState::Ready && due(n)))
     }
 
     /// Departure: what a node has from this router at once is limited by how fast it answers.
-    fn room(&self, id: NodeId, spare: f64) -> bool {
-        self.nodes.get(&id).is_some_and(|n| n.out.len() as f64 + spare < n.limit.max(1.0))
+    fn room(&self, id: EndpointId, spare: f64) -> bool {
+        self.endpoints.get(&id).is_some_and(|n| n.out.len() as f64 + spare < n.limit.max(1.0))
     }
 
     // ---- Primary and search ----
 
-    fn on_role(&mut self, id: NodeId, role: Role, at: Time, answered: bool) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
-        if node.role.is_some_and(|(_, told)| told > at) {
+    fn on_role(&mut self, id: EndpointId, role: Role, at: Time, answered: bool) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        if endpoint.role.is_some_and(|(_, told)| told > at) {
             return;
         }
-        node.role = Some((role, at));
-        let (group_id, shut, ready) = (node.group, node.reach.shut.is_some(), node.state == NodeState::Ready);
+        endpoint.role = Some((role, at));
+        let (group_id, shut, ready) =
+            (endpoint.group, endpoint.health.shut.is_some(), endpoint.state == EndpointState::Ready);
         if role == Role::Replica {
             return self.lose_primary(id);
         }
         let Some(group) = self.groups.get_mut(&group_id) else { return };
-        let other = group.primary.filter(|p| *p != id).and_then(|p| self.nodes.get(&p));
+        let other = group.primary.filter(|p| *p != id).and_then(|p| self.endpoints.get(&p));
         let beaten = other.is_none_or(|p| {
-            p.reach.shut.is_some() || p.role.is_none_or(|(r, told)| r == Role::Replica || told < at)
+            p.health.shut.is_some() || p.role.is_none_or(|(r, told)| r == Role::Replica || told < at)
         });
         if beaten && ready && (answered || !shut) {
-            let led = group.search.as_ref().is_some_and(|s| s.leader.is_some_and(|(_, node, _)| node == id));
-            let told = if answered { Known::Answer } else { Known::Report };
-            group.believe(Some(id), if led && answered { Known::Search } else { told }, self.now);
+            let led = group
+                .search
+                .as_ref()
+                .is_some_and(|s| s.leader.is_some_and(|(_, endpoint, _)| endpoint == id));
+            let told = if answered { PrimaryEvidence::Answer } else { PrimaryEvidence::LoadReport };
+            group.believe(Some(id), if led && answered { PrimaryEvidence::Search } else { told }, self.now);
         }
     }
 
-    fn lose_primary(&mut self, id: NodeId) {
-        let Some(group) = self.nodes.get(&id).and_then(|n| self.groups.get_mut(&n.group)) else { return };
+    fn lose_primary(&mut self, id: EndpointId) {
+        let Some(group) = self.endpoints.get(&id).and_then(|n| self.groups.get_mut(&n.group)) else { return };
         if group.primary == Some(id) {
-            group.believe(None, Known::Not, self.now);
+            group.believe(None, PrimaryEvidence::Unknown, self.now);
             let (ask_at, began) = (self.now + Span(SEARCH_PAUSE.0 / 4), self.now);
             let (tried, gap) = (BTreeSet::from([id]), SEARCH_PAUSE);
             group.search = Some(Search { leader: None, tried, pause_until: None, ask_at, gap, began });
         } else if let Some(search) = &mut group.search {
             search.tried.insert(id);
-            search.leader.take_if(|(_, node, _)| *node == id);
+            search.leader.take_if(|(_, endpoint, _)| *endpoint == id);
         }
     }
 
@@ -516,8 +531,8 @@
         });
         let Some(group) = self.groups.get_mut(&id) else { return };
         let Some(search) = &mut group.search else { return };
-        if let Some((_, node, _)) = search.leader.take_if(|_| over) {
-            search.tried.insert(node);
+        if let Some((_, endpoint, _)) = search.leader.take_if(|_| over) {
+            search.tried.insert(endpoint);
         }
         // Departure: members are asked for their role while something waits, so that a successor is known
         // without spending a write's attempts; paced, with jitter, as hundreds of routers search at once.
@@ -526,7 +541,7 @@
         }
         let members = group.members.clone();
         // The more routers there are for each member, the slower each asks when it has asked in vain.
-        let routers = f64::from(self.cfg.routers) / self.nodes.len().max(1) as f64;
+        let routers = f64::from(self.cfg.routers) / self.endpoints.len().max(1) as f64;
         let (jitter, most) = (0.5 + self.random(), 1.0 + routers.min(LONGEST_GAP));
         let Some(search) = self.groups.get_mut(&id).and_then(|g| g.search.as_mut()) else { return };
         search.ask_at = self.now + search.gap.times(jitter);
@@ -535,9 +550,9 @@
     }
 
     /// The next member in sorted order that this round has not tried; starts the pause after the last.
-    fn search_next(&mut self, id: GroupId) -> Option<NodeId> {
+    fn search_next(&mut self, id: GroupId) -> Option<EndpointId> {
         let (now, members) = (self.now, &self.groups.get(&id)?.members);
-        let takes: Vec<NodeId> = members.iter().filter(|n| self.takes(**n)).copied().collect();
+        let takes: Vec<EndpointId> = members.iter().filter(|n| self.takes(**n)).copied().collect();
         let search = self.groups.get_mut(&id)?.search.as_mut()?;
         if search.leader.is_some() || search.pause_until.is_some_and(|at| now < at) {
             return None;
@@ -555,13 +570,15 @@
     fn on_request(&mut self, request: &Request) {
         let Some(class) = self.cfg.classes.get(request.class.0) else { return };
         self.costs.on_request(request.class);
-        let stretch = request.work.map_or(Span(0), |w| w.times(class.aim_stretch));
+        let stretch = request.work.map_or(Span(0), |w| w.times(class.latency_objective_stretch));
         let deadline = self.now + request.time_left;
-        let late_counts = class.need == Need::Write && class.late_worth > 0.0;
+        let late_counts = class.consistency == Consistency::Write && class.late_priority_weight > 0.0;
         let kept = request.session.and_then(|key| self.sessions.get(&key).copied());
-        let floor = match (class.need, self.cfg.sessions) {
-            (Need::Session, Sessions::Brought) => request.wrote_ago.map(|ago| self.now - ago),
-            (Need::Session, Sessions::Kept) => kept.or(self.session_floor),
+        let floor = match (class.consistency, self.cfg.sessions) {
+            (Consistency::Session, SessionTracking::ClientProvided) => {
+                request.since_last_write.map(|ago| self.now - ago)
+            }
+            (Consistency::Session, SessionTracking::RouterTracked) => kept.or(self.session_floor),
             _ => None,
         };
         let open = Open {
@@ -570,7 +587,11 @@
             session: request.session,
             arrived: self.now,
             deadline,
-            useful_until: if late_counts { deadline } else { deadline.min(self.now + class.aim + stretch) },
+            useful_until: if late_counts {
+                deadline
+            } else {
+                deadline.min(self.now + class.latency_objective + stretch)
+            },
             floor,
             not_before: self.now,
             ..Open::default()
@@ -586,11 +607,11 @@
         let mut waiting = std::mem::take(&mut group.waiting);
         for member in group.members.clone() {
             // Whether a member is within reach again is asked when something waits that it could serve.
-            let Some(node) = self.nodes.get_mut(&member) else { continue };
-            if node.reach.shut == Some(Shut::OutOfReach) && self.now >= node.reach.again {
+            let Some(endpoint) = self.endpoints.get_mut(&member) else { continue };
+            if endpoint.health.shut == Some(Shut::OutOfReach) && self.now >= endpoint.health.again {
                 // All routers ask the same dead member: each the more seldom the longer it stays so.
-                node.reach.again = self.now + node.reach.gap;
-                node.reach.gap = Span(node.reach.gap.0 * 2).min(SEARCH_PAUSE.times(LONGEST_GAP));
+                endpoint.health.again = self.now + endpoint.health.gap;
+                endpoint.health.gap = Span(endpoint.health.gap.0 * 2).min(SEARCH_PAUSE.times(LONGEST_GAP));
                 self.probe(member, actions);
             }
         }
@@ -608,23 +629,26 @@
     fn shed(&mut self, id: RequestId) -> bool {
         let Some(open) = self.open.get(&id).filter(|o| o.arrived == self.now) else { return false };
         let value = self.value(open);
-        let primary = matches!(self.cfg.classes[open.class.0].need, Need::Write | Need::Fresh);
+        let primary =
+            matches!(self.cfg.classes[open.class.0].consistency, Consistency::Write | Consistency::Strong);
         let strain = self.groups.get(&open.group).map_or(0.0, |g| g.strain[usize::from(primary)]);
         self.usual_value += if self.usual_value > 0.0 { GAIN * (value - self.usual_value) } else { value };
         // The fewer routers there are for each node, the better the nodes' limits at each see what is filled.
-        let unseen = f64::from(self.cfg.routers) / (f64::from(self.cfg.routers) + self.nodes.len() as f64);
+        let unseen =
+            f64::from(self.cfg.routers) / (f64::from(self.cfg.routers) + self.endpoints.len() as f64);
         let over = unseen.powi(2) * ((strain - STRAIN.0) / (STRAIN.1 - STRAIN.0)).clamp(0.0, 1.0);
         self.random() < (over * (self.usual_value / value).powi(2)).min(1.0 - GAIN)
     }
 
     fn value(&self, open: &Open) -> f64 {
-        self.cfg.classes[open.class.0].worth.max(1e-9) / self.class_latency[open.class.0]
+        self.cfg.classes[open.class.0].priority_weight.max(1e-9) / self.class_latency[open.class.0]
     }
 
     fn rank(&self, id: RequestId) -> (i64, i64) {
         let Some(open) = self.open.get(&id) else { return (0, 0) };
         let class = &self.cfg.classes[open.class.0];
-        let part = if self.now - open.arrived > class.aim { class.late_worth } else { 1.0 };
+        let part =
+            if self.now - open.arrived > class.latency_objective { class.late_priority_weight } else { 1.0 };
         (-(self.value(open) * part * 1e9) as i64, -open.arrived.0)
     }
 
@@ -643,8 +667,16 @@
         let held = open.attempts == 0 && self.now - open.arrived > half;
         let useless = held || self.now + expected > open.useful_until && self.now > open.arrived;
         let (spent, over) = (open.attempts >= self.cfg.limits.max_attempts, self.now >= open.deadline);
-        let why = [(over, Why::Deadline), (shed, Why::Strain), (held, Why::Unsent), (useless, Why::Late)];
-        let why = why.into_iter().chain([(spent, Why::Attempts), (window_over, Why::Window)]);
+        let why = [
+            (over, GiveUpReason::DeadlineExceeded),
+            (shed, GiveUpReason::Overloaded),
+            (held, GiveUpReason::NeverSent),
+            (useless, GiveUpReason::TooLate),
+        ];
+        let why = why.into_iter().chain([
+            (spent, GiveUpReason::AttemptsExhausted),
+            (window_over, GiveUpReason::RetryWindowClosed),
+        ]);
         if let Some((_, why)) = why.into_iter().find(|(holds, _)| *holds) {
             self.give_up(id, why, actions);
             return false;
@@ -652,16 +684,16 @@
         if self.now < open.not_before {
             return true;
         }
-        let target = match class.need {
-            Need::Write => self.target_of_write(id),
-            Need::Fresh => self.known_primary(self.open[&id].group, self.open[&id].class, 0.0),
+        let target = match class.consistency {
+            Consistency::Write => self.target_of_write(id),
+            Consistency::Strong => self.known_primary(self.open[&id].group, self.open[&id].class, 0.0),
             _ => self.target_of_read(id, actions),
         };
-        target.is_none_or(|node| !self.send(id, node, actions))
+        target.is_none_or(|endpoint| !self.send(id, endpoint, actions))
     }
 
     /// The remembered primary; else, for the one write that leads, the next member to try.
-    fn target_of_write(&mut self, id: RequestId) -> Option<NodeId> {
+    fn target_of_write(&mut self, id: RequestId) -> Option<EndpointId> {
         let open = self.open.get(&id)?;
         let (group, class) = (self.groups.get(&open.group)?, open.class);
         if group.search.is_none() {
@@ -681,50 +713,59 @@
         Some(next)
     }
 
-    fn known_primary(&mut self, group: GroupId, class: ClassId, spare: f64) -> Option<NodeId> {
+    fn known_primary(&mut self, group: GroupId, class: ClassId, spare: f64) -> Option<EndpointId> {
         let group = self.groups.get(&group)?;
         let primary = group.primary.filter(|_| group.known && group.search.is_none())?;
         self.grants(primary, class, spare).then_some(primary)
     }
 
-    fn grants(&mut self, id: NodeId, class: ClassId, spare: f64) -> bool {
-        let takes = self.nodes.get(&id).is_some_and(Node::ready) && self.room(id, spare);
+    fn grants(&mut self, id: EndpointId, class: ClassId, spare: f64) -> bool {
+        let takes = self.endpoints.get(&id).is_some_and(Node::ready) && self.room(id, spare);
         takes && self.try_acquire_slow_start_budget(id, class)
     }
 
-    fn send(&mut self, id: RequestId, to: NodeId, actions: &mut Vec<Action>) -> bool {
+    fn send(&mut self, id: RequestId, to: EndpointId, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
-        let begin_by = self.open.get(&id).and_then(|open| self.begin_by(open, to));
-        let (Some(open), Some(node)) = (self.open.get_mut(&id), self.nodes.get_mut(&to)) else {
+        let send_before = self.open.get(&id).and_then(|open| self.send_before(open, to));
+        let (Some(open), Some(endpoint)) = (self.open.get_mut(&id), self.endpoints.get_mut(&to)) else {
             return false;
         };
         open.out.insert(open.attempts, to);
-        node.out.insert((id, open.attempts), (now, open.class, open.session));
+        endpoint.out.insert((id, open.attempts), (now, open.class, open.session));
         open.attempts += 1;
-        node.quiet_since = node.quiet_since.or(Some(now));
-        (node.reach.again, node.sent_at) = (now + SEARCH_PAUSE, Some(now));
+        endpoint.quiet_since = endpoint.quiet_since.or(Some(now));
+        (endpoint.health.again, endpoint.sent_at) = (now + SEARCH_PAUSE, Some(now));
         // Where nothing can be called off, a safe read's time-out leaves room for a second try.
-        let bare = self.cfg.classes[open.class.0].effect == Effect::Safe && !self.cfg.limits.cancel;
+        let bare =
+            self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent && !self.cfg.limits.cancel;
         let timeout = bare.then_some(Span((open.deadline - now).0 / 2));
-        actions.push(Action::Send { request: id, node: to, timeout, begin_by });
+        actions.push(Action::Send { request: id, endpoint: to, timeout, send_before });
         true
     }
 
     /// Until when a repeat is sure to be dropped where an earlier attempt may have run.
     fn repeats_until(&self, open: &Open) -> Option<Time> {
-        match self.cfg.classes[open.class.0].effect {
-            Effect::Unsafe | Effect::Keyed(DedupScope::Zone, _) => open.ran_from,
-            Effect::Keyed(_, window) => Some(open.ran_from? + window - Span(self.cfg.tick.0 * 2)),
-            Effect::Safe => None,
+        match self.cfg.classes[open.class.0].idempotency {
+            Idempotency::NonIdempotent | Idempotency::IdempotencyKey(DedupScope::Zone, _) => open.ran_from,
+            Idempotency::IdempotencyKey(_, window) => {
+                Some(open.ran_from? + window - Span(self.cfg.tick.0 * 2))
+            }
+            Idempotency::Idempotent => None,
         }
     }
 
     /// Until when what is decided now holds: connections may come up late, and knowledge ages meanwhile.
-    fn begin_by(&self, open: &Open, to: NodeId) -> Option<Time> {
+    fn send_before(&self, open: &Open, to: EndpointId) -> Option<Time> {
         let repeat = self.repeats_until(open);
-        let Need::Bounded(bound) = self.cfg.classes[open.class.0].need else { return repeat };
+        let Consistency::BoundedStaleness(bound) = self.cfg.classes[open.class.0].consistency else {
+            return repeat;
+        };
         let primary = self.groups.get(&open.group).is_some_and(|g| g.known && g.primary == Some(to));
-        let known = self.nodes.get(&to)?.position.filter(|_| self.cfg.checks == Checks::Off && !primary);
+        let known = self
+            .endpoints
+            .get(&to)?
+            .position
+            .filter(|_| self.cfg.stale_read_policy == StaleReadPolicy::Serve && !primary);
         known.map(|at| at + bound).into_iter().chain(repeat).min()
     }
 
@@ -733,44 +774,44 @@
         let now = self.now;
         let Some(open) = self.open.get_mut(&id) else { return };
         open.streaming = true;
-        for (attempt, node) in &open.out {
-            let Some(node) = self.nodes.get_mut(node) else { continue };
-            let Some(sent) = node.out.remove(&(id, *attempt)) else { continue };
-            node.streams.insert((id, *attempt), (now, sent));
-            node.reach.open(now);
-            node.quiet_since = Some(now).filter(|_| !node.out.is_empty());
+        for (attempt, endpoint) in &open.out {
+            let Some(endpoint) = self.endpoints.get_mut(endpoint) else { continue };
+            let Some(sent) = endpoint.out.remove(&(id, *attempt)) else { continue };
+            endpoint.streams.insert((id, *attempt), (now, sent));
+            endpoint.health.open(now);
+            endpoint.quiet_since = Some(now).filter(|_| !endpoint.out.is_empty());
         }
     }
 
     fn on_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let (now, id) = (self.now, (end.request, end.attempt));
-        let node = self.nodes.get_mut(&end.node);
-        let (out, stream) = node.map_or((None, None), |n| (n.out.remove(&id), n.streams.remove(&id)));
+        let endpoint = self.endpoints.get_mut(&end.endpoint);
+        let (out, stream) = endpoint.map_or((None, None), |n| (n.out.remove(&id), n.streams.remove(&id)));
         let (gone, begun) = (out.or(stream.map(|(_, sent)| sent)), stream.map(|(at, _)| at));
         let sent = gone.map(|(at, ..)| at);
         gone.into_iter().for_each(|(_, class, key)| self.measure(end, class, key));
-        if let Some(node) = self.nodes.get_mut(&end.node) {
-            if end.outcome.from_node() {
-                node.reach.open(now);
-                node.quiet_since = Some(now);
+        if let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) {
+            if end.outcome.from_endpoint() {
+                endpoint.health.open(now);
+                endpoint.quiet_since = Some(now);
             } else if matches!(end.outcome, Outcome::ConnectFailed | Outcome::Reset) {
-                node.reach.doubts += 1;
+                endpoint.health.doubts += 1;
             }
-            node.quiet_since = node.quiet_since.filter(|_| !node.out.is_empty());
+            endpoint.quiet_since = endpoint.quiet_since.filter(|_| !endpoint.out.is_empty());
             // A primary stood at the present when it answered, so at least where it was when this was sent.
             let told = if end.role == Some(Role::Primary) { sent } else { None };
             let stamped = end.position.map(|p| p - Span::from_millis(1));
-            node.position = node.position.max(told).max(stamped);
+            endpoint.position = endpoint.position.max(told).max(stamped);
         }
         // A primary may have been one only as its answer began.
         let at = begun.filter(|_| end.role == Some(Role::Primary)).unwrap_or(now);
-        end.role.into_iter().for_each(|role| self.on_role(end.node, role, at, true));
+        end.role.into_iter().for_each(|role| self.on_role(end.endpoint, role, at, true));
         let told = end.role == Some(Role::Primary) && end.position.is_some();
         self.clock_told = self.clock_told.saturating_add(u32::from(told));
-        end.report.iter().for_each(|r| self.on_report(end.node, r));
-        self.forget(end.node);
+        end.report.iter().for_each(|r| self.on_report(end.endpoint, r));
+        self.forget(end.endpoint);
         if end.outcome == Outcome::ConnectFailed {
-            self.probe(end.node, actions); // It may be dead or short of connections.
+            self.probe(end.endpoint, actions); // It may be dead or short of connections.
         }
         let Some(open) = self.open.get_mut(&end.request) else { return };
         open.out.remove(&end.attempt);
@@ -778,7 +819,7 @@
         let search = self.groups.get_mut(&group_id).and_then(|g| g.search.as_mut());
         if let Some(search) = search.filter(|s| s.leader.is_some_and(|(id, ..)| id == end.request)) {
             search.leader = None;
-            search.tried.insert(end.node);
+            search.tried.insert(end.endpoint);
         }
         if end.closed {
             return self.finish(end.request, actions);
@@ -791,14 +832,15 @@
         open.not_before = if given_up { now + Span(self.cfg.tick.0 * 2) } else { open.not_before };
         if end.outcome == Outcome::LocalFailure {
             open.not_before = now + Span(1).times(self.class_latency[open.class.0]);
-        } else if class.need != Need::Write {
-            open.avoid.insert(end.node);
-            let need = Self::needed(class, open.floor, sent.unwrap_or(now));
-            let node = self.nodes.get_mut(&end.node).filter(|_| end.outcome == Outcome::Miss);
-            if let (Some(node), Some(need)) = (node, need) {
-                (node.lag, node.told_at) = (Span((now - need).0.saturating_mul(2)), now);
+        } else if class.consistency != Consistency::Write {
+            open.avoid.insert(end.endpoint);
+            let consistency = Self::needed(class, open.floor, sent.unwrap_or(now));
+            let endpoint =
+                self.endpoints.get_mut(&end.endpoint).filter(|_| end.outcome == Outcome::Misdirected);
+            if let (Some(endpoint), Some(consistency)) = (endpoint, consistency) {
+                (endpoint.lag, endpoint.told_at) = (Span((now - consistency).0.saturating_mul(2)), now);
             }
-        } else if matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed) {
+        } else if matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed) {
             open.not_before = now + Span(1).times(self.class_latency[open.class.0]);
         }
         if open.out.is_empty() {
@@ -809,40 +851,40 @@
     /// Learns from how an attempt ended, whether or not its request is still held.
     fn measure(&mut self, end: &AttemptEnd, class_id: ClassId, key: Option<SessionKey>) {
         let class = &self.cfg.classes[class_id.0];
-        let Some(node) = self.nodes.get_mut(&end.node) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else { return };
         let fault = f64::from(u8::from(matches!(end.outcome, Outcome::Error | Outcome::Reset)));
-        node.faults += GAIN * (fault - node.faults);
-        let slow = end.latency > class.aim.times(SLOW_PART); // A client's haste proves nothing.
+        endpoint.faults += GAIN * (fault - endpoint.faults);
+        let slow = end.latency > class.latency_objective.times(SLOW_PART); // A client's haste proves nothing.
         if !end.outcome.never_ran() && (end.outcome == Outcome::Ok || slow) {
             let usual = self.class_latency[class_id.0];
             let excess = (end.latency.as_f64() / usual - 1.0).clamp(0.0, MOST_EXCESS);
-            let before = faded(node.excess, self.now - node.excess_at, self.cfg.rules.cold);
-            (node.excess, node.excess_at) = (before + EXCESS_GAIN * (excess - before), self.now);
+            let before = faded(endpoint.excess, self.now - endpoint.excess_at, self.cfg.rules.cold);
+            (endpoint.excess, endpoint.excess_at) = (before + EXCESS_GAIN * (excess - before), self.now);
         }
-        let full = if end.outcome == Outcome::Full { STRAIN.1 } else { 0.0 };
-        let part = (end.latency.as_f64() / class.aim.as_f64().max(1.0)).clamp(full, 2.0);
-        if !end.outcome.never_ran() || end.outcome == Outcome::Full {
+        let full = if end.outcome == Outcome::Rejected { STRAIN.1 } else { 0.0 };
+        let part = (end.latency.as_f64() / class.latency_objective.as_f64().max(1.0)).clamp(full, 2.0);
+        if !end.outcome.never_ran() || end.outcome == Outcome::Rejected {
             // Answers from other groups stand in where a group has few of its own.
-            let primary = self.groups.get(&node.group).is_some_and(|g| g.primary == Some(end.node));
+            let primary = self.groups.get(&endpoint.group).is_some_and(|g| g.primary == Some(end.endpoint));
             let shared = STRAIN_GAIN / (self.groups.len() as f64).sqrt();
             for (id, group) in &mut self.groups {
                 let strain = &mut group.strain[usize::from(primary)];
-                *strain += if *id == node.group { STRAIN_GAIN } else { shared } * (part - *strain);
+                *strain += if *id == endpoint.group { STRAIN_GAIN } else { shared } * (part - *strain);
             }
         }
-        if slow || end.outcome == Outcome::Full {
-            node.limit = (node.limit - LIMIT_CUT).max(1.0);
-        } else if end.outcome == Outcome::Ok && node.out.len() as f64 + 1.0 > node.limit / 2.0 {
-            node.limit += 1.0 / node.limit;
+        if slow || end.outcome == Outcome::Rejected {
+            endpoint.limit = (endpoint.limit - LIMIT_CUT).max(1.0);
+        } else if end.outcome == Outcome::Ok && endpoint.out.len() as f64 + 1.0 > endpoint.limit / 2.0 {
+            endpoint.limit += 1.0 / endpoint.limit;
         }
         if end.outcome != Outcome::Ok {
             return;
         }
         let warm = |n: &&Node| n.ready() && self.slow_start_fraction(n).is_none();
-        if self.nodes.get(&end.node).filter(warm).is_some() {
+        if self.endpoints.get(&end.endpoint).filter(warm).is_some() {
             // By the size that was warm then: by what is warm later, nodes of a group most of which went away
             // would seem to have served far more for their size.
-            let sizes: f64 = self.nodes.values().filter(warm).map(|n| n.weight).sum();
+            let sizes: f64 = self.endpoints.values().filter(warm).map(|n| n.weight).sum();
             (self.served, self.served_at) = (self.served_now() + 1.0 / sizes, self.now);
         }
         let sample = end.latency.as_f64();
@@ -850,12 +892,13 @@
         let (mean, deviation) = (&mut self.class_latency[class_id.0], &mut self.class_deviation[class_id.0]);
         *deviation += GAIN * ((sample - *mean).abs() - *deviation);
         *mean = (*mean + GAIN * (sample - *mean)).max(1.0);
-        let kept = class.need == Need::Write && self.cfg.sessions == Sessions::Kept;
+        let kept =
+            class.consistency == Consistency::Write && self.cfg.sessions == SessionTracking::RouterTracked;
         let (true, Some(key), Some(at)) = (kept, key, end.position) else { return };
         let kept = *self.sessions.entry(key).and_modify(|kept| *kept = at.max(*kept)).or_insert(at);
         self.session_order.push_back((key, kept));
         // Memory is bounded by letting the oldest go: its position is then asked of every unknown session.
-        while self.session_order.len() > self.cfg.limits.max_open {
+        while self.session_order.len() > self.cfg.limits.max_open_requests {
             let Some((old, when)) = self.session_order.pop_front() else { break };
             if self.sessions.get(&old) == Some(&when) && self.sessions.remove(&old).is_some() {
                 self.session_floor = self.session_floor.max(Some(when));
@@ -866,57 +909,68 @@
     // ---- Reads ----
 
     /// The position that a read needs now; `None`: any.
-    fn needed(class: &Class, floor: Option<Time>, now: Time) -> Option<Time> {
-        match class.need {
-            Need::Bounded(bound) => Some(now - bound),
-            Need::Session => floor,
+    fn needed(class: &RequestClass, floor: Option<Time>, now: Time) -> Option<Time> {
+        match class.consistency {
+            Consistency::BoundedStaleness(bound) => Some(now - bound),
+            Consistency::Session => floor,
             _ => None,
         }
     }
 
     /// Known to be fresh enough; where replicas check for themselves, a lag not told is none, and one told or
     /// shown by a miss is taken to fade: a wrong guess costs one more miss.
-    fn fresh(&self, id: NodeId, need: Option<Time>) -> bool {
-        let (Some(need), Some(node)) = (need, self.nodes.get(&id)) else { return need.is_none() };
-        let lag = faded(node.lag.as_f64(), self.now - node.told_at, self.cfg.rules.cold);
-        let bears = self.groups.get(&node.group).is_some_and(|g| self.bearer(g) == Some(id));
-        let guess = self.cfg.checks != Checks::Off && !bears && self.now - Span(1).times(lag) >= need;
-        guess || node.position.is_some_and(|p| p >= need)
+    fn fresh(&self, id: EndpointId, consistency: Option<Time>) -> bool {
+        let (Some(consistency), Some(endpoint)) = (consistency, self.endpoints.get(&id)) else {
+            return consistency.is_none();
+        };
+        let lag = faded(endpoint.lag.as_f64(), self.now - endpoint.told_at, self.cfg.rules.cold);
+        let bears = self.groups.get(&endpoint.group).is_some_and(|g| self.bearer(g) == Some(id));
+        let guess = self.cfg.stale_read_policy != StaleReadPolicy::Serve
+            && !bears
+            && self.now - Span(1).times(lag) >= consistency;
+        guess || endpoint.position.is_some_and(|p| p >= consistency)
     }
 
     /// Departure: while a replica holds a long query it applies nothing, so those of a group all go to one of
     /// its replicas, the last in sorted order at every router, and the others stay fresh.
     fn long(&self, class: ClassId) -> bool {
-        let bound =
-            |c: &Class| if let Need::Bounded(b) = c.need { Some(b.times(LONG_PART).as_f64()) } else { None };
+        let bound = |c: &RequestClass| {
+            if let Consistency::BoundedStaleness(b) = c.consistency {
+                Some(b.times(LONG_PART).as_f64())
+            } else {
+                None
+            }
+        };
         let tightest = self.cfg.classes.iter().filter_map(bound).reduce(f64::min);
-        self.cfg.classes[class.0].need == Need::Any
+        self.cfg.classes[class.0].consistency == Consistency::Eventual
             && tightest.is_some_and(|b| self.class_latency[class.0] > b)
     }
 
     /// The last replica that is warm, if there is one: while an endpoint starts, long queries would fill it first.
-    fn bearer(&self, group: &Group) -> Option<NodeId> {
+    fn bearer(&self, group: &Group) -> Option<EndpointId> {
         let replicas = group.members.iter().filter(|n| group.primary != Some(**n) && self.takes(**n));
-        let replicas: Vec<NodeId> = replicas.copied().collect();
+        let replicas: Vec<EndpointId> = replicas.copied().collect();
         let warm = replicas.iter().rev().find(|n| self.is_warm(**n));
         warm.or(replicas.last()).filter(|_| replicas.len() > 1).copied()
     }
 
-    fn target_of_read(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<NodeId> {
+    fn target_of_read(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<EndpointId> {
         let open = self.open.get(&id)?;
         let (group_id, class) = (open.group, open.class);
         let (group, waited) = (self.groups.get(&group_id)?, self.now - open.arrived);
-        let alone = self.long(open.class) && waited < self.cfg.classes[open.class.0].aim.times(SLOW_PART);
+        let alone = self.long(open.class)
+            && waited < self.cfg.classes[open.class.0].latency_objective.times(SLOW_PART);
         if let Some(bearer) = self.bearer(group).filter(|n| alone && !open.avoid.contains(n)) {
             return self.grants(bearer, class, 0.0).then_some(bearer);
         }
-        let need = Self::needed(&self.cfg.classes[open.class.0], open.floor, self.now);
+        let consistency = Self::needed(&self.cfg.classes[open.class.0], open.floor, self.now);
         let (probe_wait, avoid) = (open.probe_wait, open.avoid.clone());
-        let usable = |n: &&NodeId| {
+        let usable = |n: &&EndpointId| {
             group.primary != Some(**n) && !avoid.contains(n) && self.takes(**n) && self.room(**n, 0.0)
         };
-        let replicas: Vec<NodeId> = group.members.iter().filter(usable).copied().collect();
-        let mut fresh: Vec<NodeId> = replicas.iter().filter(|n| self.fresh(**n, need)).copied().collect();
+        let replicas: Vec<EndpointId> = group.members.iter().filter(usable).copied().collect();
+        let mut fresh: Vec<EndpointId> =
+            replicas.iter().filter(|n| self.fresh(**n, consistency)).copied().collect();
         while let Some(pick) = self.pick(&fresh) {
             if self.try_acquire_slow_start_budget(pick, class) {
                 return Some(pick);
@@ -925,18 +979,18 @@
         }
         // Two drawn replicas are asked if none is known to be fresh, each at most as often as that can help.
         for _ in 0..2 {
-            if let (Some(need), Some(drawn)) = (need, self.draw(&replicas)) {
-                self.probe_for(drawn, need, actions);
+            if let (Some(consistency), Some(drawn)) = (consistency, self.draw(&replicas)) {
+                self.probe_for(drawn, consistency, actions);
             }
         }
         // A primary stands at the present: what it tells shows whether the clock of this machine is right. That is asked for
         // at the start only, of any primary.
         let primary = self.groups.get(&group_id).and_then(|g| g.primary);
-        if let (Some(_), Some(primary)) = (need, primary.filter(|id| self.asks_for_clock(*id))) {
+        if let (Some(_), Some(primary)) = (consistency, primary.filter(|id| self.asks_for_clock(*id))) {
             self.probe(primary, actions);
         }
         // None known: a probe on its way may tell of one, and is waited for once.
-        let asked = replicas.iter().any(|n| self.nodes[n].probe_out);
+        let asked = replicas.iter().any(|n| self.endpoints[n].probe_out);
         let until = probe_wait.unwrap_or(self.now + Span(1).times(2.0 * self.probe_latency) + self.cfg.tick);
         self.open.get_mut(&id)?.probe_wait = Some(until);
         if asked && self.now < until {
@@ -951,34 +1005,34 @@
 
     /// Whether a primary is asked for what shows the clock: seldom enough that probes which come to nothing at once do not
     /// follow each other without a pause.
-    fn asks_for_clock(&self, id: NodeId) -> bool {
-        let last = self.nodes.get(&id).and_then(|node| node.probed_at);
+    fn asks_for_clock(&self, id: EndpointId) -> bool {
+        let last = self.endpoints.get(&id).and_then(|endpoint| endpoint.probed_at);
         self.clock_told < CLOCK_TOLD && last.is_none_or(|at| self.now - at >= CLOCK_PAUSE)
     }
 
     /// Design page: of two drawn, the one with fewer of this router's requests in flight; ours: on a tie the
     /// one in the router's zone.
-    fn pick(&mut self, from: &[NodeId]) -> Option<NodeId> {
+    fn pick(&mut self, from: &[EndpointId]) -> Option<EndpointId> {
         let (first, second) = (self.draw(from)?, self.draw(from)?);
-        let load = |n: NodeId| (self.nodes[&n].out.len(), self.nodes[&n].zone != self.cfg.zone);
+        let load = |n: EndpointId| (self.endpoints[&n].out.len(), self.endpoints[&n].zone != self.cfg.zone);
         Some(if load(second) < load(first) { second } else { first })
     }
 
     /// Draws by what a node can do: its size, the warm part of it, how seldom it fails. Failing is quick and
     /// leaves little in flight, so that such a node would draw ever more.
-    fn draw(&mut self, from: &[NodeId]) -> Option<NodeId> {
+    fn draw(&mut self, from: &[EndpointId]) -> Option<EndpointId> {
         // Whoever meets a member often sees that it is slow in what is out there and in its limit; who meets
         // it seldom has nothing out, and the last few answers.
         let seldom = 2.0 * (1.0 - self.heard());
         // It would also need a new connection nearly each time: it goes on where one stands unused.
-        let idle = self.cfg.limits.conn_idle.times(STANDS);
+        let idle = self.cfg.limits.idle_connection_timeout.times(STANDS);
         let stands = |n: &Node| n.out.is_empty() && n.sent_at.is_some_and(|at| self.now - at < idle);
-        let part = |id: &NodeId| {
-            let node = &self.nodes[id];
-            let excess = faded(node.excess, self.now - node.excess_at, self.cfg.rules.cold);
-            let fit = (1.0 - node.faults).powi(4).max(GAIN.powi(2)) / (1.0 + excess).powf(seldom);
-            let stands = if stands(node) { (1.0 + MOST_EXCESS).powf(seldom) } else { 1.0 };
-            node.weight * self.slow_start_fraction(node).unwrap_or(1.0) * fit * stands
+        let part = |id: &EndpointId| {
+            let endpoint = &self.endpoints[id];
+            let excess = faded(endpoint.excess, self.now - endpoint.excess_at, self.cfg.rules.cold);
+            let fit = (1.0 - endpoint.faults).powi(4).max(GAIN.powi(2)) / (1.0 + excess).powf(seldom);
+            let stands = if stands(endpoint) { (1.0 + MOST_EXCESS).powf(seldom) } else { 1.0 };
+            endpoint.weight * self.slow_start_fraction(endpoint).unwrap_or(1.0) * fit * stands
         };
         let parts: Vec<f64> = from.iter().map(part).collect();
         let mut at = self.random() * parts.iter().sum::<f64>();
@@ -1005,12 +1059,13 @@
     }
 
     /// The final answer of a request that is not tried further: a refusal where that is known to be harmless.
-    fn give_up(&mut self, id: RequestId, why: Why, actions: &mut Vec<Action>) {
+    fn give_up(&mut self, id: RequestId, why: GiveUpReason, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let harmless = self.cfg.classes[open.class.0].effect == Effect::Safe || open.ran_from.is_none();
+        let harmless =
+            self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent || open.ran_from.is_none();
         let retry_after = self.cfg.limits.retry_after.then_some(self.cfg.limits.max_retry_after);
         actions.push(if harmless {
-            Action::Refuse { request: id, retry_after, why }
+            Action::Reject { request: id, retry_after, why }
         } else {
             Action::Fail { request: id, why }
         });
@@ -1020,7 +1075,7 @@
     /// Forgets a request; what is still out for it is called off.
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else { return };
-        let safe = self.cfg.classes[open.class.0].effect == Effect::Safe;
+        let safe = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent;
         if self.cfg.limits.cancel && safe && !open.streaming {
             actions.extend(open.out.keys().map(|a| Action::Cancel { request: id, attempt: *a }));
         }
@@ -1030,7 +1085,7 @@
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let waits = self.groups.values().any(|g| !g.waiting.is_empty());
         let soon = waits.then(|| self.now + Span(self.cfg.tick.0 * 2));
-        let silence = self.nodes.values().filter_map(|n| self.silence(n)).min();
+        let silence = self.endpoints.values().filter_map(|n| self.silence(n)).min();
         let silence = silence.map(|at| at.max(self.now) + self.cfg.tick);
         let at = soon.into_iter().chain(silence).chain(self.ask_at).min();
         if let Some(at) = at.filter(|at| self.wake_at.is_none_or(|w| *at < w)) {
--- a/crates/policy/src/decide/slow_start.rs
+++ b/crates/policy/src/decide/slow_start.rs
@@ -9,7 +9,7 @@
 //! Long queries count by their work. Their tokens are kept apart, by their part of all work, so that one that waits
 //! does not use up what short ones need; what they leave unused is the short ones' too.
 
-use crate::interface::{ClassId, NodeId, NodeState, Span, Time};
+use crate::interface::{ClassId, EndpointId, EndpointState, Span, Time};
 
 use super::{MEMORY, Node, Router};
 
@@ -131,39 +131,41 @@
 
 impl Router {
     /// The part of its capacity that an endpoint in slow start surely has; `None` once it is warm.
-    pub(super) fn slow_start_fraction(&self, node: &Node) -> Option<f64> {
+    pub(super) fn slow_start_fraction(&self, endpoint: &Node) -> Option<f64> {
         let rules = &self.cfg.rules;
-        let age = self.now - node.started.max(node.reach.revived)?;
+        let age = self.now - endpoint.started.max(endpoint.health.revived)?;
         let grown = (age.as_f64() / rules.cold.as_f64()).max(0.0);
-        (grown < 1.0).then_some(rules.cold_from + (1.0 - rules.cold_from) * grown)
+        (grown < 1.0)
+            .then_some(rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown)
     }
 
-    pub(super) fn is_warm(&self, id: NodeId) -> bool {
-        self.nodes.get(&id).is_some_and(|node| self.slow_start_fraction(node).is_none())
+    pub(super) fn is_warm(&self, id: EndpointId) -> bool {
+        self.endpoints.get(&id).is_some_and(|endpoint| self.slow_start_fraction(endpoint).is_none())
     }
 
     /// Whether a request of this class may be sent to an endpoint now, as far as slow start goes; uses its budget.
     ///
     /// Departure: acts on all that is sent. May hurt a write whose primary is cold.
-    pub(super) fn try_acquire_slow_start_budget(&mut self, id: NodeId, class: ClassId) -> bool {
+    pub(super) fn try_acquire_slow_start_budget(&mut self, id: EndpointId, class: ClassId) -> bool {
         let (rules, over) = (&self.cfg.rules, self.cfg.rules.cold.max(MEMORY).as_f64());
-        let Some(node) = self.nodes.get(&id) else { return false };
-        let Some(fraction) = self.slow_start_fraction(node) else { return true };
+        let Some(endpoint) = self.endpoints.get(&id) else { return false };
+        let Some(fraction) = self.slow_start_fraction(endpoint) else { return true };
         // What an endpoint can do is at least what this router's warm ones do, and its part of what tenants may
         // ask of all: a router that has just started, or seldom meets it, has seen next to nothing.
-        let size: f64 = self.nodes.values().filter(|n| n.state == NodeState::Ready).map(|n| n.weight).sum();
+        let size: f64 =
+            self.endpoints.values().filter(|n| n.state == EndpointState::Ready).map(|n| n.weight).sum();
         let quota = self.cfg.tenants.iter().map(|t| t.allowance).sum::<f64>() / f64::from(self.cfg.routers);
-        let usual = (self.served_now() / over).max(quota / 1e6 / size) * node.weight;
-        let rate = BUDGET_USED * rules.tip_multiple * fraction * usual;
-        let (window, now) = (rules.tip_after, self.now);
+        let usual = (self.served_now() / over).max(quota / 1e6 / size) * endpoint.weight;
+        let rate = BUDGET_USED * rules.overload_multiple * fraction * usual;
+        let (window, now) = (rules.overload_duration, self.now);
         let (cost, long_part) = self.costs.cost_and_long_part(class);
         let chance = self.random();
-        let Some(node) = self.nodes.get_mut(&id) else { return false };
-        node.slow_start.refill(now, rate, window, long_part);
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return false };
+        endpoint.slow_start.refill(now, rate, window, long_part);
         if cost > LONG_COST {
-            node.slow_start.take_long(cost.powf(COST_EXPONENT), chance)
+            endpoint.slow_start.take_long(cost.powf(COST_EXPONENT), chance)
         } else {
-            node.slow_start.take_short(chance)
+            endpoint.slow_start.take_short(chance)
         }
     }
 }
--- a/crates/policy/src/decide/view.rs
+++ b/crates/policy/src/decide/view.rs
@@ -8,10 +8,12 @@
 impl Router {
     /// What it believes now, as of its last step.
     #[must_use]
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> RouterView {
         let groups = self.groups.iter().map(|(id, group)| {
             let writes = |id: &&RequestId| {
-                self.open.get(id).is_some_and(|o| self.cfg.classes[o.class.0].need == Need::Write)
+                self.open
+                    .get(id)
+                    .is_some_and(|o| self.cfg.classes[o.class.0].consistency == Consistency::Write)
             };
             GroupView {
                 group: *id,
@@ -20,26 +22,26 @@
                 since: group.belief.1,
                 changes: group.belief.2,
                 searching: group.search.as_ref().map(|s| s.began),
-                writes_held: group.waiting.iter().filter(writes).count(),
+                queued_writes: group.waiting.iter().filter(writes).count(),
                 waiting: group.waiting.len(),
             }
         });
-        let nodes = self.nodes.iter().map(|(id, node)| NodeView {
-            node: *id,
-            group: node.group,
-            state: node.state,
-            role: self.role_of(*id, node),
-            reach: match node.reach.shut {
-                None => Reachable::Open,
-                Some(Shut::Silent) => Reachable::Silent,
-                Some(Shut::OutOfReach) => Reachable::OutOfReach,
+        let endpoints = self.endpoints.iter().map(|(id, endpoint)| EndpointView {
+            endpoint: *id,
+            group: endpoint.group,
+            state: endpoint.state,
+            role: self.role_of(*id, endpoint),
+            health: match endpoint.health.shut {
+                None => EndpointHealth::Healthy,
+                Some(Shut::Silent) => EndpointHealth::Unresponsive,
+                Some(Shut::OutOfReach) => EndpointHealth::Unreachable,
             },
-            in_flight: node.out.len(),
-            limit: node.limit,
-            position: node.position,
-            warm: self.slow_start_fraction(node),
+            in_flight: endpoint.out.len(),
+            limit: endpoint.limit,
+            position: endpoint.position,
+            warm: self.slow_start_fraction(endpoint),
         });
-        View { groups: groups.collect(), nodes: nodes.collect() }
+        RouterView { groups: groups.collect(), endpoints: endpoints.collect() }
     }
 
     /// Members on the list that are avoided now: they drain, or are shut by this router's own evidence and have been sent
@@ -47,16 +49,16 @@
     #[must_use]
     pub fn avoided(&self) -> usize {
         let unused = |n: &Node| n.sent_at.is_none_or(|at| self.now - at >= AVOIDED);
-        let shut = |n: &Node| n.reach.shut.is_some() && unused(n);
-        self.nodes
+        let shut = |n: &Node| n.health.shut.is_some() && unused(n);
+        self.endpoints
             .values()
-            .filter(|n| n.state == NodeState::Draining || n.state == NodeState::Ready && shut(n))
+            .filter(|n| n.state == EndpointState::Draining || n.state == EndpointState::Ready && shut(n))
             .count()
     }
 
     /// The group's primary is taken for one whatever it said last; others for what they said.
-    fn role_of(&self, id: NodeId, node: &Node) -> Option<Role> {
-        let known = self.groups.get(&node.group).filter(|g| g.known && g.primary == Some(id));
-        known.map(|_| Role::Primary).or(node.role.map(|(role, _)| role))
+    fn role_of(&self, id: EndpointId, endpoint: &Node) -> Option<Role> {
+        let known = self.groups.get(&endpoint.group).filter(|g| g.known && g.primary == Some(id));
+        known.map(|_| Role::Primary).or(endpoint.role.map(|(role, _)| role))
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -12,7 +12,7 @@
 }
 
 id!(/** A client's request; never used twice. */ RequestId, u64);
-id!(/** A member of a group; stays the same over restarts of its process. */ NodeId, u32);
+id!(/** A member of a group; stays the same over restarts of its process. */ EndpointId, u32);
 id!(/** A group: one primary and its replicas. */ GroupId, u16);
 id!(/** Place of a class in [`Settings::classes`]. */ ClassId, usize);
 id!(/** Place of a tenant in [`Settings::tenants`]. */ TenantId, usize);
@@ -86,17 +86,17 @@
 
 /// What a class asks of the member that serves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Consistency {
     /// A write: only the primary takes it.
     Write,
     /// A read that must see all that was committed before it came in.
-    Fresh,
+    Strong,
     /// A read that must see its session's own writes.
     Session,
     /// A read of data no older than this when it is sent.
-    Bounded(Span),
+    BoundedStaleness(Span),
     /// A read that any member may serve.
-    Any,
+    Eventual,
 }
 
 /// Where a repeat of a keyed request is dropped.
@@ -112,32 +112,32 @@
 
 /// What happens if a request runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing.
-    Safe,
+    Idempotent,
     /// Repeats are dropped within the scope, for the window.
-    Keyed(DedupScope, Span),
+    IdempotencyKey(DedupScope, Span),
     /// Harm.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// What it needs of a member.
-    pub need: Need,
+    pub consistency: Consistency,
     /// What a second run does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer within this time earns the full worth.
-    pub aim: Span,
+    pub latency_objective: Span,
     /// The aim grows by this many times the request's own work (0: not at all).
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// How long a client waits over all its tries.
     pub deadline: Span,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
 }
 
 /// A tenant and its share.
@@ -149,11 +149,11 @@
 
 /// How the list of nodes arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListMode {
+pub enum DiscoveryMode {
     /// Unprompted.
-    Pushed,
+    Watch,
     /// Only to a router that asks.
-    Asked,
+    Poll,
 }
 
 /// What the list's primary mark means.
@@ -164,27 +164,27 @@
     /// As it was at the start.
     Static,
     /// Means nothing.
-    Off,
+    Ignored,
 }
 
 /// What a replica does with a read it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Checks {
+pub enum StaleReadPolicy {
     /// Answers from what it has.
-    Off,
+    Serve,
     /// Turns it away.
-    Bounce,
+    Reject,
     /// Waits this long to catch up, then turns it away.
-    Await(Span),
+    WaitThenReject(Span),
 }
 
 /// Where the knowledge of a session's last write comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sessions {
+pub enum SessionTracking {
     /// The read says how long ago it was.
-    Brought,
+    ClientProvided,
     /// The router remembers the writes it had answered.
-    Kept,
+    RouterTracked,
 }
 
 /// What the deployment allows.
@@ -193,9 +193,9 @@
     /// Attempts may be called off.
     pub cancel: bool,
     /// Nodes may be probed.
-    pub probing: bool,
+    pub health_checks: bool,
     /// A request may have two attempts out.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Clients receive a retry-after.
     pub retry_after: bool,
     /// Attempts for one request.
@@ -203,45 +203,45 @@
     /// The longest retry-after a client honours.
     pub max_retry_after: Span,
     /// Requests that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// How long an idle connection is kept.
-    pub conn_idle: Span,
+    pub idle_connection_timeout: Span,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// Where the list is asked for: how often at least.
-    pub ask_within: Span,
+    pub max_poll_interval: Span,
     /// A node starts at this share of its capacity or above.
-    pub cold_from: f64,
+    pub slow_start_initial_capacity: f64,
     /// And is warm after this at most.
     pub cold: Span,
     /// More than this multiple of the capacity of a cold node ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long pushes it over.
-    pub tip_after: Span,
+    pub overload_duration: Span,
     /// Only a draining mark binds; a node that vanished stays open.
-    pub removal_not_binding: bool,
+    pub removal_is_advisory: bool,
 }
 
 /// What a router is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Request classes, by [`ClassId`].
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Tenants, by [`TenantId`]; there may be none.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share; `None` without tenants.
-    pub over_share_worth: Option<f64>,
+    pub over_quota_priority_weight: Option<f64>,
     /// How the list arrives.
-    pub list_mode: ListMode,
+    pub discovery_mode: DiscoveryMode,
     /// What its primary mark means.
     pub listed_role: ListedRole,
     /// What replicas do with reads they are too far behind for.
-    pub checks: Checks,
+    pub stale_read_policy: StaleReadPolicy,
     /// Where sessions' writes are known from.
-    pub sessions: Sessions,
+    pub sessions: SessionTracking,
     /// Number of routers.
     pub routers: u32,
     /// This router's zone.
@@ -267,21 +267,21 @@
 
 /// What the list says of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum NodeState {
+pub enum EndpointState {
     /// Takes work.
     #[default]
     Ready,
     /// Wraps up; nothing new may go there.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointRecord {
     /// The node.
-    pub node: NodeId,
+    pub endpoint: EndpointId,
     /// Its group.
     pub group: GroupId,
     /// Its zone.
@@ -295,7 +295,7 @@
     /// Listed as its group's primary.
     pub primary: bool,
     /// Its state.
-    pub state: NodeState,
+    pub state: EndpointState,
 }
 
 /// A role that a node told.
@@ -315,7 +315,7 @@
     /// An error; it may have had an effect.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may run yet.
     Timeout,
     /// No connection; nothing ran.
@@ -327,27 +327,30 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    Misdirected,
 }
 
 impl Outcome {
     /// The attempt certainly did not run.
     #[must_use]
     pub const fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::LocalFailure | Self::Moot | Self::Miss)
+        matches!(
+            self,
+            Self::Rejected | Self::ConnectFailed | Self::LocalFailure | Self::NotSent | Self::Misdirected
+        )
     }
     /// The node itself spoke.
     #[must_use]
-    pub const fn from_node(self) -> bool {
-        matches!(self, Self::Ok | Self::Error | Self::Full | Self::Miss)
+    pub const fn from_endpoint(self) -> bool {
+        matches!(self, Self::Ok | Self::Error | Self::Rejected | Self::Misdirected)
     }
 }
 
 /// What a probed node reports, as of some time earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Time up to which it has applied all commits.
     pub position: Option<Time>,
     /// Whether it was the primary.
@@ -376,7 +379,7 @@
     /// A client's repeat, where clients mark it.
     pub repeat: bool,
     /// Time since the session's last write, if it brought that.
-    pub wrote_ago: Option<Span>,
+    pub since_last_write: Option<Span>,
 }
 
 /// The end of an attempt.
@@ -387,7 +390,7 @@
     /// Its attempt, counted from 0.
     pub attempt: u32,
     /// The node it went to.
-    pub node: NodeId,
+    pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// The request is over with it, or was before.
@@ -399,93 +402,93 @@
     /// Log position it told; for a write served, its commit.
     pub position: Option<Time>,
     /// Load report, if one came along.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What a router learns.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub enum PolicyEvent {
     /// The list, complete or its changes only.
-    List {
+    EndpointList {
         /// Nodes it does not name are gone.
         complete: bool,
         /// The lines.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointRecord>,
     },
     /// Asking for the list failed, or the subscription dropped.
-    ListFailed,
+    DiscoveryFailed,
     /// A new request.
     Request(Request),
     /// An attempt's stream began: the request is bound to it.
-    Streaming(RequestId),
+    ResponseStarted(RequestId),
     /// An attempt ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The client left; nothing more is owed.
-    Aborted(RequestId),
+    ClientDisconnected(RequestId),
     /// So many routers there are now, 1 at the least. Where that is more than before, each leaves the others their part of
     /// its limits (never below two attempts at a node) and of what it takes to be its share of the nodes' work; where it is
     /// fewer, both grow by answers.
-    Routers(u32),
+    RouterCount(u32),
     /// Times of the cluster's clock that came in before (positions, commits, starts of nodes) lie so much later than they
     /// were taken to, or earlier if negative.
     ClockCorrected(Span),
     /// A timer fell due.
     Timer(u64),
     /// A probe came back.
-    Probed {
+    HealthCheckEnded {
         /// The node.
-        node: NodeId,
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
         latency: Span,
         /// The report, if one came.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
 /// Why a request is not tried further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum GiveUpReason {
     /// Its deadline is over.
-    Deadline,
+    DeadlineExceeded,
     /// The answers of late take too much of their time.
-    Strain,
+    Overloaded,
     /// Half its time went by and it was never sent.
-    Unsent,
+    NeverSent,
     /// It could no longer be served in time that counts.
-    Late,
+    TooLate,
     /// Its attempts are used up.
-    Attempts,
+    AttemptsExhausted,
     /// Its repeats would no longer be dropped.
-    Window,
+    RetryWindowClosed,
 }
 
 /// How a group's primary is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub enum Known {
+pub enum PrimaryEvidence {
     /// It is not: the lowest member stands in, or none.
     #[default]
-    Not,
+    Unknown,
     /// The list says so.
-    List,
+    EndpointList,
     /// It said so in an answer.
     Answer,
     /// It said so when it was probed.
-    Report,
+    LoadReport,
     /// The write that searched for it found it.
     Search,
 }
 
 /// Whether a router can use a node, by its own evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reachable {
+pub enum EndpointHealth {
     /// It can.
-    Open,
+    Healthy,
     /// It leaves what is sent unanswered.
-    Silent,
+    Unresponsive,
     /// Connections to it fail.
-    OutOfReach,
+    Unreachable,
 }
 
 /// What a router believes of a group.
@@ -494,9 +497,9 @@
     /// The group.
     pub group: GroupId,
     /// The member that it takes for the primary.
-    pub primary: Option<NodeId>,
+    pub primary: Option<EndpointId>,
     /// How it knows.
-    pub known: Known,
+    pub known: PrimaryEvidence,
     /// Since when it believes that.
     pub since: Time,
     /// How often it has believed something else.
@@ -504,24 +507,24 @@
     /// Since when it searches, if it does.
     pub searching: Option<Time>,
     /// Writes that wait here.
-    pub writes_held: usize,
+    pub queued_writes: usize,
     /// All requests that wait here.
     pub waiting: usize,
 }
 
 /// What a router believes of a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeView {
+pub struct EndpointView {
     /// The node.
-    pub node: NodeId,
+    pub endpoint: EndpointId,
     /// Its group.
     pub group: GroupId,
     /// What the list says.
-    pub state: NodeState,
+    pub state: EndpointState,
     /// The role that it is taken for, unless none is known.
     pub role: Option<Role>,
     /// Whether it can be used.
-    pub reach: Reachable,
+    pub health: EndpointHealth,
     /// Attempts that are out at it.
     pub in_flight: usize,
     /// How many may be.
@@ -534,11 +537,11 @@
 
 /// What a router believes, for those who watch it.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct View {
+pub struct RouterView {
     /// The groups, by number.
     pub groups: Vec<GroupView>,
     /// The nodes, by number.
-    pub nodes: Vec<NodeView>,
+    pub endpoints: Vec<EndpointView>,
 }
 
 /// What a router wants done.
@@ -549,12 +552,12 @@
         /// The request.
         request: RequestId,
         /// Where to.
-        node: NodeId,
+        endpoint: EndpointId,
         /// Its time-out; `None`: until the client gives up.
         timeout: Option<Span>,
         /// Nothing of it may be written later than this, however long a connection takes to come up; `None`: while its
         /// time-out lasts.
-        begin_by: Option<Time>,
+        send_before: Option<Time>,
     },
     /// Call an attempt off.
     Cancel {
@@ -564,28 +567,28 @@
         attempt: u32,
     },
     /// Final answer: not served, trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away.
         retry_after: Option<Span>,
         /// Why it is given up.
-        why: Why,
+        why: GiveUpReason,
     },
     /// Final answer: no success, no promise.
     Fail {
         /// The request.
         request: RequestId,
         /// Why it is given up.
-        why: Why,
+        why: GiveUpReason,
     },
     /// Probe a node.
-    Probe {
+    HealthCheck {
         /// The node.
-        node: NodeId,
+        endpoint: EndpointId,
     },
     /// Subscribe to the list.
-    Subscribe,
+    RefreshEndpointList,
     /// Set a timer.
     SetTimer {
         /// When.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,7 +3,7 @@
 //! Decides for a read/write splitter in front of database groups: one primary and its replicas each.
 //!
 //! [`Router`] is a state machine without input or output of its own. An embedder hands it whole batches of
-//! [`Event`]s with the time of its clock and carries out the [`Action`]s that come back, in their order.
+//! [`PolicyEvent`]s with the time of its clock and carries out the [`Action`]s that come back, in their order.
 //!
 //! ```
 //! use valehatch_policy::*;
--- a/crates/policy/tests/clock_correction.rs
+++ b/crates/policy/tests/clock_correction.rs
@@ -11,7 +11,7 @@
 #[test]
 fn positions_outlive_a_correction_that_makes_them_older() {
     let mut s = Script::group(settings(), 3, 1);
-    s.step(&[Event::ClockCorrected(ms(-30))]);
+    s.step(&[PolicyEvent::ClockCorrected(ms(-30))]);
     let before = s.probes.len();
     for id in 1..=20 {
         s.request(id, BOUNDED);
@@ -26,7 +26,7 @@
 fn positions_do_not_get_newer_by_a_correction(#[values(30, 3_600_000)] by_ms: i64) {
     let mut s = Script::group(settings(), 3, 1);
     s.run(1_000);
-    s.step(&[Event::ClockCorrected(ms(by_ms))]);
+    s.step(&[PolicyEvent::ClockCorrected(ms(by_ms))]);
     s.request(1, BOUNDED);
     assert_ne!(s.at(1), Some(2));
     assert_ne!(s.at(1), Some(3));
@@ -37,17 +37,20 @@
 #[test]
 fn primaries_are_asked_for_the_clock_with_a_pause() {
     let mut s = Script::new(settings());
-    s.list(true, (1..=3).map(|i| entry(i, i == 1, NodeState::Ready)).collect());
+    s.list(true, (1..=3).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
     // The primary has as much as it may, so that the read waits.
     (1..=20).for_each(|id| s.request(id, WRITE));
     s.request(100, BOUNDED);
     for _ in 0..100 {
         // In the same moment: the router is stepped once more for each end.
-        for node in std::mem::take(&mut s.probes) {
-            s.probed(node.0, Outcome::LocalFailure, None);
+        for endpoint in std::mem::take(&mut s.probes) {
+            s.probed(endpoint.0, Outcome::LocalFailure, None);
         }
     }
-    let asked =
-        s.all.iter().filter(|(_, a)| matches!(a, Action::Probe { node } if *node == NodeId(1))).count();
+    let asked = s
+        .all
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::HealthCheck { endpoint } if *endpoint == EndpointId(1)))
+        .count();
     assert!(asked <= 2, "{asked} times in one moment");
 }
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_class_of_no_worth_is_served_while_nothing_is_strained() {
     let mut cfg = settings();
-    cfg.classes[ANY.0].worth = 0.0;
+    cfg.classes[ANY.0].priority_weight = 0.0;
     let mut s = Script::group(cfg, 3, 1);
     assert_eq!(refused_of(&mut s, ANY, 1, 100), 0, "of a hundred of no worth");
     assert_eq!(refused_of(&mut s, BOUNDED, 101, 20), 0, "of those of some");
@@ -31,7 +31,7 @@
 #[test]
 fn classes_of_all_worths_are_served_while_nothing_is_strained() {
     let mut cfg = settings();
-    (cfg.classes[ANY.0].worth, cfg.classes[BOUNDED.0].worth) = (0.0, 1e9);
+    (cfg.classes[ANY.0].priority_weight, cfg.classes[BOUNDED.0].priority_weight) = (0.0, 1e9);
     let mut s = Script::group(cfg, 3, 1);
     for n in 0..20 {
         assert_eq!(refused_of(&mut s, BOUNDED, 1 + 100 * n, 5), 0);
@@ -42,7 +42,7 @@
 #[test]
 fn what_zones_deduplicate_is_never_repeated() {
     let mut cfg = settings();
-    cfg.classes[KEYED.0].effect = Effect::Keyed(DedupScope::Zone, ms(2000));
+    cfg.classes[KEYED.0].idempotency = Idempotency::IdempotencyKey(DedupScope::Zone, ms(2000));
     let mut s = Script::group(cfg, 3, 1);
     s.request(1, KEYED);
     s.end(1, Outcome::Reset, None);
@@ -51,7 +51,7 @@
     assert!(s.failed(1), "it may have run");
     // What certainly did not run is tried again.
     s.request(2, KEYED);
-    s.end(2, Outcome::Full, None);
+    s.end(2, Outcome::Rejected, None);
     s.run(1000);
     assert!(s.sends.iter().filter(|(id, _)| id.0 == 2).count() > 1);
 }
@@ -60,11 +60,11 @@
 fn one_attempt_is_enough_to_look_for_a_primary() {
     let mut cfg = settings();
     cfg.limits.max_attempts = 1;
-    cfg.limits.probing = false;
-    cfg.listed_role = ListedRole::Off;
+    cfg.limits.health_checks = false;
+    cfg.listed_role = ListedRole::Ignored;
     let mut s = Script::group(cfg, 3, 1);
     s.request(1, WRITE);
-    s.end(1, Outcome::Miss, Some(Role::Replica));
+    s.end(1, Outcome::Misdirected, Some(Role::Replica));
     assert!(s.refused(1));
     s.request(2, WRITE);
     s.run(20);
@@ -77,7 +77,7 @@
 #[test]
 fn a_class_that_waits_for_a_few_turns_only_is_served() {
     let mut cfg = settings();
-    (cfg.classes[ANY.0].deadline, cfg.classes[ANY.0].aim) = (ms(30), ms(10));
+    (cfg.classes[ANY.0].deadline, cfg.classes[ANY.0].latency_objective) = (ms(30), ms(10));
     let mut s = Script::group(cfg, 3, 1);
     s.request_with(1, ANY, 30, None);
     assert!(s.at(1).is_some(), "it is not refused as it comes");
@@ -97,25 +97,25 @@
     let mut cfg = settings();
     cfg.rules.cold = Span(0);
     let mut s = Script::group(cfg, 3, 1);
-    let started = |n, at| Entry { started: Some(at), ..entry(n, false, NodeState::Ready) };
+    let started = |n, at| EndpointRecord { started: Some(at), ..entry(n, false, EndpointState::Ready) };
     let now = s.now;
     s.list(false, vec![started(2, now), started(3, now)]);
     for id in 1..50 {
         s.request(id, ANY);
-        let node = s.at(id).expect("sent as it comes");
+        let endpoint = s.at(id).expect("sent as it comes");
         // One of the two is slow, which is remembered however soon members get warm.
-        s.now = s.now + ms(if node == 3 { 400 } else { 20 });
+        s.now = s.now + ms(if endpoint == 3 { 400 } else { 20 });
         s.end(id, Outcome::Ok, Some(Role::Replica));
         assert!(!s.shows("NaN"));
     }
-    let slow = s.sends.iter().filter(|(_, node)| node.0 == 3).count();
+    let slow = s.sends.iter().filter(|(_, endpoint)| endpoint.0 == 3).count();
     assert!(slow < 20, "the slow one got {slow} of 49");
 }
 
 #[test]
 fn the_shortest_aim_makes_no_number_none() {
     let mut cfg = settings();
-    cfg.classes.iter_mut().for_each(|c| c.aim = Span(0));
+    cfg.classes.iter_mut().for_each(|c| c.latency_objective = Span(0));
     let mut s = Script::group(cfg, 3, 1);
     for id in 1..20 {
         s.request(id, ANY);
@@ -130,7 +130,7 @@
 #[test]
 fn members_that_get_warm_soon_keep_their_budget_until_then() {
     let mut cfg = settings();
-    (cfg.rules.cold, cfg.rules.tip_after, cfg.rules.tip_multiple) = (ms(100), ms(100), 0.2);
+    (cfg.rules.cold, cfg.rules.overload_duration, cfg.rules.overload_multiple) = (ms(100), ms(100), 0.2);
     let mut s = Script::group(cfg, 3, 1);
     let mut id = 0;
     let mut reads = |s: &mut Script, count: usize| {
@@ -143,12 +143,15 @@
     };
     reads(&mut s, 400);
     let mut sent = 0;
-    for node in 10..20 {
+    for endpoint in 10..20 {
         let now = s.now;
-        s.list(false, vec![Entry { started: Some(now), ..entry(node, false, NodeState::Ready) }]);
+        s.list(
+            false,
+            vec![EndpointRecord { started: Some(now), ..entry(endpoint, false, EndpointState::Ready) }],
+        );
         reads(&mut s, 38);
-        s.list(false, vec![entry(node, false, NodeState::Gone)]);
-        sent += s.sends.iter().filter(|(_, to)| to.0 == node).count();
+        s.list(false, vec![entry(endpoint, false, EndpointState::Removed)]);
+        sent += s.sends.iter().filter(|(_, to)| to.0 == endpoint).count();
     }
     // Two warm ones are sent 200 a second each, a cold one has 0.2 of 0.6 of that: 2.4 in each of ten tenths of a second.
     assert!(sent <= 24, "cold members got {sent}");
@@ -168,10 +171,10 @@
 #[test]
 fn a_session_that_wrote_before_all_time_is_a_session() {
     let mut cfg = settings();
-    cfg.checks = Checks::Bounce;
+    cfg.stale_read_policy = StaleReadPolicy::Reject;
     let mut s = Script::group(cfg, 3, 1);
     s.request_with(1, SESSION, 3000, Some(i64::MAX / 1000));
-    s.end(1, Outcome::Miss, Some(Role::Replica));
+    s.end(1, Outcome::Misdirected, Some(Role::Replica));
     s.run(50);
     assert!(s.sends.len() > 1, "another member is tried");
 }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -19,9 +19,9 @@
 #[test]
 fn without_a_listed_role_the_lowest_member_is_the_seed_but_fresh_reads_wait() {
     let mut cfg = settings();
-    cfg.listed_role = ListedRole::Off;
+    cfg.listed_role = ListedRole::Ignored;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=3).map(|i| entry(i, i == 3, NodeState::Ready)).collect());
+    s.list(true, (1..=3).map(|i| entry(i, i == 3, EndpointState::Ready)).collect());
     s.request(1, WRITE);
     assert_eq!(s.at(1), Some(1));
     s.request(2, FRESH);
@@ -34,13 +34,13 @@
 fn one_write_searches_in_sorted_order_while_the_others_wait() {
     let mut s = Script::group(settings(), 4, 1);
     s.request(1, WRITE);
-    s.end(1, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
     s.request(2, WRITE);
     s.request(3, WRITE);
     let led: Vec<u32> = s.sends[1..].iter().map(|(_, n)| n.0).collect();
     assert_eq!(led, [2], "only one write is out");
-    s.end(1, Outcome::Miss, REPLICA);
-    assert_eq!(s.sends.last().unwrap().1, NodeId(3));
+    s.end(1, Outcome::Misdirected, REPLICA);
+    assert_eq!(s.sends.last().unwrap().1, EndpointId(3));
     let leader = s.sends.last().unwrap().0.0;
     s.end(leader, Outcome::Ok, PRIMARY);
     assert!([1, 2, 3].iter().filter(|id| **id != leader).all(|id| s.at(*id) == Some(3)));
@@ -49,12 +49,12 @@
 #[test]
 fn after_a_round_of_misses_the_search_pauses() {
     let mut cfg = settings();
-    cfg.limits.probing = false;
+    cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=2).map(|i| entry(i, i == 1, NodeState::Ready)).collect());
+    s.list(true, (1..=2).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
     s.request(1, WRITE);
-    s.end(1, Outcome::Miss, REPLICA);
-    s.end(1, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
     assert_eq!(s.sends.len(), 2);
     s.run(480);
     assert_eq!(s.sends.len(), 2);
@@ -66,14 +66,14 @@
 fn a_write_out_of_attempts_or_time_is_refused_at_once_with_a_retry_after() {
     let mut cfg = settings();
     cfg.limits.max_attempts = 2;
-    cfg.limits.probing = false;
+    cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=4).map(|i| entry(i, i == 1, NodeState::Ready)).collect());
+    s.list(true, (1..=4).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
     s.request(1, WRITE);
-    s.end(1, Outcome::Full, PRIMARY);
+    s.end(1, Outcome::Rejected, PRIMARY);
     s.run(1000);
-    s.end(1, Outcome::Full, PRIMARY);
-    assert!(matches!(s.answers.get(&RequestId(1)), Some(Action::Refuse { retry_after: Some(_), .. })));
+    s.end(1, Outcome::Rejected, PRIMARY);
+    assert!(matches!(s.answers.get(&RequestId(1)), Some(Action::Reject { retry_after: Some(_), .. })));
 }
 
 #[test]
@@ -86,7 +86,7 @@
         s.run(200);
     }
     for _ in 0..2 {
-        s.end(1, Outcome::Miss, REPLICA);
+        s.end(1, Outcome::Misdirected, REPLICA);
     }
     s.run(50);
     assert_eq!(s.sends.len(), 4);
@@ -158,12 +158,12 @@
     let mut s = Script::group(settings(), 4, 1);
     s.request(1, WRITE);
     s.request(2, WRITE);
-    s.end(1, Outcome::Miss, REPLICA);
-    s.end(2, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
+    s.end(2, Outcome::Misdirected, REPLICA);
     let leader = s.sends.last().unwrap().0;
-    assert_eq!(s.sends.last().unwrap().1, NodeId(2));
+    assert_eq!(s.sends.last().unwrap().1, EndpointId(2));
     s.run(900);
-    assert_eq!(s.sends.last().unwrap().1, NodeId(3), "a hung member costs the leader its turn");
+    assert_eq!(s.sends.last().unwrap().1, EndpointId(3), "a hung member costs the leader its turn");
     assert_ne!(s.sends.last().unwrap().0, leader);
 }
 
@@ -196,12 +196,12 @@
 #[test]
 fn where_replicas_check_a_lag_told_is_taken_to_last_and_a_miss_is_remembered() {
     let mut cfg = settings();
-    cfg.checks = Checks::Bounce;
+    cfg.stale_read_policy = StaleReadPolicy::Reject;
     let mut s = Script::group(cfg, 2, 1);
     s.run(100);
     s.request_with(1, SESSION, 3000, Some(90));
     assert_eq!(s.at(1), Some(2));
-    s.end(1, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
     assert_eq!(s.at(1), Some(1));
     s.request_with(2, SESSION, 3000, Some(80));
     s.run(20);
@@ -222,14 +222,16 @@
 #[test]
 fn kept_sessions_are_learned_even_from_a_write_whose_client_left() {
     let mut cfg = settings();
-    cfg.sessions = Sessions::Kept;
+    cfg.sessions = SessionTracking::RouterTracked;
     let mut s = Script::group(cfg, 2, 1);
     s.request(1, WRITE);
     let commit = s.now + ms(20);
     s.run(30);
-    let Some(Event::Ended(mut end)) = s.ended(1, Outcome::Ok, PRIMARY, Some(commit)) else { panic!() };
+    let Some(PolicyEvent::AttemptEnded(mut end)) = s.ended(1, Outcome::Ok, PRIMARY, Some(commit)) else {
+        panic!()
+    };
     end.closed = true;
-    s.step(&[Event::Aborted(RequestId(1)), Event::Ended(end)]);
+    s.step(&[PolicyEvent::ClientDisconnected(RequestId(1)), PolicyEvent::AttemptEnded(end)]);
     s.run(20);
     s.request(2, SESSION);
     s.run(50);
@@ -239,8 +241,8 @@
 #[test]
 fn remembered_sessions_take_bounded_memory_and_stay_safe() {
     let mut cfg = settings();
-    cfg.sessions = Sessions::Kept;
-    cfg.limits.max_open = 3;
+    cfg.sessions = SessionTracking::RouterTracked;
+    cfg.limits.max_open_requests = 3;
     let mut s = Script::group(cfg, 2, 1);
     for id in 1..=9 {
         s.request(id, WRITE);
@@ -249,7 +251,7 @@
         s.end_at(id, Outcome::Ok, PRIMARY, Some(commit));
     }
     s.run(10);
-    s.step(&[Event::Aborted(RequestId(99))]);
+    s.step(&[PolicyEvent::ClientDisconnected(RequestId(99))]);
     s.request(20, SESSION);
     s.run(50);
     assert_eq!(s.at(20), Some(1));
@@ -258,7 +260,7 @@
 #[test]
 fn draining_and_gone_nodes_get_nothing_new() {
     let mut s = Script::group(settings(), 3, 1);
-    s.list(false, vec![entry(1, true, NodeState::Draining), entry(2, false, NodeState::Gone)]);
+    s.list(false, vec![entry(1, true, EndpointState::Draining), entry(2, false, EndpointState::Removed)]);
     s.request(1, WRITE);
     s.request(2, ANY);
     assert_eq!((s.at(1), s.at(2)), (Some(3), Some(3)));
@@ -268,9 +270,9 @@
 fn a_node_missing_from_a_whole_list_is_gone_unless_removal_does_not_bind() {
     for binds in [true, false] {
         let mut cfg = settings();
-        cfg.rules.removal_not_binding = !binds;
+        cfg.rules.removal_is_advisory = !binds;
         let mut s = Script::group(cfg, 2, 1);
-        s.list(true, vec![entry(1, true, NodeState::Ready)]);
+        s.list(true, vec![entry(1, true, EndpointState::Ready)]);
         s.request(1, ANY);
         assert_eq!(s.at(1), Some(if binds { 1 } else { 2 }));
     }
@@ -293,7 +295,7 @@
         s.sends[before..].iter().filter(|(_, n)| n.0 == 3).count()
     };
     let warm = load(&mut s, 400);
-    let mut restarted = entry(3, false, NodeState::Ready);
+    let mut restarted = entry(3, false, EndpointState::Ready);
     restarted.started = Some(s.now);
     s.list(false, vec![restarted]);
     let cold = load(&mut s, 150);
@@ -348,7 +350,7 @@
 #[test]
 fn when_not_all_fit_the_worthier_goes_first() {
     let mut cfg = settings();
-    cfg.classes[ANY.0].worth = 5.0;
+    cfg.classes[ANY.0].priority_weight = 5.0;
     let mut s = Script::group(cfg, 2, 1);
     for id in 1..=60 {
         s.request_with(id, SESSION, 3000, None);
@@ -373,11 +375,11 @@
     let mut cfg = settings();
     cfg.listed_role = ListedRole::Static;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=3).map(|i| entry(i, i == 1, NodeState::Ready)).collect());
+    s.list(true, (1..=3).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
     s.request(1, WRITE);
-    s.end(1, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
     s.end(1, Outcome::Ok, PRIMARY);
-    s.list(false, vec![entry(1, true, NodeState::Ready)]);
+    s.list(false, vec![entry(1, true, EndpointState::Ready)]);
     s.request(2, WRITE);
     assert_eq!(s.at(2), Some(2), "the list's word does not outweigh an answer");
 }
@@ -385,12 +387,12 @@
 #[test]
 fn a_list_that_is_asked_for_is_asked_again_with_growing_pauses() {
     let mut cfg = settings();
-    cfg.list_mode = ListMode::Asked;
+    cfg.discovery_mode = DiscoveryMode::Poll;
     let mut s = Script::new(cfg);
-    s.list(true, vec![entry(1, true, NodeState::Ready)]);
+    s.list(true, vec![entry(1, true, EndpointState::Ready)]);
     assert_eq!(s.subscribes.len(), 1);
     for n in 2..8 {
-        s.step(&[Event::ListFailed]);
+        s.step(&[PolicyEvent::DiscoveryFailed]);
         s.run(4100);
         assert_eq!(s.subscribes.len(), n, "asked again within rules.ask_within");
     }
@@ -399,13 +401,17 @@
 #[test]
 fn odd_but_legal_sequences_are_borne() {
     let mut s = Script::group(settings(), 2, 1);
-    s.list(true, vec![entry(1, true, NodeState::Ready), entry(1, false, NodeState::Ready)]);
+    s.list(true, vec![entry(1, true, EndpointState::Ready), entry(1, false, EndpointState::Ready)]);
     s.probed(77, Outcome::Ok, None);
-    s.step(&[Event::Aborted(RequestId(4)), Event::Streaming(RequestId(4)), Event::Timer(9)]);
+    s.step(&[
+        PolicyEvent::ClientDisconnected(RequestId(4)),
+        PolicyEvent::ResponseStarted(RequestId(4)),
+        PolicyEvent::Timer(9),
+    ]);
     let end = AttemptEnd {
         request: RequestId(12),
         attempt: 3,
-        node: NodeId(88),
+        endpoint: EndpointId(88),
         outcome: Outcome::Ok,
         closed: true,
         latency: ms(1),
@@ -413,7 +419,7 @@
         position: None,
         report: None,
     };
-    s.step(&[Event::Ended(end)]);
+    s.step(&[PolicyEvent::AttemptEnded(end)]);
     s.request(1, WRITE);
     assert_eq!(s.at(1), Some(1));
 }
@@ -428,7 +434,7 @@
 #[test]
 fn a_long_query_is_no_silence() {
     let mut cfg = settings();
-    cfg.classes[ANY.0].aim = ms(4000);
+    cfg.classes[ANY.0].latency_objective = ms(4000);
     cfg.classes[ANY.0].deadline = ms(6000);
     let mut s = Script::group(cfg, 2, 1);
     for id in 1..=30 {
@@ -449,7 +455,7 @@
     for id in 1..=60 {
         s.request_with(id, ANY, 60_000, None);
         assert_eq!(s.at(id), Some(2), "none of them is out");
-        s.step(&[Event::Streaming(RequestId(id))]);
+        s.step(&[PolicyEvent::ResponseStarted(RequestId(id))]);
     }
     s.run(20_000);
     assert!(s.cancels.is_empty() && s.answers.is_empty());
@@ -467,7 +473,7 @@
 fn what_a_primary_says_at_the_end_of_a_long_answer_is_as_old_as_its_beginning() {
     let mut s = Script::group(settings(), 3, 1);
     s.request_with(1, FRESH, 60_000, None);
-    s.step(&[Event::Streaming(RequestId(1))]);
+    s.step(&[PolicyEvent::ResponseStarted(RequestId(1))]);
     s.run(5_000);
     s.report(1, 0, false);
     s.report(2, 0, true);
@@ -480,8 +486,8 @@
 fn long_queries_of_a_group_go_to_one_replica_and_bounded_reads_keep_off_it() {
     // A replica that holds one applies nothing: spread over all of them, they made every replica stale.
     let mut cfg = settings();
-    cfg.checks = Checks::Await(ms(20));
-    cfg.classes[ANY.0].aim = ms(4000);
+    cfg.stale_read_policy = StaleReadPolicy::WaitThenReject(ms(20));
+    cfg.classes[ANY.0].latency_objective = ms(4000);
     let mut s = Script::group(cfg.clone(), 5, 1);
     for id in 1..=6 {
         s.request(id, ANY);
@@ -489,10 +495,10 @@
     }
     for id in 11..=30 {
         s.request(id, BOUNDED);
-        assert!(s.at(id).is_some_and(|node| (2..=4).contains(&node)), "{:?}", s.at(id));
+        assert!(s.at(id).is_some_and(|endpoint| (2..=4).contains(&endpoint)), "{:?}", s.at(id));
         s.end(id, Outcome::Ok, REPLICA);
     }
-    s.list(false, vec![entry(5, false, NodeState::Draining)]);
+    s.list(false, vec![entry(5, false, EndpointState::Draining)]);
     s.request(7, ANY);
     assert_eq!(s.at(7), Some(4), "the next one bears them");
     // Where there is one replica only, nothing is kept off the primary.
@@ -532,7 +538,7 @@
         assert_eq!(s.at(id), Some(1));
         s.end(id, Outcome::Ok, PRIMARY);
     }
-    assert!(s.probes.contains(&NodeId(2)), "within 2 s");
+    assert!(s.probes.contains(&EndpointId(2)), "within 2 s");
 }
 
 #[test]
@@ -549,7 +555,7 @@
 
 /// Sends of many routers to one node in the 1.5 s before and after it started anew, each router with about one
 /// request of a class a second.
-fn sent_by_many(class: ClassId, node: u32, members: u32, leaving: &[u32]) -> (usize, usize) {
+fn sent_by_many(class: ClassId, endpoint: u32, members: u32, leaving: &[u32]) -> (usize, usize) {
     let (mut before, mut after) = (0, 0);
     for seed in 0..150 {
         let mut cfg = settings();
@@ -567,13 +573,13 @@
             s.run(900);
         };
         (0..12).for_each(|_| second(&mut s));
-        let count = |s: &Script, from: usize| s.sends[from..].iter().filter(|(_, n)| n.0 == node).count();
+        let count = |s: &Script, from: usize| s.sends[from..].iter().filter(|(_, n)| n.0 == endpoint).count();
         let from = s.sends.len();
         (0..2).for_each(|_| second(&mut s));
         before += count(&s, from);
-        let mut restarted = entry(node, node == 1, NodeState::Ready);
+        let mut restarted = entry(endpoint, endpoint == 1, EndpointState::Ready);
         restarted.started = Some(s.now);
-        let gone = leaving.iter().map(|n| entry(*n, false, NodeState::Gone));
+        let gone = leaving.iter().map(|n| entry(*n, false, EndpointState::Removed));
         s.list(false, gone.chain([restarted]).collect());
         let from = s.sends.len();
         (0..2).for_each(|_| second(&mut s));
@@ -585,21 +591,24 @@
 #[test]
 fn what_many_small_routers_send_to_a_cold_replica_stays_under_the_limit_together() {
     let (before, after) = sent_by_many(ANY, 3, 3, &[]);
-    let limit = before as f64 * settings().rules.cold_from * settings().rules.tip_multiple;
+    let limit =
+        before as f64 * settings().rules.slow_start_initial_capacity * settings().rules.overload_multiple;
     assert!(before > 100 && (after as f64) < limit, "{before} {after}");
 }
 
 #[test]
 fn the_limit_holds_for_many_small_routers_when_most_of_the_group_leaves_as_well() {
     let (before, after) = sent_by_many(ANY, 6, 6, &[2, 3, 4, 5]);
-    let limit = before as f64 * settings().rules.cold_from * settings().rules.tip_multiple;
+    let limit =
+        before as f64 * settings().rules.slow_start_initial_capacity * settings().rules.overload_multiple;
     assert!(before > 40 && (after as f64) < limit, "{before} {after}");
 }
 
 #[test]
 fn what_many_small_routers_write_to_a_cold_primary_stays_under_the_limit_together() {
     let (before, after) = sent_by_many(WRITE, 1, 3, &[]);
-    let limit = before as f64 * settings().rules.cold_from * settings().rules.tip_multiple;
+    let limit =
+        before as f64 * settings().rules.slow_start_initial_capacity * settings().rules.overload_multiple;
     assert!(before > 200 && after > 0 && (after as f64) < limit, "{before} {after}");
 }
 
@@ -634,20 +643,23 @@
     let alone = out_at_the_primary(&mut learned(), 10_000);
     let start = out_at_the_primary(&mut Script::group(settings(), 1, 1), 10_000);
     let (mut old, mut new) = (learned(), Script::group(settings(), 1, 1));
-    old.step(&[Event::Routers(2 * settings().routers)]);
-    new.step(&[Event::Routers(2 * settings().routers)]);
+    old.step(&[PolicyEvent::RouterCount(2 * settings().routers)]);
+    new.step(&[PolicyEvent::RouterCount(2 * settings().routers)]);
     let both = out_at_the_primary(&mut old, 10_000) + out_at_the_primary(&mut new, 10_000);
     assert!(both <= alone.max(start) && both >= 2, "{both} by two, {alone} and {start} by one");
     // Fewer routers raise nothing: what is heard of them may be wrong.
     let mut fewer = learned();
-    fewer.step(&[Event::Routers(2 * settings().routers), Event::Routers(settings().routers)]);
+    fewer.step(&[
+        PolicyEvent::RouterCount(2 * settings().routers),
+        PolicyEvent::RouterCount(settings().routers),
+    ]);
     assert!(out_at_the_primary(&mut fewer, 10_000) <= alone.div_ceil(2) + 1, "a limit grows by answers");
 }
 
 #[test]
 fn a_limit_that_was_cut_again_and_again_still_lets_a_read_to_the_primary() {
     let mut s = Script::group(settings(), 1, 1);
-    (0..20).flat_map(|_| [4, 2]).for_each(|n| s.step(&[Event::Routers(n)]));
+    (0..20).flat_map(|_| [4, 2]).for_each(|n| s.step(&[PolicyEvent::RouterCount(n)]));
     s.request(1, ANY);
     assert_eq!(s.at(1), Some(1));
 }
@@ -672,14 +684,14 @@
             }
         };
         (0..if n == 0 { 1_500 } else { 0 }).for_each(|_| one(&mut s, ANY, 10));
-        s.step(&[Event::Routers(processes)]);
-        let mut restarted = entry(1, true, NodeState::Ready);
+        s.step(&[PolicyEvent::RouterCount(processes)]);
+        let mut restarted = entry(1, true, EndpointState::Ready);
         restarted.started = Some(s.now);
         s.list(false, vec![restarted]);
         let from = s.sends.len();
         let gap = 10 * i64::from(processes);
-        (0..settings().rules.tip_after.0 / 1_000 / gap).for_each(|_| one(&mut s, WRITE, gap));
-        sent += s.sends[from..].iter().filter(|(_, node)| node.0 == 1).count();
+        (0..settings().rules.overload_duration.0 / 1_000 / gap).for_each(|_| one(&mut s, WRITE, gap));
+        sent += s.sends[from..].iter().filter(|(_, endpoint)| endpoint.0 == 1).count();
     }
     sent
 }
@@ -703,7 +715,7 @@
     let mut sent: Vec<Time> = vec![];
     for seed in 0..routers {
         let mut s = Script::group_seeded(cfg.clone(), 4, 1, seed.into());
-        let mut restarted = entry(1, true, NodeState::Ready);
+        let mut restarted = entry(1, true, EndpointState::Ready);
         restarted.started = Some(s.now);
         s.list(false, vec![restarted]);
         s.run(i64::from(seed) * 10 % 1_000);
@@ -720,9 +732,9 @@
     }
     let rules = settings().rules;
     let first = Time(100_000_000);
-    let within = sent.iter().filter(|at| **at < first + rules.tip_after).count();
+    let within = sent.iter().filter(|at| **at < first + rules.overload_duration).count();
     // By the end of that time it can do 0.32 of 100 a second.
-    let budget = rules.tip_multiple * 0.32 * 100.0 * rules.tip_after.as_f64() / 1e6;
+    let budget = rules.overload_multiple * 0.32 * 100.0 * rules.overload_duration.as_f64() / 1e6;
     assert!(within >= 10 && (within as f64) < budget, "{within} of {budget}, {} in all", sent.len());
 }
 
@@ -817,14 +829,14 @@
         let asked = s.probes.len();
         s.request(id, WRITE);
         s.end(id, Outcome::Ok, PRIMARY);
-        if s.probes[asked..].contains(&NodeId(3)) {
+        if s.probes[asked..].contains(&EndpointId(3)) {
             s.probed(3, Outcome::ConnectFailed, None);
         }
         s.run(100);
     }
-    let asked = s.probes.iter().filter(|n| **n == NodeId(3)).count();
+    let asked = s.probes.iter().filter(|n| **n == EndpointId(3)).count();
     assert!((5..20).contains(&asked), "{asked} times in 40 s; 80 without the rule");
-    let mut anew = entry(3, false, NodeState::Ready);
+    let mut anew = entry(3, false, EndpointState::Ready);
     anew.started = Some(s.now - ms(10_000));
     s.list(false, vec![anew]);
     (2_000..2_040).for_each(|id| s.request(id, ANY));
@@ -861,7 +873,7 @@
     let mut s = Script::group(settings(), 3, 1);
     s.request(1, WRITE);
     s.end(1, Outcome::ConnectFailed, None);
-    assert_eq!(s.probes.last(), Some(&NodeId(1)), "a probe tells a death from too few connections");
+    assert_eq!(s.probes.last(), Some(&EndpointId(1)), "a probe tells a death from too few connections");
     s.report(1, 0, true);
     s.run(400);
     assert_eq!(s.sends.iter().map(|(_, n)| n.0).collect::<Vec<_>>(), [1, 1], "the same primary, no search");
@@ -911,8 +923,8 @@
     let refused = |latency: i64| {
         let mut cfg = settings();
         cfg.routers = 300;
-        cfg.classes[BOUNDED.0].need = Need::Any;
-        cfg.classes[BOUNDED.0].worth = 4.0;
+        cfg.classes[BOUNDED.0].consistency = Consistency::Eventual;
+        cfg.classes[BOUNDED.0].priority_weight = 4.0;
         let mut s = Script::group(cfg, 9, 1);
         let mut at_once = [0, 0];
         for id in 1..=400 {
@@ -934,13 +946,13 @@
 #[test]
 fn a_replica_that_turned_a_read_away_is_asked_again_after_a_while_without_a_probe() {
     let mut cfg = settings();
-    cfg.checks = Checks::Bounce;
-    cfg.limits.probing = false;
+    cfg.stale_read_policy = StaleReadPolicy::Reject;
+    cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=2).map(|i| entry(i, i == 1, NodeState::Ready)).collect());
+    s.list(true, (1..=2).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
     s.request(1, BOUNDED);
     assert_eq!(s.at(1), Some(2), "a lag not told is none");
-    s.end(1, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
     s.run(50);
     s.end(1, Outcome::Ok, PRIMARY);
     s.request(2, BOUNDED);
@@ -957,11 +969,11 @@
     let mut s = Script::group(settings(), 2, 1);
     s.request(1, ANY);
     assert_eq!(s.at(1), Some(2));
-    s.list(false, vec![entry(2, false, NodeState::Gone), entry(9, false, NodeState::Gone)]);
+    s.list(false, vec![entry(2, false, EndpointState::Removed), entry(9, false, EndpointState::Removed)]);
     s.end(1, Outcome::Reset, None);
     s.run(20);
     assert_eq!(s.at(1), Some(1));
-    s.list(false, vec![entry(2, false, NodeState::Ready)]);
+    s.list(false, vec![entry(2, false, EndpointState::Ready)]);
     s.request(2, ANY);
     assert_eq!(s.at(2), Some(2));
     s.list(true, vec![]);
@@ -974,12 +986,12 @@
 fn a_write_never_sent_for_want_of_a_primary_is_refused_at_half_its_time() {
     // Held to its end, it would cost its client the time in which to come back.
     let mut cfg = settings();
-    cfg.limits.probing = false;
+    cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=2).map(|i| entry(i, i == 1, NodeState::Ready)).collect());
+    s.list(true, (1..=2).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
     s.request(1, WRITE);
-    s.end(1, Outcome::Miss, REPLICA);
-    s.end(1, Outcome::Miss, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
+    s.end(1, Outcome::Misdirected, REPLICA);
     s.request_with(2, KEYED, 2000, None);
     s.run(900);
     assert!(!s.refused(2), "held while there is hope");
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -12,7 +12,7 @@
 enum Move {
     Request(usize, i64, Option<i64>),
     End(u8, u8),
-    Report(u32, i64, bool),
+    LoadReport(u32, i64, bool),
     ProbeFails(u32, bool),
     List(u32, u8),
     Abort(u8),
@@ -23,7 +23,7 @@
     let one = prop_oneof![
         5 => (0..7_usize, 100..3000_i64, prop::option::of(1..900_i64)).prop_map(|(c, l, w)| Move::Request(c, l, w)),
         5 => (any::<u8>(), 0..9_u8).prop_map(|(r, o)| Move::End(r, o)),
-        3 => (1..6_u32, 0..800_i64, any::<bool>()).prop_map(|(n, a, p)| Move::Report(n, a, p)),
+        3 => (1..6_u32, 0..800_i64, any::<bool>()).prop_map(|(n, a, p)| Move::LoadReport(n, a, p)),
         1 => (1..6_u32, any::<bool>()).prop_map(|(n, c)| Move::ProbeFails(n, c)),
         1 => (1..6_u32, 0..3_u8).prop_map(|(n, s)| Move::List(n, s)),
         1 => any::<u8>().prop_map(Move::Abort),
@@ -32,46 +32,57 @@
     prop::collection::vec(one, 1..120)
 }
 
-fn play(moves: &[Move], checks: Checks, sessions: Sessions, asked: bool) -> Script {
+fn play(
+    moves: &[Move],
+    stale_read_policy: StaleReadPolicy,
+    sessions: SessionTracking,
+    asked: bool,
+) -> Script {
     let mut cfg = settings();
-    cfg.checks = checks;
+    cfg.stale_read_policy = stale_read_policy;
     cfg.sessions = sessions;
-    cfg.list_mode = if asked { ListMode::Asked } else { ListMode::Pushed };
+    cfg.discovery_mode = if asked { DiscoveryMode::Poll } else { DiscoveryMode::Watch };
     let mut s = Script::group(cfg, 5, 2);
     let mut next = 0;
     for m in moves {
         match *m {
             Move::Request(class, left, wrote) => {
                 next += 1;
-                s.request_with(next, ClassId(class), left, wrote.filter(|_| sessions == Sessions::Brought));
+                s.request_with(
+                    next,
+                    ClassId(class),
+                    left,
+                    wrote.filter(|_| sessions == SessionTracking::ClientProvided),
+                );
             }
             Move::End(which, how) if next > 0 => {
                 let id = u64::from(which) % next + 1;
                 let (outcome, role) = match how {
                     0 | 1 => (Outcome::Ok, Some(Role::Primary)),
-                    2 => (Outcome::Miss, Some(Role::Replica)),
-                    3 => (Outcome::Full, None),
+                    2 => (Outcome::Misdirected, Some(Role::Replica)),
+                    3 => (Outcome::Rejected, None),
                     4 => (Outcome::Error, Some(Role::Replica)),
                     5 => (Outcome::ConnectFailed, None),
                     6 => (Outcome::Reset, None),
                     7 => (Outcome::Cancelled, None),
-                    _ => (Outcome::Moot, None),
+                    _ => (Outcome::NotSent, None),
                 };
                 if let Some(event) = s.ended(id, outcome, role, None) {
                     s.step(&[event]);
                 }
             }
             Move::End(..) => {}
-            Move::Report(node, age, primary) => s.report(node, age, primary),
-            Move::ProbeFails(node, connect) => {
-                s.probed(node, if connect { Outcome::ConnectFailed } else { Outcome::Timeout }, None);
+            Move::LoadReport(endpoint, age, primary) => s.report(endpoint, age, primary),
+            Move::ProbeFails(endpoint, connect) => {
+                s.probed(endpoint, if connect { Outcome::ConnectFailed } else { Outcome::Timeout }, None);
             }
-            Move::List(node, state) => {
-                let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(state)];
-                s.list(false, vec![entry(node, false, state)]);
+            Move::List(endpoint, state) => {
+                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
+                    [usize::from(state)];
+                s.list(false, vec![entry(endpoint, false, state)]);
             }
             Move::Abort(which) if next > 0 => s.abort(u64::from(which) % next + 1),
-            Move::Abort(_) => s.step(&[Event::ListFailed]),
+            Move::Abort(_) => s.step(&[PolicyEvent::DiscoveryFailed]),
             Move::Run(span) => s.run(span),
         }
     }
@@ -86,14 +97,21 @@
 
 #[test]
 fn the_rules_hold_and_every_request_ends() {
-    let checks = prop_oneof![Just(Checks::Off), Just(Checks::Bounce), Just(Checks::Await(ms(50)))];
-    let sessions = prop_oneof![Just(Sessions::Brought), Just(Sessions::Kept)];
+    let stale_read_policy = prop_oneof![
+        Just(StaleReadPolicy::Serve),
+        Just(StaleReadPolicy::Reject),
+        Just(StaleReadPolicy::WaitThenReject(ms(50)))
+    ];
+    let sessions = prop_oneof![Just(SessionTracking::ClientProvided), Just(SessionTracking::RouterTracked)];
     runner()
-        .run(&(moves(), checks, sessions, any::<bool>()), |(moves, checks, sessions, asked)| {
-            let s = play(&moves, checks, sessions, asked);
-            prop_assert!(s.unfinished().is_empty(), "no end for {:?}", s.unfinished());
-            Ok(())
-        })
+        .run(
+            &(moves(), stale_read_policy, sessions, any::<bool>()),
+            |(moves, stale_read_policy, sessions, asked)| {
+                let s = play(&moves, stale_read_policy, sessions, asked);
+                prop_assert!(s.unfinished().is_empty(), "no end for {:?}", s.unfinished());
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
@@ -101,8 +119,8 @@
 fn the_same_events_give_the_same_actions() {
     runner()
         .run(&moves(), |moves| {
-            let one = play(&moves, Checks::Off, Sessions::Brought, true).all;
-            let two = play(&moves, Checks::Off, Sessions::Brought, true).all;
+            let one = play(&moves, StaleReadPolicy::Serve, SessionTracking::ClientProvided, true).all;
+            let two = play(&moves, StaleReadPolicy::Serve, SessionTracking::ClientProvided, true).all;
             prop_assert_eq!(one, two);
             Ok(())
         })
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -24,14 +24,14 @@
 /// The settings of [`support::settings`] and one class more: reports, which any member may answer.
 fn with_reports() -> (Settings, ClassId) {
     let mut settings = settings();
-    let report = Class {
-        need: Need::Any,
-        effect: Effect::Safe,
-        aim: ms(6_000),
-        aim_stretch: 0.0,
+    let report = RequestClass {
+        consistency: Consistency::Eventual,
+        idempotency: Idempotency::Idempotent,
+        latency_objective: ms(6_000),
+        latency_objective_stretch: 0.0,
         deadline: ms(12_000),
-        worth: 4.0,
-        late_worth: 0.0,
+        priority_weight: 4.0,
+        late_priority_weight: 0.0,
     };
     settings.classes.push(report);
     settings.routers = GATEWAYS as u32;
@@ -55,8 +55,8 @@
         let class = if (id + gateway * 7).is_multiple_of(one_report_in) { report } else { ANY };
         if id == (WARM_MS / GAP_MS) as u64 {
             let now = script.now;
-            let entries = restarted.iter().map(|node| {
-                let mut entry = entry(*node, *node == 1, NodeState::Ready);
+            let entries = restarted.iter().map(|endpoint| {
+                let mut entry = entry(*endpoint, *endpoint == 1, EndpointState::Ready);
                 entry.started = Some(now);
                 entry
             });
@@ -66,11 +66,11 @@
         let next = script.now + ms(GAP_MS);
         while script.now < next {
             script.run(5);
-            for (request, node) in &script.sends[sends_seen..] {
+            for (request, endpoint) in &script.sends[sends_seen..] {
                 let is_report = (request.0 + gateway * 7).is_multiple_of(one_report_in);
                 let work = if is_report { REPORT_MS } else { SHORT_MS };
                 ends.push((script.now + ms(work), request.0));
-                if *node == NodeId(MEMBERS) && id >= (WARM_MS / GAP_MS) as u64 {
+                if *endpoint == EndpointId(MEMBERS) && id >= (WARM_MS / GAP_MS) as u64 {
                     sent.push((script.now, work as f64));
                 }
             }
@@ -97,12 +97,13 @@
     let started = Time(100_000_000) + ms(WARM_MS / GAP_MS * GAP_MS);
     let mut worst = (0.0, 0.0);
     for (last, (at, _)) in sent.iter().enumerate() {
-        let window = sent[..=last].iter().rev().take_while(|(earlier, _)| *at - *earlier < rules.tip_after);
+        let window =
+            sent[..=last].iter().rev().take_while(|(earlier, _)| *at - *earlier < rules.overload_duration);
         let units = window.map(|(_, work)| work / mean).sum::<f64>();
         let grown = ((*at - started).as_f64() / rules.cold.as_f64()).clamp(0.0, 1.0);
-        let part = rules.cold_from + (1.0 - rules.cold_from) * grown;
-        let capacity = ALLOWANCE / f64::from(MEMBERS) * part * rules.tip_after.as_f64() / 1e6;
-        let n = rules.tip_multiple * capacity;
+        let part = rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown;
+        let capacity = ALLOWANCE / f64::from(MEMBERS) * part * rules.overload_duration.as_f64() / 1e6;
+        let n = rules.overload_multiple * capacity;
         let bound = n + 2.0 * n.sqrt() + 2.0;
         if units / bound > worst.0 {
             worst = (units / bound, bound);
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -18,51 +18,51 @@
 }
 
 pub fn settings() -> Settings {
-    let class = |need, effect| Class {
-        need,
-        effect,
-        aim: ms(600),
-        aim_stretch: 0.0,
+    let class = |consistency, idempotency| RequestClass {
+        consistency,
+        idempotency,
+        latency_objective: ms(600),
+        latency_objective_stretch: 0.0,
         deadline: ms(3000),
-        worth: 1.0,
-        late_worth: 0.3,
+        priority_weight: 1.0,
+        late_priority_weight: 0.3,
     };
     Settings {
         classes: vec![
-            class(Need::Write, Effect::Unsafe),
-            class(Need::Write, Effect::Keyed(DedupScope::Group, ms(2000))),
-            class(Need::Fresh, Effect::Safe),
-            class(Need::Session, Effect::Safe),
-            class(Need::Bounded(ms(300)), Effect::Safe),
-            class(Need::Any, Effect::Safe),
-            class(Need::Write, Effect::Keyed(DedupScope::All, ms(2000))),
+            class(Consistency::Write, Idempotency::NonIdempotent),
+            class(Consistency::Write, Idempotency::IdempotencyKey(DedupScope::Group, ms(2000))),
+            class(Consistency::Strong, Idempotency::Idempotent),
+            class(Consistency::Session, Idempotency::Idempotent),
+            class(Consistency::BoundedStaleness(ms(300)), Idempotency::Idempotent),
+            class(Consistency::Eventual, Idempotency::Idempotent),
+            class(Consistency::Write, Idempotency::IdempotencyKey(DedupScope::All, ms(2000))),
         ],
         tenants: vec![],
-        over_share_worth: None,
-        list_mode: ListMode::Pushed,
+        over_quota_priority_weight: None,
+        discovery_mode: DiscoveryMode::Watch,
         listed_role: ListedRole::Trailing,
-        checks: Checks::Off,
-        sessions: Sessions::Brought,
+        stale_read_policy: StaleReadPolicy::Serve,
+        sessions: SessionTracking::ClientProvided,
         routers: 2,
         zone: ZoneId(0),
         tick: ms(5),
         limits: Limits {
             cancel: true,
-            probing: true,
-            second_copies: false,
+            health_checks: true,
+            hedged_requests: false,
             retry_after: true,
             max_attempts: 8,
             max_retry_after: ms(500),
-            max_open: 1000,
-            conn_idle: ms(15_000),
+            max_open_requests: 1000,
+            idle_connection_timeout: ms(15_000),
         },
         rules: Rules {
-            ask_within: ms(8000),
-            cold_from: 0.2,
+            max_poll_interval: ms(8000),
+            slow_start_initial_capacity: 0.2,
             cold: ms(10_000),
-            tip_multiple: 2.0,
-            tip_after: ms(1500),
-            removal_not_binding: false,
+            overload_multiple: 2.0,
+            overload_duration: ms(1500),
+            removal_is_advisory: false,
         },
     }
 }
@@ -73,7 +73,7 @@
     deadline: i64,
     floor: Option<Time>,
     attempts: u32,
-    out: BTreeMap<u32, NodeId>,
+    out: BTreeMap<u32, EndpointId>,
     first_maybe: Option<i64>,
     last_sent: i64,
     done: bool,
@@ -85,20 +85,20 @@
     pub now: Time,
     timer: Option<Time>,
     held: BTreeMap<RequestId, Held>,
-    barred: BTreeSet<NodeId>,
-    primaries: BTreeSet<NodeId>,
-    told: BTreeMap<NodeId, Time>,
+    barred: BTreeSet<EndpointId>,
+    primaries: BTreeSet<EndpointId>,
+    told: BTreeMap<EndpointId, Time>,
     pub answers: BTreeMap<RequestId, Action>,
-    pub sends: Vec<(RequestId, NodeId)>,
-    pub probes: Vec<NodeId>,
+    pub sends: Vec<(RequestId, EndpointId)>,
+    pub probes: Vec<EndpointId>,
     pub cancels: Vec<(RequestId, u32)>,
     pub subscribes: Vec<Time>,
     pub all: Vec<(Time, Action)>,
 }
 
-pub fn entry(id: u32, primary: bool, state: NodeState) -> Entry {
-    Entry {
-        node: NodeId(id),
+pub fn entry(id: u32, primary: bool, state: EndpointState) -> EndpointRecord {
+    EndpointRecord {
+        endpoint: EndpointId(id),
         group: GroupId(0),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -141,33 +141,33 @@
 
     pub fn group_seeded(cfg: Settings, n: u32, primary: u32, seed: u64) -> Self {
         let mut s = Self::seeded(cfg, seed);
-        s.list(true, (1..=n).map(|i| entry(i, i == primary, NodeState::Ready)).collect());
+        s.list(true, (1..=n).map(|i| entry(i, i == primary, EndpointState::Ready)).collect());
         for i in 1..=n {
             s.report(i, 10, i == primary);
         }
         s
     }
 
-    pub fn list(&mut self, complete: bool, entries: Vec<Entry>) {
+    pub fn list(&mut self, complete: bool, entries: Vec<EndpointRecord>) {
         for e in &entries {
-            if e.state == NodeState::Ready {
-                self.barred.remove(&e.node);
+            if e.state == EndpointState::Ready {
+                self.barred.remove(&e.endpoint);
             } else {
-                self.barred.insert(e.node);
+                self.barred.insert(e.endpoint);
             }
             if e.primary {
-                self.primaries.insert(e.node);
+                self.primaries.insert(e.endpoint);
             }
         }
-        self.step(&[Event::List { complete, entries }]);
+        self.step(&[PolicyEvent::EndpointList { complete, entries }]);
     }
 
     pub fn request(&mut self, id: u64, class: ClassId) {
         self.request_with(id, class, 3000, None);
     }
 
-    pub fn request_with(&mut self, id: u64, class: ClassId, left: i64, wrote_ago: Option<i64>) {
-        self.request_to(id, GroupId(0), class, left, wrote_ago);
+    pub fn request_with(&mut self, id: u64, class: ClassId, left: i64, since_last_write: Option<i64>) {
+        self.request_to(id, GroupId(0), class, left, since_last_write);
     }
 
     /// Whether the router holds something that reads so.
@@ -175,7 +175,14 @@
         format!("{:?}", self.router).contains(what)
     }
 
-    pub fn request_to(&mut self, id: u64, group: GroupId, class: ClassId, left: i64, wrote_ago: Option<i64>) {
+    pub fn request_to(
+        &mut self,
+        id: u64,
+        group: GroupId,
+        class: ClassId,
+        left: i64,
+        since_last_write: Option<i64>,
+    ) {
         let request = Request {
             id: RequestId(id),
             session: Some(SessionKey(5)),
@@ -185,12 +192,12 @@
             tenant: None,
             work: None,
             repeat: false,
-            wrote_ago: wrote_ago.map(ms),
+            since_last_write: since_last_write.map(ms),
         };
-        let floor = request.wrote_ago.map(|ago| self.now - ago);
+        let floor = request.since_last_write.map(|ago| self.now - ago);
         let deadline = self.now.0 + left * 1000;
         self.held.insert(request.id, Held { class: class.0, deadline, floor, ..Held::default() });
-        self.step(&[Event::Request(request)]);
+        self.step(&[PolicyEvent::Request(request)]);
     }
 
     /// Ends the attempt that is out for a request; a served one closes it.
@@ -209,43 +216,48 @@
         outcome: Outcome,
         role: Option<Role>,
         position: Option<Time>,
-    ) -> Option<Event> {
+    ) -> Option<PolicyEvent> {
         let held = self.held.get_mut(&RequestId(id))?;
-        let (attempt, node) = held.out.pop_first()?;
+        let (attempt, endpoint) = held.out.pop_first()?;
         if !outcome.never_ran() {
             held.first_maybe.get_or_insert(held.last_sent);
         }
         let closed = outcome == Outcome::Ok || held.done;
         held.done |= closed;
         if role == Some(Role::Replica) {
-            self.primaries.remove(&node);
+            self.primaries.remove(&endpoint);
         } else if role == Some(Role::Primary) {
-            self.primaries.insert(node);
+            self.primaries.insert(endpoint);
             // It stood at the present when it answered.
             let sent = Time(held.last_sent);
-            let known = self.told.entry(node).or_insert(sent);
+            let known = self.told.entry(endpoint).or_insert(sent);
             *known = sent.max(*known);
         }
         let latency = Span(self.now.0 - held.last_sent);
         let request = RequestId(id);
         let end =
-            AttemptEnd { request, attempt, node, outcome, closed, latency, role, position, report: None };
-        Some(Event::Ended(end))
+            AttemptEnd { request, attempt, endpoint, outcome, closed, latency, role, position, report: None };
+        Some(PolicyEvent::AttemptEnded(end))
     }
 
-    pub fn report(&mut self, node: u32, age_ms: i64, primary: bool) {
+    pub fn report(&mut self, endpoint: u32, age_ms: i64, primary: bool) {
         let position = self.now - ms(age_ms);
-        let known = self.told.entry(NodeId(node)).or_insert(position);
+        let known = self.told.entry(EndpointId(endpoint)).or_insert(position);
         *known = position.max(*known);
         if primary {
-            self.primaries.insert(NodeId(node));
+            self.primaries.insert(EndpointId(endpoint));
         }
-        let report = Report { position: Some(position), primary: Some(primary), busy: None };
-        self.probed(node, Outcome::Ok, Some(report));
+        let report = LoadReport { position: Some(position), primary: Some(primary), busy: None };
+        self.probed(endpoint, Outcome::Ok, Some(report));
     }
 
-    pub fn probed(&mut self, node: u32, outcome: Outcome, report: Option<Report>) {
-        self.step(&[Event::Probed { node: NodeId(node), outcome, latency: ms(1), report }]);
+    pub fn probed(&mut self, endpoint: u32, outcome: Outcome, report: Option<LoadReport>) {
+        self.step(&[PolicyEvent::HealthCheckEnded {
+            endpoint: EndpointId(endpoint),
+            outcome,
+            latency: ms(1),
+            report,
+        }]);
     }
 
     /// Lets time pass in ticks: timers fire, and attempts out at their deadline time out.
@@ -256,7 +268,7 @@
             let mut events = vec![];
             if self.timer.is_some_and(|t| t <= self.now) {
                 self.timer = None;
-                events.push(Event::Timer(0));
+                events.push(PolicyEvent::Timer(0));
             }
             let over: Vec<u64> = self
                 .held
@@ -279,7 +291,7 @@
         }
     }
 
-    pub fn step(&mut self, events: &[Event]) {
+    pub fn step(&mut self, events: &[PolicyEvent]) {
         let mut actions = vec![];
         self.router.step(self.now, events, &mut actions);
         for action in actions {
@@ -290,54 +302,59 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { request, node, begin_by, .. } => {
+            Action::Send { request, endpoint, send_before, .. } => {
                 let h = self.held.get_mut(request).expect("a request of ours");
                 let class = &self.cfg.classes[h.class];
                 assert!(!h.done, "rule 1: {request:?} sent after its end");
                 assert!(h.out.is_empty(), "rule 2: two attempts of {request:?} out");
-                assert!(!self.barred.contains(node), "rule 3: {node:?} drains or is gone");
-                match (class.effect, h.first_maybe) {
-                    (Effect::Unsafe, Some(_)) => panic!("rule 2: {request:?} may have run and was resent"),
-                    (Effect::Keyed(_, window), Some(from)) => {
+                assert!(!self.barred.contains(endpoint), "rule 3: {endpoint:?} drains or is gone");
+                match (class.idempotency, h.first_maybe) {
+                    (Idempotency::NonIdempotent, Some(_)) => {
+                        panic!("rule 2: {request:?} may have run and was resent")
+                    }
+                    (Idempotency::IdempotencyKey(_, window), Some(from)) => {
                         assert!(self.now.0 < from + window.0, "rule 2: {request:?} resent after its window");
-                        let ends = begin_by.is_some_and(|at| at.0 < from + window.0);
+                        let ends = send_before.is_some_and(|at| at.0 < from + window.0);
                         assert!(ends, "rule 2: {request:?} may begin behind its window if its dial is late");
                     }
                     _ => {}
                 }
-                let need = match class.need {
-                    Need::Bounded(bound) => Some(self.now - bound),
-                    Need::Session => h.floor,
-                    Need::Fresh => Some(self.now),
+                let consistency = match class.consistency {
+                    Consistency::BoundedStaleness(bound) => Some(self.now - bound),
+                    Consistency::Session => h.floor,
+                    Consistency::Strong => Some(self.now),
                     _ => None,
                 };
-                if self.cfg.checks == Checks::Off && need.is_some() && !self.primaries.contains(node) {
-                    let told = self.told.get(node).copied();
-                    assert!(told >= need, "rule 5: {request:?} to {node:?} is stale");
-                    if let (Need::Bounded(bound), Some(told)) = (class.need, told) {
-                        let ends = begin_by.is_some_and(|at| at <= told + bound);
-                        assert!(ends, "rule 5: {request:?} to {node:?} may be stale if its dial is late");
+                if self.cfg.stale_read_policy == StaleReadPolicy::Serve
+                    && consistency.is_some()
+                    && !self.primaries.contains(endpoint)
+                {
+                    let told = self.told.get(endpoint).copied();
+                    assert!(told >= consistency, "rule 5: {request:?} to {endpoint:?} is stale");
+                    if let (Consistency::BoundedStaleness(bound), Some(told)) = (class.consistency, told) {
+                        let ends = send_before.is_some_and(|at| at <= told + bound);
+                        assert!(ends, "rule 5: {request:?} to {endpoint:?} may be stale if its dial is late");
                     }
                 }
                 assert!(h.attempts < self.cfg.limits.max_attempts, "more attempts than allowed");
-                h.out.insert(h.attempts, *node);
+                h.out.insert(h.attempts, *endpoint);
                 h.attempts += 1;
                 h.last_sent = self.now.0;
-                self.sends.push((*request, *node));
+                self.sends.push((*request, *endpoint));
             }
-            Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+            Action::Reject { request, .. } | Action::Fail { request, .. } => {
                 let h = self.held.get_mut(request).expect("a request of ours");
                 assert!(!h.done, "rule 1: two answers for {request:?}");
-                let refused = matches!(action, Action::Refuse { .. });
-                let safe = self.cfg.classes[h.class].effect == Effect::Safe;
+                let refused = matches!(action, Action::Reject { .. });
+                let safe = self.cfg.classes[h.class].idempotency == Idempotency::Idempotent;
                 let ran = h.first_maybe.is_some() || !h.out.is_empty();
                 assert!(!refused || safe || !ran, "rule 2: {request:?} may have run and was refused");
                 h.done = true;
                 self.answers.insert(*request, action.clone());
             }
             Action::Cancel { request, attempt } => self.cancels.push((*request, *attempt)),
-            Action::Probe { node } => self.probes.push(*node),
-            Action::Subscribe => self.subscribes.push(self.now),
+            Action::HealthCheck { endpoint } => self.probes.push(*endpoint),
+            Action::RefreshEndpointList => self.subscribes.push(self.now),
             Action::SetTimer { at, .. } => self.timer = Some(self.timer.map_or(*at, |t| t.min(*at))),
         }
     }
@@ -346,7 +363,7 @@
     pub fn abort(&mut self, id: u64) {
         let Some(held) = self.held.get_mut(&RequestId(id)).filter(|h| !h.done) else { return };
         held.done = true;
-        self.step(&[Event::Aborted(RequestId(id))]);
+        self.step(&[PolicyEvent::ClientDisconnected(RequestId(id))]);
     }
 
     /// Requests without a final answer.
@@ -360,7 +377,7 @@
     }
 
     pub fn refused(&self, id: u64) -> bool {
-        matches!(self.answers.get(&RequestId(id)), Some(Action::Refuse { .. }))
+        matches!(self.answers.get(&RequestId(id)), Some(Action::Reject { .. }))
     }
 
     pub fn failed(&self, id: u64) -> bool {
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,5 +1,5 @@
-//! What an agent on UDP lets in, without I/O and without a clock: [`Sources`] bounds requests by their rate, [`Share`]
-//! bounds the time that they take, [`Window`] is the timeliness of RFC 3414, and [`Pins`] keep a walk over many datagrams
+//! What an agent on UDP lets in, without I/O and without a clock: [`SourceRateLimiter`] bounds requests by their rate, [`TimeShare`]
+//! bounds the time that they take, [`Window`] is the timeliness of RFC 3414, and [`SnapshotCache`] keep a walk over many datagrams
 //! on one picture. Every table has its size in its constructor.
 
 #![forbid(unsafe_code)]
@@ -41,7 +41,7 @@
 
 /// Whether a request is let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RateLimitDecision {
     /// It is.
     Granted,
     /// Its source has asked too much in the last second.
@@ -52,14 +52,14 @@
 
 /// Token buckets by source and for all of them together. Beyond its size the source that has been silent for the
 /// longest is forgotten, whose bucket is the likeliest to be full again; what it gains by that the total bounds.
-pub struct Sources<K: Hash + Eq> {
+pub struct SourceRateLimiter<K: Hash + Eq> {
     each: u32,
     total: u32,
     all: Bucket,
     sources: LruCache<K, Bucket, RandomState>,
 }
 
-impl<K: Hash + Eq> Sources<K> {
+impl<K: Hash + Eq> SourceRateLimiter<K> {
     /// So many requests a second from each source, and in all; so many sources are told apart.
     #[must_use]
     pub fn new(each: u32, total: u32, most: NonZeroUsize, now: Micros) -> Self {
@@ -68,13 +68,13 @@
     }
 
     /// Asks for one request. One that its source may not have takes nothing from the others.
-    pub fn admit(&mut self, now: Micros, source: K) -> Verdict {
+    pub fn admit(&mut self, now: Micros, source: K) -> RateLimitDecision {
         let each = self.each;
         let bucket = self.sources.get_or_insert_mut(source, || Bucket::full(each, now));
         if !bucket.take(each, now) {
-            return Verdict::Source;
+            return RateLimitDecision::Source;
         }
-        if self.all.take(self.total, now) { Verdict::Granted } else { Verdict::Total }
+        if self.all.take(self.total, now) { RateLimitDecision::Granted } else { RateLimitDecision::Total }
     }
 
     /// Sources that are told apart now.
@@ -93,7 +93,7 @@
 /// A share of one core: time that was used beyond it has to pass before more is used. At most a tenth of a second of
 /// unused time is saved up.
 #[derive(Debug)]
-pub struct Share {
+pub struct TimeShare {
     /// Of a second, in millionths.
     part: i64,
     /// Microseconds that may be used, in millionths.
@@ -103,7 +103,7 @@
 
 const SAVED: i64 = SECOND / 10;
 
-impl Share {
+impl TimeShare {
     /// A part of a core, above 0 and at most 1.
     #[must_use]
     #[allow(clippy::cast_possible_truncation)]
@@ -164,7 +164,7 @@
 /// Which picture a source's walk sees. A walk only goes forward: a source that asks for a name before the one it asked
 /// for last, or for the same one in another request, begins a new walk and gets a new picture. Beyond its size the walk
 /// that was silent for the longest loses its picture and goes on with a newer one.
-pub struct Pins<K: Hash + Eq, T> {
+pub struct SnapshotCache<K: Hash + Eq, T> {
     pins: LruCache<K, Pin<T>, RandomState>,
     /// A walk that is silent for longer has ended.
     silent: i64,
@@ -172,7 +172,7 @@
     longest: i64,
 }
 
-impl<K: Hash + Eq, T: Clone> Pins<K, T> {
+impl<K: Hash + Eq, T: Clone> SnapshotCache<K, T> {
     /// So many walks at once; both times in microseconds.
     #[must_use]
     pub fn new(most: NonZeroUsize, silent: i64, longest: i64) -> Self {
--- a/crates/rate-limit/tests/rate_limit.rs
+++ b/crates/rate-limit/tests/rate_limit.rs
@@ -16,11 +16,11 @@
     fn no_source_gets_more_than_its_rate_and_all_not_more_than_theirs(
         asked in prop::collection::vec((0..8_u8, 0..40_000_i64), 1..600), each in 1..20_u32, total in 1..40_u32,
     ) {
-        let mut sources = Sources::new(each, total, size(4), 0);
+        let mut sources = SourceRateLimiter::new(each, total, size(4), 0);
         let (mut now, mut granted) = (0, vec![]);
         for (source, gap) in asked {
             now += gap;
-            if sources.admit(now, source) == Verdict::Granted {
+            if sources.admit(now, source) == RateLimitDecision::Granted {
                 granted.push((now, source));
             }
             prop_assert!(sources.len() <= 4);
@@ -34,7 +34,7 @@
 
     #[test]
     fn the_share_of_a_core_is_kept(uses in prop::collection::vec((0..50_000_i64, 0..30_000_i64), 1..200), part in 0.01..1.0_f64) {
-        let mut share = Share::new(part, 0);
+        let mut share = TimeShare::new(part, 0);
         let (mut now, mut used) = (0_i64, 0_i64);
         for (gap, time) in uses {
             now += gap + time;
@@ -51,12 +51,12 @@
 
 #[test]
 fn one_source_alone_is_bounded_and_another_is_not_hurt() {
-    let mut sources = Sources::new(5, 100, size(16), 0);
+    let mut sources = SourceRateLimiter::new(5, 100, size(16), 0);
     let first: Vec<_> = (0..7).map(|_| sources.admit(0, 1)).collect();
-    assert_eq!(first, [[Verdict::Granted; 5].as_slice(), &[Verdict::Source; 2]].concat());
-    assert_eq!(sources.admit(0, 2), Verdict::Granted);
-    assert_eq!(sources.admit(200_000, 1), Verdict::Granted, "a fifth of a second earns one");
-    assert_eq!(sources.admit(200_000, 1), Verdict::Source);
+    assert_eq!(first, [[RateLimitDecision::Granted; 5].as_slice(), &[RateLimitDecision::Source; 2]].concat());
+    assert_eq!(sources.admit(0, 2), RateLimitDecision::Granted);
+    assert_eq!(sources.admit(200_000, 1), RateLimitDecision::Granted, "a fifth of a second earns one");
+    assert_eq!(sources.admit(200_000, 1), RateLimitDecision::Source);
 }
 
 #[test]
@@ -80,9 +80,9 @@
 
 #[test]
 fn a_walk_keeps_its_picture_and_a_step_back_takes_a_new_one() {
-    let mut pins: Pins<u8, u32> = Pins::new(size(2), 100, 1000);
+    let mut pins: SnapshotCache<u8, u32> = SnapshotCache::new(size(2), 100, 1000);
     let mut next = 0;
-    let mut step = |pins: &mut Pins<u8, u32>, now, source, request, name: &[u32]| {
+    let mut step = |pins: &mut SnapshotCache<u8, u32>, now, source, request, name: &[u32]| {
         pins.step(now, source, request, name, || {
             next += 1;
             next
--- a/crates/recovery/src/book.rs
+++ b/crates/recovery/src/book.rs
@@ -8,7 +8,7 @@
 
 /// A server, in the words of discovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct DiscoveredEndpoint {
     /// Its name.
     pub uid: String,
     /// Where it listens.
@@ -46,16 +46,16 @@
 /// How far the word of the other process has brought the list. What discovery tells this one of the time before that is in
 /// already, and would take back what came after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ahead {
+pub struct ForwardedListGuard {
     from: SocketAddr,
     rev: u64,
     until: Time,
 }
 
-impl Ahead {
+impl ForwardedListGuard {
     /// Told now, in a book that was ahead of the one held.
     #[must_use]
-    pub fn of(book: &Book, now: Time) -> Option<Self> {
+    pub fn of(book: &EndpointListCache, now: Time) -> Option<Self> {
         book.told.map(|(from, rev)| Self { from, rev, until: now + AHEAD })
     }
 
@@ -74,15 +74,15 @@
 
 /// The list, as whole lists and changes have made it. Bounded by what discovery lists; those that left are not in it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct EndpointListCache {
     /// Who told it, and up to which version; `None` before anything was told.
     pub told: Option<(SocketAddr, u64)>,
-    members: BTreeMap<String, Listed>,
+    members: BTreeMap<String, DiscoveredEndpoint>,
 }
 
-impl Book {
+impl EndpointListCache {
     /// Takes a list, whole or its changes only.
-    pub fn take(&mut self, from: SocketAddr, rev: u64, whole: bool, listed: &[Listed]) {
+    pub fn take(&mut self, from: SocketAddr, rev: u64, whole: bool, listed: &[DiscoveredEndpoint]) {
         self.told = Some((from, rev));
         if whole {
             self.members.clear();
@@ -116,11 +116,11 @@
     }
 
     /// The servers, by name.
-    pub fn members(&self) -> impl Iterator<Item = &Listed> {
+    pub fn members(&self) -> impl Iterator<Item = &DiscoveredEndpoint> {
         self.members.values()
     }
 
-    pub(crate) fn members_mut(&mut self) -> impl Iterator<Item = &mut Listed> {
+    pub(crate) fn members_mut(&mut self) -> impl Iterator<Item = &mut DiscoveredEndpoint> {
         self.members.values_mut()
     }
 }
@@ -132,8 +132,11 @@
     const HERE: &str = "127.0.0.1:8500";
     const THERE: &str = "127.0.0.2:8500";
 
-    fn book(told: Option<(&str, u64)>) -> Book {
-        Book { told: told.map(|(from, rev)| (from.parse().unwrap(), rev)), ..Book::default() }
+    fn book(told: Option<(&str, u64)>) -> EndpointListCache {
+        EndpointListCache {
+            told: told.map(|(from, rev)| (from.parse().unwrap(), rev)),
+            ..EndpointListCache::default()
+        }
     }
 
     #[test]
@@ -150,14 +153,14 @@
             assert_eq!(book(told).is_ahead_of(&book(held)), ahead, "{told:?} and {held:?}");
         }
         let whole = book(Some((HERE, 6)));
-        assert_eq!(Book::decode(&whole.encode()), Some(whole));
-        assert_eq!(Book::decode(b"torn"), None);
+        assert_eq!(EndpointListCache::decode(&whole.encode()), Some(whole));
+        assert_eq!(EndpointListCache::decode(b"torn"), None);
     }
 
     #[test]
     fn what_is_in_already_is_not_taken_again_for_a_while() {
         let (now, end) = (Time(1_000_000), Time(7_000_000));
-        let ahead = Ahead::of(&book(Some((HERE, 6))), now).unwrap();
+        let ahead = ForwardedListGuard::of(&book(Some((HERE, 6))), now).unwrap();
         let cases = [
             (HERE, 5, now, true),
             (HERE, 6, now, false),
@@ -171,6 +174,6 @@
         }
         let beyond = |from: &str, rev| ahead.is_beyond(from.parse().unwrap(), rev);
         assert!(beyond(HERE, 5) && !beyond(HERE, 6) && !beyond(THERE, 5));
-        assert_eq!(Ahead::of(&book(None), now), None);
+        assert_eq!(ForwardedListGuard::of(&book(None), now), None);
     }
 }
--- a/crates/recovery/src/peers.rs
+++ b/crates/recovery/src/peers.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use valehatch_policy::{Span, Time};
 
-use crate::book::{Book, Listed};
+use crate::book::{DiscoveredEndpoint, EndpointListCache};
 use crate::trust::{Belief, Source, Trust, trust};
 
 /// Bytes of a datagram at the most, less what the link puts in front.
@@ -34,7 +34,14 @@
     /// Whom does that front list, from this place in the list on?
     Ask { front: u32, at: u16 },
     /// These, of so many; told by discovery at an address, up to a version, so long ago.
-    Piece { front: u32, told: (SocketAddr, u64), age_ms: u32, at: u16, of: u16, listed: Vec<Listed> },
+    Piece {
+        front: u32,
+        told: (SocketAddr, u64),
+        age_ms: u32,
+        at: u16,
+        of: u16,
+        listed: Vec<DiscoveredEndpoint>,
+    },
     /// I hold none that discovery has confirmed.
     Nothing { front: u32 },
 }
@@ -45,17 +52,17 @@
     /// Send this to that gateway.
     Send { to: SocketAddr, bytes: Vec<u8> },
     /// A whole list was told for a front, by its place.
-    Learned { front: usize, listed: Vec<Listed>, told: (SocketAddr, u64) },
+    Learned { front: usize, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64) },
 }
 
 /// What a gateway can tell of a front: its list, and how long ago discovery confirmed it.
-pub type Telling<'a> = Option<(&'a Book, Span)>;
+pub type Telling<'a> = Option<(&'a EndpointListCache, Span)>;
 
 #[derive(Debug, Default)]
 struct Asking {
     /// Those still to be asked in this round, the one that is being asked last.
     whom: Vec<SocketAddr>,
-    got: Vec<Listed>,
+    got: Vec<DiscoveredEndpoint>,
     told: Option<(SocketAddr, u64)>,
     tries: u32,
     /// When to ask, again or at all.
@@ -247,7 +254,7 @@
 }
 
 /// As many servers as fit, from a place on.
-fn piece(front: u32, book: &Book, age: Span, at: u16) -> Vec<u8> {
+fn piece(front: u32, book: &EndpointListCache, age: Span, at: u16) -> Vec<u8> {
     let Some(told) = book.told else { return encode(&Said::Nothing { front }) };
     let of = u16::try_from(book.members().count()).unwrap_or(u16::MAX);
     let age_ms = u32::try_from(age.0 / 1000).unwrap_or(u32::MAX);
--- a/crates/recovery/src/restore.rs
+++ b/crates/recovery/src/restore.rs
@@ -4,7 +4,7 @@
 
 use valehatch_policy::Span;
 
-use crate::book::Listed;
+use crate::book::DiscoveredEndpoint;
 use crate::snapshot::{Front, Snapshot};
 use crate::trust::{Belief, Source, Trust, trust};
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Restored {
     /// The list with which service begins, and where a watch may go on from; `None`: none is held.
-    pub list: Option<(Vec<Listed>, (SocketAddr, u64))>,
+    pub list: Option<(Vec<DiscoveredEndpoint>, (SocketAddr, u64))>,
     /// Members that were believed to be primaries, by group: where to look first.
     pub primaries: Vec<(u16, String)>,
     /// What was left behind, and why: for the log.
@@ -67,9 +67,9 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn listed(kept: &Front, primaries: &[(u16, String)]) -> Vec<Listed> {
+fn listed(kept: &Front, primaries: &[(u16, String)]) -> Vec<DiscoveredEndpoint> {
     let mut book = kept.book.clone();
-    let uses = |l: &Listed| l.state == "active";
+    let uses = |l: &DiscoveredEndpoint| l.state == "active";
     let believed: Vec<(u16, String)> = book
         .members()
         .filter(|l| uses(l) && primaries.contains(&(l.pod_group, l.uid.clone())))
--- a/crates/recovery/src/service.rs
+++ b/crates/recovery/src/service.rs
@@ -13,7 +13,7 @@
 
 /// Why service is not full yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RecoveringReason {
     /// Of so many fronts nobody has confirmed the list: it is from the snapshot, or there is none.
     List(usize),
     /// Too few requests were served of late.
@@ -22,7 +22,7 @@
     Steady,
 }
 
-impl Why {
+impl RecoveringReason {
     /// In one word.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Coming back, and what is wanting.
-    Recovering(Why),
+    Recovering(RecoveringReason),
     /// Whole since, and how long that took from the start.
     Full { since: Time, took: Span },
 }
@@ -59,7 +59,7 @@
     /// A start with so many fronts whose lists have to be confirmed.
     #[must_use]
     pub fn new(fronts: usize, now: Time) -> Self {
-        let why = if fronts == 0 { Why::Steady } else { Why::List(fronts) };
+        let why = if fronts == 0 { RecoveringReason::Steady } else { RecoveringReason::List(fronts) };
         let (steps, state) = (VecDeque::new(), State::Recovering(why));
         Self { began: now, unconfirmed: vec![true; fronts], confirmed_at: now, steps, state }
     }
@@ -102,9 +102,9 @@
         // The first moment from which on it was whole: nobody was turned away since, or too few.
         let since = self.confirmed_at;
         let state = match () {
-            () if waits > 0 => State::Recovering(Why::List(waits)),
-            () if !whole => State::Recovering(Why::Served),
-            () if now - since < STEADY => State::Recovering(Why::Steady),
+            () if waits > 0 => State::Recovering(RecoveringReason::List(waits)),
+            () if !whole => State::Recovering(RecoveringReason::Served),
+            () if now - since < STEADY => State::Recovering(RecoveringReason::Steady),
             () => {
                 let since = since.max(now - STEADY);
                 State::Full { since, took: since - self.began }
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::book::Book;
+use crate::book::EndpointListCache;
 
 const MAGIC: [u8; 4] = *b"VHSN";
 /// Another form takes another number: no version reads another's.
@@ -44,7 +44,7 @@
     /// Its name in the file.
     pub name: String,
     /// The list; empty where the file names the members.
-    pub book: Book,
+    pub book: EndpointListCache,
     /// Believed primaries.
     pub primaries: Vec<Primary>,
     /// Members that were warming.
--- a/crates/recovery/tests/peers.rs
+++ b/crates/recovery/tests/peers.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rstest::rstest;
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::book::{Book, Listed};
+use valehatch_recovery::book::{DiscoveredEndpoint, EndpointListCache};
 use valehatch_recovery::peers::{Effect, MOST, Peers, TELLS_S};
 use valehatch_recovery::trust::LIST;
 
@@ -14,16 +14,16 @@
     SocketAddr::from(([10, 0, 0, n], 7946))
 }
 
-fn book(servers: usize, rev: u64) -> Book {
-    let listed = |n: usize| Listed {
+fn book(servers: usize, rev: u64) -> EndpointListCache {
+    let listed = |n: usize| DiscoveredEndpoint {
         uid: format!("server-{n:04}"),
         endpoint: format!("10.1.{}.{}:5432", n / 250, n % 250),
         state: if n % 7 == 3 { "leaving" } else { "active" }.into(),
         mode: "read-only".into(),
         boot_ms: 1.7e12,
-        ..Listed::default()
+        ..DiscoveredEndpoint::default()
     };
-    let mut book = Book::default();
+    let mut book = EndpointListCache::default();
     book.take(address(200), rev, true, &(0..servers).map(listed).collect::<Vec<_>>());
     book
 }
@@ -31,8 +31,8 @@
 /// One that asks (0) and those that may tell, on a network that loses a part of all datagrams.
 struct World {
     asker: Peers,
-    tellers: Vec<(Peers, Option<(Book, Span)>)>,
-    learned: Option<(Vec<Listed>, (SocketAddr, u64))>,
+    tellers: Vec<(Peers, Option<(EndpointListCache, Span)>)>,
+    learned: Option<(Vec<DiscoveredEndpoint>, (SocketAddr, u64))>,
     lost: f64,
     rng: Xoshiro256PlusPlus,
     now: Time,
@@ -40,7 +40,7 @@
 }
 
 impl World {
-    fn new(tellers: Vec<Option<(Book, Span)>>, lost: f64) -> Self {
+    fn new(tellers: Vec<Option<(EndpointListCache, Span)>>, lost: f64) -> Self {
         let one = |seed| Peers::new(&[9], seed, Time(0));
         Self {
             asker: one(1),
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::book::{Book, Listed};
-use valehatch_recovery::service::{STEADY, Service, State, Why};
+use valehatch_recovery::book::{DiscoveredEndpoint, EndpointListCache};
+use valehatch_recovery::service::{RecoveringReason, STEADY, Service, State};
 use valehatch_recovery::snapshot::{Cold, Front, Primary, Snapshot, Unusable};
 use valehatch_recovery::trust::{Belief, FLEET, LIST, PRIMARY, Source, Trust, trust};
 use valehatch_recovery::{cold_since, restore};
@@ -42,8 +42,8 @@
     assert_eq!(trust(belief, source, Some(Span(-1))), Trust::Nothing);
 }
 
-fn listed(uid: &str, group: u16, state: &str, mode: &str) -> Listed {
-    Listed {
+fn listed(uid: &str, group: u16, state: &str, mode: &str) -> DiscoveredEndpoint {
+    DiscoveredEndpoint {
         uid: uid.into(),
         endpoint: format!("127.0.0.1:{}", 10_000 + uid.len()),
         pod_group: group,
@@ -51,7 +51,7 @@
         mode: mode.into(),
         capacity_hint: 4.0,
         boot_ms: 1000.0,
-        ..Listed::default()
+        ..DiscoveredEndpoint::default()
     }
 }
 
@@ -60,7 +60,7 @@
 }
 
 fn snapshot() -> Snapshot {
-    let mut book = Book::default();
+    let mut book = EndpointListCache::default();
     let all = [
         listed("a", 0, "active", "read-write"),
         listed("bb", 0, "active", "read-only"),
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_book_is_what_lists_and_changes_have_made_it() {
-    let mut book = Book::default();
+    let mut book = EndpointListCache::default();
     book.take(place(), 1, true, &[listed("a", 0, "active", ""), listed("b", 0, "active", "")]);
     book.take(
         place(),
@@ -180,12 +180,12 @@
 #[test]
 fn service_is_full_when_the_lists_are_confirmed_and_requests_were_served_for_a_while() {
     let mut service = Service::new(2, at(0));
-    assert_eq!(service.state(), State::Recovering(Why::List(2)));
+    assert_eq!(service.state(), State::Recovering(RecoveringReason::List(2)));
     service.confirmed(0, at(300));
-    assert_eq!(service.look(at(300)), Some(State::Recovering(Why::List(1))));
+    assert_eq!(service.look(at(300)), Some(State::Recovering(RecoveringReason::List(1))));
     service.confirmed(1, at(500));
     (0..20).for_each(|n| service.answered(n % 2 == 0, at(600 + n)));
-    assert_eq!(service.look(at(700)), Some(State::Recovering(Why::Served)));
+    assert_eq!(service.look(at(700)), Some(State::Recovering(RecoveringReason::Served)));
     for ms in (700..4000).step_by(50) {
         service.answered(true, at(ms));
         let state = service.look(at(ms));
@@ -205,6 +205,6 @@
     let mut service = Service::new(1, at(0));
     service.confirmed(0, at(40));
     service.confirmed(0, at(9000));
-    assert_eq!(service.look(at(2039)), Some(State::Recovering(Why::Steady)));
+    assert_eq!(service.look(at(2039)), Some(State::Recovering(RecoveringReason::Steady)));
     assert_eq!(service.look(at(2040)), Some(State::Full { since: at(40), took: Span::from_millis(40) }));
 }
--- a/crates/request-log/src/counters.rs
+++ b/crates/request-log/src/counters.rs
@@ -6,7 +6,7 @@
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Ending, Fault, Outcomes, Record, Refusal};
+use crate::record::{AttemptOutcome, FailureReason, FinalOutcome, RejectionReason, RequestRecord};
 
 /// What a row is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,9 +38,9 @@
 pub const BUCKETS: usize = BOUNDS_US.len() + 1;
 
 const REFUSED: usize = 3;
-const FAILED: usize = REFUSED + Refusal::ALL.len();
-const ATTEMPTS: usize = FAILED + Fault::ALL.len();
-const TIMES: usize = ATTEMPTS + Outcomes::ALL.len();
+const FAILED: usize = REFUSED + RejectionReason::ALL.len();
+const ATTEMPTS: usize = FAILED + FailureReason::ALL.len();
+const TIMES: usize = ATTEMPTS + AttemptOutcome::ALL.len();
 /// Counters in a row.
 pub const CELLS: usize = TIMES + BUCKETS;
 
@@ -54,11 +54,11 @@
     /// Left by their clients.
     Aborted,
     /// Refused for a reason.
-    Refused(Refusal),
+    Refused(RejectionReason),
     /// Failed in a way.
-    Failed(Fault),
+    Failed(FailureReason),
     /// Attempts that ended so.
-    Attempt(Outcomes),
+    Attempt(AttemptOutcome),
     /// Served within the bounds of this bucket.
     Time(usize),
 }
@@ -81,9 +81,9 @@
     /// All of a row's, in their places.
     pub fn all() -> impl Iterator<Item = Self> {
         let ends = [Self::InTime, Self::Late, Self::Aborted].into_iter();
-        ends.chain(Refusal::ALL.iter().map(|r| Self::Refused(*r)))
-            .chain(Fault::ALL.iter().map(|f| Self::Failed(*f)))
-            .chain(Outcomes::ALL.iter().map(|o| Self::Attempt(*o)))
+        ends.chain(RejectionReason::ALL.iter().map(|r| Self::Refused(*r)))
+            .chain(FailureReason::ALL.iter().map(|f| Self::Failed(*f)))
+            .chain(AttemptOutcome::ALL.iter().map(|o| Self::Attempt(*o)))
             .chain((0..BUCKETS).map(Self::Time))
     }
 
@@ -171,15 +171,15 @@
         Cell::all().zip(self.0.iter().copied()).filter(|(_, n)| *n > 0)
     }
 
-    fn count(&mut self, record: &Record) {
+    fn count(&mut self, record: &RequestRecord) {
         match record.ending {
-            Ending::InTime => self.add(Cell::InTime),
-            Ending::Late => self.add(Cell::Late),
-            Ending::Aborted => self.add(Cell::Aborted),
-            Ending::Refused(why) => self.add(Cell::Refused(why)),
-            Ending::Failed(how) => self.add(Cell::Failed(how)),
+            FinalOutcome::InTime => self.add(Cell::InTime),
+            FinalOutcome::Late => self.add(Cell::Late),
+            FinalOutcome::Aborted => self.add(Cell::Aborted),
+            FinalOutcome::Refused(why) => self.add(Cell::Refused(why)),
+            FinalOutcome::Failed(how) => self.add(Cell::Failed(how)),
         }
-        if matches!(record.ending, Ending::InTime | Ending::Late) {
+        if matches!(record.ending, FinalOutcome::InTime | FinalOutcome::Late) {
             self.add(Cell::Time(bucket(record.total_us)));
         }
         record.attempts.iter().for_each(|t| self.add(Cell::Attempt(t.outcome)));
@@ -196,14 +196,14 @@
 
 impl Counters {
     /// The rows that a record counts in.
-    pub fn keys(record: &Record) -> impl Iterator<Item = Key> + '_ {
+    pub fn keys(record: &RequestRecord) -> impl Iterator<Item = Key> + '_ {
         let key = |scope, name: &Arc<str>| Key { scope, front: record.front.clone(), name: name.clone() };
         let class = std::iter::once(key(Scope::Class, &record.class));
         class.chain(record.tenant.iter().map(move |t| key(Scope::Tenant, t)))
     }
 
     /// Counts a record.
-    pub fn count(&mut self, record: &Record) {
+    pub fn count(&mut self, record: &RequestRecord) {
         for key in Self::keys(record) {
             self.rows.entry(key).or_default().count(record);
         }
--- a/crates/request-log/src/durable.rs
+++ b/crates/request-log/src/durable.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::counters::{Cell, Counters, Key};
-use crate::record::{Seal, Spoilt};
+use crate::record::{CorruptRecord, Seal};
 
 /// A place in the request log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct LogPosition {
     /// The number of the segment, from 1.
     pub segment: u64,
     /// Bytes into it.
@@ -42,7 +42,7 @@
 
 /// What a batch of records came to.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Mark {
+pub struct DurableMark {
     /// The first record of its batch.
     pub from: u64,
     /// The last record that it counts.
@@ -51,7 +51,7 @@
     rows: Rows,
 }
 
-impl Mark {
+impl DurableMark {
     /// Appends a mark as a line: of the records from and to these numbers.
     pub fn put<'a>(
         out: &mut Vec<u8>,
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn read(line: &[u8]) -> Result<Self, Spoilt> {
+    pub fn read(line: &[u8]) -> Result<Self, CorruptRecord> {
         Seal::open(line)
     }
 
@@ -82,7 +82,7 @@
     /// The last record that it counts.
     pub seq: u64,
     /// Where the record after that one begins.
-    pub place: Place,
+    pub place: LogPosition,
     /// Starts of the program so far: SNMP's engine boots (RFC 3414, section 2.2).
     pub boots: u32,
     /// Since when the counters are without a break, in Unix milliseconds.
@@ -95,7 +95,7 @@
 struct Written {
     version: u32,
     seq: u64,
-    place: Place,
+    place: LogPosition,
     boots: u32,
     since_ms: u64,
     missed: u64,
@@ -121,10 +121,10 @@
     ///
     /// # Errors
     /// What is wrong with them.
-    pub fn read(bytes: &[u8]) -> Result<Self, Spoilt> {
+    pub fn read(bytes: &[u8]) -> Result<Self, CorruptRecord> {
         let written: Written = Seal::open(bytes)?;
         if written.version != VERSION {
-            return Err(Spoilt::Unreadable);
+            return Err(CorruptRecord::Unreadable);
         }
         let Written { seq, place, boots, since_ms, missed, rows, .. } = written;
         let mut counters = Counters::default();
--- a/crates/request-log/src/figures.rs
+++ b/crates/request-log/src/figures.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-use crate::Ending;
+use crate::FinalOutcome;
 
 /// What is told of each class, and of the whole.
 const COUNTS: [&str; 4] = ["fulfilled", "throttled", "faulted", "relayed"];
@@ -24,7 +24,7 @@
 
 /// Counts and gauges of one front. Their number is that of the classes, which is fixed.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct OutcomeMetrics {
     names: Vec<Arc<str>>,
     classes: Vec<Class>,
     open: AtomicU64,
@@ -32,7 +32,7 @@
     avoided: AtomicU64,
 }
 
-impl Figures {
+impl OutcomeMetrics {
     /// All at 0, for classes of these names.
     #[must_use]
     pub fn new(names: &[String]) -> Self {
@@ -44,13 +44,13 @@
     }
 
     /// A request of a class had its final answer; what its client abandoned has none.
-    pub fn ended(&self, class: usize, how: &Ending) {
+    pub fn ended(&self, class: usize, how: &FinalOutcome) {
         let Some(class) = self.classes.get(class) else { return };
         let count = match how {
-            Ending::InTime | Ending::Late => &class.fulfilled,
-            Ending::Refused(_) => &class.throttled,
-            Ending::Failed(_) => &class.faulted,
-            Ending::Aborted => return,
+            FinalOutcome::InTime | FinalOutcome::Late => &class.fulfilled,
+            FinalOutcome::Refused(_) => &class.throttled,
+            FinalOutcome::Failed(_) => &class.faulted,
+            FinalOutcome::Aborted => return,
         };
         count.fetch_add(1, Relaxed);
     }
@@ -76,10 +76,10 @@
     }
 }
 
-/// The figures of a process with several fronts, in the form of [`Figures::text`]: the one place where they are added up. Each
+/// The figures of a process with several fronts, in the form of [`OutcomeMetrics::text`]: the one place where they are added up. Each
 /// front counts for itself, so nothing is in two of them; classes of one name are one class, in the order in which names come.
 #[must_use]
-pub fn text<'a>(fronts: impl IntoIterator<Item = &'a Figures>) -> String {
+pub fn text<'a>(fronts: impl IntoIterator<Item = &'a OutcomeMetrics>) -> String {
     let mut names: Vec<(&str, [u64; COUNTS.len()])> = vec![];
     let mut gauges = [0; GAUGES.len()];
     for figures in fronts {
@@ -109,15 +109,20 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{Fault, Refusal};
+    use crate::{FailureReason, RejectionReason};
 
     #[test]
     fn each_final_answer_is_in_one_count_and_what_was_abandoned_in_none() {
-        let figures = Figures::new(&["basket".into(), "order".into()]);
-        let all = [Ending::InTime, Ending::Late, Ending::Refused(Refusal::Open), Ending::Aborted];
+        let figures = OutcomeMetrics::new(&["basket".into(), "order".into()]);
+        let all = [
+            FinalOutcome::InTime,
+            FinalOutcome::Late,
+            FinalOutcome::Refused(RejectionReason::TooManyOpen),
+            FinalOutcome::Aborted,
+        ];
         all.iter().for_each(|how| figures.ended(1, how));
-        figures.ended(1, &Ending::Failed(Fault::Timeout));
-        figures.ended(7, &Ending::InTime);
+        figures.ended(1, &FinalOutcome::Failed(FailureReason::Timeout));
+        figures.ended(7, &FinalOutcome::InTime);
         (0..3).for_each(|_| figures.relayed(0));
         figures.gauges(14, 5, 1);
         let text = figures.text();
@@ -131,12 +136,14 @@
 
     #[test]
     fn fronts_are_added_up_by_the_names_of_their_classes() {
-        let (one, two) =
-            (Figures::new(&["read".into(), "book".into()]), Figures::new(&["stay".into(), "read".into()]));
-        one.ended(0, &Ending::InTime);
+        let (one, two) = (
+            OutcomeMetrics::new(&["read".into(), "book".into()]),
+            OutcomeMetrics::new(&["stay".into(), "read".into()]),
+        );
+        one.ended(0, &FinalOutcome::InTime);
         one.relayed(0);
-        two.ended(1, &Ending::Late);
-        two.ended(0, &Ending::Refused(Refusal::Open));
+        two.ended(1, &FinalOutcome::Late);
+        two.ended(0, &FinalOutcome::Refused(RejectionReason::TooManyOpen));
         one.gauges(3, 2, 1);
         two.gauges(4, 3, 0);
         let both = text([&one, &two]);
--- a/crates/request-log/src/ledger.rs
+++ b/crates/request-log/src/ledger.rs
@@ -4,13 +4,13 @@
 use std::io;
 
 use crate::counters::{Counters, Key};
-use crate::durable::{Checkpoint, Mark, Place};
-use crate::record::Record;
+use crate::durable::{Checkpoint, DurableMark, LogPosition};
+use crate::record::RequestRecord;
 use crate::replay::{Recovered, Replay};
 
 /// Files by name, as the ledger needs them. What a call has done is durable when it returns, but for
-/// [`Folder::rename`] and [`Folder::remove`], which [`Folder::sync`] makes so. The ledger does no I/O but through this.
-pub trait Folder: Send {
+/// [`LogStorage::rename`] and [`LogStorage::remove`], which [`LogStorage::sync`] makes so. The ledger does no I/O but through this.
+pub trait LogStorage: Send {
     /// All names.
     fn list(&self) -> io::Result<Vec<String>>;
     /// A whole file.
@@ -84,7 +84,7 @@
 }
 
 /// Counts, writes, and knows what of that is durable.
-pub struct Ledger<F> {
+pub struct RequestLog<F> {
     folder: Option<F>,
     sizes: Sizes,
     /// All that was counted.
@@ -94,9 +94,9 @@
     /// Rows that changed since the last mark that is durable, and the first record that it will count.
     touched: BTreeSet<Key>,
     from: u64,
-    place: Place,
+    place: LogPosition,
     /// The place that the older checkpoint's generation counts up to.
-    older: Place,
+    older: LogPosition,
     /// Something changed since the last checkpoint.
     stale: bool,
     /// Half a mark may stand at the end of the file of marks, of an earlier process or of this one.
@@ -120,7 +120,7 @@
 }
 
 /// Reads all that a folder holds.
-fn replay(folder: &impl Folder, names: &[String]) -> (Recovered, Vec<String>) {
+fn replay(folder: &impl LogStorage, names: &[String]) -> (Recovered, Vec<String>) {
     let mut unread = vec![];
     let mut read = |name: &str| match folder.read(name) {
         Ok(bytes) => Some(bytes),
@@ -138,7 +138,7 @@
     let from = replay.from();
     for number in segments(names).into_iter().filter(|n| *n >= from.segment) {
         let bytes = read(&segment(number)).unwrap_or_default();
-        let mut place = Place { segment: number, offset: 0 };
+        let mut place = LogPosition { segment: number, offset: 0 };
         for line in bytes.split_inclusive(|b| *b == b'\n') {
             if place >= from {
                 replay.line(place, line);
@@ -149,7 +149,7 @@
     (replay.finish(), unread)
 }
 
-impl<F: Folder> Ledger<F> {
+impl<F: LogStorage> RequestLog<F> {
     /// One that keeps nothing: all that is counted is shown.
     #[must_use]
     pub fn fleeting(now_ms: u64) -> Self {
@@ -211,7 +211,7 @@
             at.since_ms = now_ms;
         }
         let last = segments(&names).last().copied().unwrap_or(0).max(at.place.segment);
-        at.place = Place { segment: last + 1, offset: 0 };
+        at.place = LogPosition { segment: last + 1, offset: 0 };
         let text = format!("start {}, {} records so far, {} faults", at.boots, at.seq, back.faults);
         notes.push(Note { trouble: false, text });
         let (since_ms, boots, faults) = (at.since_ms, at.boots, back.faults);
@@ -223,7 +223,7 @@
     }
 
     /// Counts a record; it is written with the next batch.
-    pub fn record(&mut self, record: &Record, unix_ms: u64) {
+    pub fn record(&mut self, record: &RequestRecord, unix_ms: u64) {
         self.status.seq += 1;
         self.pending += 1;
         self.touched.extend(Counters::keys(record));
@@ -268,13 +268,13 @@
                     self.live.missed += pending;
                     // Half a batch may be there: the next one must not be appended to it.
                     let _ = folder.cut(&segment(self.place.segment), self.place.offset);
-                    self.place = Place { segment: self.place.segment + 1, offset: 0 };
+                    self.place = LogPosition { segment: self.place.segment + 1, offset: 0 };
                 }
             }
         }
         // A mark that was written half must not spoil this one: it gets a line of its own.
         let mut mark = if self.marks_may_be_torn { b"\n".to_vec() } else { vec![] };
-        Mark::put(&mut mark, (self.from, self.status.seq), &self.live, self.touched.iter());
+        DurableMark::put(&mut mark, (self.from, self.status.seq), &self.live, self.touched.iter());
         match folder.append(MARKS, &mark) {
             Ok(()) => {
                 self.marks_may_be_torn = false;
@@ -315,7 +315,7 @@
             return;
         }
         if self.place.offset >= self.sizes.segment_bytes {
-            self.place = Place { segment: self.place.segment + 1, offset: 0 };
+            self.place = LogPosition { segment: self.place.segment + 1, offset: 0 };
             self.status.segment = self.place.segment;
         }
         let Some(folder) = &mut self.folder else { return };
--- a/crates/request-log/src/lib.rs
+++ b/crates/request-log/src/lib.rs
@@ -1,4 +1,4 @@
-//! Accounting: one [`Record`] for each final answer, [`Counters`] that are nothing but the sum of the records, and
+//! Accounting: one [`RequestRecord`] for each final answer, [`Counters`] that are nothing but the sum of the records, and
 //! the pure part of keeping them: lines of the request log, marks, checkpoints and their [`Replay`] after a crash.
 //!
 //! Every counter only grows, so whatever is found on a disk after a crash is a lower bound of the truth, and the
@@ -16,7 +16,7 @@
 //! | [`ledger`] | what is written when, and what of it may be shown |
 //! | [`times`] | quantiles of the last minute |
 //!
-//! There is no clock here, and no I/O but through a [`Folder`] that is handed in.
+//! There is no clock here, and no I/O but through a [`LogStorage`] that is handed in.
 
 #![forbid(unsafe_code)]
 
@@ -29,9 +29,12 @@
 pub mod times;
 
 pub use counters::{CELLS, Cell, Counters, Key, Row, Scope};
-pub use durable::{Checkpoint, Mark, Place};
-pub use figures::Figures;
-pub use ledger::{Folder, Ledger, Sizes, Status};
-pub use record::{Ending, Fault, Outcomes, Record, Refusal, Seal, Spoilt, Try};
+pub use durable::{Checkpoint, DurableMark, LogPosition};
+pub use figures::OutcomeMetrics;
+pub use ledger::{LogStorage, RequestLog, Sizes, Status};
+pub use record::{
+    AttemptOutcome, AttemptRecord, CorruptRecord, FailureReason, FinalOutcome, RejectionReason,
+    RequestRecord, Seal,
+};
 pub use replay::{Recovered, Replay};
 pub use times::Times;
--- a/crates/request-log/src/record.rs
+++ b/crates/request-log/src/record.rs
@@ -26,25 +26,25 @@
 
 named! {
     /// Why a request was refused.
-    Refusal {
+    RejectionReason {
         /// The answers of late take too much of their time: some requests are turned away on arrival.
-        Strain = "strain",
+        Overloaded = "strain",
         /// Half of its time went by without a member that could take it.
-        Unsent = "unsent",
+        NeverSent = "unsent",
         /// It could no longer be served in time that counts.
-        Late = "late",
+        TooLate = "late",
         /// Its deadline is over.
-        Deadline = "deadline",
+        DeadlineExceeded = "deadline",
         /// All its attempts are used up, and none of them ran.
-        Attempts = "attempts",
+        AttemptsExhausted = "attempts",
         /// The time in which its repeats are dropped is over.
-        Window = "window",
+        RetryWindowClosed = "window",
         /// As many requests are open as the settings allow.
-        Open = "open",
+        TooManyOpen = "open",
         /// The bytes of open requests take all the memory that they may.
-        Room = "room",
+        OutOfMemory = "room",
         /// More connections than there are places.
-        Places = "places",
+        OutOfConnections = "places",
         /// The gateway stops.
         Stopping = "stopping",
         /// At the door: what waits before it takes too long.
@@ -60,17 +60,17 @@
 
 named! {
     /// How a request failed.
-    Fault {
+    FailureReason {
         /// No answer in time; it may have run.
         Timeout = "timeout",
         /// An error or a break; it may have run.
-        Broken = "broken",
+        ConnectionLost = "broken",
         /// A member's error was passed on; it may have run.
-        Told = "told",
+        UpstreamError = "told",
         /// The statement is at fault, which every member would say.
         Statement = "statement",
         /// Its id is that of a request that is open.
-        Named = "named",
+        DuplicateName = "named",
         /// The gateway stopped while it was out.
         Stopping = "stopping",
     }
@@ -78,13 +78,13 @@
 
 named! {
     /// How an attempt ended; [`Outcome`], and one more.
-    Outcomes {
+    AttemptOutcome {
         /// Served.
         Ok = "ok",
         /// An error; it may have had an effect.
         Error = "error",
         /// Turned away unseen.
-        Full = "full",
+        Rejected = "full",
         /// No answer in time.
         Timeout = "timeout",
         /// No connection; nothing ran.
@@ -94,26 +94,26 @@
         /// Called off.
         Cancelled = "cancelled",
         /// Never sent.
-        Moot = "moot",
+        NotSent = "moot",
         /// Turned away untouched: not the primary, or too far behind.
-        Miss = "miss",
+        Misdirected = "miss",
         /// Still out when the request had its final answer, or when its client had left.
-        Out = "out",
+        Unfinished = "out",
     }
 }
 
-impl From<Outcome> for Outcomes {
+impl From<Outcome> for AttemptOutcome {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Ok => Self::Ok,
             Outcome::Error => Self::Error,
-            Outcome::Full => Self::Full,
+            Outcome::Rejected => Self::Rejected,
             Outcome::Timeout => Self::Timeout,
             Outcome::ConnectFailed | Outcome::LocalFailure => Self::ConnectFailed,
             Outcome::Reset => Self::Reset,
             Outcome::Cancelled => Self::Cancelled,
-            Outcome::Moot => Self::Moot,
-            Outcome::Miss => Self::Miss,
+            Outcome::NotSent => Self::NotSent,
+            Outcome::Misdirected => Self::Misdirected,
         }
     }
 }
@@ -121,33 +121,33 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "final", content = "why", rename_all = "kebab-case")]
-pub enum Ending {
+pub enum FinalOutcome {
     /// Served within its class's aim.
     InTime,
     /// Served after it.
     Late,
     /// Refused: trying again is harmless.
-    Refused(Refusal),
+    Refused(RejectionReason),
     /// Failed.
-    Failed(Fault),
+    Failed(FailureReason),
     /// Its client left first.
     Aborted,
 }
 
 /// One attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Try {
+pub struct AttemptRecord {
     /// The member's name.
     pub member: Arc<str>,
     /// How it ended.
-    pub outcome: Outcomes,
+    pub outcome: AttemptOutcome,
     /// How long it took, in microseconds.
     pub took_us: u64,
 }
 
 /// What is known of a request at its final answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct RequestRecord {
     /// The front that took it.
     pub front: Arc<str>,
     /// Its class.
@@ -159,9 +159,9 @@
     pub group: u16,
     /// How it ended.
     #[serde(flatten)]
-    pub ending: Ending,
+    pub ending: FinalOutcome,
     /// Its attempts, in their order; the last one's member is the one that served it, if one did.
-    pub attempts: Vec<Try>,
+    pub attempts: Vec<AttemptRecord>,
     /// From its arrival to its first attempt, or to its end if there was none, in microseconds.
     pub waited_us: u64,
     /// From its arrival to its final answer, in microseconds.
@@ -180,7 +180,7 @@
 
 /// What is wrong with a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum CorruptRecord {
     /// It has no end: the write was cut off.
     Torn,
     /// It has no seal where one belongs.
@@ -214,20 +214,21 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn open<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, Spoilt> {
-        let bare = line.strip_suffix(b"\n").ok_or(Spoilt::Torn)?;
-        let (body, seal) = bare.split_at_checked(bare.len().wrapping_sub(SEAL)).ok_or(Spoilt::Unsealed)?;
+    pub fn open<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, CorruptRecord> {
+        let bare = line.strip_suffix(b"\n").ok_or(CorruptRecord::Torn)?;
+        let (body, seal) =
+            bare.split_at_checked(bare.len().wrapping_sub(SEAL)).ok_or(CorruptRecord::Unsealed)?;
         let digits = seal.strip_prefix(b",\"crc\":\"").and_then(|s| s.strip_suffix(b"\"}"));
-        let digits = digits.and_then(|d| std::str::from_utf8(d).ok()).ok_or(Spoilt::Unsealed)?;
-        let crc = u32::from_str_radix(digits, 16).map_err(|_| Spoilt::Unsealed)?;
+        let digits = digits.and_then(|d| std::str::from_utf8(d).ok()).ok_or(CorruptRecord::Unsealed)?;
+        let crc = u32::from_str_radix(digits, 16).map_err(|_| CorruptRecord::Unsealed)?;
         if crc32fast::hash(body) != crc {
-            return Err(Spoilt::Checksum);
+            return Err(CorruptRecord::Checksum);
         }
-        serde_json::from_slice(bare).map_err(|_| Spoilt::Unreadable)
+        serde_json::from_slice(bare).map_err(|_| CorruptRecord::Unreadable)
     }
 }
 
-impl Record {
+impl RequestRecord {
     /// Appends the record as a line of the request log.
     pub fn put(&self, out: &mut Vec<u8>, seq: u64, at_unix_ms: u64) {
         Seal::put(out, &Line { seq, at: at_unix_ms, record: self });
@@ -237,7 +238,7 @@
     ///
     /// # Errors
     /// What is wrong with the line.
-    pub fn read(line: &[u8]) -> Result<(u64, Self), Spoilt> {
+    pub fn read(line: &[u8]) -> Result<(u64, Self), CorruptRecord> {
         Seal::open::<Line<Self>>(line).map(|line| (line.seq, line.record))
     }
 
--- a/crates/request-log/src/replay.rs
+++ b/crates/request-log/src/replay.rs
@@ -4,20 +4,20 @@
 use std::fmt;
 
 use crate::counters::Counters;
-use crate::durable::{Checkpoint, Mark, Place};
-use crate::record::{Record, Spoilt};
+use crate::durable::{Checkpoint, DurableMark, LogPosition};
+use crate::record::{CorruptRecord, RequestRecord};
 
 /// What was found wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ReplayIssue {
     /// A checkpoint cannot be read.
-    Checkpoint(&'static str, Spoilt),
+    Checkpoint(&'static str, CorruptRecord),
     /// Lines of the marks cannot be read, so many.
     Marks(u64),
     /// The end of a segment was cut off in the middle of a record, here.
-    Torn(Place),
+    Torn(LogPosition),
     /// A record in the middle of the log cannot be read, here.
-    Record(Place, Spoilt),
+    Record(LogPosition, CorruptRecord),
     /// Records are missing from the log, so many; whether the marks make up for them.
     Missing {
         /// How many.
@@ -27,7 +27,7 @@
     },
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for ReplayIssue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Checkpoint(name, why) => write!(f, "the file {name} is spoilt ({why:?})"),
@@ -55,9 +55,9 @@
     /// Counters, numbers and the place to go on writing at, as a checkpoint.
     pub checkpoint: Checkpoint,
     /// Segments that end in half a record: cut them here.
-    pub cuts: Vec<Place>,
+    pub cuts: Vec<LogPosition>,
     /// What was wrong, the first few.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ReplayIssue>,
     /// All that was wrong.
     pub faults: u64,
     /// Counts are lost for good: the counters are below what was shown.
@@ -70,7 +70,7 @@
     at: Checkpoint,
     /// The other generation may know more of some counter.
     other: Option<Checkpoint>,
-    marks: Vec<Mark>,
+    marks: Vec<DurableMark>,
     spoilt_marks: u64,
     /// The number of the last record that was read, or of the checkpoint's.
     last: u64,
@@ -78,9 +78,9 @@
     gaps: Vec<(u64, u64)>,
     made_up: u64,
     /// A line that could not be read, whose segment has not gone on yet.
-    doubtful: Option<(Place, Spoilt)>,
-    cuts: Vec<Place>,
-    troubles: Vec<Trouble>,
+    doubtful: Option<(LogPosition, CorruptRecord)>,
+    cuts: Vec<LogPosition>,
+    troubles: Vec<ReplayIssue>,
     faults: u64,
 }
 
@@ -105,7 +105,7 @@
         for (name, bytes) in [("checkpoint", newest), ("checkpoint.old", older)] {
             match bytes.map(Checkpoint::read) {
                 Some(Ok(checkpoint)) => found.push(checkpoint),
-                Some(Err(why)) => replay.trouble(Trouble::Checkpoint(name, why)),
+                Some(Err(why)) => replay.trouble(ReplayIssue::Checkpoint(name, why)),
                 None => {}
             }
         }
@@ -120,7 +120,7 @@
 
     /// Where the log is to be read from.
     #[must_use]
-    pub const fn from(&self) -> Place {
+    pub const fn from(&self) -> LogPosition {
         self.at.place
     }
 
@@ -130,39 +130,39 @@
         if line == b"\n" {
             return;
         }
-        match Mark::read(line) {
+        match DurableMark::read(line) {
             Ok(mark) => self.marks.push(mark),
-            Err(Spoilt::Torn) => {}
+            Err(CorruptRecord::Torn) => {}
             Err(_) => self.spoilt_marks += 1,
         }
     }
 
     /// A line of the log, with its end if it has one, and the place where it begins.
-    pub fn line(&mut self, place: Place, line: &[u8]) {
+    pub fn line(&mut self, place: LogPosition, line: &[u8]) {
         if let Some((at, why)) = self.doubtful.take() {
             // More came behind it: either the same segment goes on, or it was left for a new one half written.
             self.settle(at, why, at.segment == place.segment);
         }
-        match Record::read(line) {
+        match RequestRecord::read(line) {
             Ok((seq, record)) => {
                 self.record(seq, &record);
-                let end = Place { segment: place.segment, offset: place.offset + line.len() as u64 };
+                let end = LogPosition { segment: place.segment, offset: place.offset + line.len() as u64 };
                 self.at.place = self.at.place.max(end);
             }
             Err(why) => self.doubtful = Some((place, why)),
         }
     }
 
-    fn settle(&mut self, at: Place, why: Spoilt, middle: bool) {
+    fn settle(&mut self, at: LogPosition, why: CorruptRecord, middle: bool) {
         if middle {
-            self.trouble(Trouble::Record(at, why));
+            self.trouble(ReplayIssue::Record(at, why));
         } else {
             self.cuts.push(at);
-            self.trouble(Trouble::Torn(at));
+            self.trouble(ReplayIssue::Torn(at));
         }
     }
 
-    fn record(&mut self, seq: u64, record: &Record) {
+    fn record(&mut self, seq: u64, record: &RequestRecord) {
         if seq <= self.last {
             return;
         }
@@ -198,7 +198,7 @@
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble) {
+    fn trouble(&mut self, trouble: ReplayIssue) {
         self.faults += 1;
         if self.troubles.len() < TOLD {
             self.troubles.push(trouble);
@@ -214,7 +214,7 @@
         self.join_marks(None);
         if self.spoilt_marks > 0 {
             let n = self.spoilt_marks;
-            self.trouble(Trouble::Marks(n));
+            self.trouble(ReplayIssue::Marks(n));
         }
         if let Some(other) = self.other.take() {
             self.at.counters.join(&other.counters);
@@ -223,7 +223,7 @@
         let lost = length(&self.gaps);
         for (records, made_up) in [(self.made_up, true), (lost, false)] {
             if records > 0 {
-                self.trouble(Trouble::Missing { records, made_up });
+                self.trouble(ReplayIssue::Missing { records, made_up });
             }
         }
         self.at.seq = self.last;
--- a/crates/request-log/tests/memory/mod.rs
+++ b/crates/request-log/tests/memory/mod.rs
@@ -43,7 +43,7 @@
     }
 }
 
-impl Folder for Memory {
+impl LogStorage for Memory {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.lock().unwrap().files.keys().cloned().collect())
     }
@@ -82,19 +82,19 @@
     }
 }
 
-pub fn record(n: u64) -> Record {
+pub fn record(n: u64) -> RequestRecord {
     let (class, ending) = match n % 5 {
-        0 => ("write", Ending::Refused(Refusal::Unsent)),
-        1 => ("write", Ending::Late),
-        _ => ("read", Ending::InTime),
+        0 => ("write", FinalOutcome::Refused(RejectionReason::NeverSent)),
+        1 => ("write", FinalOutcome::Late),
+        _ => ("read", FinalOutcome::InTime),
     };
-    Record {
+    RequestRecord {
         front: "a".into(),
         class: class.into(),
         tenant: None,
         group: 0,
         ending,
-        attempts: vec![Try { member: "m".into(), outcome: Outcomes::Ok, took_us: n }],
+        attempts: vec![AttemptRecord { member: "m".into(), outcome: AttemptOutcome::Ok, took_us: n }],
         waited_us: 0,
         total_us: n,
     }
