--- a/crates/request-log/tests/replay.rs
+++ b/crates/request-log/tests/replay.rs
@@ -4,28 +4,32 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use valehatch_request_log::replay::Trouble;
+use valehatch_request_log::replay::ReplayIssue;
 use valehatch_request_log::*;
 
-fn record(n: u64) -> Record {
+fn record(n: u64) -> RequestRecord {
     let pick = |names: &[&str], n: u64| Arc::<str>::from(names[usize::try_from(n).unwrap() % names.len()]);
     let ending = match n % 11 {
-        0 => Ending::Refused(Refusal::ALL[usize::try_from(n / 11).unwrap() % Refusal::ALL.len()]),
-        1 => Ending::Failed(Fault::ALL[usize::try_from(n / 11).unwrap() % Fault::ALL.len()]),
-        2 => Ending::Aborted,
-        3 => Ending::Late,
-        _ => Ending::InTime,
+        0 => FinalOutcome::Refused(
+            RejectionReason::ALL[usize::try_from(n / 11).unwrap() % RejectionReason::ALL.len()],
+        ),
+        1 => FinalOutcome::Failed(
+            FailureReason::ALL[usize::try_from(n / 11).unwrap() % FailureReason::ALL.len()],
+        ),
+        2 => FinalOutcome::Aborted,
+        3 => FinalOutcome::Late,
+        _ => FinalOutcome::InTime,
     };
-    Record {
+    RequestRecord {
         front: pick(&["a", "b"], n / 3),
         class: pick(&["read", "write", "report"], n),
         tenant: (!n.is_multiple_of(4)).then(|| pick(&["x", "y"], n)),
         group: 0,
         ending,
         attempts: (0..n % 3)
-            .map(|t| Try {
+            .map(|t| AttemptRecord {
                 member: pick(&["m1", "m2"], t),
-                outcome: Outcomes::ALL[usize::try_from(n + t).unwrap() % Outcomes::ALL.len()],
+                outcome: AttemptOutcome::ALL[usize::try_from(n + t).unwrap() % AttemptOutcome::ALL.len()],
                 took_us: n * 17,
             })
             .collect(),
@@ -60,12 +64,12 @@
                 touched.extend(Counters::keys(&record));
                 disk.counters.count(&record);
             }
-            Mark::put(&mut disk.marks, (from, disk.seq), &disk.counters, touched.iter());
+            DurableMark::put(&mut disk.marks, (from, disk.seq), &disk.counters, touched.iter());
             if n % turn == turn - 1 {
                 disk.segments.push(vec![]);
             }
             if n % each == each - 1 {
-                let place = Place {
+                let place = LogPosition {
                     segment: disk.segments.len() as u64,
                     offset: disk.segments.last().unwrap().len() as u64,
                 };
@@ -84,7 +88,7 @@
         let mut replay = Replay::begin(self.newest.as_deref(), self.older.as_deref());
         self.marks.split_inclusive(|b| *b == b'\n').for_each(|line| replay.mark(line));
         for (n, segment) in (1..).zip(&self.segments) {
-            let mut place = Place { segment: n, offset: 0 };
+            let mut place = LogPosition { segment: n, offset: 0 };
             for line in segment.split_inclusive(|b| *b == b'\n') {
                 if place >= replay.from() {
                     replay.line(place, line);
@@ -123,9 +127,9 @@
         let whole = disk.segments[0].len();
         disk.segments[0].extend(&next);
         let back = disk.replay();
-        let place = Place { segment: 1, offset: whole as u64 };
+        let place = LogPosition { segment: 1, offset: whole as u64 };
         prop_assert_eq!(&back.cuts, &vec![place]);
-        prop_assert_eq!(&back.troubles, &vec![Trouble::Torn(place)]);
+        prop_assert_eq!(&back.troubles, &vec![ReplayIssue::Torn(place)]);
         prop_assert_eq!(back.checkpoint.counters, disk.counters);
     }
 
@@ -164,7 +168,7 @@
         let mut replay = Replay::begin(Some(&newest), None);
         for (n, line) in lines.iter().enumerate() {
             replay.mark(line);
-            replay.line(Place { segment: 1, offset: n as u64 * 100 }, line);
+            replay.line(LogPosition { segment: 1, offset: n as u64 * 100 }, line);
         }
         prop_assert!(replay.finish().checkpoint.counters.is_empty());
     }
@@ -179,7 +183,7 @@
     disk.segments[0] = kept;
     let back = disk.replay();
     assert!(back.broken);
-    assert_eq!(back.troubles, [Trouble::Missing { records: 2, made_up: false }]);
+    assert_eq!(back.troubles, [ReplayIssue::Missing { records: 2, made_up: false }]);
     assert_eq!(back.checkpoint.seq, 12);
 }
 
--- a/crates/request-log/tests/torn_mark.rs
+++ b/crates/request-log/tests/torn_mark.rs
@@ -3,15 +3,15 @@
 mod memory;
 
 use memory::{Memory, SIZES, record};
-use valehatch_request_log::Ledger;
+use valehatch_request_log::RequestLog;
 
 /// Counts that the request log never had are in the marks alone. After the disk was full twice, the second time in the
 /// middle of a mark, and had room again, what was shown is found again after a power loss.
 #[test]
 fn mark_behind_a_torn_one_survives_a_power_loss() {
     let memory = Memory::default();
-    let mut ledger = Ledger::open(memory.clone(), SIZES, 1);
-    let batch = |ledger: &mut Ledger<Memory>, from: u64| {
+    let mut ledger = RequestLog::open(memory.clone(), SIZES, 1);
+    let batch = |ledger: &mut RequestLog<Memory>, from: u64| {
         (from..from + 3).for_each(|n| ledger.record(&record(n), 0));
         ledger.flush();
     };
@@ -27,6 +27,6 @@
     let shown = ledger.shown().clone();
     assert_eq!(shown.missed, 3, "three records are not in the log");
     drop(ledger);
-    let again = Ledger::open(memory, SIZES, 2);
+    let again = RequestLog::open(memory, SIZES, 2);
     assert_eq!(*again.shown(), shown, "what was shown goes back");
 }
--- a/crates/simulator-adapter/src/frames.rs
+++ b/crates/simulator-adapter/src/frames.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use valehatch_policy::{
-    Action, AttemptEnd, ClassId, Entry, Event, GroupId, KindId, NodeId, NodeState, Outcome, Report, Request,
-    RequestId, Role, SessionKey, Span, TenantId, Time, ZoneId,
+    Action, AttemptEnd, ClassId, EndpointId, EndpointRecord, EndpointState, GroupId, KindId, LoadReport,
+    Outcome, PolicyEvent, Request, RequestId, Role, SessionKey, Span, TenantId, Time, ZoneId,
 };
 
 use valehatch_config::settings::{WireFacts, micros};
@@ -87,24 +87,24 @@
     At(u32),
     Attach { seed: u64, text: &'a str },
     PowerOff,
-    Table { number: u16, entries: Vec<Entry> },
+    Table { number: u16, entries: Vec<EndpointRecord> },
     Update { kind: u8, table: u16 },
     Ask { request: Box<Request>, wrote_ms_ago: f64, has_work: bool, work_ms: f64, tenant: u32, key: u64 },
     UnderWay(RequestId),
     Completed { end: Box<AttemptEnd>, mark: u32, metrics: Vec<f64> },
     Aborted(RequestId),
     Wake(u64),
-    StatusBack { node: NodeId, latency: Span, outcome: Outcome, metrics: Vec<f64> },
+    StatusBack { endpoint: EndpointId, latency: Span, outcome: Outcome, metrics: Vec<f64> },
     PeerData,
 }
 
 fn outcome(code: u16) -> Result<Outcome, String> {
     Ok(match code {
         200 => Outcome::Ok,
-        204 => Outcome::Miss,
+        204 => Outcome::Misdirected,
         408 => Outcome::Timeout,
-        409 => Outcome::Moot,
-        429 => Outcome::Full,
+        409 => Outcome::NotSent,
+        429 => Outcome::Rejected,
         444 => Outcome::Cancelled,
         502 => Outcome::Error,
         520 => Outcome::Reset,
@@ -118,18 +118,18 @@
     (0..n).map(|_| c.f32("metrics")).collect()
 }
 
-fn entry(c: &mut Cursor<'_>) -> Result<Entry, String> {
+fn entry(c: &mut Cursor<'_>) -> Result<EndpointRecord, String> {
     let launched = c.f64("launched-ms")?;
-    Ok(Entry {
+    Ok(EndpointRecord {
         started: (launched > 0.0).then(|| Time(micros(launched))),
-        node: NodeId(c.u32("node")?),
+        endpoint: EndpointId(c.u32("node")?),
         weight: c.f32("nominal")?,
         zone: ZoneId(c.u8("zone")?),
         primary: c.f32("primary")? > 0.0,
         state: match c.u8("stage-state")? {
-            0 => NodeState::Gone,
-            1 => NodeState::Ready,
-            2 => NodeState::Draining,
+            0 => EndpointState::Removed,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             other => return Err(format!("unknown stage-state {other}")),
         },
         kind: KindId(c.u8("kind")?),
@@ -171,7 +171,7 @@
                 tenant: None,
                 work: None,
                 repeat: marks & 2 != 0,
-                wrote_ago: None,
+                since_last_write: None,
             });
             Incoming::Ask { request, wrote_ms_ago, has_work: marks & 1 != 0, work_ms, tenant, key }
         }
@@ -186,7 +186,7 @@
             let request = RequestId(c.u64("req")?);
             let attempt = c.u16("n")?.into();
             let mark = c.u32("mark")?;
-            let node = NodeId(c.u32("node")?);
+            let endpoint = EndpointId(c.u32("node")?);
             let closed = c.u8("closed")? != 0;
             let outcome = outcome(c.u16("result")?)?;
             let latency = Span(micros(c.f64("cost-time-ms")?));
@@ -194,7 +194,7 @@
             let end = Box::new(AttemptEnd {
                 request,
                 attempt,
-                node,
+                endpoint,
                 outcome,
                 closed,
                 latency,
@@ -207,10 +207,10 @@
         6 => Incoming::Aborted(RequestId(c.u64("req")?)),
         7 => Incoming::Wake(c.u64("ctx")?),
         8 => {
-            let node = NodeId(c.u32("node")?);
+            let endpoint = EndpointId(c.u32("node")?);
             let latency = Span(micros(c.f64("cost-time-ms")?));
             let outcome = outcome(c.u16("result")?)?;
-            Incoming::StatusBack { node, latency, outcome, metrics: metrics(&mut c)? }
+            Incoming::StatusBack { endpoint, latency, outcome, metrics: metrics(&mut c)? }
         }
         9 => {
             c.u16("author")?;
@@ -232,7 +232,7 @@
 
 /// A load report of the wire, where positions are seconds after the settings' zero.
 #[allow(clippy::cast_possible_truncation)]
-fn report(wire: &WireFacts, metrics: &[f64]) -> Option<Report> {
+fn report(wire: &WireFacts, metrics: &[f64]) -> Option<LoadReport> {
     wire.report(metrics, |seconds| wire.zero + Span((seconds * 1e6).floor() as i64))
 }
 
@@ -240,11 +240,11 @@
 pub fn event(
     incoming: Incoming<'_>,
     wire: &WireFacts,
-    tables: &BTreeMap<u16, Rc<Vec<Entry>>>,
-) -> Result<Option<Event>, String> {
+    tables: &BTreeMap<u16, Rc<Vec<EndpointRecord>>>,
+) -> Result<Option<PolicyEvent>, String> {
     Ok(Some(match incoming {
-        Incoming::Update { kind: 1, .. } => Event::ListFailed,
-        Incoming::Update { kind, table } => Event::List {
+        Incoming::Update { kind: 1, .. } => PolicyEvent::DiscoveryFailed,
+        Incoming::Update { kind, table } => PolicyEvent::EndpointList {
             complete: match kind {
                 0 | 3 => true,
                 2 => false,
@@ -258,11 +258,12 @@
             }
             request.session = (key != 0).then_some(SessionKey(key));
             request.work = has_work.then_some(Span(micros(work_ms)));
-            request.wrote_ago = (wire.brought && wrote_ms_ago > 0.0).then_some(Span(micros(wrote_ms_ago)));
+            request.since_last_write =
+                (wire.brought && wrote_ms_ago > 0.0).then_some(Span(micros(wrote_ms_ago)));
             request.tenant = ((tenant as usize) < wire.tenants).then_some(TenantId(tenant as usize));
-            Event::Request(*request)
+            PolicyEvent::Request(*request)
         }
-        Incoming::UnderWay(id) => Event::Streaming(id),
+        Incoming::UnderWay(id) => PolicyEvent::ResponseStarted(id),
         Incoming::Completed { mut end, mark, metrics } => {
             end.role = match mark % 4 {
                 1 => Some(Role::Primary),
@@ -271,12 +272,12 @@
             };
             end.position = (mark >= 4).then(|| wire.zero + Span(i64::from(mark / 4) * 1000));
             end.report = report(wire, &metrics);
-            Event::Ended(*end)
+            PolicyEvent::AttemptEnded(*end)
         }
-        Incoming::Aborted(id) => Event::Aborted(id),
-        Incoming::Wake(token) => Event::Timer(token),
-        Incoming::StatusBack { node, latency, outcome, metrics } => {
-            Event::Probed { node, outcome, latency, report: report(wire, &metrics) }
+        Incoming::Aborted(id) => PolicyEvent::ClientDisconnected(id),
+        Incoming::Wake(token) => PolicyEvent::Timer(token),
+        Incoming::StatusBack { endpoint, latency, outcome, metrics } => {
+            PolicyEvent::HealthCheckEnded { endpoint, outcome, latency, report: report(wire, &metrics) }
         }
         Incoming::PeerData => return Ok(None),
         Incoming::At(_) | Incoming::Attach { .. } | Incoming::PowerOff | Incoming::Table { .. } => {
@@ -335,21 +336,21 @@
         self.of(inst);
         for action in actions {
             match action {
-                Action::Send { request, node, timeout, .. } => {
+                Action::Send { request, endpoint, timeout, .. } => {
                     let wait = millis(timeout.map_or(0, |t| t.0));
-                    self.record(70, &[&request.0.to_be_bytes(), &node.0.to_be_bytes(), &wait]);
+                    self.record(70, &[&request.0.to_be_bytes(), &endpoint.0.to_be_bytes(), &wait]);
                 }
                 Action::Cancel { request, attempt } => {
                     let n = u16::try_from(*attempt).unwrap_or(u16::MAX).to_be_bytes();
                     self.record(77, &[&request.0.to_be_bytes(), &n]);
                 }
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Reject { request, retry_after, .. } => {
                     let wait = millis(retry_after.map_or(0, |t| t.0));
                     self.record(72, &[&request.0.to_be_bytes(), &wait]);
                 }
                 Action::Fail { request, .. } => self.record(68, &[&request.0.to_be_bytes()]),
-                Action::Probe { node } => self.record(69, &[&node.0.to_be_bytes()]),
-                Action::Subscribe => self.record(73, &[&[1]]),
+                Action::HealthCheck { endpoint } => self.record(69, &[&endpoint.0.to_be_bytes()]),
+                Action::RefreshEndpointList => self.record(73, &[&[1]]),
                 Action::SetTimer { at, token } => {
                     self.record(76, &[&millis(at.0), &token.to_be_bytes()]);
                 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 
 use frames::{Incoming, Reply};
 use valehatch_config::settings;
-use valehatch_policy::{Action, Entry, Event, Router, Time};
+use valehatch_policy::{Action, EndpointRecord, PolicyEvent, Router, Time};
 
 struct Instance {
     router: Router,
@@ -21,7 +21,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    tables: BTreeMap<u16, Rc<Vec<Entry>>>,
+    tables: BTreeMap<u16, Rc<Vec<EndpointRecord>>>,
 }
 
 impl Host {
@@ -29,7 +29,7 @@
         let mut who: Option<u32> = None;
         // Instances in the order in which they first act; each gets its events of the batch in one step.
         let mut order: Vec<u32> = Vec::new();
-        let mut pending: BTreeMap<u32, Vec<Event>> = BTreeMap::new();
+        let mut pending: BTreeMap<u32, Vec<PolicyEvent>> = BTreeMap::new();
         for record in frames::records(frame, body) {
             let (at, code, fields) = record?;
             let bad = |what: String| format!("frame {frame}, record at byte {at} (code {code}): {what}");
@@ -106,9 +106,9 @@
 
 fn note<'a>(
     order: &mut Vec<u32>,
-    pending: &'a mut BTreeMap<u32, Vec<Event>>,
+    pending: &'a mut BTreeMap<u32, Vec<PolicyEvent>>,
     inst: u32,
-) -> &'a mut Vec<Event> {
+) -> &'a mut Vec<PolicyEvent> {
     if !order.contains(&inst) {
         order.push(inst);
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -83,11 +83,11 @@
     record(1, &[&9_u64.to_be_bytes(), &len, text.as_bytes()])
 }
 
-fn row(node: u32, primary: bool) -> Vec<u8> {
+fn row(endpoint: u32, primary: bool) -> Vec<u8> {
     let role: f32 = if primary { 1.0 } else { 0.0 };
     [
         &0_f64.to_be_bytes()[..],
-        &node.to_be_bytes(),
+        &endpoint.to_be_bytes(),
         &1_f32.to_be_bytes(),
         &[1],
         &role.to_be_bytes(),
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -10,7 +10,7 @@
 use rasn_snmp::v2::{Pdus, VarBind};
 use valehatch_config::snmp::{ROOT, Snmp, User, View};
 use valehatch_notifications::Tally;
-use valehatch_rate_limit::{Pins, Window};
+use valehatch_rate_limit::{SnapshotCache, Window};
 
 use crate::message::{self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb};
 use crate::picture::{Layout, Oid, Own, Picture, Value};
@@ -155,7 +155,7 @@
 pub struct Engine {
     shared: Arc<Shared>,
     layout: Arc<Layout>,
-    pins: Pins<(SocketAddr, Vec<u8>), Arc<Picture>>,
+    pins: SnapshotCache<(SocketAddr, Vec<u8>), Arc<Picture>>,
     latest: Option<(i64, Arc<Picture>)>,
     process: Option<(i64, Process)>,
     salt: Salt,
@@ -170,7 +170,7 @@
         Self {
             shared,
             layout,
-            pins: Pins::new(WALKS, SILENT, LONGEST),
+            pins: SnapshotCache::new(WALKS, SILENT, LONGEST),
             latest: None,
             process: None,
             salt: Salt::default(),
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -32,7 +32,7 @@
 use arc_swap::ArcSwap;
 use tracing::{error, info, warn};
 use valehatch_config::snmp::{Limits, Snmp};
-use valehatch_rate_limit::{Share, Sources, Verdict};
+use valehatch_rate_limit::{RateLimitDecision, SourceRateLimiter, TimeShare};
 
 use engine::{Engine, Shared, Stat};
 use notify::Notifier;
@@ -140,7 +140,7 @@
             Ok((length, from)) => {
                 door.follow(&shared.access.load().limits, now);
                 match door.sources.admit(now, from.ip().to_canonical()) {
-                    Verdict::Granted => {
+                    RateLimitDecision::Granted => {
                         let before = shared.stats.get(Stat::Answered);
                         if let Some(answer) = engine.answer(now, from, &datagram[..length]) {
                             let _ = socket.send_to(&answer, from);
@@ -149,11 +149,11 @@
                             door.grudge(now, from, "was not answered");
                         }
                     }
-                    Verdict::Source => {
+                    RateLimitDecision::Source => {
                         shared.stats.add(Stat::LimitedBySource);
                         door.grudge(now, from, "asks too much");
                     }
-                    Verdict::Total => {
+                    RateLimitDecision::Total => {
                         shared.stats.add(Stat::LimitedInAll);
                         door.grudge(now, from, "finds too much asked by all");
                     }
@@ -185,8 +185,8 @@
 /// What is let in, and what is said of the rest.
 struct Door {
     limits: Limits,
-    sources: Sources<IpAddr>,
-    share: Share,
+    sources: SourceRateLimiter<IpAddr>,
+    share: TimeShare,
     told: Option<i64>,
     untold: u64,
 }
@@ -194,8 +194,8 @@
 impl Door {
     fn new(limits: &Limits, now: i64) -> Self {
         Self {
-            sources: Sources::new(limits.per_source, limits.total, SOURCES, now),
-            share: Share::new(limits.cpu_share, now),
+            sources: SourceRateLimiter::new(limits.per_source, limits.total, SOURCES, now),
+            share: TimeShare::new(limits.cpu_share, now),
             limits: limits.clone(),
             told: None,
             untold: 0,
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -10,7 +10,9 @@
 use rasn_snmp::v2::VarBind;
 use tracing::{info, warn};
 use valehatch_config::snmp::{Credentials, Notify, ROOT, Receiver, User};
-use valehatch_notifications::{Alarms, FrontNow, GroupNotice, MemberNotice, Notice, Outbox, Thresholds};
+use valehatch_notifications::{
+    EndpointNotification, FrontNow, GroupNotification, Notification, NotificationMonitor, Outbox, Thresholds,
+};
 use valehatch_policy::{Span, Time};
 use valehatch_rate_limit::Window;
 
@@ -59,8 +61,8 @@
 }
 
 /// The values of a notice that [`schema::NOTICES`] says it carries.
-fn carried(notice: &Notice, gateway: &str) -> Carried {
-    let group = |g: &GroupNotice| {
+fn carried(notice: &Notification, gateway: &str) -> Carried {
+    let group = |g: &GroupNotification| {
         vec![
             (1, text(&g.front)),
             (2, gauge(g.group.0.into())),
@@ -72,34 +74,35 @@
             (8, gauge(g.lasted_ms)),
         ]
     };
-    let member = |m: &MemberNotice| {
+    let member = |m: &EndpointNotification| {
         vec![
             (1, text(&m.front)),
             (2, gauge(m.group.0.into())),
             (9, text(&m.name)),
-            (10, Value::Integer(reach(m.reach))),
+            (10, Value::Integer(reach(m.health))),
         ]
     };
     match notice {
-        Notice::Started | Notice::Stopping | Notice::StateWell => vec![(15, text(gateway))],
-        Notice::PrimaryChanged(g)
-        | Notice::SearchBegun(g)
-        | Notice::SearchLasting(g)
-        | Notice::SearchEnded(g)
-        | Notice::NoPrimary(g)
-        | Notice::PrimaryBack(g) => group(g),
-        Notice::MemberOutOfReach(m) | Notice::MemberBack(m) => member(m),
-        Notice::RefusalsRising(front, class, rate) | Notice::RefusalsFallen(front, class, rate) => {
+        Notification::Started | Notification::Stopping | Notification::StateWell => vec![(15, text(gateway))],
+        Notification::PrimaryChanged(g)
+        | Notification::SearchBegun(g)
+        | Notification::SearchLasting(g)
+        | Notification::SearchEnded(g)
+        | Notification::NoPrimary(g)
+        | Notification::PrimaryBack(g) => group(g),
+        Notification::MemberOutOfReach(m) | Notification::MemberBack(m) => member(m),
+        Notification::RefusalsRising(front, class, rate)
+        | Notification::RefusalsFallen(front, class, rate) => {
             vec![(1, text(front)), (11, text(class)), (13, gauge(*rate))]
         }
-        Notice::BudgetOverrun(front, tenant, used) | Notice::BudgetBack(front, tenant, used) => {
+        Notification::BudgetOverrun(front, tenant, used) | Notification::BudgetBack(front, tenant, used) => {
             vec![(1, text(front)), (12, text(tenant)), (14, gauge(*used))]
         }
-        Notice::QueueLong(front, tenant, waited) | Notice::QueueShort(front, tenant, waited) => {
+        Notification::QueueLong(front, tenant, waited) | Notification::QueueShort(front, tenant, waited) => {
             vec![(1, text(front)), (12, text(tenant)), (8, gauge(*waited))]
         }
-        Notice::StateTrouble(why) => vec![(15, text(why))],
-        Notice::Storm(kinds) => {
+        Notification::StateTrouble(why) => vec![(15, text(why))],
+        Notification::Storm(kinds) => {
             let words: Vec<String> = kinds.iter().map(|(kind, n)| format!("{n} {kind:?}")).collect();
             vec![(15, text(&words.join(", "))), (16, gauge(kinds.iter().map(|(_, n)| n).sum()))]
         }
@@ -107,7 +110,7 @@
 }
 
 /// A notice as it goes to every receiver.
-fn bindings(notice: &Notice, gateway: &str, up: u32) -> Vec<VarBind> {
+fn bindings(notice: &Notification, gateway: &str, up: u32) -> Vec<VarBind> {
     let kind = notice.kind() as u32;
     let carries = schema::NOTICES.iter().find(|(_, arc, ..)| *arc == kind).map_or(&[][..], |n| n.2);
     let name: Oid = [&ROOT[..], &[schema::NOTIFICATIONS, kind]].concat();
@@ -228,7 +231,7 @@
 /// The notifier's thread.
 pub struct Notifier {
     shared: Arc<Shared>,
-    alarms: Alarms,
+    alarms: NotificationMonitor,
     lines: Vec<Line>,
     /// One for each family, as far as there are receivers.
     sockets: [Option<UdpSocket>; 2],
@@ -241,7 +244,7 @@
     /// For what is shared with the agent. `stop` makes it say its last word and end.
     #[must_use]
     pub fn new(shared: Arc<Shared>, stop: Arc<AtomicBool>) -> Self {
-        let alarms = Alarms::new(thresholds(&shared.access.load().notify));
+        let alarms = NotificationMonitor::new(thresholds(&shared.access.load().notify));
         // Numbers that no earlier start used lately: a late acknowledgement must not be taken for another.
         let first = i32::try_from(shared.boots % 2048).unwrap_or(0) << 20;
         let mut notifier =
@@ -383,40 +386,42 @@
 }
 
 /// A notice in words, for the log.
-fn told(notice: &Notice) -> String {
-    let group = |g: &GroupNotice, what: &str| {
+fn told(notice: &Notification) -> String {
+    let group = |g: &GroupNotification, what: &str| {
         format!(
             "front {}, group {}: {what} ({:?} -> {:?}, {:?})",
             g.front, g.group.0, g.before, g.primary, g.known
         )
     };
     match notice {
-        Notice::Started => "the gateway serves".into(),
-        Notice::Stopping => "the gateway stops".into(),
-        Notice::PrimaryChanged(g) => group(g, "another primary is believed in"),
-        Notice::SearchBegun(g) => group(g, "the primary is searched for"),
-        Notice::SearchLasting(g) => group(g, "the search lasts"),
-        Notice::SearchEnded(g) => group(g, "the search is over"),
-        Notice::NoPrimary(g) => group(g, "there has been no primary for long"),
-        Notice::PrimaryBack(g) => group(g, "there is a primary again"),
-        Notice::MemberOutOfReach(m) => {
-            format!("front {}: {} cannot be used ({:?})", m.front, m.name, m.reach)
+        Notification::Started => "the gateway serves".into(),
+        Notification::Stopping => "the gateway stops".into(),
+        Notification::PrimaryChanged(g) => group(g, "another primary is believed in"),
+        Notification::SearchBegun(g) => group(g, "the primary is searched for"),
+        Notification::SearchLasting(g) => group(g, "the search lasts"),
+        Notification::SearchEnded(g) => group(g, "the search is over"),
+        Notification::NoPrimary(g) => group(g, "there has been no primary for long"),
+        Notification::PrimaryBack(g) => group(g, "there is a primary again"),
+        Notification::MemberOutOfReach(m) => {
+            format!("front {}: {} cannot be used ({:?})", m.front, m.name, m.health)
         }
-        Notice::MemberBack(m) => format!("front {}: {} is back, or gone for good", m.front, m.name),
-        Notice::RefusalsRising(f, c, n) => format!("front {f}, class {c}: {n} refusals in 1000 s"),
-        Notice::RefusalsFallen(f, c, n) => format!("front {f}, class {c}: down to {n} refusals in 1000 s"),
-        Notice::BudgetOverrun(f, t, n) => {
+        Notification::MemberBack(m) => format!("front {}: {} is back, or gone for good", m.front, m.name),
+        Notification::RefusalsRising(f, c, n) => format!("front {f}, class {c}: {n} refusals in 1000 s"),
+        Notification::RefusalsFallen(f, c, n) => {
+            format!("front {f}, class {c}: down to {n} refusals in 1000 s")
+        }
+        Notification::BudgetOverrun(f, t, n) => {
             format!("front {f}, tenant {t}: asks for {n} thousandths of its budget")
         }
-        Notice::BudgetBack(f, t, n) => {
+        Notification::BudgetBack(f, t, n) => {
             format!("front {f}, tenant {t}: back to {n} thousandths of its budget")
         }
-        Notice::QueueLong(f, t, ms) => {
+        Notification::QueueLong(f, t, ms) => {
             format!("front {f}, tenant {t}: the oldest has waited {ms} ms at the door")
         }
-        Notice::QueueShort(f, t, ms) => format!("front {f}, tenant {t}: down to {ms} ms at the door"),
-        Notice::StateTrouble(why) => format!("state: {why}"),
-        Notice::StateWell => "state: all is written again".into(),
-        Notice::Storm(kinds) => format!("notifications left out: {kinds:?}"),
+        Notification::QueueShort(f, t, ms) => format!("front {f}, tenant {t}: down to {ms} ms at the door"),
+        Notification::StateTrouble(why) => format!("state: {why}"),
+        Notification::StateWell => "state: all is written again".into(),
+        Notification::Storm(kinds) => format!("notifications left out: {kinds:?}"),
     }
 }
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -4,11 +4,11 @@
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-use valehatch_core::LiveMember;
-use valehatch_policy::{GroupView, Known, NodeState, Reachable, Role, Span, Time};
+use valehatch_core::LiveEndpoint;
+use valehatch_policy::{EndpointHealth, EndpointState, GroupView, PrimaryEvidence, Role, Span, Time};
 use valehatch_request_log::counters::{BOUNDS_US, BUCKETS};
 use valehatch_request_log::{Cell, Key, Row, Scope};
-use valehatch_state::Shown;
+use valehatch_state::PublishedCounters;
 
 use crate::schema::{self, At, Object, Rows, Scalars, TABLES, Table};
 use crate::world::{Board, Process, World};
@@ -178,7 +178,7 @@
 pub struct Picture {
     world: Arc<World>,
     layout: Arc<Layout>,
-    shown: Arc<Shown>,
+    shown: Arc<PublishedCounters>,
     boards: Vec<Option<Arc<Board>>>,
     own: Own,
     now: Time,
@@ -281,7 +281,7 @@
             }
             Rows::Member => {
                 let count = |b: &Board| b.live.members.len();
-                self.next_numbered(after, count, |b, n| b.live.members[n].view.node.0)
+                self.next_numbered(after, count, |b, n| b.live.members[n].view.endpoint.0)
             }
             Rows::Receiver => {
                 let last = after.map_or(0, |a| a.first().copied().unwrap_or(0));
@@ -343,7 +343,7 @@
             Rows::Member => {
                 let (board, number) = self.numbered(index)?;
                 let members = &board.live.members;
-                let at = members.binary_search_by_key(&number, |m| m.view.node.0).ok()?;
+                let at = members.binary_search_by_key(&number, |m| m.view.endpoint.0).ok()?;
                 Some(member(column, &members[at], board.live.at))
             }
             Rows::Receiver => {
@@ -509,23 +509,23 @@
 
 /// The number of a way of knowing in the MIB.
 #[must_use]
-pub const fn known(known: Known) -> i64 {
+pub const fn known(known: PrimaryEvidence) -> i64 {
     match known {
-        Known::Not => 1,
-        Known::List => 2,
-        Known::Answer => 3,
-        Known::Report => 4,
-        Known::Search => 5,
+        PrimaryEvidence::Unknown => 1,
+        PrimaryEvidence::EndpointList => 2,
+        PrimaryEvidence::Answer => 3,
+        PrimaryEvidence::LoadReport => 4,
+        PrimaryEvidence::Search => 5,
     }
 }
 
 /// The number of a reach in the MIB.
 #[must_use]
-pub const fn reach(reach: Reachable) -> i64 {
+pub const fn reach(reach: EndpointHealth) -> i64 {
     match reach {
-        Reachable::Open => 1,
-        Reachable::Silent => 2,
-        Reachable::OutOfReach => 3,
+        EndpointHealth::Healthy => 1,
+        EndpointHealth::Unresponsive => 2,
+        EndpointHealth::Unreachable => 3,
     }
 }
 
@@ -535,7 +535,8 @@
         3 => gauge(group.primary.map_or(0, |p| u64::from(p.0))),
         4 => {
             let members = &board.live.members;
-            let place = group.primary.and_then(|p| members.binary_search_by_key(&p, |m| m.view.node).ok());
+            let place =
+                group.primary.and_then(|p| members.binary_search_by_key(&p, |m| m.view.endpoint).ok());
             place.map_or_else(|| text(""), |n| text(&members[n].name))
         }
         5 => Value::Integer(known(group.known)),
@@ -543,12 +544,12 @@
         7 => Value::Counter64(group.changes),
         8 => truth(group.searching.is_some()),
         9 => gauge(group.searching.map_or(0, |since| millis(at - since))),
-        10 => gauge(group.writes_held as u64),
+        10 => gauge(group.queued_writes as u64),
         _ => gauge(group.waiting as u64),
     }
 }
 
-fn member(column: &Object, member: &LiveMember, at: Time) -> Value {
+fn member(column: &Object, member: &LiveEndpoint, at: Time) -> Value {
     let view = &member.view;
     match column.arc {
         3 => text(&member.name),
@@ -560,11 +561,11 @@
             Some(Role::Replica) => 3,
         }),
         7 => Value::Integer(match view.state {
-            NodeState::Ready => 1,
-            NodeState::Draining => 2,
-            NodeState::Gone => 3,
+            EndpointState::Ready => 1,
+            EndpointState::Draining => 2,
+            EndpointState::Removed => 3,
         }),
-        8 => Value::Integer(reach(view.reach)),
+        8 => Value::Integer(reach(view.health)),
         9 => gauge(view.in_flight as u64),
         10 => gauge(thousandths(view.limit)),
         11 => gauge(view.position.map_or(u64::MAX, |p| millis(at - p))),
--- a/crates/snmp/src/schema.rs
+++ b/crates/snmp/src/schema.rs
@@ -1,7 +1,7 @@
 //! Every object that the agent has, once: its place, its syntax, and what the MIB says of it. The agent answers from this
 //! table and `mibs/VALEHATCH-MIB.txt` is printed from it, so neither can drift from the other.
 
-use valehatch_request_log::{Cell, Fault, Outcomes, Refusal};
+use valehatch_request_log::{AttemptOutcome, Cell, FailureReason, RejectionReason};
 
 /// What an object's value is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -759,17 +759,17 @@
 
 /// The number of a reason in its index: its place, from 1 on.
 pub fn refusals() -> impl Iterator<Item = (u32, &'static str, Cell)> {
-    (1..).zip(Refusal::ALL).map(|(n, r)| (n, r.name(), Cell::Refused(*r)))
+    (1..).zip(RejectionReason::ALL).map(|(n, r)| (n, r.name(), Cell::Refused(*r)))
 }
 
 /// The same for kinds of failures.
 pub fn faults() -> impl Iterator<Item = (u32, &'static str, Cell)> {
-    (1..).zip(Fault::ALL).map(|(n, f)| (n, f.name(), Cell::Failed(*f)))
+    (1..).zip(FailureReason::ALL).map(|(n, f)| (n, f.name(), Cell::Failed(*f)))
 }
 
 /// The same for outcomes.
 pub fn outcomes() -> impl Iterator<Item = (u32, &'static str, Cell)> {
-    (1..).zip(Outcomes::ALL).map(|(n, o)| (n, o.name(), Cell::Attempt(*o)))
+    (1..).zip(AttemptOutcome::ALL).map(|(n, o)| (n, o.name(), Cell::Attempt(*o)))
 }
 
 /// `mibs/VALEHATCH-MIB.txt`.
--- a/crates/snmp/src/world.rs
+++ b/crates/snmp/src/world.rs
@@ -5,15 +5,15 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use valehatch_core::Live;
+use valehatch_core::LiveView;
 use valehatch_net::Clock;
-use valehatch_state::Shown;
+use valehatch_state::PublishedCounters;
 
 /// What a core published last, and what stood in its queue then.
 #[derive(Debug)]
 pub struct Board {
     /// Beliefs and burdens.
-    pub live: Live,
+    pub live: LiveView,
     /// Events that wait for the core.
     pub queue: usize,
 }
@@ -50,7 +50,7 @@
     /// The fronts.
     pub fronts: Vec<Front>,
     /// Durable counters.
-    pub shown: Arc<ArcSwap<Shown>>,
+    pub shown: Arc<ArcSwap<PublishedCounters>>,
     /// Records that found the ledger's queue full.
     pub dropped: Arc<AtomicU64>,
     /// Records that wait for the ledger.
--- a/crates/snmp/tests/support/mod.rs
+++ b/crates/snmp/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use valehatch_config::operators::Operators;
 use valehatch_config::snmp::Snmp;
-use valehatch_core::{Live, LiveMember};
+use valehatch_core::{LiveEndpoint, LiveView};
 use valehatch_net::Clock;
 use valehatch_policy::*;
 use valehatch_snmp::engine::{Engine, Shared, Stats};
@@ -16,7 +16,7 @@
 use valehatch_snmp::picture::Value;
 use valehatch_snmp::usm;
 use valehatch_snmp::world::{Board, Front, World};
-use valehatch_state::Shown;
+use valehatch_state::PublishedCounters;
 
 pub const ROOT: [u32; 10] = valehatch_config::snmp::ROOT;
 pub const ENGINE: &str = "80001f8804746573740a";
@@ -47,16 +47,16 @@
     Operators::parse(text).unwrap_or_else(|e| panic!("{e:?}")).0.snmp.unwrap()
 }
 
-pub fn member(n: u32) -> LiveMember {
-    LiveMember {
+pub fn member(n: u32) -> LiveEndpoint {
+    LiveEndpoint {
         name: format!("member-{n}").into(),
         address: "10.0.0.1:5432".into(),
-        view: NodeView {
-            node: NodeId(n),
+        view: EndpointView {
+            endpoint: EndpointId(n),
             group: GroupId(0),
-            state: NodeState::Ready,
+            state: EndpointState::Ready,
             role: Some(Role::Replica),
-            reach: Reachable::Open,
+            health: EndpointHealth::Healthy,
             in_flight: 0,
             limit: 8.0,
             position: None,
@@ -65,18 +65,18 @@
     }
 }
 
-pub fn live(members: impl Iterator<Item = u32>) -> Live {
+pub fn live(members: impl Iterator<Item = u32>) -> LiveView {
     let group = GroupView {
         group: GroupId(0),
-        primary: Some(NodeId(1)),
-        known: Known::Answer,
+        primary: Some(EndpointId(1)),
+        known: PrimaryEvidence::Answer,
         since: Time(0),
         changes: 3,
         searching: None,
-        writes_held: 0,
+        queued_writes: 0,
         waiting: 0,
     };
-    Live {
+    LiveView {
         at: Time(100_000_000_000),
         groups: vec![group],
         members: members.map(member).collect(),
@@ -115,7 +115,7 @@
             began: Instant::now(),
             started_ms: 5,
             fronts: ["bb", "a"].into_iter().zip(&boards).map(front).collect(),
-            shown: Arc::new(ArcSwap::from_pointee(Shown::default())),
+            shown: Arc::new(ArcSwap::from_pointee(PublishedCounters::default())),
             dropped: Arc::default(),
             waiting: Box::new(|| 0),
         };
@@ -133,7 +133,7 @@
         scene
     }
 
-    pub fn publish(&self, front: usize, live: Live) {
+    pub fn publish(&self, front: usize, live: LiveView) {
         self.boards[front].store(Some(Arc::new(Board { live, queue: 0 })));
     }
 
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -6,10 +6,10 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::PathBuf;
 
-use valehatch_request_log::Folder;
+use valehatch_request_log::LogStorage;
 
 /// A folder on a disk.
-pub struct Disk {
+pub struct StateDirectory {
     dir: PathBuf,
     /// Files that are appended to.
     open: HashMap<String, File>,
@@ -17,7 +17,7 @@
     lock: File,
 }
 
-impl Disk {
+impl StateDirectory {
     /// Makes the folder if need be, and takes it for this process alone.
     ///
     /// # Errors
@@ -46,7 +46,7 @@
     }
 }
 
-impl Folder for Disk {
+impl LogStorage for StateDirectory {
     fn list(&self) -> io::Result<Vec<String>> {
         let names = fs::read_dir(&self.dir)?.map(|e| e.map(|e| e.file_name().to_string_lossy().into_owned()));
         names.collect()
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -16,5 +16,5 @@
 mod recorder;
 pub mod snapshot;
 
-pub use folder::Disk;
-pub use recorder::{Entry, Recorder, Shown, Writer, start};
+pub use folder::StateDirectory;
+pub use recorder::{Entry, PublishedCounters, RecordWriter, Recorder, start};
--- a/crates/state/src/recorder.rs
+++ b/crates/state/src/recorder.rs
@@ -11,9 +11,9 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
 use valehatch_config::operators::State;
-use valehatch_request_log::{Counters, Ending, Key, Ledger, Record, Sizes, Status, Times};
+use valehatch_request_log::{Counters, FinalOutcome, Key, RequestLog, RequestRecord, Sizes, Status, Times};
 
-use crate::folder::Disk;
+use crate::folder::StateDirectory;
 
 /// Rows whose quantiles are measured.
 const MEASURED: usize = 256;
@@ -28,14 +28,14 @@
 /// What a core hands over.
 pub enum Entry {
     /// A final answer.
-    Record(Box<Record>),
+    Record(Box<RequestRecord>),
     /// Final answers that found the queue full, counted and not written down.
     Missed(Counters),
 }
 
 /// What is shown: durable counters, and figures that need not be.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct PublishedCounters {
     /// Counters of what is durable.
     pub counters: Counters,
     /// The 99th percentile of the time that those served in the last minute took, in microseconds.
@@ -53,7 +53,7 @@
 
 impl Recorder {
     /// Hands a record over. Never waits: one that finds the queue full is counted, here first, and not written down.
-    pub fn record(&mut self, record: Box<Record>) {
+    pub fn record(&mut self, record: Box<RequestRecord>) {
         self.hand_over_missed();
         let back = self.queue.try_send(Entry::Record(record)).map_err(|e| e.into_inner());
         if let Err(Entry::Record(record)) = back {
@@ -77,17 +77,17 @@
 }
 
 /// The writing end.
-pub struct Writer {
+pub struct RecordWriter {
     queue: Sender<Entry>,
     entries: Receiver<Entry>,
     /// What is shown now.
-    pub shown: Arc<ArcSwap<Shown>>,
+    pub shown: Arc<ArcSwap<PublishedCounters>>,
     /// Records that found the queue full.
     pub dropped: Arc<AtomicU64>,
     thread: JoinHandle<()>,
 }
 
-impl Writer {
+impl RecordWriter {
     /// A handle for one more core.
     #[must_use]
     pub fn recorder(&self) -> Recorder {
@@ -121,31 +121,31 @@
 ///
 /// # Errors
 /// That the folder cannot be had at all, or that the system has no thread for it.
-pub fn start(state: Option<&State>) -> io::Result<Writer> {
+pub fn start(state: Option<&State>) -> io::Result<RecordWriter> {
     let now = unix_ms();
     let (ledger, sync, checkpoint) = match state {
-        None => (Ledger::fleeting(now), FLEETING, Duration::MAX),
+        None => (RequestLog::fleeting(now), FLEETING, Duration::MAX),
         Some(state) => {
             let sizes = Sizes { segment_bytes: state.segment_bytes, segments: state.segments };
-            let disk = Disk::take(state.dir.clone())?;
-            let ledger = Ledger::open(disk, sizes, now);
+            let disk = StateDirectory::take(state.dir.clone())?;
+            let ledger = RequestLog::open(disk, sizes, now);
             (ledger, Duration::from_millis(state.sync_ms), Duration::from_millis(state.checkpoint_ms))
         }
     };
     let (queue, entries) = bounded(state.map_or(QUEUE, |s| s.queue));
     let p99 = Arc::default();
-    let first = Shown { counters: ledger.shown().clone(), p99, status: ledger.status().clone() };
+    let first = PublishedCounters { counters: ledger.shown().clone(), p99, status: ledger.status().clone() };
     let shown = Arc::new(ArcSwap::from_pointee(first));
     let show = Arc::clone(&shown);
     let keeper = Keeper { ledger, times: Times::new(MEASURED), began: Instant::now(), sync, checkpoint };
     let taken = entries.clone();
     let run = move || keeper.run(&taken, &show);
     let thread = std::thread::Builder::new().name("state".into()).stack_size(512 * 1024).spawn(run)?;
-    Ok(Writer { queue, entries, shown, dropped: Arc::default(), thread })
+    Ok(RecordWriter { queue, entries, shown, dropped: Arc::default(), thread })
 }
 
 struct Keeper {
-    ledger: Ledger<Disk>,
+    ledger: RequestLog<StateDirectory>,
     times: Times,
     began: Instant,
     sync: Duration,
@@ -160,7 +160,7 @@
     fn take(&mut self, entry: Entry, unix_ms: u64, now_us: i64) {
         match entry {
             Entry::Record(record) => {
-                if matches!(record.ending, Ending::InTime | Ending::Late) {
+                if matches!(record.ending, FinalOutcome::InTime | FinalOutcome::Late) {
                     for key in Counters::keys(&record) {
                         self.times.note(now_us, &key, record.total_us);
                     }
@@ -172,7 +172,7 @@
     }
 
     /// Fills batches until it is time to make them durable.
-    fn run(mut self, entries: &Receiver<Entry>, show: &ArcSwap<Shown>) {
+    fn run(mut self, entries: &Receiver<Entry>, show: &ArcSwap<PublishedCounters>) {
         let mut next = Instant::now() + self.sync;
         let (mut checked, mut measured) = (Instant::now(), Instant::now());
         let mut p99: Arc<BTreeMap<Key, u64>> = Arc::default();
@@ -210,7 +210,7 @@
                 if note.trouble { warn!("state: {}", note.text) } else { info!("state: {}", note.text) }
             }
             let (counters, status) = (self.ledger.shown().clone(), self.ledger.status().clone());
-            let shown = Shown { counters, p99: Arc::clone(&p99), status };
+            let shown = PublishedCounters { counters, p99: Arc::clone(&p99), status };
             show.store(Arc::new(shown));
             if over {
                 return;
--- a/crates/stream-multiplexing/src/lib.rs
+++ b/crates/stream-multiplexing/src/lib.rs
@@ -3,15 +3,15 @@
 //!
 //! It decides which connection (link) carries a job, when another link is opened, under which id a job goes, when an id
 //! may be used again, when a link is looked after with a heartbeat or given up, and what the end of a link means for each
-//! job on it. Whoever does the I/O tells it what happened and does what it asks for ([`Do`]).
+//! job on it. Whoever does the I/O tells it what happened and does what it asks for ([`MultiplexerAction`]).
 //!
 //! - **Ids** go round over the whole range of a link, so that one is used again as late as can be. The id of a job that was
 //!   called off after its bytes had left is an orphan: it is not used until its answer has come.
 //! - **Too many orphans** end the link: its node answers, but not what it was asked.
 //! - **A link is suspect** when a job on it was called off and nothing has come since that job was sent. It gets a heartbeat
 //!   at once and nothing new until something comes; if nothing does in time, it is lost.
-//! - **Lost** means for each job on the link: what had not begun to leave never ran ([`End::Unsent`]), all else may have
-//!   ([`End::Lost`]). Nothing is sent again here: that is for the decision module.
+//! - **Lost** means for each job on the link: what had not begun to leave never ran ([`AttemptFailure::Unsent`]), all else may have
+//!   ([`AttemptFailure::Lost`]). Nothing is sent again here: that is for the decision module.
 //! - **Waiting** for a link is bounded in time ([`Settings::patience`]), so that nothing is written to a node that was told
 //!   to drain later than its grace allows.
 
@@ -24,7 +24,7 @@
 
 /// A connection to the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub struct MultiplexedConnectionId(pub u64);
 
 /// What is carried; whoever submits it chooses the number, and uses it again only when the job is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -93,7 +93,7 @@
 
 /// How a job ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptFailure {
     /// Nothing of it has left: it never ran.
     Unsent,
     /// Its bytes had begun to leave: it may have run.
@@ -102,13 +102,13 @@
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum MultiplexerAction {
     /// Connect.
-    Open(LinkId),
-    /// Queue the job's bytes on the link under this id; tell [`Streams::begun`] when they begin to leave.
+    Open(MultiplexedConnectionId),
+    /// Queue the job's bytes on the link under this id; tell [`StreamMultiplexer::begun`] when they begin to leave.
     Send {
         /// On which link.
-        link: LinkId,
+        link: MultiplexedConnectionId,
         /// Under which id.
         stream: i16,
         /// What.
@@ -117,31 +117,31 @@
     /// Take these bytes out of the link's queue: they have not begun to leave.
     Unqueue {
         /// Of which link.
-        link: LinkId,
+        link: MultiplexedConnectionId,
         /// Under which id.
         stream: i16,
     },
     /// Ask the node for a sign of life under this id.
     Beat {
         /// On which link.
-        link: LinkId,
+        link: MultiplexedConnectionId,
         /// Under which id.
         stream: i16,
     },
     /// End the connection; nothing more is heard of it here.
-    Close(LinkId),
+    Close(MultiplexedConnectionId),
     /// The job is over.
-    End(JobId, End),
+    AttemptFailed(JobId, AttemptFailure),
 }
 
 /// Whose answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whose {
+pub enum FrameOwner {
     /// This job's.
     Job(JobId),
     /// One that nobody waits for any more, or a heartbeat's.
     Nobodys,
-    /// One that was never asked for: the node is out of step, and the link must be given up ([`Streams::lost`]).
+    /// One that was never asked for: the node is out of step, and the link must be given up ([`StreamMultiplexer::lost`]).
     Unasked,
 }
 
@@ -174,14 +174,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
     Waiting,
-    On(LinkId, i16),
+    On(MultiplexedConnectionId, i16),
 }
 
 /// The connections to one node.
 #[derive(Debug)]
-pub struct Streams {
+pub struct StreamMultiplexer {
     settings: Settings,
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<MultiplexedConnectionId, Link>,
     jobs: BTreeMap<JobId, Place>,
     /// Those that wait for a link, oldest first, and until when.
     waiting: VecDeque<(JobId, Time)>,
@@ -189,7 +189,7 @@
     ticked: Time,
 }
 
-impl Streams {
+impl StreamMultiplexer {
     /// Without connections yet.
     ///
     /// # Errors
@@ -207,7 +207,7 @@
     }
 
     /// A job is to be carried.
-    pub fn submit(&mut self, now: Time, job: JobId, out: &mut Vec<Do>) {
+    pub fn submit(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
         debug_assert!(!self.jobs.contains_key(&job));
         let best = self.best();
         let load = best.map_or(usize::MAX, |(_, load)| load);
@@ -221,17 +221,17 @@
                 self.jobs.insert(job, Place::Waiting);
                 self.waiting.push_back((job, now + self.settings.patience));
             }
-            None => out.push(Do::End(job, End::Unsent)),
+            None => out.push(MultiplexerAction::AttemptFailed(job, AttemptFailure::Unsent)),
         }
     }
 
     /// The open link that carries the least, and how much.
-    fn best(&self) -> Option<(LinkId, usize)> {
+    fn best(&self) -> Option<(MultiplexedConnectionId, usize)> {
         let open = self.links.iter().filter(|(_, l)| l.open()).map(|(id, l)| (*id, l.slots.len()));
         open.min_by_key(|(_, load)| *load)
     }
 
-    fn open(&mut self, now: Time, out: &mut Vec<Do>) {
+    fn open(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
         self.next += 1;
         let link = Link {
             ready: false,
@@ -243,12 +243,12 @@
             beat: None,
             suspect: false,
         };
-        self.links.insert(LinkId(self.next), link);
-        out.push(Do::Open(LinkId(self.next)));
+        self.links.insert(MultiplexedConnectionId(self.next), link);
+        out.push(MultiplexerAction::Open(MultiplexedConnectionId(self.next)));
     }
 
     /// A free id of a link, which it is put under.
-    fn take(&mut self, now: Time, link: LinkId, slot: Slot) -> Option<i16> {
+    fn take(&mut self, now: Time, link: MultiplexedConnectionId, slot: Slot) -> Option<i16> {
         let ids = self.settings.ids;
         let on = self.links.get_mut(&link)?;
         // The sign marks events, so ids stay below 32,768; fewer than all are in use, so the search ends.
@@ -264,21 +264,27 @@
         None
     }
 
-    fn place(&mut self, now: Time, link: LinkId, job: JobId, out: &mut Vec<Do>) {
+    fn place(
+        &mut self,
+        now: Time,
+        link: MultiplexedConnectionId,
+        job: JobId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
         match self.take(now, link, Slot::Job { job, sent: now, begun: false }) {
             Some(stream) => {
                 self.jobs.insert(job, Place::On(link, stream));
-                out.push(Do::Send { link, stream, job });
+                out.push(MultiplexerAction::Send { link, stream, job });
             }
             None => {
                 self.jobs.remove(&job);
-                out.push(Do::End(job, End::Unsent));
+                out.push(MultiplexerAction::AttemptFailed(job, AttemptFailure::Unsent));
             }
         }
     }
 
     /// Those that wait go to links that have room.
-    fn settle(&mut self, now: Time, out: &mut Vec<Do>) {
+    fn settle(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
         while let Some((link, _)) = self.best().filter(|(_, load)| *load < self.settings.most) {
             let Some((job, _)) = self.waiting.pop_front() else { return };
             self.place(now, link, job, out);
@@ -286,7 +292,12 @@
     }
 
     /// A link is up and greeted. False if it is not wanted any more.
-    pub fn opened(&mut self, now: Time, link: LinkId, out: &mut Vec<Do>) -> bool {
+    pub fn opened(
+        &mut self,
+        now: Time,
+        link: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) -> bool {
         let Some(on) = self.links.get_mut(&link) else { return false };
         (on.ready, on.heard, on.used) = (true, now, now);
         self.settle(now, out);
@@ -294,7 +305,7 @@
     }
 
     /// The bytes of what stands under this id begin to leave.
-    pub fn begun(&mut self, link: LinkId, stream: i16) {
+    pub fn begun(&mut self, link: MultiplexedConnectionId, stream: i16) {
         let slot = self.links.get_mut(&link).and_then(|l| l.slots.get_mut(&stream));
         if let Some(Slot::Job { begun, .. }) = slot {
             *begun = true;
@@ -302,7 +313,7 @@
     }
 
     /// Something has come over a link.
-    pub fn heard(&mut self, now: Time, link: LinkId, out: &mut Vec<Do>) {
+    pub fn heard(&mut self, now: Time, link: MultiplexedConnectionId, out: &mut Vec<MultiplexerAction>) {
         let Some(on) = self.links.get_mut(&link) else { return };
         on.heard = now;
         on.beat = None;
@@ -313,26 +324,26 @@
     }
 
     /// An answer under an id. A job stays until it is [`done`](Self::done) or goes on ([`again`](Self::again)).
-    pub fn answer(&mut self, now: Time, link: LinkId, stream: i16) -> Whose {
-        let Some(on) = self.links.get_mut(&link) else { return Whose::Nobodys };
+    pub fn answer(&mut self, now: Time, link: MultiplexedConnectionId, stream: i16) -> FrameOwner {
+        let Some(on) = self.links.get_mut(&link) else { return FrameOwner::Nobodys };
         on.used = now;
         match on.slots.remove(&stream) {
             Some(Slot::Job { job, .. }) => {
                 // Not on the link any more, and not yet over.
                 self.jobs.insert(job, Place::On(link, -1));
-                Whose::Job(job)
+                FrameOwner::Job(job)
             }
             Some(Slot::Orphan) => {
                 on.orphans -= 1;
-                Whose::Nobodys
+                FrameOwner::Nobodys
             }
-            Some(Slot::Beat) => Whose::Nobodys,
-            None => Whose::Unasked,
+            Some(Slot::Beat) => FrameOwner::Nobodys,
+            None => FrameOwner::Unasked,
         }
     }
 
     /// A job that was answered is over.
-    pub fn done(&mut self, now: Time, job: JobId, out: &mut Vec<Do>) {
+    pub fn done(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
         self.jobs.remove(&job);
         if !self.waiting.is_empty() {
             self.settle(now, out);
@@ -340,7 +351,7 @@
     }
 
     /// A job that was answered has more to ask on the same link; false if that is gone, and the job with it.
-    pub fn again(&mut self, now: Time, job: JobId, out: &mut Vec<Do>) -> bool {
+    pub fn again(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) -> bool {
         let Some(Place::On(link, -1)) = self.jobs.get(&job).copied() else { return false };
         if !self.links.contains_key(&link) {
             self.jobs.remove(&job);
@@ -351,7 +362,7 @@
     }
 
     /// A job is called off: nothing is reported of it any more.
-    pub fn cancel(&mut self, now: Time, job: JobId, out: &mut Vec<Do>) {
+    pub fn cancel(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
         match self.jobs.remove(&job) {
             None | Some(Place::On(_, -1)) => {}
             Some(Place::Waiting) => self.waiting.retain(|(waits, _)| *waits != job),
@@ -359,12 +370,18 @@
         }
     }
 
-    fn orphan(&mut self, now: Time, link: LinkId, stream: i16, out: &mut Vec<Do>) {
+    fn orphan(
+        &mut self,
+        now: Time,
+        link: MultiplexedConnectionId,
+        stream: i16,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
         let Some(on) = self.links.get_mut(&link) else { return };
         match on.slots.get(&stream).copied() {
             Some(Slot::Job { begun: false, .. }) => {
                 on.slots.remove(&stream);
-                out.push(Do::Unqueue { link, stream });
+                out.push(MultiplexerAction::Unqueue { link, stream });
             }
             Some(Slot::Job { sent, .. }) => {
                 on.slots.insert(stream, Slot::Orphan);
@@ -381,28 +398,31 @@
         }
     }
 
-    fn beat(&mut self, now: Time, link: LinkId, out: &mut Vec<Do>) {
+    fn beat(&mut self, now: Time, link: MultiplexedConnectionId, out: &mut Vec<MultiplexerAction>) {
         if self.links.get(&link).is_none_or(|on| on.beat.is_some()) {
             return;
         }
         if let Some(stream) = self.take(now, link, Slot::Beat) {
-            out.push(Do::Beat { link, stream });
+            out.push(MultiplexerAction::Beat { link, stream });
         }
         self.links.get_mut(&link).into_iter().for_each(|on| on.beat = Some(now));
     }
 
-    fn give_up(&mut self, now: Time, link: LinkId, out: &mut Vec<Do>) {
-        out.push(Do::Close(link));
+    fn give_up(&mut self, now: Time, link: MultiplexedConnectionId, out: &mut Vec<MultiplexerAction>) {
+        out.push(MultiplexerAction::Close(link));
         self.lost(now, link, out);
     }
 
     /// A link broke, or could not be opened.
-    pub fn lost(&mut self, now: Time, link: LinkId, out: &mut Vec<Do>) {
+    pub fn lost(&mut self, now: Time, link: MultiplexedConnectionId, out: &mut Vec<MultiplexerAction>) {
         let Some(on) = self.links.remove(&link) else { return };
         for slot in on.slots.into_values() {
             if let Slot::Job { job, begun, .. } = slot {
                 self.jobs.remove(&job);
-                out.push(Do::End(job, if begun { End::Lost } else { End::Unsent }));
+                out.push(MultiplexerAction::AttemptFailed(
+                    job,
+                    if begun { AttemptFailure::Lost } else { AttemptFailure::Unsent },
+                ));
             }
         }
         // Jobs whose answer is being looked at go on to be reported by whoever looks.
@@ -410,7 +430,7 @@
             // Nobody answers there: those that wait need not wait for more of the same.
             for (job, _) in std::mem::take(&mut self.waiting) {
                 self.jobs.remove(&job);
-                out.push(Do::End(job, End::Unsent));
+                out.push(MultiplexerAction::AttemptFailed(job, AttemptFailure::Unsent));
             }
         } else if on.ready && !self.waiting.is_empty() && self.links.values().all(|l| l.ready) {
             // Not after one that could not be opened: that would be tried again at once, and again.
@@ -419,7 +439,7 @@
     }
 
     /// Time has passed. To be called every [`Settings::within`] / 10 or so.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Do>) {
+    pub fn tick(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
         if now - self.ticked < Span(self.settings.within.0 / 16) {
             return;
         }
@@ -427,14 +447,14 @@
         while let Some((job, _)) = self.waiting.front().copied().filter(|(_, until)| *until <= now) {
             self.waiting.pop_front();
             self.jobs.remove(&job);
-            out.push(Do::End(job, End::Unsent));
+            out.push(MultiplexerAction::AttemptFailed(job, AttemptFailure::Unsent));
         }
         for link in self.links.keys().copied().collect::<Vec<_>>() {
             self.look_after(now, link, out);
         }
     }
 
-    fn look_after(&mut self, now: Time, link: LinkId, out: &mut Vec<Do>) {
+    fn look_after(&mut self, now: Time, link: MultiplexedConnectionId, out: &mut Vec<MultiplexerAction>) {
         let Settings { patience, quiet, within, idle, .. } = self.settings;
         let Some(on) = self.links.get_mut(&link).filter(|l| l.ready) else { return };
         // What has not begun to leave by now must not leave any more.
@@ -443,7 +463,10 @@
         for stream in late {
             if let Some(Slot::Job { job, .. }) = on.slots.remove(&stream) {
                 self.jobs.remove(&job);
-                out.extend([Do::Unqueue { link, stream }, Do::End(job, End::Unsent)]);
+                out.extend([
+                    MultiplexerAction::Unqueue { link, stream },
+                    MultiplexerAction::AttemptFailed(job, AttemptFailure::Unsent),
+                ]);
             }
         }
         if on.beat.is_some_and(|at| at + within <= now) {
--- a/crates/testbed/src/cluster_test.rs
+++ b/crates/testbed/src/cluster_test.rs
@@ -52,7 +52,7 @@
     pub ways: Vec<Way>,
     /// When what is measured begins: the first fault.
     #[serde(default)]
-    pub event: Vec<Happening>,
+    pub event: Vec<FaultEvent>,
 }
 
 /// How gateways are set up.
@@ -79,7 +79,7 @@
 /// Something that happens.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Happening {
+pub struct FaultEvent {
     pub at_s: f64,
     pub what: What,
     /// To what part of the gateways, drawn by the seed; those that were drawn last time unless it is given.
@@ -472,7 +472,7 @@
             }
             begins = Instant::now() - first;
         }
-        let at = |event: &Happening| bin((begins - stage.began).as_secs_f64() + event.at_s);
+        let at = |event: &FaultEvent| bin((begins - stage.began).as_secs_f64() + event.at_s);
         let fault = at(&self.event[0]);
         let from = if self.until_full { self.event.last().map_or(fault, at) } else { fault };
         for event in &self.event {
@@ -497,7 +497,7 @@
 
     fn happens(
         &self,
-        event: &Happening,
+        event: &FaultEvent,
         stage: &Stage,
         relays: &Relays,
         gateways: &mut Gateways,
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -42,7 +42,7 @@
     pub tenant: Vec<Tenant>,
     /// What happens.
     #[serde(default)]
-    pub event: Vec<Happening>,
+    pub event: Vec<FaultEvent>,
 }
 
 const fn most() -> usize {
@@ -156,7 +156,7 @@
 /// What happens to a member.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Happening {
+pub struct FaultEvent {
     /// When, in seconds.
     pub at_s: f64,
     /// To which.
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -9,7 +9,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use valehatch_membership::view::Standing;
 use valehatch_membership::wire::{Incarnation, MOST, Phase};
-use valehatch_membership::{Effect, Membership, Note, Settings};
+use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 
 use crate::judge::Judge;
@@ -59,7 +59,7 @@
 pub struct Seen {
     pub at: Time,
     pub by: usize,
-    pub note: Note,
+    pub note: MembershipEvent,
 }
 
 /// What is done to a heart as it starts.
@@ -388,7 +388,7 @@
         }
         for effect in out {
             match effect {
-                Effect::Note(note) => self.notes.push(Seen { at: self.now, by: n, note }),
+                Effect::Event(note) => self.notes.push(Seen { at: self.now, by: n, note }),
                 Effect::Send { to, bytes } => {
                     if bytes.len() > MOST {
                         return broken(format!("a datagram of {} bytes", bytes.len()));
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -19,7 +19,7 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let serve = move || match front {
                 Front::Postgresql => database(&stream, primary),
-                Front::Cassandra => node(&stream),
+                Front::Cassandra => endpoint(&stream),
             };
             let _ = Builder::new().stack_size(STACK).spawn(move || drop(serve()));
         }
@@ -28,7 +28,7 @@
 }
 
 /// Answers what has come in by one write for as much of it as there is.
-fn node(stream: &TcpStream) -> io::Result<()> {
+fn endpoint(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut from, mut out) = (BufReader::with_capacity(64 * 1024, stream), vec![]);
     loop {
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use valehatch_membership::Note;
+use valehatch_membership::MembershipEvent;
 use valehatch_policy::{Span, Time};
 
 use crate::fleet::{Broken, Fleet, Network, address};
@@ -93,12 +93,12 @@
         }
         fleet.notes.clear();
         fleet.run(Span::from_millis(self.quiet_s * 1000), |_| false)?;
-        let said = |what: fn(Note) -> bool| {
+        let said = |what: fn(MembershipEvent) -> bool| {
             fleet.notes.iter().filter(|n| what(n.note)).count() as f64 / self.quiet_s as f64 * 3600.0
         };
         // Each hears of it: what was said first by whoever it was counts once.
-        let suspicions_h = said(|n| matches!(n, Note::Suspected(_))) / (size - 1) as f64;
-        let deaths_h = said(|n| matches!(n, Note::Failed(_))) / (size - 1) as f64;
+        let suspicions_h = said(|n| matches!(n, MembershipEvent::Suspected(_))) / (size - 1) as f64;
+        let deaths_h = said(|n| matches!(n, MembershipEvent::Failed(_))) / (size - 1) as f64;
         let all: Vec<f64> = (0..size).map(|n| fleet.take_bytes(n) as f64 / self.quiet_s as f64).collect();
         let mut row = Row {
             size,
@@ -127,10 +127,12 @@
             fleet.kill(n);
             let knows = |f: &Fleet| f.running().all(|(_, h)| h.living().all(|a| a != address(n)));
             let known = fleet.run(Span::from_millis(self.kill_s * 1000), knows)?;
-            let first = |what: Note| fleet.notes.iter().find(|s| s.note == what).map(|s| seconds(at, s.at));
-            row.suspected_s.extend(first(Note::Suspected(address(n))));
-            row.failed_s.extend(first(Note::Failed(address(n))));
-            let last = fleet.notes.iter().rev().find(|s| s.note == Note::Failed(address(n)));
+            let first = |what: MembershipEvent| {
+                fleet.notes.iter().find(|s| s.note == what).map(|s| seconds(at, s.at))
+            };
+            row.suspected_s.extend(first(MembershipEvent::Suspected(address(n))));
+            row.failed_s.extend(first(MembershipEvent::Failed(address(n))));
+            let last = fleet.notes.iter().rev().find(|s| s.note == MembershipEvent::Failed(address(n)));
             row.known_s.extend(last.filter(|_| known).map(|s| seconds(at, s.at)));
             row.unseen += usize::from(!known);
             fleet.start(n, 0).map_err(Broken)?;
--- a/crates/testbed/src/soak/oracle.rs
+++ b/crates/testbed/src/soak/oracle.rs
@@ -88,7 +88,7 @@
     /// Requests of mean work that a warm endpoint can do in a second.
     pub capacity: f64,
     /// The part of that which it can do as it starts, and how long until it is warm.
-    pub cold_from: f64,
+    pub slow_start_initial_capacity: f64,
     pub cold: Duration,
     /// So many times what it can do within the window overload it.
     pub multiple: f64,
@@ -100,7 +100,7 @@
     #[must_use]
     pub fn bound(&self, age: Duration) -> f64 {
         let grown = (age.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
-        let part = self.cold_from + (1.0 - self.cold_from) * grown;
+        let part = self.slow_start_initial_capacity + (1.0 - self.slow_start_initial_capacity) * grown;
         let n = self.multiple * part * self.capacity * self.window.as_secs_f64();
         if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 }
     }
--- a/crates/testbed/src/soak/processes.rs
+++ b/crates/testbed/src/soak/processes.rs
@@ -264,7 +264,7 @@
         needs.join(","),
         bounds.join(","),
         common.gateways,
-        slow.cold_from,
+        slow.slow_start_initial_capacity,
         slow.cold.as_millis(),
         slow.window.as_millis(),
         slow.multiple,
--- a/crates/testbed/src/soak/world.rs
+++ b/crates/testbed/src/soak/world.rs
@@ -87,7 +87,13 @@
 /// The rule on endpoints that have just started, as the settings give it: the capacity is what tenants may ask of each.
 #[must_use]
 pub const fn slow_start(capacity: f64) -> SlowStart {
-    SlowStart { capacity, cold_from: 0.25, cold: ms(8_000), multiple: 2.0, window: ms(2_000) }
+    SlowStart {
+        capacity,
+        slow_start_initial_capacity: 0.25,
+        cold: ms(8_000),
+        multiple: 2.0,
+        window: ms(2_000),
+    }
 }
 
 /// An endpoint's state; the rig changes it, its stand-in obeys.
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -11,7 +11,8 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use valehatch_core::{
-    Answer, Ask, ClientId, ConnId, Effect, Event, Facts, Job, Member, Payload, Reply, Room, State,
+    ClientId, ConnectionId, CoreConfig, Effect, Event, FinalAnswer, IncomingRequest, ListedEndpoint,
+    MemoryReservation, Payload, State, UpstreamJob, UpstreamReply,
 };
 use valehatch_policy::*;
 
@@ -50,7 +51,7 @@
 #[derive(Clone, Debug)]
 struct Piece {
     gateway: usize,
-    conn: ConnId,
+    conn: ConnectionId,
     /// `None`: a probe.
     ask: Option<u64>,
 }
@@ -73,7 +74,7 @@
     state: State,
     inbox: Vec<Event>,
     turn_at: Time,
-    conns: BTreeMap<ConnId, (usize, Option<u64>)>,
+    conns: BTreeMap<ConnectionId, (usize, Option<u64>)>,
     known: BTreeSet<u64>,
     /// When it was told that a member drains or is gone.
     told: BTreeMap<usize, Time>,
@@ -196,44 +197,48 @@
 
 impl<'a> World<'a> {
     pub fn new(plan: &'a Experiment, way: Way, seed: u64, trace: bool) -> Result<Self, String> {
-        let class = |c: &crate::experiment::Class| Class {
-            need: if c.write { Need::Write } else { Need::Any },
-            effect: if c.write { valehatch_policy::Effect::Unsafe } else { valehatch_policy::Effect::Safe },
-            aim: ms(c.aim_ms),
-            aim_stretch: 0.0,
+        let class = |c: &crate::experiment::Class| RequestClass {
+            consistency: if c.write { Consistency::Write } else { Consistency::Eventual },
+            idempotency: if c.write {
+                valehatch_policy::Idempotency::NonIdempotent
+            } else {
+                valehatch_policy::Idempotency::Idempotent
+            },
+            latency_objective: ms(c.aim_ms),
+            latency_objective_stretch: 0.0,
             deadline: ms(c.deadline_ms),
-            worth: c.worth,
-            late_worth: c.late_worth,
+            priority_weight: c.worth,
+            late_priority_weight: c.late_worth,
         };
         let routers = u32::try_from(plan.gateways).map_err(|e| e.to_string())?;
         let settings = Settings {
             classes: plan.class.iter().map(class).collect(),
             tenants: plan.tenant.iter().map(|t| Tenant { allowance: t.allowance_per_s }).collect(),
-            over_share_worth: Some(0.2),
-            list_mode: ListMode::Pushed,
+            over_quota_priority_weight: Some(0.2),
+            discovery_mode: DiscoveryMode::Watch,
             listed_role: ListedRole::Trailing,
-            checks: Checks::Off,
-            sessions: Sessions::Kept,
+            stale_read_policy: StaleReadPolicy::Serve,
+            sessions: SessionTracking::RouterTracked,
             routers,
             zone: ZoneId(0),
             tick: Span::from_millis(5),
             limits: Limits {
                 cancel: true,
-                probing: true,
-                second_copies: false,
+                health_checks: true,
+                hedged_requests: false,
                 retry_after: true,
                 max_attempts: 6,
                 max_retry_after: ms(plan.max_hint_ms),
-                max_open: 200_000,
-                conn_idle: Span::from_millis(60_000),
+                max_open_requests: 200_000,
+                idle_connection_timeout: Span::from_millis(60_000),
             },
             rules: Rules {
-                ask_within: Span::from_millis(10_000),
-                cold_from: COLD_FROM,
+                max_poll_interval: Span::from_millis(10_000),
+                slow_start_initial_capacity: COLD_FROM,
                 cold: COLD,
-                tip_multiple: TIP_MULTIPLE,
-                tip_after: TIP_AFTER,
-                removal_not_binding: false,
+                overload_multiple: TIP_MULTIPLE,
+                overload_duration: TIP_AFTER,
+                removal_is_advisory: false,
             },
         };
         let shares: Vec<f64> = match way {
@@ -247,10 +252,10 @@
                 .classes
                 .iter()
                 .map(|c| valehatch_admission::Class {
-                    worth: c.worth,
-                    aim: c.aim,
-                    late_counts: c.need == Need::Write && c.late_worth > 0.0,
-                    write: c.need == Need::Write,
+                    worth: c.priority_weight,
+                    aim: c.latency_objective,
+                    late_counts: c.consistency == Consistency::Write && c.late_priority_weight > 0.0,
+                    write: c.consistency == Consistency::Write,
                 })
                 .collect(),
             most: plan.most,
@@ -260,7 +265,7 @@
         });
         let mut gateways = vec![];
         for n in 0..plan.gateways {
-            let facts = Facts {
+            let facts = CoreConfig {
                 figures: None,
                 door: door.clone(),
                 watched: None,
@@ -350,7 +355,7 @@
     /// Tells a gateway how many there are.
     pub fn tell_routers(&mut self, gateway: usize, routers: u32) {
         let at = self.now;
-        self.at(at, Ev::Tell(gateway, Box::new(Event::Routers(routers))));
+        self.at(at, Ev::Tell(gateway, Box::new(Event::GatewayCount(routers))));
     }
 
     /// Runs to the end, and until all is answered.
@@ -492,18 +497,18 @@
         }
         let gateway = &mut self.gateways[n];
         if gateway.known.insert(client) {
-            gateway.inbox.push(Event::Connected(ClientId(client)));
+            gateway.inbox.push(Event::ClientConnected(ClientId(client)));
         }
         gateway.next_ticket += 1;
         let ticket = gateway.next_ticket;
         gateway.tickets.insert(ticket, ask);
         let write = self.plan.class[class].write;
-        let room = Room::take(&self.room, 8, usize::MAX).expect("room without end");
+        let room = MemoryReservation::take(&self.room, 8, usize::MAX).expect("room without end");
         let payload = Arc::new(Payload { bytes: ask.to_be_bytes().to_vec(), write, class: 0 });
-        gateway.inbox.push(Event::Asked {
+        gateway.inbox.push(Event::RequestReceived {
             client: ClientId(client),
             ticket,
-            ask: Ask {
+            ask: IncomingRequest {
                 name: None,
                 class,
                 tenant: Some(tenant),
@@ -555,7 +560,7 @@
                 self.gateways[n].conns.insert(conn, (member, None));
             }
             Effect::Submit { conn, job } => self.submit(n, conn, &job)?,
-            Effect::Close(conn) => {
+            Effect::CloseUpstream(conn) => {
                 if let Some((member, ask)) = self.gateways[n].conns.remove(&conn) {
                     ask.into_iter().for_each(|ask| self.over(ask));
                     // What waits there for it is dropped; what runs goes on.
@@ -564,12 +569,12 @@
             }
             Effect::Answer { ticket, answer, .. } => self.answered(n, ticket, &answer)?,
             Effect::CloseClient(_)
-            | Effect::CloseClients
+            | Effect::CloseIdleClients
             | Effect::StopListening
-            | Effect::Note(_)
+            | Effect::Log(_)
             | Effect::Exit => {}
-            Effect::Pass { .. } => return Err("no answer is too long here".into()),
-            Effect::Record(_) | Effect::Publish(_) => {}
+            Effect::ForwardBody { .. } => return Err("no answer is too long here".into()),
+            Effect::RecordOutcome(_) | Effect::PublishView(_) => {}
         }
         Ok(())
     }
@@ -588,14 +593,14 @@
         }
     }
 
-    fn submit(&mut self, n: usize, conn: ConnId, job: &Job) -> Result<(), String> {
+    fn submit(&mut self, n: usize, conn: ConnectionId, job: &UpstreamJob) -> Result<(), String> {
         let Some((member, slot)) = self.gateways[n].conns.get_mut(&conn) else {
             return Err(format!("gateway {n} writes to a connection that it has closed"));
         };
         let member = *member;
         let ask = match job {
-            Job::Probe => None,
-            Job::Run { payload, permit, .. } => {
+            UpstreamJob::HealthCheck => None,
+            UpstreamJob::Request { payload, permit, .. } => {
                 if permit.try_acquire(self.now).is_err() {
                     return Err(format!("gateway {n} submits what may not begin"));
                 }
@@ -633,12 +638,17 @@
     fn work(&mut self, n: usize, piece: Piece) {
         let server = &self.servers[n];
         if !server.alive {
-            return self.reply(&piece, Reply::bare(Outcome2::ConnectFailed), false);
+            return self.reply(&piece, UpstreamReply::bare(Outcome2::ConnectFailed), false);
         }
         let Some(ask) = piece.ask else {
             let lag = if server.primary { Span(0) } else { ms(self.plan.lag_ms) };
-            let report = Report { position: Some(self.now - lag), primary: Some(server.primary), busy: None };
-            return self.reply(&piece, Reply { report: Some(report), ..Reply::bare(Outcome2::Ok) }, true);
+            let report =
+                LoadReport { position: Some(self.now - lag), primary: Some(server.primary), busy: None };
+            return self.reply(
+                &piece,
+                UpstreamReply { report: Some(report), ..UpstreamReply::bare(Outcome2::Ok) },
+                true,
+            );
         };
         if let Some(started) = server.started.filter(|started| self.now - *started < COLD) {
             let (at, primary) = (self.now, server.primary);
@@ -648,10 +658,18 @@
         let write = self.asks.get(&ask).is_some_and(|a| self.plan.class[a.class].write);
         let role = Some(if server.primary { Role::Primary } else { Role::Replica });
         if write && !server.primary {
-            return self.reply(&piece, Reply { role, ..Reply::bare(Outcome2::Miss) }, true);
+            return self.reply(
+                &piece,
+                UpstreamReply { role, ..UpstreamReply::bare(Outcome2::Misdirected) },
+                true,
+            );
         }
         if server.draining || server.waiting.len() >= self.plan.queue {
-            return self.reply(&piece, Reply { role, ..Reply::bare(Outcome2::Full) }, true);
+            return self.reply(
+                &piece,
+                UpstreamReply { role, ..UpstreamReply::bare(Outcome2::Rejected) },
+                true,
+            );
         }
         self.servers[n].waiting.push_back(piece);
         self.start_work(n);
@@ -687,14 +705,15 @@
         let role = Some(if primary { Role::Primary } else { Role::Replica });
         let lag = if primary { Span(0) } else { ms(self.plan.lag_ms) };
         let body = Some(ask.to_be_bytes().to_vec());
-        let reply = Reply { role, position: Some(now - lag), body, ..Reply::bare(Outcome2::Ok) };
+        let reply =
+            UpstreamReply { role, position: Some(now - lag), body, ..UpstreamReply::bare(Outcome2::Ok) };
         self.reply(piece, reply, true);
         Ok(())
     }
 
-    fn reply(&mut self, piece: &Piece, reply: Reply, reusable: bool) {
+    fn reply(&mut self, piece: &Piece, reply: UpstreamReply, reusable: bool) {
         let at = self.now + self.net();
-        let event = Event::Ended { conn: piece.conn, reply, reusable };
+        let event = Event::AttemptEnded { conn: piece.conn, reply, reusable };
         // The gateway may have closed it by then: its own core passes that over.
         if let Some((_, slot)) = self.gateways[piece.gateway].conns.get_mut(&piece.conn) {
             if let Some(ask) = slot.take() {
@@ -705,7 +724,7 @@
         }
     }
 
-    fn answered(&mut self, n: usize, ticket: u64, answer: &Answer) -> Result<(), String> {
+    fn answered(&mut self, n: usize, ticket: u64, answer: &FinalAnswer) -> Result<(), String> {
         let Some(ask) = self.gateways[n].tickets.remove(&ticket) else {
             return Err(format!("gateway {n} answers ticket {ticket} twice"));
         };
@@ -720,13 +739,13 @@
         let seen = &mut self.outcome.tenants[tenant];
         if let (Some((refused, hinted)), true) = (asked.hinted, measured) {
             seen.hints_kept += 1;
-            let admitted = asked.first.filter(|_| matches!(answer, Answer::Served(_)));
+            let admitted = asked.first.filter(|_| matches!(answer, FinalAnswer::Served(_)));
             let right = admitted.is_some_and(|first| first - refused <= (hinted - refused).times(1.2));
             seen.hints_right += u64::from(right);
         }
         let mut back = None;
         match answer {
-            Answer::Served(bytes) => {
+            FinalAnswer::Served(bytes) => {
                 if bytes[..] != ask.to_be_bytes() {
                     return Err(format!("{ask} is served with what was made for another"));
                 }
@@ -740,7 +759,7 @@
                     seen.waits.saturating_record(u64::try_from(wait).unwrap_or(0).max(1));
                 }
             }
-            Answer::Refused { after, .. } => {
+            FinalAnswer::Rejected { after, .. } => {
                 seen.refused += u64::from(measured);
                 if plan.write && asked.effects > 0 {
                     return Err(format!("the write {ask} ran and was refused"));
@@ -751,12 +770,12 @@
                     Heeds::Nothing => None,
                 };
             }
-            Answer::Failed(_) => seen.failed += u64::from(measured),
+            FinalAnswer::Failed(_) => seen.failed += u64::from(measured),
         }
         let said = match answer {
-            Answer::Served(_) => "served".to_owned(),
-            Answer::Refused { after, .. } => format!("refused, come back in {} ms", after.0 / 1000),
-            Answer::Failed(why) => format!("failed: {why:?}"),
+            FinalAnswer::Served(_) => "served".to_owned(),
+            FinalAnswer::Rejected { after, .. } => format!("refused, come back in {} ms", after.0 / 1000),
+            FinalAnswer::Failed(why) => format!("failed: {why:?}"),
         };
         self.note(|| format!("gateway {n}: {ask} is {said}"));
         if let Some(after) = back {
@@ -767,7 +786,7 @@
         } else if self.plan.tenant[tenant].clients == 0 {
             // It asked once and leaves.
             self.gateways[n].known.remove(&client);
-            self.gateways[n].inbox.push(Event::Disconnected(ClientId(client)));
+            self.gateways[n].inbox.push(Event::ClientDisconnected(ClientId(client)));
             self.wake(n, self.now);
         }
         self.forget(ask);
@@ -790,12 +809,13 @@
                 }
                 // Its connections break: what was out may have run.
                 for g in 0..self.gateways.len() {
-                    let of =
-                        |(c, (m, a)): (&ConnId, &(usize, Option<u64>))| (*m == member).then_some((*c, *a));
+                    let of = |(c, (m, a)): (&ConnectionId, &(usize, Option<u64>))| {
+                        (*m == member).then_some((*c, *a))
+                    };
                     let broken: Vec<_> = self.gateways[g].conns.iter().filter_map(of).collect();
                     for (conn, ask) in broken.into_iter().filter_map(|(c, a)| Some((c, a?))) {
                         let piece = Piece { gateway: g, conn, ask: Some(ask) };
-                        self.reply(&piece, Reply::bare(Outcome2::Reset), false);
+                        self.reply(&piece, UpstreamReply::bare(Outcome2::Reset), false);
                     }
                 }
             }
@@ -818,22 +838,22 @@
     }
 
     fn tell_list(&mut self) {
-        let member = |(n, s): (usize, &Server)| Member {
-            entry: Entry {
-                node: NodeId(u32::try_from(n + 1).unwrap_or(0)),
+        let member = |(n, s): (usize, &Server)| ListedEndpoint {
+            entry: EndpointRecord {
+                endpoint: EndpointId(u32::try_from(n + 1).unwrap_or(0)),
                 group: GroupId(0),
                 zone: ZoneId(0),
                 kind: KindId(0),
                 weight: 1.0,
                 started: s.started,
                 primary: s.primary,
-                state: if s.draining { NodeState::Draining } else { NodeState::Ready },
+                state: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
             },
             name: Arc::clone(&s.name),
             address: Arc::from(n.to_string()),
         };
         let listed = self.servers.iter().enumerate().filter(|(_, s)| s.listed);
-        let members: Vec<Member> = listed.map(member).collect();
+        let members: Vec<ListedEndpoint> = listed.map(member).collect();
         for n in 0..self.gateways.len() {
             let at = self.now + self.net();
             for (m, server) in self.servers.iter().enumerate() {
@@ -843,7 +863,7 @@
                     self.gateways[n].told.remove(&m);
                 }
             }
-            let event = Event::List { complete: true, members: members.clone() };
+            let event = Event::EndpointList { complete: true, members: members.clone() };
             self.at(at, Ev::Tell(n, Box::new(event)));
         }
     }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Memberships of a fleet in virtual time under faults: what each believes, and how soon.
 
 use rstest::rstest;
-use valehatch_membership::Note;
+use valehatch_membership::MembershipEvent;
 use valehatch_membership::wire::State;
 use valehatch_policy::Span;
 use valehatch_testbed::fleet::{Fleet, Network, address};
@@ -29,7 +29,7 @@
     assert!(agreed, "{what}: not agreed after {} s: {alive:?}", within.0 / 1_000_000);
 }
 
-fn noted(fleet: &Fleet, wanted: impl Fn(usize, Note) -> bool) -> usize {
+fn noted(fleet: &Fleet, wanted: impl Fn(usize, MembershipEvent) -> bool) -> usize {
     fleet.notes.iter().filter(|n| wanted(n.by, n.note)).count()
 }
 
@@ -73,8 +73,8 @@
     agree(&mut fleet, s(10), "after the restart");
     let who: Vec<usize> = (0..8).filter(|n| *n != 3).collect();
     let told = |n: &usize| {
-        noted(&fleet, |by, note| by == *n && note == Note::Restarted(address(3)))
-            + noted(&fleet, |by, note| by == *n && note == Note::Joined(address(3)))
+        noted(&fleet, |by, note| by == *n && note == MembershipEvent::Restarted(address(3)))
+            + noted(&fleet, |by, note| by == *n && note == MembershipEvent::Joined(address(3)))
     };
     assert!(who.iter().all(|n| told(n) >= 1), "each learns that it is another: {:?}", fleet.notes);
 }
@@ -89,7 +89,7 @@
         f.running().all(|(_, h)| h.peers().any(|(a, p)| *a == address(7) && p.state == State::Left))
     };
     assert!(fleet.run(s(4), gone).unwrap(), "within eight periods");
-    assert_eq!(noted(&fleet, |_, note| note == Note::Failed(address(7))), 0);
+    assert_eq!(noted(&fleet, |_, note| note == MembershipEvent::Failed(address(7))), 0);
 }
 
 #[rstest]
@@ -113,8 +113,9 @@
     fleet.run(s(40), |_| false).unwrap();
     agree(&mut fleet, s(20), "after the sleep");
     let first = fleet.notes.iter().find(|n| n.by == 4).unwrap();
-    assert!(matches!(first.note, Note::Slept(gap) if gap >= s(29)), "{first:?}");
-    let blamed = |by, note| by == 4 && matches!(note, Note::Suspected(_) | Note::Failed(_));
+    assert!(matches!(first.note, MembershipEvent::Slept(gap) if gap >= s(29)), "{first:?}");
+    let blamed =
+        |by, note| by == 4 && matches!(note, MembershipEvent::Suspected(_) | MembershipEvent::Failed(_));
     assert_eq!(noted(&fleet, blamed), 0, "who was silent was itself");
 }
 
@@ -124,7 +125,7 @@
     agree(&mut fleet, s(60), "at first");
     fleet.notes.clear();
     fleet.run(s(120), |_| false).unwrap();
-    assert_eq!(noted(&fleet, |_, note| matches!(note, Note::Failed(_))), 0);
+    assert_eq!(noted(&fleet, |_, note| matches!(note, MembershipEvent::Failed(_))), 0);
 }
 
 #[test]
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -65,14 +65,18 @@
 
 #[test]
 fn two_under_one_name_are_both_told_and_all_are_settled_with_them() {
-    use valehatch_membership::Note;
+    use valehatch_membership::MembershipEvent;
     let mut play = Play::new(&plan(), 12, 5);
     play.begin(Span::from_millis(60_000)).unwrap();
     play.fleet.notes.clear();
     play.fleet.rename(13, 4);
     play.fleet.start(13, 0).unwrap();
     let told = |play: &Play, n| {
-        play.fleet.notes.iter().filter(|s| s.by == n && matches!(s.note, Note::Namesake(_))).count()
+        play.fleet
+            .notes
+            .iter()
+            .filter(|s| s.by == n && matches!(s.note, MembershipEvent::Namesake(_)))
+            .count()
     };
     play.fleet.run(Span::from_millis(20_000), |_| false).unwrap();
     assert_eq!((told(&play, 4), told(&play, 13)), (1, 1));
