--- a/crates/gateway/tests/door.rs
+++ b/crates/gateway/tests/door.rs
@@ -12,7 +12,8 @@
 use support::manager::{Walk, index, own, v2c};
 use support::watched::run;
 use support::{
-    Answer, Client, Does, Program, Stops, WAIT, database, folder, free_address, message, row, until, within,
+    Answer, Client, Does, Program, Stops, WAIT, database, folder, free_address, message, row,
+    until, within,
 };
 
 struct Gateway {
@@ -33,7 +34,11 @@
         Does::Say(row("x"))
     };
     let db = database("read-write", serve).0;
-    let (address, agent, file) = (free_address(), free_address(), folder().join("gateway.toml"));
+    let (address, agent, file) = (
+        free_address(),
+        free_address(),
+        folder().join("gateway.toml"),
+    );
     let text = format!(
         "{door}\n[[budget]]\nname = \"large\"\nshare = 0.8\nallowance-per-s = 1000\n[[budget]]\nname = \"small\"\nshare = 0.2\nallowance-per-s = 1000\n\
          [[front]]\nname = \"bookings\"\nprotocol = \"postgresql\"\nlisten = \"{address}\"\n\
@@ -43,11 +48,23 @@
     );
     std::fs::write(&file, &text).unwrap();
     let program = run(&file, address);
-    Gateway { address, agent, file, text, program }
+    Gateway {
+        address,
+        agent,
+        file,
+        text,
+        program,
+    }
 }
 
 /// So many connections of a tenant ask as often as they can; a refused one comes back at once. How many were served.
-fn flood(address: SocketAddr, tenant: &str, connections: usize, stop: &AtomicBool, served: &AtomicUsize) {
+fn flood(
+    address: SocketAddr,
+    tenant: &str,
+    connections: usize,
+    stop: &AtomicBool,
+    served: &AtomicUsize,
+) {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     thread::scope(|scope| {
         for _ in 0..connections {
@@ -55,9 +72,14 @@
                 let mut client = Client::connect(address);
                 while !stop.load(Ordering::Relaxed) {
                     let id = NEXT.fetch_add(1, Ordering::Relaxed);
-                    let query = format!("/* id={id:x},c=read,t={tenant},d=1000,cluster=0 */ SELECT 1\0");
+                    let query =
+                        format!("/* id={id:x},c=read,t={tenant},d=1000,cluster=0 */ SELECT 1\0");
                     let sent = client.0.write_all(&message(b'Q', query.as_bytes()));
-                    let answer = if sent.is_ok() { client.answer() } else { Answer::Ended };
+                    let answer = if sent.is_ok() {
+                        client.answer()
+                    } else {
+                        Answer::Ended
+                    };
                     match answer {
                         Answer::Value(_) => drop(served.fetch_add(1, Ordering::Relaxed)),
                         // It had asked once and rested for long: it comes back.
@@ -80,7 +102,11 @@
 
 /// Both tenants flood until so many are served, however long a loaded machine takes for that: how many each was served.
 fn both(gateway: &Gateway, enough: usize) -> (usize, usize) {
-    let (stop, large, small) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
+    let (stop, large, small) = (
+        AtomicBool::new(false),
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+    );
     thread::scope(|scope| {
         let _stops = Stops(&stop);
         scope.spawn(|| flood(gateway.address, "large", 40, &stop, &large));
@@ -103,7 +129,10 @@
         walk.counters[&[own(&[8, 1, column]), index("bookings"), index(tenant)].concat()]
     };
     assert!(of(17, "large") >= of(18, "large") && of(18, "large") > 0 && of(20, "small") > 0);
-    let swapped = gateway.text.replace("0.8", "0.02").replace("0.2\n", "0.8\n");
+    let swapped = gateway
+        .text
+        .replace("0.8", "0.02")
+        .replace("0.2\n", "0.8\n");
     std::fs::write(&gateway.file, swapped).unwrap();
     gateway.program.signal("HUP");
     gateway.program.says("members were read again");
@@ -120,8 +149,13 @@
             let (address, answered) = (gateway.address, &answered);
             scope.spawn(move || {
                 let mut client = Client::connect(address);
-                let answer = client.ask(&format!("/* id=s{n},c=read,t=large,d=1000,cluster=0 */ SELECT 1"));
-                assert!(!matches!(answer, Answer::Ended), "each has an answer: {answer:?}");
+                let answer = client.ask(&format!(
+                    "/* id=s{n},c=read,t=large,d=1000,cluster=0 */ SELECT 1"
+                ));
+                assert!(
+                    !matches!(answer, Answer::Ended),
+                    "each has an answer: {answer:?}"
+                );
                 answered.fetch_add(1, Ordering::SeqCst);
             });
         }
@@ -135,8 +169,10 @@
 #[test]
 fn shares_that_do_not_fit_change_nothing_and_say_why() {
     let gateway = gateway("[door]\nmost = 100");
-    let fewer =
-        gateway.text.replace("[[budget]]\nname = \"small\"\nshare = 0.2\nallowance-per-s = 1000\n", "");
+    let fewer = gateway.text.replace(
+        "[[budget]]\nname = \"small\"\nshare = 0.2\nallowance-per-s = 1000\n",
+        "",
+    );
     std::fs::write(&gateway.file, fewer).unwrap();
     gateway.program.signal("HUP");
     gateway.program.says("1 shares for 2 tenants");
--- a/crates/gateway/tests/failing_disk.rs
+++ b/crates/gateway/tests/failing_disk.rs
@@ -16,7 +16,11 @@
 const ROUNDS: usize = 16;
 /// How many of a thousand calls fail while the disk does.
 const FAILS: i64 = 400;
-const DISK: [Switch; 3] = [Switch::FileWriteFails, Switch::SyncFails, Switch::RenameFails];
+const DISK: [Switch; 3] = [
+    Switch::FileWriteFails,
+    Switch::SyncFails,
+    Switch::RenameFails,
+];
 /// For how long it fails, and how long it works, in turn.
 const BAD: Duration = Duration::from_millis(120);
 const GOOD: Duration = Duration::from_millis(60);
@@ -25,7 +29,13 @@
 fn counters_shown_survive_a_failing_disk_and_kills() {
     let (pg, cql, agent, place) = (free_address(), free_address(), free_address(), folder());
     let state = "sync-ms = 5\ncheckpoint-ms = 20\nsegment-kb = 16\nsegments = 10000".to_owned();
-    let plan = Plan { pg: databases(), cql: vec![], state, more: String::new(), user: false };
+    let plan = Plan {
+        pg: databases(),
+        cql: vec![],
+        state,
+        more: String::new(),
+        user: false,
+    };
     let file = place.join("gateway.toml");
     std::fs::write(&file, plan.text(pg, cql, agent, &place.join("state"))).unwrap();
     let control = FaultControl::create(&place.join("faults")).unwrap();
@@ -34,7 +44,10 @@
         ("LD_PRELOAD", support::faults::library().to_str().unwrap()),
         (CONTROL_FILE_VARIABLE, faults.as_str()),
     ];
-    let set = |rate: i64| DISK.iter().for_each(|switch| control.set(*switch, rate).unwrap());
+    let set = |rate: i64| {
+        DISK.iter()
+            .for_each(|switch| control.set(*switch, rate).unwrap())
+    };
     let mut shown = Walk::default();
     let mut random = 17_u64;
     for round in 0..ROUNDS {
@@ -42,7 +55,9 @@
         let program = Program::begin(&["serve", file.to_str().unwrap()], None, &variables);
         until("it listens", || std::net::TcpStream::connect(pg).is_ok());
         let first = Walk::of(&mut v2c(agent), &ROOT).unwrap();
-        first.covers(&shown).unwrap_or_else(|e| panic!("round {round}: {e}"));
+        first
+            .covers(&shown)
+            .unwrap_or_else(|e| panic!("round {round}: {e}"));
         let (stop, last) = (AtomicBool::new(false), Mutex::new(first));
         thread::scope(|scope| {
             let _stops = Stops(&stop);
@@ -53,8 +68,12 @@
             let (stop, seen) = (&stop, &last);
             scope.spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    let asked =
-                        snmp2::SyncSession::new_v2c(agent, b"stays", Some(Duration::from_millis(200)), 1);
+                    let asked = snmp2::SyncSession::new_v2c(
+                        agent,
+                        b"stays",
+                        Some(Duration::from_millis(200)),
+                        1,
+                    );
                     // A walk that the kill cuts off shows nothing whole.
                     if let Ok(walk) = Walk::of(&mut asked.unwrap(), &ROOT) {
                         *seen.lock().unwrap() = walk;
@@ -69,7 +88,9 @@
             }
             // In the middle of trouble, or just behind it.
             set(if round % 2 == 0 { FAILS } else { 0 });
-            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            random = random
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
             wait(Duration::from_micros(1_000 + (random >> 33) % 40_000));
             program.signal("KILL");
         });
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -31,7 +31,12 @@
                 }
                 head.push(byte[0]);
             }
-            let path = String::from_utf8(head).unwrap().split(' ').nth(1).unwrap().to_owned();
+            let path = String::from_utf8(head)
+                .unwrap()
+                .split(' ')
+                .nth(1)
+                .unwrap()
+                .to_owned();
             let nth = {
                 let mut seen = seen.lock().unwrap();
                 seen.push(path);
@@ -42,7 +47,10 @@
                 4 => {
                     std::thread::sleep(Duration::from_millis(1_200));
                     let body = format!(r#"{{"rev":7,"all":false,"targets":[{news}]}}"#);
-                    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+                    format!(
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    )
                 }
                 _ => {
                     let _ = stream.read(&mut [0]);
@@ -52,21 +60,55 @@
             let _ = stream.write_all(answer.as_bytes());
         }
     });
-    let gateway =
-        platform_edited(&target("s-00000001", one, "read-write", "active"), 15_000, false, |text| {
-            let own = text.split("\"discovery\":\"").nth(1).unwrap().split('"').next().unwrap().to_owned();
-            text.replace(&own, &overbooked.to_string())
-                .replace("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"")
-        });
+    let gateway = platform_edited(
+        &target("s-00000001", one, "read-write", "active"),
+        15_000,
+        false,
+        |text| {
+            let own = text
+                .split("\"discovery\":\"")
+                .nth(1)
+                .unwrap()
+                .split('"')
+                .next()
+                .unwrap()
+                .to_owned();
+            text.replace(&own, &overbooked.to_string()).replace(
+                "\"membership-mode\":\"push\"",
+                "\"membership-mode\":\"ask\"",
+            )
+        },
+    );
     let mut client = Client::connect(gateway.address);
-    let mut ask = || client.ask("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
-    assert_eq!(ask(), Answer::Value("one".into()), "the list that is known serves meanwhile");
-    until("the news are acted on", || ask() == Answer::Value("two".into()));
+    let mut ask =
+        || client.ask("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
+    assert_eq!(
+        ask(),
+        Answer::Value("one".into()),
+        "the list that is known serves meanwhile"
+    );
+    until("the news are acted on", || {
+        ask() == Answer::Value("two".into())
+    });
     assert!(first.count() > 0);
     until("the watch goes on", || calls.lock().unwrap().len() >= 5);
-    let calls: Vec<String> = calls.lock().unwrap().iter().filter(|c| *c != "hung up").cloned().collect();
-    assert!(calls[..4].iter().all(|c| c.starts_with("/v1/servers?from=0&hold_ms=")), "{calls:?}");
-    assert!(calls[4].starts_with("/v1/servers?from=7&hold_ms="), "{calls:?}");
+    let calls: Vec<String> = calls
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|c| *c != "hung up")
+        .cloned()
+        .collect();
+    assert!(
+        calls[..4]
+            .iter()
+            .all(|c| c.starts_with("/v1/servers?from=0&hold_ms=")),
+        "{calls:?}"
+    );
+    assert!(
+        calls[4].starts_with("/v1/servers?from=7&hold_ms="),
+        "{calls:?}"
+    );
 }
 
 /// Threads of a process.
@@ -85,6 +127,8 @@
         client.ask("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
         open() >= 25
     });
-    until("few threads are left", || threads(gateway.program.0.id()) <= 15);
+    until("few threads are left", || {
+        threads(gateway.program.0.id()) <= 15
+    });
     assert!(open() >= 25, "the connections stay");
 }
--- a/crates/gateway/tests/flood.rs
+++ b/crates/gateway/tests/flood.rs
@@ -18,9 +18,14 @@
 
 /// Whether a new connection was answered: served or refused.
 fn answered(gateway: &Platform, id: u32) -> bool {
-    let Ok(mut stream) = TcpStream::connect(gateway.address) else { return false };
+    let Ok(mut stream) = TcpStream::connect(gateway.address) else {
+        return false;
+    };
     stream.set_read_timeout(Some(WAIT)).unwrap();
-    if stream.write_all(&[Client::opening(), pipelined(id..id + 1, 4_000)].concat()).is_err() {
+    if stream
+        .write_all(&[Client::opening(), pipelined(id..id + 1, 4_000)].concat())
+        .is_err()
+    {
         return false;
     }
     while let Some((kind, _)) = read_message(&mut stream) {
@@ -34,7 +39,14 @@
 
 /// A flood that goes on: `sent` on each connection, written in pieces of so many bytes. The crowd comes at once, and two more
 /// with each good client, however fast the machine is; at most so many are held open.
-fn flood(gateway: &Platform, sent: &[u8], piece: usize, held: usize, asked: &AtomicUsize, over: &AtomicBool) {
+fn flood(
+    gateway: &Platform,
+    sent: &[u8],
+    piece: usize,
+    held: usize,
+    asked: &AtomicUsize,
+    over: &AtomicBool,
+) {
     let (mut open, mut opened) = (VecDeque::new(), 0);
     while !over.load(Ordering::SeqCst) {
         if opened >= 2 * SOCKETS + 2 * asked.load(Ordering::SeqCst) {
@@ -71,25 +83,45 @@
     #[case] piece: usize,
 ) {
     let (at, _) = database("read-write", |_, q| Does::Say(echo_of(q)));
-    let small =
-        |text: String| text.replace("\"sockets\":1024", &format!("\"sockets\":{SOCKETS},\"memory_mb\":24"));
-    let gateway = platform_edited(&target("s-00000001", at, "read-write", "active"), 15_000, true, small);
+    let small = |text: String| {
+        text.replace(
+            "\"sockets\":1024",
+            &format!("\"sockets\":{SOCKETS},\"memory_mb\":24"),
+        )
+    };
+    let gateway = platform_edited(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        true,
+        small,
+    );
     let held = if sent.len() > 1_000 { 8 } else { 2 * SOCKETS };
     let (over, asked) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         let _stops = Stops(&over);
         let (gateway, over, asked, sent) = (&gateway, &over, &asked, &sent);
         scope.spawn(move || flood(gateway, sent, piece, held, asked, over));
-        until("the crowd is there", || gateway.program.descriptors() > SOCKETS / 2 || held < SOCKETS);
+        until("the crowd is there", || {
+            gateway.program.descriptors() > SOCKETS / 2 || held < SOCKETS
+        });
         let answered = |id: &u32| {
             asked.fetch_add(1, Ordering::SeqCst);
             answered(gateway, *id)
         };
         let lost = (1..=GOOD).filter(|id| !answered(id)).count();
-        assert!(lost <= usize::try_from(GOOD).unwrap() / CLOSED, "{lost} of {GOOD} closed with no answer");
-        assert!(gateway.program.descriptors() <= SOCKETS, "{}", gateway.program.descriptors());
+        assert!(
+            lost <= usize::try_from(GOOD).unwrap() / CLOSED,
+            "{lost} of {GOOD} closed with no answer"
+        );
+        assert!(
+            gateway.program.descriptors() <= SOCKETS,
+            "{}",
+            gateway.program.descriptors()
+        );
         // It comes back while the crowd stands.
         gateway.discovery.silent.store(false, Ordering::SeqCst);
-        until("discovery is heard", || gateway.discovery.watches.load(Ordering::SeqCst) > 0);
+        until("discovery is heard", || {
+            gateway.discovery.watches.load(Ordering::SeqCst) > 0
+        });
     });
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -11,7 +11,9 @@
 use support::*;
 
 fn read(id: u32, d: u32) -> String {
-    format!("/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'")
+    format!(
+        "/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
+    )
 }
 
 fn write(class: &str, id: u32, d: u32) -> String {
@@ -28,7 +30,11 @@
 fn echo(query: &str) -> Vec<u8> {
     tagged(
         query.split('\'').nth(1).unwrap(),
-        if query.contains("INSERT") { "INSERT 0 1" } else { "SELECT 1" },
+        if query.contains("INSERT") {
+            "INSERT 0 1"
+        } else {
+            "SELECT 1"
+        },
     )
 }
 
@@ -40,27 +46,53 @@
     let query = write("book", 1, 3000);
     client
         .0
-        .write_all(&[Client::opening(), message(b'Q', format!("{query}\0").as_bytes())].concat())
+        .write_all(
+            &[
+                Client::opening(),
+                message(b'Q', format!("{query}\0").as_bytes()),
+            ]
+            .concat(),
+        )
         .unwrap();
     client.greeted();
     assert_eq!(client.answer(), value("x1"));
     let passed = seen.query(0);
-    let d: u32 = passed.split(",d=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
+    let d: u32 = passed
+        .split(",d=")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!((1..=3000).contains(&d), "{d}");
-    assert_eq!(passed, query.replace("d=3000", &format!("d={d}")), "all but d stays as it was");
+    assert_eq!(
+        passed,
+        query.replace("d=3000", &format!("d={d}")),
+        "all but d stays as it was"
+    );
 }
 
 #[test]
 fn the_ready_check_and_settings_are_answered_at_once_and_answers_keep_their_order() {
     let (at, _) = database("read-write", |_, q| {
         // The first takes longer than the second, which must wait for it.
-        std::thread::sleep(Duration::from_millis(if q.contains("x1'") { 80 } else { 0 }));
+        std::thread::sleep(Duration::from_millis(if q.contains("x1'") {
+            80
+        } else {
+            0
+        }));
         Does::Say(echo(q))
     });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     assert_eq!(client.ask(""), Answer::Empty);
-    assert_eq!(client.ask("SET a = 1"), Answer::Ended, "a completion and nothing else");
+    assert_eq!(
+        client.ask("SET a = 1"),
+        Answer::Ended,
+        "a completion and nothing else"
+    );
     client.send(&read(1, 3000));
     client.send(&read(2, 3000));
     client.send("");
@@ -79,7 +111,9 @@
     until("the database has it", || seen.count() == 1);
     let closed = seen.closed.load(Ordering::SeqCst);
     drop(client);
-    until("its connection ends", || seen.closed.load(Ordering::SeqCst) > closed);
+    until("its connection ends", || {
+        seen.closed.load(Ordering::SeqCst) > closed
+    });
     assert_eq!(seen.count(), 1, "nobody waits: it is not sent again");
 }
 
@@ -96,13 +130,25 @@
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
-    assert!(matches!(client.ask(&write("once", 1, 250)), Answer::Error(code, _) if code == "57014"));
-    assert!(began.elapsed() < Duration::from_millis(2_500), "by its own deadline, not by its class's");
+    assert!(
+        matches!(client.ask(&write("once", 1, 250)), Answer::Error(code, _) if code == "57014")
+    );
+    assert!(
+        began.elapsed() < Duration::from_millis(2_500),
+        "by its own deadline, not by its class's"
+    );
     for id in 2..6 {
-        assert_eq!(client.ask(&write("once", id, 4000)), value(&format!("x{id}")));
+        assert_eq!(
+            client.ask(&write("once", id, 4000)),
+            value(&format!("x{id}"))
+        );
     }
     let queries = seen.queries.lock().unwrap();
-    assert!(queries[1..].iter().all(|(_, _, connection)| *connection != queries[0].2));
+    assert!(
+        queries[1..]
+            .iter()
+            .all(|(_, _, connection)| *connection != queries[0].2)
+    );
 }
 
 #[rstest]
@@ -111,8 +157,13 @@
 #[case::with_nothing(vec![])]
 fn half_an_answer_is_never_served(#[case] half: Vec<u8>) {
     let cut = half.clone();
-    let (at, seen) =
-        database("read-write", move |n, q| if n == 0 { Does::Cut(cut.clone()) } else { Does::Say(echo(q)) });
+    let (at, seen) = database("read-write", move |n, q| {
+        if n == 0 {
+            Does::Cut(cut.clone())
+        } else {
+            Does::Say(echo(q))
+        }
+    });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // It may have run: a keyed write is sent again inside its window, an unsafe one is not.
@@ -121,44 +172,71 @@
     let (at, seen) = database("read-write", move |_, _| Does::Cut(half.clone()));
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    assert!(matches!(client.ask(&write("once", 1, 4000)), Answer::Error(code, _) if code == "58000"));
+    assert!(
+        matches!(client.ask(&write("once", 1, 4000)), Answer::Error(code, _) if code == "58000")
+    );
     assert_eq!(seen.count(), 1);
 }
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran_and_a_refusal_says_when_to_come_back() {
-    let gateway = platform(&target("s-00000001", free_address(), "read-write", "active"), 15_000);
+    let gateway = platform(
+        &target("s-00000001", free_address(), "read-write", "active"),
+        15_000,
+    );
     let mut client = Client::connect(gateway.address);
-    let Answer::Error(code, Some(after)) = client.ask(&write("once", 1, 600)) else { panic!("no refusal") };
+    let Answer::Error(code, Some(after)) = client.ask(&write("once", 1, 600)) else {
+        panic!("no refusal")
+    };
     assert_eq!(code, "53300");
-    assert!((1..=2000).contains(&after.parse::<u32>().unwrap()), "{after}");
+    assert!(
+        (1..=2000).contains(&after.parse::<u32>().unwrap()),
+        "{after}"
+    );
 }
 
 #[test]
 fn a_write_finds_the_primary_by_the_role_that_this_answer_told() {
     let (one, wrong) = database("read-only", |_, _| Does::Say(error("25006")));
     let (two, right) = database("read-write", |_, q| Does::Say(echo(q)));
-    let list =
-        [target("s-00000001", one, "read-write", "active"), target("s-00000002", two, "read-only", "active")];
+    let list = [
+        target("s-00000001", one, "read-write", "active"),
+        target("s-00000002", two, "read-only", "active"),
+    ];
     let gateway = platform(&list.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..4 {
-        assert_eq!(client.ask(&write("once", id, 4000)), value(&format!("x{id}")));
+        assert_eq!(
+            client.ask(&write("once", id, 4000)),
+            value(&format!("x{id}"))
+        );
     }
-    assert!(wrong.count() <= 1 && right.count() == 3, "the miss is not repeated");
+    assert!(
+        wrong.count() <= 1 && right.count() == 3,
+        "the miss is not repeated"
+    );
 }
 
 #[test]
 fn a_draining_database_gets_nothing_new_and_the_watch_is_armed_again_in_time() {
     let (one, drained) = database("read-only", |_, q| Does::Say(echo(q)));
     let (two, other) = database("read-write", |_, q| Does::Say(echo(q)));
-    let list =
-        [target("s-00000001", one, "read-only", "active"), target("s-00000002", two, "read-write", "active")];
+    let list = [
+        target("s-00000001", one, "read-only", "active"),
+        target("s-00000002", two, "read-write", "active"),
+    ];
     let gateway = platform(&list.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
-    until("the replica is used", || client.ask(&read(1, 4000)) == value("x1") && drained.count() > 0);
+    until("the replica is used", || {
+        client.ask(&read(1, 4000)) == value("x1") && drained.count() > 0
+    });
     let change = target("s-00000001", one, "read-only", "leaving");
-    gateway.discovery.changes.lock().unwrap().push(change.clone());
+    gateway
+        .discovery
+        .changes
+        .lock()
+        .unwrap()
+        .push(change.clone());
     until("the change is told", || {
         assert_eq!(client.ask(&read(2, 4000)), value("x2"));
         !gateway.discovery.told.lock().unwrap().is_empty()
@@ -168,46 +246,85 @@
         assert_eq!(client.ask(&read(3, 4000)), value("x3"));
     }
     let late = |at: &Instant| at.duration_since(told) > Duration::from_millis(500);
-    assert!(drained.queries.lock().unwrap().iter().all(|(at, ..)| !late(at)) && other.count() > 0);
+    assert!(
+        drained
+            .queries
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|(at, ..)| !late(at))
+            && other.count() > 0
+    );
     // The watch goes on only when the next call comes within 200 ms: most do, however the machine is loaded.
     for n in 2..=8 {
-        gateway.discovery.changes.lock().unwrap().push(change.clone());
-        until("the watch was armed again", || gateway.discovery.told.lock().unwrap().len() == n);
+        gateway
+            .discovery
+            .changes
+            .lock()
+            .unwrap()
+            .push(change.clone());
+        until("the watch was armed again", || {
+            gateway.discovery.told.lock().unwrap().len() == n
+        });
     }
     let mut gaps = gateway.discovery.gaps.lock().unwrap().clone();
     gaps.sort();
-    assert!(gaps[gaps.len() / 2] < Duration::from_millis(200), "{gaps:?}");
+    assert!(
+        gaps[gaps.len() / 2] < Duration::from_millis(200),
+        "{gaps:?}"
+    );
 }
 
 #[test]
 fn while_discovery_is_silent_the_known_list_serves() {
     let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform_with(&target("s-00000001", at, "read-write", "active"), 15_000, true);
+    let gateway = platform_with(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        true,
+    );
     let mut client = Client::connect(gateway.address);
     assert_eq!(client.ask(&read(1, 4000)), value("x1"));
     gateway.discovery.silent.store(false, Ordering::SeqCst);
-    until("the watch is taken up", || gateway.discovery.watches.load(Ordering::SeqCst) > 0);
+    until("the watch is taken up", || {
+        gateway.discovery.watches.load(Ordering::SeqCst) > 0
+    });
 }
 
 #[test]
 fn a_pooled_connection_is_retired_before_the_database_would_close_it() {
     let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 5000);
-    assert_eq!(Client::connect(gateway.address).ask(&read(1, 4000)), value("x1"));
-    until("it is closed", || seen.closed.load(Ordering::SeqCst) == seen.opened.load(Ordering::SeqCst));
+    assert_eq!(
+        Client::connect(gateway.address).ask(&read(1, 4000)),
+        value("x1")
+    );
+    until("it is closed", || {
+        seen.closed.load(Ordering::SeqCst) == seen.opened.load(Ordering::SeqCst)
+    });
     let used = seen.queries.lock().unwrap()[0].0;
-    assert!(used.elapsed() < Duration::from_millis(5000), "{:?}", used.elapsed());
+    assert!(
+        used.elapsed() < Duration::from_millis(5000),
+        "{:?}",
+        used.elapsed()
+    );
 }
 
 #[test]
 fn a_connection_that_the_database_closed_while_idle_costs_no_attempt() {
-    let (at, seen) =
-        database("read-write", |_, q| Does::Cut([echo(q), mode("read-write"), ready()].concat()));
+    let (at, seen) = database("read-write", |_, q| {
+        Does::Cut([echo(q), mode("read-write"), ready()].concat())
+    });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..6 {
-        assert_eq!(client.ask(&write("once", id, 4000)), value(&format!("x{id}")));
-        until("its end has come", || seen.closed.load(Ordering::SeqCst) >= id as usize);
+        assert_eq!(
+            client.ask(&write("once", id, 4000)),
+            value(&format!("x{id}"))
+        );
+        until("its end has come", || {
+            seen.closed.load(Ordering::SeqCst) >= id as usize
+        });
     }
     assert_eq!(seen.count(), 5);
 }
@@ -215,7 +332,11 @@
 #[test]
 fn a_planned_stop_serves_on_answers_all_closes_what_is_idle_and_ends() {
     let (at, seen) = database("read-write", |_, q| {
-        std::thread::sleep(Duration::from_millis(if q.contains("x1'") { 1200 } else { 0 }));
+        std::thread::sleep(Duration::from_millis(if q.contains("x1'") {
+            1200
+        } else {
+            0
+        }));
         Does::Say(echo(q))
     });
     let mut gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
@@ -236,7 +357,11 @@
     });
     gateway.program.terminate();
     let mut late = Client::connect(gateway.address);
-    assert_eq!(late.ask(&read(2, 4000)), value("x2"), "new connections are still taken");
+    assert_eq!(
+        late.ask(&read(2, 4000)),
+        value("x2"),
+        "new connections are still taken"
+    );
     // It is one that comes back to ask again: one that asked once would be closed meanwhile.
     assert_eq!(late.ask(&read(4, 4000)), value("x4"));
     let told = Instant::now();
@@ -253,7 +378,10 @@
     over.store(true, Ordering::SeqCst);
     // It may be later by as much as this machine keeps threads from going on.
     let most = Duration::from_millis(3700) + late_by.join().unwrap();
-    assert!(took < most, "the platform would kill it: {took:?} of {most:?}");
+    assert!(
+        took < most,
+        "the platform would kill it: {took:?} of {most:?}"
+    );
 }
 
 #[test]
@@ -270,22 +398,58 @@
 
 #[rstest]
 #[case::no_comment(message(b'Q', b"SELECT 1\0"), "42601", true)]
-#[case::unknown_class(message(b'Q', b"/* id=1,c=none,d=9,cluster=0 */ SELECT 1\0"), "42601", true)]
-#[case::no_deadline(message(b'Q', b"/* id=1,c=read,cluster=0 */ SELECT 1\0"), "42601", true)]
-#[case::deadline_no_number(message(b'Q', b"/* id=1,c=read,d=NaN,cluster=0 */ SELECT 1\0"), "42601", true)]
-#[case::deadline_below_zero(message(b'Q', b"/* id=1,c=read,d=-5,cluster=0 */ SELECT 1\0"), "42601", true)]
+#[case::unknown_class(
+    message(b'Q', b"/* id=1,c=none,d=9,cluster=0 */ SELECT 1\0"),
+    "42601",
+    true
+)]
+#[case::no_deadline(
+    message(b'Q', b"/* id=1,c=read,cluster=0 */ SELECT 1\0"),
+    "42601",
+    true
+)]
+#[case::deadline_no_number(
+    message(b'Q', b"/* id=1,c=read,d=NaN,cluster=0 */ SELECT 1\0"),
+    "42601",
+    true
+)]
+#[case::deadline_below_zero(
+    message(b'Q', b"/* id=1,c=read,d=-5,cluster=0 */ SELECT 1\0"),
+    "42601",
+    true
+)]
 #[case::no_id(message(b'Q', b"/* c=read,d=9,cluster=0 */ SELECT 1\0"), "42601", true)]
-#[case::two_ids(message(b'Q', b"/* id=1,id=2,c=read,d=9,cluster=0 */ SELECT 1\0"), "42601", true)]
-#[case::no_key(message(b'Q', b"/* id=1,c=book,d=9,cluster=0 */ INSERT INTO objects\0"), "42601", true)]
-#[case::a_write_that_reads(message(b'Q', b"/* id=1,c=once,d=9,cluster=0 */ SELECT 1\0"), "42601", true)]
+#[case::two_ids(
+    message(b'Q', b"/* id=1,id=2,c=read,d=9,cluster=0 */ SELECT 1\0"),
+    "42601",
+    true
+)]
+#[case::no_key(
+    message(b'Q', b"/* id=1,c=book,d=9,cluster=0 */ INSERT INTO objects\0"),
+    "42601",
+    true
+)]
+#[case::a_write_that_reads(
+    message(b'Q', b"/* id=1,c=once,d=9,cluster=0 */ SELECT 1\0"),
+    "42601",
+    true
+)]
 #[case::sixty_megabytes([&b"Q"[..], &60_000_004_u32.to_be_bytes(), &[b'v'; 300_000]].concat(), "54000", false)]
-#[case::group_too_large(message(b'Q', b"/* id=1,c=read,d=9,cluster=99999 */ SELECT 1\0"), "42601", true)]
+#[case::group_too_large(
+    message(b'Q', b"/* id=1,c=read,d=9,cluster=99999 */ SELECT 1\0"),
+    "42601",
+    true
+)]
 #[case::not_utf8(message(b'Q', b"/* \xff\xfe */\0"), "42601", true)]
 #[case::extended([message(b'P', b"\0\0\0\0"), message(b'S', b"")].concat(), "0A000", true)]
 #[case::unknown_type(message(b'?', b"abc"), "08P01", false)]
 #[case::too_long(vec![b'Q', 0x7f, 0xff, 0xff, 0xff], "54000", false)]
 #[case::too_short(vec![b'Q', 0, 0, 0, 3], "54000", false)]
-fn malformed_input_gets_an_error(#[case] input: Vec<u8>, #[case] code: &str, #[case] goes_on: bool) {
+fn malformed_input_gets_an_error(
+    #[case] input: Vec<u8>,
+    #[case] code: &str,
+    #[case] goes_on: bool,
+) {
     let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
@@ -294,15 +458,28 @@
     if goes_on && code != "0A000" {
         assert_eq!(client.ask(&read(1, 4000)), value("x1"));
     }
-    assert_eq!(Client::connect(gateway.address).ask(&read(2, 4000)), value("x2"), "others are served");
-    assert!(seen.queries.lock().unwrap().iter().all(|(_, q, _)| q.contains("c=read,t=acme")));
+    assert_eq!(
+        Client::connect(gateway.address).ask(&read(2, 4000)),
+        value("x2"),
+        "others are served"
+    );
+    assert!(
+        seen.queries
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|(_, q, _)| q.contains("c=read,t=acme"))
+    );
 }
 
 #[rstest]
 #[case::startup_too_long(vec![0x7f, 0xff, 0xff, 0xff], "08P01")]
 #[case::old_version(vec![0, 0, 0, 8, 0, 2, 0, 0], "0A000")]
 fn a_malformed_start_gets_an_error(#[case] input: Vec<u8>, #[case] code: &str) {
-    let gateway = platform(&target("s-00000001", free_address(), "read-write", "active"), 15_000);
+    let gateway = platform(
+        &target("s-00000001", free_address(), "read-write", "active"),
+        15_000,
+    );
     let mut client = Client::raw(gateway.address);
     client.0.write_all(&input).unwrap();
     assert!(matches!(client.answer(), Answer::Error(got, _) if got == code));
@@ -312,11 +489,23 @@
 #[case("\"listen\":", "\"lisn\":", "listen")]
 #[case("8c1f30d27a5be964", "xyz", "seed")]
 #[case("\"sockets\":1024", "\"sockets\":-1", "limits.sockets")]
-#[case("\"max-attempts\":6", "\"max-attempts\":\"six\"", "limits.max-attempts")]
-#[case("\"connect-timeout-ms\":2000.0", "\"connect-timeout-ms\":0", "limits.connect-timeout-ms")]
+#[case(
+    "\"max-attempts\":6",
+    "\"max-attempts\":\"six\"",
+    "limits.max-attempts"
+)]
+#[case(
+    "\"connect-timeout-ms\":2000.0",
+    "\"connect-timeout-ms\":0",
+    "limits.connect-timeout-ms"
+)]
 #[case("\"tick-ms\":5.0,", "", "tick-ms")]
 #[case("\"fleet-size\":1", "\"fleet-size\":0", "fleet-size")]
-fn a_bad_configuration_is_told_by_its_key(#[case] good: &str, #[case] bad: &str, #[case] key: &str) {
+fn a_bad_configuration_is_told_by_its_key(
+    #[case] good: &str,
+    #[case] bad: &str,
+    #[case] key: &str,
+) {
     let path = folder().join("config.json");
     let text = config(free_address(), free_address(), "", 15_000);
     assert!(text.contains(good));
@@ -331,11 +520,17 @@
 fn a_client_that_does_not_read_holds_up_no_one() {
     // Its answers fill every buffer on the way; the core must not wait for them.
     let (at, _) = database("read-write", |_, q| {
-        if q.contains("x1'") { Does::Say(row(&"v".repeat(64 * 1024))) } else { Does::Say(echo(q)) }
+        if q.contains("x1'") {
+            Does::Say(row(&"v".repeat(64 * 1024)))
+        } else {
+            Does::Say(echo(q))
+        }
     });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut deaf = Client::connect(gateway.address);
-    deaf.0.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
+    deaf.0
+        .set_write_timeout(Some(Duration::from_millis(300)))
+        .unwrap();
     // So many that its own requests stand still, too.
     let query = message(b'Q', format!("{}\0", read(1, 5000)).as_bytes());
     while deaf.0.write_all(&query.repeat(200)).is_ok() {}
@@ -354,13 +549,25 @@
     let list = target("s-00000001", at, "read-write", "active");
     // Of 64 descriptors 16 are kept back, 24 are for clients, 24 for databases.
     let gateway = platform_edited(&list, 15_000, false, small);
-    let ask = |id| [Client::opening(), message(b'Q', format!("{}\0", read(id, 4000)).as_bytes())].concat();
-    let mut clients: Vec<Client> = (0..36).map(|id| Client::raw_with(gateway.address, &ask(id))).collect();
+    let ask = |id| {
+        [
+            Client::opening(),
+            message(b'Q', format!("{}\0", read(id, 4000)).as_bytes()),
+        ]
+        .concat()
+    };
+    let mut clients: Vec<Client> = (0..36)
+        .map(|id| Client::raw_with(gateway.address, &ask(id)))
+        .collect();
     clients.iter_mut().for_each(Client::greeted);
-    let refused =
-        |a: &Answer| matches!(a, Answer::Error(code, Some(after)) if code == "53300" && after != "0");
+    let refused = |a: &Answer| matches!(a, Answer::Error(code, Some(after)) if code == "53300" && after != "0");
     let answers: Vec<Answer> = clients.iter_mut().map(Client::answer).collect();
-    assert!(answers.iter().all(|a| refused(a) || matches!(a, Answer::Value(_))), "{answers:?}");
+    assert!(
+        answers
+            .iter()
+            .all(|a| refused(a) || matches!(a, Answer::Value(_))),
+        "{answers:?}"
+    );
     assert!(answers.iter().any(|a| !refused(a)) && seen.opened.load(Ordering::SeqCst) <= 24);
 }
 
@@ -382,7 +589,10 @@
             let mut client = Client::connect(gateway.address);
             let answer = client.ask(&read(id, 4000));
             let served = answer == value(&format!("x{id}"));
-            assert!(served || matches!(&answer, Answer::Error(code, _) if code == "53300"), "{answer:?}");
+            assert!(
+                served || matches!(&answer, Answer::Error(code, _) if code == "53300"),
+                "{answer:?}"
+            );
             stay.extend(served.then_some(client));
             served
         });
@@ -390,8 +600,17 @@
     (0..60).for_each(|_| served(&mut stay));
     let silent: Vec<Client> = (0..100).map(|_| Client::raw(gateway.address)).collect();
     served(&mut stay);
-    let has = |what| std::fs::read_dir(format!("/proc/{}/{what}", gateway.program.0.id())).unwrap().count();
-    assert!(has("fd") <= 64 && has("task") <= 140, "{} descriptors, {} threads", has("fd"), has("task"));
+    let has = |what| {
+        std::fs::read_dir(format!("/proc/{}/{what}", gateway.program.0.id()))
+            .unwrap()
+            .count()
+    };
+    assert!(
+        has("fd") <= 64 && has("task") <= 140,
+        "{} descriptors, {} threads",
+        has("fd"),
+        has("task")
+    );
     drop(silent);
 }
 
@@ -401,12 +620,19 @@
 #[case::half_a_command([Client::opening(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
 #[case::half_an_opening(Client::opening()[..9].to_vec())]
 fn a_connection_that_asks_nothing_is_closed_within_3_s(#[case] sent: Vec<u8>) {
-    let gateway = platform(&target("s-00000001", free_address(), "read-write", "active"), 15_000);
+    let gateway = platform(
+        &target("s-00000001", free_address(), "read-write", "active"),
+        15_000,
+    );
     let mut client = Client::raw(gateway.address);
     let began = Instant::now();
     client.0.write_all(&sent).unwrap();
     while read_message(&mut client.0).is_some() {}
-    assert!((1500..6000).contains(&began.elapsed().as_millis()), "{:?}", began.elapsed());
+    assert!(
+        (1500..6000).contains(&began.elapsed().as_millis()),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// What bad clients are owed (LATER, STANDING): an error or a close within 3 s of connecting.
@@ -424,7 +650,11 @@
         (last, at) = (Some(kind), began.elapsed());
     }
     // The last word, if there is one, comes before the close.
-    let ended = if last == Some(b'E') { at } else { began.elapsed() };
+    let ended = if last == Some(b'E') {
+        at
+    } else {
+        began.elapsed()
+    };
     assert!(ended < Duration::from_secs(3), "{ended:?}");
 }
 
@@ -432,13 +662,20 @@
 fn who_asks_once_and_stays_is_let_go_long_before_who_comes_back() {
     let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
-    let (mut once, mut twice) = (Client::connect(gateway.address), Client::connect(gateway.address));
+    let (mut once, mut twice) = (
+        Client::connect(gateway.address),
+        Client::connect(gateway.address),
+    );
     assert_eq!(twice.ask(&read(1, 3000)), value("x1"));
     assert_eq!(twice.ask(&read(2, 3000)), value("x2"));
     assert_eq!(once.ask(&read(3, 3000)), value("x3"));
     let began = Instant::now();
     assert!(parted(&once.answer()), "though its place is not needed");
-    assert!(began.elapsed() < Duration::from_secs(5), "half of what the other may: {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(5),
+        "half of what the other may: {:?}",
+        began.elapsed()
+    );
     assert_eq!(twice.ask(&read(4, 3000)), value("x4"));
 }
 
@@ -448,7 +685,8 @@
 }
 
 fn asks(ids: std::ops::Range<u32>) -> Vec<u8> {
-    ids.flat_map(|id| message(b'Q', format!("{}\0", read(id, 4000)).as_bytes())).collect()
+    ids.flat_map(|id| message(b'Q', format!("{}\0", read(id, 4000)).as_bytes()))
+        .collect()
 }
 
 #[rstest]
@@ -459,9 +697,16 @@
     // in meanwhile when it goes on: only the first message used to be taken, and the request behind it was lost.
     let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
-    let mut client = if new { Client::raw(gateway.address) } else { Client::connect(gateway.address) };
+    let mut client = if new {
+        Client::raw(gateway.address)
+    } else {
+        Client::connect(gateway.address)
+    };
     // Its connection is among those that the gateway has taken in.
-    assert_eq!(Client::connect(gateway.address).ask(&read(9, 4000)), value("x9"));
+    assert_eq!(
+        Client::connect(gateway.address).ask(&read(9, 4000)),
+        value("x9")
+    );
     gateway.program.signal("STOP");
     std::thread::sleep(Duration::from_millis(2300));
     let opening = if new { Client::opening() } else { vec![] };
@@ -470,7 +715,10 @@
     if new {
         client.greeted();
     }
-    assert_eq!([client.answer(), client.answer(), client.answer()], [value("x1"), value("x2"), value("x3")]);
+    assert_eq!(
+        [client.answer(), client.answer(), client.answer()],
+        [value("x1"), value("x2"), value("x3")]
+    );
 }
 
 #[test]
@@ -482,7 +730,10 @@
     client.0.peek(&mut [0]).unwrap();
     client.0.write_all(&asks(1..2)).unwrap();
     assert!(parted(&client.answer()), "its final answer: nothing ran");
-    assert!(matches!(client.0.read(&mut [0]), Ok(0)), "and an end, not a reset");
+    assert!(
+        matches!(client.0.read(&mut [0]), Ok(0)),
+        "and an end, not a reset"
+    );
     assert_eq!(seen.count(), 0);
 }
 
@@ -495,9 +746,15 @@
     });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    client.0.write_all(&[&asks(1..2)[..], b"Q\0\0\x01\0/* id="].concat()).unwrap();
+    client
+        .0
+        .write_all(&[&asks(1..2)[..], b"Q\0\0\x01\0/* id="].concat())
+        .unwrap();
     assert_eq!(client.answer(), value("x1"));
-    assert!(parted(&client.answer()), "then the half is ended as silence is");
+    assert!(
+        parted(&client.answer()),
+        "then the half is ended as silence is"
+    );
     assert!(matches!(client.0.read(&mut [0]), Ok(0)));
     assert_eq!(seen.count(), 1);
 }
@@ -509,14 +766,26 @@
         Does::Say(echo(q))
     });
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
-    let gateway = platform_edited(&target("s-00000001", at, "read-write", "active"), 15_000, false, edit);
+    let gateway = platform_edited(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        false,
+        edit,
+    );
     let mut client = Client::connect(gateway.address);
     let large = write("once", 2, 5000).replace("'1'", &format!("'{}'", "9".repeat(120_000)));
     client.0.write_all(&asks(1..2)).unwrap();
     (0..30).for_each(|_| client.send(&large));
     assert_eq!(client.answer(), value("x1"));
-    let rest: Vec<Answer> = (0..30).map(|_| client.answer()).take_while(|a| *a != Answer::Ended).collect();
-    assert!(rest.iter().all(|a| *a == value("x2") || matches!(a, Answer::Error(..))), "{rest:?}");
+    let rest: Vec<Answer> = (0..30)
+        .map(|_| client.answer())
+        .take_while(|a| *a != Answer::Ended)
+        .collect();
+    assert!(
+        rest.iter()
+            .all(|a| *a == value("x2") || matches!(a, Answer::Error(..))),
+        "{rest:?}"
+    );
 }
 
 #[test]
@@ -545,7 +814,9 @@
     let (two, second) = database("read-write", |_, q| Does::Say(echo(q)));
     let known = target("s-00000001", one, "read-write", "active");
     let gateway = platform(&known, 15_000);
-    until("the watch runs", || gateway.discovery.watches.load(Ordering::SeqCst) > 0);
+    until("the watch runs", || {
+        gateway.discovery.watches.load(Ordering::SeqCst) > 0
+    });
     // Only now: the watch begins after two seconds, which is as long as a connection that asks nothing may stay.
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 4000));
@@ -558,7 +829,13 @@
     assert_eq!(client.answer(), value("x1"));
     assert_eq!(client.ask(&write("once", 2, 4000)), value("x2"));
     let (moved, new) = Discovery::start(target("s-00000002", two, "read-write", "active"));
-    let old = good.split("\"discovery\":\"").nth(1).unwrap().split('"').next().unwrap();
+    let old = good
+        .split("\"discovery\":\"")
+        .nth(1)
+        .unwrap()
+        .split('"')
+        .next()
+        .unwrap();
     std::fs::write(&gateway.config, good.replace(old, &moved.to_string())).unwrap();
     gateway.program.signal("HUP");
     until("the new address is watched", || {
@@ -569,7 +846,11 @@
     });
     let before = first.count();
     assert_eq!(client.ask(&write("once", 4, 4000)), value("x4"));
-    assert_eq!((first.count(), second.count() > 0), (before, true), "the old list is gone");
+    assert_eq!(
+        (first.count(), second.count() > 0),
+        (before, true),
+        "the old list is gone"
+    );
 }
 
 fn cut(bytes: &[u8], at: usize, with: &[u8]) -> Vec<u8> {
@@ -594,16 +875,26 @@
 #[case::the_answer_to_a_write(tagged("spoilt", "INSERT 0 1"))]
 #[case::nothing_but_ready(vec![])]
 #[case::an_error_without_a_code(message(b'E', b"Mnothing\0\0"))]
-fn a_spoilt_answer_fails_its_attempt_at_once_and_takes_its_connection_along(#[case] spoilt: Vec<u8>) {
+fn a_spoilt_answer_fails_its_attempt_at_once_and_takes_its_connection_along(
+    #[case] spoilt: Vec<u8>,
+) {
     // The database goes on: it answers the next query on the same connection, if there is one.
-    let (at, seen) =
-        database("read-write", move |n, q| Does::Say(if n == 0 { spoilt.clone() } else { echo(q) }));
+    let (at, seen) = database("read-write", move |n, q| {
+        Does::Say(if n == 0 { spoilt.clone() } else { echo(q) })
+    });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // At its deadline it would be too late to send it again.
-    assert_eq!(client.ask(&read(1, 4000)), value("x1"), "a read may be sent again");
+    assert_eq!(
+        client.ask(&read(1, 4000)),
+        value("x1"),
+        "a read may be sent again"
+    );
     let queries = seen.queries.lock().unwrap();
-    assert!(queries.len() == 2 && queries[0].2 != queries[1].2, "{queries:?}");
+    assert!(
+        queries.len() == 2 && queries[0].2 != queries[1].2,
+        "{queries:?}"
+    );
 }
 
 #[rstest]
@@ -616,9 +907,18 @@
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..6 {
-        assert_eq!(client.ask(&write("once", id, 4000)), value(&format!("x{id}")));
+        assert_eq!(
+            client.ask(&write("once", id, 4000)),
+            value(&format!("x{id}"))
+        );
     }
-    let mut connections: Vec<_> = seen.queries.lock().unwrap().iter().map(|(.., c)| *c).collect();
+    let mut connections: Vec<_> = seen
+        .queries
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|(.., c)| *c)
+        .collect();
     connections.dedup();
     assert_eq!(connections.len(), 5);
 }
@@ -637,22 +937,35 @@
     });
     let (two, wrong) = database("read-only", |_, _| Does::Say(error("25006")));
     *wrong.stats.lock().unwrap() = Some(stats.into());
-    let list =
-        [target("s-00000001", one, "read-write", "active"), target("s-00000002", two, "read-only", "active")];
+    let list = [
+        target("s-00000001", one, "read-write", "active"),
+        target("s-00000002", two, "read-only", "active"),
+    ];
     // Reads that must not be too stale have members of unknown position probed.
-    let edit =
-        |text: String| text.replace("[\"eventual\"", "[\"lag_bound\"").replace("\"position-zero-ms\"", BOUND);
+    let edit = |text: String| {
+        text.replace("[\"eventual\"", "[\"lag_bound\"")
+            .replace("\"position-zero-ms\"", BOUND)
+    };
     let gateway = platform_edited(&list.join(","), 15_000, false, edit);
     let mut client = Client::connect(gateway.address);
     until("the member was probed", || {
-        assert!(matches!(client.ask(&read(1, 4000)), Answer::Value(_) | Answer::Error(..)));
+        assert!(matches!(
+            client.ask(&read(1, 4000)),
+            Answer::Value(_) | Answer::Error(..)
+        ));
         wrong.probes.load(Ordering::SeqCst) > 1
     });
     let before = wrong.count();
     for id in 2..6 {
-        assert_eq!(client.ask(&write("once", id, 4000)), value(&format!("x{id}")));
+        assert_eq!(
+            client.ask(&write("once", id, 4000)),
+            value(&format!("x{id}"))
+        );
     }
-    assert!(wrong.count() == before && right.count() > 4, "no write went where nothing is known of");
+    assert!(
+        wrong.count() == before && right.count() > 4,
+        "no write went where nothing is known of"
+    );
 }
 
 const BOUND: &str = "\"staleness-bound-ms\":[300.0,0.0,0.0],\"position-zero-ms\"";
@@ -662,11 +975,16 @@
     let turned_away = Arc::new(AtomicBool::new(false));
     let goes_on = Arc::clone(&turned_away);
     let (at, seen) = database("read-write", move |_, q| {
-        until("the second was turned away", || goes_on.load(Ordering::SeqCst));
+        until("the second was turned away", || {
+            goes_on.load(Ordering::SeqCst)
+        });
         Does::Say(echo(q))
     });
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
-    let (mut first, mut second) = (Client::connect(gateway.address), Client::connect(gateway.address));
+    let (mut first, mut second) = (
+        Client::connect(gateway.address),
+        Client::connect(gateway.address),
+    );
     first.send(&read(7, 4000));
     until("the database has it", || seen.count() == 1);
     assert!(matches!(second.ask(&read(7, 4000)), Answer::Error(code, _) if code == "42710"));
@@ -680,7 +998,9 @@
 #[rstest]
 #[case("42601")]
 #[case("08P01")]
-fn a_statement_that_databases_cannot_use_fails_at_once_and_is_not_sent_again(#[case] code: &'static str) {
+fn a_statement_that_databases_cannot_use_fails_at_once_and_is_not_sent_again(
+    #[case] code: &'static str,
+) {
     let (at, seen) = database("read-write", move |_, _| Does::Say(error(code)));
     let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
@@ -693,7 +1013,12 @@
     // An eighth of 16 MB is for the bytes of open requests: what is beyond that is refused, not held.
     let (at, _) = database("read-write", |_, _| Does::Stall(vec![]));
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
-    let gateway = platform_edited(&target("s-00000001", at, "read-write", "active"), 15_000, false, edit);
+    let gateway = platform_edited(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        false,
+        edit,
+    );
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(gateway.address)).collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.send(&write("once", id, 5000).replace("'1'", &format!("'{}'", "9".repeat(100_000))));
--- a/crates/gateway/tests/known_red.rs
+++ b/crates/gateway/tests/known_red.rs
@@ -116,7 +116,8 @@
 error: could not compile `sample` (test \"door\") due to 1 previous error
 ";
 
-const LISTED: &str = "upgrade::the_new_one::case_1_killed | the old one answers late under load | #24\n";
+const LISTED: &str =
+    "upgrade::the_new_one::case_1_killed | the old one answers late under load | #24\n";
 
 /// Files of one judgement; the list is no file if there is none, and without an output it is the list that is judged.
 fn run(list: Option<&str>, output: Option<(&[&str], i32)>) -> Output {
@@ -126,7 +127,8 @@
         std::env::temp_dir().join(format!("valehatch-known-red-{}-{n}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (known, wrote) = (folder.join("KNOWN-RED.txt"), folder.join("output"));
-    list.iter().for_each(|list| std::fs::write(&known, list).unwrap());
+    list.iter()
+        .for_each(|list| std::fs::write(&known, list).unwrap());
     let mut script = Command::new(SCRIPT);
     script.arg(&known);
     if let Some((output, status)) = output {
@@ -152,7 +154,11 @@
 #[case::nothing_but_blanks(Some("\n  \n"))]
 fn where_nothing_is_listed_cargos_word_is_the_judgement(#[case] list: Option<&str>) {
     let passed = judge(list, &[UNIT, PASSES, DOC], 0);
-    assert!(passed.status.success() && said(&passed).is_empty(), "{}", said(&passed));
+    assert!(
+        passed.status.success() && said(&passed).is_empty(),
+        "{}",
+        said(&passed)
+    );
     // A failure, a crash, and code that cannot be built.
     for output in [&[UNIT, FAILS][..], &[UNIT, CRASHES], &[NO_BUILD]] {
         let failed = judge(list, output, 101);
@@ -164,23 +170,38 @@
 fn a_listed_test_may_fail_and_is_printed_with_its_cause() {
     let judged = judge(Some(LISTED), &[UNIT, FAILS, DOC, ONE], 101);
     assert!(judged.status.success(), "{}", said(&judged));
-    let line =
-        "known red, failed: upgrade::the_new_one::case_1_killed: the old one answers late under load (#24)";
-    assert!(said(&judged).lines().any(|l| l == line), "{}", said(&judged));
+    let line = "known red, failed: upgrade::the_new_one::case_1_killed: the old one answers late under load (#24)";
+    assert!(
+        said(&judged).lines().any(|l| l == line),
+        "{}",
+        said(&judged)
+    );
 }
 
 #[test]
 fn a_listed_test_that_passes_is_said_so() {
     let judged = judge(Some(LISTED), &[UNIT, PASSES, DOC], 0);
     assert!(judged.status.success());
-    let line = "known red, but passed: upgrade::the_new_one::case_1_killed: to be taken off the list";
-    assert!(said(&judged).lines().any(|l| l == line), "{}", said(&judged));
+    let line =
+        "known red, but passed: upgrade::the_new_one::case_1_killed: to be taken off the list";
+    assert!(
+        said(&judged).lines().any(|l| l == line),
+        "{}",
+        said(&judged)
+    );
 }
 
 #[test]
 fn a_listed_test_that_is_not_run_is_said_so() {
-    let judged = judge(Some("sample::tests::waits | an hour | #1"), &[UNIT, PASSES, DOC], 0);
-    assert!(judged.status.success() && said(&judged).contains("known red, not run: sample::tests::waits"));
+    let judged = judge(
+        Some("sample::tests::waits | an hour | #1"),
+        &[UNIT, PASSES, DOC],
+        0,
+    );
+    assert!(
+        judged.status.success()
+            && said(&judged).contains("known red, not run: sample::tests::waits")
+    );
 }
 
 #[test]
@@ -189,7 +210,11 @@
     let told = "error: 1 target failed:\n    `-p sample --doc`\n";
     let judged = judge(Some(list), &[UNIT, PASSES, DOC_FAILS, told], 101);
     assert!(judged.status.success(), "{}", said(&judged));
-    assert!(!judge(Some(LISTED), &[UNIT, FAILS, DOC_FAILS, TWO], 101).status.success());
+    assert!(
+        !judge(Some(LISTED), &[UNIT, FAILS, DOC_FAILS, TWO], 101)
+            .status
+            .success()
+    );
 }
 
 /// What else fails, by what the script says of it.
@@ -203,16 +228,26 @@
 #[case::a_run_that_was_cut_off(&[UNIT, FAILS], 101, "0 targets failed, and 1 of them by their tests")]
 #[case::a_run_that_was_killed(&[UNIT, FAILS, DOC, ONE], 137, "cargo test ended with 137")]
 #[case::a_target_that_fails_without_a_test(&[UNIT, FAILS, DOC, TWO], 101, "2 targets failed, and 1 of them by their tests")]
-fn whatever_else_fails_still_fails(#[case] output: &[&str], #[case] status: i32, #[case] what: &str) {
+fn whatever_else_fails_still_fails(
+    #[case] output: &[&str],
+    #[case] status: i32,
+    #[case] what: &str,
+) {
     let judged = judge(Some(LISTED), output, status);
-    assert!(!judged.status.success() && said(&judged).contains(what), "{}", said(&judged));
+    assert!(
+        !judged.status.success() && said(&judged).contains(what),
+        "{}",
+        said(&judged)
+    );
 }
 
 #[test]
 fn a_failure_that_is_counted_but_not_named_fails() {
     let output = FAILS.replace("1 passed; 1 failed", "0 passed; 2 failed");
     let judged = judge(Some(LISTED), &[UNIT, &output, DOC, ONE], 101);
-    assert!(!judged.status.success() && said(&judged).contains("2 failures are counted, and 1 named"));
+    assert!(
+        !judged.status.success() && said(&judged).contains("2 failures are counted, and 1 named")
+    );
 }
 
 /// Each is found before anything is run: the script is given no output.
@@ -221,12 +256,22 @@
     "a::b | c | #1\na::c | c | #1\na::d | c | #1\na::e | c | #1\n",
     "has 4 lines, and three are the most"
 )]
-#[case::no_issue("upgrade::keeps_order | late\n", "not `test-target::test_name | cause | issue`")]
-#[case::no_cause("upgrade::keeps_order | | #4\n", "not `test-target::test_name | cause | issue`")]
+#[case::no_issue(
+    "upgrade::keeps_order | late\n",
+    "not `test-target::test_name | cause | issue`"
+)]
+#[case::no_cause(
+    "upgrade::keeps_order | | #4\n",
+    "not `test-target::test_name | cause | issue`"
+)]
 #[case::no_target("keeps_order | late | #4\n", "not a target and a test")]
 fn a_list_that_is_out_of_order_is_an_error(#[case] list: &str, #[case] what: &str) {
     let judged = run(Some(list), None);
-    assert!(!judged.status.success() && said(&judged).contains(what), "{}", said(&judged));
+    assert!(
+        !judged.status.success() && said(&judged).contains(what),
+        "{}",
+        said(&judged)
+    );
     // The same where there is an output to judge, even of a run in which all passed.
     assert!(!judge(Some(list), &[UNIT, PASSES, DOC], 0).status.success());
 }
@@ -236,16 +281,29 @@
     let list = "\nupgrade::the_new_one::case_1_killed|late|#4\n upgrade::keeps_order  |  late  |  #4  \nsample::tests::adds | late | #4";
     let judged = judge(Some(list), &[UNIT, FAILS, DOC, ONE], 101);
     assert!(judged.status.success(), "{}", said(&judged));
-    assert_eq!(said(&judged).lines().filter(|l| l.starts_with("known red")).count(), 3);
+    assert_eq!(
+        said(&judged)
+            .lines()
+            .filter(|l| l.starts_with("known red"))
+            .count(),
+        3
+    );
 }
 
 #[rstest]
 #[case::no_such_name("upgrade::the_new_one::case_2 | late | #4", "no such test has run")]
 #[case::the_name_in_another_target("door::keeps_order | late | #4", "no such test has run")]
 fn a_name_that_no_test_has_is_an_error(#[case] list: &str, #[case] what: &str) {
-    for (output, status) in [(&[UNIT, PASSES, DOC][..], 0), (&[UNIT, FAILS, DOC, ONE][..], 101)] {
+    for (output, status) in [
+        (&[UNIT, PASSES, DOC][..], 0),
+        (&[UNIT, FAILS, DOC, ONE][..], 101),
+    ] {
         let judged = judge(Some(list), output, status);
-        assert!(!judged.status.success() && said(&judged).contains(what), "{}", said(&judged));
+        assert!(
+            !judged.status.success() && said(&judged).contains(what),
+            "{}",
+            said(&judged)
+        );
     }
 }
 
--- a/crates/gateway/tests/leave.rs
+++ b/crates/gateway/tests/leave.rs
@@ -19,25 +19,40 @@
 
 /// A database that holds what is asked by those who leave, until the gateway gives it up.
 fn holding() -> (std::net::SocketAddr, Arc<Seen>) {
-    database("read-write", |_, q| if id_of(q) < STAYS { Does::Stall(vec![]) } else { Does::Say(echo_of(q)) })
+    database("read-write", |_, q| {
+        if id_of(q) < STAYS {
+            Does::Stall(vec![])
+        } else {
+            Does::Say(echo_of(q))
+        }
+    })
 }
 
 fn ids(seen: &Seen) -> Vec<u32> {
-    seen.queries.lock().unwrap().iter().map(|(_, q, _)| id_of(q)).collect()
+    seen.queries
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|(_, q, _)| id_of(q))
+        .collect()
 }
 
 /// Asks for something by a client that stays, and is served; a refusal may come first where the only member was just hung.
 fn serves(gateway: &Platform, id: u32) {
     until("who stays is served", || {
         let answer = Client::connect(gateway.address).ask(&read_of(id, 4000));
-        assert!(answer == Answer::Value(format!("x{id}")) || is_farewell(&answer), "{answer:?}");
+        assert!(
+            answer == Answer::Value(format!("x{id}")) || is_farewell(&answer),
+            "{answer:?}"
+        );
         matches!(answer, Answer::Value(_))
     });
 }
 
 /// Writes that must not be repeated: what has begun of them is answered only at its time limit.
 fn pipelined_writes(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
-    ids.flat_map(|id| message(b'Q', format!("{}\0", once_of(id, d)).as_bytes())).collect()
+    ids.flat_map(|id| message(b'Q', format!("{}\0", once_of(id, d)).as_bytes()))
+        .collect()
 }
 
 #[rstest]
@@ -53,25 +68,45 @@
         gateway.program.descriptors().saturating_sub(open)
     };
     let mut before = 0;
-    until("only the database's connections are left", || std::mem::replace(&mut before, held()) == held());
+    until("only the database's connections are left", || {
+        std::mem::replace(&mut before, held()) == held()
+    });
     let mut client = Client::raw_with(gateway.address, &Client::opening());
     if how != Leaves::Resets {
         client.greeted();
     }
-    client.0.write_all(&pipelined_writes(1..commands + 1, 2_500)).unwrap();
+    client
+        .0
+        .write_all(&pipelined_writes(1..commands + 1, 2_500))
+        .unwrap();
     until("the database has the first", || seen.count() > 1);
     let left = Instant::now();
     let _half = client.leave(how);
-    until("its end is noticed, and its place given back", || held() <= before);
-    assert!(left.elapsed() < Duration::from_millis(1_500), "only by a time limit: {:?}", left.elapsed());
+    until("its end is noticed, and its place given back", || {
+        held() <= before
+    });
+    assert!(
+        left.elapsed() < Duration::from_millis(1_500),
+        "only by a time limit: {:?}",
+        left.elapsed()
+    );
     // What has begun may run, since it must not be repeated.
-    until("nothing of it is left", || seen.closed.load(Ordering::SeqCst) + 1 >= seen.count());
+    until("nothing of it is left", || {
+        seen.closed.load(Ordering::SeqCst) + 1 >= seen.count()
+    });
     let began = seen.count();
     serves(&gateway, STAYS + 1);
     let sent = ids(&seen);
-    assert_eq!(sent.len(), began + 1, "nothing is sent on any more: {sent:?}");
+    assert_eq!(
+        sent.len(),
+        began + 1,
+        "nothing is sent on any more: {sent:?}"
+    );
     let begun = sent.iter().filter(|id| **id < STAYS);
-    assert!(begun.into_iter().all(|id| *id <= PIPELINE), "none of those behind the bound: {sent:?}");
+    assert!(
+        begun.into_iter().all(|id| *id <= PIPELINE),
+        "none of those behind the bound: {sent:?}"
+    );
 }
 
 #[rstest]
@@ -90,7 +125,10 @@
     }
     serves(&gateway, STAYS);
     gateway.program.pause();
-    client.0.write_all(&pipelined(1..commands + 1, 5_000)).unwrap();
+    client
+        .0
+        .write_all(&pipelined(1..commands + 1, 5_000))
+        .unwrap();
     let _half = if how == Leaves::Resets {
         drop(client);
         None
@@ -100,7 +138,10 @@
     gateway.program.signal("CONT");
     (1..10).for_each(|n| serves(&gateway, STAYS + n));
     let sent = ids(&seen);
-    assert!(sent.iter().all(|id| *id >= STAYS), "nobody waits for what was sent on: {sent:?}");
+    assert!(
+        sent.iter().all(|id| *id >= STAYS),
+        "nobody waits for what was sent on: {sent:?}"
+    );
 }
 
 #[rstest]
@@ -115,14 +156,21 @@
         drop(stream);
     });
     let (at, seen) = holding();
-    let gateway = platform(&target("s-00000001", nobody, "read-write", "active"), 15_000);
-    until("the watch runs", || gateway.discovery.watches.load(Ordering::SeqCst) > 0);
+    let gateway = platform(
+        &target("s-00000001", nobody, "read-write", "active"),
+        15_000,
+    );
+    until("the watch runs", || {
+        gateway.discovery.watches.load(Ordering::SeqCst) > 0
+    });
     let mut client = Client::raw_with(gateway.address, &Client::opening());
     if how != Leaves::Resets {
         client.greeted();
     }
     client.send(&once_of(1, 5_000));
-    until("it was taken, and found no member", || tried.load(Ordering::SeqCst) > 0);
+    until("it was taken, and found no member", || {
+        tried.load(Ordering::SeqCst) > 0
+    });
     let _half = client.leave(how);
     // Behind its end: whoever comes now is dealt with after it.
     let mut next = Client::connect(gateway.address);
@@ -150,8 +198,14 @@
     // An eighth of 16 MB is for open requests: those who leave hold all of it.
     let (at, seen) = holding();
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":256,\"memory_mb\":16");
-    let gateway = platform_edited(&target("s-00000001", at, "read-write", "active"), 15_000, false, edit);
-    let large = |id| read_of(id, 5_000).replace("WHERE", &format!("/*{}*/ WHERE", "v".repeat(100_000)));
+    let gateway = platform_edited(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        false,
+        edit,
+    );
+    let large =
+        |id| read_of(id, 5_000).replace("WHERE", &format!("/*{}*/ WHERE", "v".repeat(100_000)));
     serves(&gateway, STAYS);
     let before = gateway.program.descriptors();
     for round in 1..4 {
@@ -164,7 +218,9 @@
             client.send(&large(round * 100 + id));
             leaving.push(client);
         }
-        until("the database has one", || ids(&seen).iter().any(|id| id / 100 == round));
+        until("the database has one", || {
+            ids(&seen).iter().any(|id| id / 100 == round)
+        });
         leaving.into_iter().for_each(|client| {
             // One that was refused has been told so, and may have been ended.
             if how == Leaves::Resets {
@@ -172,14 +228,24 @@
             }
             drop(client);
         });
-        until("their descriptors come back", || gateway.program.descriptors() <= before + 2);
+        until("their descriptors come back", || {
+            gateway.program.descriptors() <= before + 2
+        });
         let mut client = Client::connect(gateway.address);
         let id = STAYS + round;
-        assert_eq!(client.ask(&large(id)), Answer::Value(format!("x{id}")), "so does what their bytes took");
+        assert_eq!(
+            client.ask(&large(id)),
+            Answer::Value(format!("x{id}")),
+            "so does what their bytes took"
+        );
     }
     let sent: Vec<u32> = ids(&seen);
     let distinct: BTreeSet<&u32> = sent.iter().collect();
-    assert_eq!(distinct.len(), sent.len(), "nothing is sent on twice: {sent:?}");
+    assert_eq!(
+        distinct.len(),
+        sent.len(),
+        "nothing is sent on twice: {sent:?}"
+    );
 }
 
 #[test]
@@ -204,7 +270,12 @@
 fn many_that_send_much_at_once_and_go_leave_room_for_who_stays() {
     let (at, seen) = database("read-write", |_, q| Does::Say(echo_of(q)));
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":192,\"memory_mb\":24");
-    let gateway = platform_edited(&target("s-00000001", at, "read-write", "active"), 15_000, false, edit);
+    let gateway = platform_edited(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        false,
+        edit,
+    );
     serves(&gateway, STAYS);
     let before = gateway.program.descriptors();
     let (over, next) = (AtomicBool::new(false), AtomicUsize::new(1));
@@ -229,10 +300,15 @@
         }
     });
     assert!(served >= 95, "{served} of 100 were served");
-    until("all is given back", || gateway.program.descriptors() <= before + 2);
+    until("all is given back", || {
+        gateway.program.descriptors() <= before + 2
+    });
     let began = seen.count();
     serves(&gateway, STAYS + 200);
     // Who stays may have been refused and have asked once more.
     let since = ids(&seen).split_off(began);
-    assert!(since.iter().all(|id| *id == STAYS + 200), "nothing of theirs waits any more: {since:?}");
+    assert!(
+        since.iter().all(|id| *id == STAYS + 200),
+        "nothing of theirs waits any more: {since:?}"
+    );
 }
--- a/crates/gateway/tests/long.rs
+++ b/crates/gateway/tests/long.rs
@@ -15,13 +15,18 @@
 const LONG: usize = 64 * 1024;
 
 fn ask(class: &str, id: usize, d: u32) -> String {
-    let verb = if class == "read" { "SELECT body" } else { "INSERT" };
+    let verb = if class == "read" {
+        "SELECT body"
+    } else {
+        "INSERT"
+    };
     format!("/* id={id},c={class},t=acme,d={d},k=k{id},cluster=0 */ {verb} 'x{id}'")
 }
 
 /// A value of which no part looks like another.
 fn long(length: usize) -> String {
-    let all = (0..).flat_map(|n: u64| format!("{:x},", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes());
+    let all = (0..)
+        .flat_map(|n: u64| format!("{:x},", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).into_bytes());
     all.take(length).map(char::from).collect()
 }
 
@@ -54,7 +59,11 @@
     for id in 0..2 {
         assert!(client.ask(&ask("read", id, 5000)) == want);
     }
-    assert_eq!((seen.count(), seen.opened.load(Ordering::SeqCst)), (2, 1), "one connection carried both");
+    assert_eq!(
+        (seen.count(), seen.opened.load(Ordering::SeqCst)),
+        (2, 1),
+        "one connection carried both"
+    );
 }
 
 #[rstest]
@@ -67,15 +76,29 @@
     #[case] breaks: fn(Vec<u8>) -> Does,
 ) {
     let (gateway, seen) = before(move |n, q| {
-        let answer = tagged(&long(2 * LONG), if q.contains("INSERT") { "INSERT 0 1" } else { "SELECT 1" });
-        if n == 0 { breaks(answer) } else { Does::Say(answer) }
+        let answer = tagged(
+            &long(2 * LONG),
+            if q.contains("INSERT") {
+                "INSERT 0 1"
+            } else {
+                "SELECT 1"
+            },
+        );
+        if n == 0 {
+            breaks(answer)
+        } else {
+            Does::Say(answer)
+        }
     });
     let mut client = Client::connect(gateway.address);
     client.send(&ask(class, 1, 3000));
     assert_eq!(read_message(&mut client.0).unwrap().0, b'T');
     let mut rest = vec![];
     client.0.read_to_end(&mut rest).unwrap();
-    assert!(rest.len() > 1000 && !rest.ends_with(&ready()), "it had begun, and does not look whole");
+    assert!(
+        rest.len() > 1000 && !rest.ends_with(&ready()),
+        "it had begun, and does not look whole"
+    );
     let mut next = Client::connect(gateway.address);
     assert!(next.ask(&ask(class, 2, 3000)) == Answer::Value(long(2 * LONG)));
     assert_eq!(seen.count(), 2, "once each");
@@ -110,7 +133,11 @@
     assert_eq!(client.answer(), Answer::Value("x0".into()));
     gateway.program.terminate();
     for id in 1..5 {
-        let want = if id % 2 == 1 { long(2 * LONG) } else { format!("x{id}") };
+        let want = if id % 2 == 1 {
+            long(2 * LONG)
+        } else {
+            format!("x{id}")
+        };
         assert!(client.answer() == Answer::Value(want), "{id}");
     }
     assert!(gateway.program.ended().success());
@@ -123,7 +150,9 @@
     client.send(&ask("once", 1, 3000));
     client.0.read_exact(&mut [0; LONG / 2]).unwrap();
     drop(client);
-    until("its connection ends", || seen.closed.load(Ordering::SeqCst) == 1);
+    until("its connection ends", || {
+        seen.closed.load(Ordering::SeqCst) == 1
+    });
     assert_eq!(seen.count(), 1);
 }
 
@@ -145,9 +174,17 @@
     let answer = row(&long(4 * MIB));
     let (gateway, _) = before(move |_, _| Does::Say(answer.clone()));
     let peak = || {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.program.0.id())).unwrap();
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
-        line.split_whitespace().next().unwrap().parse::<usize>().unwrap()
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", gateway.program.0.id())).unwrap();
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .unwrap();
+        line.split_whitespace()
+            .next()
+            .unwrap()
+            .parse::<usize>()
+            .unwrap()
     };
     let mut peaks = vec![];
     for n in [1, 10, 50] {
@@ -172,5 +209,8 @@
         peaks.push(peak());
         println!("{n} values of 4 MiB at once: {} KiB at the most", peak());
     }
-    assert!(peaks[2] < peaks[0] + 50 * 160, "no more than 160 KiB for each: {peaks:?}");
+    assert!(
+        peaks[2] < peaks[0] + 50 * 160,
+        "no more than 160 KiB for each: {peaks:?}"
+    );
 }
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -1,5 +1,7 @@
 //! The operators' door of the running program: health and figures, beside what the stand-ins saw.
 
+#![expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
+
 mod support;
 
 use std::collections::BTreeMap;
@@ -19,11 +21,16 @@
 fn call(at: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(at).expect("the door is open");
     stream.set_read_timeout(Some(WAIT)).unwrap();
-    stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).unwrap();
+    stream
+        .write_all(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())
+        .unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
-    (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
+    (
+        head.split(' ').nth(1).unwrap().parse().unwrap(),
+        body.to_owned(),
+    )
 }
 
 /// All figures by name, as one answer has them.
@@ -34,12 +41,15 @@
         let (name, value) = line.strip_prefix("balancer.")?.split_once(':')?;
         Some((name.to_owned(), value.split('|').next()?.parse().ok()?))
     };
-    text.lines().map(|line| one(line).unwrap_or_else(|| panic!("{line:?} is a figure"))).collect()
+    text.lines()
+        .map(|line| one(line).unwrap_or_else(|| panic!("{line:?} is a figure")))
+        .collect()
 }
 
 fn figure(at: SocketAddr, name: &str) -> u64 {
     let all = figures(at);
-    *all.get(name).unwrap_or_else(|| panic!("{name} is among {all:?}"))
+    *all.get(name)
+        .unwrap_or_else(|| panic!("{name} is among {all:?}"))
 }
 
 /// Within the page's slack for attempts.
@@ -61,7 +71,9 @@
 }
 
 fn read(id: u32) -> String {
-    format!("/* id={id},c=read,t=acme,d=5000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'")
+    format!(
+        "/* id={id},c=read,t=acme,d=5000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
+    )
 }
 
 fn once(id: u32) -> String {
@@ -90,21 +102,45 @@
     // It may have run: it fails, and is not sent again.
     assert!(matches!(client.ask(&once(20)), Answer::Error(code, _) if code != "53300"));
     client.send(&read(9));
-    until("the database has it", || seen.queries.lock().unwrap().iter().any(|q| q.1.contains("id=9,")));
+    until("the database has it", || {
+        seen.queries
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|q| q.1.contains("id=9,"))
+    });
     until("one is open", || figure(door, "open_requests") == 1);
-    let attempts = |class: &str| seen.queries.lock().unwrap().iter().filter(|q| q.1.contains(class)).count();
-    until("attempts", || figure(door, "operations.read.relayed") == attempts("c=read") as u64);
-    assert_eq!(figure(door, "operations.once.relayed"), attempts("c=once") as u64);
+    let attempts = |class: &str| {
+        seen.queries
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|q| q.1.contains(class))
+            .count()
+    };
+    until("attempts", || {
+        figure(door, "operations.read.relayed") == attempts("c=read") as u64
+    });
+    assert_eq!(
+        figure(door, "operations.once.relayed"),
+        attempts("c=once") as u64
+    );
     assert_eq!(figure(door, "operations.read.fulfilled"), 8);
     assert_eq!(figure(door, "operations.once.faulted"), 1);
     assert_eq!(figure(door, "registry_entries"), 1);
     let change = target("s-00000001", database_at, "read-write", "leaving");
     gateway.discovery.changes.lock().unwrap().push(change);
     until("it is avoided", || figure(door, "out_of_rotation") == 1);
-    assert!(matches!(client.answer(), Answer::Error(..)), "no answer came in time");
+    assert!(
+        matches!(client.answer(), Answer::Error(..)),
+        "no answer came in time"
+    );
     until("none is open", || figure(door, "open_requests") == 0);
     let ended = |what: &str| figure(door, &format!("operations.read.{what}"));
-    assert_eq!(ended("fulfilled") + ended("throttled") + ended("faulted"), 9);
+    assert_eq!(
+        ended("fulfilled") + ended("throttled") + ended("faulted"),
+        9
+    );
     gateway.program.terminate();
     until("it says no", || call(door, "/admin/health").0 == 503);
 }
@@ -136,22 +172,31 @@
 fn the_agent_the_ledger_and_the_figures_say_the_same_to_the_request() {
     let ((pg, databases), (cql, nodes)) = (seen_databases(), seen_nodes());
     let (mut watched, door) = told(pg, cql);
-    until("it is ready", || call(door, "/admin/health") == (200, "ready\n".into()));
-    until("the members of both fronts are listed", || figure(door, "registry_entries") == 4);
+    until("it is ready", || {
+        call(door, "/admin/health") == (200, "ready\n".into())
+    });
+    until("the members of both fronts are listed", || {
+        figure(door, "registry_entries") == 4
+    });
     let stop = AtomicBool::new(false);
     let (pg, cql) = (AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
         let _stops = Stops(&stop);
         for n in 0..4 {
             let (stop, pg, cql, watched) = (&stop, &pg, &cql, &watched);
-            scope.spawn(move || pg.fetch_add(load_pg(watched.pg, n * 1000, stop), Ordering::SeqCst));
-            scope.spawn(move || cql.fetch_add(load_cql(watched.cql, n * 1000, stop), Ordering::SeqCst));
+            scope
+                .spawn(move || pg.fetch_add(load_pg(watched.pg, n * 1000, stop), Ordering::SeqCst));
+            scope.spawn(move || {
+                cql.fetch_add(load_cql(watched.cql, n * 1000, stop), Ordering::SeqCst)
+            });
         }
         let mut last = figures(door);
         for _ in 0..10 {
             wait(Duration::from_millis(200));
             let now = figures(door);
-            let falls = last.iter().find(|(name, n)| name.starts_with("operations") && now[*name] < **n);
+            let falls = last
+                .iter()
+                .find(|(name, n)| name.starts_with("operations") && now[*name] < **n);
             assert_eq!(falls, None, "counts grow");
             last = now;
         }
@@ -163,7 +208,9 @@
             some("fulfilled")
                 && some("throttled")
                 && some("faulted")
-                && sent.iter().all(|class| now[&format!("operations.{class}.relayed")] > 0)
+                && sent
+                    .iter()
+                    .all(|class| now[&format!("operations.{class}.relayed")] > 0)
         });
     });
     let asked = (pg.into_inner() + cql.into_inner()) as u64;
@@ -176,7 +223,10 @@
         ("stays", "prepare"),
     ];
     let row = |walk: &Walk, (front, class): (&str, &str), column: u32| {
-        walk.counters.get(&[own(&[3, 1, column]), index(front), index(class)].concat()).copied().unwrap_or(0)
+        walk.counters
+            .get(&[own(&[3, 1, column]), index(front), index(class)].concat())
+            .copied()
+            .unwrap_or(0)
     };
     let mut walk = Walk::default();
     until("all that was asked has ended and is shown", || {
@@ -188,11 +238,21 @@
     let told = |class: &str, what: &str| shown[&format!("operations.{class}.{what}")];
     let (log, lines) = audit(&watched.dir);
     assert_eq!(lines, asked);
-    let queries: Vec<String> =
-        databases.iter().flat_map(|d| d.queries.lock().unwrap().clone()).map(|q| q.1).collect();
+    let queries: Vec<String> = databases
+        .iter()
+        .flat_map(|d| d.queries.lock().unwrap().clone())
+        .map(|q| q.1)
+        .collect();
     let frames: Vec<String> = nodes
         .iter()
-        .flat_map(|n| n.seen.lock().unwrap().iter().map(|(_, _, f)| f.body.clone()).collect::<Vec<_>>())
+        .flat_map(|n| {
+            n.seen
+                .lock()
+                .unwrap()
+                .iter()
+                .map(|(_, _, f)| f.body.clone())
+                .collect::<Vec<_>>()
+        })
         .map(|body| String::from_utf8_lossy(&body).into_owned())
         .collect();
     for (front, class) in classes {
@@ -200,20 +260,40 @@
         let counts = ["fulfilled", "throttled", "faulted"].map(|what| told(class, what));
         assert_eq!(
             counts,
-            [row(&walk, at, 4) + row(&walk, at, 5), row(&walk, at, 6), row(&walk, at, 7)],
+            [
+                row(&walk, at, 4) + row(&walk, at, 5),
+                row(&walk, at, 6),
+                row(&walk, at, 7)
+            ],
             "{at:?}"
         );
-        let key = Key { scope: Scope::Class, front: front.into(), name: class.into() };
+        let key = Key {
+            scope: Scope::Class,
+            front: front.into(),
+            name: class.into(),
+        };
         let Some(written) = log.get(&key) else {
             assert_eq!((class, counts), ("prepare", [0; 3]));
             continue;
         };
         let served = written.get(Cell::InTime) + written.get(Cell::Late);
-        assert_eq!(counts, [served, written.refused(), written.failed()], "{at:?}");
+        assert_eq!(
+            counts,
+            [served, written.refused(), written.failed()],
+            "{at:?}"
+        );
         // The ledger counts an attempt by its end: some ends say that it never left, and some do not say.
-        let of = |ends: &[AttemptOutcome]| ends.iter().map(|o| written.get(Cell::Attempt(*o))).sum::<u64>();
+        let of = |ends: &[AttemptOutcome]| {
+            ends.iter()
+                .map(|o| written.get(Cell::Attempt(*o)))
+                .sum::<u64>()
+        };
         let never = of(&[AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent]);
-        let perhaps = of(&[AttemptOutcome::Cancelled, AttemptOutcome::Timeout, AttemptOutcome::Unfinished]);
+        let perhaps = of(&[
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::Timeout,
+            AttemptOutcome::Unfinished,
+        ]);
         let relayed = told(class, "relayed");
         let most = written.attempts() - never;
         assert!(
@@ -227,7 +307,11 @@
             "stay-write" => "INSERT",
             _ => "DELETE",
         };
-        let members = if front == "bookings" { &queries } else { &frames };
+        let members = if front == "bookings" {
+            &queries
+        } else {
+            &frames
+        };
         let came = members.iter().filter(|q| q.contains(word)).count() as u64;
         println!("{front} {class}: {counts:?}, {relayed} relayed, {came} came");
         // What was on its way when a member ended the connection, on which others were, it did not read.
@@ -274,11 +358,22 @@
     let text = "INSERT INTO s (a) VALUES (?)";
     assert_eq!(client.ask(1, (0x09, cql::long(text))).op, cql::RESULT);
     known.lock().unwrap().clear();
-    let execute = (0x0a, [&cql::short(text.as_bytes())[..], &[0, 1, 0]].concat());
+    let execute = (
+        0x0a,
+        [&cql::short(text.as_bytes())[..], &[0, 1, 0]].concat(),
+    );
     assert_eq!(client.ask(2, execute).op, cql::RESULT);
-    let ops: Vec<u8> = seen.seen.lock().unwrap().iter().map(|(_, _, f)| f.op).collect();
+    let ops: Vec<u8> = seen
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|(_, _, f)| f.op)
+        .collect();
     assert_eq!(ops, [0x09, 0x0a, 0x09, 0x0a]);
-    until("they are counted", || figure(door, "operations.prepare.relayed") == 1);
+    until("they are counted", || {
+        figure(door, "operations.prepare.relayed") == 1
+    });
     assert_eq!(figure(door, "operations.stay-write.relayed"), 1);
     assert_eq!(figure(door, "operations.stay-write.fulfilled"), 1);
 }
@@ -304,7 +399,8 @@
     }
 
     fn all(&self) -> [u64; 4] {
-        [&self.values, &self.refused, &self.failed, &self.left].map(|n| n.load(Ordering::SeqCst) as u64)
+        [&self.values, &self.refused, &self.failed, &self.left]
+            .map(|n| n.load(Ordering::SeqCst) as u64)
     }
 }
 
@@ -315,7 +411,8 @@
         let mut client = Client::connect(address);
         client.send(&statement(1));
         heard.note(&client.answer());
-        words += usize::from(matches!(client.answer(), Answer::Error(code, Some(_)) if code == "53300"));
+        words +=
+            usize::from(matches!(client.answer(), Answer::Error(code, Some(_)) if code == "53300"));
     }
     words
 }
@@ -346,7 +443,8 @@
 }
 
 #[test]
-fn under_resets_leavers_refusals_last_words_and_drains_the_figures_are_what_clients_and_databases_saw() {
+fn under_resets_leavers_refusals_last_words_and_drains_the_figures_are_what_clients_and_databases_saw()
+ {
     let (members, seen) = seen_databases();
     let door = free_address();
     let known = [
@@ -356,11 +454,15 @@
     let gateway = platform_edited(&known.join(","), 15_000, false, |text| {
         text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
     });
-    let (stop, calm, heard) =
-        (AtomicBool::new(false), AtomicBool::new(false), [Heard::default(), Heard::default()]);
+    let (stop, calm, heard) = (
+        AtomicBool::new(false),
+        AtomicBool::new(false),
+        [Heard::default(), Heard::default()],
+    );
     let sum = |all: [u64; 4]| all[..3].iter().sum::<u64>();
     let ended = |shown: &BTreeMap<String, u64>, class: &str| {
-        ["fulfilled", "throttled", "faulted"].map(|what| shown[&format!("operations.{class}.{what}")])
+        ["fulfilled", "throttled", "faulted"]
+            .map(|what| shown[&format!("operations.{class}.{what}")])
     };
     let stay: Vec<Option<Client>> = thread::scope(|scope| {
         let _stops = (Stops(&stop), Stops(&calm));
@@ -375,7 +477,9 @@
             let state = if n % 2 == 0 { "leaving" } else { "active" };
             let change = target("s-00000002", members[1].1, "read-only", state);
             gateway.discovery.changes.lock().unwrap().push(change);
-            until("the drain, or its end, is seen", || figure(door, "out_of_rotation") == (n + 1) % 2);
+            until("the drain, or its end, is seen", || {
+                figure(door, "out_of_rotation") == (n + 1) % 2
+            });
             wait(Duration::from_millis(150));
             let before = [heard[0].all(), heard[1].all()];
             let now = figures(door);
@@ -387,7 +491,9 @@
                 );
             }
         }
-        until("there is some of each", || heard.iter().all(|h| h.all().iter().all(|n| *n > 0)));
+        until("there is some of each", || {
+            heard.iter().all(|h| h.all().iter().all(|n| *n > 0))
+        });
         calm.store(true, Ordering::SeqCst);
         assert!(words.join().unwrap() > 0, "some heard a last word");
         gateway.program.terminate();
@@ -407,19 +513,32 @@
         let relayed = shown[&format!("operations.{class}.relayed")];
         let of_class = format!("c={class},");
         let came = |seen: &Arc<Seen>| {
-            seen.queries.lock().unwrap().iter().filter(|q| q.1.contains(&of_class)).count()
+            seen.queries
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|q| q.1.contains(&of_class))
+                .count()
         };
         let came = seen.iter().map(came).sum::<usize>() as u64;
-        println!("{class}: told {told:?}, {relayed} relayed; heard, and left {heard:?}, {came} came");
+        println!(
+            "{class}: told {told:?}, {relayed} relayed; heard, and left {heard:?}, {came} came"
+        );
         // What was left may be counted as what became of it.
         let left = heard[3];
         assert!(
             (0..3).all(|n| (heard[n]..=heard[n] + left).contains(&told[n])),
             "{class}: {told:?}, {heard:?}"
         );
-        assert!(told.iter().sum::<u64>() <= sum(heard) + left, "{class}: {told:?}, {heard:?}");
+        assert!(
+            told.iter().sum::<u64>() <= sum(heard) + left,
+            "{class}: {told:?}, {heard:?}"
+        );
         assert!(heard.iter().all(|n| *n > 0), "of each some: {heard:?}");
-        assert!(near(relayed, came), "{class}: {relayed} relayed, {came} came");
+        assert!(
+            near(relayed, came),
+            "{class}: {relayed} relayed, {came} came"
+        );
     }
     drop(stay);
 }
@@ -430,21 +549,32 @@
     let (at, seen) = database("read-write", |_, _| Does::Stall(vec![]));
     let door = free_address();
     // An eighth of it is for the bytes of open requests: twenty of these.
-    let gateway = platform_edited(&target("s-00000001", at, "read-write", "active"), 15_000, false, |text| {
-        let text = text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
-        text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
-    });
-    let mut clients: Vec<Client> = (0..WRITES).map(|_| Client::connect(gateway.address)).collect();
+    let gateway = platform_edited(
+        &target("s-00000001", at, "read-write", "active"),
+        15_000,
+        false,
+        |text| {
+            let text = text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
+            text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
+        },
+    );
+    let mut clients: Vec<Client> = (0..WRITES)
+        .map(|_| Client::connect(gateway.address))
+        .collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.send(
-            &once(id).replace("d=3000", "d=1500").replace("'1'", &format!("'{}'", "9".repeat(100_000))),
+            &once(id)
+                .replace("d=3000", "d=1500")
+                .replace("'1'", &format!("'{}'", "9".repeat(100_000))),
         );
     }
     let answers: Vec<Answer> = clients.iter_mut().map(Client::answer).collect();
-    let refused =
-        answers.iter().filter(|a| matches!(a, Answer::Error(code, _) if code == "53300")).count() as u64;
-    let told =
-        ["fulfilled", "throttled", "faulted"].map(|what| figure(door, &format!("operations.once.{what}")));
+    let refused = answers
+        .iter()
+        .filter(|a| matches!(a, Answer::Error(code, _) if code == "53300"))
+        .count() as u64;
+    let told = ["fulfilled", "throttled", "faulted"]
+        .map(|what| figure(door, &format!("operations.once.{what}")));
     assert_eq!(told, [0, refused, WRITES as u64 - refused]);
     assert!(refused >= 20, "{refused}");
     assert_eq!(figure(door, "operations.once.relayed"), seen.count() as u64);
@@ -459,12 +589,20 @@
 ) {
     let other = std::net::TcpListener::bind(free_address()).unwrap();
     let path = folder().join("gateway.toml");
-    let text = include_str!("../../../deploy/gateway.toml")
-        .replace("valehatch-state", &folder().join("state").display().to_string());
+    let text = include_str!("../../../deploy/gateway.toml").replace(
+        "valehatch-state",
+        &folder().join("state").display().to_string(),
+    );
     let listen = listen(other.local_addr().unwrap());
     std::fs::write(&path, format!("mgmt = {{ listen = \"{listen}\" }}\n{text}")).unwrap();
     let program = std::process::Command::new(env!("CARGO_BIN_EXE_valehatch"));
-    let out = { program }.args(["serve", path.to_str().unwrap()]).output().unwrap();
+    let out = { program }
+        .args(["serve", path.to_str().unwrap()])
+        .output()
+        .unwrap();
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(out.status.code() == Some(2) && said.contains(wanted), "{said}");
+    assert!(
+        out.status.code() == Some(2) && said.contains(wanted),
+        "{said}"
+    );
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -37,7 +37,13 @@
         let fronts = (0..size).map(|_| free_address()).collect();
         let (database, _) = database("read-write", |_, _| Does::Say(row("here")));
         let programs = (0..size).map(|_| None).collect();
-        let mut fleet = Self { relays, fronts, real, database, programs };
+        let mut fleet = Self {
+            relays,
+            fronts,
+            real,
+            database,
+            programs,
+        };
         (0..size).for_each(|n| fleet.start(n));
         fleet
     }
@@ -79,8 +85,12 @@
     fn living(&self, n: usize) -> BTreeSet<SocketAddr> {
         let mut living = BTreeSet::new();
         for line in self.log(n).lines() {
-            let Some((_, told)) = line.split_once("peers: ") else { continue };
-            let Some((peer, what)) = told.split_once(' ') else { continue };
+            let Some((_, told)) = line.split_once("peers: ") else {
+                continue;
+            };
+            let Some((peer, what)) = told.split_once(' ') else {
+                continue;
+            };
             let Ok(peer) = peer.parse() else { continue };
             match what {
                 "is there" | "has started anew" | "answers after all" | "does not answer" => {
@@ -95,7 +105,9 @@
 
     /// Waits until each that runs takes just those for living that run.
     fn agrees(&self, what: &str) {
-        let running: Vec<usize> = (0..self.programs.len()).filter(|n| self.programs[*n].is_some()).collect();
+        let running: Vec<usize> = (0..self.programs.len())
+            .filter(|n| self.programs[*n].is_some())
+            .collect();
         until(what, || {
             running.iter().all(|n| {
                 let others = running.iter().filter(|o| *o != n).map(|o| self.known(*o));
@@ -108,13 +120,18 @@
     fn view(&self, n: usize) -> Option<(usize, String)> {
         let log = self.log(n);
         let last = log.lines().rfind(|l| l.contains("peers: the view is "))?;
-        let (members, rest) = last.split_once("is settled: ")?.1.split_once(" gateways hold ")?;
+        let (members, rest) = last
+            .split_once("is settled: ")?
+            .1
+            .split_once(" gateways hold ")?;
         Some((members.parse().ok()?, rest.split(',').next()?.to_owned()))
     }
 
     /// Waits until each that runs says that its view is settled, with so many in it, and the same one.
     fn settles(&self, members: usize, what: &str) {
-        let running: Vec<usize> = (0..self.programs.len()).filter(|n| self.programs[*n].is_some()).collect();
+        let running: Vec<usize> = (0..self.programs.len())
+            .filter(|n| self.programs[*n].is_some())
+            .collect();
         until(what, || {
             let views: BTreeSet<_> = running.iter().map(|n| self.view(*n)).collect();
             views.len() == 1 && views.iter().flatten().any(|v| v.0 == members)
@@ -122,9 +139,18 @@
     }
 
     fn serves(&self) {
-        for front in self.programs.iter().zip(&self.fronts).filter(|(p, _)| p.is_some()).map(|(_, f)| *f) {
+        for front in self
+            .programs
+            .iter()
+            .zip(&self.fronts)
+            .filter(|(p, _)| p.is_some())
+            .map(|(_, f)| *f)
+        {
             let query = "/* id=1,c=read,t=acme,d=5000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x'";
-            assert_eq!(Client::connect(front).ask(query), Answer::Value("here".into()));
+            assert_eq!(
+                Client::connect(front).ask(query),
+                Answer::Value("here".into())
+            );
         }
     }
 }
@@ -140,14 +166,19 @@
     let mut fleet = Fleet::new(7);
     fleet.agrees("all know all");
     // More than the three that the file says: what is shared is divided by more, at once.
-    fleet.programs[3].as_ref().unwrap().says("what is shared is divided by 7");
+    fleet.programs[3]
+        .as_ref()
+        .unwrap()
+        .says("what is shared is divided by 7");
     fleet.kill(&[0, 1, 2, 4, 5]);
     [0, 1, 2, 4, 5].into_iter().for_each(|n| fleet.start(n));
     fleet.agrees("all know all again, the seeds among them");
     fleet.settles(7, "all hold the same after the kill");
     fleet.serves();
     let anew = format!("peers: {} has started anew", fleet.known(4));
-    until("it is told from its former self", || fleet.log(3).contains(&anew) && fleet.log(6).contains(&anew));
+    until("it is told from its former self", || {
+        fleet.log(3).contains(&anew) && fleet.log(6).contains(&anew)
+    });
 }
 
 #[test]
@@ -156,7 +187,9 @@
     fleet.agrees("all know all");
     fleet.programs[2].as_ref().unwrap().terminate();
     let left = format!("peers: {} has ended as planned", fleet.known(2));
-    until("they heard of its end", || [0, 1, 3].iter().all(|n| fleet.log(*n).contains(&left)));
+    until("they heard of its end", || {
+        [0, 1, 3].iter().all(|n| fleet.log(*n).contains(&left))
+    });
     fleet.programs[2].as_mut().unwrap().ended();
     fleet.programs[2] = None;
     fleet.kill(&[3]);
@@ -175,14 +208,19 @@
     let stopped = fleet.known(3);
     fleet.programs[3].as_ref().unwrap().signal("STOP");
     let dead = format!("peers: {stopped} counts as dead");
-    until("the others miss it", || (0..3).all(|n| fleet.log(n).contains(&dead)));
+    until("the others miss it", || {
+        (0..3).all(|n| fleet.log(n).contains(&dead))
+    });
     // Only now: while it stands still it says nothing, and what it said just before has been read.
     let before = fleet.log(3).len();
     fleet.programs[3].as_ref().unwrap().signal("CONT");
     fleet.agrees("it is one of them again");
     fleet.settles(4, "all hold the same after the sleep");
     let said = fleet.log(3)[before..].to_owned();
-    let first = said.lines().find(|l| l.contains("peers: ")).unwrap_or_default();
+    let first = said
+        .lines()
+        .find(|l| l.contains("peers: "))
+        .unwrap_or_default();
     assert!(first.contains("this gateway stood still for"), "{said}");
     assert!(!said.contains("counts as dead"), "{said}");
     fleet.serves();
@@ -196,12 +234,18 @@
     fleet.agrees("all know all");
     let halves: Vec<(usize, usize)> = (0..3).flat_map(|a| (3..6).map(move |b| (a, b))).collect();
     let back = halves.iter().filter(|_| both).map(|(a, b)| (*b, *a));
-    fleet.relays.set(Weather { cut: halves.iter().copied().chain(back).collect(), ..Weather::default() });
+    fleet.relays.set(Weather {
+        cut: halves.iter().copied().chain(back).collect(),
+        ..Weather::default()
+    });
     let other_half: BTreeSet<SocketAddr> = (0..3).map(|n| fleet.known(n)).collect();
-    until("the half that hears nothing of the other gives it up", || {
-        (3..6).all(|n| fleet.living(n).is_disjoint(&other_half))
+    until(
+        "the half that hears nothing of the other gives it up",
+        || (3..6).all(|n| fleet.living(n).is_disjoint(&other_half)),
+    );
+    until("each half is settled by itself", || {
+        (0..6).all(|n| fleet.view(n).is_some_and(|v| v.0 == 3))
     });
-    until("each half is settled by itself", || (0..6).all(|n| fleet.view(n).is_some_and(|v| v.0 == 3)));
     fleet.serves();
     fleet.relays.set(Weather::default());
     fleet.agrees("one fleet again");
@@ -220,9 +264,11 @@
     fleet.kill(&[0, 1, 2, 3, 4]);
     (0..5).for_each(|n| fleet.start(n));
     let found = |n: usize| {
-        (0..5)
-            .filter(|o| *o != n)
-            .all(|o| fleet.log(n).contains(&format!("peers: {} is there", fleet.known(o))))
+        (0..5).filter(|o| *o != n).all(|o| {
+            fleet
+                .log(n)
+                .contains(&format!("peers: {} is there", fleet.known(o)))
+        })
     };
     until("each has met each", || (0..5).all(found));
     fleet.serves();
@@ -231,8 +277,10 @@
     fleet.settles(5, "and all hold the same");
     // 256 bytes are the most that the platform's networks carry whole.
     for n in 0..5 {
-        let (sent, bytes) =
-            (fleet.relays.sent[n].load(Ordering::Relaxed), fleet.relays.bytes[n].load(Ordering::Relaxed));
+        let (sent, bytes) = (
+            fleet.relays.sent[n].load(Ordering::Relaxed),
+            fleet.relays.bytes[n].load(Ordering::Relaxed),
+        );
         assert!(sent > 0 && bytes <= sent * 256, "{bytes} bytes in {sent}");
     }
 }
@@ -253,7 +301,9 @@
     std::fs::write(&path, config(front, fleet.database, &peers)).unwrap();
     let other = Program::start(&["serve", path.to_str().unwrap()], None, front);
     for n in 0..300_usize {
-        let bytes: Vec<u8> = (0..n).map(|b| u8::try_from((b * n) % 251).unwrap()).collect();
+        let bytes: Vec<u8> = (0..n)
+            .map(|b| u8::try_from((b * n) % 251).unwrap())
+            .collect();
         stranger.send_to(&bytes, fleet.real[n % 3]).unwrap();
     }
     // They go on as before: one that ends is still missed, and by then the other fleet's has asked often.
@@ -264,7 +314,11 @@
     fleet.serves();
     assert!(!other.log().contains(" is there"));
     let strangers = [listen, stranger.local_addr().unwrap()];
-    assert!((0..2).all(|n| strangers.iter().all(|s| !fleet.log(n).contains(&s.to_string()))));
+    assert!((0..2).all(|n| {
+        strangers
+            .iter()
+            .all(|s| !fleet.log(n).contains(&s.to_string()))
+    }));
 }
 
 #[test]
@@ -272,10 +326,17 @@
     let mut fleet = Fleet::new(5);
     fleet.kill(&[4]);
     fleet.settles(4, "four without the fifth");
-    fleet.relays.set(Weather { namesake: Some((4, 3)), ..Weather::default() });
+    fleet.relays.set(Weather {
+        namesake: Some((4, 3)),
+        ..Weather::default()
+    });
     fleet.start_as(4, fleet.known(3));
     until("both are told", || {
-        [3, 4].iter().all(|n| fleet.log(*n).contains("another gateway has this one's address"))
+        [3, 4].iter().all(|n| {
+            fleet
+                .log(*n)
+                .contains("another gateway has this one's address")
+        })
     });
     fleet.settles(4, "four names, and all five hold the same");
     fleet.serves();
@@ -287,16 +348,29 @@
 #[case::no_seed("listen = \"127.0.0.1:7946\"\nseeds = [\"here\"]", "peers.seeds")]
 #[case::nobody("listen = \"127.0.0.1:7946\"", "peers.seeds")]
 #[case::no_network("listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/99\"]", "peers.from")]
-#[case::too_fast("listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/8\"]\nprobe-ms = 1", "peers.probe-ms")]
-#[case::unknown("listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/8\"]\nport = 1", "peers.port")]
+#[case::too_fast(
+    "listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/8\"]\nprobe-ms = 1",
+    "peers.probe-ms"
+)]
+#[case::unknown(
+    "listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/8\"]\nport = 1",
+    "peers.port"
+)]
 fn what_is_wrong_with_the_peers_is_named(#[case] peers: &str, #[case] key: &str) {
     let path = folder().join("gateway.toml");
-    let text = config(free_address(), free_address(), &format!("[peers]\nfleet = \"test\"\n{peers}\n"));
+    let text = config(
+        free_address(),
+        free_address(),
+        &format!("[peers]\nfleet = \"test\"\n{peers}\n"),
+    );
     std::fs::write(&path, text).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_valehatch"))
         .args(["check", path.to_str().unwrap()])
         .output()
         .unwrap();
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.code() == Some(2) && said.contains(key), "{said}");
+    assert!(
+        output.status.code() == Some(2) && said.contains(key),
+        "{said}"
+    );
 }
--- a/crates/gateway/tests/pipeline.rs
+++ b/crates/gateway/tests/pipeline.rs
@@ -12,7 +12,9 @@
 const MORE: Duration = Duration::from_millis(150);
 
 fn read(id: u32, d: u32) -> String {
-    format!("/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'")
+    format!(
+        "/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
+    )
 }
 
 /// The oid of a query as the value, so that an answer shows whose it is.
@@ -22,7 +24,13 @@
 
 /// What a query was told that its client will wait.
 fn told(query: &str) -> Duration {
-    let d = query.split(",d=").nth(1).unwrap().split(',').next().unwrap();
+    let d = query
+        .split(",d=")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap();
     Duration::from_millis(d.parse().unwrap())
 }
 
@@ -37,17 +45,25 @@
         }
         Does::Say(echo(q))
     });
-    let members: Vec<_> = (1..=8).map(|n| target(&format!("s-{n:08x}"), at, "read-only", "active")).collect();
+    let members: Vec<_> = (1..=8)
+        .map(|n| target(&format!("s-{n:08x}"), at, "read-only", "active"))
+        .collect();
     let gateway = platform(&members.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     let asked = Instant::now();
     for id in 1..=ASKED {
         client.send(&read(u32::try_from(id).unwrap(), 4_000));
     }
-    until("all have begun though the first has no answer", || seen.count() == ASKED);
+    until("all have begun though the first has no answer", || {
+        seen.count() == ASKED
+    });
     go.store(true, Ordering::SeqCst);
     for id in 1..=ASKED {
-        assert_eq!(client.answer(), Answer::Value(format!("x{id}")), "in their order");
+        assert_eq!(
+            client.answer(),
+            Answer::Value(format!("x{id}")),
+            "in their order"
+        );
     }
     for (when, passed, _) in &*seen.queries.lock().unwrap() {
         let left = Duration::from_millis(4_000).saturating_sub(*when - asked);
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -23,13 +23,24 @@
 }
 
 fn wall_ms() -> u64 {
-    u64::try_from(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()).unwrap()
+    u64::try_from(
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_millis(),
+    )
+    .unwrap()
 }
 
 impl Site {
     fn new(list: String) -> Self {
         let (at, discovery) = Discovery::start(list);
-        Self { front: free_address(), discovery, at, dir: folder().join("state") }
+        Self {
+            front: free_address(),
+            discovery,
+            at,
+            dir: folder().join("state"),
+        }
     }
 
     fn start(&self, every_ms: u32) -> Program {
@@ -74,7 +85,11 @@
     }
 
     fn ask(&self, class: &str) -> Answer {
-        let verb = if class == "read" { "SELECT body FROM objects" } else { "INSERT INTO objects" };
+        let verb = if class == "read" {
+            "SELECT body FROM objects"
+        } else {
+            "INSERT INTO objects"
+        };
         let query = format!("/* id=1,c={class},t=acme,d=3000,cluster=0 */ {verb} WHERE oid = 'x'");
         Client::connect(self.front).ask(&query)
     }
@@ -90,7 +105,8 @@
 }
 
 #[test]
-fn with_discovery_silent_a_restart_serves_from_its_own_list_and_is_full_when_discovery_has_confirmed_it() {
+fn with_discovery_silent_a_restart_serves_from_its_own_list_and_is_full_when_discovery_has_confirmed_it()
+ {
     let (at, _) = database("read-write", |_, _| Does::Say(row("here")));
     let site = Site::new(target("a", at, "read-write", "active"));
     let program = site.start(20);
@@ -100,7 +116,11 @@
     kill(program);
     site.silence(true);
     let program = site.start(20);
-    assert_eq!(site.ask("read"), here(), "at once: nobody has to be asked first");
+    assert_eq!(
+        site.ask("read"),
+        here(),
+        "at once: nobody has to be asked first"
+    );
     until("recovering", || site.is("recovering", "list"));
     site.silence(false);
     until("full again", || site.is("full", "took-ms"));
@@ -119,20 +139,37 @@
 fn a_believed_primary_is_tried_first_and_proves_itself() {
     let (old, wrong) = database("read-only", |_, _| Does::Say(error("25006")));
     let (new, right) = database("read-write", |_, q| {
-        Does::Say(if q.contains("INSERT") { tagged("here", "INSERT 0 1") } else { row("here") })
+        Does::Say(if q.contains("INSERT") {
+            tagged("here", "INSERT 0 1")
+        } else {
+            row("here")
+        })
     });
-    let list = [target("a", old, "read-write", "active"), target("b", new, "read-only", "active")].join(",");
+    let list = [
+        target("a", old, "read-write", "active"),
+        target("b", new, "read-only", "active"),
+    ]
+    .join(",");
     let site = Site::new(list);
     let program = site.start(20);
     until("the search has found it", || site.ask("once") == here());
-    site.keeps("the belief", |s| s.fronts[0].primaries.iter().any(|p| p.member == "b" && p.proved));
+    site.keeps("the belief", |s| {
+        s.fronts[0]
+            .primaries
+            .iter()
+            .any(|p| p.member == "b" && p.proved)
+    });
     let before = (wrong.count(), right.count());
     assert!(before.0 > 0, "the list's word was tried at first");
     kill(program);
     site.silence(true);
     let _program = site.start(20);
     assert_eq!(site.ask("once"), here());
-    assert_eq!((wrong.count(), right.count()), (before.0, before.1 + 1), "straight to it");
+    assert_eq!(
+        (wrong.count(), right.count()),
+        (before.0, before.1 + 1),
+        "straight to it"
+    );
 }
 
 #[test]
@@ -152,13 +189,28 @@
     };
     let ((one, first), (two, second)) = (member(false), member(true));
     let now = || UNIX_EPOCH.elapsed().unwrap().as_secs_f64();
-    let stats = |primary: bool| Some(format!("x0={},x1={},util=0.1,inflight=0", now(), u8::from(primary)));
+    let stats = |primary: bool| {
+        Some(format!(
+            "x0={},x1={},util=0.1,inflight=0",
+            now(),
+            u8::from(primary)
+        ))
+    };
     (*first.stats.lock().unwrap(), *second.stats.lock().unwrap()) = (stats(true), stats(false));
-    let list = [target("a", one, "read-write", "active"), target("b", two, "read-only", "active")].join(",");
+    let list = [
+        target("a", one, "read-write", "active"),
+        target("b", two, "read-only", "active"),
+    ]
+    .join(",");
     let site = Site::new(list);
     let program = site.start(20);
     until("served by the first", || site.ask("once") == here());
-    site.keeps("the belief", |s| s.fronts[0].primaries.iter().any(|p| p.member == "a" && p.proved));
+    site.keeps("the belief", |s| {
+        s.fronts[0]
+            .primaries
+            .iter()
+            .any(|p| p.member == "a" && p.proved)
+    });
     kill(program);
     changed.store(true, Ordering::SeqCst);
     (*first.stats.lock().unwrap(), *second.stats.lock().unwrap()) = (stats(false), stats(true));
@@ -177,13 +229,24 @@
 fn a_member_that_was_leaving_gets_nothing_after_a_restart_until_discovery_says_otherwise() {
     let (one, _) = database("read-write", |_, _| Does::Say(row("here")));
     let (two, leaving) = database("read-only", |_, _| Does::Say(row("here")));
-    let list = [target("a", one, "read-write", "active"), target("b", two, "read-only", "active")].join(",");
+    let list = [
+        target("a", one, "read-write", "active"),
+        target("b", two, "read-only", "active"),
+    ]
+    .join(",");
     let site = Site::new(list);
     let program = site.start(20);
     until("served", || site.ask("read") == here());
-    site.discovery.changes.lock().unwrap().push(target("b", two, "read-only", "leaving"));
+    site.discovery
+        .changes
+        .lock()
+        .unwrap()
+        .push(target("b", two, "read-only", "leaving"));
     site.keeps("that it leaves", |s| {
-        s.fronts[0].book.members().any(|m| m.uid == "b" && m.state == "leaving")
+        s.fronts[0]
+            .book
+            .members()
+            .any(|m| m.uid == "b" && m.state == "leaving")
     });
     kill(program);
     site.silence(true);
@@ -194,7 +257,10 @@
     let before = (leaving.count(), leaving.probes.load(Ordering::SeqCst));
     let _program = site.start(20);
     (0..30).for_each(|_| assert_eq!(site.ask("read"), here()));
-    assert_eq!((leaving.count(), leaving.probes.load(Ordering::SeqCst)), before);
+    assert_eq!(
+        (leaving.count(), leaving.probes.load(Ordering::SeqCst)),
+        before
+    );
 }
 
 #[rstest]
@@ -240,15 +306,22 @@
 }
 
 #[test]
-fn with_its_folder_lost_and_discovery_silent_a_gateway_learns_the_list_and_its_drains_from_another() {
+fn with_its_folder_lost_and_discovery_silent_a_gateway_learns_the_list_and_its_drains_from_another()
+{
     let (one, _) = database("read-write", |_, _| Does::Say(row("here")));
     let (two, leaving) = database("read-only", |_, _| Does::Say(row("here")));
-    let list = [target("a", one, "read-write", "active"), target("b", two, "read-only", "leaving")].join(",");
+    let list = [
+        target("a", one, "read-write", "active"),
+        target("b", two, "read-only", "leaving"),
+    ]
+    .join(",");
     // Each has a discovery of its own: what one knows is told only while its own confirms it.
     let (first, second) = (Site::new(list.clone()), Site::new(list));
     let (a, b) = (free_address(), free_address());
     let peers = |own: SocketAddr, other: SocketAddr| {
-        format!("[peers]\nlisten = \"{own}\"\nfleet = \"test\"\nseeds = [\"{other}\"]\nprobe-ms = 150\n")
+        format!(
+            "[peers]\nlisten = \"{own}\"\nfleet = \"test\"\nseeds = [\"{other}\"]\nprobe-ms = 150\n"
+        )
     };
     let _keeps = first.start_with(20, &peers(a, b));
     until("served", || first.ask("read") == here());
@@ -260,10 +333,21 @@
     let before = leaving.count();
     let program = second.start_with(20, &peers(b, a));
     // It asks ever less often, and a machine that stands still answers nothing.
-    within(3 * WAIT, "it is told", || program.log().contains("2 servers at version 0 from another gateway"));
+    within(3 * WAIT, "it is told", || {
+        program
+            .log()
+            .contains("2 servers at version 0 from another gateway")
+    });
     (0..20).for_each(|_| assert_eq!(second.ask("read"), here()));
-    assert_eq!(leaving.count(), before, "one that leaves gets nothing new, whoever told of it");
-    assert!(second.is("recovering", "list"), "until discovery has confirmed it");
+    assert_eq!(
+        leaving.count(),
+        before,
+        "one that leaves gets nothing new, whoever told of it"
+    );
+    assert!(
+        second.is("recovering", "list"),
+        "until discovery has confirmed it"
+    );
     second.silence(false);
     until("full", || second.is("full", "took-ms"));
 }
@@ -280,7 +364,10 @@
     std::fs::remove_dir(site.dir.join("snapshot.new")).unwrap();
     program.says("snapshots are written again");
     site.keeps("the list", |s| s.fronts[0].book.members().count() == 1);
-    assert_eq!(program.log().matches("no snapshot can be written").count(), 1);
+    assert_eq!(
+        program.log().matches("no snapshot can be written").count(),
+        1
+    );
 }
 
 #[test]
@@ -289,7 +376,8 @@
     // Large enough that a write takes a while.
     let many = (0..1500).map(|n| {
         let (uid, group) = (format!("server-{n:05}"), n % 500);
-        target(&uid, at, "read-only", "active").replace("\"pod_group\":0", &format!("\"pod_group\":{group}"))
+        target(&uid, at, "read-only", "active")
+            .replace("\"pod_group\":0", &format!("\"pod_group\":{group}"))
     });
     let site = Site::new(many.collect::<Vec<_>>().join(","));
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
@@ -297,7 +385,9 @@
     // Kills come within twice the time that this machine takes to the first snapshot.
     let (program, began) = (site.start(1), Instant::now());
     site.keeps("the first", |_| true);
-    let most = 2 * u32::try_from(began.elapsed().as_millis()).unwrap().clamp(40, 120);
+    let most = 2 * u32::try_from(began.elapsed().as_millis())
+        .unwrap()
+        .clamp(40, 120);
     kill(program);
     // Where a kill falls hangs on the machine: it goes on until some fell within a write, but not for ever.
     for n in 0..2_000 {
@@ -310,5 +400,8 @@
         within += u32::from(site.dir.join("snapshot.new").exists());
         found += u32::from(site.kept().is_some());
     }
-    assert!(within > 0 && found > 0, "{within} kills fell within a write, {found} left a snapshot");
+    assert!(
+        within > 0 && found > 0,
+        "{within} kills fell within a write, {found} left a snapshot"
+    );
 }
--- a/crates/gateway/tests/sites.rs
+++ b/crates/gateway/tests/sites.rs
@@ -77,21 +77,44 @@
 
 /// What a member that serves a query answers.
 fn done(query: &str) -> Does {
-    Does::Say(tagged("done", if query.contains("INSERT") { "INSERT 0 1" } else { "SELECT 1" }))
+    Does::Say(tagged(
+        "done",
+        if query.contains("INSERT") {
+            "INSERT 0 1"
+        } else {
+            "SELECT 1"
+        },
+    ))
 }
 
 /// A member that breaks the connection at the first query of each id, with no answer, and serves the next.
 fn breaking(role: &'static str) -> (SocketAddr, std::sync::Arc<Seen>) {
     let met = std::sync::Mutex::new(std::collections::BTreeSet::new());
     database(role, move |_, query| {
-        let id = query.split("id=").nth(1).unwrap().split(',').next().unwrap().to_owned();
-        if met.lock().unwrap().insert(id) { Does::Cut(vec![]) } else { done(query) }
+        let id = query
+            .split("id=")
+            .nth(1)
+            .unwrap()
+            .split(',')
+            .next()
+            .unwrap()
+            .to_owned();
+        if met.lock().unwrap().insert(id) {
+            Does::Cut(vec![])
+        } else {
+            done(query)
+        }
     })
 }
 
 fn asked(seen: &Seen, id: &str) -> usize {
     let id = format!("id={id},");
-    seen.queries.lock().unwrap().iter().filter(|(_, query, _)| query.contains(&id)).count()
+    seen.queries
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|(_, query, _)| query.contains(&id))
+        .count()
 }
 
 #[test]
@@ -100,20 +123,32 @@
     let broken = Answer::Error("58000".into(), None);
     // What is safe or, within its window, keyed is repeated; what is not is not.
     let (primary, seen) = breaking("read-write");
-    let gateway = served(&hall(), &[target("s-00000001", primary, "read-write", "active")]);
+    let gateway = served(
+        &hall(),
+        &[target("s-00000001", primary, "read-write", "active")],
+    );
     let mut client = Client::connect(gateway.address);
     assert_eq!(client.ask(&read(1, "plads check")), done);
     assert_eq!(client.ask(&write(2, "køb & betal")), done);
     assert_eq!(client.ask(&write(3, "én gang")), broken);
-    assert_eq!([asked(&seen, "r1"), asked(&seen, "w2"), asked(&seen, "w3")], [2, 2, 1]);
+    assert_eq!(
+        [asked(&seen, "r1"), asked(&seen, "w2"), asked(&seen, "w3")],
+        [2, 2, 1]
+    );
     // The same names stand for other things elsewhere: keyed without a window, and not to be repeated.
     let (primary, seen) = breaking("read-write");
-    let gateway = served(&yard(), &[target("s-00000001", primary, "read-write", "active")]);
+    let gateway = served(
+        &yard(),
+        &[target("s-00000001", primary, "read-write", "active")],
+    );
     let mut client = Client::connect(gateway.address);
     assert_eq!(client.ask(&write(1, "én gang")), broken);
     assert_eq!(client.ask(&write(2, "plads check")), broken);
     assert_eq!(client.ask(&read(3, "42")), done);
-    assert_eq!([asked(&seen, "w1"), asked(&seen, "w2"), asked(&seen, "r3")], [1, 1, 2]);
+    assert_eq!(
+        [asked(&seen, "w1"), asked(&seen, "w2"), asked(&seen, "r3")],
+        [1, 1, 2]
+    );
 }
 
 /// The text of the error that a query is answered with, if it is.
@@ -132,18 +167,33 @@
 #[test]
 fn a_name_that_no_setting_has_is_named() {
     let (primary, seen) = database("read-write", |_, query| done(query));
-    let gateway = served(&hall(), &[target("s-00000001", primary, "read-write", "active")]);
+    let gateway = served(
+        &hall(),
+        &[target("s-00000001", primary, "read-write", "active")],
+    );
     let mut client = Client::connect(gateway.address);
     // Neither the flat form of a name nor another letter is that name.
-    for (n, name) in ["plads_check", "plads", "Plads check", "kob", "42"].into_iter().enumerate() {
+    for (n, name) in ["plads_check", "plads", "Plads check", "kob", "42"]
+        .into_iter()
+        .enumerate()
+    {
         let said = fault(&mut client, &read(u32::try_from(n).unwrap(), name)).expect("an error");
         assert!(said.contains(&format!("{name:?}")), "{said}");
     }
     assert_eq!(seen.count(), 0, "nothing of that went on");
     assert_eq!(fault(&mut client, &read(10, "plads check")), None);
     // A tenant that is not known has no budget; it is served like those that name none.
-    assert_eq!(fault(&mut client, &write(11, "køb & betal").replace("strand lejren", "nobody")), None);
-    assert!(seen.query(0).contains("c=plads check,d="), "the names pass on as they came");
+    assert_eq!(
+        fault(
+            &mut client,
+            &write(11, "køb & betal").replace("strand lejren", "nobody")
+        ),
+        None
+    );
+    assert!(
+        seen.query(0).contains("c=plads check,d="),
+        "the names pass on as they came"
+    );
 }
 
 /// A value of the comment that looks like another name is none.
@@ -152,10 +202,19 @@
     let (primary, seen) = database("read-write", |_, query| done(query));
     let mut settings = hall();
     settings["classes"][0]["name"] = json!("plads d=7");
-    let gateway = served(&settings, &[target("s-00000001", primary, "read-write", "active")]);
-    assert_eq!(fault(&mut Client::connect(gateway.address), &read(1, "plads d=7")), None);
+    let gateway = served(
+        &settings,
+        &[target("s-00000001", primary, "read-write", "active")],
+    );
+    assert_eq!(
+        fault(&mut Client::connect(gateway.address), &read(1, "plads d=7")),
+        None
+    );
     let query = seen.query(0);
-    assert!(query.contains("c=plads d=7,d=") && !query.contains("d=4000"), "{query}");
+    assert!(
+        query.contains("c=plads d=7,d=") && !query.contains("d=4000"),
+        "{query}"
+    );
 }
 
 /// Of two replicas that are drawn with nothing out the one in the gateway's own zone goes first; one in a zone that the
@@ -178,7 +237,10 @@
     let gateway = served(&settings, &members);
     let mut client = Client::connect(gateway.address);
     for id in 0..300 {
-        assert!(matches!(client.ask(&read(id, "plads check")), Answer::Value(_)));
+        assert!(matches!(
+            client.ask(&read(id, "plads check")),
+            Answer::Value(_)
+        ));
     }
     // Three in four, where it were one in two.
     let (near, far) = (by_near.count(), by_far.count());
@@ -217,10 +279,17 @@
 fn a_client_waits_for_as_long_as_its_site_says() {
     let took = |settings: &Value| {
         let (primary, _) = database("read-write", |_, _| Does::Stall(vec![]));
-        let gateway = served(settings, &[target("s-00000001", primary, "read-write", "active")]);
+        let gateway = served(
+            settings,
+            &[target("s-00000001", primary, "read-write", "active")],
+        );
         let mut client = Client::connect(gateway.address);
         let began = Instant::now();
-        let class = if settings["tenants"].is_null() { "plads check" } else { "én gang" };
+        let class = if settings["tenants"].is_null() {
+            "plads check"
+        } else {
+            "én gang"
+        };
         let query = write(1, class).replace("d=4000", "d=20000");
         assert!(matches!(client.ask(&query), Answer::Error(code, _) if code == "57014"));
         began.elapsed().as_millis()
@@ -246,7 +315,11 @@
 #[case("/tenants/0/allowance-per-s", json!(null), "tenants.0.allowance-per-s")]
 #[case("/tenants", json!("strand lejren"), "tenants")]
 #[case("/over-share-worth", json!(null), "over-share-worth")]
-fn a_setting_that_nobody_can_mean_ends_the_start(#[case] at: &str, #[case] value: Value, #[case] key: &str) {
+fn a_setting_that_nobody_can_mean_ends_the_start(
+    #[case] at: &str,
+    #[case] value: Value,
+    #[case] key: &str,
+) {
     let text = config(free_address(), free_address(), "", 15_000);
     let mut config: Value = serde_json::from_str(&text).unwrap();
     config["settings"] = hall();
@@ -267,7 +340,11 @@
     config["settings"]["classes"][0]["name"] = json!("plads:check");
     let path = folder().join("config.json");
     std::fs::write(&path, config.to_string()).unwrap();
-    let mut program = Program::begin(&[], Some(&path), &[("BALANCER_MGMT", &free_address().to_string())]);
+    let mut program = Program::begin(
+        &[],
+        Some(&path),
+        &[("BALANCER_MGMT", &free_address().to_string())],
+    );
     assert_eq!(program.ended().code(), Some(2));
     program.says("settings: classes.0.name");
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -8,7 +8,12 @@
 use valehatch_testbed::soak::{Plan, play};
 
 fn fault(at_ms: u64, for_ms: u64, kind: FaultKind, targets: &[usize]) -> Fault {
-    Fault { at_ms, for_ms, kind, targets: targets.to_vec() }
+    Fault {
+        at_ms,
+        for_ms,
+        kind,
+        targets: targets.to_vec(),
+    }
 }
 
 #[rstest]
@@ -34,11 +39,32 @@
 fn overlapping_faults_break_no_invariant(#[case] faults: &[Fault]) {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_valehatch"));
     let library = valehatch_fault_control::build_library().unwrap();
-    let name = format!("valehatch-soak-{}-{}", std::process::id(), faults[0].kind as usize);
+    let name = format!(
+        "valehatch-soak-{}-{}",
+        std::process::id(),
+        faults[0].kind as usize
+    );
     let folder = std::env::temp_dir().join(name);
-    let plan = Plan { program, library, folder: folder.clone(), gateways: 3, groups: 1, capacity: 24.0 };
-    let report = play(&plan, 1, &Schedule { fault: faults.to_vec() }).unwrap();
-    assert!(report.answers > 50 && report.attempts > 50, "{report:?}: nothing is shown by that");
+    let plan = Plan {
+        program,
+        library,
+        folder: folder.clone(),
+        gateways: 3,
+        groups: 1,
+        capacity: 24.0,
+    };
+    let report = play(
+        &plan,
+        1,
+        &Schedule {
+            fault: faults.to_vec(),
+        },
+    )
+    .unwrap();
+    assert!(
+        report.answers > 50 && report.attempts > 50,
+        "{report:?}: nothing is shown by that"
+    );
     assert!(
         report.violations.is_empty(),
         "{:#?}; logs in {}",
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/stop.rs
@@ -36,8 +36,9 @@
     // What comes while it stands still waits to be accepted.
     gateway.program.pause();
     let asks = |id| [Client::opening(), pipelined(id..id + 1, 4_000)].concat();
-    let mut waiting: Vec<(u32, Client)> =
-        (200..260).map(|id| (id, Client::raw_with(gateway.address, &asks(id)))).collect();
+    let mut waiting: Vec<(u32, Client)> = (200..260)
+        .map(|id| (id, Client::raw_with(gateway.address, &asks(id))))
+        .collect();
     gateway.program.terminate();
     gateway.program.signal("CONT");
     gateway.program.says("a planned stop was asked for");
@@ -80,7 +81,9 @@
             });
         }
     });
-    until("nobody listens any more", || TcpStream::connect(gateway.address).is_err());
+    until("nobody listens any more", || {
+        TcpStream::connect(gateway.address).is_err()
+    });
     assert!(gateway.program.ended().success());
 }
 
@@ -100,14 +103,22 @@
     let whole = pipelined(100..101, 4_000);
     for (n, client) in clients.iter_mut().enumerate() {
         // Whole, half, and more than is read at once.
-        let bytes = [whole.clone(), whole[..40].to_vec(), pipelined(200..300, 4_000)];
+        let bytes = [
+            whole.clone(),
+            whole[..40].to_vec(),
+            pipelined(200..300, 4_000),
+        ];
         client.0.write_all(&bytes[n % 3]).unwrap();
     }
     gateway.program.signal("CONT");
     for (n, client) in clients.iter_mut().enumerate() {
         let answer = client.answer();
-        let refused = matches!(&answer, Answer::Error(code, _) if code == "53300" || code == "42710");
-        assert!(refused || matches!(answer, Answer::Value(_)), "client {n}: {answer:?}");
+        let refused =
+            matches!(&answer, Answer::Error(code, _) if code == "53300" || code == "42710");
+        assert!(
+            refused || matches!(answer, Answer::Value(_)),
+            "client {n}: {answer:?}"
+        );
         let mut rest = vec![];
         let end = std::io::Read::read_to_end(&mut client.0, &mut rest);
         assert!(end.is_ok(), "client {n}: {end:?}");
@@ -130,7 +141,12 @@
                     let id = next.fetch_add(1, Ordering::SeqCst);
                     client.0.write_all(&pipelined(id..id + 1, 4_000)).unwrap();
                     // What crosses the end may be asked once more elsewhere; a reset would be an error here.
-                    if client.0.peek(&mut [0]).unwrap_or_else(|e| panic!("request {id}: {e}")) == 0 {
+                    if client
+                        .0
+                        .peek(&mut [0])
+                        .unwrap_or_else(|e| panic!("request {id}: {e}"))
+                        == 0
+                    {
                         return;
                     }
                     loop {
@@ -139,7 +155,9 @@
                             (b'E', body) => {
                                 let text = String::from_utf8(body).unwrap();
                                 // What a database still has at the end has its answer too.
-                                let told = ["\0C53300\0", "\0C57014\0"].iter().any(|c| text.contains(c));
+                                let told = ["\0C53300\0", "\0C57014\0"]
+                                    .iter()
+                                    .any(|c| text.contains(c));
                                 assert!(told, "request {id}: {text}");
                                 if text.starts_with("SFATAL") {
                                     return;
@@ -171,11 +189,17 @@
     }
     let whole = pipelined(4_000_000..4_000_001, 4_000);
     busy.0.write_all(&whole[..40]).unwrap();
-    assert!(is_farewell(&busy.answer()), "what it had begun to ask did not run");
+    assert!(
+        is_farewell(&busy.answer()),
+        "what it had begun to ask did not run"
+    );
     busy.ends_cleanly();
     assert!(gateway.program.ended().success());
     let queries = seen.queries.lock().unwrap();
-    assert!(queries.iter().all(|(_, q, _)| id_of(q) != 4_000_000), "what was ended half read is not sent on");
+    assert!(
+        queries.iter().all(|(_, q, _)| id_of(q) != 4_000_000),
+        "what was ended half read is not sent on"
+    );
 }
 
 #[rstest]
@@ -183,15 +207,27 @@
 #[case::old("s-00000009")]
 fn a_start_is_ready_at_once_whatever_list_it_has(#[case] known: &str) {
     // Discovery says nothing: the list that comes with the configuration is all there is.
-    let old =
-        if known.is_empty() { String::new() } else { target(known, free_address(), "read-write", "active") };
+    let old = if known.is_empty() {
+        String::new()
+    } else {
+        target(known, free_address(), "read-write", "active")
+    };
     let (at, _) = database("read-write", |_, q| Does::Say(echo_of(q)));
     let gateway = platform_with(&old, 15_000, true);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
     assert_eq!(client.ask(""), Answer::Empty, "the ready check");
-    assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
-    gateway.discovery.changes.lock().unwrap().push(target("s-00000001", at, "read-write", "active"));
+    assert!(
+        began.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        began.elapsed()
+    );
+    gateway.discovery.changes.lock().unwrap().push(target(
+        "s-00000001",
+        at,
+        "read-write",
+        "active",
+    ));
     gateway.discovery.silent.store(false, Ordering::SeqCst);
     let mut id = 0;
     until("what discovery tells is used", || {
@@ -220,12 +256,19 @@
         drop(crowd);
         assert_eq!(Client::connect(gateway.address).ask(""), Answer::Empty);
         let id = round * 1_000;
-        assert_eq!(Client::connect(gateway.address).ask(&read_of(id, 4_000)), value(id));
+        assert_eq!(
+            Client::connect(gateway.address).ask(&read_of(id, 4_000)),
+            value(id)
+        );
     }
     let queries = seen.queries.lock().unwrap();
     let mut ids: Vec<u32> = queries.iter().map(|(_, q, _)| id_of(q)).collect();
     let all = ids.len();
     ids.sort_unstable();
     ids.dedup();
-    assert_eq!(ids.len(), all, "the next one knows nothing of what the one before had");
+    assert_eq!(
+        ids.len(),
+        all,
+        "the next one knows nothing of what the one before had"
+    );
 }
--- a/crates/gateway/tests/support/cql.rs
+++ b/crates/gateway/tests/support/cql.rs
@@ -9,13 +9,13 @@
 
 use super::{WAIT, listen};
 
-pub const ERROR: u8 = 0x00;
-pub const READY: u8 = 0x02;
-pub const SUPPORTED: u8 = 0x06;
-pub const RESULT: u8 = 0x08;
+pub(crate) const ERROR: u8 = 0x00;
+pub(crate) const READY: u8 = 0x02;
+pub(crate) const SUPPORTED: u8 = 0x06;
+pub(crate) const RESULT: u8 = 0x08;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Frame {
+pub(crate) struct Frame {
     pub version: u8,
     pub flags: u8,
     pub stream: i16,
@@ -24,20 +24,31 @@
 }
 
 impl Frame {
-    pub fn bytes(&self) -> Vec<u8> {
+    pub(crate) fn bytes(&self) -> Vec<u8> {
         let length = u32::try_from(self.body.len()).unwrap().to_be_bytes();
         let s = self.stream.to_be_bytes();
-        [&[self.version, self.flags, s[0], s[1], self.op], &length[..], &self.body].concat()
+        [
+            &[self.version, self.flags, s[0], s[1], self.op],
+            &length[..],
+            &self.body,
+        ]
+        .concat()
     }
-    pub fn read(from: &mut impl Read) -> Option<Self> {
+    pub(crate) fn read(from: &mut impl Read) -> Option<Self> {
         let mut h = [0; 9];
         from.read_exact(&mut h).ok()?;
         let mut body = vec![0; u32::from_be_bytes(h[5..].try_into().unwrap()) as usize];
         from.read_exact(&mut body).ok()?;
-        Some(Self { version: h[0], flags: h[1], stream: i16::from_be_bytes([h[2], h[3]]), op: h[4], body })
+        Some(Self {
+            version: h[0],
+            flags: h[1],
+            stream: i16::from_be_bytes([h[2], h[3]]),
+            op: h[4],
+            body,
+        })
     }
     /// Code and message of an error, behind a custom payload if there is one.
-    pub fn error(&self) -> (u32, String) {
+    pub(crate) fn error(&self) -> (u32, String) {
         assert_eq!(self.op, ERROR, "{self:?}");
         let mut at = &self.body[..];
         if self.flags & 4 != 0 {
@@ -45,33 +56,49 @@
             let value = usize::from(at[4 + key + 3]);
             at = &at[4 + key + 4 + value..];
         }
-        let text = String::from_utf8(at[6..6 + usize::from(at[5]) + 256 * usize::from(at[4])].to_vec());
-        (u32::from_be_bytes(at[..4].try_into().unwrap()), text.unwrap())
+        let text =
+            String::from_utf8(at[6..6 + usize::from(at[5]) + 256 * usize::from(at[4])].to_vec());
+        (
+            u32::from_be_bytes(at[..4].try_into().unwrap()),
+            text.unwrap(),
+        )
     }
 }
 
-pub fn long(text: &str) -> Vec<u8> {
-    [&u32::try_from(text.len()).unwrap().to_be_bytes()[..], text.as_bytes()].concat()
+pub(crate) fn long(text: &str) -> Vec<u8> {
+    [
+        &u32::try_from(text.len()).unwrap().to_be_bytes()[..],
+        text.as_bytes(),
+    ]
+    .concat()
 }
 
-pub fn short(bytes: &[u8]) -> Vec<u8> {
-    [&u16::try_from(bytes.len()).unwrap().to_be_bytes()[..], bytes].concat()
+pub(crate) fn short(bytes: &[u8]) -> Vec<u8> {
+    [
+        &u16::try_from(bytes.len()).unwrap().to_be_bytes()[..],
+        bytes,
+    ]
+    .concat()
 }
 
-pub fn query(text: &str) -> (u8, Vec<u8>) {
+pub(crate) fn query(text: &str) -> (u8, Vec<u8>) {
     (0x07, [&long(text)[..], &[0, 1, 0]].concat())
 }
 
 /// A page of rows: one row of one column, which is not described.
-pub fn rows(value: &str) -> Vec<u8> {
-    [&[0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 1, 0, 0, 0, 1][..], &long(value)].concat()
+pub(crate) fn rows(value: &str) -> Vec<u8> {
+    [
+        &[0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 1, 0, 0, 0, 1][..],
+        &long(value),
+    ]
+    .concat()
 }
 
-pub fn fault(code: u32, more: &[u8]) -> Vec<u8> {
+pub(crate) fn fault(code: u32, more: &[u8]) -> Vec<u8> {
     [&code.to_be_bytes()[..], &short(b"no"), more].concat()
 }
 
-pub enum Does {
+pub(crate) enum Does {
     Say(u8, Vec<u8>),
     /// Part of an answer, then the end of the connection.
     Cut,
@@ -84,7 +111,7 @@
 }
 
 #[derive(Default)]
-pub struct Node {
+pub(crate) struct Node {
     /// Requests with their time, connection and stream.
     pub seen: Mutex<Vec<(Instant, usize, Frame)>>,
     pub opened: AtomicUsize,
@@ -92,7 +119,9 @@
 }
 
 /// A node as real ones are: what is asked on one connection is worked on at the same time, and answered in any order.
-pub fn node(does: impl Fn(&Frame, &Node) -> Does + Send + Sync + 'static) -> (SocketAddr, Arc<Node>) {
+pub(crate) fn node(
+    does: impl Fn(&Frame, &Node) -> Does + Send + Sync + 'static,
+) -> (SocketAddr, Arc<Node>) {
     let node = Arc::new(Node::default());
     let (shared, does) = (Arc::clone(&node), Arc::new(does));
     let address = listen(move |mut stream| {
@@ -100,7 +129,11 @@
         let out = Arc::new(Mutex::new(stream.try_clone().unwrap()));
         while let Some(frame) = Frame::read(&mut stream) {
             if !matches!(frame.op, 0x01 | 0x05) {
-                shared.seen.lock().unwrap().push((Instant::now(), connection, frame.clone()));
+                shared
+                    .seen
+                    .lock()
+                    .unwrap()
+                    .push((Instant::now(), connection, frame.clone()));
             }
             let (shared, does, out) = (Arc::clone(&shared), Arc::clone(&does), Arc::clone(&out));
             std::thread::spawn(move || answer(&frame, &shared, &*does, &out));
@@ -110,8 +143,22 @@
     (address, node)
 }
 
-fn answer(frame: &Frame, node: &Node, does: &dyn Fn(&Frame, &Node) -> Does, out: &Mutex<TcpStream>) {
-    let whole = |op, body| Frame { version: 0x84, flags: 0, stream: frame.stream, op, body }.bytes();
+fn answer(
+    frame: &Frame,
+    node: &Node,
+    does: &dyn Fn(&Frame, &Node) -> Does,
+    out: &Mutex<TcpStream>,
+) {
+    let whole = |op, body| {
+        Frame {
+            version: 0x84,
+            flags: 0,
+            stream: frame.stream,
+            op,
+            body,
+        }
+        .bytes()
+    };
     let does = match frame.op {
         0x01 => Does::Say(READY, vec![]),
         0x05 => Does::Say(SUPPORTED, vec![0, 0]),
@@ -138,32 +185,43 @@
     }
 }
 
-pub fn served(frame: &Frame, _: &Node) -> Does {
+pub(crate) fn served(frame: &Frame, _: &Node) -> Does {
     let text = String::from_utf8_lossy(&frame.body).into_owned();
     Does::Say(RESULT, rows(&text))
 }
 
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 impl Client {
-    pub fn raw(address: SocketAddr) -> Self {
+    pub(crate) fn raw(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
         Self(stream)
     }
-    pub fn connect(address: SocketAddr) -> Self {
+    pub(crate) fn connect(address: SocketAddr) -> Self {
         let mut client = Self::raw(address);
         let startup = [&[0, 1][..], &short(b"CQL_VERSION"), &short(b"3.0.0")].concat();
         assert_eq!(client.ask(1, (0x01, startup)).op, READY);
         client
     }
-    pub fn send(&mut self, stream: i16, (op, body): (u8, Vec<u8>)) {
-        self.0.write_all(&Frame { version: 4, flags: 0, stream, op, body }.bytes()).unwrap();
+    pub(crate) fn send(&mut self, stream: i16, (op, body): (u8, Vec<u8>)) {
+        self.0
+            .write_all(
+                &Frame {
+                    version: 4,
+                    flags: 0,
+                    stream,
+                    op,
+                    body,
+                }
+                .bytes(),
+            )
+            .unwrap();
     }
-    pub fn answer(&mut self) -> Frame {
+    pub(crate) fn answer(&mut self) -> Frame {
         Frame::read(&mut self.0).expect("an answer")
     }
-    pub fn ask(&mut self, stream: i16, request: (u8, Vec<u8>)) -> Frame {
+    pub(crate) fn ask(&mut self, stream: i16, request: (u8, Vec<u8>)) -> Frame {
         self.send(stream, request);
         let answer = self.answer();
         assert_eq!((answer.version, answer.stream), (0x84, stream));
--- a/crates/gateway/tests/support/faults.rs
+++ b/crates/gateway/tests/support/faults.rs
@@ -9,12 +9,12 @@
 use super::{Discovery, Program, config, folder, free_address, until};
 
 /// The library that is preloaded, built once.
-pub fn library() -> &'static PathBuf {
+pub(crate) fn library() -> &'static PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| valehatch_fault_control::build_library().expect("the library is built"))
 }
 
-pub struct Faulty {
+pub(crate) struct Faulty {
     pub address: SocketAddr,
     pub control: FaultControl,
     program: Program,
@@ -22,16 +22,31 @@
 }
 
 /// A gateway between these members with an edited configuration, whose machine starts with a switch set.
-pub fn faulty(members: &str, edit: impl Fn(String) -> String, set: Option<(Switch, i64)>) -> Faulty {
+pub(crate) fn faulty(
+    members: &str,
+    edit: impl Fn(String) -> String,
+    set: Option<(Switch, i64)>,
+) -> Faulty {
     let (discovery_at, discovery) = Discovery::start(members.to_owned());
     let (address, place) = (free_address(), folder());
     let path = place.join("config.json");
     std::fs::write(&path, edit(config(address, discovery_at, members, 15_000))).unwrap();
     let control = FaultControl::create(&place.join("faults")).unwrap();
-    set.into_iter().for_each(|(switch, value)| control.set(switch, value).unwrap());
+    set.into_iter()
+        .for_each(|(switch, value)| control.set(switch, value).unwrap());
     let faults = place.join("faults").display().to_string();
-    let variables = [("LD_PRELOAD", library().to_str().unwrap()), (CONTROL_FILE_VARIABLE, faults.as_str())];
+    let variables = [
+        ("LD_PRELOAD", library().to_str().unwrap()),
+        (CONTROL_FILE_VARIABLE, faults.as_str()),
+    ];
     let program = Program::begin(&[], Some(&path), &variables);
-    until("the gateway listens", || TcpStream::connect(address).is_ok());
-    Faulty { address, control, program, discovery }
+    until("the gateway listens", || {
+        TcpStream::connect(address).is_ok()
+    });
+    Faulty {
+        address,
+        control,
+        program,
+        discovery,
+    }
 }
--- a/crates/gateway/tests/support/manager.rs
+++ b/crates/gateway/tests/support/manager.rs
@@ -10,17 +10,17 @@
 use snmp2::{Oid, SyncSession, Value};
 use valehatch_request_log::{Cell, Counters, Key, RequestRecord, Row, Scope};
 
-pub const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
+pub(crate) const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
 
 /// What a walk found: numbers and texts by name.
 #[derive(Clone, Debug, Default)]
-pub struct Walk {
+pub(crate) struct Walk {
     pub counters: BTreeMap<Vec<u32>, u64>,
     pub gauges: BTreeMap<Vec<u32>, u64>,
     pub texts: BTreeMap<Vec<u32>, Vec<u8>>,
 }
 
-pub fn own(more: &[u32]) -> Vec<u32> {
+pub(crate) fn own(more: &[u32]) -> Vec<u32> {
     [&ROOT[..], &[1], more].concat()
 }
 
@@ -29,25 +29,28 @@
     Oid::from(&name).unwrap()
 }
 
-pub fn v2c(agent: SocketAddr) -> SyncSession {
+pub(crate) fn v2c(agent: SocketAddr) -> SyncSession {
     SyncSession::new_v2c(agent, b"stays", Some(Duration::from_secs(5)), 1).unwrap()
 }
 
 /// A user with the password of `keys`.
-pub fn security(user: &str, password: &[u8]) -> Security {
+pub(crate) fn security(user: &str, password: &[u8]) -> Security {
     Security::new(user.as_bytes(), password)
         .with_auth_protocol(AuthProtocol::Sha256)
-        .with_auth(Auth::AuthPriv { cipher: Cipher::Aes128, privacy_password: password.to_vec() })
+        .with_auth(Auth::AuthPriv {
+            cipher: Cipher::Aes128,
+            privacy_password: password.to_vec(),
+        })
 }
 
-pub fn v3(agent: SocketAddr, user: &str, password: &[u8]) -> SyncSession {
+pub(crate) fn v3(agent: SocketAddr, user: &str, password: &[u8]) -> SyncSession {
     let wait = Some(Duration::from_secs(5));
     SyncSession::new_v3(agent, wait, 1, security(user, password)).unwrap()
 }
 
 impl Walk {
     /// Everything below a name, by GETBULK; a v3 session learns the engine's time when it is told.
-    pub fn of(session: &mut SyncSession, below: &[u32]) -> Result<Self, snmp2::Error> {
+    pub(crate) fn of(session: &mut SyncSession, below: &[u32]) -> Result<Self, snmp2::Error> {
         let mut walk = Self::default();
         let mut last = below.to_vec();
         let mut again = 0;
@@ -63,7 +66,11 @@
             };
             let mut some = false;
             for (name, value) in pdu.varbinds {
-                let name: Vec<u32> = name.iter().unwrap().map(|n| u32::try_from(n).unwrap()).collect();
+                let name: Vec<u32> = name
+                    .iter()
+                    .unwrap()
+                    .map(|n| u32::try_from(n).unwrap())
+                    .collect();
                 if !name.starts_with(below) || matches!(value, Value::EndOfMibView) {
                     return Ok(walk);
                 }
@@ -86,13 +93,15 @@
     }
 
     /// The request tables only: what outlives the process.
-    pub fn requests(&self) -> impl Iterator<Item = (&Vec<u32>, &u64)> {
+    pub(crate) fn requests(&self) -> impl Iterator<Item = (&Vec<u32>, &u64)> {
         let within = |name: &&Vec<u32>| (3..=12).contains(&name[ROOT.len() + 1]);
-        self.counters.iter().filter(move |(name, _)| name.starts_with(&own(&[])) && within(name))
+        self.counters
+            .iter()
+            .filter(move |(name, _)| name.starts_with(&own(&[])) && within(name))
     }
 
     /// That no counter of the request tables is below what an earlier walk saw.
-    pub fn covers(&self, before: &Self) -> Result<(), String> {
+    pub(crate) fn covers(&self, before: &Self) -> Result<(), String> {
         for (name, n) in before.requests() {
             let now = self.counters.get(name).copied();
             if now.is_none_or(|now| now < *n) {
@@ -102,28 +111,45 @@
         Ok(())
     }
 
-    pub fn one(&self, more: &[u32]) -> u64 {
+    pub(crate) fn one(&self, more: &[u32]) -> u64 {
         let name = own(more);
-        *self.counters.get(&name).or(self.gauges.get(&name)).unwrap_or_else(|| panic!("{name:?}"))
+        *self
+            .counters
+            .get(&name)
+            .or(self.gauges.get(&name))
+            .unwrap_or_else(|| panic!("{name:?}"))
     }
 }
 
 /// The index of a text.
-pub fn index(text: &str) -> Vec<u32> {
-    std::iter::once(u32::try_from(text.len()).unwrap()).chain(text.bytes().map(u32::from)).collect()
+pub(crate) fn index(text: &str) -> Vec<u32> {
+    std::iter::once(u32::try_from(text.len()).unwrap())
+        .chain(text.bytes().map(u32::from))
+        .collect()
 }
 
 /// What the request log comes to, by counting its lines; each number must be there once and in its order.
-pub fn audit(dir: &Path) -> (Counters, u64) {
-    let mut names: Vec<_> = std::fs::read_dir(dir).unwrap().map(|e| e.unwrap().path()).collect();
+pub(crate) fn audit(dir: &Path) -> (Counters, u64) {
+    let mut names: Vec<_> = std::fs::read_dir(dir)
+        .unwrap()
+        .map(|e| e.unwrap().path())
+        .collect();
     names.retain(|p| p.extension().is_some_and(|e| e == "log") && !p.ends_with("marks.log"));
     names.sort();
     let (mut counters, mut last, mut lines) = (Counters::default(), 0, 0);
     for path in names {
-        for line in std::fs::read(&path).unwrap().split_inclusive(|b| *b == b'\n') {
+        for line in std::fs::read(&path)
+            .unwrap()
+            .split_inclusive(|b| *b == b'\n')
+        {
             let (seq, record) =
                 RequestRecord::read(line).unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
-            assert_eq!(seq, last + 1, "{}: a record is missing, or there twice", path.display());
+            assert_eq!(
+                seq,
+                last + 1,
+                "{}: a record is missing, or there twice",
+                path.display()
+            );
             (last, lines) = (seq, lines + 1);
             counters.count(&record);
         }
@@ -132,7 +158,7 @@
 }
 
 /// What a walk must show for some counters: every cell of the request tables by its name.
-pub fn expected(counters: &Counters, rows: &[Key]) -> BTreeMap<Vec<u32>, u64> {
+pub(crate) fn expected(counters: &Counters, rows: &[Key]) -> BTreeMap<Vec<u32>, u64> {
     let empty = Row::default();
     let mut all = BTreeMap::new();
     for key in rows {
@@ -142,7 +168,12 @@
         let mut put = |table: u32, column: u32, more: &[u32], n: u64| {
             all.insert([&own(&[table, 1, column])[..], &at, more].concat(), n);
         };
-        for (column, n) in [(3, row.ended()), (6, row.refused()), (7, row.failed()), (9, row.attempts())] {
+        for (column, n) in [
+            (3, row.ended()),
+            (6, row.refused()),
+            (7, row.failed()),
+            (9, row.attempts()),
+        ] {
             put(table, column, &[], n);
         }
         for cell in Cell::all() {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,11 +1,11 @@
 //! What the gateway's tests stand on: the program as a process, and small stand-ins for those it talks to.
 #![allow(dead_code)]
 
-pub mod cql;
-pub mod faults;
-pub mod manager;
-pub mod script;
-pub mod watched;
+pub(crate) mod cql;
+pub(crate) mod faults;
+pub(crate) mod manager;
+pub(crate) mod script;
+pub(crate) mod watched;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,15 +16,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const WAIT: Duration = Duration::from_secs(20);
+pub(crate) const WAIT: Duration = Duration::from_secs(20);
 
 /// Waits until something holds; that it never does fails the test.
-pub fn until(what: &str, holds: impl FnMut() -> bool) {
+pub(crate) fn until(what: &str, holds: impl FnMut() -> bool) {
     within(WAIT, what, holds);
 }
 
 /// The same where it may take longer.
-pub fn within(wait: Duration, what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) fn within(wait: Duration, what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + wait;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain: {what}");
@@ -33,7 +33,7 @@
 }
 
 /// Tells threads to stop when it goes: a test that fails must not wait for them for ever.
-pub struct Stops<'a>(pub &'a AtomicBool);
+pub(crate) struct Stops<'a>(pub &'a AtomicBool);
 
 impl Drop for Stops<'_> {
     fn drop(&mut self) {
@@ -43,15 +43,20 @@
 
 /// On an address of its own, with a port that the machine gives nobody: one that it may give can be taken by the
 /// very connection that looks whether the gateway listens there yet.
-pub fn free_address() -> SocketAddr {
+pub(crate) fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let address = format!("127.{}.{}.{}:21000", 64 + process % 100, process / 100 % 250, 1 + n % 250);
+    let address = format!(
+        "127.{}.{}.{}:21000",
+        64 + process % 100,
+        process / 100 % 250,
+        1 + n % 250
+    );
     address.parse().expect("an address")
 }
 
 /// A folder of the test's own.
-pub fn folder() -> PathBuf {
+pub(crate) fn folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("valehatch-test-{}-{n}", std::process::id()));
@@ -60,70 +65,93 @@
 }
 
 /// The gateway as a process, and what it logs; it is ended with the test.
-pub struct Program(pub Child, Arc<Mutex<String>>);
+pub(crate) struct Program(pub Child, Arc<Mutex<String>>);
 
 impl Program {
-    pub fn start(args: &[&str], config: Option<&PathBuf>, address: SocketAddr) -> Self {
+    pub(crate) fn start(args: &[&str], config: Option<&PathBuf>, address: SocketAddr) -> Self {
         let mut program = Self::begin(args, config, &[]);
         until("the gateway listens", || {
-            assert!(program.0.try_wait().unwrap().is_none(), "the gateway ended at its start");
+            assert!(
+                program.0.try_wait().unwrap().is_none(),
+                "the gateway ended at its start"
+            );
             TcpStream::connect(address).is_ok()
         });
         program
     }
 
     /// Starts it, with these variables, and does not wait for it.
-    pub fn begin(args: &[&str], config: Option<&PathBuf>, variables: &[(&str, &str)]) -> Self {
+    pub(crate) fn begin(
+        args: &[&str],
+        config: Option<&PathBuf>,
+        variables: &[(&str, &str)],
+    ) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_valehatch"));
-        command.args(args).env_remove("BALANCER_CONFIG").env_remove("TMPDIR").stderr(Stdio::piped());
+        command
+            .args(args)
+            .env_remove("BALANCER_CONFIG")
+            .env_remove("TMPDIR")
+            .stderr(Stdio::piped());
         command.envs(variables.iter().copied());
         if let Some(path) = config {
             command.env("BALANCER_CONFIG", path);
         }
         let mut child = command.spawn().expect("the gateway starts");
-        let (mut errors, log) = (child.stderr.take().unwrap(), Arc::<Mutex<String>>::default());
+        let (mut errors, log) = (
+            child.stderr.take().unwrap(),
+            Arc::<Mutex<String>>::default(),
+        );
         let said = Arc::clone(&log);
         thread::spawn(move || {
             let mut some = [0; 1024];
             while let Ok(n @ 1..) = errors.read(&mut some) {
-                said.lock().unwrap().push_str(&String::from_utf8_lossy(&some[..n]));
+                said.lock()
+                    .unwrap()
+                    .push_str(&String::from_utf8_lossy(&some[..n]));
             }
         });
         Self(child, log)
     }
 
-    pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.0.id().to_string()]).status();
+    pub(crate) fn signal(&self, name: &str) {
+        let done = Command::new("kill")
+            .args([&format!("-{name}"), &self.0.id().to_string()])
+            .status();
         assert!(done.unwrap().success());
     }
 
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.signal("TERM");
     }
 
     /// Stops it, and waits until all its threads stand still: a signal is on its way for a moment.
-    pub fn pause(&self) {
+    pub(crate) fn pause(&self) {
         self.signal("STOP");
         let stands = |task: std::io::Result<std::fs::DirEntry>| {
-            let stat = std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
-            stat.rsplit(") ").next().is_none_or(|rest| rest.starts_with('T') || rest.is_empty())
+            let stat =
+                std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
+            stat.rsplit(") ")
+                .next()
+                .is_none_or(|rest| rest.starts_with('T') || rest.is_empty())
         };
         until("it stands still", || {
-            std::fs::read_dir(format!("/proc/{}/task", self.0.id())).unwrap().all(stands)
+            std::fs::read_dir(format!("/proc/{}/task", self.0.id()))
+                .unwrap()
+                .all(stands)
         });
     }
 
     /// What it has logged.
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         self.1.lock().unwrap().clone()
     }
 
     /// Waits until the log holds something.
-    pub fn says(&self, what: &str) {
+    pub(crate) fn says(&self, what: &str) {
         until(what, || self.1.lock().unwrap().contains(what));
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
+    pub(crate) fn ended(&mut self) -> ExitStatus {
         let mut status = None;
         until("the gateway ends", || {
             status = self.0.try_wait().unwrap();
@@ -144,7 +172,7 @@
 }
 
 /// Accepts connections in a thread each.
-pub fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub(crate) fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().unwrap();
     let serve = Arc::new(serve);
@@ -159,12 +187,12 @@
 
 // ---- PostgreSQL ----
 
-pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+pub(crate) fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let length = u32::try_from(body.len() + 4).unwrap().to_be_bytes();
     [&[kind], &length[..], body].concat()
 }
 
-pub fn read_message(from: &mut impl Read) -> Option<(u8, Vec<u8>)> {
+pub(crate) fn read_message(from: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     from.read_exact(&mut head).ok()?;
     let mut body = vec![0; u32::from_be_bytes(head[1..].try_into().unwrap()) as usize - 4];
@@ -172,32 +200,37 @@
     Some((head[0], body))
 }
 
-pub fn row(value: &str) -> Vec<u8> {
+pub(crate) fn row(value: &str) -> Vec<u8> {
     tagged(value, "SELECT 1")
 }
 
-pub fn tagged(value: &str, tag: &str) -> Vec<u8> {
+pub(crate) fn tagged(value: &str, tag: &str) -> Vec<u8> {
     let length = u32::try_from(value.len()).unwrap().to_be_bytes();
     let column = [&[0, 1], &b"body\0"[..], &[0; 18]].concat();
     let data = [&[0, 1], &length[..], value.as_bytes()].concat();
     let done = format!("{tag}\0");
-    [message(b'T', &column), message(b'D', &data), message(b'C', done.as_bytes())].concat()
+    [
+        message(b'T', &column),
+        message(b'D', &data),
+        message(b'C', done.as_bytes()),
+    ]
+    .concat()
 }
 
-pub fn error(code: &str) -> Vec<u8> {
+pub(crate) fn error(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-pub fn mode(name: &str) -> Vec<u8> {
+pub(crate) fn mode(name: &str) -> Vec<u8> {
     message(b'S', format!("mode\0{name}\0").as_bytes())
 }
 
-pub fn ready() -> Vec<u8> {
+pub(crate) fn ready() -> Vec<u8> {
     message(b'Z', b"I")
 }
 
 /// What a stand-in does with a query.
-pub enum Does {
+pub(crate) enum Does {
     /// Writes this and goes on.
     Say(Vec<u8>),
     /// Writes this in pieces of so many bytes, with a pause between them, and goes on.
@@ -213,7 +246,7 @@
 }
 
 #[derive(Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     /// The queries, with the time, and the number of their connection.
     pub queries: Mutex<Vec<(Instant, String, usize)>>,
     /// What probes are told instead of the truth, and how many came.
@@ -227,16 +260,16 @@
 }
 
 impl Seen {
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.queries.lock().unwrap().len()
     }
-    pub fn query(&self, n: usize) -> String {
+    pub(crate) fn query(&self, n: usize) -> String {
         self.queries.lock().unwrap()[n].1.clone()
     }
 }
 
 /// A database: probes are answered, other queries as `does` says.
-pub fn database(
+pub(crate) fn database(
     role: &'static str,
     does: impl Fn(usize, &str) -> Does + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Seen>) {
@@ -256,12 +289,16 @@
             }
             let _ = stream.write_all(&[message(b'R', &[0; 4]), ready()].concat());
             while let Some((b'Q', body)) = read_message(&mut stream) {
-                let query = String::from_utf8(body).unwrap().trim_end_matches('\0').to_owned();
+                let query = String::from_utf8(body)
+                    .unwrap()
+                    .trim_end_matches('\0')
+                    .to_owned();
                 if query == "SHOW stats" {
                     let primary = u8::from(role == "read-write");
                     let now = std::time::UNIX_EPOCH.elapsed().unwrap().as_secs_f64();
                     let stats = shared.stats.lock().unwrap().clone();
-                    let stats = stats.unwrap_or(format!("x0={now},x1={primary},util=0.1,inflight=0"));
+                    let stats =
+                        stats.unwrap_or(format!("x0={now},x1={primary},util=0.1,inflight=0"));
                     shared.probes.fetch_add(1, Ordering::SeqCst);
                     let _ = stream.write_all(&[row(&stats), ready()].concat());
                     continue;
@@ -276,7 +313,11 @@
                         let _ = stream.write_all(&[bytes, mode(role), ready()].concat());
                     }
                     Does::Drip(bytes, piece, pause) => {
-                        for (n, some) in [bytes, mode(role), ready()].concat().chunks(piece).enumerate() {
+                        for (n, some) in [bytes, mode(role), ready()]
+                            .concat()
+                            .chunks(piece)
+                            .enumerate()
+                        {
                             thread::sleep(if n > 0 { pause } else { Duration::ZERO });
                             if stream.write_all(some).is_err() {
                                 break;
@@ -311,11 +352,11 @@
 }
 
 /// A client's session.
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 /// What a query was answered: the value, or code and detail of the error.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Answer {
+pub(crate) enum Answer {
     Value(String),
     Error(String, Option<String>),
     Empty,
@@ -323,46 +364,58 @@
 }
 
 impl Client {
-    pub fn opening() -> Vec<u8> {
+    pub(crate) fn opening() -> Vec<u8> {
         let fields = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
-        [&u32::try_from(fields.len() + 4).unwrap().to_be_bytes()[..], fields].concat()
+        [
+            &u32::try_from(fields.len() + 4).unwrap().to_be_bytes()[..],
+            fields,
+        ]
+        .concat()
     }
 
-    pub fn raw(address: SocketAddr) -> Self {
+    pub(crate) fn raw(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the gateway listens");
         stream.set_read_timeout(Some(WAIT)).unwrap();
         Self(stream)
     }
 
     /// The bytes leave with the connection.
-    pub fn raw_with(address: SocketAddr, bytes: &[u8]) -> Self {
+    pub(crate) fn raw_with(address: SocketAddr, bytes: &[u8]) -> Self {
         let mut client = Self::raw(address);
         client.0.write_all(bytes).unwrap();
         client
     }
 
-    pub fn connect(address: SocketAddr) -> Self {
+    pub(crate) fn connect(address: SocketAddr) -> Self {
         let mut client = Self::raw_with(address, &Self::opening());
         client.greeted();
         client
     }
 
-    pub fn greeted(&mut self) {
+    pub(crate) fn greeted(&mut self) {
         while read_message(&mut self.0).expect("a greeting").0 != b'Z' {}
     }
 
-    pub fn send(&mut self, query: &str) {
-        self.0.write_all(&message(b'Q', format!("{query}\0").as_bytes())).unwrap();
+    pub(crate) fn send(&mut self, query: &str) {
+        self.0
+            .write_all(&message(b'Q', format!("{query}\0").as_bytes()))
+            .unwrap();
     }
 
-    pub fn answer(&mut self) -> Answer {
+    pub(crate) fn answer(&mut self) -> Answer {
         let mut answer = Answer::Ended;
         loop {
             match read_message(&mut self.0) {
-                Some((b'D', body)) => answer = Answer::Value(String::from_utf8(body[6..].to_vec()).unwrap()),
+                Some((b'D', body)) => {
+                    answer = Answer::Value(String::from_utf8(body[6..].to_vec()).unwrap())
+                }
                 Some((b'E', body)) => {
                     let text = String::from_utf8(body).unwrap();
-                    let field = |c| text.split('\0').find_map(|f| f.strip_prefix(c)).map(str::to_owned);
+                    let field = |c| {
+                        text.split('\0')
+                            .find_map(|f| f.strip_prefix(c))
+                            .map(str::to_owned)
+                    };
                     answer = Answer::Error(field('C').unwrap(), field('D'));
                 }
                 Some((b'I', _)) => answer = Answer::Empty,
@@ -372,7 +425,7 @@
         }
     }
 
-    pub fn ask(&mut self, query: &str) -> Answer {
+    pub(crate) fn ask(&mut self, query: &str) -> Answer {
         self.send(query);
         self.answer()
     }
@@ -381,41 +434,56 @@
 // ---- Queries, and how connections end ----
 
 /// A read that any member serves; the oid shows whose answer it is.
-pub fn read_of(id: u32, d: u32) -> String {
-    format!("/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'")
+pub(crate) fn read_of(id: u32, d: u32) -> String {
+    format!(
+        "/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
+    )
 }
 
 /// A write that must not be repeated.
-pub fn once_of(id: u32, d: u32) -> String {
+pub(crate) fn once_of(id: u32, d: u32) -> String {
     format!(
         "/* id={id},c=once,t=acme,d={d},cluster=0 */ INSERT INTO objects (oid, body) VALUES ('x{id}', '1') RETURNING body"
     )
 }
 
 /// Reads one behind the other, as a client sends them that does not wait for answers.
-pub fn pipelined(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
-    ids.flat_map(|id| message(b'Q', format!("{}\0", read_of(id, d)).as_bytes())).collect()
+pub(crate) fn pipelined(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
+    ids.flat_map(|id| message(b'Q', format!("{}\0", read_of(id, d)).as_bytes()))
+        .collect()
 }
 
 /// The oid of a query as the value.
-pub fn echo_of(query: &str) -> Vec<u8> {
-    let tag = if query.contains("INSERT") { "INSERT 0 1" } else { "SELECT 1" };
+pub(crate) fn echo_of(query: &str) -> Vec<u8> {
+    let tag = if query.contains("INSERT") {
+        "INSERT 0 1"
+    } else {
+        "SELECT 1"
+    };
     tagged(query.split('\'').nth(1).unwrap(), tag)
 }
 
 /// The number of a query.
-pub fn id_of(query: &str) -> u32 {
-    query.split("id=").nth(1).unwrap().split(',').next().unwrap().parse().unwrap()
+pub(crate) fn id_of(query: &str) -> u32 {
+    query
+        .split("id=")
+        .nth(1)
+        .unwrap()
+        .split(',')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap()
 }
 
 /// The last word on a connection that is ended: nothing ran, and when to come back.
-pub fn is_farewell(answer: &Answer) -> bool {
+pub(crate) fn is_farewell(answer: &Answer) -> bool {
     matches!(answer, Answer::Error(code, Some(after)) if code == "53300" && after != "0")
 }
 
 /// How a client goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaves {
+pub(crate) enum Leaves {
     /// It closes its connection, with nothing unread.
     Closes,
     /// It ends its sending, and still listens.
@@ -426,7 +494,7 @@
 
 impl Client {
     /// Goes; what is given back keeps a connection that is only half closed.
-    pub fn leave(mut self, how: Leaves) -> Option<Self> {
+    pub(crate) fn leave(mut self, how: Leaves) -> Option<Self> {
         match how {
             Leaves::Closes => None,
             Leaves::HalfCloses => {
@@ -443,15 +511,18 @@
     }
 
     /// Nothing more comes but the end, and that is no reset.
-    pub fn ends_cleanly(&mut self) {
+    pub(crate) fn ends_cleanly(&mut self) {
         let end = self.0.read(&mut [0]);
-        assert!(matches!(end, Ok(0)), "{end:?} where the connection was to end");
+        assert!(
+            matches!(end, Ok(0)),
+            "{end:?} where the connection was to end"
+        );
     }
 }
 
 impl Program {
     /// Descriptors that it has open.
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.0.id())).map_or(0, Iterator::count)
     }
 }
@@ -459,7 +530,7 @@
 // ---- Discovery and the platform's configuration ----
 
 #[derive(Default)]
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub changes: Mutex<Vec<String>>,
     pub silent: AtomicBool,
     /// If not 0, the only connection, counted from 1, on which changes are told.
@@ -473,7 +544,7 @@
     pub asked: AtomicUsize,
 }
 
-pub fn target(uid: &str, address: SocketAddr, mode: &str, state: &str) -> String {
+pub(crate) fn target(uid: &str, address: SocketAddr, mode: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0,"mode":"{mode}"}}"#
     )
@@ -481,7 +552,7 @@
 
 impl Discovery {
     /// Serves the list; each change pushed to `changes` is a newer version.
-    pub fn start(list: String) -> (SocketAddr, Arc<Self>) {
+    pub(crate) fn start(list: String) -> (SocketAddr, Arc<Self>) {
         let all = Arc::new(Self::default());
         let shared = Arc::clone(&all);
         let count = AtomicUsize::new(0);
@@ -504,17 +575,23 @@
                     shared.gaps.lock().unwrap().push(at.elapsed());
                 }
                 let head = String::from_utf8(head).unwrap();
-                let from =
-                    head.split_once("from=").map(|(_, r)| r.split('&').next().unwrap().parse().unwrap());
-                let hold =
-                    head.split_once("hold_ms=").map(|(_, r)| r.split(' ').next().unwrap().parse().unwrap());
+                let from = head
+                    .split_once("from=")
+                    .map(|(_, r)| r.split('&').next().unwrap().parse().unwrap());
+                let hold = head
+                    .split_once("hold_ms=")
+                    .map(|(_, r)| r.split(' ').next().unwrap().parse().unwrap());
                 let end = Instant::now() + Duration::from_millis(hold.unwrap_or(0));
                 let mut news;
                 let body = loop {
                     let changes = shared.changes.lock().unwrap();
                     let only = shared.only.load(Ordering::SeqCst);
                     let deaf = only != 0 && only != number;
-                    let rev = if deaf { from.unwrap_or(0) } else { changes.len() };
+                    let rev = if deaf {
+                        from.unwrap_or(0)
+                    } else {
+                        changes.len()
+                    };
                     news = from.is_some_and(|from| rev > from);
                     if shared.silent.load(Ordering::SeqCst) {
                         drop(changes);
@@ -532,13 +609,19 @@
                     }
                     thread::sleep(Duration::from_millis(5));
                 };
-                shared.watches.fetch_add(usize::from(from.is_some()), Ordering::SeqCst);
+                shared
+                    .watches
+                    .fetch_add(usize::from(from.is_some()), Ordering::SeqCst);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 if stream.write_all((head + &body).as_bytes()).is_err() {
                     return;
                 }
                 answered = Some(Instant::now());
-                shared.told.lock().unwrap().extend(answered.filter(|_| news));
+                shared
+                    .told
+                    .lock()
+                    .unwrap()
+                    .extend(answered.filter(|_| news));
             }
         });
         (address, all)
@@ -547,13 +630,23 @@
 
 /// A machine that is slow to connect is no member that is away: that has 2 s.
 /// Classes: `read` (any member), `book` (a keyed write), `once` (a write that must not be repeated).
-pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str, conn_idle_ms: u32) -> String {
+pub(crate) fn config(
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    known: &str,
+    conn_idle_ms: u32,
+) -> String {
     let class = |name: &str, effect: &str| {
         format!(
             r#"{{"name":"{name}","effect":"{effect}","group":"cell","deadline-ms":5000.0,"slo-ms":2000.0,"late-worth":0.3,"window-ms":5000.0,"worth":1.0}}"#
         )
     };
-    let classes = [class("read", "safe"), class("book", "keyed"), class("once", "unsafe")].join(",");
+    let classes = [
+        class("read", "safe"),
+        class("book", "keyed"),
+        class("once", "unsafe"),
+    ]
+    .join(",");
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"sockets":1024}},"known":{{"rev":0,"all":true,"targets":[{known}]}},
@@ -569,7 +662,7 @@
     )
 }
 
-pub struct Platform {
+pub(crate) struct Platform {
     pub address: SocketAddr,
     pub config: PathBuf,
     pub program: Program,
@@ -577,16 +670,16 @@
 }
 
 /// A gateway between databases, listed as `known` says, and the clients of a test.
-pub fn platform(known: &str, conn_idle_ms: u32) -> Platform {
+pub(crate) fn platform(known: &str, conn_idle_ms: u32) -> Platform {
     platform_with(known, conn_idle_ms, false)
 }
 
-pub fn platform_with(known: &str, conn_idle_ms: u32, silent: bool) -> Platform {
+pub(crate) fn platform_with(known: &str, conn_idle_ms: u32, silent: bool) -> Platform {
     platform_edited(known, conn_idle_ms, silent, |text| text)
 }
 
 /// The same with another configuration.
-pub fn platform_edited(
+pub(crate) fn platform_edited(
     known: &str,
     conn_idle_ms: u32,
     silent: bool,
@@ -596,7 +689,16 @@
     discovery.silent.store(silent, Ordering::SeqCst);
     let address = free_address();
     let path = folder().join("config.json");
-    std::fs::write(&path, edit(config(address, discovery_at, known, conn_idle_ms))).unwrap();
+    std::fs::write(
+        &path,
+        edit(config(address, discovery_at, known, conn_idle_ms)),
+    )
+    .unwrap();
     let program = Program::start(&[], Some(&path), address);
-    Platform { address, config: path, program, discovery }
+    Platform {
+        address,
+        config: path,
+        program,
+        discovery,
+    }
 }
--- a/crates/gateway/tests/support/script.rs
+++ b/crates/gateway/tests/support/script.rs
@@ -15,7 +15,7 @@
 
 /// A call as it came.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub(crate) struct Asked {
     pub at: Instant,
     /// Of its connection, counted from 1.
     pub connection: usize,
@@ -25,7 +25,7 @@
 
 /// The form in which an answer comes.
 #[derive(Clone, Copy, Debug)]
-pub enum Form {
+pub(crate) enum Form {
     Plain,
     Indented,
     /// The whole list, whatever it was asked from.
@@ -47,7 +47,7 @@
 }
 
 /// What a call meets.
-pub enum Says {
+pub(crate) enum Says {
     /// What there is to tell, when there is.
     Right(Form),
     /// Nothing, on an open connection.
@@ -58,7 +58,7 @@
 
 /// How a connection goes on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub(crate) enum End {
     Keep,
     Close,
     Reset,
@@ -77,13 +77,22 @@
 impl List {
     fn json(&self, from: Option<u64>, whole: bool) -> String {
         let new = |of: u64| whole || from.is_none_or(|from| of > from);
-        let told: Vec<_> = self.entries.values().filter(|e| new(e.0)).map(|e| e.1.as_str()).collect();
+        let told: Vec<_> = self
+            .entries
+            .values()
+            .filter(|e| new(e.0))
+            .map(|e| e.1.as_str())
+            .collect();
         let all = whole || from.is_none();
-        format!(r#"{{"rev":{},"all":{all},"targets":[{}]}}"#, self.rev, told.join(","))
+        format!(
+            r#"{{"rev":{},"all":{all},"targets":[{}]}}"#,
+            self.rev,
+            told.join(",")
+        )
     }
 }
 
-pub struct Scripted {
+pub(crate) struct Scripted {
     pub address: SocketAddr,
     list: Mutex<List>,
     script: Mutex<Script>,
@@ -102,8 +111,11 @@
 
 impl Scripted {
     /// Lists these at version 1.
-    pub fn start(entries: &[(&str, String)]) -> Arc<Self> {
-        let entries = entries.iter().map(|(uid, text)| ((*uid).to_owned(), (1, text.clone()))).collect();
+    pub(crate) fn start(entries: &[(&str, String)]) -> Arc<Self> {
+        let entries = entries
+            .iter()
+            .map(|(uid, text)| ((*uid).to_owned(), (1, text.clone())))
+            .collect();
         let script: Script = Box::new(|_| Says::Right(Form::Plain));
         let all = Arc::new(Self {
             address: free_address(),
@@ -136,7 +148,8 @@
                 };
                 stream.set_nonblocking(false).unwrap();
                 stream.set_nodelay(true).unwrap();
-                let (number, serves) = (1 + self.connections.fetch_add(1, SeqCst), Arc::clone(&self));
+                let (number, serves) =
+                    (1 + self.connections.fetch_add(1, SeqCst), Arc::clone(&self));
                 thread::spawn(move || serves.serve(stream, number));
             }
             drop(listener);
@@ -148,17 +161,17 @@
     }
 
     /// What the calls from now on meet.
-    pub fn script(&self, script: impl FnMut(&Asked) -> Says + Send + 'static) {
+    pub(crate) fn script(&self, script: impl FnMut(&Asked) -> Says + Send + 'static) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
     /// The same for all of them.
-    pub fn form(&self, form: Form) {
+    pub(crate) fn form(&self, form: Form) {
         self.script(move |_| Says::Right(form));
     }
 
     /// A newer version, with this entry; what watches is told. Since when it can be told.
-    pub fn tell(&self, uid: &str, entry: String) -> Instant {
+    pub(crate) fn tell(&self, uid: &str, entry: String) -> Instant {
         let mut list = self.list.lock().unwrap();
         list.rev += 1;
         let rev = list.rev;
@@ -167,7 +180,7 @@
     }
 
     /// A newer version without this one, which only whole lists show.
-    pub fn forget(&self, uid: &str) -> Instant {
+    pub(crate) fn forget(&self, uid: &str) -> Instant {
         let mut list = self.list.lock().unwrap();
         list.rev += 1;
         list.entries.remove(uid);
@@ -175,7 +188,7 @@
     }
 
     /// Counts anew from this version on, of which everything is, this entry among it. Since when it can be told.
-    pub fn counts_anew(&self, rev: u64, uid: &str, entry: String) -> Instant {
+    pub(crate) fn counts_anew(&self, rev: u64, uid: &str, entry: String) -> Instant {
         let mut list = self.list.lock().unwrap();
         list.rev = rev;
         list.entries.insert(uid.to_owned(), (rev, entry));
@@ -184,30 +197,30 @@
     }
 
     /// Open connections say nothing more.
-    pub fn mute(&self) {
+    pub(crate) fn mute(&self) {
         self.muted.store(self.connections.load(SeqCst), SeqCst);
     }
 
     /// Open connections are reset.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         self.reset.store(self.connections.load(SeqCst), SeqCst);
     }
 
     /// Is silent, on connections that are open and on those that come meanwhile, also later.
-    pub fn falls_silent(&self) {
+    pub(crate) fn falls_silent(&self) {
         self.silent.store(true, SeqCst);
         self.mute();
     }
 
     /// Refuses connections, and resets those that are open.
-    pub fn goes(&self) {
+    pub(crate) fn goes(&self) {
         self.refuses.store(true, SeqCst);
         self.reset();
         until("it refuses", || self.refusing.load(SeqCst));
     }
 
     /// Is there again, for new connections.
-    pub fn returns(&self) -> Instant {
+    pub(crate) fn returns(&self) -> Instant {
         self.mute();
         self.silent.store(false, SeqCst);
         self.refuses.store(false, SeqCst);
@@ -215,11 +228,11 @@
         Instant::now()
     }
 
-    pub fn connections(&self) -> usize {
+    pub(crate) fn connections(&self) -> usize {
         self.connections.load(SeqCst)
     }
 
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 
@@ -232,14 +245,24 @@
                 let text = head.split_once(name)?.1;
                 text.split(['&', ' ']).next()?.parse().ok()
             };
-            let (from, hold) = (field("from="), Duration::from_millis(field("hold_ms=").unwrap_or(0)));
-            let asked = Asked { at: Instant::now(), connection, from, hold };
+            let (from, hold) = (
+                field("from="),
+                Duration::from_millis(field("hold_ms=").unwrap_or(0)),
+            );
+            let asked = Asked {
+                at: Instant::now(),
+                connection,
+                from,
+                hold,
+            };
             self.calls.lock().unwrap().push(asked.clone());
             let says = (self.script.lock().unwrap())(&asked);
             let end = match says {
                 Says::Right(form) => self.tells(&mut stream, &asked, form),
                 Says::Nothing => End::Silent,
-                Says::Bytes(pieces, end) => write(&mut stream, &pieces).map_or(End::Close, |()| end),
+                Says::Bytes(pieces, end) => {
+                    write(&mut stream, &pieces).map_or(End::Close, |()| end)
+                }
             };
             match end {
                 End::Keep => {}
@@ -282,14 +305,20 @@
 }
 
 /// An answer in this form, and what becomes of the connection behind it.
-pub fn answer(body: &str, form: Form) -> (Vec<(Duration, Vec<u8>)>, End) {
-    let sized = |head: &str, body: &str| format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+pub(crate) fn answer(body: &str, form: Form) -> (Vec<(Duration, Vec<u8>)>, End) {
+    let sized =
+        |head: &str, body: &str| format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let ok = "HTTP/1.1 200 OK";
-    let (chunked, size) = (format!("{ok}\r\nTransfer-Encoding: chunked\r\n\r\n"), body.len() / 2);
+    let (chunked, size) = (
+        format!("{ok}\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        body.len() / 2,
+    );
     let chunks = |extension: &str, trailers: &str| {
         let (first, second) = body.split_at(size);
         let (one, two) = (first.len(), second.len());
-        format!("{chunked}{one:x}{extension}\r\n{first}\r\n{two:X}\r\n{second}\r\n0\r\n{trailers}\r\n")
+        format!(
+            "{chunked}{one:x}{extension}\r\n{first}\r\n{two:X}\r\n{second}\r\n0\r\n{trailers}\r\n"
+        )
     };
     let (text, end) = match form {
         Form::Plain | Form::Whole | Form::Pieces(..) => (sized(ok, body), End::Keep),
@@ -298,17 +327,23 @@
         Form::Trailers => (chunks("", "X-Rev: 1\r\nX-More: a, b\r\n"), End::Keep),
         Form::Extension(length) => (chunks(&format!(";x={}", "y".repeat(length)), ""), End::Keep),
         Form::NoLength => (format!("{ok}\r\n\r\n{body}"), End::Close),
-        Form::Ends(word) => (sized(&format!("{ok}\r\nConnection: {word}"), body), End::Close),
+        Form::Ends(word) => (
+            sized(&format!("{ok}\r\nConnection: {word}"), body),
+            End::Close,
+        ),
         Form::Http10 => (sized("HTTP/1.0 200 OK", body), End::Close),
         Form::Interim => {
-            let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n";
+            let interim =
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n";
             (interim.to_owned() + &sized(ok, body), End::Keep)
         }
     };
     let pieces = match form {
-        Form::Pieces(size, ms) => {
-            text.as_bytes().chunks(size).map(|some| (Duration::from_millis(ms), some.to_vec())).collect()
-        }
+        Form::Pieces(size, ms) => text
+            .as_bytes()
+            .chunks(size)
+            .map(|some| (Duration::from_millis(ms), some.to_vec()))
+            .collect(),
         _ => vec![(Duration::ZERO, text.into_bytes())],
     };
     (pieces, end)
@@ -316,7 +351,9 @@
 
 fn indented(body: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
-    serde_json::to_string_pretty(&value).unwrap().replace('\n', "\r\n\t")
+    serde_json::to_string_pretty(&value)
+        .unwrap()
+        .replace('\n', "\r\n\t")
 }
 
 fn write(stream: &mut TcpStream, pieces: &[(Duration, Vec<u8>)]) -> Option<()> {
@@ -346,10 +383,10 @@
 }
 
 /// An address at which connects hang: its queue is full, and nobody takes anything from it.
-pub struct Hangs(pub SocketAddr, TcpListener, Vec<TcpStream>);
+pub(crate) struct Hangs(pub SocketAddr, TcpListener, Vec<TcpStream>);
 
 impl Hangs {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let listener = TcpListener::bind(free_address()).unwrap();
         let (address, mut held) = (listener.local_addr().unwrap(), vec![]);
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
