--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -8,6 +8,7 @@
 //! | [`words`] | what the two say to each other, as bytes |
 
 #![forbid(unsafe_code)]
+#![expect(missing_docs, reason = "not yet split and documented")]
 
 pub mod share;
 pub mod steps;
--- a/crates/hot-restart/src/share.rs
+++ b/crates/hot-restart/src/share.rs
@@ -20,17 +20,26 @@
 }
 
 /// What a process needs to start, and the least that it is left with: its files, its operators' callers, discovery.
-pub const LEAST: ProcessLimits = ProcessLimits { descriptors: 40, bytes: 6 * 1024 * 1024 };
+pub const LEAST: ProcessLimits = ProcessLimits {
+    descriptors: 40,
+    bytes: 6 * 1024 * 1024,
+};
 
 impl ProcessLimits {
     fn map2(self, other: Self, f: impl Fn(usize, usize) -> usize) -> Self {
-        Self { descriptors: f(self.descriptors, other.descriptors), bytes: f(self.bytes, other.bytes) }
+        Self {
+            descriptors: f(self.descriptors, other.descriptors),
+            bytes: f(self.bytes, other.bytes),
+        }
     }
 
     /// Half of it.
     #[must_use]
     pub const fn half(self) -> Self {
-        Self { descriptors: self.descriptors / 2, bytes: self.bytes / 2 }
+        Self {
+            descriptors: self.descriptors / 2,
+            bytes: self.bytes / 2,
+        }
     }
 }
 
@@ -44,7 +53,9 @@
     if followed {
         whole.half()
     } else {
-        whole.map2(LEAST, usize::saturating_sub).map2(whole.half(), usize::max)
+        whole
+            .map2(LEAST, usize::saturating_sub)
+            .map2(whole.half(), usize::max)
     }
 }
 
@@ -58,5 +69,8 @@
         Some(held) if grows => held.map2(half, usize::max),
         Some(held) => held,
     };
-    whole.map2(old, usize::saturating_sub).map2(LEAST, usize::max).map2(whole, usize::min)
+    whole
+        .map2(old, usize::saturating_sub)
+        .map2(LEAST, usize::max)
+        .map2(whole, usize::min)
 }
--- a/crates/hot-restart/src/steps.rs
+++ b/crates/hot-restart/src/steps.rs
@@ -14,7 +14,10 @@
     /// The only one.
     Alone,
     /// Beside an old one, which holds so much, as far as it has said; `grows` until it takes on nothing more.
-    New { old: Option<ProcessLimits>, grows: bool },
+    New {
+        old: Option<ProcessLimits>,
+        grows: bool,
+    },
     /// It has handed over to a new one, which does not serve yet.
     Sharing(Peer),
     /// The new one serves.
@@ -48,7 +51,11 @@
     /// Tells it to ask again later.
     TurnAway(Peer),
     /// Tells the new one what this process holds.
-    Tell { peer: Peer, holds: ProcessLimits, grows: bool },
+    Tell {
+        peer: Peer,
+        holds: ProcessLimits,
+        grows: bool,
+    },
     /// Takes up no more than this, and divides what a fleet shares by so many processes for each gateway.
     Share { room: ProcessLimits, processes: u32 },
     /// Takes no connections from now on: the new one does, from the same queue.
@@ -70,8 +77,20 @@
     /// A process that was handed everything by an old one (`beside` it), or not.
     #[must_use]
     pub const fn new(whole: ProcessLimits, beside: bool) -> Self {
-        let stage = if beside { HandoffStage::New { old: None, grows: true } } else { HandoffStage::Alone };
-        Self { whole, stage, stopping: false, told: None }
+        let stage = if beside {
+            HandoffStage::New {
+                old: None,
+                grows: true,
+            }
+        } else {
+            HandoffStage::Alone
+        };
+        Self {
+            whole,
+            stage,
+            stopping: false,
+            told: None,
+        }
     }
 
     /// What it is now.
@@ -98,8 +117,15 @@
     }
 
     fn share(&self) -> HandoffAction {
-        let processes = if self.stage == HandoffStage::Alone { 1 } else { 2 };
-        HandoffAction::Share { room: self.room(), processes }
+        let processes = if self.stage == HandoffStage::Alone {
+            1
+        } else {
+            2
+        };
+        HandoffAction::Share {
+            room: self.room(),
+            processes,
+        }
     }
 
     fn enter(&mut self, stage: HandoffStage, out: &mut Vec<HandoffAction>) {
@@ -115,9 +141,17 @@
     pub fn take(&mut self, heard: HandoffEvent, out: &mut Vec<HandoffAction>) {
         match (heard, self.stage) {
             (HandoffEvent::Old { holds, grows }, HandoffStage::New { .. }) => {
-                self.enter(HandoffStage::New { old: Some(holds), grows }, out);
+                self.enter(
+                    HandoffStage::New {
+                        old: Some(holds),
+                        grows,
+                    },
+                    out,
+                );
+            }
+            (HandoffEvent::OldGone, HandoffStage::New { .. }) => {
+                self.enter(HandoffStage::Alone, out)
             }
-            (HandoffEvent::OldGone, HandoffStage::New { .. }) => self.enter(HandoffStage::Alone, out),
             // One that is to end hands on what it knows, and its socket if it still takes connections.
             (HandoffEvent::Asked(peer), HandoffStage::Alone) => {
                 self.told = None;
@@ -132,9 +166,10 @@
                 }
             }
             // Whoever it was handed to has gone: this one is the gateway again, as if nothing had been.
-            (HandoffEvent::Gone(peer), HandoffStage::Sharing(with) | HandoffStage::Followed(with))
-                if peer == with =>
-            {
+            (
+                HandoffEvent::Gone(peer),
+                HandoffStage::Sharing(with) | HandoffStage::Followed(with),
+            ) if peer == with => {
                 self.enter(HandoffStage::Alone, out);
                 out.push(HandoffAction::Own);
             }
@@ -144,7 +179,10 @@
                     out.extend([HandoffAction::Leave, self.share()]);
                 }
             }
-            (HandoffEvent::Tick(holds), HandoffStage::Sharing(peer) | HandoffStage::Followed(peer)) => {
+            (
+                HandoffEvent::Tick(holds),
+                HandoffStage::Sharing(peer) | HandoffStage::Followed(peer),
+            ) => {
                 let grows = !self.stopping;
                 if self.told != Some((holds, grows)) {
                     self.told = Some((holds, grows));
--- a/crates/hot-restart/src/words.rs
+++ b/crates/hot-restart/src/words.rs
@@ -48,7 +48,10 @@
     if version != VERSION {
         return Err(format!("it speaks version {version}, not {VERSION}"));
     }
-    usize::try_from(length).ok().filter(|l| *l <= MOST).ok_or_else(|| format!("a word of {length} bytes"))
+    usize::try_from(length)
+        .ok()
+        .filter(|l| *l <= MOST)
+        .ok_or_else(|| format!("a word of {length} bytes"))
 }
 
 /// The word that these bytes are.
--- a/crates/management/src/call.rs
+++ b/crates/management/src/call.rs
@@ -5,12 +5,12 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// The longest head that is read.
-pub const HEAD: usize = 8 * 1024;
+pub(crate) const HEAD: usize = 8 * 1024;
 const HEADERS: usize = 64;
 
 /// What the bytes so far say.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Call {
+pub(crate) enum Call {
     /// The head is not whole.
     More,
     Health {
@@ -32,17 +32,27 @@
 
 impl Call {
     /// Reads a head; `end` says that nothing more will come.
-    pub fn read(bytes: &[u8], end: bool) -> Self {
+    pub(crate) fn read(bytes: &[u8], end: bool) -> Self {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(bytes) {
-            Ok(httparse::Status::Complete(_)) => {
-                Self::asked(request.method.unwrap_or_default(), request.path.unwrap_or_default())
-            }
-            Ok(httparse::Status::Partial) if bytes.len() >= HEAD => Self::No { status: 431, body: true },
+            Ok(httparse::Status::Complete(_)) => Self::asked(
+                request.method.unwrap_or_default(),
+                request.path.unwrap_or_default(),
+            ),
+            Ok(httparse::Status::Partial) if bytes.len() >= HEAD => Self::No {
+                status: 431,
+                body: true,
+            },
             Ok(httparse::Status::Partial) if !end => Self::More,
-            Err(httparse::Error::TooManyHeaders) => Self::No { status: 431, body: true },
-            _ => Self::No { status: 400, body: true },
+            Err(httparse::Error::TooManyHeaders) => Self::No {
+                status: 431,
+                body: true,
+            },
+            _ => Self::No {
+                status: 400,
+                body: true,
+            },
         }
     }
 
@@ -57,16 +67,20 @@
             ("/admin/health", "GET" | "HEAD") => Self::Health { body },
             ("/admin/stats", "GET" | "HEAD") => Self::Stats { body },
             ("/admin/decisions", "GET" | "HEAD") => Self::Decisions { body },
-            ("/admin/health" | "/admin/stats" | "/admin/decisions", _) => Self::No { status: 405, body },
+            ("/admin/health" | "/admin/stats" | "/admin/decisions", _) => {
+                Self::No { status: 405, body }
+            }
             _ => Self::No { status: 404, body },
         }
     }
 
     /// Writes the whole answer to `out`.
-    pub fn answer(&self, source: &dyn Source, out: &mut Vec<u8>) {
+    pub(crate) fn answer(&self, source: &dyn Source, out: &mut Vec<u8>) {
         let asked = catch_unwind(AssertUnwindSafe(|| match *self {
             Self::Health { body } => {
-                let (status, text) = source.health().map_or_else(|no| (503, no), |yes| (200, yes));
+                let (status, text) = source
+                    .health()
+                    .map_or_else(|no| (503, no), |yes| (200, yes));
                 (status, text, body)
             }
             Self::Stats { body } => (200, source.stats(), body),
@@ -80,7 +94,11 @@
             text.push('\n');
         }
         out.clear();
-        let allow = if status == 405 { "Allow: GET, HEAD\r\n" } else { "" };
+        let allow = if status == 405 {
+            "Allow: GET, HEAD\r\n"
+        } else {
+            ""
+        };
         let _ = write!(
             out,
             "HTTP/1.1 {status} {}\r\n{allow}Content-Type: text/plain; charset=utf-8\r\nContent-Length: {}\r\n\
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -2,6 +2,7 @@
 //! else the process does and whoever else calls. One thread, a fixed number of places, nothing waits for a caller.
 
 #![forbid(unsafe_code)]
+#![expect(missing_docs, reason = "not yet split and documented")]
 
 mod call;
 mod serve;
@@ -34,7 +35,11 @@
 
 impl ManagementEndpoint {
     pub const fn new(listen: SocketAddr) -> Self {
-        Self { listen, places: 24, patience: Duration::from_secs(4) }
+        Self {
+            listen,
+            places: 24,
+            patience: Duration::from_secs(4),
+        }
     }
 }
 
@@ -42,10 +47,13 @@
 pub fn start(door: ManagementEndpoint, source: Arc<dyn Source>) -> io::Result<SocketAddr> {
     let mut serving = serve::Serving::new(door, source)?;
     let address = serving.address()?;
-    std::thread::Builder::new().name("management".into()).stack_size(128 * 1024).spawn(move || {
-        loop {
-            serving.turn();
-        }
-    })?;
+    std::thread::Builder::new()
+        .name("management".into())
+        .stack_size(128 * 1024)
+        .spawn(move || {
+            loop {
+                serving.turn();
+            }
+        })?;
     Ok(address)
 }
--- a/crates/management/src/serve.rs
+++ b/crates/management/src/serve.rs
@@ -29,7 +29,7 @@
     written: usize,
 }
 
-pub struct Serving {
+pub(crate) struct Serving {
     listener: TcpListener,
     source: Arc<dyn Source>,
     table: Table,
@@ -43,26 +43,42 @@
 }
 
 impl Serving {
-    pub fn new(door: ManagementEndpoint, source: Arc<dyn Source>) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(door.listen), Type::STREAM, Some(Protocol::TCP))?;
+    pub(crate) fn new(door: ManagementEndpoint, source: Arc<dyn Source>) -> io::Result<Self> {
+        let socket = Socket::new(
+            Domain::for_address(door.listen),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_reuse_address(true)?;
         socket.bind(&door.listen.into())?;
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
         let table = Table::new(door.places, door.patience);
-        let place = |_| Place { stream: None, bytes: Vec::with_capacity(BUFFER), written: 0 };
+        let place = |_| Place {
+            stream: None,
+            bytes: Vec::with_capacity(BUFFER),
+            written: 0,
+        };
         let places = (0..table.places()).map(place).collect();
         let ready = vec![false; table.places()];
         let scratch = vec![0; HEAD].into_boxed_slice();
-        Ok(Self { listener: socket.into(), source, table, places, scratch, ready, paused: None })
+        Ok(Self {
+            listener: socket.into(),
+            source,
+            table,
+            places,
+            scratch,
+            ready,
+            paused: None,
+        })
     }
 
-    pub fn address(&self) -> io::Result<SocketAddr> {
+    pub(crate) fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
     /// Ends what has had its time, waits for something to do, and does it.
-    pub fn turn(&mut self) {
+    pub(crate) fn turn(&mut self) {
         let now = Instant::now();
         while let Some(place) = self.table.overdue(now) {
             self.expire(place);
@@ -73,7 +89,10 @@
             Room::Free(_) | Room::After(_) => None,
         };
         let accepting = self.paused.is_none() && later.is_none();
-        let until = [self.paused, later, self.table.next()].into_iter().flatten().min();
+        let until = [self.paused, later, self.table.next()]
+            .into_iter()
+            .flatten()
+            .min();
         let newcomers = self.wait(accepting, until.map(|until| until - now));
         for place in 0..self.places.len() {
             if std::mem::take(&mut self.ready[place]) {
@@ -88,7 +107,13 @@
     /// Waits until a call can go on, the time is over or, if wanted, somebody new has come; says whether one has.
     fn wait(&mut self, accepting: bool, time: Option<Duration>) -> bool {
         let mut fds = Vec::with_capacity(self.places.len() + 1);
-        let wanted = |stage| if stage == Stage::Answering { PollFlags::OUT } else { PollFlags::IN };
+        let wanted = |stage| {
+            if stage == Stage::Answering {
+                PollFlags::OUT
+            } else {
+                PollFlags::IN
+            }
+        };
         for (place, held) in self.places.iter().enumerate() {
             if let (Some(stream), Some(stage)) = (&held.stream, self.table.stage(place)) {
                 fds.push((Some(place), PollFd::new(stream, wanted(stage))));
@@ -108,7 +133,11 @@
             }
         }
         let mut newcomers = false;
-        for (whose, _) in whose.into_iter().zip(&fds).filter(|(_, fd)| !fd.revents().is_empty()) {
+        for (whose, _) in whose
+            .into_iter()
+            .zip(&fds)
+            .filter(|(_, fd)| !fd.revents().is_empty())
+        {
             match whose {
                 Some(place) => self.ready[place] = true,
                 None => newcomers = true,
@@ -138,7 +167,10 @@
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error)
-                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(_) => {
                     self.paused = Some(now + PAUSE);
                     return;
@@ -178,7 +210,9 @@
     /// Takes a call as far as it goes without waiting.
     fn serve(&mut self, place: usize) {
         loop {
-            let Some(stage) = self.table.stage(place) else { return };
+            let Some(stage) = self.table.stage(place) else {
+                return;
+            };
             let done = match stage {
                 Stage::Reading => self.read(place),
                 Stage::Answering => self.write(place),
@@ -197,7 +231,9 @@
     /// Reads on in the head; what comes next, or nothing if the caller has gone.
     fn read(&mut self, place: usize) -> io::Result<Option<Stage>> {
         let held = &mut self.places[place];
-        let Some(stream) = &mut held.stream else { return Ok(None) };
+        let Some(stream) = &mut held.stream else {
+            return Ok(None);
+        };
         loop {
             let length = stream.read(&mut self.scratch[..HEAD - held.bytes.len()])?;
             held.bytes.extend_from_slice(&self.scratch[..length]);
@@ -221,7 +257,9 @@
     /// Writes on in the answer.
     fn write(&mut self, place: usize) -> io::Result<Option<Stage>> {
         let held = &mut self.places[place];
-        let Some(stream) = &mut held.stream else { return Ok(None) };
+        let Some(stream) = &mut held.stream else {
+            return Ok(None);
+        };
         while held.written < held.bytes.len() {
             match stream.write(&held.bytes[held.written..])? {
                 0 => return Ok(None),
@@ -234,7 +272,9 @@
 
     /// Drops what still comes, some of it at once; an error says that there is nothing now.
     fn drain(&mut self, place: usize) -> io::Result<Option<Stage>> {
-        let Some(stream) = &mut self.places[place].stream else { return Ok(None) };
+        let Some(stream) = &mut self.places[place].stream else {
+            return Ok(None);
+        };
         for _ in 0..PIECES {
             if stream.read(&mut self.scratch)? == 0 {
                 return Ok(None);
--- a/crates/management/src/table.rs
+++ b/crates/management/src/table.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 /// So long a caller may take for its first bytes before a newcomer may have its place.
-pub const GRACE: Duration = Duration::from_millis(2);
+pub(crate) const GRACE: Duration = Duration::from_millis(2);
 /// So long what a caller still sends after its answer is taken in, so that no reset tears the answer away.
-pub const LINGER: Duration = Duration::from_secs(1);
+pub(crate) const LINGER: Duration = Duration::from_secs(1);
 
 /// How far a call has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub(crate) enum Stage {
     /// Its head is not whole yet.
     Reading,
     /// Its answer is decided and not all written.
@@ -28,7 +28,7 @@
 
 /// Where a newcomer can go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub(crate) enum Room {
     /// This place is free.
     Free(usize),
     /// The call at this place has to go first.
@@ -39,70 +39,97 @@
 
 /// The places, as many as there will ever be.
 #[derive(Debug)]
-pub struct Table {
+pub(crate) struct Table {
     calls: Vec<Option<Call>>,
     patience: Duration,
 }
 
 impl Table {
-    pub fn new(places: usize, patience: Duration) -> Self {
-        Self { calls: vec![None; places.max(1)], patience }
+    pub(crate) fn new(places: usize, patience: Duration) -> Self {
+        Self {
+            calls: vec![None; places.max(1)],
+            patience,
+        }
     }
 
-    pub fn places(&self) -> usize {
+    pub(crate) fn places(&self) -> usize {
         self.calls.len()
     }
 
     /// The stage of the call at a place, if there is one.
-    pub fn stage(&self, place: usize) -> Option<Stage> {
+    pub(crate) fn stage(&self, place: usize) -> Option<Stage> {
         self.calls[place].map(|call| call.stage)
     }
 
     /// A call begins at a place.
-    pub fn begin(&mut self, place: usize, now: Instant) {
-        self.calls[place] = Some(Call { accepted: now, since: now, stage: Stage::Reading });
+    pub(crate) fn begin(&mut self, place: usize, now: Instant) {
+        self.calls[place] = Some(Call {
+            accepted: now,
+            since: now,
+            stage: Stage::Reading,
+        });
     }
 
     /// The call at a place has come further.
-    pub fn advance(&mut self, place: usize, stage: Stage, now: Instant) {
+    pub(crate) fn advance(&mut self, place: usize, stage: Stage, now: Instant) {
         if let Some(call) = &mut self.calls[place] {
             (call.stage, call.since) = (stage, now);
         }
     }
 
     /// The place is free again.
-    pub fn end(&mut self, place: usize) {
+    pub(crate) fn end(&mut self, place: usize) {
         self.calls[place] = None;
     }
 
     /// Where a newcomer can go: a free place; else that of the oldest call of those that can best be spared.
-    pub fn room(&self, now: Instant) -> Room {
+    pub(crate) fn room(&self, now: Instant) -> Room {
         if let Some(place) = self.calls.iter().position(Option::is_none) {
             return Room::Free(place);
         }
-        let calls = || self.calls.iter().enumerate().filter_map(|(place, call)| Some((place, (*call)?)));
+        let calls = || {
+            self.calls
+                .iter()
+                .enumerate()
+                .filter_map(|(place, call)| Some((place, (*call)?)))
+        };
         let ripe = calls().filter(|(_, call)| call.since + GRACE <= now);
         match ripe.min_by_key(|(_, call)| (call.worth(now), call.accepted)) {
             Some((place, _)) => Room::After(place),
-            None => Room::Later(calls().map(|(_, call)| call.since + GRACE).min().unwrap_or(now)),
+            None => Room::Later(
+                calls()
+                    .map(|(_, call)| call.since + GRACE)
+                    .min()
+                    .unwrap_or(now),
+            ),
         }
     }
 
     /// A place whose call has had its time.
-    pub fn overdue(&self, now: Instant) -> Option<usize> {
-        self.calls.iter().position(|call| call.is_some_and(|call| call.until(self.patience) <= now))
+    pub(crate) fn overdue(&self, now: Instant) -> Option<usize> {
+        self.calls
+            .iter()
+            .position(|call| call.is_some_and(|call| call.until(self.patience) <= now))
     }
 
     /// When the next call has had its time.
-    pub fn next(&self) -> Option<Instant> {
-        self.calls.iter().flatten().map(|call| call.until(self.patience)).min()
+    pub(crate) fn next(&self) -> Option<Instant> {
+        self.calls
+            .iter()
+            .flatten()
+            .map(|call| call.until(self.patience))
+            .min()
     }
 }
 
 impl Call {
     fn until(&self, patience: Duration) -> Instant {
         let end = self.accepted + patience;
-        if self.stage == Stage::Draining { end.min(self.since + LINGER) } else { end }
+        if self.stage == Stage::Draining {
+            end.min(self.since + LINGER)
+        } else {
+            end
+        }
     }
 
     /// The less, the sooner it is sent away: who has long had its answer, who has not asked, who is being answered.
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -48,9 +48,15 @@
 
     /// These were told, in a fleet of so many; what was told often enough is let go.
     pub fn told(&mut self, rumors: &[Rumor], fleet: usize) {
-        let most = if self.words.len() > MANY { FEW } else { TELLINGS * (1 + fleet.max(1).ilog10()) };
+        let most = if self.words.len() > MANY {
+            FEW
+        } else {
+            TELLINGS * (1 + fleet.max(1).ilog10())
+        };
         for rumor in rumors {
-            let Some(rank) = self.words.get_mut(&rumor.about) else { continue };
+            let Some(rank) = self.words.get_mut(&rumor.about) else {
+                continue;
+            };
             if self.order.get(rank) != Some(rumor) {
                 continue;
             }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -20,6 +20,7 @@
 //! sent, which is as good as lost, and counted.
 
 #![forbid(unsafe_code)]
+#![expect(missing_docs, reason = "not yet split and documented")]
 
 pub mod gossip;
 mod probe;
@@ -275,7 +276,9 @@
     /// Settings that cannot be worked with.
     pub fn new(set: Settings, wall_ms: u64, seed: u64, now: Time) -> Result<Self, InvalidSettings> {
         if set.me.ip().is_unspecified() || set.me.port() == 0 {
-            return Err(InvalidSettings("the own address is none that others could send to"));
+            return Err(InvalidSettings(
+                "the own address is none that others could send to",
+            ));
         }
         if set.period < Span::from_millis(10) {
             return Err(InvalidSettings("the period is under 10 ms"));
@@ -284,12 +287,21 @@
             return Err(InvalidSettings("no gateway may be known"));
         }
         if set.bytes_s < 1024 {
-            return Err(InvalidSettings("under 1,024 bytes a second leave questions unasked"));
+            return Err(InvalidSettings(
+                "under 1,024 bytes a second leave questions unasked",
+            ));
         }
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let me = Incarnation { number: wall_ms.min(Incarnation::MOST / 2), nonce: rng.next_u32() };
+        let me = Incarnation {
+            number: wall_ms.min(Incarnation::MOST / 2),
+            nonce: rng.next_u32(),
+        };
         let first = part(&mut rng);
-        let card = MemberMetadata { zone: set.zone, version: set.version, ..MemberMetadata::default() };
+        let card = MemberMetadata {
+            zone: set.zone,
+            version: set.version,
+            ..MemberMetadata::default()
+        };
         let mut new = Self {
             me,
             card,
@@ -303,7 +315,11 @@
             health: Health::default(),
             size: Size::new(set.configured, set.settle),
             view: View::new(set.me, CHANGES, set.period.times(DISSENT), now),
-            purse: Purse { a_second: f64::from(set.bytes_s), held: f64::from(set.bytes_s), at: now },
+            purse: Purse {
+                a_second: f64::from(set.bytes_s),
+                held: f64::from(set.bytes_s),
+                at: now,
+            },
             round: vec![],
             comparing: None,
             synced: set.seeds.iter().all(|s| *s == set.me),
@@ -328,9 +344,14 @@
     pub fn next_due(&self) -> Time {
         let suspicions = self.suspicions.values().map(Suspicion::over);
         let spread = (self.gossip.len() >= MUCH || !self.view.all()).then_some(self.spread_at);
-        let all = suspicions.chain(self.probes.next_due()).chain(spread).chain([self.ask_at, self.revive_at]);
+        let all = suspicions
+            .chain(self.probes.next_due())
+            .chain(spread)
+            .chain([self.ask_at, self.revive_at]);
         // Often enough that standing still is told from having had nothing to do.
-        all.chain([self.looked + self.set.period]).min().unwrap_or(self.looked)
+        all.chain([self.looked + self.set.period])
+            .min()
+            .unwrap_or(self.looked)
     }
 
     /// Time has passed.
@@ -357,10 +378,23 @@
             return;
         };
         self.counts.taken += 1;
-        let Datagram { from: incarnation, card, .. } = datagram;
-        let speaks = Rumor { about: from, incarnation, state: State::Alive, accuser: 0, card };
+        let Datagram {
+            from: incarnation,
+            card,
+            ..
+        } = datagram;
+        let speaks = Rumor {
+            about: from,
+            incarnation,
+            state: State::Alive,
+            accuser: 0,
+            card,
+        };
         // One that ends says so along with whatever it says last.
-        let ends = datagram.rumors.iter().any(|r| r.about == from && r.state == State::Left);
+        let ends = datagram
+            .rumors
+            .iter()
+            .any(|r| r.about == from && r.state == State::Left);
         if !ends {
             self.hear(&speaks, now, out);
         }
@@ -374,10 +408,13 @@
             }
         }
         self.turn(now);
-        let same = self.view.hear(&from, &datagram.held, self.table.living(), now);
+        let same = self
+            .view
+            .hear(&from, &datagram.held, self.table.living(), now);
         // What has just changed is on its way to the other too, mostly.
         let (since, compared) = (now - self.view.since(), now - self.compared);
-        let rests = since.min(compared) >= self.set.period || compared >= self.set.period.times(2.0);
+        let rests =
+            since.min(compared) >= self.set.period || compared >= self.set.period.times(2.0);
         if !same && rests && self.view.dissenting().is_some() {
             self.compare_at = self.compare_at.min(now);
         }
@@ -392,12 +429,25 @@
             }
             Message::Nack(seq) => self.probes.denied(seq, from),
             Message::Look(seq, target) => self.look(from, seq, target, now, out),
-            Message::Compare(digest) => self.answer_compare(from, u64::from_be_bytes(digest), now, out),
+            Message::Compare(digest) => {
+                self.answer_compare(from, u64::from_be_bytes(digest), now, out)
+            }
             Message::Parts(theirs) => self.take_parts(from, &theirs, now, out),
-            Message::Pull { part, of, after, salt, known } => {
+            Message::Pull {
+                part,
+                of,
+                after,
+                salt,
+                known,
+            } => {
                 self.page(from, (part, of, after), (salt, &known), now, out);
             }
-            Message::Page { part, of, after, end } => {
+            Message::Page {
+                part,
+                of,
+                after,
+                end,
+            } => {
                 self.take_page(from, (part, of, after), end, &datagram.rumors, now, out);
             }
             Message::Same => {
@@ -452,13 +502,24 @@
     }
 
     /// Who is in the view, this gateway included, by address, with those that are gone and still remembered.
-    pub fn members(&self) -> impl Iterator<Item = (SocketAddr, Incarnation, MemberMetadata, Standing)> {
+    pub fn members(
+        &self,
+    ) -> impl Iterator<Item = (SocketAddr, Incarnation, MemberMetadata, Standing)> {
         let (life, card) = self.yielded.unwrap_or((self.me, self.card));
         let me = (self.set.me, life, card, Standing::of(self.state, card));
-        let others =
-            |(a, p): (&SocketAddr, &Peer)| (*a, p.incarnation, p.card, Standing::of(p.state, p.card));
-        let before = self.table.iter().take_while(move |(a, _)| **a < me.0).map(others);
-        let after = self.table.iter().skip_while(move |(a, _)| **a < me.0).map(others);
+        let others = |(a, p): (&SocketAddr, &Peer)| {
+            (*a, p.incarnation, p.card, Standing::of(p.state, p.card))
+        };
+        let before = self
+            .table
+            .iter()
+            .take_while(move |(a, _)| **a < me.0)
+            .map(others);
+        let after = self
+            .table
+            .iter()
+            .skip_while(move |(a, _)| **a < me.0)
+            .map(others);
         before.chain([me]).chain(after)
     }
 
@@ -529,7 +590,8 @@
             self.health.worst();
             self.comparing = None;
             self.view.doubt(self.table.living());
-            self.synced = self.set.seeds.iter().all(|s| *s == self.set.me) && self.table.alive() == 0;
+            self.synced =
+                self.set.seeds.iter().all(|s| *s == self.set.me) && self.table.alive() == 0;
             (self.ask_at, self.compare_at) = (now, now);
             self.suspicions.values_mut().for_each(|s| s.postpone(gap));
             // Others may have given it up by now; what it says next outweighs that.
@@ -541,20 +603,29 @@
 
     fn count(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.turn(now);
-        match self.view.look(self.synced && self.state != State::Left, now) {
+        match self
+            .view
+            .look(self.synced && self.state != State::Left, now)
+        {
             None => {}
             Some(true) => out.push(Effect::Event(MembershipEvent::Settled(self.view.shared()))),
             Some(false) => out.push(Effect::Event(MembershipEvent::Unsettled)),
         }
         let MemberCounts { mine, settled, .. } = self.numbers();
-        self.size.count(self.synced.then_some(mine), settled.is_some(), now);
+        self.size
+            .count(self.synced.then_some(mine), settled.is_some(), now);
     }
 
     /// The view is what is believed now.
     fn turn(&mut self, now: Time) {
         let (life, card) = self.yielded.unwrap_or((self.me, self.card));
-        let own = if lives(self.state) { table::view_mark(&self.set.me, life, card) } else { 0 };
-        self.view.turn(self.table.view() ^ own, self.table.living(), now);
+        let own = if lives(self.state) {
+            table::view_mark(&self.set.me, life, card)
+        } else {
+            0
+        };
+        self.view
+            .turn(self.table.view() ^ own, self.table.living(), now);
     }
 
     // ---- Words ----
@@ -574,10 +645,9 @@
             }
             Taken::Known => {
                 // Another who suspects the same life is news.
-                let held = self
-                    .suspicions
-                    .get_mut(&about)
-                    .filter(|s| rumor.state == State::Suspect && s.incarnation == rumor.incarnation);
+                let held = self.suspicions.get_mut(&about).filter(|s| {
+                    rumor.state == State::Suspect && s.incarnation == rumor.incarnation
+                });
                 if held.is_some_and(|s| s.confirm(rumor.accuser)) {
                     self.gossip.add(*rumor);
                 }
@@ -599,7 +669,10 @@
         // Whatever was suspected before was of an earlier incarnation, or is settled.
         self.suspicions.remove(&about);
         if rumor.state == State::Suspect {
-            let (others, least) = (self.table.alive().saturating_sub(1), self.set.period.times(SUSPECTED));
+            let (others, least) = (
+                self.table.alive().saturating_sub(1),
+                self.set.period.times(SUSPECTED),
+            );
             let new = Suspicion::new(rumor.incarnation, rumor.accuser, others, least, now);
             self.suspicions.insert(about, new);
         }
@@ -608,9 +681,24 @@
     }
 
     /// Tells those that stand on the view, if this word has changed it.
-    fn change(&mut self, rumor: &Rumor, before: Option<(State, MemberMetadata)>, taken: Taken, at: Time) {
-        let Rumor { about, incarnation: life, card, state, .. } = *rumor;
-        let (was, is) = (before.map(|(state, card)| Standing::of(state, card)), Standing::of(state, card));
+    fn change(
+        &mut self,
+        rumor: &Rumor,
+        before: Option<(State, MemberMetadata)>,
+        taken: Taken,
+        at: Time,
+    ) {
+        let Rumor {
+            about,
+            incarnation: life,
+            card,
+            state,
+            ..
+        } = *rumor;
+        let (was, is) = (
+            before.map(|(state, card)| Standing::of(state, card)),
+            Standing::of(state, card),
+        );
         let says = |c: MemberMetadata| (c.zone, c.version, c.phase);
         let why = match (taken, state) {
             (Taken::Known | Taken::Full, _) => return,
@@ -629,7 +717,16 @@
             _ => true,
         };
         if told {
-            self.view.change(Change { version: 0, at, about, life, card, was, is, why });
+            self.view.change(Change {
+                version: 0,
+                at,
+                about,
+                life,
+                card,
+                was,
+                is,
+                why,
+            });
         }
     }
 
@@ -649,8 +746,9 @@
             }
             // Outbidding each other for ever helps neither. The others know this name by the other life; it answers for both.
             if answered == YIELDS && lives(rumor.state) {
-                let later =
-                    self.yielded.is_none_or(|(life, card)| (life, card) < (rumor.incarnation, rumor.card));
+                let later = self
+                    .yielded
+                    .is_none_or(|(life, card)| (life, card) < (rumor.incarnation, rumor.card));
                 if later {
                     self.yielded = Some((rumor.incarnation, rumor.card));
                 }
@@ -667,7 +765,13 @@
 
     /// This gateway's word on itself.
     const fn own(&self) -> Rumor {
-        Rumor { about: self.set.me, incarnation: self.me, state: self.state, accuser: 0, card: self.card }
+        Rumor {
+            about: self.set.me,
+            incarnation: self.me,
+            state: self.state,
+            accuser: 0,
+            card: self.card,
+        }
     }
 
     /// Sends a datagram, with what comes along.
@@ -705,20 +809,41 @@
     /// A datagram without news.
     fn bare(&mut self, message: Message) -> Datagram {
         let held = self.view.held(self.table.living(), self.rng.next_u32());
-        Datagram { from: self.me, card: self.card, held, message, rumors: vec![] }
+        Datagram {
+            from: self.me,
+            card: self.card,
+            held,
+            message,
+            rumors: vec![],
+        }
     }
 
     /// What each datagram to another begins with: this gateway's own end, and what the other is taken for if that is
     /// anything else than alive, or alive in another life: it has to hear it to say otherwise.
     fn foreword(&self, to: &SocketAddr) -> Vec<Rumor> {
         let own = (self.state == State::Left).then_some(self.own());
-        let theirs = self.table.get(to).filter(|p| p.state != State::Alive || p.behind);
-        own.into_iter().chain(theirs.map(|p| self.rumor(to, p))).collect()
+        let theirs = self
+            .table
+            .get(to)
+            .filter(|p| p.state != State::Alive || p.behind);
+        own.into_iter()
+            .chain(theirs.map(|p| self.rumor(to, p)))
+            .collect()
     }
 
     fn rumor(&self, about: &SocketAddr, peer: &Peer) -> Rumor {
-        let accuser = if peer.state == State::Suspect { self.mark() } else { 0 };
-        Rumor { about: *about, incarnation: peer.incarnation, state: peer.state, accuser, card: peer.card }
+        let accuser = if peer.state == State::Suspect {
+            self.mark()
+        } else {
+            0
+        };
+        Rumor {
+            about: *about,
+            incarnation: peer.incarnation,
+            state: peer.state,
+            accuser,
+            card: peer.card,
+        }
     }
 
     /// What this gateway's suspicions are signed with.
@@ -736,9 +861,13 @@
         if self.state == State::Left {
             return;
         }
-        let Some(target) = self.next_target() else { return };
+        let Some(target) = self.next_target() else {
+            return;
+        };
         let direct = self.health.stretch(self.set.period.times(DIRECT));
-        let seq = self.probes.begin(target, now + direct.times(0.5), now + direct, now + period);
+        let seq = self
+            .probes
+            .begin(target, now + direct.times(0.5), now + direct, now + period);
         self.send(target, Message::Ping(seq), now, out);
     }
 
@@ -781,16 +910,30 @@
         }
         while let Some((target, silent)) = self.probes.lost(now) {
             // Who hears nothing even from those that were asked to look does not hear well.
-            self.health.worse(silent.map_or(1, |n| u32::try_from(n).unwrap_or(u32::MAX)));
-            let Some(peer) = self.table.get(&target).filter(|p| lives(p.state)) else { continue };
-            let rumor = Rumor { state: State::Suspect, accuser: self.mark(), ..self.rumor(&target, peer) };
+            self.health
+                .worse(silent.map_or(1, |n| u32::try_from(n).unwrap_or(u32::MAX)));
+            let Some(peer) = self.table.get(&target).filter(|p| lives(p.state)) else {
+                continue;
+            };
+            let rumor = Rumor {
+                state: State::Suspect,
+                accuser: self.mark(),
+                ..self.rumor(&target, peer)
+            };
             self.counts.suspected += u64::from(peer.state == State::Alive);
             self.hear(&rumor, now, out);
         }
     }
 
     /// Looks for another.
-    fn look(&mut self, whom: SocketAddr, seq: u32, target: SocketAddr, now: Time, out: &mut Vec<Effect>) {
+    fn look(
+        &mut self,
+        whom: SocketAddr,
+        seq: u32,
+        target: SocketAddr,
+        now: Time,
+        out: &mut Vec<Effect>,
+    ) {
         // Only those that are known here are asked for others: nobody is made to send to the rest of the world.
         if self.table.get(&target).is_none() || self.state == State::Left {
             return;
@@ -806,8 +949,21 @@
         let dead: Vec<_> = over.map(|(about, s)| (*about, s.incarnation)).collect();
         for (about, incarnation) in dead {
             self.counts.failed += 1;
-            let card = self.table.get(&about).map_or(MemberMetadata::default(), |p| p.card);
-            self.hear(&Rumor { about, incarnation, state: State::Dead, accuser: 0, card }, now, out);
+            let card = self
+                .table
+                .get(&about)
+                .map_or(MemberMetadata::default(), |p| p.card);
+            self.hear(
+                &Rumor {
+                    about,
+                    incarnation,
+                    state: State::Dead,
+                    accuser: 0,
+                    card,
+                },
+                now,
+                out,
+            );
         }
     }
 
@@ -824,10 +980,22 @@
         } else {
             self.told = (shared.digest, shared.holders, 0);
         }
-        let rarer = if much { 0 } else { (self.told.2 / IDLE).min(DOUBLED) };
-        let pace = if self.gossip.len() >= MANY { SPREADS / 2.0 } else { SPREADS * f64::from(1 << rarer) };
+        let rarer = if much {
+            0
+        } else {
+            (self.told.2 / IDLE).min(DOUBLED)
+        };
+        let pace = if self.gossip.len() >= MANY {
+            SPREADS / 2.0
+        } else {
+            SPREADS * f64::from(1 << rarer)
+        };
         self.spread_at = now + self.set.period.times(pace);
-        let own = if much { None } else { self.view.block(self.table.living()) };
+        let own = if much {
+            None
+        } else {
+            self.view.block(self.table.living())
+        };
         let whom = match own.filter(|o| !o.is_empty()) {
             Some(block) => {
                 let at = block.start + below(&mut self.rng, block.len());
@@ -844,20 +1012,37 @@
     /// Asks one that counts as dead, or a seed that is not known: a cut between two halves heals by that, and a fleet
     /// that starts together finds itself. At first, and while nobody is known, more often.
     fn revive(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let pause = if self.table.alive() == 0 { 1.0 } else { REVIVES };
+        let pause = if self.table.alive() == 0 {
+            1.0
+        } else {
+            REVIVES
+        };
         self.revive_at = now + self.set.period.times(pause * (0.5 + part(&mut self.rng)));
         if self.state == State::Left {
             return;
         }
-        self.table.expire(now).iter().for_each(|a| self.gossip.forget(a));
+        self.table
+            .expire(now)
+            .iter()
+            .for_each(|a| self.gossip.forget(a));
         let known = |a: &SocketAddr| self.table.get(a).is_some_and(|p| lives(p.state));
-        let seeds = self.set.seeds.iter().filter(|s| **s != self.set.me && !known(s)).copied();
-        let dead = self.table.iter().filter(|(_, p)| !lives(p.state)).map(|(a, _)| *a);
+        let seeds = self
+            .set
+            .seeds
+            .iter()
+            .filter(|s| **s != self.set.me && !known(s))
+            .copied();
+        let dead = self
+            .table
+            .iter()
+            .filter(|(_, p)| !lives(p.state))
+            .map(|(a, _)| *a);
         #[cfg(feature = "mutants")]
         let dead = dead.filter(|_| self.view.mutant != Some(view::Mutant::CutForgotten));
         #[cfg(feature = "mutants")]
-        let seeds = seeds
-            .filter(|a| self.view.mutant != Some(view::Mutant::CutForgotten) || self.table.get(a).is_none());
+        let seeds = seeds.filter(|a| {
+            self.view.mutant != Some(view::Mutant::CutForgotten) || self.table.get(a).is_none()
+        });
         let all: BTreeSet<SocketAddr> = seeds.chain(dead).collect();
         let count = if self.table.alive() == 0 { HELPERS } else { 1 };
         for whom in self.draw(all.into_iter().collect(), count) {
@@ -877,13 +1062,26 @@
             return;
         }
         let differs = self.view.dissenting().filter(|_| self.synced);
-        let Some(with) = differs.or_else(|| self.draw_living(1, None).pop()) else { return };
-        let pause = if self.synced { COMPARES * (0.5 + part(&mut self.rng)) } else { 1.0 };
+        let Some(with) = differs.or_else(|| self.draw_living(1, None).pop()) else {
+            return;
+        };
+        let pause = if self.synced {
+            COMPARES * (0.5 + part(&mut self.rng))
+        } else {
+            1.0
+        };
         self.compare_at = now + self.set.period.times(pause);
         self.compared = now;
         self.view.compared();
         let until = now + self.set.period;
-        self.comparing = Some(Comparing { with, part: 0, of: 0, after: None, left: vec![], until });
+        self.comparing = Some(Comparing {
+            with,
+            part: 0,
+            of: 0,
+            after: None,
+            left: vec![],
+            until,
+        });
         let digest = self.digest().to_be_bytes();
         self.send(with, Message::Compare(digest), now, out);
     }
@@ -891,7 +1089,11 @@
     /// What this gateway itself adds to the digest of all that it knows.
     fn own_mark(&self) -> u64 {
         let (life, card) = self.yielded.unwrap_or((self.me, self.card));
-        if lives(self.state) { table::mark(&self.set.me, life, card) } else { 0 }
+        if lives(self.state) {
+            table::mark(&self.set.me, life, card)
+        } else {
+            0
+        }
     }
 
     /// Of all that is known, oneself included: so it is the same at all who know the same.
@@ -927,11 +1129,19 @@
     fn take_parts(&mut self, from: SocketAddr, theirs: &[u32], now: Time, out: &mut Vec<Effect>) {
         let of = theirs.len();
         let sound = of.is_power_of_two() && of <= PARTS;
-        if !sound || self.comparing.take_if(|c| c.with == from && c.of == 0).is_none() {
+        if !sound
+            || self
+                .comparing
+                .take_if(|c| c.with == from && c.of == 0)
+                .is_none()
+        {
             return;
         }
         let ours = self.digests(of);
-        let differ = (0_u8..).zip(ours.iter().zip(theirs)).filter(|(_, (a, b))| a != b).map(|(n, _)| n);
+        let differ = (0_u8..)
+            .zip(ours.iter().zip(theirs))
+            .filter(|(_, (a, b))| a != b)
+            .map(|(n, _)| n);
         let mut left: Vec<u8> = differ.collect();
         // Those that ask the same one together ask it for different parts first.
         let first = below(&mut self.rng, left.len());
@@ -939,13 +1149,39 @@
         self.pull_next(from, u8::try_from(of).unwrap_or(1), left, now, out);
     }
 
-    fn pull_next(&mut self, with: SocketAddr, of: u8, mut left: Vec<u8>, now: Time, out: &mut Vec<Effect>) {
-        let Some(part) = left.pop() else { return self.now_synced(out) };
-        self.pull(Comparing { with, part, of, after: None, left, until: now + self.set.period }, now, out);
+    fn pull_next(
+        &mut self,
+        with: SocketAddr,
+        of: u8,
+        mut left: Vec<u8>,
+        now: Time,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(part) = left.pop() else {
+            return self.now_synced(out);
+        };
+        self.pull(
+            Comparing {
+                with,
+                part,
+                of,
+                after: None,
+                left,
+                until: now + self.set.period,
+            },
+            now,
+            out,
+        );
     }
 
     fn pull(&mut self, next: Comparing, now: Time, out: &mut Vec<Effect>) {
-        let Comparing { with, part, of, after, .. } = next;
+        let Comparing {
+            with,
+            part,
+            of,
+            after,
+            ..
+        } = next;
         self.comparing = Some(next);
         // A word that is missed since its hash is another's is asked for with another salt the next time.
         let salt = u16::try_from(self.rng.next_u32() >> 16).unwrap_or(0);
@@ -954,7 +1190,20 @@
         if known.len() > KNOWN {
             known.clear();
         }
-        let _ = self.send_with(with, Message::Pull { part, of, after, salt, known }, &[], 0.0, now, out);
+        let _ = self.send_with(
+            with,
+            Message::Pull {
+                part,
+                of,
+                after,
+                salt,
+                known,
+            },
+            &[],
+            0.0,
+            now,
+            out,
+        );
     }
 
     /// Tells those of a part beyond an address, as many as fit.
@@ -967,17 +1216,35 @@
         out: &mut Vec<Effect>,
     ) {
         // Oneself is known by having spoken, and the one that asks knows itself.
-        let all = self.table.beyond(part, of, after).filter(|(a, p)| **a != whom && !p.hearsay);
-        let all = all.map(|(a, p)| self.rumor(a, p)).filter(|r| !known.contains(&salted(salt, r)));
+        let all = self
+            .table
+            .beyond(part, of, after)
+            .filter(|(a, p)| **a != whom && !p.hearsay);
+        let all = all
+            .map(|(a, p)| self.rumor(a, p))
+            .filter(|r| !known.contains(&salted(salt, r)));
         let all: Vec<Rumor> = all.take(PAGE + 1).collect();
         // How many fit is known when they are written.
         let mut page = self.foreword(&whom);
         let before = page.len();
         page.extend(&all);
-        let (_, fit) = Datagram::encode(self.bare(Message::Page { part, of, after, end: true }), &page);
+        let (_, fit) = Datagram::encode(
+            self.bare(Message::Page {
+                part,
+                of,
+                after,
+                end: true,
+            }),
+            &page,
+        );
         let fit = fit.saturating_sub(before);
         let end = fit == all.len();
-        let message = Message::Page { part, of, after, end };
+        let message = Message::Page {
+            part,
+            of,
+            after,
+            end,
+        };
         self.send_with(whom, message, &all[..fit], 1.0 - PAGES, now, out);
     }
 
@@ -992,16 +1259,25 @@
     ) {
         // One that was not asked for, comes twice, or answers what has been given up: its words are taken, no more. A small
         // table is told at once, as one part of one.
-        let asked = |c: &Comparing| (c.part, c.of, c.after) == (part, of, after) || c.of == 0 && of == 1;
-        let Some(now_at) = self.comparing.take_if(|c| c.with == from && asked(c)) else { return };
-        let listed = rumors.iter().filter(|r| r.about != self.set.me && r.about != from);
-        let last = listed.map(|r| r.about).filter(|a| after.is_none_or(|after| *a > after)).max();
+        let asked =
+            |c: &Comparing| (c.part, c.of, c.after) == (part, of, after) || c.of == 0 && of == 1;
+        let Some(now_at) = self.comparing.take_if(|c| c.with == from && asked(c)) else {
+            return;
+        };
+        let listed = rumors
+            .iter()
+            .filter(|r| r.about != self.set.me && r.about != from);
+        let last = listed
+            .map(|r| r.about)
+            .filter(|a| after.is_none_or(|after| *a > after))
+            .max();
         // What that gateway does not know, or knows less of, it is told, and nobody else: it passes on what is new to it.
         let until = if end { None } else { last };
         let missing = |(a, p): (&SocketAddr, &Peer)| {
             let within = until.is_none_or(|u| *a <= u) && *a != from && !p.hearsay;
-            let knows =
-                rumors.iter().any(|r| r.about == *a && r.weight() >= (p.incarnation, p.state, p.card));
+            let knows = rumors
+                .iter()
+                .any(|r| r.about == *a && r.weight() >= (p.incarnation, p.state, p.card));
             (within && !knows && p.state != State::Suspect).then(|| self.rumor(a, p))
         };
         // Of a larger table only what is new is told, and says nothing of what is not: the other asks for itself.
@@ -1016,7 +1292,13 @@
         }
         match last {
             Some(last) if !end => {
-                let next = Comparing { part, of, after: Some(last), until: now + self.set.period, ..now_at };
+                let next = Comparing {
+                    part,
+                    of,
+                    after: Some(last),
+                    until: now + self.set.period,
+                    ..now_at
+                };
                 self.pull(next, now, out);
             }
             _ => self.pull_next(from, of, now_at.left, now, out),
@@ -1035,7 +1317,11 @@
     fn draw_living(&mut self, count: usize, without: Option<SocketAddr>) -> Vec<SocketAddr> {
         let living = self.table.living();
         if living.len() <= 4 * count {
-            let all = living.iter().copied().filter(|a| Some(*a) != without).collect();
+            let all = living
+                .iter()
+                .copied()
+                .filter(|a| Some(*a) != without)
+                .collect();
             return self.draw(all, count);
         }
         let mut drawn = vec![];
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -31,41 +31,61 @@
 }
 
 #[derive(Debug)]
-pub struct Probes {
+pub(crate) struct Probes {
     seq: u32,
     asked: BTreeMap<u32, Asked>,
     relayed: BTreeMap<u32, Relayed>,
 }
 
 impl Probes {
-    pub const fn new(seq: u32) -> Self {
-        Self { seq, asked: BTreeMap::new(), relayed: BTreeMap::new() }
+    pub(crate) const fn new(seq: u32) -> Self {
+        Self {
+            seq,
+            asked: BTreeMap::new(),
+            relayed: BTreeMap::new(),
+        }
     }
 
     /// The number of a question whose answer is not waited for.
-    pub const fn stray(&mut self) -> u32 {
+    pub(crate) const fn stray(&mut self) -> u32 {
         self.seq = self.seq.wrapping_add(1);
         self.seq
     }
 
-    pub fn begin(&mut self, target: SocketAddr, again: Time, direct: Time, until: Time) -> u32 {
+    pub(crate) fn begin(
+        &mut self,
+        target: SocketAddr,
+        again: Time,
+        direct: Time,
+        until: Time,
+    ) -> u32 {
         let seq = self.stray();
         self.asked.insert(
             seq,
-            Asked { target, again: Some(again), direct, until, helpers: None, denied: BTreeSet::new() },
+            Asked {
+                target,
+                again: Some(again),
+                direct,
+                until,
+                helpers: None,
+                denied: BTreeSet::new(),
+            },
         );
         seq
     }
 
     /// An answer; whether somebody waited for it. Others speak for the one that was asked if they were asked to look.
-    pub fn answered(&mut self, seq: u32, from: SocketAddr) -> bool {
+    pub(crate) fn answered(&mut self, seq: u32, from: SocketAddr) -> bool {
         let helped = |a: &Asked| a.helpers.as_ref().is_some_and(|h| h.contains(&from));
-        let ours = self.asked.get(&seq).is_some_and(|a| a.target == from || helped(a));
+        let ours = self
+            .asked
+            .get(&seq)
+            .is_some_and(|a| a.target == from || helped(a));
         ours && self.asked.remove(&seq).is_some()
     }
 
     /// One that was asked to look is there, and has seen nothing.
-    pub fn denied(&mut self, seq: u32, from: SocketAddr) {
+    pub(crate) fn denied(&mut self, seq: u32, from: SocketAddr) {
         let asked = self.asked.get_mut(&seq);
         let asked = asked.filter(|a| a.helpers.as_ref().is_some_and(|h| h.contains(&from)));
         if let Some(asked) = asked {
@@ -74,54 +94,81 @@
     }
 
     /// One to be asked once more: a datagram may be lost, two seldom are.
-    pub fn again(&mut self, now: Time) -> Option<(u32, SocketAddr)> {
-        let due = |(_, a): &(&u32, &mut Asked)| a.again.is_some_and(|at| at <= now) && now < a.until;
+    pub(crate) fn again(&mut self, now: Time) -> Option<(u32, SocketAddr)> {
+        let due =
+            |(_, a): &(&u32, &mut Asked)| a.again.is_some_and(|at| at <= now) && now < a.until;
         let (seq, asked) = self.asked.iter_mut().find(due)?;
         asked.again = None;
         Some((*seq, asked.target))
     }
 
     /// One that has not answered directly in time.
-    pub fn late(&self, now: Time) -> Option<(u32, SocketAddr)> {
-        let late = |(_, a): &(&u32, &Asked)| a.helpers.is_none() && a.direct <= now && now < a.until;
-        self.asked.iter().find(late).map(|(seq, a)| (*seq, a.target))
+    pub(crate) fn late(&self, now: Time) -> Option<(u32, SocketAddr)> {
+        let late =
+            |(_, a): &(&u32, &Asked)| a.helpers.is_none() && a.direct <= now && now < a.until;
+        self.asked
+            .iter()
+            .find(late)
+            .map(|(seq, a)| (*seq, a.target))
     }
 
-    pub fn helped_by(&mut self, seq: u32, helpers: &[SocketAddr]) {
+    pub(crate) fn helped_by(&mut self, seq: u32, helpers: &[SocketAddr]) {
         if let Some(asked) = self.asked.get_mut(&seq) {
             asked.helpers = Some(helpers.to_vec());
         }
     }
 
     /// One that is given up, and how many of those that were asked to look said nothing at all, if any were asked.
-    pub fn lost(&mut self, now: Time) -> Option<(SocketAddr, Option<usize>)> {
+    pub(crate) fn lost(&mut self, now: Time) -> Option<(SocketAddr, Option<usize>)> {
         let seq = *self.asked.iter().find(|(_, a)| a.until <= now)?.0;
         let asked = self.asked.remove(&seq)?;
-        let silent = asked.helpers.filter(|h| !h.is_empty()).map(|h| h.len() - asked.denied.len());
+        let silent = asked
+            .helpers
+            .filter(|h| !h.is_empty())
+            .map(|h| h.len() - asked.denied.len());
         Some((asked.target, silent))
     }
 
     /// A question for another; its own number, if there is room for one more.
-    pub fn relay(&mut self, whom: SocketAddr, seq: u32, target: SocketAddr, until: Time) -> Option<u32> {
+    pub(crate) fn relay(
+        &mut self,
+        whom: SocketAddr,
+        seq: u32,
+        target: SocketAddr,
+        until: Time,
+    ) -> Option<u32> {
         if self.relayed.len() >= RELAYED {
             return None;
         }
         let own = self.stray();
-        self.relayed.insert(own, Relayed { whom, seq, target, until, denied: false });
+        self.relayed.insert(
+            own,
+            Relayed {
+                whom,
+                seq,
+                target,
+                until,
+                denied: false,
+            },
+        );
         Some(own)
     }
 
     /// The answer to a question for another: who is to hear of it, by which number.
-    pub fn relayed(&mut self, seq: u32, from: SocketAddr) -> Option<(SocketAddr, u32)> {
+    pub(crate) fn relayed(&mut self, seq: u32, from: SocketAddr) -> Option<(SocketAddr, u32)> {
         self.relayed.get(&seq).filter(|r| r.target == from)?;
         self.relayed.remove(&seq).map(|r| (r.whom, r.seq))
     }
 
     /// Those for whom nothing was seen in time, each once; an answer that comes within `grace` after is passed on still.
-    pub fn unseen(&mut self, now: Time, grace: Span) -> Vec<(SocketAddr, u32)> {
+    pub(crate) fn unseen(&mut self, now: Time, grace: Span) -> Vec<(SocketAddr, u32)> {
         let over = |r: &Relayed| r.until <= now;
-        let unseen =
-            self.relayed.values().filter(|r| over(r) && !r.denied).map(|r| (r.whom, r.seq)).collect();
+        let unseen = self
+            .relayed
+            .values()
+            .filter(|r| over(r) && !r.denied)
+            .map(|r| (r.whom, r.seq))
+            .collect();
         self.relayed.retain(|_, r| !(over(r) && r.denied));
         for relayed in self.relayed.values_mut().filter(|r| over(r)) {
             (relayed.denied, relayed.until) = (true, now + grace);
@@ -129,13 +176,19 @@
         unseen
     }
 
-    pub fn next_due(&self) -> Option<Time> {
-        let next = |a: &Asked| a.again.unwrap_or(if a.helpers.is_none() { a.direct } else { a.until });
+    pub(crate) fn next_due(&self) -> Option<Time> {
+        let next = |a: &Asked| {
+            a.again.unwrap_or(if a.helpers.is_none() {
+                a.direct
+            } else {
+                a.until
+            })
+        };
         let asked = self.asked.values().map(next);
         asked.chain(self.relayed.values().map(|r| r.until)).min()
     }
 
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.asked.clear();
         self.relayed.clear();
     }
--- a/crates/membership/src/size.rs
+++ b/crates/membership/src/size.rs
@@ -22,7 +22,12 @@
     #[must_use]
     pub fn new(configured: u32, settle: Span) -> Self {
         let configured = configured.max(1);
-        Self { configured, settle, shown: configured, lower: None }
+        Self {
+            configured,
+            settle,
+            shown: configured,
+            lower: None,
+        }
     }
 
     /// What was counted now, oneself included; `None` while it cannot be known. `settled`: all that are counted hold the same.
@@ -39,7 +44,9 @@
             self.lower = None;
             return;
         }
-        let (since, most) = self.lower.map_or((now, counted), |(since, most)| (since, most.max(counted)));
+        let (since, most) = self
+            .lower
+            .map_or((now, counted), |(since, most)| (since, most.max(counted)));
         self.lower = Some((since, most));
         if now - since >= self.settle {
             (self.shown, self.lower) = (most, None);
@@ -49,6 +56,10 @@
     /// The number to divide by.
     #[must_use]
     pub fn share(&self, overload: bool) -> u32 {
-        if overload { self.shown.max(self.configured) } else { self.shown }
+        if overload {
+            self.shown.max(self.configured)
+        } else {
+            self.shown
+        }
     }
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -30,10 +30,23 @@
 impl Suspicion {
     /// `others` is how many gateways there are that could confirm it; with none the shortest time holds.
     #[must_use]
-    pub fn new(incarnation: Incarnation, accuser: u16, others: usize, least: Span, now: Time) -> Self {
+    pub fn new(
+        incarnation: Incarnation,
+        accuser: u16,
+        others: usize,
+        least: Span,
+        now: Time,
+    ) -> Self {
         let wanted = CONFIRMATIONS.min(others);
         let accusers = BTreeSet::from([accuser]);
-        let mut new = Self { incarnation, began: now, accusers, wanted, least, lasts: least };
+        let mut new = Self {
+            incarnation,
+            began: now,
+            accusers,
+            wanted,
+            least,
+            lasts: least,
+        };
         new.lasts = new.time();
         new
     }
@@ -53,8 +66,15 @@
 
     #[allow(clippy::cast_precision_loss)]
     fn time(&self) -> Span {
-        let (heard, wanted) = ((self.accusers.len() - 1).min(self.wanted) as f64, self.wanted as f64);
-        let part = if self.wanted == 0 { 1.0 } else { (heard + 1.0).ln() / (wanted + 1.0).ln() };
+        let (heard, wanted) = (
+            (self.accusers.len() - 1).min(self.wanted) as f64,
+            self.wanted as f64,
+        );
+        let part = if self.wanted == 0 {
+            1.0
+        } else {
+            (heard + 1.0).ln() / (wanted + 1.0).ln()
+        };
         self.least.times(LONGEST - (LONGEST - 1.0) * part)
     }
 
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -106,7 +106,9 @@
         after: Option<SocketAddr>,
     ) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         use std::ops::Bound::{Excluded, Unbounded};
-        let beyond = self.peers.range((after.map_or(Unbounded, Excluded), Unbounded));
+        let beyond = self
+            .peers
+            .range((after.map_or(Unbounded, Excluded), Unbounded));
         beyond.filter(move |(_, p)| p.part % of.max(1) == part)
     }
 
@@ -147,15 +149,33 @@
     }
 
     /// The same, with what was believed before.
-    pub(crate) fn take(&mut self, rumor: &Rumor, now: Time) -> (Taken, Option<(State, MemberMetadata)>) {
+    pub(crate) fn take(
+        &mut self,
+        rumor: &Rumor,
+        now: Time,
+    ) -> (Taken, Option<(State, MemberMetadata)>) {
         let Some(peer) = self.peers.get_mut(&rumor.about) else {
             if self.peers.len() >= self.most && !self.make_room(now) {
                 return (Taken::Full, None);
             }
-            let Rumor { about, incarnation, state, card, .. } = *rumor;
+            let Rumor {
+                about,
+                incarnation,
+                state,
+                card,
+                ..
+            } = *rumor;
             let (hearsay, part) = (!lives(state), part_of(&about));
-            let peer =
-                Peer { incarnation, state, card, since: now, heard: None, hearsay, behind: false, part };
+            let peer = Peer {
+                incarnation,
+                state,
+                card,
+                since: now,
+                heard: None,
+                hearsay,
+                behind: false,
+                part,
+            };
             self.weigh(&about, &peer);
             if lives(state) {
                 self.live(&about);
@@ -165,8 +185,11 @@
         };
         let holds = rumor.weight() <= (peer.incarnation, peer.state, peer.card);
         #[cfg(feature = "mutants")]
-        let holds =
-            if self.last_holds { rumor.weight() == (peer.incarnation, peer.state, peer.card) } else { holds };
+        let holds = if self.last_holds {
+            rumor.weight() == (peer.incarnation, peer.state, peer.card)
+        } else {
+            holds
+        };
         if holds {
             return (Taken::Known, None);
         }
@@ -194,7 +217,8 @@
 
     /// Lets go of those that have been gone for long enough; who that was.
     pub fn expire(&mut self, now: Time) -> Vec<SocketAddr> {
-        let over = |(_, p): &(&SocketAddr, &Peer)| !lives(p.state) && now - p.since >= self.remember;
+        let over =
+            |(_, p): &(&SocketAddr, &Peer)| !lives(p.state) && now - p.since >= self.remember;
         let gone: Vec<SocketAddr> = self.peers.iter().filter(over).map(|(a, _)| *a).collect();
         gone.iter().for_each(|a| self.drop_one(a));
         gone
@@ -202,7 +226,9 @@
 
     fn make_room(&mut self, now: Time) -> bool {
         let gone = self.peers.iter().filter(|(_, p)| !lives(p.state));
-        let oldest = gone.min_by_key(|(_, p)| (now - p.since).0.saturating_neg()).map(|(a, _)| *a);
+        let oldest = gone
+            .min_by_key(|(_, p)| (now - p.since).0.saturating_neg())
+            .map(|(a, _)| *a);
         oldest.iter().for_each(|a| self.drop_one(a));
         oldest.is_some()
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -193,7 +193,10 @@
         if *who == self.me {
             return Some(living.partition_point(|a| a < who));
         }
-        living.binary_search(who).ok().map(|at| at + usize::from(self.me < *who))
+        living
+            .binary_search(who)
+            .ok()
+            .map(|at| at + usize::from(self.me < *who))
     }
 
     fn mark(&mut self, who: &SocketAddr, living: &[SocketAddr]) {
@@ -209,7 +212,11 @@
             let new = bits & whole & !*said;
             *said |= new;
             #[cfg(feature = "mutants")]
-            let new = if self.mutant == Some(Mutant::Doubled) { bits & whole } else { new };
+            let new = if self.mutant == Some(Mutant::Doubled) {
+                bits & whole
+            } else {
+                new
+            };
             self.holders += new.count_ones() as usize;
             #[cfg(feature = "mutants")]
             (self.holders = self.holders.min(self.members));
@@ -226,16 +233,28 @@
     }
 
     fn full(&self, block: usize) -> bool {
-        self.said.get(block).is_some_and(|said| *said == self.whole(block))
+        self.said
+            .get(block)
+            .is_some_and(|said| *said == self.whole(block))
     }
 
     /// A member has told which view it holds. Whether it is the same one.
-    pub fn hear(&mut self, from: &SocketAddr, held: &Held, living: &[SocketAddr], now: Time) -> bool {
+    pub fn hear(
+        &mut self,
+        from: &SocketAddr,
+        held: &Held,
+        living: &[SocketAddr],
+        now: Time,
+    ) -> bool {
         if u64::from_be_bytes(held.digest) != self.digest {
             // One that has not come to this view yet is missing among its holders anyway.
             if let Some(rank) = self.rank(from, living) {
                 self.differs = Some(*from);
-                if self.said.get(rank / BLOCK).is_some_and(|said| said >> (rank % BLOCK) & 1 == 1) {
+                if self
+                    .said
+                    .get(rank / BLOCK)
+                    .is_some_and(|said| said >> (rank % BLOCK) & 1 == 1)
+                {
                     self.dissent.insert(*from, now);
                 }
             }
@@ -245,9 +264,13 @@
         self.mark(from, living);
         match &held.holders {
             Holders::Unsaid => {}
-            Holders::Some { blocks, block, bits } => {
-                for n in
-                    (0..self.said.len()).filter(|n| blocks.get(n / 8).is_some_and(|b| b >> (n % 8) & 1 == 1))
+            Holders::Some {
+                blocks,
+                block,
+                bits,
+            } => {
+                for n in (0..self.said.len())
+                    .filter(|n| blocks.get(n / 8).is_some_and(|b| b >> (n % 8) & 1 == 1))
                 {
                     self.join(n, u64::MAX);
                 }
@@ -302,12 +325,18 @@
                 let other = open.get(turn as usize % open.len().max(1)).copied();
                 let block = own.filter(|o| open.contains(o)).or(other).unwrap_or(0);
                 let mut blocks = vec![0_u8; self.said.len().div_ceil(8)];
-                (0..self.said.len()).filter(|n| self.full(*n)).for_each(|n| blocks[n / 8] |= 1 << (n % 8));
+                (0..self.said.len())
+                    .filter(|n| self.full(*n))
+                    .for_each(|n| blocks[n / 8] |= 1 << (n % 8));
                 if blocks.iter().all(|b| *b == 0) {
                     blocks.clear();
                 }
                 let bits = self.said.get(block).copied().unwrap_or(0);
-                Holders::Some { blocks, block: u8::try_from(block).unwrap_or(u8::MAX), bits }
+                Holders::Some {
+                    blocks,
+                    block: u8::try_from(block).unwrap_or(u8::MAX),
+                    bits,
+                }
             }
         };
         Held { digest, holders }
@@ -326,8 +355,23 @@
     /// How it is shared.
     #[must_use]
     pub const fn shared(&self) -> Shared {
-        let Self { digest, version, held, members, holders, settled, .. } = *self;
-        Shared { digest, version, held, members, holders, settled }
+        let Self {
+            digest,
+            version,
+            held,
+            members,
+            holders,
+            settled,
+            ..
+        } = *self;
+        Shared {
+            digest,
+            version,
+            held,
+            members,
+            holders,
+            settled,
+        }
     }
 
     /// Something changed.
@@ -336,7 +380,10 @@
         if self.changes.len() >= self.most {
             self.changes.pop_front();
         }
-        self.changes.push_back(Change { version: self.version, ..change });
+        self.changes.push_back(Change {
+            version: self.version,
+            ..change
+        });
     }
 
     /// The changes after a version, in order, and how many of them are not kept any more: who has missed any takes the whole
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -36,7 +36,9 @@
 }
 
 /// How far a gateway is, by its own word.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub enum Phase {
     /// It has started and is not yet as good as before.
     #[default]
@@ -48,7 +50,9 @@
 }
 
 /// What a gateway says of itself. A change takes the next incarnation, so that the later word holds everywhere.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct MemberMetadata {
     /// Grows whenever the fleet's view has to tell before from after within one life: each time that others had given it
     /// up, and with each change of what is below. A view that once held is thus never held again.
@@ -102,9 +106,20 @@
     Parts(Vec<u32>),
     /// Whom do you know of that part of so many, beyond this address, but for those whose words have one of these hashes
     /// with this salt?
-    Pull { part: u8, of: u8, after: Option<SocketAddr>, salt: u16, known: Vec<u16> },
+    Pull {
+        part: u8,
+        of: u8,
+        after: Option<SocketAddr>,
+        salt: u16,
+        known: Vec<u16>,
+    },
     /// Those of that part beyond this address; behind the last of them there are more unless it is the end.
-    Page { part: u8, of: u8, after: Option<SocketAddr>, end: bool },
+    Page {
+        part: u8,
+        of: u8,
+        after: Option<SocketAddr>,
+        end: bool,
+    },
     /// We know the same.
     Same,
     /// Nothing: only what comes along.
@@ -121,7 +136,11 @@
     #[default]
     Unsaid,
     /// Of these blocks all, a bit each; of one more block those whose bits are set.
-    Some { blocks: Vec<u8>, block: u8, bits: u64 },
+    Some {
+        blocks: Vec<u8>,
+        block: u8,
+        bits: u64,
+    },
     /// All.
     All,
 }
@@ -162,7 +181,8 @@
         }
         let (read, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
         let sane = |i: &Incarnation| i.number < Incarnation::MOST;
-        let fits = rest.is_empty() && sane(&read.from) && read.rumors.iter().all(|r| sane(&r.incarnation));
+        let fits =
+            rest.is_empty() && sane(&read.from) && read.rumors.iter().all(|r| sane(&r.incarnation));
         fits.then_some(read)
     }
 
--- a/crates/net/src/call.rs
+++ b/crates/net/src/call.rs
@@ -29,14 +29,20 @@
         let mut held = lock(&self.0);
         if held.0 != address {
             held.0 = address;
-            held.1.take().into_iter().for_each(|line| drop(line.shutdown(Shutdown::Both)));
+            held.1
+                .take()
+                .into_iter()
+                .for_each(|line| drop(line.shutdown(Shutdown::Both)));
             self.1.notify_all();
         }
     }
 
     /// Waits, for as long as discovery stays at this address.
     pub(crate) fn rest(&self, address: SocketAddr, pause: Duration) {
-        drop(self.1.wait_timeout_while(lock(&self.0), pause, |held| held.0 == address));
+        drop(
+            self.1
+                .wait_timeout_while(lock(&self.0), pause, |held| held.0 == address),
+        );
     }
 
     /// Has a new address end this connection.
@@ -59,12 +65,19 @@
 impl Line {
     /// Begins to connect and does not wait: a connect that hangs is given up like a call that does.
     pub(crate) fn connect(address: SocketAddr) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         match socket.connect(&address.into()) {
             Err(e) if e.raw_os_error() != Some(libc::EINPROGRESS) => Err(e),
-            _ => Ok(Self { address, stream: Arc::new(socket.into()) }),
+            _ => Ok(Self {
+                address,
+                stream: Arc::new(socket.into()),
+            }),
         }
     }
 
@@ -114,9 +127,18 @@
             Some(rev) => format!("/v1/servers?from={rev}&hold_ms={}", hold.as_millis()),
         };
         let host = line.address;
-        let request = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+        let request =
+            format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
         let due = Instant::now() + if from.is_some() { hold } else { Duration::ZERO };
-        Ok(Self { line, from, request: request.into_bytes(), bytes: vec![], came: None, due, patience })
+        Ok(Self {
+            line,
+            from,
+            request: request.into_bytes(),
+            bytes: vec![],
+            came: None,
+            due,
+            patience,
+        })
     }
 
     pub(crate) fn leads_to(&self, address: SocketAddr) -> bool {
@@ -131,7 +153,9 @@
     /// From when on it is late, if nothing more comes.
     fn late_at(&self) -> Instant {
         let late = self.due + self.patience.late;
-        let pieces = self.came.map(|came| (came + self.patience.late).min(self.due + self.patience.pieces));
+        let pieces = self
+            .came
+            .map(|came| (came + self.patience.late).min(self.due + self.patience.pieces));
         pieces.map_or(late, |pieces| pieces.max(late))
     }
 
@@ -140,7 +164,11 @@
     }
 
     fn waits_for(&self) -> PollFd<'_> {
-        let flags = if self.request.is_empty() { PollFlags::IN } else { PollFlags::OUT };
+        let flags = if self.request.is_empty() {
+            PollFlags::IN
+        } else {
+            PollFlags::OUT
+        };
         PollFd::new(&*self.line.stream, flags)
     }
 
@@ -149,7 +177,11 @@
         if !self.request.is_empty() {
             self.write()?;
         }
-        if self.request.is_empty() { self.read() } else { Ok(None) }
+        if self.request.is_empty() {
+            self.read()
+        } else {
+            Ok(None)
+        }
     }
 
     fn write(&mut self) -> io::Result<()> {
@@ -158,7 +190,11 @@
         }
         match (&*self.line.stream).write(&self.request) {
             Ok(written) => drop(self.request.drain(..written)),
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                ) => {}
             Err(e) => return Err(e),
         }
         Ok(())
@@ -186,9 +222,15 @@
             }
         };
         // An answer that was whole by its own word before a reset is whole; a reset is no end of any other.
-        match (http::answer(&self.bytes, ended).map_err(io::Error::other)?, spoilt) {
+        match (
+            http::answer(&self.bytes, ended).map_err(io::Error::other)?,
+            spoilt,
+        ) {
             (Some(answer), None) => Ok(Some(answer)),
-            (Some(answer), Some(_)) => Ok(Some(Answer { keep: false, ..answer })),
+            (Some(answer), Some(_)) => Ok(Some(Answer {
+                keep: false,
+                ..answer
+            })),
             (None, Some(e)) => Err(e),
             (None, None) => Ok(None),
         }
@@ -228,13 +270,24 @@
 
 /// Waits until one of these calls can go on, until the last is late, or until one is to be given up: which can go on.
 fn ready(out: &[Call]) -> io::Result<Vec<bool>> {
-    let until = out.iter().map(Call::ends_at).chain(out.last().map(Call::late_at)).min();
+    let until = out
+        .iter()
+        .map(Call::ends_at)
+        .chain(out.last().map(Call::late_at))
+        .min();
     let mut lines: Vec<PollFd<'_>> = out.iter().map(Call::waits_for).collect();
     loop {
-        let left = until.map_or(Duration::ZERO, |at| at.saturating_duration_since(Instant::now()));
+        let left = until.map_or(Duration::ZERO, |at| {
+            at.saturating_duration_since(Instant::now())
+        });
         let left = Timespec::try_from(left).unwrap_or_default();
         match poll(&mut lines, Some(&left)) {
-            Ok(_) => return Ok(lines.iter().map(|line| !line.revents().is_empty()).collect()),
+            Ok(_) => {
+                return Ok(lines
+                    .iter()
+                    .map(|line| !line.revents().is_empty())
+                    .collect());
+            }
             // As after a stop of the process: what has come meanwhile is looked for before anything counts as late.
             Err(Errno::INTR) => {}
             Err(e) => return Err(e.into()),
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -39,7 +39,10 @@
 /// more, and while gateways restart in turn it may be all that they have.
 const KEPT: Span = Span::from_millis(10_000);
 /// How often a thread that accepts looks whether it is still to.
-const ACCEPTS: Timespec = Timespec { tv_sec: 0, tv_nsec: 50_000_000 };
+const ACCEPTS: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 50_000_000,
+};
 /// Once no more is to be taken, connections are still served for as long as they come, up to this: one that comes up as the
 /// listener is given back is reset. Not for longer, since another process may wait for them at the same address.
 const STILL_COME: Duration = Duration::from_millis(500);
@@ -101,7 +104,9 @@
 
 impl Incoming {
     fn new(line: Arc<Line>) -> Self {
-        Self { from: BufReader::with_capacity(4096, Patient::new(line)) }
+        Self {
+            from: BufReader::with_capacity(4096, Patient::new(line)),
+        }
     }
 
     fn line(&self) -> &Arc<Line> {
@@ -120,7 +125,11 @@
             Waits::Nothing | Waits::Bytes => {}
         }
         let some = !self.from.fill_buf()?.is_empty();
-        Ok(if some && !lock(&self.line().gate).ended { Next::Message } else { Next::End })
+        Ok(if some && !lock(&self.line().gate).ended {
+            Next::Message
+        } else {
+            Next::End
+        })
     }
 
     /// The message that had begun has been dealt with; the next may have come in along with it.
@@ -140,7 +149,11 @@
         {
             line.part(gate, word);
         }
-        if self.swallow() == Next::Nothing { Talk::Rests } else { Talk::Over }
+        if self.swallow() == Next::Nothing {
+            Talk::Rests
+        } else {
+            Talk::Over
+        }
     }
 
     fn swallow(&mut self) -> Next {
@@ -180,8 +193,8 @@
             return Err(RejectionReason::OutOfConnections);
         }
         let most = self.all.most.load(Ordering::Relaxed);
-        let room =
-            MemoryReservation::take(&self.all.bytes, bytes, most).filter(|_| !self.all.passed.is_full());
+        let room = MemoryReservation::take(&self.all.bytes, bytes, most)
+            .filter(|_| !self.all.passed.is_full());
         room.ok_or(RejectionReason::OutOfMemory)
     }
 
@@ -193,7 +206,11 @@
     /// Hands a request to the core, if its client is still there.
     pub fn ask(&self, ticket: u64, ask: IncomingRequest) -> io::Result<()> {
         let left = lock(&self.line.gate).left;
-        match if left { Err(ErrorKind::ConnectionAborted.into()) } else { self.line.owe() } {
+        match if left {
+            Err(ErrorKind::ConnectionAborted.into())
+        } else {
+            self.line.owe()
+        } {
             Err(e) if e.kind() == ErrorKind::ConnectionAborted => {
                 self.call_off(&ask);
                 return Ok(());
@@ -207,8 +224,14 @@
             gate.idle = gate.idle.max(KEPT);
         }
         drop(gate);
-        let event = Event::RequestReceived { client: self.id, ticket, ask };
-        self.events.send(event).map_err(|_| io::ErrorKind::BrokenPipe.into())
+        let event = Event::RequestReceived {
+            client: self.id,
+            ticket,
+            ask,
+        };
+        self.events
+            .send(event)
+            .map_err(|_| io::ErrorKind::BrokenPipe.into())
     }
 
     /// The client has left: what else is open of it is called off now, and this does not begin.
@@ -216,15 +239,32 @@
         let told = std::mem::replace(&mut lock(&self.line.gate).called_off, true);
         let gone = (!told).then_some(Event::ClientDisconnected(self.id));
         let (class, tenant, group) = (ask.class, ask.tenant, ask.group);
-        let counted = self.all.watched.then_some(Event::RequestAbandoned { class, tenant, group });
+        let counted = self.all.watched.then_some(Event::RequestAbandoned {
+            class,
+            tenant,
+            group,
+        });
         // A core that has ended counts nothing any more.
-        gone.into_iter().chain(counted).for_each(|event| drop(self.events.send(event)));
+        gone.into_iter()
+            .chain(counted)
+            .for_each(|event| drop(self.events.send(event)));
     }
 
     /// Says of a request that this front refused it itself.
-    pub fn declined(&self, class: usize, tenant: Option<usize>, group: GroupId, why: RejectionReason) {
+    pub fn declined(
+        &self,
+        class: usize,
+        tenant: Option<usize>,
+        group: GroupId,
+        why: RejectionReason,
+    ) {
         if self.all.watched {
-            let _ = self.events.send(Event::RequestRejected { class, tenant, group, why });
+            let _ = self.events.send(Event::RequestRejected {
+                class,
+                tenant,
+                group,
+                why,
+            });
         }
     }
 
@@ -420,8 +460,18 @@
         self.make_room();
         let _ = self.events.send(Event::ClientConnected(id));
         let from = Incoming::new(Arc::clone(&line));
-        let session = Session { id, events: self.events.clone(), line, all: Arc::clone(self) };
-        self.rest(Resting { from, session, at: Progress::default(), known: false });
+        let session = Session {
+            id,
+            events: self.events.clone(),
+            line,
+            all: Arc::clone(self),
+        };
+        self.rest(Resting {
+            from,
+            session,
+            at: Progress::default(),
+            known: false,
+        });
         Ok(())
     }
 
@@ -452,7 +502,9 @@
     /// Ends a connection if nothing is open on it and it has rested for a moment: a last word right behind an answer
     /// would pass for a second answer.
     pub fn close(&self, client: ClientId) {
-        let Some(line) = lock(&self.lines).get(&client).cloned() else { return };
+        let Some(line) = lock(&self.lines).get(&client).cloned() else {
+            return;
+        };
         let settled = self.clock.now() - ANSWER_SETTLE_TIME;
         line.end_if(AT_ONCE, |g| g.since < settled);
     }
--- a/crates/net/src/clients/line.rs
+++ b/crates/net/src/clients/line.rs
@@ -72,7 +72,7 @@
 }
 
 impl Gate {
-    pub const fn new(now: Time) -> Self {
+    pub(super) const fn new(now: Time) -> Self {
         Self {
             reading: false,
             whole: false,
@@ -90,7 +90,7 @@
         }
     }
 
-    pub const fn doing(&self) -> ConnectionActivity {
+    pub(super) const fn doing(&self) -> ConnectionActivity {
         match self {
             Self { over: Some(_), .. } | Self { ended: true, .. } => ConnectionActivity::Parting,
             Self { open: 1.., .. } | Self { whole: true, .. } => ConnectionActivity::Open,
@@ -119,7 +119,7 @@
 impl Line {
     /// Ends the connection if nothing is open on it, nothing has come in, and `when` holds. What the client writes before
     /// it can know of that is answered by the last word.
-    pub fn end_if(self: &Arc<Self>, after: Span, when: impl Fn(&Gate) -> bool) -> bool {
+    pub(super) fn end_if(self: &Arc<Self>, after: Span, when: impl Fn(&Gate) -> bool) -> bool {
         let gate = lock(&self.gate);
         let rests = !gate.reading && gate.open == 0 && gate.over.is_none();
         // Under the same lock as its reading thread takes things in: none is between the machine's buffer and `reading`.
@@ -131,32 +131,42 @@
     }
 
     /// Ends the connection so that others find room, if it still does what it was chosen for; else the places hear of it.
-    pub fn make_way(self: &Arc<Self>, chosen: ConnectionActivity) {
+    pub(super) fn make_way(self: &Arc<Self>, chosen: ConnectionActivity) {
         let mut gate = lock(&self.gate);
         let (now, come) = (self.clock.now(), self.has_come());
-        let settled = chosen == ConnectionActivity::Unasked || gate.since + ANSWER_SETTLE_TIME <= now;
+        let settled =
+            chosen == ConnectionActivity::Unasked || gate.since + ANSWER_SETTLE_TIME <= now;
         if gate.doing() == chosen && settled && !come {
             return self.part(gate, self.front.farewell(AT_ONCE));
         }
-        gate.told = if come { ConnectionActivity::Half } else { gate.doing() };
+        gate.told = if come {
+            ConnectionActivity::Half
+        } else {
+            gate.doing()
+        };
         self.places.turn(self.id.0, gate.told, now);
     }
 
     /// Ends the connection unless something is open on it: the program is about to end, which would reset what is half
     /// read. What has begun to come in is answered by the last word; right behind an answer that would pass for a
     /// second one, so there sending just ends.
-    pub fn end_unless_open(self: &Arc<Self>) {
+    pub(super) fn end_unless_open(self: &Arc<Self>) {
         let gate = lock(&self.gate);
         if gate.whole || gate.open > 0 || gate.over.is_some() {
             return;
         }
-        let owed = gate.reading || self.has_come() || gate.since + ANSWER_SETTLE_TIME <= self.clock.now();
-        let word = if owed { self.front.farewell(AT_ONCE) } else { vec![] };
+        let owed =
+            gate.reading || self.has_come() || gate.since + ANSWER_SETTLE_TIME <= self.clock.now();
+        let word = if owed {
+            self.front.farewell(AT_ONCE)
+        } else {
+            vec![]
+        };
         self.part(gate, word);
     }
 
     /// Tells the places what the connection does now, under the gate's lock so that they hear it in order.
-    pub fn tell(&self, gate: &mut Gate) {
+    pub(super) fn tell(&self, gate: &mut Gate) {
         let doing = gate.doing();
         if doing != gate.told {
             gate.told = doing;
@@ -165,9 +175,15 @@
     }
 
     /// What waits to be read; takes nothing, and waits for nothing.
-    pub fn waits(&self) -> Waits {
+    pub(super) fn waits(&self) -> Waits {
         let mut one = [PollFd::new(&self.stream, PollFlags::IN | PollFlags::RDHUP)];
-        let _ = poll(&mut one, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
+        let _ = poll(
+            &mut one,
+            Some(&Timespec {
+                tv_sec: 0,
+                tv_nsec: 0,
+            }),
+        );
         let come = one[0].revents();
         if come.intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR) {
             Waits::End
@@ -179,23 +195,23 @@
     }
 
     /// Whether bytes or the client's end wait to be read.
-    pub fn has_come(&self) -> bool {
+    pub(super) fn has_come(&self) -> bool {
         self.waits() != Waits::Nothing
     }
 
     /// Since when this side is ending it.
-    pub fn over(&self) -> Option<Time> {
+    pub(super) fn over(&self) -> Option<Time> {
         lock(&self.gate).over
     }
 
     /// Whether it has been listened to for long enough after the last word. While that is still on its way to a client that is
     /// slow to take things, the time has not begun.
-    pub fn has_lingered(&self, now: Time) -> bool {
+    pub(super) fn has_lingered(&self, now: Time) -> bool {
         self.over().is_some_and(|since| since + LINGER < now) && !self.writes()
     }
 
     /// Whether a request is about to be taken, or something is owed or on its way to the client.
-    pub fn is_busy(&self) -> bool {
+    pub(super) fn is_busy(&self) -> bool {
         let gate = lock(&self.gate);
         let busy = !gate.ended && (gate.whole && gate.over.is_none() || gate.open > 0);
         drop(gate);
@@ -203,7 +219,7 @@
     }
 
     /// Takes in what has come behind the last word, so that no reset tears that word away; says whether that was the end.
-    pub fn swallow(&self, left: &mut usize) -> Next {
+    pub(super) fn swallow(&self, left: &mut usize) -> Next {
         let mut some = [std::mem::MaybeUninit::uninit(); 16 * 1024];
         let socket = SockRef::from(&self.stream);
         while *left > 0 {
@@ -218,7 +234,7 @@
     }
 
     /// Says the last word, behind all that was said before, and ends sending once that has left.
-    pub fn part(self: &Arc<Self>, mut gate: MutexGuard<'_, Gate>, word: Vec<u8>) {
+    pub(super) fn part(self: &Arc<Self>, mut gate: MutexGuard<'_, Gate>, word: Vec<u8>) {
         gate.over = Some(self.clock.now());
         gate.open += usize::from(!word.is_empty());
         self.tell(&mut gate);
@@ -230,7 +246,7 @@
     }
 
     /// Ends sending in the middle of an answer that cannot be finished, so that the client can tell.
-    pub fn cut_short(&self) {
+    pub(super) fn cut_short(&self) {
         let mut gate = lock(&self.gate);
         gate.over.get_or_insert(self.clock.now());
         self.tell(&mut gate);
@@ -240,7 +256,7 @@
     }
 
     /// Notes that something has begun or ended on the connection.
-    pub fn note(&self, what: impl Fn(&mut Gate)) {
+    pub(super) fn note(&self, what: impl Fn(&mut Gate)) {
         let mut gate = lock(&self.gate);
         what(&mut gate);
         gate.since = self.clock.now();
@@ -258,7 +274,7 @@
     ///
     /// # Errors
     /// The client has left, or the connection is over.
-    pub fn owed_less(&self, most: usize) -> io::Result<MutexGuard<'_, Gate>> {
+    pub(super) fn owed_less(&self, most: usize) -> io::Result<MutexGuard<'_, Gate>> {
         let mut gate = lock(&self.gate);
         loop {
             gate.waits = false;
@@ -274,12 +290,16 @@
                 return Err(ErrorKind::ConnectionAborted.into());
             }
             gate.waits = true;
-            gate = self.eased.wait_timeout(gate, STILL_THERE).unwrap_or_else(PoisonError::into_inner).0;
+            gate = self
+                .eased
+                .wait_timeout(gate, STILL_THERE)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 
     /// Takes a place for something that the client is owed; waits while it is owed too much.
-    pub fn owe(&self) -> io::Result<()> {
+    pub(super) fn owe(&self) -> io::Result<()> {
         let mut gate = self.owed_less(self.front.pipeline())?;
         gate.open += 1;
         self.tell(&mut gate);
@@ -301,12 +321,15 @@
 }
 
 impl Patient {
-    pub const fn new(line: Arc<Line>) -> Self {
-        Self { line, left: LINGER_BYTES }
+    pub(super) const fn new(line: Arc<Line>) -> Self {
+        Self {
+            line,
+            left: LINGER_BYTES,
+        }
     }
 
     /// Takes in what has come and does not run; says whether that was the end, or as much as is listened to.
-    pub fn swallow(&mut self) -> Next {
+    pub(super) fn swallow(&mut self) -> Next {
         self.line.swallow(&mut self.left)
     }
 }
@@ -332,7 +355,11 @@
                 return Err(ErrorKind::ConnectionAborted.into());
             }
             // A process that was stopped for a while comes back from a timed read interrupted.
-            let pauses = [ErrorKind::WouldBlock, ErrorKind::TimedOut, ErrorKind::Interrupted];
+            let pauses = [
+                ErrorKind::WouldBlock,
+                ErrorKind::TimedOut,
+                ErrorKind::Interrupted,
+            ];
             match got {
                 Err(e) if pauses.contains(&e.kind()) => {}
                 Ok(n @ 1..) if !gate.reading => {
--- a/crates/net/src/clients/outbox.rs
+++ b/crates/net/src/clients/outbox.rs
@@ -42,8 +42,12 @@
 }
 
 impl Outbox {
-    pub fn new(budget: Arc<Budget>) -> Self {
-        Self { state: Mutex::default(), moved: Condvar::new(), budget }
+    pub(super) fn new(budget: Arc<Budget>) -> Self {
+        Self {
+            state: Mutex::default(),
+            moved: Condvar::new(),
+            budget,
+        }
     }
 
     fn written(&self, state: &mut State, bytes: usize) {
@@ -54,7 +58,11 @@
 
 impl Drop for Outbox {
     fn drop(&mut self) {
-        let held = self.state.get_mut().unwrap_or_else(PoisonError::into_inner).held;
+        let held = self
+            .state
+            .get_mut()
+            .unwrap_or_else(PoisonError::into_inner)
+            .held;
         self.budget.give_back(held);
     }
 }
@@ -131,7 +139,10 @@
     fn write_rest(&self) {
         loop {
             let mut state = lock(&self.outbox.state);
-            let (bytes, count) = (std::mem::take(&mut state.ready), std::mem::take(&mut state.count));
+            let (bytes, count) = (
+                std::mem::take(&mut state.ready),
+                std::mem::take(&mut state.count),
+            );
             if bytes.is_empty() {
                 return self.wrote(state);
             }
@@ -139,7 +150,8 @@
             if (&self.stream).write_all(&bytes).is_err() {
                 return self.break_off();
             }
-            self.outbox.written(&mut lock(&self.outbox.state), bytes.len());
+            self.outbox
+                .written(&mut lock(&self.outbox.state), bytes.len());
             self.note(|g| g.open -= count);
         }
     }
@@ -156,7 +168,10 @@
         if complete {
             // The client is listened to from now on, not from when the last word had to wait.
             let now = self.clock.now();
-            lock(&self.gate).over.iter_mut().for_each(|since| *since = now);
+            lock(&self.gate)
+                .over
+                .iter_mut()
+                .for_each(|since| *since = now);
         }
     }
 
@@ -164,7 +179,10 @@
     /// ever left behind here.
     fn pass(self: &Arc<Self>, ticket: u64, bytes: &[u8]) -> io::Result<()> {
         let waits = |s: &mut State| !s.complete && (s.writing || s.next != ticket);
-        let state = self.outbox.moved.wait_while(lock(&self.outbox.state), waits);
+        let state = self
+            .outbox
+            .moved
+            .wait_while(lock(&self.outbox.state), waits);
         let mut state = state.unwrap_or_else(PoisonError::into_inner);
         if state.complete {
             return Err(ErrorKind::BrokenPipe.into());
@@ -232,7 +250,13 @@
 impl ResponseBody {
     pub(super) fn new(line: Arc<Line>, ticket: u64, events: Sender<Event>) -> Self {
         let piece = line.outbox.budget.piece();
-        Self { line, ticket, piece, whole: AtomicBool::new(false), events }
+        Self {
+            line,
+            ticket,
+            piece,
+            whole: AtomicBool::new(false),
+            events,
+        }
     }
 
     /// How much may be taken up of the answer at once.
@@ -275,7 +299,9 @@
             self.line.cut_short();
             // What was asked behind it can have no answer: it need not be sent on. May be the core's own thread, which must not
             // wait for itself.
-            let _ = self.events.try_send(Event::ClientDisconnected(self.line.id));
+            let _ = self
+                .events
+                .try_send(Event::ClientDisconnected(self.line.id));
         }
     }
 }
--- a/crates/net/src/clients/rests.rs
+++ b/crates/net/src/clients/rests.rs
@@ -18,7 +18,10 @@
 use crate::{lock, spawn};
 
 /// How often those that have rested for too long are looked for.
-const LOOK: Timespec = Timespec { tv_sec: 0, tv_nsec: 50_000_000 };
+const LOOK: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 50_000_000,
+};
 /// Threads that wait while nothing comes: the second one takes what comes while the first is held up.
 const SPARE: usize = 2;
 
@@ -42,9 +45,14 @@
 }
 
 impl Rests {
-    pub fn new(now: Time) -> io::Result<Self> {
+    pub(super) fn new(now: Time) -> io::Result<Self> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        Ok(Self { epoll, held: Mutex::default(), waiting: AtomicUsize::new(0), looked: Mutex::new(now) })
+        Ok(Self {
+            epoll,
+            held: Mutex::default(),
+            waiting: AtomicUsize::new(0),
+            looked: Mutex::new(now),
+        })
     }
 
     /// The next connection on which something has come, if one does within a moment.
@@ -96,7 +104,10 @@
             }
             self.go_on(resting);
             let more = |w| (w < SPARE).then_some(w + 1);
-            if waiting.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).is_err() {
+            if waiting
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more)
+                .is_err()
+            {
                 return;
             }
         }
@@ -104,7 +115,9 @@
 
     /// Deals with what has come on a connection.
     fn go_on(&self, mut resting: Resting) {
-        let talk = self.front.serve(&mut resting.at, &mut resting.from, &resting.session);
+        let talk = self
+            .front
+            .serve(&mut resting.at, &mut resting.from, &resting.session);
         if matches!(talk, Ok(Talk::Rests)) || resting.from.finish(vec![]) == Talk::Rests {
             self.rest(resting);
         } else {
--- a/crates/net/src/connection_limits.rs
+++ b/crates/net/src/connection_limits.rs
@@ -23,7 +23,11 @@
 impl SharedConnectionLimiter {
     pub fn new(clock: Clock, limits: Limits) -> Arc<Self> {
         let heart = Mutex::new(valehatch_connection_limits::ConnectionLimiter::new(limits));
-        Arc::new(Self { clock, heart, freed: Condvar::new() })
+        Arc::new(Self {
+            clock,
+            heart,
+            freed: Condvar::new(),
+        })
     }
 
     /// Other limits from now on.
@@ -42,7 +46,11 @@
         let mut heart = lock(&self.heart);
         let may = heart.may_enter(self.clock.now());
         if !may {
-            drop(self.freed.wait_timeout(heart, LOOK).unwrap_or_else(PoisonError::into_inner));
+            drop(
+                self.freed
+                    .wait_timeout(heart, LOOK)
+                    .unwrap_or_else(PoisonError::into_inner),
+            );
         }
         may
     }
@@ -70,8 +78,11 @@
 
     /// A place for a connection to a member, while it is held; none where even those who idle hold too much.
     pub(crate) fn member(self: &Arc<Self>) -> Option<Member> {
-        let full = |heart: &mut valehatch_connection_limits::ConnectionLimiter| !heart.member_enters();
-        let waited = self.freed.wait_timeout_while(lock(&self.heart), MEMBER_WAITS, full);
+        let full =
+            |heart: &mut valehatch_connection_limits::ConnectionLimiter| !heart.member_enters();
+        let waited = self
+            .freed
+            .wait_timeout_while(lock(&self.heart), MEMBER_WAITS, full);
         let (_heart, waited) = waited.unwrap_or_else(PoisonError::into_inner);
         (!waited.timed_out()).then(|| Member(Arc::clone(self)))
     }
--- a/crates/net/src/hot_restart.rs
+++ b/crates/net/src/hot_restart.rs
@@ -12,11 +12,13 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use rustix::io::retry_on_intr;
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags,
 };
 use valehatch_hot_restart::words::{self, HEAD, HandoffMessage};
-use valehatch_hot_restart::{HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessLimits};
+use valehatch_hot_restart::{
+    HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessLimits,
+};
 
 /// How long the old process may take to hand everything over: its core is asked what it believes.
 const HAND: Duration = Duration::from_millis(1_500);
@@ -66,7 +68,11 @@
         };
         match handed(&line, gateway) {
             Ok(Some((listener, snapshot))) => {
-                return HandoffOutcome::Inherited(Box::new(InheritedState { listener, snapshot, line }));
+                return HandoffOutcome::Inherited(Box::new(InheritedState {
+                    listener,
+                    snapshot,
+                    line,
+                }));
             }
             Ok(None) if Instant::now() < until => std::thread::sleep(AGAIN),
             Ok(None) => return HandoffOutcome::Busy,
@@ -86,7 +92,12 @@
     let mut head = [0; HEAD];
     // A read with a time limit ends with any signal, one that asks for a look at the configuration too.
     let got = retry_on_intr(|| {
-        rustix::net::recvmsg(line, &mut [IoSliceMut::new(&mut head)], &mut came, RecvFlags::CMSG_CLOEXEC)
+        rustix::net::recvmsg(
+            line,
+            &mut [IoSliceMut::new(&mut head)],
+            &mut came,
+            RecvFlags::CMSG_CLOEXEC,
+        )
     })?;
     let mut sockets: Vec<OwnedFd> = vec![];
     for message in came.drain() {
@@ -99,7 +110,9 @@
     }
     (&*line).read_exact(&mut head[got.bytes..])?;
     match (body(line, head)?, sockets.pop()) {
-        (HandoffMessage::Take(snapshot), socket) => Ok(Some((socket.map(TcpListener::from), snapshot))),
+        (HandoffMessage::Take(snapshot), socket) => {
+            Ok(Some((socket.map(TcpListener::from), snapshot)))
+        }
         (HandoffMessage::Busy, _) => Ok(None),
         (other, _) => Err(invalid(format!("{other:?} where a socket was to come"))),
     }
@@ -191,7 +204,11 @@
     ///
     /// # Errors
     /// There is no thread for it.
-    pub fn start(self, old: Option<UnixStream>, hands: Box<dyn HandoffHandler>) -> io::Result<HandoffHandle> {
+    pub fn start(
+        self,
+        old: Option<UnixStream>,
+        hands: Box<dyn HandoffHandler>,
+    ) -> io::Result<HandoffHandle> {
         let (events, inbox) = bounded(64);
         let steps = HandoffStateMachine::new(self.whole, old.is_some());
         let tells = old.as_ref().map(UnixStream::try_clone).transpose()?;
@@ -209,7 +226,10 @@
                             continue;
                         }
                         HandoffMessage::Held(holds) => HandoffEvent::Old { holds, grows: true },
-                        HandoffMessage::Leaves(holds) => HandoffEvent::Old { holds, grows: false },
+                        HandoffMessage::Leaves(holds) => HandoffEvent::Old {
+                            holds,
+                            grows: false,
+                        },
                         // One that hung hands everything over after all: too late.
                         _ => continue,
                     };
@@ -269,9 +289,9 @@
                     others.for_each(|mut line| drop(line.write_all(&word)));
                 }
                 Ok(Event::Hear(list)) => self.hands.hear(&list),
-                Err(RecvTimeoutError::Timeout) => {
-                    self.steps.take(HandoffEvent::Tick(self.hands.holds()), &mut out)
-                }
+                Err(RecvTimeoutError::Timeout) => self
+                    .steps
+                    .take(HandoffEvent::Tick(self.hands.holds()), &mut out),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.carry_out(&mut out);
@@ -284,13 +304,20 @@
                 HandoffAction::Hand(peer) => {
                     if let Err(e) = self.hand() {
                         tracing::warn!("upgrade: nothing could be handed over: {e}");
-                        let _ = self.events.try_send(Event::Handoff(HandoffEvent::Gone(peer)));
+                        let _ = self
+                            .events
+                            .try_send(Event::Handoff(HandoffEvent::Gone(peer)));
                     }
                 }
-                HandoffAction::TurnAway(_) => tracing::info!("upgrade: another one is told to ask again"),
+                HandoffAction::TurnAway(_) => {
+                    tracing::info!("upgrade: another one is told to ask again")
+                }
                 HandoffAction::Tell { holds, grows, .. } => {
-                    let word =
-                        if grows { HandoffMessage::Held(holds) } else { HandoffMessage::Leaves(holds) };
+                    let word = if grows {
+                        HandoffMessage::Held(holds)
+                    } else {
+                        HandoffMessage::Leaves(holds)
+                    };
                     if let Some((_, line)) = &self.new {
                         let _ = (&*line).write_all(&words::encode(&word));
                     }
@@ -311,7 +338,10 @@
                 }
                 HandoffAction::Own => {
                     if let Err(e) = self.own() {
-                        tracing::warn!("upgrade: nobody can ask at {}: {e}", self.upgrade.path.display());
+                        tracing::warn!(
+                            "upgrade: nobody can ask at {}: {e}",
+                            self.upgrade.path.display()
+                        );
                     }
                 }
             }
@@ -319,7 +349,9 @@
     }
 
     fn hand(&mut self) -> io::Result<()> {
-        let Some((_, line)) = &self.new else { return Err(ErrorKind::NotConnected.into()) };
+        let Some((_, line)) = &self.new else {
+            return Err(ErrorKind::NotConnected.into());
+        };
         let snapshot = self.hands.snapshot().unwrap_or_default();
         let bytes = words::encode(&HandoffMessage::Take(snapshot));
         line.set_write_timeout(Some(STUCK))?;
@@ -330,11 +362,20 @@
             along.push(SendAncillaryMessage::ScmRights(&sockets));
         }
         let sent = retry_on_intr(|| {
-            rustix::net::sendmsg(line, &[IoSlice::new(&bytes)], &mut along, SendFlags::NOSIGNAL)
+            rustix::net::sendmsg(
+                line,
+                &[IoSlice::new(&bytes)],
+                &mut along,
+                SendFlags::NOSIGNAL,
+            )
         })?;
         (&*line).write_all(&bytes[sent..])?;
         self.along = !sockets.is_empty();
-        let what = if sockets.is_empty() { "no socket any more" } else { "the socket" };
+        let what = if sockets.is_empty() {
+            "no socket any more"
+        } else {
+            "the socket"
+        };
         tracing::info!("upgrade: handed {what} and {} bytes over", bytes.len());
         Ok(())
     }
@@ -342,7 +383,10 @@
     /// Is to be found at the path, in place of whoever was: listens once, under a name of its own, and links that.
     fn own(&mut self) -> io::Result<()> {
         let process = std::process::id();
-        let (mine, link) = (self.named(&format!("{process}")), self.named(&format!("{process}-link")));
+        let (mine, link) = (
+            self.named(&format!("{process}")),
+            self.named(&format!("{process}-link")),
+        );
         if !self.listens {
             let _ = std::fs::remove_file(&mine);
             let listener = UnixListener::bind(&mine)?;
@@ -376,7 +420,11 @@
         if std::sync::Arc::strong_count(&heard) > PEERS {
             continue;
         }
-        let (events, gateway, heard) = (events.clone(), gateway.to_owned(), std::sync::Arc::clone(&heard));
+        let (events, gateway, heard) = (
+            events.clone(),
+            gateway.to_owned(),
+            std::sync::Arc::clone(&heard),
+        );
         let began = super::spawn("handover", move || {
             if let Err(e) = attend(peer, &line, &gateway, &events) {
                 tracing::info!("upgrade: who asked has gone: {e}");
@@ -399,12 +447,14 @@
     }
     line.set_read_timeout(None)?;
     let closed = |_| io::Error::from(ErrorKind::BrokenPipe);
-    events.send(Event::Came(peer, line.try_clone()?)).map_err(closed)?;
+    events
+        .send(Event::Came(peer, line.try_clone()?))
+        .map_err(closed)?;
     loop {
         match hear(line)? {
-            HandoffMessage::Ready => {
-                events.send(Event::Handoff(HandoffEvent::Ready(peer))).map_err(closed)?
-            }
+            HandoffMessage::Ready => events
+                .send(Event::Handoff(HandoffEvent::Ready(peer)))
+                .map_err(closed)?,
             HandoffMessage::List(list) => events.send(Event::Hear(list)).map_err(closed)?,
             other => return Err(invalid(format!("{other:?} from the new process"))),
         }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -51,16 +51,23 @@
 }
 
 fn whole(bytes: &[u8], ended: bool) -> Result<Option<Answer>, String> {
-    let Some((head, at)) = head(bytes)? else { return Ok(None) };
+    let Some((head, at)) = head(bytes)? else {
+        return Ok(None);
+    };
     let rest = &bytes[at..];
     let body = match head.framing {
         Framing::Chunked => chunks(rest)?,
-        Framing::Length(length) if length > MOST => return Err(format!("a body of {length} bytes")),
+        Framing::Length(length) if length > MOST => {
+            return Err(format!("a body of {length} bytes"));
+        }
         Framing::Length(length) => rest.get(..length).map(|body| (body.to_vec(), length)),
         Framing::Close if rest.len() > MOST => return Err("a body without an end".into()),
         Framing::Close => ended.then(|| (rest.to_vec(), rest.len())),
     };
-    Ok(body.map(|(body, used)| Answer { body, keep: head.keep && !ended && used == rest.len() }))
+    Ok(body.map(|(body, used)| Answer {
+        body,
+        keep: head.keep && !ended && used == rest.len(),
+    }))
 }
 
 /// The head of the final answer, behind any interim ones, and where its body begins.
@@ -69,10 +76,16 @@
     loop {
         let mut fields = [httparse::EMPTY_HEADER; FIELDS];
         let mut response = httparse::Response::new(&mut fields);
-        let parsed = response.parse(&bytes[at..]).map_err(|e| format!("no HTTP: {e}"))?;
+        let parsed = response
+            .parse(&bytes[at..])
+            .map_err(|e| format!("no HTTP: {e}"))?;
         let httparse::Status::Complete(size) = parsed else {
             let endless = bytes.len() - at > LINE;
-            return if endless { Err("the answer has no end of its head".into()) } else { Ok(None) };
+            return if endless {
+                Err("the answer has no end of its head".into())
+            } else {
+                Ok(None)
+            };
         };
         at += size;
         match response.code {
@@ -86,13 +99,27 @@
 fn read_head(response: &httparse::Response) -> Result<Head, String> {
     // Fields may come more than once, and each may be a list.
     let values = |name: &str| {
-        let named = response.headers.iter().filter(|f| f.name.eq_ignore_ascii_case(name));
-        let text = named.filter_map(|f| std::str::from_utf8(f.value).ok()).collect::<Vec<_>>().join(",");
-        let all: Vec<_> = text.split(',').map(|v| v.trim().to_ascii_lowercase()).collect();
-        all.into_iter().filter(|v| !v.is_empty()).collect::<Vec<_>>()
+        let named = response
+            .headers
+            .iter()
+            .filter(|f| f.name.eq_ignore_ascii_case(name));
+        let text = named
+            .filter_map(|f| std::str::from_utf8(f.value).ok())
+            .collect::<Vec<_>>()
+            .join(",");
+        let all: Vec<_> = text
+            .split(',')
+            .map(|v| v.trim().to_ascii_lowercase())
+            .collect();
+        all.into_iter()
+            .filter(|v| !v.is_empty())
+            .collect::<Vec<_>>()
     };
-    let (connection, coding, lengths) =
-        (values("connection"), values("transfer-encoding"), values("content-length"));
+    let (connection, coding, lengths) = (
+        values("connection"),
+        values("transfer-encoding"),
+        values("content-length"),
+    );
     let says = |word: &str| connection.iter().any(|v| v == word);
     // Without a word, HTTP/1.1 keeps its connections and HTTP/1.0 does not.
     let keep = !says("close") && (response.version == Some(1) || says("keep-alive"));
@@ -105,14 +132,22 @@
 }
 
 fn read_length(length: &str, all: &[String]) -> Result<usize, String> {
-    let digits = length.bytes().all(|b| b.is_ascii_digit()) && all.iter().all(|other| other == length);
-    length.parse().ok().filter(|_| digits).ok_or_else(|| format!("a length of {}", all.join(",")))
+    let digits =
+        length.bytes().all(|b| b.is_ascii_digit()) && all.iter().all(|other| other == length);
+    length
+        .parse()
+        .ok()
+        .filter(|_| digits)
+        .ok_or_else(|| format!("a length of {}", all.join(",")))
 }
 
 /// The line that these bytes begin with, without its end, and what it takes with it; `None` while it is not whole.
 fn line(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, String> {
     match bytes.iter().take(LINE).position(|b| *b == b'\n') {
-        Some(at) => Ok(Some((bytes[..at].strip_suffix(b"\r").unwrap_or(&bytes[..at]), at + 1))),
+        Some(at) => Ok(Some((
+            bytes[..at].strip_suffix(b"\r").unwrap_or(&bytes[..at]),
+            at + 1,
+        ))),
         None if bytes.len() >= LINE => Err("a line between chunks has no end".into()),
         None => Ok(None),
     }
@@ -122,7 +157,9 @@
 fn chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, String> {
     let (mut body, mut at) = (vec![], 0);
     loop {
-        let Some((text, used)) = line(&bytes[at..])? else { return Ok(None) };
+        let Some((text, used)) = line(&bytes[at..])? else {
+            return Ok(None);
+        };
         let size = chunk_size(text)?;
         at += used;
         if size == 0 {
@@ -131,8 +168,12 @@
         if size > MOST - body.len() {
             return Err("the answer is too long".into());
         }
-        let Some(chunk) = bytes.get(at..at + size) else { return Ok(None) };
-        let Some((after, used)) = line(&bytes[at + size..])? else { return Ok(None) };
+        let Some(chunk) = bytes.get(at..at + size) else {
+            return Ok(None);
+        };
+        let Some((after, used)) = line(&bytes[at + size..])? else {
+            return Ok(None);
+        };
         if !after.is_empty() {
             return Err("a chunk is longer than it says".into());
         }
@@ -142,7 +183,11 @@
 }
 
 fn chunk_size(line: &[u8]) -> Result<usize, String> {
-    let size = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
+    let size = line
+        .split(|b| *b == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii();
     let hex = !size.is_empty() && size.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(size).ok().filter(|_| hex);
     let size = text.and_then(|text| usize::from_str_radix(text, 16).ok());
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -2,6 +2,7 @@
 //! it asks for.
 
 #![forbid(unsafe_code)]
+#![expect(missing_docs, reason = "not yet split and documented")]
 
 mod call;
 pub mod clients;
@@ -68,10 +69,16 @@
             };
         }
     };
-    thread::Builder::new().name(name.into()).stack_size(STACK).spawn(work).map(drop)
+    thread::Builder::new()
+        .name(name.into())
+        .stack_size(STACK)
+        .spawn(work)
+        .map(drop)
 }
 
 /// Locks, also where a thread that held the lock has panicked.
 pub fn lock<T>(mutex: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
