--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -52,7 +52,11 @@
 /// Time that goes on while the machine sleeps: whoever stood still has to see that it did.
 fn now() -> Time {
     let now = clock_gettime(ClockId::Boottime);
-    Time(now.tv_sec.saturating_mul(1_000_000).saturating_add(now.tv_nsec / 1000))
+    Time(
+        now.tv_sec
+            .saturating_mul(1_000_000)
+            .saturating_add(now.tv_nsec / 1000),
+    )
 }
 
 /// A number by which a name is known over gateways.
@@ -99,7 +103,9 @@
         fleet: Arc<AtomicU32>,
         takers: Lists,
     ) -> Result<Arc<Self>, String> {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis());
         let set = Settings {
             me: peers.advertise,
             seeds: peers.seeds.clone(),
@@ -113,16 +119,30 @@
         };
         let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
         let heart = heart.map_err(|e| format!("peers: {e}"))?;
-        let bound =
-            UdpSocket::bind(peers.listen).map_err(|e| format!("peers.listen: {}: {e}", peers.listen))?;
+        let bound = UdpSocket::bind(peers.listen)
+            .map_err(|e| format!("peers.listen: {}: {e}", peers.listen))?;
         let marks: Vec<u32> = takers.iter().map(|(name, _)| mark(name)).collect();
         let asks = Mutex::new(lists::Peers::new(&marks, seed, now()));
         let (heart, told, dropped) = (Mutex::new(heart), AtomicU64::new(0), Dropped::default());
-        let link = Self { socket: bound, peers, heart, told, asks, takers, cores, fleet, dropped };
+        let link = Self {
+            socket: bound,
+            peers,
+            heart,
+            told,
+            asks,
+            takers,
+            cores,
+            fleet,
+            dropped,
+        };
         let link = Arc::new(link);
         let ours = Arc::clone(&link);
         crate::spawn("peers", move || ours.run()).map_err(|e| format!("peers: {e}"))?;
-        tracing::info!("peers: listens on {}, known as {}", link.peers.listen, link.peers.advertise);
+        tracing::info!(
+            "peers: listens on {}, known as {}",
+            link.peers.listen,
+            link.peers.advertise
+        );
         Ok(link)
     }
 
@@ -144,9 +164,16 @@
             what(&mut heart, &mut out);
             let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
             // All else has a note of its own.
-            heart.changes(told).1.filter(|c| c.why == Reason::OwnWord).copied().collect()
+            heart
+                .changes(told)
+                .1
+                .filter(|c| c.why == Reason::OwnWord)
+                .copied()
+                .collect()
         };
-        changes.iter().for_each(|c| tracing::info!("peers: {} is {}", c.about, named(c.card.phase)));
+        changes
+            .iter()
+            .for_each(|c| tracing::info!("peers: {} is {}", c.about, named(c.card.phase)));
         self.carry_out(out);
     }
 
@@ -159,11 +186,15 @@
         let mut bytes = [0; MOST + 1];
         loop {
             let asks = lock(&self.asks).next_due();
-            let due = asks.into_iter().fold(lock(&self.heart).next_due(), Time::min);
+            let due = asks
+                .into_iter()
+                .fold(lock(&self.heart).next_due(), Time::min);
             let wait = (due - now()).clamp(Span(1_000), LOOK);
             let wait = Duration::from_micros(wait.0.unsigned_abs());
-            let came =
-                self.socket.set_read_timeout(Some(wait)).and_then(|()| self.socket.recv_from(&mut bytes));
+            let came = self
+                .socket
+                .set_read_timeout(Some(wait))
+                .and_then(|()| self.socket.recv_from(&mut bytes));
             // Whether this gateway has stood still comes before all else.
             self.tend(|heart, out| {
                 if heart.next_due() <= now() {
@@ -172,12 +203,18 @@
             });
             match came {
                 Ok((length, from)) => match self.open(&bytes[..length], from) {
-                    Some((MEMBERSHIP, said)) => self.tend(|heart, out| heart.receive(now(), from, said, out)),
+                    Some((MEMBERSHIP, said)) => {
+                        self.tend(|heart, out| heart.receive(now(), from, said, out))
+                    }
                     Some((_, said)) => self.hear_of_lists(from, said),
                     None => {}
                 },
                 // A port that nobody listens on any more is told of by an error: silence says the same.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::ConnectionRefused | ErrorKind::Interrupted
+                    ) => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(e) => {
                     tracing::warn!("peers: {}: {e}", self.peers.listen);
@@ -188,7 +225,9 @@
             let share = lock(&self.heart).share(true);
             if self.fleet.swap(share, Ordering::Relaxed) != share {
                 tracing::info!("peers: what is shared is divided by {share}");
-                self.cores.iter().for_each(|core| drop(core.send(Event::GatewayCount(share))));
+                self.cores
+                    .iter()
+                    .for_each(|core| drop(core.send(Event::GatewayCount(share))));
             }
         }
     }
@@ -217,7 +256,11 @@
         for effect in out {
             match effect {
                 lists::Effect::Send { to, bytes } => self.send(LISTS, to, &bytes),
-                lists::Effect::Learned { front, listed, told } => {
+                lists::Effect::Learned {
+                    front,
+                    listed,
+                    told,
+                } => {
                     let (name, taker) = &self.takers[front];
                     let count = listed.len();
                     if lock(taker).guess(listed, told) {
@@ -252,7 +295,8 @@
 
     fn send(&self, channel: u8, to: SocketAddr, said: &[u8]) {
         let sent = if self.peers.allows(&to) {
-            self.socket.send_to(&[&front(channel, &self.peers.fleet)[..], said].concat(), to)
+            self.socket
+                .send_to(&[&front(channel, &self.peers.fleet)[..], said].concat(), to)
         } else {
             Err(io::Error::from(ErrorKind::PermissionDenied))
         };
@@ -268,7 +312,9 @@
                 Effect::Event(note) => {
                     if matches!(note, MembershipEvent::Slept(_)) {
                         // The clock by which lists are dated may have stood still too.
-                        self.takers.iter().for_each(|(_, taker)| lock(taker).doubt());
+                        self.takers
+                            .iter()
+                            .for_each(|(_, taker)| lock(taker).doubt());
                     }
                     say(note);
                 }
@@ -287,7 +333,10 @@
 
 /// A version such as 1.2.3 as a number: its last two parts, which tell the builds of one fleet apart.
 fn version(text: &str) -> u16 {
-    let mut parts = text.split('.').skip(1).map(|part| part.parse::<u16>().unwrap_or(0) & 0xff);
+    let mut parts = text
+        .split('.')
+        .skip(1)
+        .map(|part| part.parse::<u16>().unwrap_or(0) & 0xff);
     parts.next().unwrap_or(0) << 8 | parts.next().unwrap_or(0)
 }
 
@@ -316,7 +365,9 @@
             view.settled.map_or(0, |at| (at - view.held).0 / 1000)
         ),
         MembershipEvent::Unsettled => tracing::info!("peers: the view is not settled"),
-        MembershipEvent::Synced => tracing::info!("peers: all that another gateway knew is known here"),
+        MembershipEvent::Synced => {
+            tracing::info!("peers: all that another gateway knew is known here")
+        }
     }
 }
 
@@ -326,12 +377,25 @@
 
     #[test]
     fn builds_are_told_apart_by_number() {
-        assert_eq!([version("0.4.0"), version("0.4.1"), version("1"), version("")], [1024, 1025, 0, 0]);
+        assert_eq!(
+            [
+                version("0.4.0"),
+                version("0.4.1"),
+                version("1"),
+                version("")
+            ],
+            [1024, 1025, 0, 0]
+        );
     }
 
     #[test]
     fn fleets_are_told_apart_in_front_and_all_fits_a_datagram() {
-        assert_ne!(front(MEMBERSHIP, "vestera"), front(MEMBERSHIP, "vestera-test"));
-        const { assert!(FRONT + valehatch_membership::wire::MOST <= MOST && FRONT + lists::MOST <= MOST) };
+        assert_ne!(
+            front(MEMBERSHIP, "vestera"),
+            front(MEMBERSHIP, "vestera-test")
+        );
+        const {
+            assert!(FRONT + valehatch_membership::wire::MOST <= MOST && FRONT + lists::MOST <= MOST)
+        };
     }
 }
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -89,7 +89,14 @@
     pub fn hear(&mut self, book: &EndpointListCache) {
         if let Some(told) = book.told.filter(|_| book.is_ahead_of(&self.book)) {
             self.ahead = ForwardedListGuard::of(book, self.clock.now());
-            self.take(told.0, List { rev: told.1, all: true, targets: book.members().cloned().collect() });
+            self.take(
+                told.0,
+                List {
+                    rev: told.1,
+                    all: true,
+                    targets: book.members().cloned().collect(),
+                },
+            );
         }
     }
 
@@ -113,7 +120,14 @@
     pub fn guess(&mut self, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64)) -> bool {
         let none = self.book.told.is_none();
         if none {
-            self.take(told.0, List { rev: told.1, all: true, targets: listed });
+            self.take(
+                told.0,
+                List {
+                    rev: told.1,
+                    all: true,
+                    targets: listed,
+                },
+            );
         }
         none
     }
@@ -151,23 +165,51 @@
         let end = duration(TOLD_AFTER_WAIT);
         let (whole, watch, pauses) = match teller {
             Teller::Agent => {
-                let agent = Patience { late: LATE_AGENT, pieces: SILENCE, end };
+                let agent = Patience {
+                    late: LATE_AGENT,
+                    pieces: SILENCE,
+                    end,
+                };
                 (agent, agent, (PAUSE, LONGEST_AGENT))
             }
             Teller::Pushes => {
-                let service = Patience { late: SILENCE, pieces: SILENCE, end };
-                (service, service, (PAUSE, LONGEST_PUSHED.min(within.times(0.25))))
+                let service = Patience {
+                    late: SILENCE,
+                    pieces: SILENCE,
+                    end,
+                };
+                (
+                    service,
+                    service,
+                    (PAUSE, LONGEST_PUSHED.min(within.times(0.25))),
+                )
             }
             // Hanging up on a call that waits for its turn only wastes it. The first bound is what the fleet takes for a
             // call each.
             Teller::Poll => {
                 let turn = duration(within.times(0.25).min(room));
                 let round = valehatch_backoff::round(site.settings.routers, CALLS_S).min(room);
-                let whole = Patience { late: turn, pieces: turn, end: turn };
-                (whole, Patience { late: SILENCE.min(turn), ..whole }, (round.max(PAUSE), room))
+                let whole = Patience {
+                    late: turn,
+                    pieces: turn,
+                    end: turn,
+                };
+                (
+                    whole,
+                    Patience {
+                        late: SILENCE.min(turn),
+                        ..whole
+                    },
+                    (round.max(PAUSE), room),
+                )
             }
         };
-        Self { whole, watch, pauses, room }
+        Self {
+            whole,
+            watch,
+            pauses,
+            room,
+        }
     }
 }
 
@@ -241,11 +283,29 @@
         };
         let terms = Terms::of(teller, &site);
         let pace = Backoff::new(terms.pauses.0, terms.pauses.1, seed);
-        let (ids, book, confirmed_at, ahead) = (HashMap::new(), EndpointListCache::default(), None, None);
-        let taker =
-            Arc::new(Mutex::new(EndpointListStore { site, clock, events, ids, book, confirmed_at, ahead }));
+        let (ids, book, confirmed_at, ahead) =
+            (HashMap::new(), EndpointListCache::default(), None, None);
+        let taker = Arc::new(Mutex::new(EndpointListStore {
+            site,
+            clock,
+            events,
+            ids,
+            book,
+            confirmed_at,
+            ahead,
+        }));
         let (confirmed, changed) = (Box::new(|| {}), Box::new(drop));
-        Self { place, taker, teller, clock, fleet, terms, pace, confirmed, changed }
+        Self {
+            place,
+            taker,
+            teller,
+            clock,
+            fleet,
+            terms,
+            pace,
+            confirmed,
+            changed,
+        }
     }
 
     /// What takes the lists in.
@@ -268,8 +328,19 @@
     }
 
     /// Takes the list as it was held before the last stop, then watches: from there on if the same discovery told it.
-    pub fn resume(self, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64)) -> io::Result<()> {
-        let rev = lock(&self.taker).take(told.0, List { rev: told.1, all: true, targets: listed });
+    pub fn resume(
+        self,
+        listed: Vec<DiscoveredEndpoint>,
+        told: (SocketAddr, u64),
+    ) -> io::Result<()> {
+        let rev = lock(&self.taker).take(
+            told.0,
+            List {
+                rev: told.1,
+                all: true,
+                targets: listed,
+            },
+        );
         let held = (told.0 == self.place.address()).then_some((told.0, rev));
         super::spawn("list", move || self.run(held))
     }
@@ -305,17 +376,22 @@
             // Versions belong to the address that told them: elsewhere the whole list is asked for first.
             let from = told.filter(|(at, _)| *at == address).map(|(_, rev)| rev);
             let (began, hold) = (Instant::now(), self.hold(trouble.since.is_some()));
-            let heard = self.ask(&mut out, line.take(), address, from, hold).and_then(|heard| {
-                line = heard.line;
-                // Nobody but a discovery that counts anew, or one that lags, tells less than it was asked from: which of
-                // the two it is its whole list tells, and that goes whatever its version.
-                told = None;
-                if let Some(from) = heard.from.filter(|from| heard.list.rev < *from) {
-                    let rev = heard.list.rev;
-                    return Err(io::Error::other(format!("version {rev} was told to one that has {from}")));
-                }
-                self.take(address, heard.list).map(|rev| told = Some((address, rev)))
-            });
+            let heard = self
+                .ask(&mut out, line.take(), address, from, hold)
+                .and_then(|heard| {
+                    line = heard.line;
+                    // Nobody but a discovery that counts anew, or one that lags, tells less than it was asked from: which of
+                    // the two it is its whole list tells, and that goes whatever its version.
+                    told = None;
+                    if let Some(from) = heard.from.filter(|from| heard.list.rev < *from) {
+                        let rev = heard.list.rev;
+                        return Err(io::Error::other(format!(
+                            "version {rev} was told to one that has {from}"
+                        )));
+                    }
+                    self.take(address, heard.list)
+                        .map(|rev| told = Some((address, rev)))
+                });
             match heard {
                 Ok(()) => {
                     // What is still out was asked before: its answer would be an older one.
@@ -364,7 +440,9 @@
         let news = list.all || !list.targets.is_empty();
         let mut taker = lock(&self.taker);
         let Some(rev) = taker.told(address, list) else {
-            return Err(io::Error::other("an older version than the other process of this gateway was told"));
+            return Err(io::Error::other(
+                "an older version than the other process of this gateway was told",
+            ));
         };
         taker.confirmed_at = Some(self.clock.now());
         let held = news.then(|| taker.book.clone());
@@ -383,12 +461,21 @@
         hold: Duration,
     ) -> io::Result<Heard> {
         let line = line.map_or_else(|| Line::connect(address), Ok)?;
-        let patience = if from.is_some() { self.terms.watch } else { self.terms.whole };
+        let patience = if from.is_some() {
+            self.terms.watch
+        } else {
+            self.terms.whole
+        };
         out.push(Call::begin(&self.place, line, from, hold, patience)?);
         out.drain(..out.len().saturating_sub(OUT));
         let (call, Answer { body, keep }) = first(out)?;
-        let list = serde_json::from_slice(&body).map_err(|e| io::Error::other(format!("no list: {e}")))?;
-        Ok(Heard { list, from: call.from, line: keep.then(|| call.line()) })
+        let list =
+            serde_json::from_slice(&body).map_err(|e| io::Error::other(format!("no list: {e}")))?;
+        Ok(Heard {
+            list,
+            from: call.from,
+            line: keep.then(|| call.line()),
+        })
     }
 }
 
@@ -401,12 +488,25 @@
         }
         // Names come and go all day: those that the list no longer holds are forgotten with it.
         let named: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
-        self.ids.retain(|uid, _| !list.all || named.contains(uid.as_str()));
+        self.ids
+            .retain(|uid, _| !list.all || named.contains(uid.as_str()));
         let left = |t: &&DiscoveredEndpoint| t.state == "left";
-        let gone: Vec<String> = list.targets.iter().filter(left).map(|t| t.uid.clone()).collect();
-        let members = list.targets.into_iter().filter_map(|t| self.member(t)).collect();
+        let gone: Vec<String> = list
+            .targets
+            .iter()
+            .filter(left)
+            .map(|t| t.uid.clone())
+            .collect();
+        let members = list
+            .targets
+            .into_iter()
+            .filter_map(|t| self.member(t))
+            .collect();
         self.ids.retain(|uid, _| !gone.contains(uid));
-        let _ = self.events.send(Event::EndpointList { complete: list.all, members });
+        let _ = self.events.send(Event::EndpointList {
+            complete: list.all,
+            members,
+        });
         list.rev
     }
 
@@ -422,8 +522,11 @@
             }
         };
         let name = Arc::from(target.uid.as_str());
-        let place =
-            |all: &[String], name: &str| all.iter().position(|n| n == name).map_or(u8::MAX, |n| n as u8);
+        let place = |all: &[String], name: &str| {
+            all.iter()
+                .position(|n| n == name)
+                .map_or(u8::MAX, |n| n as u8)
+        };
         Some(ListedEndpoint {
             entry: EndpointRecord {
                 zone: ZoneId(place(&self.site.zones, &target.az)),
--- a/crates/net/src/log.rs
+++ b/crates/net/src/log.rs
@@ -36,7 +36,12 @@
 impl Limit {
     fn new(per_s: u32) -> Self {
         let (window, untold) = (AtomicU64::new(0), AtomicU64::new(0));
-        Self { per_s: u64::from(per_s), began: Instant::now(), window, untold }
+        Self {
+            per_s: u64::from(per_s),
+            began: Instant::now(),
+            window,
+            untold,
+        }
     }
 
     /// Whether a line may be written in a second, counted from 1; `None` says the same and that it is the first.
@@ -48,7 +53,10 @@
                 Some((second << 24) + 1)
             }
         };
-        let last = self.window.fetch_update(Ordering::Relaxed, Ordering::Relaxed, turn).unwrap_or_else(|e| e);
+        let last = self
+            .window
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, turn)
+            .unwrap_or_else(|e| e);
         let first = last >> 24 != second;
         (first || last & LINES < self.per_s, first)
     }
@@ -86,7 +94,9 @@
         .with_ansi(false)
         .with_target(false)
         .log_internal_errors(false);
-    let all = tracing_subscriber::registry().with(level).with(Limit::new(log.lines_per_s));
+    let all = tracing_subscriber::registry()
+        .with(level)
+        .with(Limit::new(log.lines_per_s));
     // Only a second call fails, and the first one goes on to hold.
     let _ = if log.json {
         all.with(lines.json().flatten_event(true)).try_init()
@@ -102,7 +112,10 @@
     #[test]
     fn a_second_has_so_many_lines_and_the_next_begins_anew() {
         let limit = Limit::new(2);
-        let said: Vec<_> = [1, 1, 1, 1, 2, 2, 2].into_iter().map(|s| limit.allows(s)).collect();
+        let said: Vec<_> = [1, 1, 1, 1, 2, 2, 2]
+            .into_iter()
+            .map(|s| limit.allows(s))
+            .collect();
         let (first, more, none) = ((true, true), (true, false), (false, false));
         assert_eq!(said, [first, more, none, none, first, more, none]);
     }
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -20,7 +20,10 @@
         name: Arc::clone(&m.name),
         address: Arc::from(m.address.to_string()),
     };
-    Event::EndpointList { complete: true, members: members.iter().map(member).collect() }
+    Event::EndpointList {
+        complete: true,
+        members: members.iter().map(member).collect(),
+    }
 }
 
 /// A front whose members the file names.
@@ -47,7 +50,10 @@
                 Some(Members::Fixed(members)) => drop(named.events.send(list(members))),
                 Some(Members::Discovery(_)) => {}
                 None => {
-                    warn!(front = &*named.front, "the front is no longer in the file; it goes on as it was")
+                    warn!(
+                        front = &*named.front,
+                        "the front is no longer in the file; it goes on as it was"
+                    )
                 }
             }
         }
--- a/crates/net/src/pipe.rs
+++ b/crates/net/src/pipe.rs
@@ -17,7 +17,10 @@
 
 impl Budget {
     pub const fn new(most: usize) -> Self {
-        Self { most: AtomicUsize::new(most), used: AtomicUsize::new(0) }
+        Self {
+            most: AtomicUsize::new(most),
+            used: AtomicUsize::new(0),
+        }
     }
 
     /// So many bytes at the most, from now on.
@@ -43,10 +46,14 @@
     /// Room for one piece of an answer that is passed on. Beyond half of all room only the least is given: these
     /// answers leave the other half to those that come whole.
     pub fn piece(self: &Arc<Self>) -> Piece {
-        let long = self.used.load(Ordering::Relaxed) + PIECE <= self.most.load(Ordering::Relaxed) / 2;
+        let long =
+            self.used.load(Ordering::Relaxed) + PIECE <= self.most.load(Ordering::Relaxed) / 2;
         let bytes = if long { PIECE } else { LEAST };
         self.add(bytes);
-        Piece { budget: Arc::clone(self), bytes }
+        Piece {
+            budget: Arc::clone(self),
+            bytes,
+        }
     }
 }
 
@@ -86,7 +93,11 @@
         assert_eq!(budget.piece().bytes(), LEAST, "it goes on all the same");
         budget.give_back(4 * PIECE);
         pieces.truncate(2);
-        assert_eq!(budget.piece().bytes(), PIECE, "what was let go of is room again");
+        assert_eq!(
+            budget.piece().bytes(),
+            PIECE,
+            "what was let go of is room again"
+        );
         drop(pieces);
         assert_eq!(budget.used.load(Ordering::Relaxed), 0);
     }
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/servers.rs
@@ -107,7 +107,16 @@
     ) -> Self {
         let (figures, handles) = (None, HashMap::new());
         let verifies = false;
-        Self { protocol, events, clock, connect_timeout: timeout, verifies, figures, places, handles }
+        Self {
+            protocol,
+            events,
+            clock,
+            connect_timeout: timeout,
+            verifies,
+            figures,
+            places,
+            handles,
+        }
     }
 
     /// Positions count only once primaries have confirmed this machine's clock: where endpoints do not check the age of their
@@ -148,19 +157,32 @@
     /// Hands a job of an idle connection to a thread: one that stands idle has none, since a gateway of a large fleet
     /// holds a connection to nearly every server and uses each seldom.
     fn submit(&mut self, conn: ConnectionId, job: UpstreamJob) {
-        let Some(link) = self.handles.get(&conn).map(Arc::clone) else { return };
+        let Some(link) = self.handles.get(&conn).map(Arc::clone) else {
+            return;
+        };
         if let Err(e) = super::spawn("server", move || link.run(&job)) {
             tracing::warn!("no thread for a connection to a server: {e}");
             let reply = UpstreamReply::bare(Outcome::LocalFailure);
             // The core's own thread: its queue must not be waited for.
-            if self.events.try_send(Event::AttemptEnded { conn, reply, reusable: false }).is_err() {
+            if self
+                .events
+                .try_send(Event::AttemptEnded {
+                    conn,
+                    reply,
+                    reusable: false,
+                })
+                .is_err()
+            {
                 tracing::warn!("the core's queue is full: an outcome waits for its time-out");
             }
         }
     }
 
     fn pass(&mut self, conn: ConnectionId, way: Option<ResponseBody>) {
-        let waits = self.handles.get(&conn).and_then(|link| lock(&link.line).waits.take());
+        let waits = self
+            .handles
+            .get(&conn)
+            .and_then(|link| lock(&link.line).waits.take());
         if let (Some(waits), Some(way)) = (waits, way) {
             let _ = waits.send(way);
         }
@@ -168,7 +190,9 @@
 
     /// Ends a connection, whatever it carries.
     fn close(&mut self, conn: ConnectionId) {
-        let Some(link) = self.handles.remove(&conn) else { return };
+        let Some(link) = self.handles.remove(&conn) else {
+            return;
+        };
         let mut line = lock(&link.line);
         (line.ended, line.waits) = (true, None);
         if let Some(stream) = line.stream.take() {
@@ -217,13 +241,22 @@
             lock(&self.line).stream = None;
         }
         let streamed = way.into_inner();
-        let last = streamed.as_ref().filter(|_| reply.outcome == Outcome::Ok).and_then(|_| reply.body.take());
+        let last = streamed
+            .as_ref()
+            .filter(|_| reply.outcome == Outcome::Ok)
+            .and_then(|_| reply.body.take());
         // The core hears of a correction of the clock before or behind the whole of this, never in between: its times would
         // be of neither.
         let mut cluster = self.clock.cluster();
-        asked.into_iter().for_each(|asked| self.check_times(&mut cluster, &mut reply, asked));
+        asked
+            .into_iter()
+            .for_each(|asked| self.check_times(&mut cluster, &mut reply, asked));
         // The core hears of it first: the client may ask again as soon as it has the last byte, on this connection.
-        let _ = self.events.send(Event::AttemptEnded { conn: self.conn, reply, reusable });
+        let _ = self.events.send(Event::AttemptEnded {
+            conn: self.conn,
+            reply,
+            reusable,
+        });
         drop(cluster);
         if let (Some(way), Some(last)) = (streamed, last) {
             // That the client has left is told by its own connection.
@@ -235,11 +268,16 @@
     fn connect(&self, address: &SocketAddr, most: Duration) -> Result<TcpStream, Outcome> {
         let (began, mut pause) = (Instant::now(), FIRST_PAUSE);
         loop {
-            let left = most.saturating_sub(began.elapsed()).max(Duration::from_millis(1));
+            let left = most
+                .saturating_sub(began.elapsed())
+                .max(Duration::from_millis(1));
             match TcpStream::connect_timeout(address, left) {
                 Ok(stream) => return Ok(stream),
                 Err(e) if !is_local(&e) => return Err(Outcome::ConnectFailed),
-                Err(e) if began.elapsed() + pause > most.min(LOCAL_PATIENCE) || lock(&self.line).ended => {
+                Err(e)
+                    if began.elapsed() + pause > most.min(LOCAL_PATIENCE)
+                        || lock(&self.line).ended =>
+                {
                     tracing::warn!("no connection to {address}, by a fault of this machine: {e}");
                     return Err(Outcome::LocalFailure);
                 }
@@ -324,15 +362,35 @@
             }
         };
         let answered = reply.position.map(|at| self.clock.unix_by_wall_clock(at));
-        let reported =
-            reply.report.and_then(|report| report.position).map(|at| self.clock.unix_by_wall_clock(at));
+        let reported = reply
+            .report
+            .and_then(|report| report.position)
+            .map(|at| self.clock.unix_by_wall_clock(at));
         if let Some(unix) = answered {
             let primary = reply.role == Some(Role::Primary);
-            observe(cluster, unix, if primary { ClockSample::PrimaryAnswer } else { ClockSample::Replica });
+            observe(
+                cluster,
+                unix,
+                if primary {
+                    ClockSample::PrimaryAnswer
+                } else {
+                    ClockSample::Replica
+                },
+            );
         }
         if let Some(unix) = reported {
-            let primary = reply.report.is_some_and(|report| report.primary == Some(true));
-            observe(cluster, unix, if primary { ClockSample::PrimaryReport } else { ClockSample::Replica });
+            let primary = reply
+                .report
+                .is_some_and(|report| report.primary == Some(true));
+            observe(
+                cluster,
+                unix,
+                if primary {
+                    ClockSample::PrimaryReport
+                } else {
+                    ClockSample::Replica
+                },
+            );
         }
         // Until a primary has shown that the clock is right, no data may pass for newer than it is.
         let known = !self.verifies || cluster.is_verified();
@@ -381,7 +439,9 @@
         libc::ENOMEM,
         libc::EAGAIN,
     ];
-    error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
+    error
+        .raw_os_error()
+        .is_some_and(|number| LOCAL.contains(&number))
 }
 
 /// An idle connection on which nothing has come: neither its end nor bytes that nobody asked for.
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -28,7 +28,9 @@
             tracing::info!("a planned stop was asked for");
             leave();
             // A core that has ended already takes no more events.
-            events.iter().for_each(|to| drop(to.send(Event::ShutdownRequested)));
+            events
+                .iter()
+                .for_each(|to| drop(to.send(Event::ShutdownRequested)));
         }
     })
 }
--- a/crates/net/src/turn.rs
+++ b/crates/net/src/turn.rs
@@ -30,10 +30,16 @@
     /// Reads the system's time, the only time that this is done: from then on endpoints correct it.
     #[allow(clippy::cast_possible_truncation)]
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as i64);
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as i64);
         let wall_offset = unix - START;
         let cluster = Box::leak(Box::new(Mutex::new(ClusterClock::new(wall_offset))));
-        Self { began: Instant::now(), wall_offset, cluster }
+        Self {
+            began: Instant::now(),
+            wall_offset,
+            cluster,
+        }
     }
 
     /// Now.
@@ -75,7 +81,10 @@
     let mut effects = vec![];
     let mut now = clock.now();
     loop {
-        let wait = state.next_due().map_or(i64::MAX, |at| (at - now).0).clamp(0, 1_000_000) as u64;
+        let wait = state
+            .next_due()
+            .map_or(i64::MAX, |at| (at - now).0)
+            .clamp(0, 1_000_000) as u64;
         let mut batch = vec![];
         match events.recv_timeout(Duration::from_micros(wait)) {
             Ok(event) => batch.push(event),
--- a/crates/notifications/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -211,13 +211,19 @@
             self.samples.pop_front();
         }
         let (at, before) = *self.samples.front()?;
-        let passed = u64::try_from((now - at).0).ok().filter(|p| *p > 0 && now - at >= over)?;
+        let passed = u64::try_from((now - at).0)
+            .ok()
+            .filter(|p| *p > 0 && now - at >= over)?;
         Some((total - before.min(total)).saturating_mul(1_000_000_000) / passed)
     }
 
     /// Whether an edge was crossed: upwards, downwards.
     fn crossed(&mut self, value: u64, (rising, falling): (u64, u64)) -> Option<bool> {
-        let over = if self.over { value >= falling } else { value >= rising };
+        let over = if self.over {
+            value >= falling
+        } else {
+            value >= rising
+        };
         (std::mem::replace(&mut self.over, over) != over).then_some(over)
     }
 }
@@ -289,7 +295,9 @@
         if trouble.is_some() != self.trouble {
             self.trouble = trouble.is_some();
             self.out
-                .push(trouble.map_or(Notification::StateWell, |why| Notification::StateTrouble(why.into())));
+                .push(trouble.map_or(Notification::StateWell, |why| {
+                    Notification::StateTrouble(why.into())
+                }));
         }
         if !self.stopping && fronts.iter().any(|f| f.live.stopping) {
             self.stopping = true;
@@ -298,11 +306,17 @@
         let round = self.round;
         self.groups.retain(|_, g| g.seen == round);
         // A member that has left the list is not out of health any more: it is gone, and nobody waits for it.
-        let gone: Vec<_> =
-            self.members.iter().filter(|(_, m)| m.seen != round).map(|(k, _)| k.clone()).collect();
+        let gone: Vec<_> = self
+            .members
+            .iter()
+            .filter(|(_, m)| m.seen != round)
+            .map(|(k, _)| k.clone())
+            .collect();
         for key in gone {
-            if let Some(watch) =
-                self.members.remove(&key).filter(|w| w.notice.health != EndpointHealth::Healthy)
+            if let Some(watch) = self
+                .members
+                .remove(&key)
+                .filter(|w| w.notice.health != EndpointHealth::Healthy)
             {
                 self.out.push(Notification::MemberBack(watch.notice));
             }
@@ -315,10 +329,15 @@
         for group in &live.groups {
             let name = |endpoint: EndpointId| {
                 let found = live.members.iter().find(|m| m.view.endpoint == endpoint);
-                found.map_or_else(|| Arc::from(format!("{:08x}", endpoint.0)), |m| Arc::clone(&m.name))
+                found.map_or_else(
+                    || Arc::from(format!("{:08x}", endpoint.0)),
+                    |m| Arc::clone(&m.name),
+                )
             };
             // What only stands in for a primary is none that anybody believes in.
-            let primary = group.primary.filter(|_| group.known != PrimaryEvidence::Unknown);
+            let primary = group
+                .primary
+                .filter(|_| group.known != PrimaryEvidence::Unknown);
             let primary: Arc<str> = primary.map_or_else(|| Arc::from(""), name);
             let without = primary.is_empty();
             let key = (Arc::clone(front.name), group.group);
@@ -349,33 +368,43 @@
             let again = group.changes > watch.changes + 1 && !without;
             watch.changes = group.changes;
             if !first && before != primary || again {
-                self.out.push(Notification::PrimaryChanged(notice(&before, group.since)));
+                self.out
+                    .push(Notification::PrimaryChanged(notice(&before, group.since)));
             }
             match (watch.searching, group.searching) {
                 (None, Some(since)) => {
                     (watch.searching, watch.lasting) = (Some(since), false);
-                    self.out.push(Notification::SearchBegun(notice(&before, since)));
+                    self.out
+                        .push(Notification::SearchBegun(notice(&before, since)));
                 }
                 (Some(since), None) => {
                     (watch.searching, watch.lasting) = (None, false);
-                    self.out.push(Notification::SearchEnded(notice(&before, since)));
+                    self.out
+                        .push(Notification::SearchEnded(notice(&before, since)));
                 }
                 _ => {}
             }
-            let lasts = watch.searching.filter(|s| live.at - *s >= self.thresholds.search_lasting);
+            let lasts = watch
+                .searching
+                .filter(|s| live.at - *s >= self.thresholds.search_lasting);
             if let Some(since) = lasts.filter(|_| !std::mem::replace(&mut watch.lasting, true)) {
-                self.out.push(Notification::SearchLasting(notice(&before, since)));
+                self.out
+                    .push(Notification::SearchLasting(notice(&before, since)));
             }
             if !without {
                 let since = watch.without_since.take();
                 if std::mem::take(&mut watch.without_told) {
-                    self.out.push(Notification::PrimaryBack(notice(&before, since.unwrap_or(live.at))));
+                    self.out.push(Notification::PrimaryBack(notice(
+                        &before,
+                        since.unwrap_or(live.at),
+                    )));
                 }
             } else {
                 let since = *watch.without_since.get_or_insert(live.at);
                 let long = live.at - since >= self.thresholds.no_primary;
                 if long && !std::mem::replace(&mut watch.without_told, true) {
-                    self.out.push(Notification::NoPrimary(notice(&before, since)));
+                    self.out
+                        .push(Notification::NoPrimary(notice(&before, since)));
                 }
             }
         }
@@ -392,12 +421,17 @@
                 health: member.view.health,
             };
             let watch = self.members.entry(key).or_insert_with(|| MemberWatch {
-                notice: EndpointNotification { health: EndpointHealth::Healthy, ..notice.clone() },
+                notice: EndpointNotification {
+                    health: EndpointHealth::Healthy,
+                    ..notice.clone()
+                },
                 seen: 0,
             });
             watch.seen = self.round;
-            let (was, is) =
-                (watch.notice.health == EndpointHealth::Healthy, notice.health == EndpointHealth::Healthy);
+            let (was, is) = (
+                watch.notice.health == EndpointHealth::Healthy,
+                notice.health == EndpointHealth::Healthy,
+            );
             watch.notice = notice.clone();
             if was && !is {
                 self.out.push(Notification::MemberOutOfReach(notice));
@@ -409,12 +443,18 @@
 
     fn look_at_budgets(&mut self, front: &FrontNow<'_>) {
         for ((tenant, allowance), rate) in front.tenants.iter().zip(&front.live.rates) {
-            #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
+            #[allow(
+                clippy::cast_precision_loss,
+                clippy::cast_possible_truncation,
+                clippy::cast_sign_loss
+            )]
             let used = (*rate as f64 * 1000.0 / allowance.max(1e-9)) as u64;
             let key = (Arc::clone(front.name), Arc::clone(tenant));
             let watch = self.budgets.entry(key.clone()).or_default();
             match watch.crossed(used, self.thresholds.budget) {
-                Some(true) => self.out.push(Notification::BudgetOverrun(key.0, key.1, used)),
+                Some(true) => self
+                    .out
+                    .push(Notification::BudgetOverrun(key.0, key.1, used)),
                 Some(false) => self.out.push(Notification::BudgetBack(key.0, key.1, used)),
                 None => {}
             }
@@ -425,9 +465,16 @@
         for ((tenant, _), door) in front.tenants.iter().zip(&front.live.door) {
             let waited = u64::try_from(door.oldest.0 / 1000).unwrap_or(0);
             let key = (Arc::clone(front.name), Arc::clone(tenant));
-            match self.queues.entry(key.clone()).or_default().crossed(waited, self.thresholds.queue) {
+            match self
+                .queues
+                .entry(key.clone())
+                .or_default()
+                .crossed(waited, self.thresholds.queue)
+            {
                 Some(true) => self.out.push(Notification::QueueLong(key.0, key.1, waited)),
-                Some(false) => self.out.push(Notification::QueueShort(key.0, key.1, waited)),
+                Some(false) => self
+                    .out
+                    .push(Notification::QueueShort(key.0, key.1, waited)),
                 None => {}
             }
         }
@@ -437,10 +484,16 @@
         for (key, row) in counters.rows().filter(|(key, _)| key.scope == Scope::Class) {
             let of = (Arc::clone(&key.front), Arc::clone(&key.name));
             let watch = self.refusals.entry(of.clone()).or_default();
-            let Some(rate) = watch.note(now, row.refused(), self.thresholds.refusals_over) else { continue };
+            let Some(rate) = watch.note(now, row.refused(), self.thresholds.refusals_over) else {
+                continue;
+            };
             match watch.crossed(rate, self.thresholds.refusals) {
-                Some(true) => self.out.push(Notification::RefusalsRising(of.0, of.1, rate)),
-                Some(false) => self.out.push(Notification::RefusalsFallen(of.0, of.1, rate)),
+                Some(true) => self
+                    .out
+                    .push(Notification::RefusalsRising(of.0, of.1, rate)),
+                Some(false) => self
+                    .out
+                    .push(Notification::RefusalsFallen(of.0, of.1, rate)),
                 None => {}
             }
         }
@@ -450,10 +503,15 @@
     /// stops is always told.
     fn coalesce(&mut self, now: Time) -> Vec<Notification> {
         let mut told = vec![];
-        if self.window.is_some_and(|began| now - began >= self.thresholds.storm_window) {
+        if self
+            .window
+            .is_some_and(|began| now - began >= self.thresholds.storm_window)
+        {
             (self.window, self.told) = (None, 0);
             if !self.left_out.is_empty() {
-                told.push(Notification::Storm(std::mem::take(&mut self.left_out).into_iter().collect()));
+                told.push(Notification::Storm(
+                    std::mem::take(&mut self.left_out).into_iter().collect(),
+                ));
             }
         }
         for notice in std::mem::take(&mut self.out) {
--- a/crates/notifications/src/outbox.rs
+++ b/crates/notifications/src/outbox.rs
@@ -56,8 +56,19 @@
     /// traps. `first` is the number of the first.
     #[must_use]
     pub const fn new(most: usize, inform: Option<(Span, u32)>, first: i32) -> Self {
-        let tally = Tally { sent: 0, acknowledged: 0, given_up: 0, dropped: 0 };
-        Self { queue: VecDeque::new(), most, inform, next: first, tally }
+        let tally = Tally {
+            sent: 0,
+            acknowledged: 0,
+            given_up: 0,
+            dropped: 0,
+        };
+        Self {
+            queue: VecDeque::new(),
+            most,
+            inform,
+            next: first,
+            tally,
+        }
     }
 
     /// Adds something to be told.
@@ -69,13 +80,25 @@
             self.tally.dropped += 1;
         }
         self.next = self.next.checked_add(1).unwrap_or(1);
-        self.queue.push_back(Waiting { what, id: self.next, sent: 0, due: now });
+        self.queue.push_back(Waiting {
+            what,
+            id: self.next,
+            sent: 0,
+            due: now,
+        });
     }
 
     /// What is to be sent now.
     pub fn due(&mut self, now: Time) -> Vec<Post<T>> {
         let Some((pause, again)) = self.inform else {
-            let all: Vec<_> = self.queue.drain(..).map(|w| Post { what: w.what, id: w.id }).collect();
+            let all: Vec<_> = self
+                .queue
+                .drain(..)
+                .map(|w| Post {
+                    what: w.what,
+                    id: w.id,
+                })
+                .collect();
             self.tally.sent += all.len() as u64;
             return all;
         };
@@ -84,10 +107,14 @@
         self.tally.given_up += (before - self.queue.len()) as u64;
         let mut posts = vec![];
         for waiting in self.queue.iter_mut().take(OUT).filter(|w| w.due <= now) {
-            let grown = Span(pause.0.saturating_mul(1 << waiting.sent.min(20))).min(LONGEST.max(pause));
+            let grown =
+                Span(pause.0.saturating_mul(1 << waiting.sent.min(20))).min(LONGEST.max(pause));
             waiting.sent += 1;
             waiting.due = now + grown;
-            posts.push(Post { what: waiting.what.clone(), id: waiting.id });
+            posts.push(Post {
+                what: waiting.what.clone(),
+                id: waiting.id,
+            });
         }
         self.tally.sent += posts.len() as u64;
         posts
@@ -95,7 +122,10 @@
 
     /// Sends at once what is out: the receiver has told what was needed to be believed.
     pub fn again(&mut self, now: Time, id: i32) {
-        self.queue.iter_mut().filter(|w| w.id == id).for_each(|w| w.due = now);
+        self.queue
+            .iter_mut()
+            .filter(|w| w.id == id)
+            .for_each(|w| w.due = now);
     }
 
     /// An inform was acknowledged; whether it was one that is out.
--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -73,13 +73,25 @@
         };
         let tenants = vec![("acme".into(), 100.0)];
         let alarms = NotificationMonitor::new(thresholds);
-        Self { alarms, live, counters: Counters::default(), trouble: None, name: "a".into(), tenants }
+        Self {
+            alarms,
+            live,
+            counters: Counters::default(),
+            trouble: None,
+            name: "a".into(),
+            tenants,
+        }
     }
 
     fn look(&mut self, at_ms: i64) -> Vec<Notification> {
         self.live.at = Time(at_ms * 1000);
-        let front = FrontNow { name: &self.name, live: &self.live, tenants: &self.tenants };
-        self.alarms.look(self.live.at, &[front], &self.counters, self.trouble)
+        let front = FrontNow {
+            name: &self.name,
+            live: &self.live,
+            tenants: &self.tenants,
+        };
+        self.alarms
+            .look(self.live.at, &[front], &self.counters, self.trouble)
     }
 
     fn kinds(&mut self, at_ms: i64) -> Vec<Kind> {
@@ -137,7 +149,10 @@
     else {
         panic!("{said:?}")
     };
-    assert_eq!((&*changed.before, &*changed.primary, changed.known), ("", "m2", PrimaryEvidence::Search));
+    assert_eq!(
+        (&*changed.before, &*changed.primary, changed.known),
+        ("", "m2", PrimaryEvidence::Search)
+    );
     assert_eq!((ended.lasted_ms, back.lasted_ms), (10_900, 10_800));
     assert_eq!(world.kinds(11_100), []);
 }
@@ -170,16 +185,28 @@
         let at = i64::try_from(second).unwrap() * 1000;
         told.extend(world.kinds(at).into_iter().map(|k| (second, k)));
     }
-    assert_eq!(told[1..], [(5, Kind::RefusalsRising), (23, Kind::RefusalsFallen)], "{told:?}");
+    assert_eq!(
+        told[1..],
+        [(5, Kind::RefusalsRising), (23, Kind::RefusalsFallen)],
+        "{told:?}"
+    );
 }
 
 #[test]
 fn a_budget_that_trembles_on_its_edge_is_told_once() {
     let mut world = World::new(thresholds());
     let mut told = vec![];
-    for (n, rate) in [90, 110, 109, 111, 100, 111, 99, 90].into_iter().enumerate() {
+    for (n, rate) in [90, 110, 109, 111, 100, 111, 99, 90]
+        .into_iter()
+        .enumerate()
+    {
         world.live.rates = vec![rate];
-        told.extend(world.kinds(i64::try_from(n).unwrap() * 1000).into_iter().map(|k| (n, k)));
+        told.extend(
+            world
+                .kinds(i64::try_from(n).unwrap() * 1000)
+                .into_iter()
+                .map(|k| (n, k)),
+        );
     }
     assert_eq!(told[1..], [(1, Kind::BudgetOverrun), (6, Kind::BudgetBack)]);
 }
@@ -189,8 +216,10 @@
     let mut world = World::new(thresholds());
     let mut told = vec![];
     for (n, waited) in [0, 390, 410, 150, 399, 99, 0].into_iter().enumerate() {
-        world.live.door =
-            vec![valehatch_admission::TenantQueueView { oldest: ms(waited), ..Default::default() }];
+        world.live.door = vec![valehatch_admission::TenantQueueView {
+            oldest: ms(waited),
+            ..Default::default()
+        }];
         told.extend(world.look(i64::try_from(n).unwrap() * 1000));
     }
     assert_eq!(
@@ -213,7 +242,10 @@
     world.live.members.remove(1);
     assert_eq!(world.kinds(300), [Kind::MemberBack]);
     world.trouble = Some("disk full");
-    assert_eq!(world.look(400), [Notification::StateTrouble("disk full".into())]);
+    assert_eq!(
+        world.look(400),
+        [Notification::StateTrouble("disk full".into())]
+    );
     world.trouble = None;
     assert_eq!(world.kinds(500), [Kind::StateWell]);
     world.live.stopping = true;
@@ -235,14 +267,24 @@
     world.look(0);
     let mut told = vec![];
     for look in 1..100 {
-        let health = if look % 2 == 1 { EndpointHealth::Unreachable } else { EndpointHealth::Healthy };
-        world.live.members.iter_mut().for_each(|m| m.view.health = health);
+        let health = if look % 2 == 1 {
+            EndpointHealth::Unreachable
+        } else {
+            EndpointHealth::Healthy
+        };
+        world
+            .live
+            .members
+            .iter_mut()
+            .for_each(|m| m.view.health = health);
         told.extend(world.look(look * 100));
     }
     assert_eq!(told.len(), 5, "200 members flap for ten seconds");
     let mut after = world.look(10_000);
     assert_eq!(after.len(), 1);
-    let Some(Notification::Storm(kinds)) = after.pop() else { panic!() };
+    let Some(Notification::Storm(kinds)) = after.pop() else {
+        panic!()
+    };
     let left_out: u64 = kinds.iter().map(|(_, n)| n).sum();
     assert_eq!(left_out, 99 * 200 - 5, "each is counted once: {kinds:?}");
     world.live.members[0].view.health = EndpointHealth::Healthy;
@@ -257,7 +299,11 @@
     for at in 0..40 {
         sent.extend(outbox.due(Time(at * 500_000)).iter().map(|p| (at, p.id)));
     }
-    assert_eq!(sent, [(0, 1), (2, 1), (6, 1), (14, 1)], "after 0, 1, 3 and 7 s, under one number");
+    assert_eq!(
+        sent,
+        [(0, 1), (2, 1), (6, 1), (14, 1)],
+        "after 0, 1, 3 and 7 s, under one number"
+    );
     assert_eq!((outbox.tally().given_up, outbox.len()), (1, 0));
     outbox.push(Time(0), "y");
     let id = outbox.due(Time(0))[0].id;
@@ -279,6 +325,13 @@
     assert_eq!(outbox.tally().dropped, 980);
     let mut traps = Outbox::new(3, None, 0);
     (0..5).for_each(|n| traps.push(Time(0), n));
-    assert_eq!(traps.due(Time(0)).iter().map(|p| p.what).collect::<Vec<_>>(), [2, 3, 4]);
+    assert_eq!(
+        traps
+            .due(Time(0))
+            .iter()
+            .map(|p| p.what)
+            .collect::<Vec<_>>(),
+        [2, 3, 4]
+    );
     assert!(traps.is_empty());
 }
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -30,7 +30,10 @@
     ) -> Result<Option<IncomingRequest>, String> {
         let text = std::str::from_utf8(query).map_err(|_| "the query is not UTF-8")?;
         let (comment, statement) = pg::comment(text).ok_or("the query has no leading comment")?;
-        let pairs: Option<Vec<_>> = comment.split(',').map(|p| p.trim().split_once('=')).collect();
+        let pairs: Option<Vec<_>> = comment
+            .split(',')
+            .map(|p| p.trim().split_once('='))
+            .collect();
         let pairs = pairs.ok_or("the comment is not made of names and values")?;
         let mut names: Vec<_> = pairs.iter().map(|(name, _)| *name).collect();
         names.sort_unstable();
@@ -43,27 +46,56 @@
         let id = Some(wanted("id")?).filter(|id| (1..=64).contains(&id.len()));
         let id = id.ok_or("the id is empty or longer than 64 bytes")?;
         let class = wanted("c")?;
-        let class = place(&self.site.classes, class).ok_or_else(|| format!("no class {class:?} is known"))?;
-        let patience = wanted("d")?.parse::<u32>().ok().filter(|d| (1..=86_400_000).contains(d));
+        let class = place(&self.site.classes, class)
+            .ok_or_else(|| format!("no class {class:?} is known"))?;
+        let patience = wanted("d")?
+            .parse::<u32>()
+            .ok()
+            .filter(|d| (1..=86_400_000).contains(d));
         let patience = patience.ok_or("d is not a number of milliseconds")?;
-        let group = wanted("cluster")?.parse().map_err(|_| "cluster is not a number")?;
-        let RequestClass { consistency, idempotency, deadline, .. } = self.site.settings.classes[class];
+        let group = wanted("cluster")?
+            .parse()
+            .map_err(|_| "cluster is not a number")?;
+        let RequestClass {
+            consistency,
+            idempotency,
+            deadline,
+            ..
+        } = self.site.settings.classes[class];
         let keyed = matches!(idempotency, Idempotency::IdempotencyKey(..));
         if keyed && wanted("k")?.is_empty() {
             return Err("the key is empty".into());
         }
-        let verb = if consistency == Consistency::Write { "INSERT " } else { "SELECT " };
-        if statement.trim_start().get(..verb.len()).is_none_or(|s| !s.eq_ignore_ascii_case(verb)) {
+        let verb = if consistency == Consistency::Write {
+            "INSERT "
+        } else {
+            "SELECT "
+        };
+        if statement
+            .trim_start()
+            .get(..verb.len())
+            .is_none_or(|s| !s.eq_ignore_ascii_case(verb))
+        {
             return Err(format!("the class takes statements that begin with {verb}"));
         }
         // Where no read asks for its session's writes, no session is remembered.
-        let asked = self.site.settings.classes.iter().any(|c| c.consistency == Consistency::Session);
+        let asked = self
+            .site
+            .settings
+            .classes
+            .iter()
+            .any(|c| c.consistency == Consistency::Session);
         let session = matches!(consistency, Consistency::Write | Consistency::Session)
             .then(|| quoted(statement))
             .flatten();
         let session = session.filter(|_| asked);
-        let (tenant, group) = (value("t").and_then(|t| place(&self.site.tenants, t)), GroupId(group));
-        let Some(room) = room(class, tenant, group) else { return Ok(None) };
+        let (tenant, group) = (
+            value("t").and_then(|t| place(&self.site.tenants, t)),
+            GroupId(group),
+        );
+        let Some(room) = room(class, tenant, group) else {
+            return Ok(None);
+        };
         Ok(Some(IncomingRequest {
             name: Some(Arc::from(id)),
             class,
@@ -78,7 +110,9 @@
             // Nobody waits for longer than the class's deadline; what would is not held for it.
             patience: Span::from_millis(patience.into()).min(deadline),
             repeat: value("r") == Some("1"),
-            wrote_at: value("after").and_then(|a| a.parse().ok()).map(|ms| place_ms(self.clock, ms)),
+            wrote_at: value("after")
+                .and_then(|a| a.parse().ok())
+                .map(|ms| place_ms(self.clock, ms)),
             client,
             payload: Arc::new(Payload {
                 bytes: query.to_vec(),
@@ -93,10 +127,17 @@
     fn aside(query: &[u8], fault: &str) -> Vec<u8> {
         let mut out = vec![];
         let text = String::from_utf8_lossy(query);
-        let first = text.trim().trim_end_matches(';').split_whitespace().next().unwrap_or_default();
+        let first = text
+            .trim()
+            .trim_end_matches(';')
+            .split_whitespace()
+            .next()
+            .unwrap_or_default();
         match first.to_ascii_uppercase().as_str() {
             "" => pg::put(&mut out, b'I', &[]),
-            tag @ ("SET" | "RESET" | "DISCARD") => pg::put(&mut out, b'C', &[tag.as_bytes(), b"\0"]),
+            tag @ ("SET" | "RESET" | "DISCARD") => {
+                pg::put(&mut out, b'C', &[tag.as_bytes(), b"\0"])
+            }
             _ => pg::put_error(&mut out, "ERROR", "42601", fault, None),
         }
         pg::put_ready(&mut out);
@@ -134,7 +175,13 @@
 /// The last word on a connection that is ended through no fault of its client.
 fn come_back(after: Span, text: &str) -> Vec<u8> {
     let mut out = vec![];
-    pg::put_error(&mut out, "FATAL", "53300", text, Some(&(after.0 / 1000).max(1).to_string()));
+    pg::put_error(
+        &mut out,
+        "FATAL",
+        "53300",
+        text,
+        Some(&(after.0 / 1000).max(1).to_string()),
+    );
     out
 }
 
@@ -155,11 +202,16 @@
                     at.faults += 1;
                     from.write(b"N")?;
                 }
-                Ok(Opening::Encryption) => return Ok(Step::Last(fatal("08P01", "no encryption is offered"))),
+                Ok(Opening::Encryption) => {
+                    return Ok(Step::Last(fatal("08P01", "no encryption is offered")));
+                }
                 Ok(Opening::Cancel) => return Ok(Step::Last(vec![])),
                 Ok(Opening::Unknown(version)) => {
-                    let text =
-                        format!("protocol version {}.{} is not spoken", version >> 16, version & 0xffff);
+                    let text = format!(
+                        "protocol version {}.{} is not spoken",
+                        version >> 16,
+                        version & 0xffff
+                    );
                     return Ok(Step::Last(fatal("0A000", &text)));
                 }
                 Err(e) if e.kind() == io::ErrorKind::InvalidData => {
@@ -199,7 +251,10 @@
                     return last(fatal("0A000", "only simple queries are served"));
                 }
                 other => {
-                    return last(fatal("08P01", &format!("a message of type {other:#04x} is not known")));
+                    return last(fatal(
+                        "08P01",
+                        &format!("a message of type {other:#04x} is not known"),
+                    ));
                 }
             }
             let query = bytes.strip_suffix(b"\0").unwrap_or(&bytes);
@@ -211,13 +266,19 @@
                 Ok(Some(ask)) => session.ask(ticket, ask)?,
                 Ok(None) => {
                     let after = self.site.settings.limits.max_retry_after;
-                    return last(come_back(after, "refused: nothing ran, there is no room for it"));
+                    return last(come_back(
+                        after,
+                        "refused: nothing ran, there is no room for it",
+                    ));
                 }
                 Err(fault) => {
                     let word = Self::aside(query, &fault);
                     at.faults += usize::from(word.starts_with(b"E"));
                     if at.faults > FAULTS {
-                        return last(fatal("08P01", "too much on this connection could not be understood"));
+                        return last(fatal(
+                            "08P01",
+                            "too much on this connection could not be understood",
+                        ));
                     }
                     session.reply(ticket, word)?;
                 }
@@ -228,7 +289,11 @@
 
 impl RequestHandler for Front {
     fn serve(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Talk> {
-        let mut step = if at.opened { Step::Opened } else { Self::open(at, from, session)? };
+        let mut step = if at.opened {
+            Step::Opened
+        } else {
+            Self::open(at, from, session)?
+        };
         if matches!(step, Step::Opened) {
             step = self.talk(at, from, session)?;
         }
@@ -260,13 +325,31 @@
             }
             FinalAnswer::Failed(Failure::UpstreamError(body)) => out = body,
             FinalAnswer::Failed(Failure::Timeout) => {
-                pg::put_error(&mut out, "ERROR", "57014", "no answer in time; it may have run", None);
+                pg::put_error(
+                    &mut out,
+                    "ERROR",
+                    "57014",
+                    "no answer in time; it may have run",
+                    None,
+                );
             }
             FinalAnswer::Failed(Failure::DuplicateName) => {
-                pg::put_error(&mut out, "ERROR", "42710", "a request with this id is open", None);
+                pg::put_error(
+                    &mut out,
+                    "ERROR",
+                    "42710",
+                    "a request with this id is open",
+                    None,
+                );
             }
             FinalAnswer::Failed(Failure::ConnectionLost) => {
-                pg::put_error(&mut out, "ERROR", "58000", "the answer was lost; it may have run", None);
+                pg::put_error(
+                    &mut out,
+                    "ERROR",
+                    "58000",
+                    "the answer was lost; it may have run",
+                    None,
+                );
             }
         }
         pg::put_ready(&mut out);
@@ -284,6 +367,9 @@
     }
 
     fn farewell(&self, after: Span) -> Vec<u8> {
-        come_back(after, "the connection is ended; what was asked on it meanwhile did not run")
+        come_back(
+            after,
+            "the connection is ended; what was asked on it meanwhile did not run",
+        )
     }
 }
--- a/crates/pg/src/codec.rs
+++ b/crates/pg/src/codec.rs
@@ -43,7 +43,9 @@
 fn length(from: &mut impl Read, most: usize) -> io::Result<usize> {
     let length = word(from)? as usize;
     if !(4..=most + 4).contains(&length) {
-        return Err(invalid(format!("a message of {length} bytes, where {most} are the most")));
+        return Err(invalid(format!(
+            "a message of {length} bytes, where {most} are the most"
+        )));
     }
     Ok(length - 4)
 }
@@ -51,7 +53,10 @@
 /// Reads what a message holds.
 pub fn read_body(from: &mut impl Read, length: usize, most: usize) -> io::Result<Vec<u8>> {
     if length > most {
-        return Err(invalid(format!("a message of {} bytes, where {most} are the most", length + 4)));
+        return Err(invalid(format!(
+            "a message of {} bytes, where {most} are the most",
+            length + 4
+        )));
     }
     // Beyond what values usually have, memory is taken as bytes come, not for what a length claims.
     let mut bytes = Vec::with_capacity(length.min(USUAL));
@@ -66,12 +71,14 @@
     let length = length(from, STARTUP)?;
     let bytes = read_body(from, length, STARTUP)?;
     let code = bytes.first_chunk().map(|b| u32::from_be_bytes(*b));
-    Ok(match code.ok_or_else(|| invalid("a startup message without a version".into()))? {
-        80_877_103 | 80_877_104 => Opening::Encryption,
-        80_877_102 => Opening::Cancel,
-        version if version >> 16 == 3 => Opening::Startup,
-        other => Opening::Unknown(other),
-    })
+    Ok(
+        match code.ok_or_else(|| invalid("a startup message without a version".into()))? {
+            80_877_103 | 80_877_104 => Opening::Encryption,
+            80_877_102 => Opening::Cancel,
+            version if version >> 16 == 3 => Opening::Startup,
+            other => Opening::Unknown(other),
+        },
+    )
 }
 
 /// Reads a message: its type and what it holds.
@@ -119,10 +126,16 @@
 pub fn greeting() -> Vec<u8> {
     let mut out = vec![];
     put(&mut out, b'R', &[&0_u32.to_be_bytes()]);
-    for (name, value) in
-        [("server_version", "15.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8")]
-    {
-        put(&mut out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+    for (name, value) in [
+        ("server_version", "15.0"),
+        ("server_encoding", "UTF8"),
+        ("client_encoding", "UTF8"),
+    ] {
+        put(
+            &mut out,
+            b'S',
+            &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"],
+        );
     }
     put(&mut out, b'K', &[&[0; 8]]);
     put_ready(&mut out);
@@ -143,7 +156,9 @@
 pub fn field(body: &[u8], name: u8) -> Option<&str> {
     let fields = body.strip_suffix(b"\0\0")?;
     let mut parts = fields.split(|b| *b == 0);
-    parts.find(|p| p.first() == Some(&name)).and_then(|p| std::str::from_utf8(&p[1..]).ok())
+    parts
+        .find(|p| p.first() == Some(&name))
+        .and_then(|p| std::str::from_utf8(&p[1..]).ok())
 }
 
 /// Texts that each end with a zero byte: exactly so many, and nothing behind them.
@@ -172,7 +187,9 @@
 
 /// Whether a RowDescription describes one column.
 pub fn one_column(body: &[u8]) -> bool {
-    let name = body.strip_prefix(&[0, 1]).and_then(|rest| rest.split_at_checked(rest.len().checked_sub(18)?));
+    let name = body
+        .strip_prefix(&[0, 1])
+        .and_then(|rest| rest.split_at_checked(rest.len().checked_sub(18)?));
     name.is_some_and(|(name, _)| name.iter().position(|b| *b == 0) == name.len().checked_sub(1))
 }
 
@@ -194,10 +211,18 @@
     let end = query.windows(2).position(|w| w == b"*/").unwrap_or(0);
     let starts = |at: &usize| {
         query[*at..].starts_with(b"d=")
-            && matches!(query[..*at].trim_ascii_end().last(), None | Some(b',' | b'*'))
+            && matches!(
+                query[..*at].trim_ascii_end().last(),
+                None | Some(b',' | b'*')
+            )
     };
-    let Some(at) = (0..end).find(starts) else { return query.to_vec() };
-    let value = query[at + 2..end].iter().take_while(|b| !matches!(b, b',' | b' ')).count();
+    let Some(at) = (0..end).find(starts) else {
+        return query.to_vec();
+    };
+    let value = query[at + 2..end]
+        .iter()
+        .take_while(|b| !matches!(b, b',' | b' '))
+        .count();
     out.extend_from_slice(&query[..at + 2]);
     out.extend_from_slice(ms.to_string().as_bytes());
     out.extend_from_slice(&query[at + 2 + value..]);
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -49,25 +49,35 @@
     /// A position in Unix milliseconds. Whether it can be true is judged by who knows when it was asked for.
     #[allow(clippy::cast_possible_truncation)]
     fn position(&self, ms: f64) -> Option<Time> {
-        POSITIONS_MS.contains(&ms).then(|| self.clock.by_wall_clock((ms * 1_000.0).floor() as i64))
+        POSITIONS_MS
+            .contains(&ms)
+            .then(|| self.clock.by_wall_clock((ms * 1_000.0).floor() as i64))
     }
 
     /// Reads up to ReadyForQuery. What does not fit, in itself or in its place, spoils the answer: it may have
     /// run, nothing of it counts, and its connection is of no further use. A long value goes the way to its client
     /// that `begin` opens; what spoils the answer from then on ends the client's connection too.
-    fn read(&self, from: &mut BufReader<Answer>, job: &UpstreamJob, begin: Begin) -> (UpstreamReply, bool) {
+    fn read(
+        &self,
+        from: &mut BufReader<Answer>,
+        job: &UpstreamJob,
+        begin: Begin,
+    ) -> (UpstreamReply, bool) {
         let spoilt = |what: &str| {
             tracing::warn!("a database's answer is spoilt: {what}");
             (UpstreamReply::bare(Outcome::Error), false)
         };
         let mut reply = UpstreamReply::bare(Outcome::Reset);
-        let (mut body, mut described, mut row, mut whole, mut way) = (vec![], false, None, false, None);
+        let (mut body, mut described, mut row, mut whole, mut way) =
+            (vec![], false, None, false, None);
         let mut aside = 0;
         loop {
             let failed = reply.outcome != Outcome::Reset;
             let long = |kind, length| kind == b'D' && length > pg::LONG + pg::value_head(0).len();
             let message = match pg::read_head(from, pg::LONGEST) {
-                Ok((kind, length)) if long(kind, length) && matches!(job, UpstreamJob::Request { .. }) => {
+                Ok((kind, length))
+                    if long(kind, length) && matches!(job, UpstreamJob::Request { .. }) =>
+                {
                     if !described || row.is_some() || failed {
                         return spoilt("a long row out of place");
                     }
@@ -80,13 +90,18 @@
                     }
                     continue;
                 }
-                Ok((kind, length)) => pg::read_body(from, length, pg::FROM_SERVER).map(|bytes| (kind, bytes)),
+                Ok((kind, length)) => {
+                    pg::read_body(from, length, pg::FROM_SERVER).map(|bytes| (kind, bytes))
+                }
                 Err(e) => Err(e),
             };
             let (kind, bytes) = match message {
                 Ok(message) => message,
                 // Half an answer is none; one that was whole, or an error, counts though the end is missing.
-                Err(e) if e.kind() == ErrorKind::UnexpectedEof || e.kind() == ErrorKind::ConnectionReset => {
+                Err(e)
+                    if e.kind() == ErrorKind::UnexpectedEof
+                        || e.kind() == ErrorKind::ConnectionReset =>
+                {
                     return (self.finish(reply, whole, row, body, job, way), false);
                 }
                 Err(e) => return spoilt(&e.to_string()),
@@ -100,7 +115,9 @@
             match kind {
                 b'T' if !described && !failed && pg::one_column(&bytes) => described = true,
                 b'D' if described && row.is_none() && !failed => match pg::column(&bytes) {
-                    Some(value) if matches!(job, UpstreamJob::HealthCheck) => row = Some(value.to_vec()),
+                    Some(value) if matches!(job, UpstreamJob::HealthCheck) => {
+                        row = Some(value.to_vec())
+                    }
                     Some(_) => row = Some(vec![]),
                     None => return spoilt("a row that is not one column"),
                 },
@@ -116,7 +133,11 @@
                         return spoilt("an error without a code");
                     };
                     // Behind the beginning of a row it proves nothing.
-                    reply.outcome = if described { Outcome::Error } else { outcome(code) };
+                    reply.outcome = if described {
+                        Outcome::Error
+                    } else {
+                        outcome(code)
+                    };
                     reply.last = !described && faulty(code);
                 }
                 b'S' => match pg::parameter(&bytes) {
@@ -188,7 +209,8 @@
     }
     let gone = || (Outcome::Cancelled, "its client has left".to_owned());
     let way = begin().ok_or_else(gone)?;
-    way.begin(&[before, &pg::head(b'D', length), &head].concat()).map_err(|_| gone())?;
+    way.begin(&[before, &pg::head(b'D', length), &head].concat())
+        .map_err(|_| gone())?;
     from.get_mut().slow().map_err(broken)?;
     let mut piece = vec![0; way.piece()];
     while left > 0 {
@@ -239,7 +261,8 @@
             match pg::read_message(&mut &*stream, pg::FROM_SERVER) {
                 Ok((b'Z', _)) => return Ok(()),
                 Ok((b'E', bytes))
-                    if outcome(pg::field(&bytes, b'C').unwrap_or_default()) == Outcome::Rejected =>
+                    if outcome(pg::field(&bytes, b'C').unwrap_or_default())
+                        == Outcome::Rejected =>
                 {
                     return Err(Outcome::Rejected);
                 }
@@ -255,7 +278,11 @@
         let mut out = vec![];
         match job {
             UpstreamJob::Request { payload, .. } => {
-                pg::put(&mut out, b'Q', &[&pg::with_deadline(&payload.bytes, left_ms), b"\0"]);
+                pg::put(
+                    &mut out,
+                    b'Q',
+                    &[&pg::with_deadline(&payload.bytes, left_ms), b"\0"],
+                );
             }
             UpstreamJob::HealthCheck => pg::put(&mut out, b'Q', &[b"SHOW stats\0"]),
         }
@@ -269,7 +296,14 @@
         _sent: &[u8],
         begin: Begin,
     ) -> (UpstreamReply, bool) {
-        let mut from = BufReader::with_capacity(4096, Answer { stream, begun: false, timed: false });
+        let mut from = BufReader::with_capacity(
+            4096,
+            Answer {
+                stream,
+                begun: false,
+                timed: false,
+            },
+        );
         let (reply, settled) = self.read(&mut from, job, begin);
         // What came along behind the answer would be taken for the next one.
         let alone = settled && from.buffer().is_empty();
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -218,11 +218,20 @@
     /// # Errors
     /// Settings that cannot be worked with.
     pub fn new(cfg: Settings, seed: u64) -> Result<Self, SettingsError> {
-        if cfg.classes.is_empty() || cfg.routers == 0 || cfg.limits.max_attempts == 0 || cfg.tick.0 <= 0 {
-            return Err(SettingsError("classes, routers, max_attempts and tick must be above 0".into()));
+        if cfg.classes.is_empty()
+            || cfg.routers == 0
+            || cfg.limits.max_attempts == 0
+            || cfg.tick.0 <= 0
+        {
+            return Err(SettingsError(
+                "classes, routers, max_attempts and tick must be above 0".into(),
+            ));
         }
-        let class_latency: Vec<f64> =
-            cfg.classes.iter().map(|c| (c.latency_objective.as_f64() / 4.0).max(1.0)).collect();
+        let class_latency: Vec<f64> = cfg
+            .classes
+            .iter()
+            .map(|c| (c.latency_objective.as_f64() / 4.0).max(1.0))
+            .collect();
         Ok(Self {
             costs: ClassCosts::new(&class_latency),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -236,7 +245,11 @@
             served: 0.0,
             served_at: Time(i64::MIN),
             usual_value: 0.0,
-            class_deviation: cfg.classes.iter().map(|c| c.latency_objective.as_f64() / 8.0).collect(),
+            class_deviation: cfg
+                .classes
+                .iter()
+                .map(|c| c.latency_objective.as_f64() / 8.0)
+                .collect(),
             class_latency,
             probe_latency: cfg.tick.as_f64(),
             clock_told: 0,
@@ -262,16 +275,26 @@
                 PolicyEvent::ClockCorrected(by) => self.on_clock_corrected(*by),
                 PolicyEvent::RouterCount(count) => self.on_routers((*count).max(1)),
                 PolicyEvent::Timer(_) => self.wake_at = self.wake_at.filter(|at| *at > self.now),
-                PolicyEvent::HealthCheckEnded { endpoint, outcome, latency, report } => {
+                PolicyEvent::HealthCheckEnded {
+                    endpoint,
+                    outcome,
+                    latency,
+                    report,
+                } => {
                     self.on_probed(*endpoint, *outcome, *latency, report.as_ref());
                 }
             }
         }
-        actions.extend(self.ask_at.take_if(|at| *at <= now).map(|_| Action::RefreshEndpointList));
+        actions.extend(
+            self.ask_at
+                .take_if(|at| *at <= now)
+                .map(|_| Action::RefreshEndpointList),
+        );
         self.tend_health(actions);
         let wanted = |(id, g): (&GroupId, &Group)| (!g.waiting.is_empty()).then_some(*id);
         // Any number may come from a client: a group that holds nothing is forgotten.
-        self.groups.retain(|_, g| !(g.members.is_empty() && g.waiting.is_empty()));
+        self.groups
+            .retain(|_, g| !(g.members.is_empty() && g.waiting.is_empty()));
         for group in self.groups.iter().filter_map(wanted).collect::<Vec<_>>() {
             self.tend_search(group, actions);
             self.tend_waiting(group, actions);
@@ -282,7 +305,9 @@
     /// Where more share the nodes, each keeps its part of what it has: two of a limit, as one is for writes.
     fn on_routers(&mut self, count: u32) {
         let part = (f64::from(self.cfg.routers) / f64::from(count)).min(1.0);
-        self.endpoints.values_mut().for_each(|n| n.limit = n.limit.min((n.limit * part).max(2.0)));
+        self.endpoints
+            .values_mut()
+            .for_each(|n| n.limit = n.limit.min((n.limit * part).max(2.0)));
         (self.cfg.routers, self.served) = (count, self.served * part);
     }
 
@@ -293,24 +318,38 @@
         for endpoint in self.endpoints.values_mut() {
             endpoint.started = endpoint.started.map(|at| at + by);
             endpoint.role = endpoint.role.map(|(role, told)| (role, told.min(now)));
-            endpoint.position = endpoint.position.filter(|_| by <= Span(0)).map(|at| at + by);
+            endpoint.position = endpoint
+                .position
+                .filter(|_| by <= Span(0))
+                .map(|at| at + by);
             // Where the clock was ahead, all data looked older than it is; where it was behind, such times never came so far.
             endpoint.lag = Span((endpoint.lag - by.max(Span(0))).0.max(0));
         }
         self.sessions.values_mut().for_each(|at| *at = *at + by);
-        self.session_order.iter_mut().for_each(|(_, at)| *at = *at + by);
+        self.session_order
+            .iter_mut()
+            .for_each(|(_, at)| *at = *at + by);
         self.session_floor = self.session_floor.map(|at| at + by);
-        self.open.values_mut().for_each(|open| open.floor = open.floor.map(|at| at + by));
+        self.open
+            .values_mut()
+            .for_each(|open| open.floor = open.floor.map(|at| at + by));
     }
 
     fn on_list(&mut self, complete: bool, entries: &[EndpointRecord]) {
         if complete {
             let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             let all: Vec<EndpointId> = self.endpoints.keys().copied().collect();
-            all.iter().filter(|n| !named.contains(n)).for_each(|n| self.leave(*n, EndpointState::Removed));
+            all.iter()
+                .filter(|n| !named.contains(n))
+                .for_each(|n| self.leave(*n, EndpointState::Removed));
         }
         entries.iter().for_each(|e| self.on_entry(e));
-        self.groups.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.seed_primary(id));
+        self.groups
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|id| self.seed_primary(id));
         self.ask_gap = Span(self.cfg.rules.max_poll_interval.0 / 16);
     }
 
@@ -318,26 +357,40 @@
         if entry.state != EndpointState::Ready {
             return self.leave(entry.endpoint, entry.state);
         }
-        let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(|| Node {
-            group: entry.group,
-            started: entry.started,
-            limit: START_LIMIT,
-            ..Node::default()
-        });
+        let endpoint = self
+            .endpoints
+            .entry(entry.endpoint)
+            .or_insert_with(|| Node {
+                group: entry.group,
+                started: entry.started,
+                limit: START_LIMIT,
+                ..Node::default()
+            });
         let restarted = endpoint.started != entry.started;
-        (endpoint.state, endpoint.started, endpoint.zone) = (entry.state, entry.started, entry.zone);
-        endpoint.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+        (endpoint.state, endpoint.started, endpoint.zone) =
+            (entry.state, entry.started, entry.zone);
+        endpoint.weight = if entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
         endpoint.listed_primary = entry.primary;
         // A process that started anew holds nothing of what was sent to the old one.
         if restarted {
             (endpoint.health, endpoint.quiet_since) = (Reach::default(), None);
         }
-        self.groups.entry(endpoint.group).or_default().members.insert(entry.endpoint);
+        self.groups
+            .entry(endpoint.group)
+            .or_default()
+            .members
+            .insert(entry.endpoint);
     }
 
     /// Takes a node out of use at once; the stated grace is never drawn on.
     fn leave(&mut self, id: EndpointId, state: EndpointState) {
-        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         if state == EndpointState::Removed
             && self.cfg.rules.removal_is_advisory
             && endpoint.state == EndpointState::Ready
@@ -351,10 +404,18 @@
 
     /// Memory is bounded: a node that is gone and holds nothing of this router is dropped.
     fn forget(&mut self, id: EndpointId) {
-        let Some(endpoint) = self.endpoints.get(&id).filter(|n| n.state == EndpointState::Removed) else {
+        let Some(endpoint) = self
+            .endpoints
+            .get(&id)
+            .filter(|n| n.state == EndpointState::Removed)
+        else {
             return;
         };
-        self.groups.entry(endpoint.group).or_default().members.remove(&id);
+        self.groups
+            .entry(endpoint.group)
+            .or_default()
+            .members
+            .remove(&id);
         if endpoint.out.is_empty() {
             self.endpoints.remove(&id);
         }
@@ -363,11 +424,20 @@
     /// Design page: seeded from the list's role or the lowest sorted member. The list's word is the weakest:
     /// it counts only while nothing better is known, and not for a member that has told its role itself.
     fn seed_primary(&mut self, id: GroupId) {
-        let (endpoints, trusted, now) =
-            (&self.endpoints, self.cfg.listed_role != ListedRole::Ignored, self.now);
-        let Some(group) = self.groups.get_mut(&id).filter(|g| !g.known) else { return };
-        let mut ready = group.members.iter().filter(|n| endpoints[n].state == EndpointState::Ready);
-        let listed = |n: &&EndpointId| trusted && endpoints[n].listed_primary && endpoints[n].role.is_none();
+        let (endpoints, trusted, now) = (
+            &self.endpoints,
+            self.cfg.listed_role != ListedRole::Ignored,
+            self.now,
+        );
+        let Some(group) = self.groups.get_mut(&id).filter(|g| !g.known) else {
+            return;
+        };
+        let mut ready = group
+            .members
+            .iter()
+            .filter(|n| endpoints[n].state == EndpointState::Ready);
+        let listed =
+            |n: &&EndpointId| trusted && endpoints[n].listed_primary && endpoints[n].role.is_none();
         if let Some(member) = ready.clone().find(listed) {
             group.believe(Some(*member), PrimaryEvidence::EndpointList, now);
         } else if group.primary.is_none() && group.search.is_none() {
@@ -387,8 +457,13 @@
     // ---- Health and probes ----
 
     fn probe(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
-        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
-        if self.cfg.limits.health_checks && !endpoint.probe_out && endpoint.state == EndpointState::Ready {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
+        if self.cfg.limits.health_checks
+            && !endpoint.probe_out
+            && endpoint.state == EndpointState::Ready
+        {
             (endpoint.probe_out, endpoint.probed_at) = (true, Some(self.now));
             actions.push(Action::HealthCheck { endpoint: id });
         }
@@ -396,7 +471,9 @@
 
     /// Probes a node that a read could use, if the answer can be expected to make it fresh enough.
     fn probe_for(&mut self, id: EndpointId, consistency: Time, actions: &mut Vec<Action>) {
-        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        let Some(endpoint) = self.endpoints.get(&id) else {
+            return;
+        };
         let since = endpoint.probed_at.map(|at| self.now - at);
         let helps = self.now - endpoint.lag >= consistency;
         // A report is as old as its refreshing makes it: asking sooner than half of that tells nothing new.
@@ -406,8 +483,16 @@
         }
     }
 
-    fn on_probed(&mut self, id: EndpointId, outcome: Outcome, latency: Span, report: Option<&LoadReport>) {
-        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+    fn on_probed(
+        &mut self,
+        id: EndpointId,
+        outcome: Outcome,
+        latency: Span,
+        report: Option<&LoadReport>,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         endpoint.probe_out = false;
         if outcome == Outcome::Ok {
             self.probe_latency += GAIN * (latency.as_f64() - self.probe_latency);
@@ -427,15 +512,30 @@
     }
 
     fn on_report(&mut self, id: EndpointId, report: &LoadReport) {
-        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         if let Some(position) = report.position {
             endpoint.position = endpoint.position.max(Some(position));
             (endpoint.lag, endpoint.told_at) = (self.now - position, self.now);
-            self.clock_told = self.clock_told.saturating_add(u32::from(report.primary == Some(true)));
+            self.clock_told = self
+                .clock_told
+                .saturating_add(u32::from(report.primary == Some(true)));
         }
         // A report's position is the earliest that its word on the role can be dated to.
-        let (Some(primary), Some(at)) = (report.primary, report.position) else { return };
-        self.on_role(id, if primary { Role::Primary } else { Role::Replica }, at, false);
+        let (Some(primary), Some(at)) = (report.primary, report.position) else {
+            return;
+        };
+        self.on_role(
+            id,
+            if primary {
+                Role::Primary
+            } else {
+                Role::Replica
+            },
+            at,
+            false,
+        );
     }
 
     /// How long an attempt of a class may stay unanswered, among so many out, before that counts as evidence.
@@ -450,13 +550,20 @@
     /// unanswered for longer than this router's answers ever take gets nothing new but a trickle.
     fn tend_health(&mut self, actions: &mut Vec<Action>) {
         let over = |(id, endpoint): (&EndpointId, &Node)| {
-            self.silence(endpoint).filter(|at| *at < self.now).map(|_| *id)
+            self.silence(endpoint)
+                .filter(|at| *at < self.now)
+                .map(|_| *id)
         };
         for id in self.endpoints.iter().filter_map(over).collect::<Vec<_>>() {
-            let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
+            let Some(endpoint) = self.endpoints.get_mut(&id) else {
+                continue;
+            };
             endpoint.health.shut(Shut::Silent, self.now);
-            let harms = |o: &Open| self.cfg.classes[o.class.0].idempotency == Idempotency::NonIdempotent;
-            let off = |id: &RequestId| self.cfg.limits.cancel && self.open.get(id).is_some_and(|o| !harms(o));
+            let harms =
+                |o: &Open| self.cfg.classes[o.class.0].idempotency == Idempotency::NonIdempotent;
+            let off = |id: &RequestId| {
+                self.cfg.limits.cancel && self.open.get(id).is_some_and(|o| !harms(o))
+            };
             let out = endpoint.out.keys().copied().filter(|(id, _)| off(id));
             actions.extend(out.map(|(request, attempt)| Action::Cancel { request, attempt }));
             self.lose_primary(id);
@@ -466,57 +573,104 @@
     /// When what is out at a node will count as silence.
     fn silence(&self, endpoint: &Node) -> Option<Time> {
         let quiet = |(sent, class, _): &Sent| {
-            endpoint.quiet_since.map_or(*sent, |q| q.max(*sent)) + self.patience(*class, endpoint.out.len())
+            endpoint.quiet_since.map_or(*sent, |q| q.max(*sent))
+                + self.patience(*class, endpoint.out.len())
         };
-        endpoint.out.values().filter(|_| endpoint.health.shut != Some(Shut::Silent)).map(quiet).min()
+        endpoint
+            .out
+            .values()
+            .filter(|_| endpoint.health.shut != Some(Shut::Silent))
+            .map(quiet)
+            .min()
     }
 
     /// Takes new work: ready, and not shut (but for a trial now and then).
     fn takes(&self, id: EndpointId) -> bool {
         let due = |n: &Node| n.health.shut == Some(Shut::Silent) && self.now >= n.health.again;
-        self.endpoints.get(&id).is_some_and(|n| n.ready() || (n.state == EndpointState::Ready && due(n)))
+        self.endpoints
+            .get(&id)
+            .is_some_and(|n| n.ready() || (n.state == EndpointState::Ready && due(n)))
     }
 
     /// Departure: what a node has from this router at once is limited by how fast it answers.
     fn room(&self, id: EndpointId, spare: f64) -> bool {
-        self.endpoints.get(&id).is_some_and(|n| n.out.len() as f64 + spare < n.limit.max(1.0))
+        self.endpoints
+            .get(&id)
+            .is_some_and(|n| n.out.len() as f64 + spare < n.limit.max(1.0))
     }
 
     // ---- Primary and search ----
 
     fn on_role(&mut self, id: EndpointId, role: Role, at: Time, answered: bool) {
-        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         if endpoint.role.is_some_and(|(_, told)| told > at) {
             return;
         }
         endpoint.role = Some((role, at));
-        let (group_id, shut, ready) =
-            (endpoint.group, endpoint.health.shut.is_some(), endpoint.state == EndpointState::Ready);
+        let (group_id, shut, ready) = (
+            endpoint.group,
+            endpoint.health.shut.is_some(),
+            endpoint.state == EndpointState::Ready,
+        );
         if role == Role::Replica {
             return self.lose_primary(id);
         }
-        let Some(group) = self.groups.get_mut(&group_id) else { return };
-        let other = group.primary.filter(|p| *p != id).and_then(|p| self.endpoints.get(&p));
+        let Some(group) = self.groups.get_mut(&group_id) else {
+            return;
+        };
+        let other = group
+            .primary
+            .filter(|p| *p != id)
+            .and_then(|p| self.endpoints.get(&p));
         let beaten = other.is_none_or(|p| {
-            p.health.shut.is_some() || p.role.is_none_or(|(r, told)| r == Role::Replica || told < at)
+            p.health.shut.is_some()
+                || p.role
+                    .is_none_or(|(r, told)| r == Role::Replica || told < at)
         });
         if beaten && ready && (answered || !shut) {
             let led = group
                 .search
                 .as_ref()
                 .is_some_and(|s| s.leader.is_some_and(|(_, endpoint, _)| endpoint == id));
-            let told = if answered { PrimaryEvidence::Answer } else { PrimaryEvidence::LoadReport };
-            group.believe(Some(id), if led && answered { PrimaryEvidence::Search } else { told }, self.now);
+            let told = if answered {
+                PrimaryEvidence::Answer
+            } else {
+                PrimaryEvidence::LoadReport
+            };
+            group.believe(
+                Some(id),
+                if led && answered {
+                    PrimaryEvidence::Search
+                } else {
+                    told
+                },
+                self.now,
+            );
         }
     }
 
     fn lose_primary(&mut self, id: EndpointId) {
-        let Some(group) = self.endpoints.get(&id).and_then(|n| self.groups.get_mut(&n.group)) else { return };
+        let Some(group) = self
+            .endpoints
+            .get(&id)
+            .and_then(|n| self.groups.get_mut(&n.group))
+        else {
+            return;
+        };
         if group.primary == Some(id) {
             group.believe(None, PrimaryEvidence::Unknown, self.now);
             let (ask_at, began) = (self.now + Span(SEARCH_PAUSE.0 / 4), self.now);
             let (tried, gap) = (BTreeSet::from([id]), SEARCH_PAUSE);
-            group.search = Some(Search { leader: None, tried, pause_until: None, ask_at, gap, began });
+            group.search = Some(Search {
+                leader: None,
+                tried,
+                pause_until: None,
+                ask_at,
+                gap,
+                began,
+            });
         } else if let Some(search) = &mut group.search {
             search.tried.insert(id);
             search.leader.take_if(|(_, endpoint, _)| *endpoint == id);
@@ -527,10 +681,16 @@
     fn tend_search(&mut self, id: GroupId, actions: &mut Vec<Action>) {
         let leader = self.groups.get(&id).and_then(|g| g.search.as_ref()?.leader);
         let over = leader.is_some_and(|(request, _, since)| {
-            self.open.get(&request).is_none_or(|o| self.now - since > self.patience(o.class, 1))
+            self.open
+                .get(&request)
+                .is_none_or(|o| self.now - since > self.patience(o.class, 1))
         });
-        let Some(group) = self.groups.get_mut(&id) else { return };
-        let Some(search) = &mut group.search else { return };
+        let Some(group) = self.groups.get_mut(&id) else {
+            return;
+        };
+        let Some(search) = &mut group.search else {
+            return;
+        };
         if let Some((_, endpoint, _)) = search.leader.take_if(|_| over) {
             search.tried.insert(endpoint);
         }
@@ -543,16 +703,24 @@
         // The more routers there are for each member, the slower each asks when it has asked in vain.
         let routers = f64::from(self.cfg.routers) / self.endpoints.len().max(1) as f64;
         let (jitter, most) = (0.5 + self.random(), 1.0 + routers.min(LONGEST_GAP));
-        let Some(search) = self.groups.get_mut(&id).and_then(|g| g.search.as_mut()) else { return };
+        let Some(search) = self.groups.get_mut(&id).and_then(|g| g.search.as_mut()) else {
+            return;
+        };
         search.ask_at = self.now + search.gap.times(jitter);
         search.gap = Span(search.gap.0 * 2).min(SEARCH_PAUSE.times(most));
-        members.into_iter().for_each(|member| self.probe(member, actions));
+        members
+            .into_iter()
+            .for_each(|member| self.probe(member, actions));
     }
 
     /// The next member in sorted order that this round has not tried; starts the pause after the last.
     fn search_next(&mut self, id: GroupId) -> Option<EndpointId> {
         let (now, members) = (self.now, &self.groups.get(&id)?.members);
-        let takes: Vec<EndpointId> = members.iter().filter(|n| self.takes(**n)).copied().collect();
+        let takes: Vec<EndpointId> = members
+            .iter()
+            .filter(|n| self.takes(**n))
+            .copied()
+            .collect();
         let search = self.groups.get_mut(&id)?.search.as_mut()?;
         if search.leader.is_some() || search.pause_until.is_some_and(|at| now < at) {
             return None;
@@ -568,12 +736,19 @@
     // ---- Requests and writes ----
 
     fn on_request(&mut self, request: &Request) {
-        let Some(class) = self.cfg.classes.get(request.class.0) else { return };
+        let Some(class) = self.cfg.classes.get(request.class.0) else {
+            return;
+        };
         self.costs.on_request(request.class);
-        let stretch = request.work.map_or(Span(0), |w| w.times(class.latency_objective_stretch));
+        let stretch = request
+            .work
+            .map_or(Span(0), |w| w.times(class.latency_objective_stretch));
         let deadline = self.now + request.time_left;
-        let late_counts = class.consistency == Consistency::Write && class.late_priority_weight > 0.0;
-        let kept = request.session.and_then(|key| self.sessions.get(&key).copied());
+        let late_counts =
+            class.consistency == Consistency::Write && class.late_priority_weight > 0.0;
+        let kept = request
+            .session
+            .and_then(|key| self.sessions.get(&key).copied());
         let floor = match (class.consistency, self.cfg.sessions) {
             (Consistency::Session, SessionTracking::ClientProvided) => {
                 request.since_last_write.map(|ago| self.now - ago)
@@ -597,21 +772,30 @@
             ..Open::default()
         };
         self.open.insert(request.id, open);
-        self.groups.entry(request.group).or_default().waiting.push(request.id);
+        self.groups
+            .entry(request.group)
+            .or_default()
+            .waiting
+            .push(request.id);
     }
 
     fn tend_waiting(&mut self, id: GroupId, actions: &mut Vec<Action>) {
-        let Some(group) = self.groups.get_mut(&id) else { return };
+        let Some(group) = self.groups.get_mut(&id) else {
+            return;
+        };
         // The most worth for its work first, in time before late, and the newest first: when not all can be
         // served in time, those that still can are.
         let mut waiting = std::mem::take(&mut group.waiting);
         for member in group.members.clone() {
             // Whether a member is within reach again is asked when something waits that it could serve.
-            let Some(endpoint) = self.endpoints.get_mut(&member) else { continue };
+            let Some(endpoint) = self.endpoints.get_mut(&member) else {
+                continue;
+            };
             if endpoint.health.shut == Some(Shut::OutOfReach) && self.now >= endpoint.health.again {
                 // All routers ask the same dead member: each the more seldom the longer it stays so.
                 endpoint.health.again = self.now + endpoint.health.gap;
-                endpoint.health.gap = Span(endpoint.health.gap.0 * 2).min(SEARCH_PAUSE.times(LONGEST_GAP));
+                endpoint.health.gap =
+                    Span(endpoint.health.gap.0 * 2).min(SEARCH_PAUSE.times(LONGEST_GAP));
                 self.probe(member, actions);
             }
         }
@@ -627,15 +811,26 @@
     /// router whose answers take too much of their aim refuses part of what comes in, the least worth for its
     /// work first. Acts on any kind of overload; may hurt where answers are slow for few.
     fn shed(&mut self, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id).filter(|o| o.arrived == self.now) else { return false };
+        let Some(open) = self.open.get(&id).filter(|o| o.arrived == self.now) else {
+            return false;
+        };
         let value = self.value(open);
-        let primary =
-            matches!(self.cfg.classes[open.class.0].consistency, Consistency::Write | Consistency::Strong);
-        let strain = self.groups.get(&open.group).map_or(0.0, |g| g.strain[usize::from(primary)]);
-        self.usual_value += if self.usual_value > 0.0 { GAIN * (value - self.usual_value) } else { value };
+        let primary = matches!(
+            self.cfg.classes[open.class.0].consistency,
+            Consistency::Write | Consistency::Strong
+        );
+        let strain = self
+            .groups
+            .get(&open.group)
+            .map_or(0.0, |g| g.strain[usize::from(primary)]);
+        self.usual_value += if self.usual_value > 0.0 {
+            GAIN * (value - self.usual_value)
+        } else {
+            value
+        };
         // The fewer routers there are for each node, the better the nodes' limits at each see what is filled.
-        let unseen =
-            f64::from(self.cfg.routers) / (f64::from(self.cfg.routers) + self.endpoints.len() as f64);
+        let unseen = f64::from(self.cfg.routers)
+            / (f64::from(self.cfg.routers) + self.endpoints.len() as f64);
         let over = unseen.powi(2) * ((strain - STRAIN.0) / (STRAIN.1 - STRAIN.0)).clamp(0.0, 1.0);
         self.random() < (over * (self.usual_value / value).powi(2)).min(1.0 - GAIN)
     }
@@ -645,17 +840,24 @@
     }
 
     fn rank(&self, id: RequestId) -> (i64, i64) {
-        let Some(open) = self.open.get(&id) else { return (0, 0) };
+        let Some(open) = self.open.get(&id) else {
+            return (0, 0);
+        };
         let class = &self.cfg.classes[open.class.0];
-        let part =
-            if self.now - open.arrived > class.latency_objective { class.late_priority_weight } else { 1.0 };
+        let part = if self.now - open.arrived > class.latency_objective {
+            class.late_priority_weight
+        } else {
+            1.0
+        };
         (-(self.value(open) * part * 1e9) as i64, -open.arrived.0)
     }
 
     /// Sends a waiting request, ends it, or leaves it waiting (true).
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let shed = self.shed(id);
-        let Some(open) = self.open.get(&id) else { return false };
+        let Some(open) = self.open.get(&id) else {
+            return false;
+        };
         if !open.out.is_empty() {
             return false;
         }
@@ -663,10 +865,14 @@
         let expected = Span(1).times(self.class_latency[open.class.0]);
         let window_over = self.repeats_until(open).is_some_and(|at| self.now >= at);
         // Never sent by half its time: its client is told while it can come back.
-        let half = Span((open.deadline - open.arrived).0 / 2 - (tick.0 * 4).min(class.deadline.0 / 8));
+        let half =
+            Span((open.deadline - open.arrived).0 / 2 - (tick.0 * 4).min(class.deadline.0 / 8));
         let held = open.attempts == 0 && self.now - open.arrived > half;
         let useless = held || self.now + expected > open.useful_until && self.now > open.arrived;
-        let (spent, over) = (open.attempts >= self.cfg.limits.max_attempts, self.now >= open.deadline);
+        let (spent, over) = (
+            open.attempts >= self.cfg.limits.max_attempts,
+            self.now >= open.deadline,
+        );
         let why = [
             (over, GiveUpReason::DeadlineExceeded),
             (shed, GiveUpReason::Overloaded),
@@ -686,7 +892,9 @@
         }
         let target = match class.consistency {
             Consistency::Write => self.target_of_write(id),
-            Consistency::Strong => self.known_primary(self.open[&id].group, self.open[&id].class, 0.0),
+            Consistency::Strong => {
+                self.known_primary(self.open[&id].group, self.open[&id].class, 0.0)
+            }
             _ => self.target_of_read(id, actions),
         };
         target.is_none_or(|endpoint| !self.send(id, endpoint, actions))
@@ -706,7 +914,12 @@
         let (group, now) = (open.group, self.now);
         let next = self.search_next(group)?;
         if !self.try_acquire_slow_start_budget(next, class) {
-            self.groups.get_mut(&group)?.search.as_mut()?.tried.insert(next);
+            self.groups
+                .get_mut(&group)?
+                .search
+                .as_mut()?
+                .tried
+                .insert(next);
             return None;
         }
         self.groups.get_mut(&group)?.search.as_mut()?.leader = Some((id, next, now));
@@ -715,7 +928,9 @@
 
     fn known_primary(&mut self, group: GroupId, class: ClassId, spare: f64) -> Option<EndpointId> {
         let group = self.groups.get(&group)?;
-        let primary = group.primary.filter(|_| group.known && group.search.is_none())?;
+        let primary = group
+            .primary
+            .filter(|_| group.known && group.search.is_none())?;
         self.grants(primary, class, spare).then_some(primary)
     }
 
@@ -726,27 +941,40 @@
 
     fn send(&mut self, id: RequestId, to: EndpointId, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
-        let send_before = self.open.get(&id).and_then(|open| self.send_before(open, to));
-        let (Some(open), Some(endpoint)) = (self.open.get_mut(&id), self.endpoints.get_mut(&to)) else {
+        let send_before = self
+            .open
+            .get(&id)
+            .and_then(|open| self.send_before(open, to));
+        let (Some(open), Some(endpoint)) = (self.open.get_mut(&id), self.endpoints.get_mut(&to))
+        else {
             return false;
         };
         open.out.insert(open.attempts, to);
-        endpoint.out.insert((id, open.attempts), (now, open.class, open.session));
+        endpoint
+            .out
+            .insert((id, open.attempts), (now, open.class, open.session));
         open.attempts += 1;
         endpoint.quiet_since = endpoint.quiet_since.or(Some(now));
         (endpoint.health.again, endpoint.sent_at) = (now + SEARCH_PAUSE, Some(now));
         // Where nothing can be called off, a safe read's time-out leaves room for a second try.
-        let bare =
-            self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent && !self.cfg.limits.cancel;
+        let bare = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent
+            && !self.cfg.limits.cancel;
         let timeout = bare.then_some(Span((open.deadline - now).0 / 2));
-        actions.push(Action::Send { request: id, endpoint: to, timeout, send_before });
+        actions.push(Action::Send {
+            request: id,
+            endpoint: to,
+            timeout,
+            send_before,
+        });
         true
     }
 
     /// Until when a repeat is sure to be dropped where an earlier attempt may have run.
     fn repeats_until(&self, open: &Open) -> Option<Time> {
         match self.cfg.classes[open.class.0].idempotency {
-            Idempotency::NonIdempotent | Idempotency::IdempotencyKey(DedupScope::Zone, _) => open.ran_from,
+            Idempotency::NonIdempotent | Idempotency::IdempotencyKey(DedupScope::Zone, _) => {
+                open.ran_from
+            }
             Idempotency::IdempotencyKey(_, window) => {
                 Some(open.ran_from? + window - Span(self.cfg.tick.0 * 2))
             }
@@ -757,10 +985,14 @@
     /// Until when what is decided now holds: connections may come up late, and knowledge ages meanwhile.
     fn send_before(&self, open: &Open, to: EndpointId) -> Option<Time> {
         let repeat = self.repeats_until(open);
-        let Consistency::BoundedStaleness(bound) = self.cfg.classes[open.class.0].consistency else {
+        let Consistency::BoundedStaleness(bound) = self.cfg.classes[open.class.0].consistency
+        else {
             return repeat;
         };
-        let primary = self.groups.get(&open.group).is_some_and(|g| g.known && g.primary == Some(to));
+        let primary = self
+            .groups
+            .get(&open.group)
+            .is_some_and(|g| g.known && g.primary == Some(to));
         let known = self
             .endpoints
             .get(&to)?
@@ -772,11 +1004,17 @@
     /// An answer has begun: its node has done the work, is not silent, and is not filled by what is sent on.
     fn on_streaming(&mut self, id: RequestId) {
         let now = self.now;
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.streaming = true;
         for (attempt, endpoint) in &open.out {
-            let Some(endpoint) = self.endpoints.get_mut(endpoint) else { continue };
-            let Some(sent) = endpoint.out.remove(&(id, *attempt)) else { continue };
+            let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
+                continue;
+            };
+            let Some(sent) = endpoint.out.remove(&(id, *attempt)) else {
+                continue;
+            };
             endpoint.streams.insert((id, *attempt), (now, sent));
             endpoint.health.open(now);
             endpoint.quiet_since = Some(now).filter(|_| !endpoint.out.is_empty());
@@ -786,10 +1024,15 @@
     fn on_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let (now, id) = (self.now, (end.request, end.attempt));
         let endpoint = self.endpoints.get_mut(&end.endpoint);
-        let (out, stream) = endpoint.map_or((None, None), |n| (n.out.remove(&id), n.streams.remove(&id)));
-        let (gone, begun) = (out.or(stream.map(|(_, sent)| sent)), stream.map(|(at, _)| at));
+        let (out, stream) =
+            endpoint.map_or((None, None), |n| (n.out.remove(&id), n.streams.remove(&id)));
+        let (gone, begun) = (
+            out.or(stream.map(|(_, sent)| sent)),
+            stream.map(|(at, _)| at),
+        );
         let sent = gone.map(|(at, ..)| at);
-        gone.into_iter().for_each(|(_, class, key)| self.measure(end, class, key));
+        gone.into_iter()
+            .for_each(|(_, class, key)| self.measure(end, class, key));
         if let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) {
             if end.outcome.from_endpoint() {
                 endpoint.health.open(now);
@@ -799,82 +1042,138 @@
             }
             endpoint.quiet_since = endpoint.quiet_since.filter(|_| !endpoint.out.is_empty());
             // A primary stood at the present when it answered, so at least where it was when this was sent.
-            let told = if end.role == Some(Role::Primary) { sent } else { None };
+            let told = if end.role == Some(Role::Primary) {
+                sent
+            } else {
+                None
+            };
             let stamped = end.position.map(|p| p - Span::from_millis(1));
             endpoint.position = endpoint.position.max(told).max(stamped);
         }
         // A primary may have been one only as its answer began.
-        let at = begun.filter(|_| end.role == Some(Role::Primary)).unwrap_or(now);
-        end.role.into_iter().for_each(|role| self.on_role(end.endpoint, role, at, true));
+        let at = begun
+            .filter(|_| end.role == Some(Role::Primary))
+            .unwrap_or(now);
+        end.role
+            .into_iter()
+            .for_each(|role| self.on_role(end.endpoint, role, at, true));
         let told = end.role == Some(Role::Primary) && end.position.is_some();
         self.clock_told = self.clock_told.saturating_add(u32::from(told));
-        end.report.iter().for_each(|r| self.on_report(end.endpoint, r));
+        end.report
+            .iter()
+            .for_each(|r| self.on_report(end.endpoint, r));
         self.forget(end.endpoint);
         if end.outcome == Outcome::ConnectFailed {
             self.probe(end.endpoint, actions); // It may be dead or short of connections.
         }
-        let Some(open) = self.open.get_mut(&end.request) else { return };
+        let Some(open) = self.open.get_mut(&end.request) else {
+            return;
+        };
         open.out.remove(&end.attempt);
         let group_id = open.group;
-        let search = self.groups.get_mut(&group_id).and_then(|g| g.search.as_mut());
-        if let Some(search) = search.filter(|s| s.leader.is_some_and(|(id, ..)| id == end.request)) {
+        let search = self
+            .groups
+            .get_mut(&group_id)
+            .and_then(|g| g.search.as_mut());
+        if let Some(search) = search.filter(|s| s.leader.is_some_and(|(id, ..)| id == end.request))
+        {
             search.leader = None;
             search.tried.insert(end.endpoint);
         }
         if end.closed {
             return self.finish(end.request, actions);
         }
-        let Some(open) = self.open.get_mut(&end.request) else { return };
+        let Some(open) = self.open.get_mut(&end.request) else {
+            return;
+        };
         open.ran_from = open.ran_from.or(sent.filter(|_| !end.outcome.never_ran()));
         let class = &self.cfg.classes[open.class.0];
         // The end of a connection that was given up must not be overtaken by the next attempt.
-        let given_up = matches!(end.outcome, Outcome::Timeout | Outcome::Cancelled | Outcome::Error);
-        open.not_before = if given_up { now + Span(self.cfg.tick.0 * 2) } else { open.not_before };
+        let given_up = matches!(
+            end.outcome,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::Error
+        );
+        open.not_before = if given_up {
+            now + Span(self.cfg.tick.0 * 2)
+        } else {
+            open.not_before
+        };
         if end.outcome == Outcome::LocalFailure {
             open.not_before = now + Span(1).times(self.class_latency[open.class.0]);
         } else if class.consistency != Consistency::Write {
             open.avoid.insert(end.endpoint);
             let consistency = Self::needed(class, open.floor, sent.unwrap_or(now));
-            let endpoint =
-                self.endpoints.get_mut(&end.endpoint).filter(|_| end.outcome == Outcome::Misdirected);
+            let endpoint = self
+                .endpoints
+                .get_mut(&end.endpoint)
+                .filter(|_| end.outcome == Outcome::Misdirected);
             if let (Some(endpoint), Some(consistency)) = (endpoint, consistency) {
-                (endpoint.lag, endpoint.told_at) = (Span((now - consistency).0.saturating_mul(2)), now);
+                (endpoint.lag, endpoint.told_at) =
+                    (Span((now - consistency).0.saturating_mul(2)), now);
             }
         } else if matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed) {
             open.not_before = now + Span(1).times(self.class_latency[open.class.0]);
         }
         if open.out.is_empty() {
-            self.groups.entry(group_id).or_default().waiting.push(end.request);
+            self.groups
+                .entry(group_id)
+                .or_default()
+                .waiting
+                .push(end.request);
         }
     }
 
     /// Learns from how an attempt ended, whether or not its request is still held.
     fn measure(&mut self, end: &AttemptEnd, class_id: ClassId, key: Option<SessionKey>) {
         let class = &self.cfg.classes[class_id.0];
-        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else { return };
-        let fault = f64::from(u8::from(matches!(end.outcome, Outcome::Error | Outcome::Reset)));
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
+            return;
+        };
+        let fault = f64::from(u8::from(matches!(
+            end.outcome,
+            Outcome::Error | Outcome::Reset
+        )));
         endpoint.faults += GAIN * (fault - endpoint.faults);
         let slow = end.latency > class.latency_objective.times(SLOW_PART); // A client's haste proves nothing.
         if !end.outcome.never_ran() && (end.outcome == Outcome::Ok || slow) {
             let usual = self.class_latency[class_id.0];
             let excess = (end.latency.as_f64() / usual - 1.0).clamp(0.0, MOST_EXCESS);
-            let before = faded(endpoint.excess, self.now - endpoint.excess_at, self.cfg.rules.cold);
-            (endpoint.excess, endpoint.excess_at) = (before + EXCESS_GAIN * (excess - before), self.now);
+            let before = faded(
+                endpoint.excess,
+                self.now - endpoint.excess_at,
+                self.cfg.rules.cold,
+            );
+            (endpoint.excess, endpoint.excess_at) =
+                (before + EXCESS_GAIN * (excess - before), self.now);
         }
-        let full = if end.outcome == Outcome::Rejected { STRAIN.1 } else { 0.0 };
-        let part = (end.latency.as_f64() / class.latency_objective.as_f64().max(1.0)).clamp(full, 2.0);
+        let full = if end.outcome == Outcome::Rejected {
+            STRAIN.1
+        } else {
+            0.0
+        };
+        let part =
+            (end.latency.as_f64() / class.latency_objective.as_f64().max(1.0)).clamp(full, 2.0);
         if !end.outcome.never_ran() || end.outcome == Outcome::Rejected {
             // Answers from other groups stand in where a group has few of its own.
-            let primary = self.groups.get(&endpoint.group).is_some_and(|g| g.primary == Some(end.endpoint));
+            let primary = self
+                .groups
+                .get(&endpoint.group)
+                .is_some_and(|g| g.primary == Some(end.endpoint));
             let shared = STRAIN_GAIN / (self.groups.len() as f64).sqrt();
             for (id, group) in &mut self.groups {
                 let strain = &mut group.strain[usize::from(primary)];
-                *strain += if *id == endpoint.group { STRAIN_GAIN } else { shared } * (part - *strain);
+                *strain += if *id == endpoint.group {
+                    STRAIN_GAIN
+                } else {
+                    shared
+                } * (part - *strain);
             }
         }
         if slow || end.outcome == Outcome::Rejected {
             endpoint.limit = (endpoint.limit - LIMIT_CUT).max(1.0);
-        } else if end.outcome == Outcome::Ok && endpoint.out.len() as f64 + 1.0 > endpoint.limit / 2.0 {
+        } else if end.outcome == Outcome::Ok
+            && endpoint.out.len() as f64 + 1.0 > endpoint.limit / 2.0
+        {
             endpoint.limit += 1.0 / endpoint.limit;
         }
         if end.outcome != Outcome::Ok {
@@ -889,17 +1188,28 @@
         }
         let sample = end.latency.as_f64();
         self.costs.on_served(class_id, sample);
-        let (mean, deviation) = (&mut self.class_latency[class_id.0], &mut self.class_deviation[class_id.0]);
+        let (mean, deviation) = (
+            &mut self.class_latency[class_id.0],
+            &mut self.class_deviation[class_id.0],
+        );
         *deviation += GAIN * ((sample - *mean).abs() - *deviation);
         *mean = (*mean + GAIN * (sample - *mean)).max(1.0);
-        let kept =
-            class.consistency == Consistency::Write && self.cfg.sessions == SessionTracking::RouterTracked;
-        let (true, Some(key), Some(at)) = (kept, key, end.position) else { return };
-        let kept = *self.sessions.entry(key).and_modify(|kept| *kept = at.max(*kept)).or_insert(at);
+        let kept = class.consistency == Consistency::Write
+            && self.cfg.sessions == SessionTracking::RouterTracked;
+        let (true, Some(key), Some(at)) = (kept, key, end.position) else {
+            return;
+        };
+        let kept = *self
+            .sessions
+            .entry(key)
+            .and_modify(|kept| *kept = at.max(*kept))
+            .or_insert(at);
         self.session_order.push_back((key, kept));
         // Memory is bounded by letting the oldest go: its position is then asked of every unknown session.
         while self.session_order.len() > self.cfg.limits.max_open_requests {
-            let Some((old, when)) = self.session_order.pop_front() else { break };
+            let Some((old, when)) = self.session_order.pop_front() else {
+                break;
+            };
             if self.sessions.get(&old) == Some(&when) && self.sessions.remove(&old).is_some() {
                 self.session_floor = self.session_floor.max(Some(when));
             }
@@ -923,8 +1233,15 @@
         let (Some(consistency), Some(endpoint)) = (consistency, self.endpoints.get(&id)) else {
             return consistency.is_none();
         };
-        let lag = faded(endpoint.lag.as_f64(), self.now - endpoint.told_at, self.cfg.rules.cold);
-        let bears = self.groups.get(&endpoint.group).is_some_and(|g| self.bearer(g) == Some(id));
+        let lag = faded(
+            endpoint.lag.as_f64(),
+            self.now - endpoint.told_at,
+            self.cfg.rules.cold,
+        );
+        let bears = self
+            .groups
+            .get(&endpoint.group)
+            .is_some_and(|g| self.bearer(g) == Some(id));
         let guess = self.cfg.stale_read_policy != StaleReadPolicy::Serve
             && !bears
             && self.now - Span(1).times(lag) >= consistency;
@@ -948,10 +1265,15 @@
 
     /// The last replica that is warm, if there is one: while an endpoint starts, long queries would fill it first.
     fn bearer(&self, group: &Group) -> Option<EndpointId> {
-        let replicas = group.members.iter().filter(|n| group.primary != Some(**n) && self.takes(**n));
+        let replicas = group
+            .members
+            .iter()
+            .filter(|n| group.primary != Some(**n) && self.takes(**n));
         let replicas: Vec<EndpointId> = replicas.copied().collect();
         let warm = replicas.iter().rev().find(|n| self.is_warm(**n));
-        warm.or(replicas.last()).filter(|_| replicas.len() > 1).copied()
+        warm.or(replicas.last())
+            .filter(|_| replicas.len() > 1)
+            .copied()
     }
 
     fn target_of_read(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<EndpointId> {
@@ -959,18 +1281,30 @@
         let (group_id, class) = (open.group, open.class);
         let (group, waited) = (self.groups.get(&group_id)?, self.now - open.arrived);
         let alone = self.long(open.class)
-            && waited < self.cfg.classes[open.class.0].latency_objective.times(SLOW_PART);
-        if let Some(bearer) = self.bearer(group).filter(|n| alone && !open.avoid.contains(n)) {
+            && waited
+                < self.cfg.classes[open.class.0]
+                    .latency_objective
+                    .times(SLOW_PART);
+        if let Some(bearer) = self
+            .bearer(group)
+            .filter(|n| alone && !open.avoid.contains(n))
+        {
             return self.grants(bearer, class, 0.0).then_some(bearer);
         }
         let consistency = Self::needed(&self.cfg.classes[open.class.0], open.floor, self.now);
         let (probe_wait, avoid) = (open.probe_wait, open.avoid.clone());
         let usable = |n: &&EndpointId| {
-            group.primary != Some(**n) && !avoid.contains(n) && self.takes(**n) && self.room(**n, 0.0)
+            group.primary != Some(**n)
+                && !avoid.contains(n)
+                && self.takes(**n)
+                && self.room(**n, 0.0)
         };
         let replicas: Vec<EndpointId> = group.members.iter().filter(usable).copied().collect();
-        let mut fresh: Vec<EndpointId> =
-            replicas.iter().filter(|n| self.fresh(**n, consistency)).copied().collect();
+        let mut fresh: Vec<EndpointId> = replicas
+            .iter()
+            .filter(|n| self.fresh(**n, consistency))
+            .copied()
+            .collect();
         while let Some(pick) = self.pick(&fresh) {
             if self.try_acquire_slow_start_budget(pick, class) {
                 return Some(pick);
@@ -986,12 +1320,15 @@
         // A primary stands at the present: what it tells shows whether the clock of this machine is right. That is asked for
         // at the start only, of any primary.
         let primary = self.groups.get(&group_id).and_then(|g| g.primary);
-        if let (Some(_), Some(primary)) = (consistency, primary.filter(|id| self.asks_for_clock(*id))) {
+        if let (Some(_), Some(primary)) =
+            (consistency, primary.filter(|id| self.asks_for_clock(*id)))
+        {
             self.probe(primary, actions);
         }
         // None known: a probe on its way may tell of one, and is waited for once.
         let asked = replicas.iter().any(|n| self.endpoints[n].probe_out);
-        let until = probe_wait.unwrap_or(self.now + Span(1).times(2.0 * self.probe_latency) + self.cfg.tick);
+        let until = probe_wait
+            .unwrap_or(self.now + Span(1).times(2.0 * self.probe_latency) + self.cfg.tick);
         self.open.get_mut(&id)?.probe_wait = Some(until);
         if asked && self.now < until {
             return None;
@@ -1006,7 +1343,10 @@
     /// Whether a primary is asked for what shows the clock: seldom enough that probes which come to nothing at once do not
     /// follow each other without a pause.
     fn asks_for_clock(&self, id: EndpointId) -> bool {
-        let last = self.endpoints.get(&id).and_then(|endpoint| endpoint.probed_at);
+        let last = self
+            .endpoints
+            .get(&id)
+            .and_then(|endpoint| endpoint.probed_at);
         self.clock_told < CLOCK_TOLD && last.is_none_or(|at| self.now - at >= CLOCK_PAUSE)
     }
 
@@ -1014,8 +1354,17 @@
     /// one in the router's zone.
     fn pick(&mut self, from: &[EndpointId]) -> Option<EndpointId> {
         let (first, second) = (self.draw(from)?, self.draw(from)?);
-        let load = |n: EndpointId| (self.endpoints[&n].out.len(), self.endpoints[&n].zone != self.cfg.zone);
-        Some(if load(second) < load(first) { second } else { first })
+        let load = |n: EndpointId| {
+            (
+                self.endpoints[&n].out.len(),
+                self.endpoints[&n].zone != self.cfg.zone,
+            )
+        };
+        Some(if load(second) < load(first) {
+            second
+        } else {
+            first
+        })
     }
 
     /// Draws by what a node can do: its size, the warm part of it, how seldom it fails. Failing is quick and
@@ -1026,12 +1375,22 @@
         let seldom = 2.0 * (1.0 - self.heard());
         // It would also need a new connection nearly each time: it goes on where one stands unused.
         let idle = self.cfg.limits.idle_connection_timeout.times(STANDS);
-        let stands = |n: &Node| n.out.is_empty() && n.sent_at.is_some_and(|at| self.now - at < idle);
+        let stands =
+            |n: &Node| n.out.is_empty() && n.sent_at.is_some_and(|at| self.now - at < idle);
         let part = |id: &EndpointId| {
             let endpoint = &self.endpoints[id];
-            let excess = faded(endpoint.excess, self.now - endpoint.excess_at, self.cfg.rules.cold);
-            let fit = (1.0 - endpoint.faults).powi(4).max(GAIN.powi(2)) / (1.0 + excess).powf(seldom);
-            let stands = if stands(endpoint) { (1.0 + MOST_EXCESS).powf(seldom) } else { 1.0 };
+            let excess = faded(
+                endpoint.excess,
+                self.now - endpoint.excess_at,
+                self.cfg.rules.cold,
+            );
+            let fit =
+                (1.0 - endpoint.faults).powi(4).max(GAIN.powi(2)) / (1.0 + excess).powf(seldom);
+            let stands = if stands(endpoint) {
+                (1.0 + MOST_EXCESS).powf(seldom)
+            } else {
+                1.0
+            };
             endpoint.weight * self.slow_start_fraction(endpoint).unwrap_or(1.0) * fit * stands
         };
         let parts: Vec<f64> = from.iter().map(part).collect();
@@ -1060,12 +1419,22 @@
 
     /// The final answer of a request that is not tried further: a refusal where that is known to be harmless.
     fn give_up(&mut self, id: RequestId, why: GiveUpReason, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
-        let harmless =
-            self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent || open.ran_from.is_none();
-        let retry_after = self.cfg.limits.retry_after.then_some(self.cfg.limits.max_retry_after);
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let harmless = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent
+            || open.ran_from.is_none();
+        let retry_after = self
+            .cfg
+            .limits
+            .retry_after
+            .then_some(self.cfg.limits.max_retry_after);
         actions.push(if harmless {
-            Action::Reject { request: id, retry_after, why }
+            Action::Reject {
+                request: id,
+                retry_after,
+                why,
+            }
         } else {
             Action::Fail { request: id, why }
         });
@@ -1074,10 +1443,15 @@
 
     /// Forgets a request; what is still out for it is called off.
     fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let safe = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent;
         if self.cfg.limits.cancel && safe && !open.streaming {
-            actions.extend(open.out.keys().map(|a| Action::Cancel { request: id, attempt: *a }));
+            actions.extend(open.out.keys().map(|a| Action::Cancel {
+                request: id,
+                attempt: *a,
+            }));
         }
     }
 
@@ -1085,7 +1459,11 @@
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let waits = self.groups.values().any(|g| !g.waiting.is_empty());
         let soon = waits.then(|| self.now + Span(self.cfg.tick.0 * 2));
-        let silence = self.endpoints.values().filter_map(|n| self.silence(n)).min();
+        let silence = self
+            .endpoints
+            .values()
+            .filter_map(|n| self.silence(n))
+            .min();
         let silence = silence.map(|at| at.max(self.now) + self.cfg.tick);
         let at = soon.into_iter().chain(silence).chain(self.ask_at).min();
         if let Some(at) = at.filter(|at| self.wake_at.is_none_or(|w| *at < w)) {
--- a/crates/policy/src/decide/slow_start.rs
+++ b/crates/policy/src/decide/slow_start.rs
@@ -41,13 +41,17 @@
 
 impl ClassCosts {
     /// Starts from what each class's latency is taken to be before any answer was measured, in microseconds.
-    pub fn new(latencies: &[f64]) -> Self {
+    pub(super) fn new(latencies: &[f64]) -> Self {
         let assumed = latencies.iter().map(|latency| latency.max(1.0)).collect();
-        Self { assumed, measured: vec![None; latencies.len()], arrivals: vec![0.0; latencies.len()] }
+        Self {
+            assumed,
+            measured: vec![None; latencies.len()],
+            arrivals: vec![0.0; latencies.len()],
+        }
     }
 
     /// Counts a request that came in.
-    pub fn on_request(&mut self, class: ClassId) {
+    pub(super) fn on_request(&mut self, class: ClassId) {
         self.arrivals[class.0] += 1.0;
         if self.arrivals.iter().sum::<f64>() > MIX_MEMORY {
             self.arrivals.iter_mut().for_each(|count| *count /= 2.0);
@@ -55,9 +59,13 @@
     }
 
     /// Takes in how long a served request took, in microseconds.
-    pub fn on_served(&mut self, class: ClassId, latency: f64) {
+    pub(super) fn on_served(&mut self, class: ClassId, latency: f64) {
         let work = self.measured[class.0].get_or_insert(latency);
-        let gain = if latency < *work { WORK_GAIN_DOWN } else { WORK_GAIN_UP };
+        let gain = if latency < *work {
+            WORK_GAIN_DOWN
+        } else {
+            WORK_GAIN_UP
+        };
         *work = (*work + gain * (latency - *work)).max(1.0);
     }
 
@@ -65,9 +73,14 @@
     /// by the same factor as those that were.
     fn work(&self) -> Vec<f64> {
         let measured = self.measured.iter().zip(&self.assumed);
-        let factors: Vec<f64> = measured.filter_map(|(work, assumed)| Some((*work)? / assumed)).collect();
-        let factor =
-            if factors.is_empty() { 1.0 } else { factors.iter().sum::<f64>() / factors.len() as f64 };
+        let factors: Vec<f64> = measured
+            .filter_map(|(work, assumed)| Some((*work)? / assumed))
+            .collect();
+        let factor = if factors.is_empty() {
+            1.0
+        } else {
+            factors.iter().sum::<f64>() / factors.len() as f64
+        };
         self.measured
             .iter()
             .zip(&self.assumed)
@@ -77,12 +90,15 @@
 
     /// Work of a request of this class, in requests of mean work; and the part of all work, from 0 to 1, that long
     /// classes bring.
-    pub fn cost_and_long_part(&self, class: ClassId) -> (f64, f64) {
+    pub(super) fn cost_and_long_part(&self, class: ClassId) -> (f64, f64) {
         let work = self.work();
         let inverse: f64 = work.iter().map(|work| 1.0 / work).sum();
         let weight = |class: usize| self.arrivals[class] + PRIOR_REQUESTS / work[class] / inverse;
         let total = |classes: &dyn Fn(usize) -> bool| -> f64 {
-            (0..work.len()).filter(|class| classes(*class)).map(|class| weight(class) * work[class]).sum()
+            (0..work.len())
+                .filter(|class| classes(*class))
+                .map(|class| weight(class) * work[class])
+                .sum()
         };
         let all = total(&|_| true);
         let mean = all / (0..work.len()).map(weight).sum::<f64>();
@@ -135,12 +151,15 @@
         let rules = &self.cfg.rules;
         let age = self.now - endpoint.started.max(endpoint.health.revived)?;
         let grown = (age.as_f64() / rules.cold.as_f64()).max(0.0);
-        (grown < 1.0)
-            .then_some(rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown)
+        (grown < 1.0).then_some(
+            rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown,
+        )
     }
 
     pub(super) fn is_warm(&self, id: EndpointId) -> bool {
-        self.endpoints.get(&id).is_some_and(|endpoint| self.slow_start_fraction(endpoint).is_none())
+        self.endpoints
+            .get(&id)
+            .is_some_and(|endpoint| self.slow_start_fraction(endpoint).is_none())
     }
 
     /// Whether a request of this class may be sent to an endpoint now, as far as slow start goes; uses its budget.
@@ -148,22 +167,35 @@
     /// Departure: acts on all that is sent. May hurt a write whose primary is cold.
     pub(super) fn try_acquire_slow_start_budget(&mut self, id: EndpointId, class: ClassId) -> bool {
         let (rules, over) = (&self.cfg.rules, self.cfg.rules.cold.max(MEMORY).as_f64());
-        let Some(endpoint) = self.endpoints.get(&id) else { return false };
-        let Some(fraction) = self.slow_start_fraction(endpoint) else { return true };
+        let Some(endpoint) = self.endpoints.get(&id) else {
+            return false;
+        };
+        let Some(fraction) = self.slow_start_fraction(endpoint) else {
+            return true;
+        };
         // What an endpoint can do is at least what this router's warm ones do, and its part of what tenants may
         // ask of all: a router that has just started, or seldom meets it, has seen next to nothing.
-        let size: f64 =
-            self.endpoints.values().filter(|n| n.state == EndpointState::Ready).map(|n| n.weight).sum();
-        let quota = self.cfg.tenants.iter().map(|t| t.allowance).sum::<f64>() / f64::from(self.cfg.routers);
+        let size: f64 = self
+            .endpoints
+            .values()
+            .filter(|n| n.state == EndpointState::Ready)
+            .map(|n| n.weight)
+            .sum();
+        let quota =
+            self.cfg.tenants.iter().map(|t| t.allowance).sum::<f64>() / f64::from(self.cfg.routers);
         let usual = (self.served_now() / over).max(quota / 1e6 / size) * endpoint.weight;
         let rate = BUDGET_USED * rules.overload_multiple * fraction * usual;
         let (window, now) = (rules.overload_duration, self.now);
         let (cost, long_part) = self.costs.cost_and_long_part(class);
         let chance = self.random();
-        let Some(endpoint) = self.endpoints.get_mut(&id) else { return false };
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return false;
+        };
         endpoint.slow_start.refill(now, rate, window, long_part);
         if cost > LONG_COST {
-            endpoint.slow_start.take_long(cost.powf(COST_EXPONENT), chance)
+            endpoint
+                .slow_start
+                .take_long(cost.powf(COST_EXPONENT), chance)
         } else {
             endpoint.slow_start.take_short(chance)
         }
--- a/crates/policy/src/decide/view.rs
+++ b/crates/policy/src/decide/view.rs
@@ -41,7 +41,10 @@
             position: endpoint.position,
             warm: self.slow_start_fraction(endpoint),
         });
-        RouterView { groups: groups.collect(), endpoints: endpoints.collect() }
+        RouterView {
+            groups: groups.collect(),
+            endpoints: endpoints.collect(),
+        }
     }
 
     /// Members on the list that are avoided now: they drain, or are shut by this router's own evidence and have been sent
@@ -52,13 +55,20 @@
         let shut = |n: &Node| n.health.shut.is_some() && unused(n);
         self.endpoints
             .values()
-            .filter(|n| n.state == EndpointState::Draining || n.state == EndpointState::Ready && shut(n))
+            .filter(|n| {
+                n.state == EndpointState::Draining || n.state == EndpointState::Ready && shut(n)
+            })
             .count()
     }
 
     /// The group's primary is taken for one whatever it said last; others for what they said.
     fn role_of(&self, id: EndpointId, endpoint: &Node) -> Option<Role> {
-        let known = self.groups.get(&endpoint.group).filter(|g| g.known && g.primary == Some(id));
-        known.map(|_| Role::Primary).or(endpoint.role.map(|(role, _)| role))
+        let known = self
+            .groups
+            .get(&endpoint.group)
+            .filter(|g| g.known && g.primary == Some(id));
+        known
+            .map(|_| Role::Primary)
+            .or(endpoint.role.map(|(role, _)| role))
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -338,13 +338,20 @@
     pub const fn never_ran(self) -> bool {
         matches!(
             self,
-            Self::Rejected | Self::ConnectFailed | Self::LocalFailure | Self::NotSent | Self::Misdirected
+            Self::Rejected
+                | Self::ConnectFailed
+                | Self::LocalFailure
+                | Self::NotSent
+                | Self::Misdirected
         )
     }
     /// The node itself spoke.
     #[must_use]
     pub const fn from_endpoint(self) -> bool {
-        matches!(self, Self::Ok | Self::Error | Self::Rejected | Self::Misdirected)
+        matches!(
+            self,
+            Self::Ok | Self::Error | Self::Rejected | Self::Misdirected
+        )
     }
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,4 @@
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 //! Decides for a read/write splitter in front of database groups: one primary and its replicas each.
 //!
 //! [`Router`] is a state machine without input or output of its own. An embedder hands it whole batches of
--- a/crates/policy/tests/clock_correction.rs
+++ b/crates/policy/tests/clock_correction.rs
@@ -15,7 +15,10 @@
     let before = s.probes.len();
     for id in 1..=20 {
         s.request(id, BOUNDED);
-        assert!(matches!(s.at(id), Some(2 | 3)), "a replica that is fresh enough serves");
+        assert!(
+            matches!(s.at(id), Some(2 | 3)),
+            "a replica that is fresh enough serves"
+        );
         s.end(id, Outcome::Ok, Some(Role::Replica));
     }
     assert_eq!(s.probes.len(), before, "nothing is asked");
@@ -37,7 +40,12 @@
 #[test]
 fn primaries_are_asked_for_the_clock_with_a_pause() {
     let mut s = Script::new(settings());
-    s.list(true, (1..=3).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=3)
+            .map(|i| entry(i, i == 1, EndpointState::Ready))
+            .collect(),
+    );
     // The primary has as much as it may, so that the read waits.
     (1..=20).for_each(|id| s.request(id, WRITE));
     s.request(100, BOUNDED);
@@ -50,7 +58,9 @@
     let asked = s
         .all
         .iter()
-        .filter(|(_, a)| matches!(a, Action::HealthCheck { endpoint } if *endpoint == EndpointId(1)))
+        .filter(
+            |(_, a)| matches!(a, Action::HealthCheck { endpoint } if *endpoint == EndpointId(1)),
+        )
         .count();
     assert!(asked <= 2, "{asked} times in one moment");
 }
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -22,16 +22,27 @@
     let mut cfg = settings();
     cfg.classes[ANY.0].priority_weight = 0.0;
     let mut s = Script::group(cfg, 3, 1);
-    assert_eq!(refused_of(&mut s, ANY, 1, 100), 0, "of a hundred of no worth");
+    assert_eq!(
+        refused_of(&mut s, ANY, 1, 100),
+        0,
+        "of a hundred of no worth"
+    );
     assert_eq!(refused_of(&mut s, BOUNDED, 101, 20), 0, "of those of some");
-    assert_eq!(refused_of(&mut s, ANY, 201, 100), 0, "of a hundred of no worth after those");
+    assert_eq!(
+        refused_of(&mut s, ANY, 201, 100),
+        0,
+        "of a hundred of no worth after those"
+    );
     assert!(!s.shows("NaN"));
 }
 
 #[test]
 fn classes_of_all_worths_are_served_while_nothing_is_strained() {
     let mut cfg = settings();
-    (cfg.classes[ANY.0].priority_weight, cfg.classes[BOUNDED.0].priority_weight) = (0.0, 1e9);
+    (
+        cfg.classes[ANY.0].priority_weight,
+        cfg.classes[BOUNDED.0].priority_weight,
+    ) = (0.0, 1e9);
     let mut s = Script::group(cfg, 3, 1);
     for n in 0..20 {
         assert_eq!(refused_of(&mut s, BOUNDED, 1 + 100 * n, 5), 0);
@@ -47,7 +58,11 @@
     s.request(1, KEYED);
     s.end(1, Outcome::Reset, None);
     s.run(100);
-    assert_eq!(s.sends.len(), 1, "the next primary may stand in another zone");
+    assert_eq!(
+        s.sends.len(),
+        1,
+        "the next primary may stand in another zone"
+    );
     assert!(s.failed(1), "it may have run");
     // What certainly did not run is tried again.
     s.request(2, KEYED);
@@ -77,7 +92,10 @@
 #[test]
 fn a_class_that_waits_for_a_few_turns_only_is_served() {
     let mut cfg = settings();
-    (cfg.classes[ANY.0].deadline, cfg.classes[ANY.0].latency_objective) = (ms(30), ms(10));
+    (
+        cfg.classes[ANY.0].deadline,
+        cfg.classes[ANY.0].latency_objective,
+    ) = (ms(30), ms(10));
     let mut s = Script::group(cfg, 3, 1);
     s.request_with(1, ANY, 30, None);
     assert!(s.at(1).is_some(), "it is not refused as it comes");
@@ -97,7 +115,10 @@
     let mut cfg = settings();
     cfg.rules.cold = Span(0);
     let mut s = Script::group(cfg, 3, 1);
-    let started = |n, at| EndpointRecord { started: Some(at), ..entry(n, false, EndpointState::Ready) };
+    let started = |n, at| EndpointRecord {
+        started: Some(at),
+        ..entry(n, false, EndpointState::Ready)
+    };
     let now = s.now;
     s.list(false, vec![started(2, now), started(3, now)]);
     for id in 1..50 {
@@ -108,14 +129,20 @@
         s.end(id, Outcome::Ok, Some(Role::Replica));
         assert!(!s.shows("NaN"));
     }
-    let slow = s.sends.iter().filter(|(_, endpoint)| endpoint.0 == 3).count();
+    let slow = s
+        .sends
+        .iter()
+        .filter(|(_, endpoint)| endpoint.0 == 3)
+        .count();
     assert!(slow < 20, "the slow one got {slow} of 49");
 }
 
 #[test]
 fn the_shortest_aim_makes_no_number_none() {
     let mut cfg = settings();
-    cfg.classes.iter_mut().for_each(|c| c.latency_objective = Span(0));
+    cfg.classes
+        .iter_mut()
+        .for_each(|c| c.latency_objective = Span(0));
     let mut s = Script::group(cfg, 3, 1);
     for id in 1..20 {
         s.request(id, ANY);
@@ -130,7 +157,11 @@
 #[test]
 fn members_that_get_warm_soon_keep_their_budget_until_then() {
     let mut cfg = settings();
-    (cfg.rules.cold, cfg.rules.overload_duration, cfg.rules.overload_multiple) = (ms(100), ms(100), 0.2);
+    (
+        cfg.rules.cold,
+        cfg.rules.overload_duration,
+        cfg.rules.overload_multiple,
+    ) = (ms(100), ms(100), 0.2);
     let mut s = Script::group(cfg, 3, 1);
     let mut id = 0;
     let mut reads = |s: &mut Script, count: usize| {
@@ -147,7 +178,10 @@
         let now = s.now;
         s.list(
             false,
-            vec![EndpointRecord { started: Some(now), ..entry(endpoint, false, EndpointState::Ready) }],
+            vec![EndpointRecord {
+                started: Some(now),
+                ..entry(endpoint, false, EndpointState::Ready)
+            }],
         );
         reads(&mut s, 38);
         s.list(false, vec![entry(endpoint, false, EndpointState::Removed)]);
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -21,7 +21,12 @@
     let mut cfg = settings();
     cfg.listed_role = ListedRole::Ignored;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=3).map(|i| entry(i, i == 3, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=3)
+            .map(|i| entry(i, i == 3, EndpointState::Ready))
+            .collect(),
+    );
     s.request(1, WRITE);
     assert_eq!(s.at(1), Some(1));
     s.request(2, FRESH);
@@ -43,7 +48,12 @@
     assert_eq!(s.sends.last().unwrap().1, EndpointId(3));
     let leader = s.sends.last().unwrap().0.0;
     s.end(leader, Outcome::Ok, PRIMARY);
-    assert!([1, 2, 3].iter().filter(|id| **id != leader).all(|id| s.at(*id) == Some(3)));
+    assert!(
+        [1, 2, 3]
+            .iter()
+            .filter(|id| **id != leader)
+            .all(|id| s.at(*id) == Some(3))
+    );
 }
 
 #[test]
@@ -51,7 +61,12 @@
     let mut cfg = settings();
     cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=2).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=2)
+            .map(|i| entry(i, i == 1, EndpointState::Ready))
+            .collect(),
+    );
     s.request(1, WRITE);
     s.end(1, Outcome::Misdirected, REPLICA);
     s.end(1, Outcome::Misdirected, REPLICA);
@@ -68,12 +83,23 @@
     cfg.limits.max_attempts = 2;
     cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=4).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=4)
+            .map(|i| entry(i, i == 1, EndpointState::Ready))
+            .collect(),
+    );
     s.request(1, WRITE);
     s.end(1, Outcome::Rejected, PRIMARY);
     s.run(1000);
     s.end(1, Outcome::Rejected, PRIMARY);
-    assert!(matches!(s.answers.get(&RequestId(1)), Some(Action::Reject { retry_after: Some(_), .. })));
+    assert!(matches!(
+        s.answers.get(&RequestId(1)),
+        Some(Action::Reject {
+            retry_after: Some(_),
+            ..
+        })
+    ));
 }
 
 #[test]
@@ -129,7 +155,11 @@
     assert_eq!(s.cancels, [(RequestId(1), 0)]);
     s.report(2, 0, true);
     s.end(1, Outcome::Cancelled, None);
-    assert_eq!(s.at(1), Some(1), "the end of its connection is on its way: nothing may overtake it");
+    assert_eq!(
+        s.at(1),
+        Some(1),
+        "the end of its connection is on its way: nothing may overtake it"
+    );
     s.run(2 * settings().tick.0 / 1000 + 5);
     assert_eq!(s.at(1), Some(2));
 }
@@ -163,7 +193,11 @@
     let leader = s.sends.last().unwrap().0;
     assert_eq!(s.sends.last().unwrap().1, EndpointId(2));
     s.run(900);
-    assert_eq!(s.sends.last().unwrap().1, EndpointId(3), "a hung member costs the leader its turn");
+    assert_eq!(
+        s.sends.last().unwrap().1,
+        EndpointId(3),
+        "a hung member costs the leader its turn"
+    );
     assert_ne!(s.sends.last().unwrap().0, leader);
 }
 
@@ -205,7 +239,11 @@
     assert_eq!(s.at(1), Some(1));
     s.request_with(2, SESSION, 3000, Some(80));
     s.run(20);
-    assert_eq!(s.at(2), Some(1), "what was turned away just now is not asked again at once");
+    assert_eq!(
+        s.at(2),
+        Some(1),
+        "what was turned away just now is not asked again at once"
+    );
 }
 
 #[test]
@@ -227,15 +265,23 @@
     s.request(1, WRITE);
     let commit = s.now + ms(20);
     s.run(30);
-    let Some(PolicyEvent::AttemptEnded(mut end)) = s.ended(1, Outcome::Ok, PRIMARY, Some(commit)) else {
+    let Some(PolicyEvent::AttemptEnded(mut end)) = s.ended(1, Outcome::Ok, PRIMARY, Some(commit))
+    else {
         panic!()
     };
     end.closed = true;
-    s.step(&[PolicyEvent::ClientDisconnected(RequestId(1)), PolicyEvent::AttemptEnded(end)]);
+    s.step(&[
+        PolicyEvent::ClientDisconnected(RequestId(1)),
+        PolicyEvent::AttemptEnded(end),
+    ]);
     s.run(20);
     s.request(2, SESSION);
     s.run(50);
-    assert_eq!(s.at(2), Some(1), "the replica's known position is before the commit");
+    assert_eq!(
+        s.at(2),
+        Some(1),
+        "the replica's known position is before the commit"
+    );
 }
 
 #[test]
@@ -260,7 +306,13 @@
 #[test]
 fn draining_and_gone_nodes_get_nothing_new() {
     let mut s = Script::group(settings(), 3, 1);
-    s.list(false, vec![entry(1, true, EndpointState::Draining), entry(2, false, EndpointState::Removed)]);
+    s.list(
+        false,
+        vec![
+            entry(1, true, EndpointState::Draining),
+            entry(2, false, EndpointState::Removed),
+        ],
+    );
     s.request(1, WRITE);
     s.request(2, ANY);
     assert_eq!((s.at(1), s.at(2)), (Some(3), Some(3)));
@@ -300,7 +352,10 @@
     s.list(false, vec![restarted]);
     let cold = load(&mut s, 150);
     let later = load(&mut s, 700);
-    assert!(warm > 100 && cold * 5 < warm && later > cold, "{warm} {cold} {later}");
+    assert!(
+        warm > 100 && cold * 5 < warm && later > cold,
+        "{warm} {cold} {later}"
+    );
 }
 
 #[test]
@@ -313,7 +368,15 @@
     }
     for id in 500..520 {
         s.request(id, ANY);
-        s.end(id, if s.at(id) == Some(3) { Outcome::ConnectFailed } else { Outcome::Ok }, None);
+        s.end(
+            id,
+            if s.at(id) == Some(3) {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Ok
+            },
+            None,
+        );
         s.probed(3, Outcome::ConnectFailed, None);
     }
     s.report(3, 10, false);
@@ -375,13 +438,22 @@
     let mut cfg = settings();
     cfg.listed_role = ListedRole::Static;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=3).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=3)
+            .map(|i| entry(i, i == 1, EndpointState::Ready))
+            .collect(),
+    );
     s.request(1, WRITE);
     s.end(1, Outcome::Misdirected, REPLICA);
     s.end(1, Outcome::Ok, PRIMARY);
     s.list(false, vec![entry(1, true, EndpointState::Ready)]);
     s.request(2, WRITE);
-    assert_eq!(s.at(2), Some(2), "the list's word does not outweigh an answer");
+    assert_eq!(
+        s.at(2),
+        Some(2),
+        "the list's word does not outweigh an answer"
+    );
 }
 
 #[test]
@@ -401,7 +473,13 @@
 #[test]
 fn odd_but_legal_sequences_are_borne() {
     let mut s = Script::group(settings(), 2, 1);
-    s.list(true, vec![entry(1, true, EndpointState::Ready), entry(1, false, EndpointState::Ready)]);
+    s.list(
+        true,
+        vec![
+            entry(1, true, EndpointState::Ready),
+            entry(1, false, EndpointState::Ready),
+        ],
+    );
     s.probed(77, Outcome::Ok, None);
     s.step(&[
         PolicyEvent::ClientDisconnected(RequestId(4)),
@@ -428,7 +506,12 @@
 fn settings_that_cannot_work_are_an_error() {
     let mut cfg = settings();
     cfg.classes.clear();
-    assert!(Router::new(cfg, 1).unwrap_err().to_string().contains("classes"));
+    assert!(
+        Router::new(cfg, 1)
+            .unwrap_err()
+            .to_string()
+            .contains("classes")
+    );
 }
 
 #[test]
@@ -479,7 +562,11 @@
     s.report(2, 0, true);
     s.end(1, Outcome::Ok, PRIMARY);
     s.request(2, WRITE);
-    assert_eq!(s.at(2), Some(2), "the other one has told since that it is the primary");
+    assert_eq!(
+        s.at(2),
+        Some(2),
+        "the other one has told since that it is the primary"
+    );
 }
 
 #[test]
@@ -495,7 +582,11 @@
     }
     for id in 11..=30 {
         s.request(id, BOUNDED);
-        assert!(s.at(id).is_some_and(|endpoint| (2..=4).contains(&endpoint)), "{:?}", s.at(id));
+        assert!(
+            s.at(id).is_some_and(|endpoint| (2..=4).contains(&endpoint)),
+            "{:?}",
+            s.at(id)
+        );
         s.end(id, Outcome::Ok, REPLICA);
     }
     s.list(false, vec![entry(5, false, EndpointState::Draining)]);
@@ -521,7 +612,10 @@
         }
         s.end(id, Outcome::Ok, REPLICA);
     }
-    assert!((5..60).contains(&sent), "a third of them without the rule: {sent}");
+    assert!(
+        (5..60).contains(&sent),
+        "a third of them without the rule: {sent}"
+    );
 }
 
 #[test]
@@ -568,18 +662,33 @@
             s.request(id, class);
             s.run(100);
             if s.at(id).is_some() && !s.answers.contains_key(&RequestId(id)) {
-                s.end(id, Outcome::Ok, Some(if s.at(id) == Some(1) { Role::Primary } else { Role::Replica }));
+                s.end(
+                    id,
+                    Outcome::Ok,
+                    Some(if s.at(id) == Some(1) {
+                        Role::Primary
+                    } else {
+                        Role::Replica
+                    }),
+                );
             }
             s.run(900);
         };
         (0..12).for_each(|_| second(&mut s));
-        let count = |s: &Script, from: usize| s.sends[from..].iter().filter(|(_, n)| n.0 == endpoint).count();
+        let count = |s: &Script, from: usize| {
+            s.sends[from..]
+                .iter()
+                .filter(|(_, n)| n.0 == endpoint)
+                .count()
+        };
         let from = s.sends.len();
         (0..2).for_each(|_| second(&mut s));
         before += count(&s, from);
         let mut restarted = entry(endpoint, endpoint == 1, EndpointState::Ready);
         restarted.started = Some(s.now);
-        let gone = leaving.iter().map(|n| entry(*n, false, EndpointState::Removed));
+        let gone = leaving
+            .iter()
+            .map(|n| entry(*n, false, EndpointState::Removed));
         s.list(false, gone.chain([restarted]).collect());
         let from = s.sends.len();
         (0..2).for_each(|_| second(&mut s));
@@ -591,25 +700,31 @@
 #[test]
 fn what_many_small_routers_send_to_a_cold_replica_stays_under_the_limit_together() {
     let (before, after) = sent_by_many(ANY, 3, 3, &[]);
-    let limit =
-        before as f64 * settings().rules.slow_start_initial_capacity * settings().rules.overload_multiple;
+    let limit = before as f64
+        * settings().rules.slow_start_initial_capacity
+        * settings().rules.overload_multiple;
     assert!(before > 100 && (after as f64) < limit, "{before} {after}");
 }
 
 #[test]
 fn the_limit_holds_for_many_small_routers_when_most_of_the_group_leaves_as_well() {
     let (before, after) = sent_by_many(ANY, 6, 6, &[2, 3, 4, 5]);
-    let limit =
-        before as f64 * settings().rules.slow_start_initial_capacity * settings().rules.overload_multiple;
+    let limit = before as f64
+        * settings().rules.slow_start_initial_capacity
+        * settings().rules.overload_multiple;
     assert!(before > 40 && (after as f64) < limit, "{before} {after}");
 }
 
 #[test]
 fn what_many_small_routers_write_to_a_cold_primary_stays_under_the_limit_together() {
     let (before, after) = sent_by_many(WRITE, 1, 3, &[]);
-    let limit =
-        before as f64 * settings().rules.slow_start_initial_capacity * settings().rules.overload_multiple;
-    assert!(before > 200 && after > 0 && (after as f64) < limit, "{before} {after}");
+    let limit = before as f64
+        * settings().rules.slow_start_initial_capacity
+        * settings().rules.overload_multiple;
+    assert!(
+        before > 200 && after > 0 && (after as f64) < limit,
+        "{before} {after}"
+    );
 }
 
 /// Requests that are out at the one member of a group, with as many waiting as there may be.
@@ -633,7 +748,9 @@
             (last - 8..=last).for_each(|id| s.request(id, WRITE));
             s.run(after_ms);
             for id in last - 8..=last {
-                let end = s.at(id).and_then(|_| s.ended(id, Outcome::Ok, PRIMARY, None));
+                let end = s
+                    .at(id)
+                    .and_then(|_| s.ended(id, Outcome::Ok, PRIMARY, None));
                 s.step(&end.into_iter().collect::<Vec<_>>());
             }
             s.run(4_000);
@@ -646,20 +763,28 @@
     old.step(&[PolicyEvent::RouterCount(2 * settings().routers)]);
     new.step(&[PolicyEvent::RouterCount(2 * settings().routers)]);
     let both = out_at_the_primary(&mut old, 10_000) + out_at_the_primary(&mut new, 10_000);
-    assert!(both <= alone.max(start) && both >= 2, "{both} by two, {alone} and {start} by one");
+    assert!(
+        both <= alone.max(start) && both >= 2,
+        "{both} by two, {alone} and {start} by one"
+    );
     // Fewer routers raise nothing: what is heard of them may be wrong.
     let mut fewer = learned();
     fewer.step(&[
         PolicyEvent::RouterCount(2 * settings().routers),
         PolicyEvent::RouterCount(settings().routers),
     ]);
-    assert!(out_at_the_primary(&mut fewer, 10_000) <= alone.div_ceil(2) + 1, "a limit grows by answers");
+    assert!(
+        out_at_the_primary(&mut fewer, 10_000) <= alone.div_ceil(2) + 1,
+        "a limit grows by answers"
+    );
 }
 
 #[test]
 fn a_limit_that_was_cut_again_and_again_still_lets_a_read_to_the_primary() {
     let mut s = Script::group(settings(), 1, 1);
-    (0..20).flat_map(|_| [4, 2]).for_each(|n| s.step(&[PolicyEvent::RouterCount(n)]));
+    (0..20)
+        .flat_map(|_| [4, 2])
+        .for_each(|n| s.step(&[PolicyEvent::RouterCount(n)]));
     s.request(1, ANY);
     assert_eq!(s.at(1), Some(1));
 }
@@ -678,7 +803,11 @@
             s.request(id, class);
             s.run(gap);
             for id in 1.max(id.saturating_sub(50))..=id {
-                let role = Some(if s.at(id) == Some(1) { Role::Primary } else { Role::Replica });
+                let role = Some(if s.at(id) == Some(1) {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                });
                 let end = s.at(id).and_then(|_| s.ended(id, Outcome::Ok, role, None));
                 s.step(&end.into_iter().collect::<Vec<_>>());
             }
@@ -690,8 +819,12 @@
         s.list(false, vec![restarted]);
         let from = s.sends.len();
         let gap = 10 * i64::from(processes);
-        (0..settings().rules.overload_duration.0 / 1_000 / gap).for_each(|_| one(&mut s, WRITE, gap));
-        sent += s.sends[from..].iter().filter(|(_, endpoint)| endpoint.0 == 1).count();
+        (0..settings().rules.overload_duration.0 / 1_000 / gap)
+            .for_each(|_| one(&mut s, WRITE, gap));
+        sent += s.sends[from..]
+            .iter()
+            .filter(|(_, endpoint)| endpoint.0 == 1)
+            .count();
     }
     sent
 }
@@ -699,7 +832,10 @@
 #[test]
 fn two_processes_keep_the_budget_of_a_cold_member_that_one_has() {
     let (one, two) = (sent_to_a_cold_primary(1), sent_to_a_cold_primary(2));
-    assert!(one > 10 && two <= one + one / 10, "{two} by two, {one} by one");
+    assert!(
+        one > 10 && two <= one + one / 10,
+        "{two} by two, {one} by one"
+    );
 }
 
 /// Routers that have just started meet a primary that has too: 100 writes a second, of the 400 that tenants may ask of
@@ -708,7 +844,9 @@
 #[case(1)]
 #[case(3)]
 #[case(100)]
-fn routers_that_have_seen_nothing_yet_still_write_to_a_cold_primary_within_its_budget(#[case] routers: u32) {
+fn routers_that_have_seen_nothing_yet_still_write_to_a_cold_primary_within_its_budget(
+    #[case] routers: u32,
+) {
     let mut cfg = settings();
     cfg.routers = routers;
     cfg.tenants = vec![Tenant { allowance: 300.0 }, Tenant { allowance: 100.0 }];
@@ -724,18 +862,32 @@
             s.request(id, WRITE);
             s.run(gap);
             for id in 1..=id {
-                let end = s.at(id).and_then(|_| s.ended(id, Outcome::Ok, PRIMARY, None));
+                let end = s
+                    .at(id)
+                    .and_then(|_| s.ended(id, Outcome::Ok, PRIMARY, None));
                 s.step(&end.into_iter().collect::<Vec<_>>());
             }
         }
-        sent.extend(s.all.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).map(|(at, _)| *at));
+        sent.extend(
+            s.all
+                .iter()
+                .filter(|(_, a)| matches!(a, Action::Send { .. }))
+                .map(|(at, _)| *at),
+        );
     }
     let rules = settings().rules;
     let first = Time(100_000_000);
-    let within = sent.iter().filter(|at| **at < first + rules.overload_duration).count();
+    let within = sent
+        .iter()
+        .filter(|at| **at < first + rules.overload_duration)
+        .count();
     // By the end of that time it can do 0.32 of 100 a second.
     let budget = rules.overload_multiple * 0.32 * 100.0 * rules.overload_duration.as_f64() / 1e6;
-    assert!(within >= 10 && (within as f64) < budget, "{within} of {budget}, {} in all", sent.len());
+    assert!(
+        within >= 10 && (within as f64) < budget,
+        "{within} of {budget}, {} in all",
+        sent.len()
+    );
 }
 
 #[test]
@@ -748,14 +900,20 @@
         for id in 1..=12 {
             s.request(id, ANY);
             let at = s.at(id);
-            (slow, all) = (slow + usize::from(at == Some(3)), all + usize::from(at.is_some()));
+            (slow, all) = (
+                slow + usize::from(at == Some(3)),
+                all + usize::from(at.is_some()),
+            );
             s.run(if at == Some(3) { 500 } else { 50 });
             let end = at.and_then(|_| s.ended(id, Outcome::Ok, REPLICA, None));
             s.step(&end.into_iter().collect::<Vec<_>>());
             s.run(500);
         }
     }
-    assert!(all > 1_000 && slow * 4 < all && slow > 20, "{slow} of {all}; a third without the rule");
+    assert!(
+        all > 1_000 && slow * 4 < all && slow > 20,
+        "{slow} of {all}; a third without the rule"
+    );
 }
 
 #[rstest::rstest]
@@ -779,7 +937,10 @@
             s.request(id, ANY);
             let at = s.at(id);
             if id > before {
-                (same, all) = (same + usize::from(last == at), all + usize::from(last.is_some()));
+                (same, all) = (
+                    same + usize::from(last == at),
+                    all + usize::from(last.is_some()),
+                );
                 last = at;
             }
             s.run(10);
@@ -789,7 +950,10 @@
         }
     }
     let part = same as f64 / all as f64;
-    assert!(part >= least && part <= most, "{part} of {all} went where the one before did");
+    assert!(
+        part >= least && part <= most,
+        "{part} of {all} went where the one before did"
+    );
 }
 
 #[test]
@@ -805,7 +969,9 @@
             refused += usize::from(s.refused(id));
             // Three slow ones one after the other, now and then.
             s.run(if (id + seed * 5) % 18 < 3 { 600 } else { 50 });
-            let end = s.at(id).and_then(|_| s.ended(id, Outcome::Ok, REPLICA, None));
+            let end = s
+                .at(id)
+                .and_then(|_| s.ended(id, Outcome::Ok, REPLICA, None));
             s.step(&end.into_iter().collect::<Vec<_>>());
         }
     }
@@ -835,7 +1001,10 @@
         s.run(100);
     }
     let asked = s.probes.iter().filter(|n| **n == EndpointId(3)).count();
-    assert!((5..20).contains(&asked), "{asked} times in 40 s; 80 without the rule");
+    assert!(
+        (5..20).contains(&asked),
+        "{asked} times in 40 s; 80 without the rule"
+    );
     let mut anew = entry(3, false, EndpointState::Ready);
     anew.started = Some(s.now - ms(10_000));
     s.list(false, vec![anew]);
@@ -852,13 +1021,22 @@
     s.abort(1);
     s.probes.clear();
     s.run(5000);
-    assert!(s.probes.is_empty(), "the primary is lost, but nobody waits for one: {:?}", s.probes);
+    assert!(
+        s.probes.is_empty(),
+        "the primary is lost, but nobody waits for one: {:?}",
+        s.probes
+    );
 }
 
 #[test]
 fn failed_probes_alone_unseat_nobody() {
     let mut s = Script::group(settings(), 3, 1);
-    for outcome in [Outcome::Timeout, Outcome::Error, Outcome::ConnectFailed, Outcome::Timeout] {
+    for outcome in [
+        Outcome::Timeout,
+        Outcome::Error,
+        Outcome::ConnectFailed,
+        Outcome::Timeout,
+    ] {
         s.probed(1, outcome, None);
         s.probed(2, outcome, None);
     }
@@ -873,10 +1051,18 @@
     let mut s = Script::group(settings(), 3, 1);
     s.request(1, WRITE);
     s.end(1, Outcome::ConnectFailed, None);
-    assert_eq!(s.probes.last(), Some(&EndpointId(1)), "a probe tells a death from too few connections");
+    assert_eq!(
+        s.probes.last(),
+        Some(&EndpointId(1)),
+        "a probe tells a death from too few connections"
+    );
     s.report(1, 0, true);
     s.run(400);
-    assert_eq!(s.sends.iter().map(|(_, n)| n.0).collect::<Vec<_>>(), [1, 1], "the same primary, no search");
+    assert_eq!(
+        s.sends.iter().map(|(_, n)| n.0).collect::<Vec<_>>(),
+        [1, 1],
+        "the same primary, no search"
+    );
 }
 
 #[test]
@@ -915,7 +1101,10 @@
         s.run(20);
     }
     (101..=106).for_each(|id| s.request(id, ANY));
-    assert!((101..=106).all(|id| s.at(id) == Some(2)), "six at once, of the eight that it may have at first");
+    assert!(
+        (101..=106).all(|id| s.at(id) == Some(2)),
+        "six at once, of the eight that it may have at first"
+    );
 }
 
 #[test]
@@ -949,7 +1138,12 @@
     cfg.stale_read_policy = StaleReadPolicy::Reject;
     cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=2).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=2)
+            .map(|i| entry(i, i == 1, EndpointState::Ready))
+            .collect(),
+    );
     s.request(1, BOUNDED);
     assert_eq!(s.at(1), Some(2), "a lag not told is none");
     s.end(1, Outcome::Misdirected, REPLICA);
@@ -969,7 +1163,13 @@
     let mut s = Script::group(settings(), 2, 1);
     s.request(1, ANY);
     assert_eq!(s.at(1), Some(2));
-    s.list(false, vec![entry(2, false, EndpointState::Removed), entry(9, false, EndpointState::Removed)]);
+    s.list(
+        false,
+        vec![
+            entry(2, false, EndpointState::Removed),
+            entry(9, false, EndpointState::Removed),
+        ],
+    );
     s.end(1, Outcome::Reset, None);
     s.run(20);
     assert_eq!(s.at(1), Some(1));
@@ -988,7 +1188,12 @@
     let mut cfg = settings();
     cfg.limits.health_checks = false;
     let mut s = Script::new(cfg);
-    s.list(true, (1..=2).map(|i| entry(i, i == 1, EndpointState::Ready)).collect());
+    s.list(
+        true,
+        (1..=2)
+            .map(|i| entry(i, i == 1, EndpointState::Ready))
+            .collect(),
+    );
     s.request(1, WRITE);
     s.end(1, Outcome::Misdirected, REPLICA);
     s.end(1, Outcome::Misdirected, REPLICA);
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -41,7 +41,11 @@
     let mut cfg = settings();
     cfg.stale_read_policy = stale_read_policy;
     cfg.sessions = sessions;
-    cfg.discovery_mode = if asked { DiscoveryMode::Poll } else { DiscoveryMode::Watch };
+    cfg.discovery_mode = if asked {
+        DiscoveryMode::Poll
+    } else {
+        DiscoveryMode::Watch
+    };
     let mut s = Script::group(cfg, 5, 2);
     let mut next = 0;
     for m in moves {
@@ -74,11 +78,22 @@
             Move::End(..) => {}
             Move::LoadReport(endpoint, age, primary) => s.report(endpoint, age, primary),
             Move::ProbeFails(endpoint, connect) => {
-                s.probed(endpoint, if connect { Outcome::ConnectFailed } else { Outcome::Timeout }, None);
+                s.probed(
+                    endpoint,
+                    if connect {
+                        Outcome::ConnectFailed
+                    } else {
+                        Outcome::Timeout
+                    },
+                    None,
+                );
             }
             Move::List(endpoint, state) => {
-                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
-                    [usize::from(state)];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][usize::from(state)];
                 s.list(false, vec![entry(endpoint, false, state)]);
             }
             Move::Abort(which) if next > 0 => s.abort(u64::from(which) % next + 1),
@@ -91,7 +106,11 @@
 }
 
 fn runner() -> TestRunner {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[23; 32]))
 }
 
@@ -102,7 +121,10 @@
         Just(StaleReadPolicy::Reject),
         Just(StaleReadPolicy::WaitThenReject(ms(50)))
     ];
-    let sessions = prop_oneof![Just(SessionTracking::ClientProvided), Just(SessionTracking::RouterTracked)];
+    let sessions = prop_oneof![
+        Just(SessionTracking::ClientProvided),
+        Just(SessionTracking::RouterTracked)
+    ];
     runner()
         .run(
             &(moves(), stale_read_policy, sessions, any::<bool>()),
@@ -119,8 +141,20 @@
 fn the_same_events_give_the_same_actions() {
     runner()
         .run(&moves(), |moves| {
-            let one = play(&moves, StaleReadPolicy::Serve, SessionTracking::ClientProvided, true).all;
-            let two = play(&moves, StaleReadPolicy::Serve, SessionTracking::ClientProvided, true).all;
+            let one = play(
+                &moves,
+                StaleReadPolicy::Serve,
+                SessionTracking::ClientProvided,
+                true,
+            )
+            .all;
+            let two = play(
+                &moves,
+                StaleReadPolicy::Serve,
+                SessionTracking::ClientProvided,
+                true,
+            )
+            .all;
             prop_assert_eq!(one, two);
             Ok(())
         })
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -35,7 +35,9 @@
     };
     settings.classes.push(report);
     settings.routers = GATEWAYS as u32;
-    settings.tenants = vec![Tenant { allowance: ALLOWANCE }];
+    settings.tenants = vec![Tenant {
+        allowance: ALLOWANCE,
+    }];
     (settings.clone(), ClassId(settings.classes.len() - 1))
 }
 
@@ -52,7 +54,11 @@
     while script.now < began + ms(WARM_MS + COLD_MS) {
         id += 1;
         // Reports are spread over the gateways, so that none sends its own in step with another.
-        let class = if (id + gateway * 7).is_multiple_of(one_report_in) { report } else { ANY };
+        let class = if (id + gateway * 7).is_multiple_of(one_report_in) {
+            report
+        } else {
+            ANY
+        };
         if id == (WARM_MS / GAP_MS) as u64 {
             let now = script.now;
             let entries = restarted.iter().map(|endpoint| {
@@ -62,7 +68,12 @@
             });
             script.list(false, entries.collect());
         }
-        script.request_with(id, class, if class == report { 12_000 } else { 3_000 }, None);
+        script.request_with(
+            id,
+            class,
+            if class == report { 12_000 } else { 3_000 },
+            None,
+        );
         let next = script.now + ms(GAP_MS);
         while script.now < next {
             script.run(5);
@@ -76,10 +87,18 @@
             }
             sends_seen = script.sends.len();
             let now = script.now;
-            let due: Vec<u64> = ends.iter().filter(|(at, _)| *at <= now).map(|(_, id)| *id).collect();
+            let due: Vec<u64> = ends
+                .iter()
+                .filter(|(at, _)| *at <= now)
+                .map(|(_, id)| *id)
+                .collect();
             ends.retain(|(at, _)| *at > now);
             for id in due {
-                let role = if script.at(id) == Some(1) { Role::Primary } else { Role::Replica };
+                let role = if script.at(id) == Some(1) {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                };
                 let end = script.ended(id, Outcome::Ok, Some(role), None);
                 script.step(&end.into_iter().collect::<Vec<_>>());
             }
@@ -97,12 +116,16 @@
     let started = Time(100_000_000) + ms(WARM_MS / GAP_MS * GAP_MS);
     let mut worst = (0.0, 0.0);
     for (last, (at, _)) in sent.iter().enumerate() {
-        let window =
-            sent[..=last].iter().rev().take_while(|(earlier, _)| *at - *earlier < rules.overload_duration);
+        let window = sent[..=last]
+            .iter()
+            .rev()
+            .take_while(|(earlier, _)| *at - *earlier < rules.overload_duration);
         let units = window.map(|(_, work)| work / mean).sum::<f64>();
         let grown = ((*at - started).as_f64() / rules.cold.as_f64()).clamp(0.0, 1.0);
-        let part = rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown;
-        let capacity = ALLOWANCE / f64::from(MEMBERS) * part * rules.overload_duration.as_f64() / 1e6;
+        let part =
+            rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown;
+        let capacity =
+            ALLOWANCE / f64::from(MEMBERS) * part * rules.overload_duration.as_f64() / 1e6;
         let n = rules.overload_multiple * capacity;
         let bound = n + 2.0 * n.sqrt() + 2.0;
         if units / bound > worst.0 {
@@ -115,9 +138,12 @@
 #[rstest]
 #[case::one_replica_restarts(&[4])]
 #[case::the_whole_group_restarts(&[1, 2, 3, 4])]
-fn long_queries_count_by_their_work_in_the_budget_of_a_restarted_endpoint(#[case] restarted: &[u32]) {
+fn long_queries_count_by_their_work_in_the_budget_of_a_restarted_endpoint(
+    #[case] restarted: &[u32],
+) {
     for (one_report_in, seed) in [(25, 1), (25, 2), (25, 3), (50, 1), (50, 2), (50, 3)] {
-        let all = (0..GATEWAYS).flat_map(|gateway| sent_by_one(gateway, seed, one_report_in, restarted));
+        let all =
+            (0..GATEWAYS).flat_map(|gateway| sent_by_one(gateway, seed, one_report_in, restarted));
         let sent: Vec<_> = all.collect();
         let count = sent.len();
         let (part, bound) = worst_window(sent, one_report_in);
@@ -125,6 +151,9 @@
             "one report in {one_report_in}, seed {seed}: {count} sent, at the worst {part:.2} of {bound:.0} requests of mean work"
         );
         assert!(count > 10, "{count} sent: nothing is shown by that");
-        assert!(part <= 1.0, "{part:.2} times what pushes it over ({bound:.0} requests of mean work)");
+        assert!(
+            part <= 1.0,
+            "{part:.2} times what pushes it over ({bound:.0} requests of mean work)"
+        );
     }
 }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -5,19 +5,19 @@
 
 use valehatch_policy::*;
 
-pub const WRITE: ClassId = ClassId(0);
-pub const KEYED: ClassId = ClassId(1);
-pub const FRESH: ClassId = ClassId(2);
-pub const SESSION: ClassId = ClassId(3);
-pub const BOUNDED: ClassId = ClassId(4);
-pub const ANY: ClassId = ClassId(5);
-pub const ALL_KEYED: ClassId = ClassId(6);
+pub(crate) const WRITE: ClassId = ClassId(0);
+pub(crate) const KEYED: ClassId = ClassId(1);
+pub(crate) const FRESH: ClassId = ClassId(2);
+pub(crate) const SESSION: ClassId = ClassId(3);
+pub(crate) const BOUNDED: ClassId = ClassId(4);
+pub(crate) const ANY: ClassId = ClassId(5);
+pub(crate) const ALL_KEYED: ClassId = ClassId(6);
 
-pub fn ms(n: i64) -> Span {
+pub(crate) fn ms(n: i64) -> Span {
     Span::from_millis(n)
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let class = |consistency, idempotency| RequestClass {
         consistency,
         idempotency,
@@ -30,12 +30,21 @@
     Settings {
         classes: vec![
             class(Consistency::Write, Idempotency::NonIdempotent),
-            class(Consistency::Write, Idempotency::IdempotencyKey(DedupScope::Group, ms(2000))),
+            class(
+                Consistency::Write,
+                Idempotency::IdempotencyKey(DedupScope::Group, ms(2000)),
+            ),
             class(Consistency::Strong, Idempotency::Idempotent),
             class(Consistency::Session, Idempotency::Idempotent),
-            class(Consistency::BoundedStaleness(ms(300)), Idempotency::Idempotent),
+            class(
+                Consistency::BoundedStaleness(ms(300)),
+                Idempotency::Idempotent,
+            ),
             class(Consistency::Eventual, Idempotency::Idempotent),
-            class(Consistency::Write, Idempotency::IdempotencyKey(DedupScope::All, ms(2000))),
+            class(
+                Consistency::Write,
+                Idempotency::IdempotencyKey(DedupScope::All, ms(2000)),
+            ),
         ],
         tenants: vec![],
         over_quota_priority_weight: None,
@@ -79,7 +88,7 @@
     done: bool,
 }
 
-pub struct Script {
+pub(crate) struct Script {
     pub cfg: Settings,
     router: Router,
     pub now: Time,
@@ -96,7 +105,7 @@
     pub all: Vec<(Time, Action)>,
 }
 
-pub fn entry(id: u32, primary: bool, state: EndpointState) -> EndpointRecord {
+pub(crate) fn entry(id: u32, primary: bool, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         endpoint: EndpointId(id),
         group: GroupId(0),
@@ -110,11 +119,11 @@
 }
 
 impl Script {
-    pub fn new(cfg: Settings) -> Self {
+    pub(crate) fn new(cfg: Settings) -> Self {
         Self::seeded(cfg, 7)
     }
 
-    pub fn seeded(cfg: Settings, seed: u64) -> Self {
+    pub(crate) fn seeded(cfg: Settings, seed: u64) -> Self {
         let router = Router::new(cfg.clone(), seed).expect("sound settings");
         Self {
             cfg,
@@ -135,20 +144,25 @@
     }
 
     /// Members 1 to `n`, of which `primary` is listed as such; every member has told its present position.
-    pub fn group(cfg: Settings, n: u32, primary: u32) -> Self {
+    pub(crate) fn group(cfg: Settings, n: u32, primary: u32) -> Self {
         Self::group_seeded(cfg, n, primary, 7)
     }
 
-    pub fn group_seeded(cfg: Settings, n: u32, primary: u32, seed: u64) -> Self {
+    pub(crate) fn group_seeded(cfg: Settings, n: u32, primary: u32, seed: u64) -> Self {
         let mut s = Self::seeded(cfg, seed);
-        s.list(true, (1..=n).map(|i| entry(i, i == primary, EndpointState::Ready)).collect());
+        s.list(
+            true,
+            (1..=n)
+                .map(|i| entry(i, i == primary, EndpointState::Ready))
+                .collect(),
+        );
         for i in 1..=n {
             s.report(i, 10, i == primary);
         }
         s
     }
 
-    pub fn list(&mut self, complete: bool, entries: Vec<EndpointRecord>) {
+    pub(crate) fn list(&mut self, complete: bool, entries: Vec<EndpointRecord>) {
         for e in &entries {
             if e.state == EndpointState::Ready {
                 self.barred.remove(&e.endpoint);
@@ -162,20 +176,26 @@
         self.step(&[PolicyEvent::EndpointList { complete, entries }]);
     }
 
-    pub fn request(&mut self, id: u64, class: ClassId) {
+    pub(crate) fn request(&mut self, id: u64, class: ClassId) {
         self.request_with(id, class, 3000, None);
     }
 
-    pub fn request_with(&mut self, id: u64, class: ClassId, left: i64, since_last_write: Option<i64>) {
+    pub(crate) fn request_with(
+        &mut self,
+        id: u64,
+        class: ClassId,
+        left: i64,
+        since_last_write: Option<i64>,
+    ) {
         self.request_to(id, GroupId(0), class, left, since_last_write);
     }
 
     /// Whether the router holds something that reads so.
-    pub fn shows(&self, what: &str) -> bool {
+    pub(crate) fn shows(&self, what: &str) -> bool {
         format!("{:?}", self.router).contains(what)
     }
 
-    pub fn request_to(
+    pub(crate) fn request_to(
         &mut self,
         id: u64,
         group: GroupId,
@@ -196,21 +216,37 @@
         };
         let floor = request.since_last_write.map(|ago| self.now - ago);
         let deadline = self.now.0 + left * 1000;
-        self.held.insert(request.id, Held { class: class.0, deadline, floor, ..Held::default() });
+        self.held.insert(
+            request.id,
+            Held {
+                class: class.0,
+                deadline,
+                floor,
+                ..Held::default()
+            },
+        );
         self.step(&[PolicyEvent::Request(request)]);
     }
 
     /// Ends the attempt that is out for a request; a served one closes it.
-    pub fn end(&mut self, id: u64, outcome: Outcome, role: Option<Role>) {
+    pub(crate) fn end(&mut self, id: u64, outcome: Outcome, role: Option<Role>) {
         self.end_at(id, outcome, role, None);
     }
 
-    pub fn end_at(&mut self, id: u64, outcome: Outcome, role: Option<Role>, position: Option<Time>) {
-        let event = self.ended(id, outcome, role, position).expect("an attempt is out");
+    pub(crate) fn end_at(
+        &mut self,
+        id: u64,
+        outcome: Outcome,
+        role: Option<Role>,
+        position: Option<Time>,
+    ) {
+        let event = self
+            .ended(id, outcome, role, position)
+            .expect("an attempt is out");
         self.step(&[event]);
     }
 
-    pub fn ended(
+    pub(crate) fn ended(
         &mut self,
         id: u64,
         outcome: Outcome,
@@ -235,23 +271,36 @@
         }
         let latency = Span(self.now.0 - held.last_sent);
         let request = RequestId(id);
-        let end =
-            AttemptEnd { request, attempt, endpoint, outcome, closed, latency, role, position, report: None };
+        let end = AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            closed,
+            latency,
+            role,
+            position,
+            report: None,
+        };
         Some(PolicyEvent::AttemptEnded(end))
     }
 
-    pub fn report(&mut self, endpoint: u32, age_ms: i64, primary: bool) {
+    pub(crate) fn report(&mut self, endpoint: u32, age_ms: i64, primary: bool) {
         let position = self.now - ms(age_ms);
         let known = self.told.entry(EndpointId(endpoint)).or_insert(position);
         *known = position.max(*known);
         if primary {
             self.primaries.insert(EndpointId(endpoint));
         }
-        let report = LoadReport { position: Some(position), primary: Some(primary), busy: None };
+        let report = LoadReport {
+            position: Some(position),
+            primary: Some(primary),
+            busy: None,
+        };
         self.probed(endpoint, Outcome::Ok, Some(report));
     }
 
-    pub fn probed(&mut self, endpoint: u32, outcome: Outcome, report: Option<LoadReport>) {
+    pub(crate) fn probed(&mut self, endpoint: u32, outcome: Outcome, report: Option<LoadReport>) {
         self.step(&[PolicyEvent::HealthCheckEnded {
             endpoint: EndpointId(endpoint),
             outcome,
@@ -261,7 +310,7 @@
     }
 
     /// Lets time pass in ticks: timers fire, and attempts out at their deadline time out.
-    pub fn run(&mut self, span_ms: i64) {
+    pub(crate) fn run(&mut self, span_ms: i64) {
         let end = self.now + ms(span_ms);
         while self.now < end {
             self.now = self.now + self.cfg.tick;
@@ -291,7 +340,7 @@
         }
     }
 
-    pub fn step(&mut self, events: &[PolicyEvent]) {
+    pub(crate) fn step(&mut self, events: &[PolicyEvent]) {
         let mut actions = vec![];
         self.router.step(self.now, events, &mut actions);
         for action in actions {
@@ -302,20 +351,34 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { request, endpoint, send_before, .. } => {
+            Action::Send {
+                request,
+                endpoint,
+                send_before,
+                ..
+            } => {
                 let h = self.held.get_mut(request).expect("a request of ours");
                 let class = &self.cfg.classes[h.class];
                 assert!(!h.done, "rule 1: {request:?} sent after its end");
                 assert!(h.out.is_empty(), "rule 2: two attempts of {request:?} out");
-                assert!(!self.barred.contains(endpoint), "rule 3: {endpoint:?} drains or is gone");
+                assert!(
+                    !self.barred.contains(endpoint),
+                    "rule 3: {endpoint:?} drains or is gone"
+                );
                 match (class.idempotency, h.first_maybe) {
                     (Idempotency::NonIdempotent, Some(_)) => {
                         panic!("rule 2: {request:?} may have run and was resent")
                     }
                     (Idempotency::IdempotencyKey(_, window), Some(from)) => {
-                        assert!(self.now.0 < from + window.0, "rule 2: {request:?} resent after its window");
+                        assert!(
+                            self.now.0 < from + window.0,
+                            "rule 2: {request:?} resent after its window"
+                        );
                         let ends = send_before.is_some_and(|at| at.0 < from + window.0);
-                        assert!(ends, "rule 2: {request:?} may begin behind its window if its dial is late");
+                        assert!(
+                            ends,
+                            "rule 2: {request:?} may begin behind its window if its dial is late"
+                        );
                     }
                     _ => {}
                 }
@@ -330,13 +393,24 @@
                     && !self.primaries.contains(endpoint)
                 {
                     let told = self.told.get(endpoint).copied();
-                    assert!(told >= consistency, "rule 5: {request:?} to {endpoint:?} is stale");
-                    if let (Consistency::BoundedStaleness(bound), Some(told)) = (class.consistency, told) {
+                    assert!(
+                        told >= consistency,
+                        "rule 5: {request:?} to {endpoint:?} is stale"
+                    );
+                    if let (Consistency::BoundedStaleness(bound), Some(told)) =
+                        (class.consistency, told)
+                    {
                         let ends = send_before.is_some_and(|at| at <= told + bound);
-                        assert!(ends, "rule 5: {request:?} to {endpoint:?} may be stale if its dial is late");
+                        assert!(
+                            ends,
+                            "rule 5: {request:?} to {endpoint:?} may be stale if its dial is late"
+                        );
                     }
                 }
-                assert!(h.attempts < self.cfg.limits.max_attempts, "more attempts than allowed");
+                assert!(
+                    h.attempts < self.cfg.limits.max_attempts,
+                    "more attempts than allowed"
+                );
                 h.out.insert(h.attempts, *endpoint);
                 h.attempts += 1;
                 h.last_sent = self.now.0;
@@ -348,39 +422,57 @@
                 let refused = matches!(action, Action::Reject { .. });
                 let safe = self.cfg.classes[h.class].idempotency == Idempotency::Idempotent;
                 let ran = h.first_maybe.is_some() || !h.out.is_empty();
-                assert!(!refused || safe || !ran, "rule 2: {request:?} may have run and was refused");
+                assert!(
+                    !refused || safe || !ran,
+                    "rule 2: {request:?} may have run and was refused"
+                );
                 h.done = true;
                 self.answers.insert(*request, action.clone());
             }
             Action::Cancel { request, attempt } => self.cancels.push((*request, *attempt)),
             Action::HealthCheck { endpoint } => self.probes.push(*endpoint),
             Action::RefreshEndpointList => self.subscribes.push(self.now),
-            Action::SetTimer { at, .. } => self.timer = Some(self.timer.map_or(*at, |t| t.min(*at))),
+            Action::SetTimer { at, .. } => {
+                self.timer = Some(self.timer.map_or(*at, |t| t.min(*at)))
+            }
         }
     }
 
     /// The client leaves; attempts that are out still end.
-    pub fn abort(&mut self, id: u64) {
-        let Some(held) = self.held.get_mut(&RequestId(id)).filter(|h| !h.done) else { return };
+    pub(crate) fn abort(&mut self, id: u64) {
+        let Some(held) = self.held.get_mut(&RequestId(id)).filter(|h| !h.done) else {
+            return;
+        };
         held.done = true;
         self.step(&[PolicyEvent::ClientDisconnected(RequestId(id))]);
     }
 
     /// Requests without a final answer.
-    pub fn unfinished(&self) -> Vec<RequestId> {
-        self.held.iter().filter(|(_, h)| !h.done).map(|(id, _)| *id).collect()
+    pub(crate) fn unfinished(&self) -> Vec<RequestId> {
+        self.held
+            .iter()
+            .filter(|(_, h)| !h.done)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Where the last attempt of a request went.
-    pub fn at(&self, id: u64) -> Option<u32> {
-        self.sends.iter().rev().find(|(r, _)| r.0 == id).map(|(_, n)| n.0)
+    pub(crate) fn at(&self, id: u64) -> Option<u32> {
+        self.sends
+            .iter()
+            .rev()
+            .find(|(r, _)| r.0 == id)
+            .map(|(_, n)| n.0)
     }
 
-    pub fn refused(&self, id: u64) -> bool {
-        matches!(self.answers.get(&RequestId(id)), Some(Action::Reject { .. }))
+    pub(crate) fn refused(&self, id: u64) -> bool {
+        matches!(
+            self.answers.get(&RequestId(id)),
+            Some(Action::Reject { .. })
+        )
     }
 
-    pub fn failed(&self, id: u64) -> bool {
+    pub(crate) fn failed(&self, id: u64) -> bool {
         matches!(self.answers.get(&RequestId(id)), Some(Action::Fail { .. }))
     }
 }
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -25,7 +25,10 @@
 
 impl Bucket {
     const fn full(rate: u32, now: Micros) -> Self {
-        Self { level: rate as i64 * SECOND, at: now }
+        Self {
+            level: rate as i64 * SECOND,
+            at: now,
+        }
     }
 
     fn take(&mut self, rate: u32, now: Micros) -> bool {
@@ -64,17 +67,28 @@
     #[must_use]
     pub fn new(each: u32, total: u32, most: NonZeroUsize, now: Micros) -> Self {
         let sources = LruCache::with_hasher(most, RandomState::new());
-        Self { each, total, all: Bucket::full(total, now), sources }
+        Self {
+            each,
+            total,
+            all: Bucket::full(total, now),
+            sources,
+        }
     }
 
     /// Asks for one request. One that its source may not have takes nothing from the others.
     pub fn admit(&mut self, now: Micros, source: K) -> RateLimitDecision {
         let each = self.each;
-        let bucket = self.sources.get_or_insert_mut(source, || Bucket::full(each, now));
+        let bucket = self
+            .sources
+            .get_or_insert_mut(source, || Bucket::full(each, now));
         if !bucket.take(each, now) {
             return RateLimitDecision::Source;
         }
-        if self.all.take(self.total, now) { RateLimitDecision::Granted } else { RateLimitDecision::Total }
+        if self.all.take(self.total, now) {
+            RateLimitDecision::Granted
+        } else {
+            RateLimitDecision::Total
+        }
     }
 
     /// Sources that are told apart now.
@@ -109,7 +123,11 @@
     #[allow(clippy::cast_possible_truncation)]
     pub fn new(part: f64, now: Micros) -> Self {
         let part = ((part * 1e6) as i64).clamp(1, SECOND);
-        Self { part, credit: SAVED * part, at: now }
+        Self {
+            part,
+            credit: SAVED * part,
+            at: now,
+        }
     }
 
     /// Notes that so much time was used up to now; how long nothing more may be used, 0 if it may at once.
@@ -118,8 +136,14 @@
         self.at = self.at.max(now);
         let earned = passed.saturating_mul(self.part);
         self.credit = (self.credit.saturating_add(earned)).min(SAVED * self.part);
-        self.credit = self.credit.saturating_sub(time.max(0).saturating_mul(SECOND));
-        if self.credit >= 0 { 0 } else { (-self.credit).div_euclid(self.part) + 1 }
+        self.credit = self
+            .credit
+            .saturating_sub(time.max(0).saturating_mul(SECOND));
+        if self.credit >= 0 {
+            0
+        } else {
+            (-self.credit).div_euclid(self.part) + 1
+        }
     }
 }
 
@@ -176,7 +200,11 @@
     /// So many walks at once; both times in microseconds.
     #[must_use]
     pub fn new(most: NonZeroUsize, silent: i64, longest: i64) -> Self {
-        Self { pins: LruCache::with_hasher(most, RandomState::new()), silent, longest }
+        Self {
+            pins: LruCache::with_hasher(most, RandomState::new()),
+            silent,
+            longest,
+        }
     }
 
     /// The picture for a step of a walk: the one that the walk began with, or a fresh one.
@@ -196,7 +224,13 @@
             }
         }
         let picture = fresh();
-        let pin = Pin { picture: picture.clone(), last: name.to_vec(), request, used: now, taken: now };
+        let pin = Pin {
+            picture: picture.clone(),
+            last: name.to_vec(),
+            request,
+            used: now,
+            taken: now,
+        };
         self.pins.put(source, pin);
         picture
     }
--- a/crates/rate-limit/tests/rate_limit.rs
+++ b/crates/rate-limit/tests/rate_limit.rs
@@ -53,15 +53,29 @@
 fn one_source_alone_is_bounded_and_another_is_not_hurt() {
     let mut sources = SourceRateLimiter::new(5, 100, size(16), 0);
     let first: Vec<_> = (0..7).map(|_| sources.admit(0, 1)).collect();
-    assert_eq!(first, [[RateLimitDecision::Granted; 5].as_slice(), &[RateLimitDecision::Source; 2]].concat());
+    assert_eq!(
+        first,
+        [
+            [RateLimitDecision::Granted; 5].as_slice(),
+            &[RateLimitDecision::Source; 2]
+        ]
+        .concat()
+    );
     assert_eq!(sources.admit(0, 2), RateLimitDecision::Granted);
-    assert_eq!(sources.admit(200_000, 1), RateLimitDecision::Granted, "a fifth of a second earns one");
+    assert_eq!(
+        sources.admit(200_000, 1),
+        RateLimitDecision::Granted,
+        "a fifth of a second earns one"
+    );
     assert_eq!(sources.admit(200_000, 1), RateLimitDecision::Source);
 }
 
 #[test]
 fn a_window_is_150_seconds_wide_on_both_sides_and_of_one_boot() {
-    let window = Window { boots: 3, time: 1000 };
+    let window = Window {
+        boots: 3,
+        time: 1000,
+    };
     for (boots, time, holds) in [
         (3, 850, true),
         (3, 849, false),
@@ -72,7 +86,10 @@
     ] {
         assert_eq!(window.holds(boots, time), holds, "{boots}, {time}");
     }
-    let stuck = Window { boots: BOOTS_STUCK, time: 5 };
+    let stuck = Window {
+        boots: BOOTS_STUCK,
+        time: 5,
+    };
     assert!(!stuck.holds(BOOTS_STUCK, 5));
     assert_eq!(window.learn(3, 999), window);
     assert_eq!(window.learn(4, 1), Window { boots: 4, time: 1 });
@@ -90,15 +107,33 @@
     };
     assert_eq!(step(&mut pins, 0, 1, 1, &[1]), 1);
     assert_eq!(step(&mut pins, 10, 1, 2, &[1, 5]), 1, "forward");
-    assert_eq!(step(&mut pins, 20, 1, 2, &[1, 5]), 1, "the same datagram once more");
+    assert_eq!(
+        step(&mut pins, 20, 1, 2, &[1, 5]),
+        1,
+        "the same datagram once more"
+    );
     assert_eq!(step(&mut pins, 20, 2, 9, &[1]), 2, "another source");
-    assert_eq!(step(&mut pins, 30, 1, 3, &[1, 5]), 3, "the same name, asked anew");
+    assert_eq!(
+        step(&mut pins, 30, 1, 3, &[1, 5]),
+        3,
+        "the same name, asked anew"
+    );
     assert_eq!(step(&mut pins, 40, 1, 4, &[1]), 4, "back");
     assert_eq!(step(&mut pins, 141, 1, 5, &[2]), 5, "after a silence");
     for at in 1..12 {
-        step(&mut pins, 141 + at * 90, 1, 6, &[2 + u32::try_from(at).unwrap()]);
+        step(
+            &mut pins,
+            141 + at * 90,
+            1,
+            6,
+            &[2 + u32::try_from(at).unwrap()],
+        );
     }
-    assert_eq!(step(&mut pins, 1230, 1, 7, &[90]), 6, "none is kept for longer than the longest");
+    assert_eq!(
+        step(&mut pins, 1230, 1, 7, &[90]),
+        6,
+        "none is kept for longer than the longest"
+    );
     step(&mut pins, 1230, 3, 1, &[1]);
     assert_eq!(pins.len(), 2, "no more than its size");
     pins.sweep(1331);
