--- a/crates/testbed/tests/soak_oracle.rs
+++ b/crates/testbed/tests/soak_oracle.rs
@@ -41,7 +41,12 @@
 
 /// Whether just this was found, where it was broken, and nothing, where it was not.
 fn judged(oracle: &Oracle, invariant: Invariant, broken: bool) {
-    assert_eq!(found(oracle), if broken { vec![invariant] } else { vec![] }, "{:?}", oracle.violations);
+    assert_eq!(
+        found(oracle),
+        if broken { vec![invariant] } else { vec![] },
+        "{:?}",
+        oracle.violations
+    );
 }
 
 #[rstest]
@@ -51,7 +56,10 @@
     if !broken && !by_end {
         oracle.on_attempt_over("a", 1, false);
     }
-    let second = Attempt { earlier_ended: !broken && by_end, ..attempt("a", 2) };
+    let second = Attempt {
+        earlier_ended: !broken && by_end,
+        ..attempt("a", 2)
+    };
     oracle.on_attempt(&second, ms(1_020));
     judged(&oracle, Invariant::SecondCopy, broken);
 }
@@ -62,11 +70,22 @@
 #[case::keyed_inside_its_window(Effect::Keyed(ms(500)), 400, false, false)]
 #[case::keyed_behind_its_window(Effect::Keyed(ms(500)), 600, false, true)]
 #[case::safe(Effect::Safe, 600, false, false)]
-fn repeated(#[case] effect: Effect, #[case] after: u64, #[case] never_ran: bool, #[case] broken: bool) {
+fn repeated(
+    #[case] effect: Effect,
+    #[case] after: u64,
+    #[case] never_ran: bool,
+    #[case] broken: bool,
+) {
     let mut oracle = asked(effect);
     oracle.on_attempt(&attempt("a", 1), ms(1_010));
     oracle.on_attempt_over("a", 1, never_ran);
-    oracle.on_attempt(&Attempt { told_ms: 100, ..attempt("a", 2) }, ms(1_010 + after));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms: 100,
+            ..attempt("a", 2)
+        },
+        ms(1_010 + after),
+    );
     judged(&oracle, Invariant::Repeated, broken);
 }
 
@@ -75,9 +94,21 @@
     let mut oracle = asked(Effect::Keyed(ms(500)));
     oracle.on_attempt(&attempt("a", 1), ms(1_010));
     oracle.on_attempt_over("a", 1, false);
-    oracle.on_attempt(&Attempt { told_ms: 100, ..attempt("a", 2) }, ms(1_100));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms: 100,
+            ..attempt("a", 2)
+        },
+        ms(1_100),
+    );
     oracle.on_attempt_over("a", 2, true);
-    oracle.on_attempt(&Attempt { told_ms: 100, ..attempt("a", 3) }, ms(1_600));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms: 100,
+            ..attempt("a", 3)
+        },
+        ms(1_600),
+    );
     judged(&oracle, Invariant::Repeated, true);
 }
 
@@ -87,7 +118,13 @@
 fn began_for_nobody(#[case] after: u64, #[case] broken: bool) {
     let mut oracle = asked(Effect::Safe);
     oracle.on_client_left("a", ms(1_050));
-    oracle.on_attempt(&Attempt { told_ms: 500, ..attempt("a", 1) }, ms(1_050 + after));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms: 500,
+            ..attempt("a", 1)
+        },
+        ms(1_050 + after),
+    );
     judged(&oracle, Invariant::BeganForNobody, broken);
 }
 
@@ -96,7 +133,13 @@
 #[case(1_200, true)]
 fn deadline_too_long(#[case] told_ms: u64, #[case] broken: bool) {
     let mut oracle = asked(Effect::Safe);
-    oracle.on_attempt(&Attempt { told_ms, ..attempt("a", 1) }, ms(1_020));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms,
+            ..attempt("a", 1)
+        },
+        ms(1_020),
+    );
     judged(&oracle, Invariant::DeadlineTooLong, broken);
 }
 
@@ -107,11 +150,23 @@
 fn sent_to_draining(#[case] told: usize, #[case] after: u64, #[case] broken: bool) {
     let mut oracle = asked(Effect::Safe);
     oracle.on_drain_told(told, 2, Some(ms(1_000)));
-    oracle.on_attempt(&Attempt { told_ms: 100, ..attempt("a", 1) }, ms(1_000 + after));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms: 100,
+            ..attempt("a", 1)
+        },
+        ms(1_000 + after),
+    );
     judged(&oracle, Invariant::SentToDraining, broken);
     oracle.on_drain_told(told, 2, None);
     oracle.on_attempt_over("a", 1, false);
-    oracle.on_attempt(&Attempt { told_ms: 100, ..attempt("a", 2) }, ms(1_900));
+    oracle.on_attempt(
+        &Attempt {
+            told_ms: 100,
+            ..attempt("a", 2)
+        },
+        ms(1_900),
+    );
     judged(&oracle, Invariant::SentToDraining, broken);
 }
 
@@ -121,11 +176,22 @@
 #[case::at_once(80, 10, 1.0, true)]
 #[case::few_but_long(6, 10, 12.0, true)]
 #[case::few(6, 10, 1.0, false)]
-fn slow_start_overload(#[case] count: u64, #[case] gap: u64, #[case] work: f64, #[case] broken: bool) {
+fn slow_start_overload(
+    #[case] count: u64,
+    #[case] gap: u64,
+    #[case] work: f64,
+    #[case] broken: bool,
+) {
     let mut oracle = Oracle::new(slow_start(40.0));
     oracle.on_endpoint_started(2, ms(500));
     for n in 0..count {
-        oracle.on_attempt(&Attempt { work, ..attempt("x", n) }, ms(600 + n * gap));
+        oracle.on_attempt(
+            &Attempt {
+                work,
+                ..attempt("x", n)
+            },
+            ms(600 + n * gap),
+        );
     }
     judged(&oracle, Invariant::SlowStartOverload, broken);
 }
@@ -135,7 +201,13 @@
 #[case(700, true)]
 fn stale_read(#[case] age: u64, #[case] broken: bool) {
     let mut oracle = asked(Effect::Safe);
-    oracle.on_attempt(&Attempt { age: Some((ms(age), ms(400))), ..attempt("a", 1) }, ms(1_010));
+    oracle.on_attempt(
+        &Attempt {
+            age: Some((ms(age), ms(400))),
+            ..attempt("a", 1)
+        },
+        ms(1_010),
+    );
     judged(&oracle, Invariant::StaleRead, broken);
 }
 
@@ -146,8 +218,11 @@
 #[case::its_client_left(None, Some(1_200), false)]
 fn unanswered(#[case] answered: Option<u64>, #[case] left: Option<u64>, #[case] broken: bool) {
     let mut oracle = asked(Effect::Safe);
-    answered.into_iter().for_each(|at| oracle.on_answer("a", Some("a"), Duration::ZERO, ms(at)));
-    left.into_iter().for_each(|at| oracle.on_client_left("a", ms(at)));
+    answered
+        .into_iter()
+        .for_each(|at| oracle.on_answer("a", Some("a"), Duration::ZERO, ms(at)));
+    left.into_iter()
+        .for_each(|at| oracle.on_client_left("a", ms(at)));
     oracle.finish(ms(5_000));
     judged(&oracle, Invariant::Unanswered, broken);
 }
@@ -176,14 +251,34 @@
     }
     // 40 schedules of three clusters: most draws meet a pair that was not covered yet.
     assert!(covered.pairs.len() > 120, "{} pairs", covered.pairs.len());
-    assert!(covered.triples.len() > 20, "{} triples", covered.triples.len());
+    assert!(
+        covered.triples.len() > 20,
+        "{} triples",
+        covered.triples.len()
+    );
 }
 
 #[test]
 fn shrinking_keeps_what_breaks() {
-    let fault = |kind, at_ms| Fault { at_ms, for_ms: 100, kind, targets: vec![0] };
-    let kinds = [FaultKind::Kill, FaultKind::WallClock, FaultKind::Reload, FaultKind::EndpointHangs];
-    let all = Schedule { fault: kinds.iter().zip(0..).map(|(kind, at)| fault(*kind, at)).collect() };
+    let fault = |kind, at_ms| Fault {
+        at_ms,
+        for_ms: 100,
+        kind,
+        targets: vec![0],
+    };
+    let kinds = [
+        FaultKind::Kill,
+        FaultKind::WallClock,
+        FaultKind::Reload,
+        FaultKind::EndpointHangs,
+    ];
+    let all = Schedule {
+        fault: kinds
+            .iter()
+            .zip(0..)
+            .map(|(kind, at)| fault(*kind, at))
+            .collect(),
+    };
     let has = |schedule: &Schedule, kind| schedule.fault.iter().any(|fault| fault.kind == kind);
     let smallest = all.shrink(|s| has(s, FaultKind::WallClock) && has(s, FaultKind::EndpointHangs));
     let left: Vec<FaultKind> = smallest.fault.iter().map(|fault| fault.kind).collect();
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -35,7 +35,9 @@
     case: Case,
 ) {
     for seed in 1..6 {
-        let row = plan().play(12, case, seed).unwrap_or_else(|b| panic!("seed {seed}: {}", b.0));
+        let row = plan()
+            .play(12, case, seed)
+            .unwrap_or_else(|b| panic!("seed {seed}: {}", b.0));
         assert!(row.claims >= 12 && row.quiet_bytes_s < 300.0, "{row:?}");
     }
 }
@@ -45,7 +47,9 @@
 #[case(Case::CrashLoop, 2)]
 #[case(Case::Rolling, 3)]
 fn a_hundred_settle_and_all_fits_a_datagram(#[case] case: Case, #[case] seed: u64) {
-    let row = plan().play(100, case, seed).unwrap_or_else(|b| panic!("{}", b.0));
+    let row = plan()
+        .play(100, case, seed)
+        .unwrap_or_else(|b| panic!("{}", b.0));
     assert!(row.start_s < 5.0 && row.quiet_bytes_s < 200.0, "{row:?}");
 }
 
@@ -78,13 +82,21 @@
             .filter(|s| s.by == n && matches!(s.note, MembershipEvent::Namesake(_)))
             .count()
     };
-    play.fleet.run(Span::from_millis(20_000), |_| false).unwrap();
+    play.fleet
+        .run(Span::from_millis(20_000), |_| false)
+        .unwrap();
     assert_eq!((told(&play, 4), told(&play, 13)), (1, 1));
     play.settle(Span::from_millis(20_000)).unwrap();
     // Neither goes on outbidding the other.
-    let before: Vec<_> = [4, 13].map(|n| play.fleet.heart(n).unwrap().incarnation()).to_vec();
-    play.fleet.run(Span::from_millis(60_000), |_| false).unwrap();
-    let after: Vec<_> = [4, 13].map(|n| play.fleet.heart(n).unwrap().incarnation()).to_vec();
+    let before: Vec<_> = [4, 13]
+        .map(|n| play.fleet.heart(n).unwrap().incarnation())
+        .to_vec();
+    play.fleet
+        .run(Span::from_millis(60_000), |_| false)
+        .unwrap();
+    let after: Vec<_> = [4, 13]
+        .map(|n| play.fleet.heart(n).unwrap().incarnation())
+        .to_vec();
     assert_eq!(before, after);
 }
 
@@ -105,9 +117,18 @@
             .and_then(|()| play.settle(within))
             .map_err(|b| b.0)
     };
-    let seen: Vec<(u64, String)> = (1..6).filter_map(|s| Some((s, judged(Some(mutant), s).err()?))).collect();
+    let seen: Vec<(u64, String)> = (1..6)
+        .filter_map(|s| Some((s, judged(Some(mutant), s).err()?)))
+        .collect();
     assert!(!seen.is_empty(), "not seen on five seeds");
     let (seed, what) = &seen[0];
-    assert_eq!(judged(Some(mutant), *seed).as_ref().err(), Some(what), "the seed shows it again");
-    assert!((1..6).all(|s| judged(None, s).is_ok()), "and without it nothing is seen");
+    assert_eq!(
+        judged(Some(mutant), *seed).as_ref().err(),
+        Some(what),
+        "the seed shows it again"
+    );
+    assert!(
+        (1..6).all(|s| judged(None, s).is_ok()),
+        "and without it nothing is seen"
+    );
 }
