--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -202,10 +202,10 @@
         {
             0 => Idempotency::Idempotent,
             // A window of 0 is one in which nothing is repeated.
-            1 => Idempotency::IdempotencyKey(
-                text.choice(&key("group"), &scopes)?,
-                text.span(&key("window-ms"), 0.0)?,
-            ),
+            1 => Idempotency::IdempotencyKey {
+                scope: text.choice(&key("group"), &scopes)?,
+                window: text.span(&key("window-ms"), 0.0)?,
+            },
             _ => Idempotency::NonIdempotent,
         },
         latency_objective: text.span(&key("slo-ms"), SHORTEST_MS)?,
@@ -327,8 +327,9 @@
         },
         rules: Rules {
             max_poll_interval: max_poll_interval(&text, discovery_mode)?,
-            slow_start_initial_capacity: text.number("rules.cold-from", 0.0..=1.0)?,
-            cold: text.span("rules.cold-ms", 0.0)?,
+            slow_start_initial_capacity: text
+                .number("rules.slow_start_duration-from", 0.0..=1.0)?,
+            slow_start_duration: text.span("rules.slow_start_duration-ms", 0.0)?,
             overload_multiple: text.number("rules.tip-multiple", 0.001..=1e6)?,
             overload_duration: text.span("rules.tip-after-ms", SHORTEST_MS)?,
             removal_is_advisory: text.find(removal).is_some() && text.flag(removal)?,
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -269,11 +269,17 @@
     );
     assert_eq!(
         one[1].idempotency,
-        Idempotency::IdempotencyKey(DedupScope::Group, Span::from_millis(2_000))
+        Idempotency::IdempotencyKey {
+            scope: DedupScope::Group,
+            window: Span::from_millis(2_000)
+        }
     );
     assert_eq!(
         two[1].idempotency,
-        Idempotency::IdempotencyKey(DedupScope::Zone, Span::from_millis(90_000))
+        Idempotency::IdempotencyKey {
+            scope: DedupScope::Zone,
+            window: Span::from_millis(90_000)
+        }
     );
     assert_eq!(
         (two[2].consistency, two[3].consistency),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -314,8 +314,8 @@
                 let barred = |(id, c): (&ConnectionId, &Conn)| {
                     (!self.ready.contains(&c.endpoint)).then_some(*id)
                 };
-                for conn in self.conns.iter().filter_map(barred).collect::<Vec<_>>() {
-                    told.extend(self.cancel_pending_attempt(now, conn, effects));
+                for connection in self.conns.iter().filter_map(barred).collect::<Vec<_>>() {
+                    told.extend(self.cancel_pending_attempt(now, connection, effects));
                 }
             }
             Event::ClientConnected(client) => {
@@ -331,9 +331,9 @@
             Event::ClientDisconnected(client) => {
                 for id in self.clients.remove(&client).unwrap_or_default().open {
                     // Nobody takes what is passed on to it any more.
-                    if let Some(conn) = self.passing(id) {
+                    if let Some(connection) = self.passing(id) {
                         let end = UpstreamReply::bare(Outcome::Cancelled);
-                        told.extend(self.on_reply(now, conn, end, false, effects));
+                        told.extend(self.on_reply(now, connection, end, false, effects));
                         continue;
                     }
                     if let Some(door) = &mut self.door {
@@ -363,13 +363,15 @@
                 self.count_asked(tenant, now);
                 self.record_unheld(class, tenant, group, FinalOutcome::Aborted, effects);
             }
-            Event::ResponseStarted(conn) => told.extend(self.on_began(now, conn, effects)),
+            Event::ResponseStarted(connection) => {
+                told.extend(self.on_began(now, connection, effects))
+            }
             Event::AttemptEnded {
-                conn,
+                connection,
                 reply,
                 reusable,
             } => {
-                told.extend(self.on_reply(now, conn, reply, reusable, effects));
+                told.extend(self.on_reply(now, connection, reply, reusable, effects));
             }
             Event::GatewayCount(count) => told.push(PolicyEvent::RouterCount(count)),
             Event::ClockCorrected(by) => told.push(PolicyEvent::ClockCorrected(by)),
@@ -396,7 +398,7 @@
                     self.close(spare, effects);
                 }
                 // Those that carry something are used until they are idle.
-                self.facts.server_conns = most.max(self.conns.len());
+                self.facts.upstream_connection_limit = most.max(self.conns.len());
             }
             Event::PublishView => effects.push(Effect::PublishView(Box::new(self.live(now)))),
             Event::ShutdownRequested => {
@@ -503,7 +505,7 @@
         self.names.extend(ask.name.clone());
         // It may have waited for this turn.
         let arrived = ask.received.min(now);
-        let deadline = arrived + Span((ask.patience - HEADSTART).0.max(1));
+        let deadline = arrived + Span((ask.client_timeout - HEADSTART).0.max(1));
         let time_left = Span((deadline - now).0.max(1));
         self.due
             .insert((deadline + HEADSTART + HEADSTART, Due::Overdue(id)));
@@ -540,7 +542,7 @@
             tenant: ask.tenant.map(valehatch_policy::TenantId),
             work: None,
             repeat: ask.repeat,
-            since_last_write: ask.wrote_at.map(|at| Span((now - at).0.max(0))),
+            since_last_write: ask.last_write_at.map(|at| Span((now - at).0.max(0))),
         };
         let Some(door) = &mut self.door else {
             return Some(PolicyEvent::Request(request));
@@ -594,7 +596,7 @@
             FinalOutcome::Refused(refused),
             FinalAnswer::Rejected {
                 after,
-                crowded: false,
+                overloaded: false,
             },
         )
     }
@@ -634,7 +636,7 @@
                         };
                         let answer = FinalAnswer::Rejected {
                             after: hint.after,
-                            crowded: !hint.honest,
+                            overloaded: !hint.honest,
                         };
                         self.answer(now, id, answer, FinalOutcome::Refused(why), effects);
                     }
@@ -704,10 +706,10 @@
     fn on_began(
         &mut self,
         now: Time,
-        conn: ConnectionId,
+        connection: ConnectionId,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        let slot = self.conns.get_mut(&conn)?;
+        let slot = self.conns.get_mut(&connection)?;
         let Use::Attempt(request, ..) = slot.used else {
             return None;
         };
@@ -718,7 +720,7 @@
         else {
             return self.on_reply(
                 now,
-                conn,
+                connection,
                 UpstreamReply::bare(Outcome::Cancelled),
                 false,
                 effects,
@@ -726,11 +728,11 @@
         };
         held.began = Some(now);
         let due = std::mem::replace(&mut slot.until, Time(i64::MAX));
-        self.due.remove(&(due, Due::Attempt(conn)));
+        self.due.remove(&(due, Due::Attempt(connection)));
         self.due
             .remove(&(held.deadline + HEADSTART + HEADSTART, Due::Overdue(request)));
         effects.push(Effect::ForwardBody {
-            conn,
+            connection,
             client: held.client,
             ticket: held.ticket,
         });
@@ -746,19 +748,19 @@
         self.attempts
             .range((id, 0)..=(id, u32::MAX))
             .next()
-            .map(|(_, conn)| *conn)
+            .map(|(_, connection)| *connection)
     }
 
     /// What a connection brought back for what it carried.
     fn on_reply(
         &mut self,
         now: Time,
-        conn: ConnectionId,
+        connection: ConnectionId,
         mut reply: UpstreamReply,
         reusable: bool,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        let slot = self.conns.get_mut(&conn)?;
+        let slot = self.conns.get_mut(&connection)?;
         let (endpoint, used) = (slot.endpoint, slot.used);
         // What is given up before anything of it was written has not run.
         let given_up = matches!(reply.outcome, Outcome::Timeout | Outcome::Cancelled);
@@ -771,13 +773,16 @@
         }
         if !matches!(used, Use::Idle(_)) {
             slot.used = Use::Idle(now);
-            self.idle.entry(endpoint).or_default().insert((now, conn));
+            self.idle
+                .entry(endpoint)
+                .or_default()
+                .insert((now, connection));
         }
         // A deadline left by what it carried must not strike what it carries next.
-        self.due.remove(&(slot.until, Due::Attempt(conn)));
+        self.due.remove(&(slot.until, Due::Attempt(connection)));
         let kept = reusable && self.members.contains_key(&endpoint);
         if !kept {
-            self.close(conn, effects);
+            self.close(connection, effects);
         }
         match used {
             Use::Idle(_) => None,
@@ -874,10 +879,10 @@
             Due::Router(token) => told.push(PolicyEvent::Timer(token)),
             // An attempt or a probe that is out for too long: the connection goes with it, so that what comes
             // late can never reach another request.
-            Due::Attempt(conn) => {
+            Due::Attempt(connection) => {
                 told.extend(self.on_reply(
                     now,
-                    conn,
+                    connection,
                     UpstreamReply::bare(Outcome::Timeout),
                     false,
                     effects,
@@ -907,8 +912,8 @@
                         .map(|(_, id)| *id)
                         .collect()
                 };
-                for conn in self.idle.values().flat_map(old).collect::<Vec<_>>() {
-                    self.close(conn, effects);
+                for connection in self.idle.values().flat_map(old).collect::<Vec<_>>() {
+                    self.close(connection, effects);
                 }
                 self.due.insert((now + SWEEP, Due::Sweep));
             }
@@ -949,7 +954,7 @@
                         (
                             FinalAnswer::Rejected {
                                 after,
-                                crowded: false,
+                                overloaded: false,
                             },
                             FinalOutcome::Refused(RejectionReason::Stopping),
                         )
@@ -963,14 +968,14 @@
                     let out = self
                         .attempts
                         .range((id, 0)..=(id, u32::MAX))
-                        .map(|(_, conn)| *conn);
+                        .map(|(_, connection)| *connection);
                     let out: Vec<ConnectionId> = out.collect();
                     self.answer(now, id, answer, how, effects);
                     told.push(PolicyEvent::ClientDisconnected(id));
-                    for conn in out {
+                    for connection in out {
                         told.extend(self.on_reply(
                             now,
-                            conn,
+                            connection,
                             UpstreamReply::bare(Outcome::Cancelled),
                             false,
                             effects,
@@ -1000,12 +1005,12 @@
                 self.send(now, request, endpoint, timeout, send_before, effects);
             }
             Action::Cancel { request, attempt } => {
-                let Some(conn) = self.attempts.get(&(request, attempt)).copied() else {
+                let Some(connection) = self.attempts.get(&(request, attempt)).copied() else {
                     return;
                 };
                 let end = self.on_reply(
                     now,
-                    conn,
+                    connection,
                     UpstreamReply::bare(Outcome::Cancelled),
                     false,
                     effects,
@@ -1025,7 +1030,7 @@
                         request,
                         FinalAnswer::Rejected {
                             after,
-                            crowded: false,
+                            overloaded: false,
                         },
                         how,
                         effects,
@@ -1064,7 +1069,7 @@
                     });
                 }
                 let took = self.take_conn(now, endpoint, Use::Probe(now), effects);
-                let Some(conn) = took else {
+                let Some(connection) = took else {
                     let latency = Span(0);
                     let outcome = self.no_connection(endpoint);
                     return self.pending.push(PolicyEvent::HealthCheckEnded {
@@ -1074,9 +1079,9 @@
                         report: None,
                     });
                 };
-                self.wait_until(conn, now + self.facts.probe_timeout);
+                self.wait_until(connection, now + self.facts.probe_timeout);
                 effects.push(Effect::Submit {
-                    conn,
+                    connection,
                     job: UpstreamJob::HealthCheck,
                 });
             }
@@ -1144,7 +1149,7 @@
                 .get(&endpoint)
                 .map(|(name, _)| (Arc::clone(name), now));
         }
-        let Some(conn) = took else {
+        let Some(connection) = took else {
             let outcome = if permitted.is_err() {
                 Outcome::NotSent
             } else {
@@ -1166,7 +1171,7 @@
                 report: None,
             }));
         };
-        self.attempts.insert((request, attempt), conn);
+        self.attempts.insert((request, attempt), connection);
         if self.facts.traced {
             let endpoint = self.endpoint_name(endpoint);
             self.trace(
@@ -1174,19 +1179,19 @@
                 RequestStep::AttemptSent {
                     attempt,
                     endpoint,
-                    connection: conn,
+                    connection: connection,
                 },
                 effects,
             );
         }
-        self.wait_until(conn, until);
+        self.wait_until(connection, until);
         let permit = SendPermit::new(send_before.map_or(until, |at| at.min(until)));
         self.conns
-            .get_mut(&conn)
+            .get_mut(&connection)
             .into_iter()
             .for_each(|c| c.permit = Some(permit.clone()));
         effects.push(Effect::Submit {
-            conn,
+            connection,
             job: UpstreamJob::Request {
                 payload,
                 until,
@@ -1253,12 +1258,12 @@
     fn cancel_pending_attempt(
         &mut self,
         now: Time,
-        conn: ConnectionId,
+        connection: ConnectionId,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
         let unwritten = self
             .conns
-            .get(&conn)?
+            .get(&connection)?
             .permit
             .as_ref()
             .is_some_and(SendPermit::revoke);
@@ -1268,7 +1273,7 @@
         self.facts.decisions.on_cancelled_unsent();
         self.on_reply(
             now,
-            conn,
+            connection,
             UpstreamReply::bare(Outcome::NotSent),
             false,
             effects,
@@ -1305,7 +1310,7 @@
                 last.1
             }
             None => {
-                if self.conns.len() >= self.facts.server_conns {
+                if self.conns.len() >= self.facts.upstream_connection_limit {
                     let oldest = self.idle.values().filter_map(BTreeSet::first).min();
                     let Some((_, spare)) = oldest.copied() else {
                         effects.push(Effect::Log(LogEvent::UpstreamConnectionsExhausted(
@@ -1317,7 +1322,10 @@
                 }
                 self.next_conn += 1;
                 let id = ConnectionId(self.next_conn);
-                effects.push(Effect::Connect { conn: id, address });
+                effects.push(Effect::Connect {
+                    connection: id,
+                    address,
+                });
                 id
             }
         };
@@ -1333,32 +1341,32 @@
         Some(id)
     }
 
-    fn wait_until(&mut self, conn: ConnectionId, until: Time) {
+    fn wait_until(&mut self, connection: ConnectionId, until: Time) {
         self.conns
-            .get_mut(&conn)
+            .get_mut(&connection)
             .into_iter()
             .for_each(|c| c.until = until);
-        self.due.insert((until, Due::Attempt(conn)));
+        self.due.insert((until, Due::Attempt(connection)));
     }
 
-    fn close(&mut self, conn: ConnectionId, effects: &mut Vec<Effect>) {
-        let Some(closed) = self.conns.remove(&conn) else {
+    fn close(&mut self, connection: ConnectionId, effects: &mut Vec<Effect>) {
+        let Some(closed) = self.conns.remove(&connection) else {
             return;
         };
         if let Use::Idle(at) = closed.used
             && let Some(idle) = self.idle.get_mut(&closed.endpoint)
         {
-            idle.remove(&(at, conn));
+            idle.remove(&(at, connection));
             if idle.is_empty() {
                 self.idle.remove(&closed.endpoint);
             }
         }
-        effects.push(Effect::CloseUpstream(conn));
+        effects.push(Effect::CloseUpstream(connection));
     }
 
     fn close_idle(&mut self, endpoint: EndpointId, effects: &mut Vec<Effect>) {
-        for (_, conn) in self.idle.get(&endpoint).cloned().unwrap_or_default() {
-            self.close(conn, effects);
+        for (_, connection) in self.idle.get(&endpoint).cloned().unwrap_or_default() {
+            self.close(connection, effects);
         }
     }
 
@@ -1378,9 +1386,9 @@
         let out = self
             .attempts
             .range((id, 0)..=(id, u32::MAX))
-            .map(|(_, conn)| *conn);
-        for conn in out.collect::<Vec<_>>() {
-            let end = self.cancel_pending_attempt(now, conn, effects);
+            .map(|(_, connection)| *connection);
+        for connection in out.collect::<Vec<_>>() {
+            let end = self.cancel_pending_attempt(now, connection, effects);
             self.pending.extend(end);
         }
         Some(held)
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -197,11 +197,13 @@
     };
     match idempotency {
         Idempotency::Idempotent => Ok(()),
-        Idempotency::NonIdempotent | Idempotency::IdempotencyKey(DedupScope::Zone, _) => {
-            Err(Denial::RepeatForbidden)
-        }
-        Idempotency::IdempotencyKey(_, window) if now < since + window => Ok(()),
-        Idempotency::IdempotencyKey(..) => Err(Denial::RepeatWindowOver),
+        Idempotency::NonIdempotent
+        | Idempotency::IdempotencyKey {
+            scope: DedupScope::Zone,
+            ..
+        } => Err(Denial::RepeatForbidden),
+        Idempotency::IdempotencyKey { window, .. } if now < since + window => Ok(()),
+        Idempotency::IdempotencyKey { .. } => Err(Denial::RepeatWindowOver),
     }
 }
 
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -70,10 +70,10 @@
     /// When its last byte was read.
     pub received: Time,
     /// How long the client will wait, from then on.
-    pub patience: Span,
+    pub client_timeout: Span,
     pub repeat: bool,
     /// When the session's last write was committed, if it brought that.
-    pub wrote_at: Option<Time>,
+    pub last_write_at: Option<Time>,
     pub payload: Arc<Payload>,
     /// The room that its bytes take for as long as it is open.
     pub room: MemoryReservation,
@@ -103,7 +103,7 @@
     /// time that clients heed is too short to be honest.
     Rejected {
         after: Span,
-        crowded: bool,
+        overloaded: bool,
     },
     Failed(Failure),
 }
@@ -175,7 +175,7 @@
     ResponseStarted(ConnectionId),
     /// What a connection carried has ended; an answer that was passed on has been taken up whole, or was cut.
     AttemptEnded {
-        conn: ConnectionId,
+        connection: ConnectionId,
         reply: UpstreamReply,
         reusable: bool,
     },
@@ -212,17 +212,17 @@
 #[derive(Debug)]
 pub enum Effect {
     Connect {
-        conn: ConnectionId,
+        connection: ConnectionId,
         address: Arc<str>,
     },
     Submit {
-        conn: ConnectionId,
+        connection: ConnectionId,
         job: UpstreamJob,
     },
     CloseUpstream(ConnectionId),
     /// The answer that has begun on a connection goes to the client as it comes, in its turn.
     ForwardBody {
-        conn: ConnectionId,
+        connection: ConnectionId,
         client: ClientId,
         ticket: u64,
     },
@@ -356,6 +356,6 @@
     /// Steps of requests are traced.
     pub traced: bool,
     /// Connections to servers at the most.
-    pub server_conns: usize,
+    pub upstream_connection_limit: usize,
     pub probe_timeout: Span,
 }
--- a/crates/core/tests/begin.rs
+++ b/crates/core/tests/begin.rs
@@ -35,7 +35,10 @@
     };
     Settings {
         classes: vec![
-            class(Rerun::IdempotencyKey(DedupScope::Group, ms(2_000))),
+            class(Rerun::IdempotencyKey {
+                scope: DedupScope::Group,
+                window: ms(2_000),
+            }),
             class(Rerun::NonIdempotent),
         ],
         tenants: vec![],
@@ -60,7 +63,7 @@
         rules: Rules {
             max_poll_interval: ms(8_000),
             slow_start_initial_capacity: 0.2,
-            cold: ms(10_000),
+            slow_start_duration: ms(10_000),
             overload_multiple: 2.0,
             overload_duration: ms(1_500),
             removal_is_advisory: false,
@@ -74,7 +77,7 @@
     now: Time,
     room: Arc<AtomicUsize>,
     permit: SendPermit,
-    conn: ConnectionId,
+    connection: ConnectionId,
     /// When its attempt is given up.
     until: Time,
 }
@@ -106,9 +109,9 @@
         group: GroupId(0),
         session: None,
         received,
-        patience: ms(2_000),
+        client_timeout: ms(2_000),
         repeat: false,
-        wrote_at: None,
+        last_write_at: None,
         payload: Arc::new(Payload {
             bytes: vec![0; 10],
             write: true,
@@ -137,17 +140,17 @@
 fn submitted(effects: &[Effect]) -> Option<(ConnectionId, SendPermit)> {
     effects.iter().find_map(|idempotency| match idempotency {
         Effect::Submit {
-            conn,
+            connection,
             job: UpstreamJob::Request { permit, .. },
-        } => Some((*conn, permit.clone())),
+        } => Some((*connection, permit.clone())),
         _ => None,
     })
 }
 
-fn closed(effects: &[Effect], conn: ConnectionId) -> bool {
+fn closed(effects: &[Effect], connection: ConnectionId) -> bool {
     effects
         .iter()
-        .any(|e| matches!(e, Effect::CloseUpstream(closed) if *closed == conn))
+        .any(|e| matches!(e, Effect::CloseUpstream(closed) if *closed == connection))
 }
 
 impl Scene {
@@ -165,7 +168,7 @@
         scene.turn(
             1,
             vec![Event::AttemptEnded {
-                conn: scene.conn,
+                connection: scene.connection,
                 reply: end,
                 reusable: true,
             }],
@@ -180,7 +183,8 @@
                 ask: asked,
             }],
         );
-        (scene.conn, scene.permit) = submitted(&effects).expect("it goes to the primary at once");
+        (scene.connection, scene.permit) =
+            submitted(&effects).expect("it goes to the primary at once");
         scene.until = until(&effects);
         scene
     }
@@ -194,7 +198,7 @@
             settings: settings(),
             decisions: Arc::new(Decisions::default()),
             traced: false,
-            server_conns: 8,
+            upstream_connection_limit: 8,
             probe_timeout: ms(250),
         };
         let mut state = State::new(facts, 1).unwrap();
@@ -217,13 +221,13 @@
             vec![list, Event::ClientConnected(ClientId(1)), asked],
             &mut effects,
         );
-        let (conn, permit) = submitted(&effects).expect("it goes to the primary at once");
+        let (connection, permit) = submitted(&effects).expect("it goes to the primary at once");
         Self {
             state,
             now,
             room,
             permit,
-            conn,
+            connection,
             until: until(&effects),
         }
     }
@@ -282,12 +286,12 @@
             scene.permit.try_acquire(scene.now).is_err(),
             "it must not begin any more"
         );
-        assert!(closed(&effects, scene.conn));
+        assert!(closed(&effects, scene.connection));
         assert_eq!(scene.room.load(Ordering::Relaxed), 0, "its room is free");
         // Whoever carried it says so as well, late.
         let reply = UpstreamReply::bare(Outcome::NotSent);
         let ended = Event::AttemptEnded {
-            conn: scene.conn,
+            connection: scene.connection,
             reply,
             reusable: true,
         };
@@ -302,7 +306,7 @@
     assert!(scene.permit.try_acquire(scene.now).is_ok());
     let effects = scene.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
     assert!(
-        !closed(&effects, scene.conn),
+        !closed(&effects, scene.connection),
         "it runs, and its member is not disturbed"
     );
     assert_eq!(scene.room.load(Ordering::Relaxed), 0);
@@ -325,8 +329,8 @@
             scene.permit.try_acquire(scene.now).is_err(),
             "{state:?}: it must not begin there any more"
         );
-        let (conn, _) = submitted(&effects).expect("the other one has it at once");
-        assert_ne!(conn, scene.conn);
+        let (connection, _) = submitted(&effects).expect("the other one has it at once");
+        assert_ne!(connection, scene.connection);
     }
 }
 
@@ -353,7 +357,7 @@
     let effects = scene.turn(
         50,
         vec![Event::AttemptEnded {
-            conn: scene.conn,
+            connection: scene.connection,
             reply,
             reusable: true,
         }],
@@ -395,7 +399,7 @@
     let mut scene = Scene::asked_after(UNSAFE, vec![Event::ShutdownRequested], ms(3_000));
     assert!(scene.permit.try_acquire(scene.now).is_ok());
     let early = scene.turn(400, vec![]);
-    assert!(!closed(&early, scene.conn), "it may be answered yet");
+    assert!(!closed(&early, scene.connection), "it may be answered yet");
     let effects = scene.turn(60, vec![]);
     let failed = |e: &Effect| {
         matches!(
@@ -408,7 +412,7 @@
     };
     assert!(effects.iter().any(failed), "it may have run: {effects:?}");
     assert!(
-        closed(&effects, scene.conn),
+        closed(&effects, scene.connection),
         "it is not out any more when its client asks elsewhere"
     );
 }
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -8,7 +8,10 @@
 use valehatch_policy::{DedupScope, Idempotency, Span, Time};
 
 const WINDOW: Span = Span::from_millis(2_000);
-const KEYED: Idempotency = Idempotency::IdempotencyKey(DedupScope::Group, WINDOW);
+const KEYED: Idempotency = Idempotency::IdempotencyKey {
+    scope: DedupScope::Group,
+    window: WINDOW,
+};
 
 fn sending() -> SendCheck {
     SendCheck {
@@ -43,7 +46,7 @@
 #[case::inside_its_window(KEYED, WINDOW.0 - 1, Ok(()))]
 #[case::at_its_end(KEYED, WINDOW.0, Err(Denial::RepeatWindowOver))]
 #[case::keys_of_a_zone_hold_in_that_zone_only(
-    Idempotency::IdempotencyKey(DedupScope::Zone, WINDOW),
+    Idempotency::IdempotencyKey { scope: DedupScope::Zone, window: WINDOW },
     1,
     Err(Denial::RepeatForbidden)
 )]
--- a/crates/cql/src/clients.rs
+++ b/crates/cql/src/clients.rs
@@ -135,7 +135,7 @@
                 );
                 let answer = FinalAnswer::Rejected {
                     after: self.site.settings.limits.max_retry_after,
-                    crowded: false,
+                    overloaded: false,
                 };
                 return session.reply(0, self.encode(ticket, answer));
             }
@@ -154,9 +154,9 @@
                 group: GroupId(contract.group),
                 session: None,
                 received: self.clock.now(),
-                patience: Span(class.deadline.0),
+                client_timeout: Span(class.deadline.0),
                 repeat: false,
-                wrote_at: None,
+                last_write_at: None,
                 client: session.client(),
                 payload: Arc::new(payload),
                 room,
@@ -267,8 +267,8 @@
             FinalAnswer::Served(bytes) | FinalAnswer::Failed(Failure::UpstreamError(bytes)) => {
                 Frame::from_bytes(bytes).on_stream(stream).into_bytes()
             }
-            FinalAnswer::Rejected { after, crowded } => {
-                codec::overloaded(stream, (after.0 / 1000).max(1), crowded)
+            FinalAnswer::Rejected { after, overloaded } => {
+                codec::overloaded(stream, (after.0 / 1000).max(1), overloaded)
             }
             FinalAnswer::Failed(Failure::ConnectionLost | Failure::DuplicateName) => error(
                 stream,
--- a/crates/cql/src/codec.rs
+++ b/crates/cql/src/codec.rs
@@ -365,14 +365,14 @@
 }
 
 /// A refusal: when to come back stands in the message and, for programs, in the custom payload.
-pub fn overloaded(stream: i16, after_ms: i64, crowded: bool) -> Vec<u8> {
+pub fn overloaded(stream: i16, after_ms: i64, overloaded: bool) -> Vec<u8> {
     let mut body = 1_u16.to_be_bytes().to_vec();
     put_string(&mut body, "retry-after-ms");
     let value = after_ms.to_string();
     body.extend_from_slice(&u32::try_from(value.len()).unwrap_or(0).to_be_bytes());
     body.extend_from_slice(value.as_bytes());
     body.extend_from_slice(&code::OVERLOADED.to_be_bytes());
-    let more = if crowded {
+    let more = if overloaded {
         "; more wait than can be served by then"
     } else {
         ""
--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -110,7 +110,7 @@
         Outcome::Ok | Outcome::Rejected | Outcome::Misdirected | Outcome::Error
     );
     Event::AttemptEnded {
-        conn: ConnectionId(job.0),
+        connection: ConnectionId(job.0),
         reply,
         reusable,
     }
@@ -149,9 +149,9 @@
         most: usize,
         figures: Option<Arc<OutcomeMetrics>>,
     ) -> Result<Self, String> {
-        let patience =
+        let request_timeout =
             Span(i64::try_from(connect_timeout.as_micros()).unwrap_or(250_000)).min(STANDS);
-        let settings = Settings::new(patience, idle);
+        let settings = Settings::new(request_timeout, idle);
         StreamMultiplexer::new(settings)?;
         let held = AtomicUsize::new(0);
         let context = Context {
@@ -213,14 +213,14 @@
 }
 
 impl Upstream for Nodes {
-    fn connect(&mut self, conn: ConnectionId, address: &Arc<str>) {
+    fn connect(&mut self, connection: ConnectionId, address: &Arc<str>) {
         if let Some(node) = self.node(address) {
-            self.jobs.insert(conn, node);
+            self.jobs.insert(connection, node);
         }
     }
 
-    fn submit(&mut self, conn: ConnectionId, job: UpstreamJob) {
-        let Some(node) = self.jobs.get(&conn).cloned() else {
+    fn submit(&mut self, connection: ConnectionId, job: UpstreamJob) {
+        let Some(node) = self.jobs.get(&connection).cloned() else {
             return;
         };
         let now = self.context.clock.now();
@@ -228,22 +228,22 @@
         node.with(&mut told, |inner, out| {
             inner
                 .exchanges
-                .insert(JobId(conn.0), Exchange::new(job, now));
-            inner.streams.submit(now, JobId(conn.0), out);
+                .insert(JobId(connection.0), Exchange::new(job, now));
+            inner.streams.submit(now, JobId(connection.0), out);
         });
         self.touch(&node);
         self.tell(told);
     }
 
-    fn close(&mut self, conn: ConnectionId) {
-        let Some(node) = self.jobs.remove(&conn) else {
+    fn close(&mut self, connection: ConnectionId) {
+        let Some(node) = self.jobs.remove(&connection) else {
             return;
         };
         let now = self.context.clock.now();
         let mut told = vec![];
         node.with(&mut told, |inner, out| {
-            if inner.exchanges.remove(&JobId(conn.0)).is_some() {
-                inner.streams.cancel(now, JobId(conn.0), out);
+            if inner.exchanges.remove(&JobId(connection.0)).is_some() {
+                inner.streams.cancel(now, JobId(connection.0), out);
             }
         });
         self.touch(&node);
@@ -716,12 +716,12 @@
         });
         // The core takes an event only when it is asked for here: until then the thread that tells it waits.
         let (events, inbox) = crossbeam_channel::bounded(0);
-        let (patience, idle) = (Duration::from_secs(10), Span::from_millis(60_000));
+        let (request_timeout, idle) = (Duration::from_secs(10), Span::from_millis(60_000));
         let mut nodes = Nodes::new(
             Arc::default(),
             events,
             Clock::start(),
-            patience,
+            request_timeout,
             idle,
             8,
             None,
@@ -745,11 +745,11 @@
                 },
             );
             nodes.flush();
-            ends.recv_timeout(patience)
+            ends.recv_timeout(request_timeout)
                 .expect("what the core sends next cannot go out on it");
-            let told = inbox.recv_timeout(patience).unwrap();
+            let told = inbox.recv_timeout(request_timeout).unwrap();
             assert!(
-                matches!(told, Event::AttemptEnded { conn, reusable: false, .. } if conn == ConnectionId(n))
+                matches!(told, Event::AttemptEnded { connection, reusable: false, .. } if connection == ConnectionId(n))
             );
         }
     }
--- a/crates/cql/tests/nodes.rs
+++ b/crates/cql/tests/nodes.rs
@@ -77,12 +77,12 @@
         write: true,
         class: 0,
     });
-    for conn in (0..JOBS).map(ConnectionId) {
-        nodes.connect(conn, &address);
+    for connection in (0..JOBS).map(ConnectionId) {
+        nodes.connect(connection, &address);
         let until = clock.now() + Span::from_millis(60_000);
         let (payload, permit) = (Arc::clone(&payload), SendPermit::new(until));
         nodes.submit(
-            conn,
+            connection,
             UpstreamJob::Request {
                 payload,
                 until,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -185,7 +185,7 @@
             door,
             figures: figures.clone(),
             watched: watcher.as_ref().map(|w| Arc::clone(&w.names)),
-            server_conns: streams.unwrap_or(connections(sockets)),
+            upstream_connection_limit: streams.unwrap_or(connections(sockets)),
             probe_timeout: Span::from_millis(i64::try_from(site.connect_timeout_ms).unwrap_or(250)),
         };
         let state = State::new(facts, seed).map_err(|e| e.to_string())?;
@@ -231,14 +231,17 @@
                 return true;
             };
             match effect {
-                Effect::Connect { conn, address } => servers.connect(conn, &address),
-                Effect::Submit { conn, job } => servers.submit(conn, job),
-                Effect::CloseUpstream(conn) => servers.close(conn),
+                Effect::Connect {
+                    connection,
+                    address,
+                } => servers.connect(connection, &address),
+                Effect::Submit { connection, job } => servers.submit(connection, job),
+                Effect::CloseUpstream(connection) => servers.close(connection),
                 Effect::ForwardBody {
-                    conn,
+                    connection,
                     client,
                     ticket,
-                } => servers.pass(conn, clients.passage(client, ticket)),
+                } => servers.pass(connection, clients.passage(client, ticket)),
                 Effect::Answer {
                     client,
                     ticket,
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -320,10 +320,10 @@
                 })
             });
         let rules = &self.settings.rules;
-        let cold = members.iter().filter_map(|member| {
+        let warming_up = members.iter().filter_map(|member| {
             let since_ms = cold_since(
                 member.view.warm?,
-                rules.cold,
+                rules.slow_start_duration,
                 rules.slow_start_initial_capacity,
                 at_ms,
             );
@@ -336,7 +336,7 @@
             name: self.name.clone(),
             book,
             primaries: primaries.collect(),
-            cold: cold.collect(),
+            cold: warming_up.collect(),
         }
     }
 }
--- a/crates/gateway/tests/crowd.rs
+++ b/crates/gateway/tests/crowd.rs
@@ -14,7 +14,7 @@
 const SOCKETS: usize = 192;
 const MEMORY_MB: usize = 24;
 
-fn crowded() -> (Platform, std::sync::Arc<support::Seen>) {
+fn overloaded() -> (Platform, std::sync::Arc<support::Seen>) {
     let (at, seen) = database("read-write", |_, q| {
         // What the quoted key says: as long as the databases on that day take.
         std::thread::sleep(Duration::from_millis(20));
@@ -66,7 +66,7 @@
 #[case::half_an_opening(Client::opening()[..9].to_vec())]
 #[case::half_a_request(asks(1)[..60].to_vec())]
 fn a_crowd_that_never_asks_turns_away_nobody_who_does(#[case] sent: Vec<u8>) {
-    let (gateway, _) = crowded();
+    let (gateway, _) = overloaded();
     assert_eq!(ask(&gateway, 0), Answer::Value("x0".into()));
     let before = holds(&gateway);
     // More than there are places, and as many again while others ask. Halves are let go only beyond half of the places,
@@ -106,7 +106,7 @@
 
 #[test]
 fn those_who_ask_once_and_stay_are_all_served_and_make_way() {
-    let (gateway, seen) = crowded();
+    let (gateway, seen) = overloaded();
     // Ten at a time, since each member's connection carries one request.
     let (mut stay, mut coming) = (vec![], VecDeque::new());
     for id in 0..1_000 {
@@ -146,7 +146,7 @@
 /// Clients hold a third of the descriptors at the most to ask on: when those who stay hold them all, nobody can ask.
 #[test]
 fn who_asks_once_and_stays_makes_way_before_clients_can_ask_no_more() {
-    let (gateway, _) = crowded();
+    let (gateway, _) = overloaded();
     let mut kept = Client::raw_with(gateway.address, &asks(1_000));
     kept.greeted();
     let mut ask_again = |id: usize| {
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_request_written_in_pieces_is_served_while_a_crowd_wants_its_place() {
-    let (gateway, _) = crowded();
+    let (gateway, _) = overloaded();
     let bytes = asks(7);
     // The first piece ends where the opening does: the client has been greeted, and seems to ask nothing.
     let pieces = [
--- a/crates/net/src/call.rs
+++ b/crates/net/src/call.rs
@@ -88,7 +88,7 @@
 
 /// How long a call is waited for, counted from the end of the wait that it asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct CallTimeouts {
     /// Without a byte for so long it is late: the next one may go out beside it.
     pub late: Duration,
     /// It is late after so long also where the answer goes on to come in pieces.
@@ -109,7 +109,7 @@
     came: Option<Instant>,
     /// When the wait that it asks for is over.
     due: Instant,
-    patience: Patience,
+    timeouts: CallTimeouts,
 }
 
 impl Call {
@@ -119,7 +119,7 @@
         line: Line,
         from: Option<u64>,
         hold: Duration,
-        patience: Patience,
+        timeouts: CallTimeouts,
     ) -> io::Result<Self> {
         place.ends(&line)?;
         let path = match from {
@@ -137,7 +137,7 @@
             bytes: vec![],
             came: None,
             due,
-            patience,
+            timeouts,
         })
     }
 
@@ -152,15 +152,15 @@
 
     /// From when on it is late, if nothing more comes.
     fn late_at(&self) -> Instant {
-        let late = self.due + self.patience.late;
+        let late = self.due + self.timeouts.late;
         let pieces = self
             .came
-            .map(|came| (came + self.patience.late).min(self.due + self.patience.pieces));
+            .map(|came| (came + self.timeouts.late).min(self.due + self.timeouts.pieces));
         pieces.map_or(late, |pieces| pieces.max(late))
     }
 
     fn ends_at(&self) -> Instant {
-        self.due + self.patience.end
+        self.due + self.timeouts.end
     }
 
     fn waits_for(&self) -> PollFd<'_> {
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -22,7 +22,7 @@
 use super::servers::place_ms;
 use crate::Clock;
 pub use crate::call::Place;
-use crate::call::{Call, Line, Patience, first};
+use crate::call::{Call, CallTimeouts, Line, first};
 use crate::http::Answer;
 use crate::lock;
 use valehatch_core::{Event, ListedEndpoint};
@@ -148,8 +148,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Terms {
     /// How long a call for the whole list is waited for, and one that may wait for news.
-    whole: Patience,
-    watch: Patience,
+    whole: CallTimeouts,
+    watch: CallTimeouts,
     /// Between tries: the first bound and the last.
     pauses: (Span, Span),
     /// How long after one that failed the next call may begin, at the latest.
@@ -165,7 +165,7 @@
         let end = duration(TOLD_AFTER_WAIT);
         let (whole, watch, pauses) = match teller {
             Teller::Agent => {
-                let agent = Patience {
+                let agent = CallTimeouts {
                     late: LATE_AGENT,
                     pieces: SILENCE,
                     end,
@@ -173,7 +173,7 @@
                 (agent, agent, (PAUSE, LONGEST_AGENT))
             }
             Teller::Pushes => {
-                let service = Patience {
+                let service = CallTimeouts {
                     late: SILENCE,
                     pieces: SILENCE,
                     end,
@@ -189,14 +189,14 @@
             Teller::Poll => {
                 let turn = duration(within.times(0.25).min(room));
                 let round = valehatch_backoff::round(site.settings.routers, CALLS_S).min(room);
-                let whole = Patience {
+                let whole = CallTimeouts {
                     late: turn,
                     pieces: turn,
                     end: turn,
                 };
                 (
                     whole,
-                    Patience {
+                    CallTimeouts {
                         late: SILENCE.min(turn),
                         ..whole
                     },
@@ -461,12 +461,12 @@
         hold: Duration,
     ) -> io::Result<Heard> {
         let line = line.map_or_else(|| Line::connect(address), Ok)?;
-        let patience = if from.is_some() {
+        let timeouts = if from.is_some() {
             self.terms.watch
         } else {
             self.terms.whole
         };
-        out.push(Call::begin(&self.place, line, from, hold, patience)?);
+        out.push(Call::begin(&self.place, line, from, hold, timeouts)?);
         out.drain(..out.len().saturating_sub(OUT));
         let (call, Answer { body, keep }) = first(out)?;
         let list =
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/servers.rs
@@ -54,13 +54,13 @@
 /// All connections to servers, as the core's thread uses them: it never waits for any of them.
 pub trait Upstream: Send {
     /// A connection that the core will use; nothing need be opened before it carries something.
-    fn connect(&mut self, conn: ConnectionId, address: &Arc<str>);
+    fn connect(&mut self, connection: ConnectionId, address: &Arc<str>);
     /// A connection is to carry this; it carries nothing else meanwhile.
-    fn submit(&mut self, conn: ConnectionId, job: UpstreamJob);
+    fn submit(&mut self, connection: ConnectionId, job: UpstreamJob);
     /// The answer that has begun on a connection goes this way; if there is none, the client is gone.
     fn pass(&mut self, _conn: ConnectionId, _way: Option<ResponseBody>) {}
     /// Ends a connection, whatever it carries.
-    fn close(&mut self, conn: ConnectionId);
+    fn close(&mut self, connection: ConnectionId);
     /// The turn is over: what was put together in it leaves now.
     fn flush(&mut self) {}
 }
@@ -137,9 +137,9 @@
 
 impl Upstream for EndpointPools {
     /// Notes a connection; it connects when the first job comes.
-    fn connect(&mut self, conn: ConnectionId, address: &Arc<str>) {
+    fn connect(&mut self, connection: ConnectionId, address: &Arc<str>) {
         let link = GossipTransport {
-            conn,
+            connection,
             address: address.parse().ok(),
             protocol: Arc::clone(&self.protocol),
             events: self.events.clone(),
@@ -151,13 +151,13 @@
             line: Mutex::default(),
             held: Mutex::default(),
         };
-        self.handles.insert(conn, Arc::new(link));
+        self.handles.insert(connection, Arc::new(link));
     }
 
     /// Hands a job of an idle connection to a thread: one that stands idle has none, since a gateway of a large fleet
     /// holds a connection to nearly every server and uses each seldom.
-    fn submit(&mut self, conn: ConnectionId, job: UpstreamJob) {
-        let Some(link) = self.handles.get(&conn).map(Arc::clone) else {
+    fn submit(&mut self, connection: ConnectionId, job: UpstreamJob) {
+        let Some(link) = self.handles.get(&connection).map(Arc::clone) else {
             return;
         };
         if let Err(e) = super::spawn("server", move || link.run(&job)) {
@@ -167,7 +167,7 @@
             if self
                 .events
                 .try_send(Event::AttemptEnded {
-                    conn,
+                    connection,
                     reply,
                     reusable: false,
                 })
@@ -178,10 +178,10 @@
         }
     }
 
-    fn pass(&mut self, conn: ConnectionId, way: Option<ResponseBody>) {
+    fn pass(&mut self, connection: ConnectionId, way: Option<ResponseBody>) {
         let waits = self
             .handles
-            .get(&conn)
+            .get(&connection)
             .and_then(|link| lock(&link.line).waits.take());
         if let (Some(waits), Some(way)) = (waits, way) {
             let _ = waits.send(way);
@@ -189,8 +189,8 @@
     }
 
     /// Ends a connection, whatever it carries.
-    fn close(&mut self, conn: ConnectionId) {
-        let Some(link) = self.handles.remove(&conn) else {
+    fn close(&mut self, connection: ConnectionId) {
+        let Some(link) = self.handles.remove(&connection) else {
             return;
         };
         let mut line = lock(&link.line);
@@ -203,7 +203,7 @@
 
 /// A connection, which carries one job at a time.
 struct GossipTransport {
-    conn: ConnectionId,
+    connection: ConnectionId,
     address: Option<SocketAddr>,
     protocol: Arc<dyn Protocol>,
     events: Sender<Event>,
@@ -253,7 +253,7 @@
             .for_each(|asked| self.check_times(&mut cluster, &mut reply, asked));
         // The core hears of it first: the client may ask again as soon as it has the last byte, on this connection.
         let _ = self.events.send(Event::AttemptEnded {
-            conn: self.conn,
+            connection: self.connection,
             reply,
             reusable,
         });
@@ -421,7 +421,9 @@
             }
             line.waits = Some(give);
         }
-        self.events.send(Event::ResponseStarted(self.conn)).ok()?;
+        self.events
+            .send(Event::ResponseStarted(self.connection))
+            .ok()?;
         SockRef::from(stream).set_recv_buffer_size(BUFFER).ok()?;
         take.recv().ok().map(Arc::new)
     }
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -48,11 +48,11 @@
         let class = wanted("c")?;
         let class = place(&self.site.classes, class)
             .ok_or_else(|| format!("no class {class:?} is known"))?;
-        let patience = wanted("d")?
+        let client_timeout = wanted("d")?
             .parse::<u32>()
             .ok()
             .filter(|d| (1..=86_400_000).contains(d));
-        let patience = patience.ok_or("d is not a number of milliseconds")?;
+        let client_timeout = client_timeout.ok_or("d is not a number of milliseconds")?;
         let group = wanted("cluster")?
             .parse()
             .map_err(|_| "cluster is not a number")?;
@@ -62,7 +62,7 @@
             deadline,
             ..
         } = self.site.settings.classes[class];
-        let keyed = matches!(idempotency, Idempotency::IdempotencyKey(..));
+        let keyed = matches!(idempotency, Idempotency::IdempotencyKey { .. });
         if keyed && wanted("k")?.is_empty() {
             return Err("the key is empty".into());
         }
@@ -108,9 +108,9 @@
             }),
             received: self.clock.now(),
             // Nobody waits for longer than the class's deadline; what would is not held for it.
-            patience: Span::from_millis(patience.into()).min(deadline),
+            client_timeout: Span::from_millis(client_timeout.into()).min(deadline),
             repeat: value("r") == Some("1"),
-            wrote_at: value("after")
+            last_write_at: value("after")
                 .and_then(|a| a.parse().ok())
                 .map(|ms| place_ms(self.clock, ms)),
             client,
@@ -314,9 +314,9 @@
         let mut out = vec![];
         match answer {
             FinalAnswer::Served(body) => out = body,
-            FinalAnswer::Rejected { after, crowded } => {
+            FinalAnswer::Rejected { after, overloaded } => {
                 let wait = (after.0 / 1000).max(1).to_string();
-                let text = if crowded {
+                let text = if overloaded {
                     "refused: nothing ran; more wait than can be served by the time that is given"
                 } else {
                     "refused: nothing ran, or running it again does no harm"
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -972,10 +972,12 @@
     /// Until when a repeat is sure to be dropped where an earlier attempt may have run.
     fn repeats_until(&self, open: &Open) -> Option<Time> {
         match self.cfg.classes[open.class.0].idempotency {
-            Idempotency::NonIdempotent | Idempotency::IdempotencyKey(DedupScope::Zone, _) => {
-                open.ran_from
-            }
-            Idempotency::IdempotencyKey(_, window) => {
+            Idempotency::NonIdempotent
+            | Idempotency::IdempotencyKey {
+                scope: DedupScope::Zone,
+                ..
+            } => open.ran_from,
+            Idempotency::IdempotencyKey { window, .. } => {
                 Some(open.ran_from? + window - Span(self.cfg.tick.0 * 2))
             }
             Idempotency::Idempotent => None,
@@ -1141,7 +1143,7 @@
             let before = faded(
                 endpoint.excess,
                 self.now - endpoint.excess_at,
-                self.cfg.rules.cold,
+                self.cfg.rules.slow_start_duration,
             );
             (endpoint.excess, endpoint.excess_at) =
                 (before + EXCESS_GAIN * (excess - before), self.now);
@@ -1236,7 +1238,7 @@
         let lag = faded(
             endpoint.lag.as_f64(),
             self.now - endpoint.told_at,
-            self.cfg.rules.cold,
+            self.cfg.rules.slow_start_duration,
         );
         let bears = self
             .groups
@@ -1382,7 +1384,7 @@
             let excess = faded(
                 endpoint.excess,
                 self.now - endpoint.excess_at,
-                self.cfg.rules.cold,
+                self.cfg.rules.slow_start_duration,
             );
             let fit =
                 (1.0 - endpoint.faults).powi(4).max(GAIN.powi(2)) / (1.0 + excess).powf(seldom);
@@ -1414,7 +1416,11 @@
     }
 
     fn served_now(&self) -> f64 {
-        faded(self.served, self.now - self.served_at, self.cfg.rules.cold)
+        faded(
+            self.served,
+            self.now - self.served_at,
+            self.cfg.rules.slow_start_duration,
+        )
     }
 
     /// The final answer of a request that is not tried further: a refusal where that is known to be harmless.
--- a/crates/policy/src/decide/slow_start.rs
+++ b/crates/policy/src/decide/slow_start.rs
@@ -150,7 +150,7 @@
     pub(super) fn slow_start_fraction(&self, endpoint: &Node) -> Option<f64> {
         let rules = &self.cfg.rules;
         let age = self.now - endpoint.started.max(endpoint.health.revived)?;
-        let grown = (age.as_f64() / rules.cold.as_f64()).max(0.0);
+        let grown = (age.as_f64() / rules.slow_start_duration.as_f64()).max(0.0);
         (grown < 1.0).then_some(
             rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown,
         )
@@ -166,7 +166,10 @@
     ///
     /// Departure: acts on all that is sent. May hurt a write whose primary is cold.
     pub(super) fn try_acquire_slow_start_budget(&mut self, id: EndpointId, class: ClassId) -> bool {
-        let (rules, over) = (&self.cfg.rules, self.cfg.rules.cold.max(MEMORY).as_f64());
+        let (rules, over) = (
+            &self.cfg.rules,
+            self.cfg.rules.slow_start_duration.max(MEMORY).as_f64(),
+        );
         let Some(endpoint) = self.endpoints.get(&id) else {
             return false;
         };
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -116,7 +116,12 @@
     /// Nothing.
     Idempotent,
     /// Repeats are dropped within the scope, for the window.
-    IdempotencyKey(DedupScope, Span),
+    IdempotencyKey {
+        /// Where repeats are dropped.
+        scope: DedupScope,
+        /// How long after the first attempt a repeat is dropped.
+        window: Span,
+    },
     /// Harm.
     NonIdempotent,
 }
@@ -216,7 +221,7 @@
     /// A node starts at this share of its capacity or above.
     pub slow_start_initial_capacity: f64,
     /// And is warm after this at most.
-    pub cold: Span,
+    pub slow_start_duration: Span,
     /// More than this multiple of the capacity of a cold node ...
     pub overload_multiple: f64,
     /// ... for this long pushes it over.
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -53,7 +53,10 @@
 #[test]
 fn what_zones_deduplicate_is_never_repeated() {
     let mut cfg = settings();
-    cfg.classes[KEYED.0].idempotency = Idempotency::IdempotencyKey(DedupScope::Zone, ms(2000));
+    cfg.classes[KEYED.0].idempotency = Idempotency::IdempotencyKey {
+        scope: DedupScope::Zone,
+        window: ms(2000),
+    };
     let mut s = Script::group(cfg, 3, 1);
     s.request(1, KEYED);
     s.end(1, Outcome::Reset, None);
@@ -113,7 +116,7 @@
 #[test]
 fn members_that_never_are_cold_are_warm_at_once() {
     let mut cfg = settings();
-    cfg.rules.cold = Span(0);
+    cfg.rules.slow_start_duration = Span(0);
     let mut s = Script::group(cfg, 3, 1);
     let started = |n, at| EndpointRecord {
         started: Some(at),
@@ -158,7 +161,7 @@
 fn members_that_get_warm_soon_keep_their_budget_until_then() {
     let mut cfg = settings();
     (
-        cfg.rules.cold,
+        cfg.rules.slow_start_duration,
         cfg.rules.overload_duration,
         cfg.rules.overload_multiple,
     ) = (ms(100), ms(100), 0.2);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -121,7 +121,7 @@
             .rev()
             .take_while(|(earlier, _)| *at - *earlier < rules.overload_duration);
         let units = window.map(|(_, work)| work / mean).sum::<f64>();
-        let grown = ((*at - started).as_f64() / rules.cold.as_f64()).clamp(0.0, 1.0);
+        let grown = ((*at - started).as_f64() / rules.slow_start_duration.as_f64()).clamp(0.0, 1.0);
         let part =
             rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown;
         let capacity =
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -32,7 +32,10 @@
             class(Consistency::Write, Idempotency::NonIdempotent),
             class(
                 Consistency::Write,
-                Idempotency::IdempotencyKey(DedupScope::Group, ms(2000)),
+                Idempotency::IdempotencyKey {
+                    scope: DedupScope::Group,
+                    window: ms(2000),
+                },
             ),
             class(Consistency::Strong, Idempotency::Idempotent),
             class(Consistency::Session, Idempotency::Idempotent),
@@ -43,7 +46,10 @@
             class(Consistency::Eventual, Idempotency::Idempotent),
             class(
                 Consistency::Write,
-                Idempotency::IdempotencyKey(DedupScope::All, ms(2000)),
+                Idempotency::IdempotencyKey {
+                    scope: DedupScope::All,
+                    window: ms(2000),
+                },
             ),
         ],
         tenants: vec![],
@@ -68,7 +74,7 @@
         rules: Rules {
             max_poll_interval: ms(8000),
             slow_start_initial_capacity: 0.2,
-            cold: ms(10_000),
+            slow_start_duration: ms(10_000),
             overload_multiple: 2.0,
             overload_duration: ms(1500),
             removal_is_advisory: false,
@@ -369,7 +375,7 @@
                     (Idempotency::NonIdempotent, Some(_)) => {
                         panic!("rule 2: {request:?} may have run and was resent")
                     }
-                    (Idempotency::IdempotencyKey(_, window), Some(from)) => {
+                    (Idempotency::IdempotencyKey { window, .. }, Some(from)) => {
                         assert!(
                             self.now.0 < from + window.0,
                             "rule 2: {request:?} resent after its window"
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 struct Piece {
     gateway: usize,
-    conn: ConnectionId,
+    connection: ConnectionId,
     /// `None`: a probe.
     ask: Option<u64>,
 }
@@ -245,7 +245,7 @@
             rules: Rules {
                 max_poll_interval: Span::from_millis(10_000),
                 slow_start_initial_capacity: COLD_FROM,
-                cold: COLD,
+                slow_start_duration: COLD,
                 overload_multiple: TIP_MULTIPLE,
                 overload_duration: TIP_AFTER,
                 removal_is_advisory: false,
@@ -287,7 +287,7 @@
                 settings: settings.clone(),
                 decisions: Arc::default(),
                 traced: false,
-                server_conns: 2_000,
+                upstream_connection_limit: 2_000,
                 probe_timeout: Span::from_millis(250),
             };
             let state =
@@ -558,9 +558,9 @@
                 group: GroupId(0),
                 session: None,
                 received: self.now,
-                patience,
+                client_timeout: patience,
                 repeat: false,
-                wrote_at: None,
+                last_write_at: None,
                 payload,
                 room,
                 client,
@@ -602,20 +602,23 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) -> Result<(), String> {
         match effect {
-            Effect::Connect { conn, address } => {
+            Effect::Connect {
+                connection,
+                address,
+            } => {
                 let member = address
                     .parse()
                     .map_err(|_| format!("no member listens at {address}"))?;
-                self.gateways[n].conns.insert(conn, (member, None));
+                self.gateways[n].conns.insert(connection, (member, None));
             }
-            Effect::Submit { conn, job } => self.submit(n, conn, &job)?,
-            Effect::CloseUpstream(conn) => {
-                if let Some((member, ask)) = self.gateways[n].conns.remove(&conn) {
+            Effect::Submit { connection, job } => self.submit(n, connection, &job)?,
+            Effect::CloseUpstream(connection) => {
+                if let Some((member, ask)) = self.gateways[n].conns.remove(&connection) {
                     ask.into_iter().for_each(|ask| self.over(ask));
                     // What waits there for it is dropped; what runs goes on.
                     self.servers[member]
                         .waiting
-                        .retain(|p| (p.gateway, p.conn) != (n, conn));
+                        .retain(|p| (p.gateway, p.connection) != (n, connection));
                 }
             }
             Effect::Answer { ticket, answer, .. } => self.answered(n, ticket, &answer)?,
@@ -648,8 +651,13 @@
         }
     }
 
-    fn submit(&mut self, n: usize, conn: ConnectionId, job: &UpstreamJob) -> Result<(), String> {
-        let Some((member, slot)) = self.gateways[n].conns.get_mut(&conn) else {
+    fn submit(
+        &mut self,
+        n: usize,
+        connection: ConnectionId,
+        job: &UpstreamJob,
+    ) -> Result<(), String> {
+        let Some((member, slot)) = self.gateways[n].conns.get_mut(&connection) else {
             return Err(format!(
                 "gateway {n} writes to a connection that it has closed"
             ));
@@ -700,7 +708,7 @@
                 member,
                 Piece {
                     gateway: n,
-                    conn,
+                    connection,
                     ask,
                 },
             ),
@@ -834,12 +842,15 @@
     fn reply(&mut self, piece: &Piece, reply: UpstreamReply, reusable: bool) {
         let at = self.now + self.net();
         let event = Event::AttemptEnded {
-            conn: piece.conn,
+            connection: piece.connection,
             reply,
             reusable,
         };
         // The gateway may have closed it by then: its own core passes that over.
-        if let Some((_, slot)) = self.gateways[piece.gateway].conns.get_mut(&piece.conn) {
+        if let Some((_, slot)) = self.gateways[piece.gateway]
+            .conns
+            .get_mut(&piece.connection)
+        {
             if let Some(ask) = slot.take() {
                 // Over from when it is told; nothing new is sent before that.
                 self.over(ask);
@@ -948,10 +959,10 @@
                         (*m == member).then_some((*c, *a))
                     };
                     let broken: Vec<_> = self.gateways[g].conns.iter().filter_map(of).collect();
-                    for (conn, ask) in broken.into_iter().filter_map(|(c, a)| Some((c, a?))) {
+                    for (connection, ask) in broken.into_iter().filter_map(|(c, a)| Some((c, a?))) {
                         let piece = Piece {
                             gateway: g,
-                            conn,
+                            connection,
                             ask: Some(ask),
                         };
                         self.reply(&piece, UpstreamReply::bare(Outcome2::Reset), false);
