--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1179,7 +1179,7 @@
                 RequestStep::AttemptSent {
                     attempt,
                     endpoint,
-                    connection: connection,
+                    connection,
                 },
                 effects,
             );
