--- /dev/null
+++ b/crates/accounts/tests/stored_forms.rs
@@ -0,0 +1,105 @@
+//! Forms of the files of the state folder that hold the request log and its counters, and the names in them. Files in
+//! `fixtures/folder/` were written by version 0.4.0; later versions must replay them and write the same bytes.
+
+mod memory;
+
+use std::collections::BTreeMap;
+
+use memory::Memory;
+use valehatch_accounts::counters::BOUNDS_US;
+use valehatch_accounts::*;
+
+const SIZES: Sizes = Sizes { segment_bytes: 1 << 20, segments: 2 };
+const SINCE_MS: u64 = 1_700_000_000_000;
+
+const CELL_NAMES: &str = "in-time late aborted \
+    refused.strain refused.unsent refused.late refused.deadline refused.attempts refused.window refused.open \
+    refused.room refused.places refused.stopping refused.queue-wait refused.queue-full refused.queue-waited \
+    refused.queue-standing \
+    failed.timeout failed.broken failed.told failed.statement failed.named failed.stopping \
+    attempt.ok attempt.error attempt.full attempt.timeout attempt.connect-failed attempt.reset attempt.cancelled \
+    attempt.moot attempt.miss attempt.out \
+    time.1000 time.2000 time.5000 time.10000 time.20000 time.50000 time.100000 time.200000 time.300000 time.500000 \
+    time.1000000 time.2000000 time.5000000 time.10000000 time.more";
+
+fn folder() -> BTreeMap<String, Vec<u8>> {
+    let files: [(&str, &[u8]); 5] = [
+        ("checkpoint", include_bytes!("fixtures/folder/checkpoint")),
+        ("checkpoint.old", include_bytes!("fixtures/folder/checkpoint.old")),
+        ("marks.log", include_bytes!("fixtures/folder/marks.log")),
+        ("marks.old", include_bytes!("fixtures/folder/marks.old")),
+        ("requests-00000001.log", include_bytes!("fixtures/folder/requests-00000001.log")),
+    ];
+    files.into_iter().map(|(name, bytes)| (name.to_owned(), bytes.to_vec())).collect()
+}
+
+/// Records with each ending, each outcome of an attempt and a time in each bucket.
+fn records() -> Vec<Record> {
+    let refused = Refusal::ALL.iter().map(|why| (Ending::Refused(*why), 0));
+    let failed = Fault::ALL.iter().map(|how| (Ending::Failed(*how), 0));
+    let served = BOUNDS_US.iter().map(|us| (Ending::InTime, *us)).chain([(Ending::Late, u64::MAX)]);
+    let outcomes = |n| Outcomes::ALL.iter().skip(n % 12).take(2);
+    let record = |(n, (ending, total_us)): (usize, (Ending, u64))| Record {
+        front: "front \"ä\"".into(),
+        class: if n.is_multiple_of(2) { "read" } else { "write" }.into(),
+        tenant: n.is_multiple_of(3).then(|| "acme".into()),
+        group: if n == 5 { 65_535 } else { 0 },
+        ending,
+        attempts: outcomes(n).map(|o| Try { member: "s-1".into(), outcome: *o, took_us: 250 }).collect(),
+        waited_us: 12,
+        total_us,
+    };
+    refused.chain(failed).chain([(Ending::Aborted, 0)]).chain(served).enumerate().map(record).collect()
+}
+
+#[test]
+fn same_records_are_written_to_the_stored_bytes() {
+    let memory = Memory::default();
+    let mut ledger = Ledger::open(memory.clone(), SIZES, SINCE_MS);
+    let all = records();
+    let (before, after) = all.split_at(30);
+    for (n, batch) in [before, after].into_iter().enumerate() {
+        batch.iter().zip(1..).for_each(|(record, ms)| ledger.record(record, SINCE_MS + ms));
+        ledger.flush();
+        if n == 0 {
+            ledger.checkpoint();
+        }
+    }
+    let written = memory.0.lock().unwrap().files.clone();
+    assert_eq!(written.keys().collect::<Vec<_>>(), folder().keys().collect::<Vec<_>>());
+    for (name, bytes) in folder() {
+        assert_eq!(String::from_utf8_lossy(&written[&name]), String::from_utf8_lossy(&bytes), "{name}");
+    }
+}
+
+#[test]
+fn stored_folder_is_replayed_completely() {
+    let mut counted = Counters::default();
+    records().iter().for_each(|record| counted.count(record));
+    // With any one kind of file lost the others make up for it.
+    for lost in ["", "requests-", "marks", "checkpoint"] {
+        let memory = Memory::default();
+        let kept = folder().into_iter().filter(|(name, _)| lost.is_empty() || !name.starts_with(lost));
+        memory.0.lock().unwrap().files = kept.collect();
+        let ledger = Ledger::open(memory, SIZES, SINCE_MS + 9);
+        assert_eq!((ledger.shown(), ledger.status().seq), (&counted, 36), "without {lost:?}");
+        if lost.is_empty() {
+            let status = ledger.status();
+            assert_eq!((status.faults, status.boots, status.since_ms), (0, 2, SINCE_MS));
+        }
+    }
+}
+
+#[test]
+fn stored_lines_give_back_their_records() {
+    let lines = folder().remove("requests-00000001.log").unwrap();
+    let read: Vec<_> =
+        lines.split_inclusive(|b| *b == b'\n').map(|line| Record::read(line).unwrap()).collect();
+    assert_eq!(read, (1..).zip(records()).collect::<Vec<_>>());
+}
+
+#[test]
+fn cells_keep_their_names_and_order() {
+    let names: Vec<String> = Cell::all().map(Cell::name).collect();
+    assert_eq!(names, CELL_NAMES.split_whitespace().collect::<Vec<_>>());
+}
