--- /dev/null
+++ b/crates/state/tests/files.rs
@@ -0,0 +1,54 @@
+//! Names of the files in the state folder. Tools and later versions find them by these names.
+
+use std::path::{Path, PathBuf};
+
+use valehatch_accounts::{Ending, Record};
+use valehatch_config::operators::State;
+use valehatch_state::{snapshot, start};
+
+fn names(dir: &Path) -> Vec<String> {
+    let entries = std::fs::read_dir(dir).unwrap();
+    let mut names: Vec<String> = entries.map(|e| e.unwrap().file_name().into_string().unwrap()).collect();
+    names.sort();
+    names
+}
+
+/// Runs a writer on the folder for one record, until all is on the disk.
+fn run(dir: &Path) {
+    let state = State {
+        dir: PathBuf::from(dir),
+        sync_ms: 1,
+        checkpoint_ms: 3_600_000,
+        segment_bytes: 4096,
+        segments: 8,
+        queue: 16,
+        snapshot_ms: 1_000,
+    };
+    let writer = start(Some(&state)).unwrap();
+    let record = Record {
+        front: "f".into(),
+        class: "read".into(),
+        tenant: None,
+        group: 0,
+        ending: Ending::InTime,
+        attempts: vec![],
+        waited_us: 0,
+        total_us: 1,
+    };
+    writer.recorder().record(Box::new(record));
+    writer.finish();
+}
+
+#[test]
+fn state_folder_holds_files_of_fixed_names() {
+    let dir = std::env::temp_dir().join(format!("valehatch-state-files-{}", std::process::id()));
+    run(&dir);
+    snapshot::write(&dir, b"snapshot").unwrap();
+    let first = ["checkpoint", "checkpoint.old", "lock", "marks.old", "requests-00000001.log", "snapshot"];
+    assert_eq!(names(&dir), first);
+    run(&dir);
+    let second = [&first[..5], &["requests-00000002.log", "snapshot"]].concat();
+    assert_eq!(names(&dir), second);
+    assert_eq!(snapshot::read(&dir, 64).unwrap().unwrap(), b"snapshot");
+    std::fs::remove_dir_all(dir).unwrap();
+}
