--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -102,3 +102,15 @@
     // Each reason has its own place.
     Denial::ALL.iter().enumerate().for_each(|(at, why)| assert_eq!(*why as usize, at));
 }
+
+#[test]
+fn decisions_text_lists_every_name_in_order() {
+    let reasons = "request_over stream_began attempt_out attempts_spent deadline_over repeat_forbidden \
+        repeat_window_over endpoint_not_ready permit_revoked permit_used duplicate_name too_many_open stopping \
+        requests_open";
+    let line = |name: String| format!("balancer.decisions.{name}:0|c\n");
+    let each =
+        |kind: &str| -> String { reasons.split(' ').map(|why| line(format!("{kind}.{why}"))).collect() };
+    let want = [each("denied"), each("violated"), line("retried".into()), line("cancelled_unsent".into())];
+    assert_eq!(Decisions::default().text(), want.concat());
+}
