--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -106,7 +106,17 @@
     let ended = |what: &str| figure(door, &format!("operations.read.{what}"));
     assert_eq!(ended("fulfilled") + ended("throttled") + ended("faulted"), 9);
     gateway.program.terminate();
-    until("it says no", || call(door, "/admin/health").0 == 503);
+    let stopping = (503, "stopping: a planned stop was asked for\n".to_owned());
+    until("it says no", || call(door, "/admin/health") == stopping);
+}
+
+#[test]
+fn health_without_a_list_says_so() {
+    let door = free_address();
+    let _gateway = platform_edited("", 15_000, true, |text| {
+        text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
+    });
+    assert_eq!(call(door, "/admin/health"), (503, "starting: no list of databases is held\n".into()));
 }
 
 #[test]
@@ -138,6 +148,9 @@
     let (mut watched, door) = told(pg, cql);
     until("it is ready", || call(door, "/admin/health") == (200, "ready\n".into()));
     until("the members of both fronts are listed", || figure(door, "registry_entries") == 4);
+    let decisions = call(door, "/admin/decisions").1;
+    let parts = decisions.lines().filter(|line| !line.starts_with("balancer.decisions."));
+    assert_eq!(parts.collect::<Vec<_>>(), ["front bookings", "front stays"]);
     let stop = AtomicBool::new(false);
     let (pg, cql) = (AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -73,6 +73,13 @@
         text.contains(&format!("\"state\":\"{state}\"")) && text.contains(why)
     }
 
+    /// The keys of the file that tells the state.
+    fn state_keys(&self) -> Vec<String> {
+        let text = std::fs::read_to_string(self.dir.join("recovery.json")).unwrap();
+        let object: serde_json::Value = serde_json::from_str(&text).unwrap();
+        object.as_object().unwrap().keys().cloned().collect()
+    }
+
     fn ask(&self, class: &str) -> Answer {
         let verb = if class == "read" { "SELECT body FROM objects" } else { "INSERT INTO objects" };
         let query = format!("/* id=1,c={class},t=acme,d=3000,cluster=0 */ {verb} WHERE oid = 'x'");
@@ -96,12 +103,14 @@
     let program = site.start(20);
     until("served", || site.ask("read") == here());
     until("full", || site.is("full", "took-ms"));
+    assert_eq!(site.state_keys(), ["started-ms", "state", "took-ms"]);
     site.keeps("the list", |s| s.fronts[0].book.members().count() == 1);
     kill(program);
     site.silence(true);
     let program = site.start(20);
     assert_eq!(site.ask("read"), here(), "at once: nobody has to be asked first");
     until("recovering", || site.is("recovering", "list"));
+    assert_eq!(site.state_keys(), ["started-ms", "state", "why"]);
     site.silence(false);
     until("full again", || site.is("full", "took-ms"));
     kill(program);
