--- /dev/null
+++ b/crates/net/tests/link_frame.rs
@@ -0,0 +1,32 @@
+//! Bytes in front of each datagram between gateways: version, channel, and the hash of the fleet's name.
+
+use std::net::UdpSocket;
+use std::time::Duration;
+
+use valehatch_config::peers::Peers;
+use valehatch_membership::wire::Datagram;
+use valehatch_net::link::Link;
+
+#[test]
+fn sent_datagram_begins_with_version_channel_and_fleet() {
+    let seed = UdpSocket::bind("127.0.0.1:0").unwrap();
+    seed.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    // A port that was free a moment ago: the link has to know its own.
+    let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let peers = Peers {
+        listen: own,
+        advertise: own,
+        fleet: "test".into(),
+        seeds: vec![seed.local_addr().unwrap()],
+        from: vec![],
+        probe_ms: 100,
+        most: 8,
+        bytes_per_s: 8192,
+        settle_ms: 30_000,
+    };
+    let _link = Link::start(peers, 1, 1, vec![], Default::default(), vec![]).unwrap();
+    let mut bytes = [0; 512];
+    let length = seed.recv(&mut bytes).unwrap();
+    assert_eq!(bytes[..6], [2, 1, 0xe0, 0x96, 0x9d, 0xa9]);
+    assert!(Datagram::decode(&bytes[6..length]).is_some());
+}
