--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -147,8 +147,17 @@
         repeat_window_over endpoint_not_ready permit_revoked permit_used duplicate_name too_many_open stopping \
         requests_open";
     let line = |name: String| format!("balancer.decisions.{name}:0|c\n");
-    let each =
-        |kind: &str| -> String { reasons.split(' ').map(|why| line(format!("{kind}.{why}"))).collect() };
-    let want = [each("denied"), each("violated"), line("retried".into()), line("cancelled_unsent".into())];
+    let each = |kind: &str| -> String {
+        reasons
+            .split(' ')
+            .map(|why| line(format!("{kind}.{why}")))
+            .collect()
+    };
+    let want = [
+        each("denied"),
+        each("violated"),
+        line("retried".into()),
+        line("cancelled_unsent".into()),
+    ];
     assert_eq!(Decisions::default().text(), want.concat());
 }
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -152,7 +152,10 @@
     let _gateway = platform_edited("", 15_000, true, |text| {
         text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
     });
-    assert_eq!(call(door, "/admin/health"), (503, "starting: no list of databases is held\n".into()));
+    assert_eq!(
+        call(door, "/admin/health"),
+        (503, "starting: no list of databases is held\n".into())
+    );
 }
 
 #[test]
@@ -182,10 +185,16 @@
 fn the_agent_the_ledger_and_the_figures_say_the_same_to_the_request() {
     let ((pg, databases), (cql, nodes)) = (seen_databases(), seen_nodes());
     let (mut watched, door) = told(pg, cql);
-    until("it is ready", || call(door, "/admin/health") == (200, "ready\n".into()));
-    until("the members of both fronts are listed", || figure(door, "registry_entries") == 4);
+    until("it is ready", || {
+        call(door, "/admin/health") == (200, "ready\n".into())
+    });
+    until("the members of both fronts are listed", || {
+        figure(door, "registry_entries") == 4
+    });
     let decisions = call(door, "/admin/decisions").1;
-    let parts = decisions.lines().filter(|line| !line.starts_with("balancer.decisions."));
+    let parts = decisions
+        .lines()
+        .filter(|line| !line.starts_with("balancer.decisions."));
     assert_eq!(parts.collect::<Vec<_>>(), ["front bookings", "front stays"]);
     let stop = AtomicBool::new(false);
     let (pg, cql) = (AtomicUsize::new(0), AtomicUsize::new(0));
--- a/crates/hot-restart/tests/wire_forms.rs
+++ b/crates/hot-restart/tests/wire_forms.rs
@@ -2,7 +2,7 @@
 //! 0.4.0 wrote them, one after the other; later versions must read them and write the same bytes.
 
 use valehatch_hot_restart::ProcessLimits;
-use valehatch_hot_restart::words::{HEAD, VERSION, HandoffMessage, decode, encode, length};
+use valehatch_hot_restart::words::{HEAD, HandoffMessage, VERSION, decode, encode, length};
 
 const MESSAGES: &[u8] = include_bytes!("fixtures/messages.bin");
 
@@ -11,8 +11,14 @@
         HandoffMessage::Ask("gateway-1".into()),
         HandoffMessage::Take(vec![0, 1, 0x80, 0xff]),
         HandoffMessage::Busy,
-        HandoffMessage::Held(ProcessLimits { descriptors: 384, bytes: 48 << 20 }),
-        HandoffMessage::Leaves(ProcessLimits { descriptors: 7, bytes: 0 }),
+        HandoffMessage::Held(ProcessLimits {
+            descriptors: 384,
+            bytes: 48 << 20,
+        }),
+        HandoffMessage::Leaves(ProcessLimits {
+            descriptors: 7,
+            bytes: 0,
+        }),
         HandoffMessage::Ready,
         HandoffMessage::List(vec![0xab; 200]),
     ]
@@ -28,5 +34,8 @@
         rest = next;
     }
     assert_eq!((read, rest), (messages(), &[][..]));
-    assert_eq!(messages().iter().flat_map(encode).collect::<Vec<u8>>(), MESSAGES);
+    assert_eq!(
+        messages().iter().flat_map(encode).collect::<Vec<u8>>(),
+        MESSAGES
+    );
 }
--- a/crates/membership/tests/wire_forms.rs
+++ b/crates/membership/tests/wire_forms.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use valehatch_membership::table::Table;
-use valehatch_membership::wire::{MemberMetadata, Datagram, Held, Holders, Incarnation, Message, Phase, Rumor, State};
+use valehatch_membership::wire::{
+    Datagram, Held, Holders, Incarnation, MemberMetadata, Message, Phase, Rumor, State,
+};
 use valehatch_membership::{Effect, Membership, Settings};
 use valehatch_policy::{Span, Time};
 
@@ -17,13 +19,26 @@
 fn rumors() -> Vec<Rumor> {
     let rumor = |(about, number, state, phase): (&str, u64, State, Phase)| Rumor {
         about: address(about),
-        incarnation: Incarnation { number, nonce: 0x89ab_cdef },
+        incarnation: Incarnation {
+            number,
+            nonce: 0x89ab_cdef,
+        },
         state,
         accuser: 513,
-        card: MemberMetadata { epoch: 300, zone: 7, version: 4, phase },
+        card: MemberMetadata {
+            epoch: 300,
+            zone: 7,
+            version: 4,
+            phase,
+        },
     };
     let all = [
-        ("10.0.0.2:7946", 1_700_000_000_000, State::Alive, Phase::Starting),
+        (
+            "10.0.0.2:7946",
+            1_700_000_000_000,
+            State::Alive,
+            Phase::Starting,
+        ),
         ("10.0.0.3:7946", 1, State::Suspect, Phase::Full),
         ("[2001:db8::4]:7946", 2, State::Dead, Phase::Draining),
         ("10.0.0.5:7946", 3, State::Left, Phase::Full),
@@ -33,27 +48,61 @@
 
 fn datagrams() -> Vec<Datagram> {
     let (four, six) = (address("10.0.0.9:7946"), address("[2001:db8::9]:7946"));
-    let some = Holders::Some { blocks: vec![0x81, 2], block: 3, bits: 0x8000_0000_0000_0001 };
+    let some = Holders::Some {
+        blocks: vec![0x81, 2],
+        block: 3,
+        bits: 0x8000_0000_0000_0001,
+    };
     let all = [
         (Message::Ping(0x0102_0304), Holders::Unsaid, rumors()),
         (Message::Ack(1), some, vec![]),
         (Message::Look(2, four), Holders::All, vec![]),
         (Message::Nack(3), Holders::All, vec![]),
-        (Message::Compare([1, 2, 3, 4, 5, 6, 7, 0xff]), Holders::All, vec![]),
+        (
+            Message::Compare([1, 2, 3, 4, 5, 6, 7, 0xff]),
+            Holders::All,
+            vec![],
+        ),
         (Message::Parts(vec![0, 300, u32::MAX]), Holders::All, vec![]),
         (
-            Message::Pull { part: 5, of: 32, after: Some(six), salt: 500, known: vec![1, 65_535] },
+            Message::Pull {
+                part: 5,
+                of: 32,
+                after: Some(six),
+                salt: 500,
+                known: vec![1, 65_535],
+            },
             Holders::All,
             vec![],
         ),
-        (Message::Page { part: 5, of: 32, after: None, end: true }, Holders::All, rumors()),
+        (
+            Message::Page {
+                part: 5,
+                of: 32,
+                after: None,
+                end: true,
+            },
+            Holders::All,
+            rumors(),
+        ),
         (Message::Same, Holders::All, vec![]),
         (Message::Word, Holders::All, rumors()),
     ];
     let one = |(message, holders, rumors)| Datagram {
-        from: Incarnation { number: 1_700_000_000_001, nonce: 0x0123_4567 },
-        card: MemberMetadata { epoch: 2, zone: 1, version: 4, phase: Phase::Full },
-        held: Held { digest: [0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10], holders },
+        from: Incarnation {
+            number: 1_700_000_000_001,
+            nonce: 0x0123_4567,
+        },
+        card: MemberMetadata {
+            epoch: 2,
+            zone: 1,
+            version: 4,
+            phase: Phase::Full,
+        },
+        held: Held {
+            digest: [0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10],
+            holders,
+        },
         message,
         rumors,
     };
@@ -65,7 +114,10 @@
     let (mut rest, mut read, mut written) = (DATAGRAMS, vec![], vec![]);
     while !rest.is_empty() {
         let (datagram, next) = postcard::take_from_bytes::<Datagram>(rest).unwrap();
-        assert_eq!(Datagram::decode(&rest[..rest.len() - next.len()]).as_ref(), Some(&datagram));
+        assert_eq!(
+            Datagram::decode(&rest[..rest.len() - next.len()]).as_ref(),
+            Some(&datagram)
+        );
         written.extend(postcard::to_stdvec(&datagram).unwrap());
         read.push(datagram);
         rest = next;
@@ -90,7 +142,13 @@
     let (mut membership, mut out) = (Membership::new(set, 1_000, 1, Time(0)).unwrap(), vec![]);
     let ping = postcard::to_stdvec(&datagrams()[0]).unwrap();
     membership.receive(Time(1), address("10.0.0.9:7946"), &ping, &mut out);
-    let sent = out.iter().find_map(|e| if let Effect::Send { bytes, .. } = e { Some(bytes) } else { None });
+    let sent = out.iter().find_map(|e| {
+        if let Effect::Send { bytes, .. } = e {
+            Some(bytes)
+        } else {
+            None
+        }
+    });
     let answer = Datagram::decode(sent.unwrap()).unwrap();
     assert_eq!(answer.message, Message::Ack(0x0102_0304));
     assert_eq!(&postcard::to_stdvec(&answer).unwrap(), sent.unwrap());
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/link_frame.rs
@@ -5,14 +5,18 @@
 
 use valehatch_config::peers::Peers;
 use valehatch_membership::wire::Datagram;
-use valehatch_net::link::Link;
+use valehatch_net::link::GossipTransport;
 
 #[test]
 fn sent_datagram_begins_with_version_channel_and_fleet() {
     let seed = UdpSocket::bind("127.0.0.1:0").unwrap();
-    seed.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    seed.set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     // A port that was free a moment ago: the link has to know its own.
-    let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let own = UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let peers = Peers {
         listen: own,
         advertise: own,
@@ -24,7 +28,7 @@
         bytes_per_s: 8192,
         settle_ms: 30_000,
     };
-    let _link = Link::start(peers, 1, 1, vec![], Default::default(), vec![]).unwrap();
+    let _link = GossipTransport::start(peers, 1, 1, vec![], Default::default(), vec![]).unwrap();
     let mut bytes = [0; 512];
     let length = seed.recv(&mut bytes).unwrap();
     assert_eq!(bytes[..6], [2, 1, 0xe0, 0x96, 0x9d, 0xa9]);
--- a/crates/recovery/tests/stored_forms.rs
+++ b/crates/recovery/tests/stored_forms.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::book::{EndpointListCache, DiscoveredEndpoint};
+use valehatch_recovery::book::{DiscoveredEndpoint, EndpointListCache};
 use valehatch_recovery::peers::{Effect, Peers};
 use valehatch_recovery::service::RecoveringReason;
 use valehatch_recovery::snapshot::{Cold, Front, Primary, Snapshot};
@@ -38,20 +38,36 @@
 
 fn list() -> EndpointListCache {
     let mut list = EndpointListCache::default();
-    let servers = [server("s-2", 300, "leaving", "read-only"), server("s-1", 0, "active", "read-write")];
+    let servers = [
+        server("s-2", 300, "leaving", "read-only"),
+        server("s-1", 0, "active", "read-write"),
+    ];
     list.take(address("[2001:db8::8]:8500"), 4_711, true, &servers);
     list
 }
 
 fn snapshot() -> Snapshot {
-    let primary = |group, proved| Primary { group, member: "s-1".into(), since_ms: MADE_MS - 5_000, proved };
+    let primary = |group, proved| Primary {
+        group,
+        member: "s-1".into(),
+        since_ms: MADE_MS - 5_000,
+        proved,
+    };
     let front = Front {
         name: "platform".into(),
         book: list(),
         primaries: vec![primary(0, true), primary(300, false)],
-        cold: vec![Cold { member: "s-2".into(), since_ms: MADE_MS - 3_000 }],
+        cold: vec![Cold {
+            member: "s-2".into(),
+            since_ms: MADE_MS - 3_000,
+        }],
+    };
+    let fixed = Front {
+        name: "fixed".into(),
+        book: EndpointListCache::default(),
+        primaries: vec![],
+        cold: vec![],
     };
-    let fixed = Front { name: "fixed".into(), book: EndpointListCache::default(), primaries: vec![], cold: vec![] };
     Snapshot {
         gateway: "gateway-1".into(),
         at_ms: MADE_MS,
@@ -62,7 +78,10 @@
 
 #[test]
 fn stored_snapshot_is_read_and_written_unchanged() {
-    assert_eq!(Snapshot::decode(SNAPSHOT, "gateway-1", MADE_MS), Ok(snapshot()));
+    assert_eq!(
+        Snapshot::decode(SNAPSHOT, "gateway-1", MADE_MS),
+        Ok(snapshot())
+    );
     assert_eq!(snapshot().encode().unwrap(), SNAPSHOT);
 }
 
@@ -84,10 +103,18 @@
 
 #[test]
 fn list_request_is_sent_unchanged_and_answered_with_stored_bytes() {
-    let send = |to, bytes: &[u8]| vec![Effect::Send { to: address(to), bytes: bytes.to_vec() }];
+    let send = |to, bytes: &[u8]| {
+        vec![Effect::Send {
+            to: address(to),
+            bytes: bytes.to_vec(),
+        }]
+    };
     assert_eq!(asker().1, send("10.0.0.1:7946", ASK));
     let list = list();
-    for (held, answer) in [(Some((&list, Span::from_millis(1_500))), PIECE), (None, NOTHING)] {
+    for (held, answer) in [
+        (Some((&list, Span::from_millis(1_500))), PIECE),
+        (None, NOTHING),
+    ] {
         let (mut peers, mut out) = (Peers::new(&[MARK], 2, Time(0)), vec![]);
         peers.receive(Time(0), address("10.0.0.2:7946"), ASK, |_| held, &mut out);
         assert_eq!(out, send("10.0.0.2:7946", answer));
@@ -98,17 +125,44 @@
 fn stored_list_answers_are_understood() {
     let (mut peers, mut out) = asker();
     out.clear();
-    peers.receive(Time(1_000_000), address("10.0.0.1:7946"), PIECE, |_| None, &mut out);
+    peers.receive(
+        Time(1_000_000),
+        address("10.0.0.1:7946"),
+        PIECE,
+        |_| None,
+        &mut out,
+    );
     let (listed, told) = (list().members().cloned().collect(), list().told.unwrap());
-    assert_eq!(out, [Effect::Learned { front: 0, listed, told }]);
+    assert_eq!(
+        out,
+        [Effect::Learned {
+            front: 0,
+            listed,
+            told
+        }]
+    );
     // Without a list to learn the asker goes on to its next round, which is later than a repeated request would be.
     let (mut peers, mut out) = asker();
     let repeat = peers.next_due();
-    peers.receive(Time(1_000_000), address("10.0.0.1:7946"), NOTHING, |_| None, &mut out);
+    peers.receive(
+        Time(1_000_000),
+        address("10.0.0.1:7946"),
+        NOTHING,
+        |_| None,
+        &mut out,
+    );
     assert!(peers.next_due() > repeat);
 }
 
 #[test]
 fn recovery_causes_keep_their_names() {
-    assert_eq!([RecoveringReason::List(1), RecoveringReason::Served, RecoveringReason::Steady].map(RecoveringReason::name), ["list", "served", "steady"]);
+    assert_eq!(
+        [
+            RecoveringReason::List(1),
+            RecoveringReason::Served,
+            RecoveringReason::Steady
+        ]
+        .map(RecoveringReason::name),
+        ["list", "served", "steady"]
+    );
 }
--- a/crates/request-log/tests/stored_forms.rs
+++ b/crates/request-log/tests/stored_forms.rs
@@ -9,7 +9,10 @@
 use valehatch_request_log::counters::BOUNDS_US;
 use valehatch_request_log::*;
 
-const SIZES: Sizes = Sizes { segment_bytes: 1 << 20, segments: 2 };
+const SIZES: Sizes = Sizes {
+    segment_bytes: 1 << 20,
+    segments: 2,
+};
 const SINCE_MS: u64 = 1_700_000_000_000;
 
 const CELL_NAMES: &str = "in-time late aborted \
@@ -25,19 +28,35 @@
 fn folder() -> BTreeMap<String, Vec<u8>> {
     let files: [(&str, &[u8]); 5] = [
         ("checkpoint", include_bytes!("fixtures/folder/checkpoint")),
-        ("checkpoint.old", include_bytes!("fixtures/folder/checkpoint.old")),
+        (
+            "checkpoint.old",
+            include_bytes!("fixtures/folder/checkpoint.old"),
+        ),
         ("marks.log", include_bytes!("fixtures/folder/marks.log")),
         ("marks.old", include_bytes!("fixtures/folder/marks.old")),
-        ("requests-00000001.log", include_bytes!("fixtures/folder/requests-00000001.log")),
+        (
+            "requests-00000001.log",
+            include_bytes!("fixtures/folder/requests-00000001.log"),
+        ),
     ];
-    files.into_iter().map(|(name, bytes)| (name.to_owned(), bytes.to_vec())).collect()
+    files
+        .into_iter()
+        .map(|(name, bytes)| (name.to_owned(), bytes.to_vec()))
+        .collect()
 }
 
 /// Records with each ending, each outcome of an attempt and a time in each bucket.
 fn records() -> Vec<RequestRecord> {
-    let refused = RejectionReason::ALL.iter().map(|why| (FinalOutcome::Refused(*why), 0));
-    let failed = FailureReason::ALL.iter().map(|how| (FinalOutcome::Failed(*how), 0));
-    let served = BOUNDS_US.iter().map(|us| (FinalOutcome::InTime, *us)).chain([(FinalOutcome::Late, u64::MAX)]);
+    let refused = RejectionReason::ALL
+        .iter()
+        .map(|why| (FinalOutcome::Refused(*why), 0));
+    let failed = FailureReason::ALL
+        .iter()
+        .map(|how| (FinalOutcome::Failed(*how), 0));
+    let served = BOUNDS_US
+        .iter()
+        .map(|us| (FinalOutcome::InTime, *us))
+        .chain([(FinalOutcome::Late, u64::MAX)]);
     let outcomes = |n| AttemptOutcome::ALL.iter().skip(n % 12).take(2);
     let record = |(n, (ending, total_us)): (usize, (FinalOutcome, u64))| RequestRecord {
         front: "front \"ä\"".into(),
@@ -45,11 +64,23 @@
         tenant: n.is_multiple_of(3).then(|| "acme".into()),
         group: if n == 5 { 65_535 } else { 0 },
         ending,
-        attempts: outcomes(n).map(|o| AttemptRecord { member: "s-1".into(), outcome: *o, took_us: 250 }).collect(),
+        attempts: outcomes(n)
+            .map(|o| AttemptRecord {
+                member: "s-1".into(),
+                outcome: *o,
+                took_us: 250,
+            })
+            .collect(),
         waited_us: 12,
         total_us,
     };
-    refused.chain(failed).chain([(FinalOutcome::Aborted, 0)]).chain(served).enumerate().map(record).collect()
+    refused
+        .chain(failed)
+        .chain([(FinalOutcome::Aborted, 0)])
+        .chain(served)
+        .enumerate()
+        .map(record)
+        .collect()
 }
 
 #[test]
@@ -59,16 +90,26 @@
     let all = records();
     let (before, after) = all.split_at(30);
     for (n, batch) in [before, after].into_iter().enumerate() {
-        batch.iter().zip(1..).for_each(|(record, ms)| ledger.record(record, SINCE_MS + ms));
+        batch
+            .iter()
+            .zip(1..)
+            .for_each(|(record, ms)| ledger.record(record, SINCE_MS + ms));
         ledger.flush();
         if n == 0 {
             ledger.checkpoint();
         }
     }
     let written = memory.0.lock().unwrap().files.clone();
-    assert_eq!(written.keys().collect::<Vec<_>>(), folder().keys().collect::<Vec<_>>());
+    assert_eq!(
+        written.keys().collect::<Vec<_>>(),
+        folder().keys().collect::<Vec<_>>()
+    );
     for (name, bytes) in folder() {
-        assert_eq!(String::from_utf8_lossy(&written[&name]), String::from_utf8_lossy(&bytes), "{name}");
+        assert_eq!(
+            String::from_utf8_lossy(&written[&name]),
+            String::from_utf8_lossy(&bytes),
+            "{name}"
+        );
     }
 }
 
@@ -79,13 +120,22 @@
     // With any one kind of file lost the others make up for it.
     for lost in ["", "requests-", "marks", "checkpoint"] {
         let memory = Memory::default();
-        let kept = folder().into_iter().filter(|(name, _)| lost.is_empty() || !name.starts_with(lost));
+        let kept = folder()
+            .into_iter()
+            .filter(|(name, _)| lost.is_empty() || !name.starts_with(lost));
         memory.0.lock().unwrap().files = kept.collect();
         let ledger = RequestLog::open(memory, SIZES, SINCE_MS + 9);
-        assert_eq!((ledger.shown(), ledger.status().seq), (&counted, 36), "without {lost:?}");
+        assert_eq!(
+            (ledger.shown(), ledger.status().seq),
+            (&counted, 36),
+            "without {lost:?}"
+        );
         if lost.is_empty() {
             let status = ledger.status();
-            assert_eq!((status.faults, status.boots, status.since_ms), (0, 2, SINCE_MS));
+            assert_eq!(
+                (status.faults, status.boots, status.since_ms),
+                (0, 2, SINCE_MS)
+            );
         }
     }
 }
@@ -93,8 +143,10 @@
 #[test]
 fn stored_lines_give_back_their_records() {
     let lines = folder().remove("requests-00000001.log").unwrap();
-    let read: Vec<_> =
-        lines.split_inclusive(|b| *b == b'\n').map(|line| RequestRecord::read(line).unwrap()).collect();
+    let read: Vec<_> = lines
+        .split_inclusive(|b| *b == b'\n')
+        .map(|line| RequestRecord::read(line).unwrap())
+        .collect();
     assert_eq!(read, (1..).zip(records()).collect::<Vec<_>>());
 }
 
--- a/crates/state/tests/files.rs
+++ b/crates/state/tests/files.rs
@@ -2,13 +2,15 @@
 
 use std::path::{Path, PathBuf};
 
-use valehatch_accounts::{Ending, Record};
 use valehatch_config::operators::State;
+use valehatch_request_log::{FinalOutcome, RequestRecord};
 use valehatch_state::{snapshot, start};
 
 fn names(dir: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(dir).unwrap();
-    let mut names: Vec<String> = entries.map(|e| e.unwrap().file_name().into_string().unwrap()).collect();
+    let mut names: Vec<String> = entries
+        .map(|e| e.unwrap().file_name().into_string().unwrap())
+        .collect();
     names.sort();
     names
 }
@@ -25,12 +27,12 @@
         snapshot_ms: 1_000,
     };
     let writer = start(Some(&state)).unwrap();
-    let record = Record {
+    let record = RequestRecord {
         front: "f".into(),
         class: "read".into(),
         tenant: None,
         group: 0,
-        ending: Ending::InTime,
+        ending: FinalOutcome::InTime,
         attempts: vec![],
         waited_us: 0,
         total_us: 1,
@@ -44,7 +46,14 @@
     let dir = std::env::temp_dir().join(format!("valehatch-state-files-{}", std::process::id()));
     run(&dir);
     snapshot::write(&dir, b"snapshot").unwrap();
-    let first = ["checkpoint", "checkpoint.old", "lock", "marks.old", "requests-00000001.log", "snapshot"];
+    let first = [
+        "checkpoint",
+        "checkpoint.old",
+        "lock",
+        "marks.old",
+        "requests-00000001.log",
+        "snapshot",
+    ];
     assert_eq!(names(&dir), first);
     run(&dir);
     let second = [&first[..5], &["requests-00000002.log", "snapshot"]].concat();
