--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -327,8 +327,7 @@
         },
         rules: Rules {
             max_poll_interval: max_poll_interval(&text, discovery_mode)?,
-            slow_start_initial_capacity: text
-                .number("rules.cold-from", 0.0..=1.0)?,
+            slow_start_initial_capacity: text.number("rules.cold-from", 0.0..=1.0)?,
             slow_start_duration: text.span("rules.cold-ms", 0.0)?,
             overload_multiple: text.number("rules.tip-multiple", 0.001..=1e6)?,
             overload_duration: text.span("rules.tip-after-ms", SHORTEST_MS)?,
