--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,57 +9,57 @@
 //!
 //! let ms = Span::from_millis;
 //! let settings = Settings {
-//!     classes: vec![Class {
-//!         need: Need::Bounded(ms(1500)),
-//!         effect: Effect::Safe,
-//!         aim: ms(600),
-//!         aim_stretch: 0.0,
+//!     classes: vec![RequestClass {
+//!         consistency: Consistency::BoundedStaleness(ms(1500)),
+//!         idempotency: Idempotency::Idempotent,
+//!         latency_objective: ms(600),
+//!         latency_objective_stretch: 0.0,
 //!         deadline: ms(1500),
-//!         worth: 1.0,
-//!         late_worth: 0.2,
+//!         priority_weight: 1.0,
+//!         late_priority_weight: 0.2,
 //!     }],
 //!     tenants: vec![],
-//!     over_share_worth: None,
-//!     list_mode: ListMode::Pushed,
+//!     over_quota_priority_weight: None,
+//!     discovery_mode: DiscoveryMode::Watch,
 //!     listed_role: ListedRole::Trailing,
-//!     checks: Checks::Bounce,
-//!     sessions: Sessions::Brought,
+//!     stale_read_policy: StaleReadPolicy::Reject,
+//!     sessions: SessionTracking::ClientProvided,
 //!     routers: 3,
 //!     zone: ZoneId(0),
 //!     tick: ms(5),
 //!     limits: Limits {
 //!         cancel: true,
-//!         probing: true,
-//!         second_copies: false,
+//!         health_checks: true,
+//!         hedged_requests: false,
 //!         retry_after: true,
 //!         max_attempts: 10,
 //!         max_retry_after: ms(500),
-//!         max_open: 20_000,
-//!         conn_idle: Span::from_millis(15_000),
+//!         max_open_requests: 20_000,
+//!         idle_connection_timeout: Span::from_millis(15_000),
 //!     },
 //!     rules: Rules {
-//!         ask_within: ms(10_000),
-//!         cold_from: 0.2,
-//!         cold: ms(15_000),
-//!         tip_multiple: 2.5,
-//!         tip_after: ms(1500),
-//!         removal_not_binding: false,
+//!         max_poll_interval: ms(10_000),
+//!         slow_start_initial_capacity: 0.2,
+//!         slow_start_duration: ms(15_000),
+//!         overload_multiple: 2.5,
+//!         overload_duration: ms(1500),
+//!         removal_is_advisory: false,
 //!     },
 //! };
 //! let mut router = Router::new(settings, 42)?;
-//! let entry = |id, primary| Entry {
-//!     node: NodeId(id),
+//! let entry = |id, primary| EndpointRecord {
+//!     endpoint: EndpointId(id),
 //!     group: GroupId(0),
 //!     zone: ZoneId(0),
 //!     kind: KindId(0),
 //!     weight: 1.0,
 //!     started: None,
 //!     primary,
-//!     state: NodeState::Ready,
+//!     state: EndpointState::Ready,
 //! };
-//! let list = Event::List { complete: true, entries: vec![entry(1, true), entry(2, false)] };
+//! let list = PolicyEvent::EndpointList { complete: true, entries: vec![entry(1, true), entry(2, false)] };
 //! let mut actions = Vec::new();
-//! let read = Event::Request(Request {
+//! let read = PolicyEvent::Request(Request {
 //!     id: RequestId(1),
 //!     session: None,
 //!     time_left: ms(500),
@@ -68,10 +68,10 @@
 //!     tenant: None,
 //!     work: None,
 //!     repeat: false,
-//!     wrote_ago: None,
+//!     since_last_write: None,
 //! });
 //! router.step(Time(1_000_000), &[list, read], &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. } | Action::Probe { .. })));
+//! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. } | Action::HealthCheck { .. })));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
