--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -258,6 +258,8 @@
     }
 }
 
+impl std::error::Error for Faults {}
+
 impl Operators {
     /// Reads and checks a file.
     ///
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! One front: its core on its loop, and what the core asks for carried out.
+//! One front: its core on its event loop, and the core's effects carried out.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -8,208 +8,159 @@
 use tracing::{debug, error, info, warn};
 use valehatch_config::Site;
 use valehatch_config::operators::Door;
-use valehatch_connection_limits::ANSWER_SETTLE_TIME;
 use valehatch_core::permission::Decisions;
-use valehatch_core::{CoreConfig, Effect, Event, LogEvent, Observability, State};
+use valehatch_core::{CoreConfig, Effect, Event, LiveView, LogEvent, Observability, State};
 use valehatch_net::Clock;
 use valehatch_net::clients::{Clients, Limits, RequestHandler};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::servers::Upstream;
-use valehatch_policy::{Consistency, Span};
-use valehatch_request_log::OutcomeMetrics;
+use valehatch_policy::{Consistency, RequestClass, Span};
+use valehatch_request_log::{OutcomeMetrics, RequestRecord};
 use valehatch_snmp::world::Board;
 use valehatch_state::Recorder;
 
-/// Events that may wait for the core; who brings more waits.
-pub(crate) const QUEUE: usize = 8192;
-/// Descriptors kept for everything but connections of clients and servers.
-pub(crate) const SPARE: usize = 32;
-/// The part of the memory that requests which are open may take: one in so many.
-const OPEN_PART: usize = 8;
+use crate::error::StartError;
+use crate::recovery::{SharedService, count_outcome};
+use crate::resources::{request_memory, upstream_connections};
 
-/// Bytes of open requests, of the memory.
-pub(crate) const fn bytes(memory: usize) -> usize {
-    memory / OPEN_PART
-}
-
-/// The part of those that clients and servers may take at need: one in so many.
-const EXTRA: usize = 4;
-
-const fn spare(sockets: usize) -> usize {
-    if SPARE < sockets / 4 {
-        SPARE
-    } else {
-        sockets / 4
-    }
-}
+/// Time-out of health checks where the configured connect time-out does not fit into a [`Span`], in milliseconds.
+const DEFAULT_HEALTH_CHECK_TIMEOUT_MS: i64 = 250;
 
-/// Of the descriptors, those for connections to servers at the most.
-pub(crate) const fn connections(sockets: usize) -> usize {
-    (sockets - spare(sockets)) / 2
-}
-
-/// The descriptors for connections from clients and to servers, as they need them; `shared` is unset where those to servers
-/// are counted elsewhere and have their half.
-pub(crate) fn places(clock: Clock, sockets: usize, shared: bool) -> Arc<SharedConnectionLimiter> {
-    SharedConnectionLimiter::new(clock, place_limits(sockets, shared))
-}
-
-/// The part of the descriptors that clients of the platform hold at the most to ask on: one in so many.
-const ASKING: usize = 3;
-
-/// Of so many descriptors of the platform's.
-pub(crate) fn platform_limits(sockets: usize) -> valehatch_connection_limits::Limits {
-    valehatch_connection_limits::Limits {
-        asking: sockets / ASKING,
-        ..place_limits(sockets, true)
-    }
+/// Who observes a front: the names in its records, the request log, and whether service is complete.
+pub(crate) struct Observer {
+    /// Names of the front, its classes and its tenants.
+    pub(crate) names: Arc<Observability>,
+    /// Takes the records of requests.
+    pub(crate) recorder: Recorder,
+    /// Counts outcomes since the start.
+    pub(crate) service: SharedService,
 }
 
-/// Of so many descriptors.
-fn place_limits(sockets: usize, shared: bool) -> valehatch_connection_limits::Limits {
-    let (members, extra) = (connections(sockets), spare(sockets) / EXTRA);
-    let most = if shared {
-        sockets - spare(sockets)
-    } else {
-        members
-    };
-    let members = if shared { members } else { 0 };
-    // Cassandra's protocol has no last word: what is ended there must have rested for longer.
-    let settles = if shared {
-        ANSWER_SETTLE_TIME
-    } else {
-        Span::from_millis(2_000)
-    };
-    valehatch_connection_limits::Limits {
-        most,
-        extra,
-        members,
-        asking: usize::MAX,
-        settles,
+/// The settings of a front's admission queue; `quotas` are the tenants' weights.
+pub(crate) fn admission_settings(
+    sizes: Door,
+    site: &Site,
+    quotas: Vec<f64>,
+) -> valehatch_admission::Settings {
+    let limits = &site.settings.limits;
+    valehatch_admission::Settings {
+        shares: quotas,
+        classes: site.settings.classes.iter().map(admission_class).collect(),
+        most: sizes.most.min(limits.max_open_requests),
+        buckets: sizes.buckets,
+        max_hint: limits.max_retry_after,
+        lanes: sizes.lanes,
     }
 }
 
-/// Who watches a front: the names that its records carry, the ledger, and where beliefs are published.
-pub(crate) struct Watcher {
-    pub names: Arc<Observability>,
-    pub recorder: Recorder,
-    pub service: crate::recovery::Shared,
-}
-
-/// A door for a front, with the tenants' shares.
-pub(crate) fn door(door: Door, site: &Site, shares: Vec<f64>) -> valehatch_admission::Settings {
-    let class = |c: &valehatch_policy::RequestClass| valehatch_admission::Class {
-        worth: c.priority_weight,
-        aim: c.latency_objective,
-        late_counts: c.consistency == Consistency::Write && c.late_priority_weight > 0.0,
-        write: c.consistency == Consistency::Write,
-    };
-    valehatch_admission::Settings {
-        shares,
-        classes: site.settings.classes.iter().map(class).collect(),
-        most: door.most.min(site.settings.limits.max_open_requests),
-        buckets: door.buckets,
-        max_hint: site.settings.limits.max_retry_after,
-        lanes: door.lanes,
+fn admission_class(class: &RequestClass) -> valehatch_admission::Class {
+    let is_write = class.consistency == Consistency::Write;
+    valehatch_admission::Class {
+        worth: class.priority_weight,
+        aim: class.latency_objective,
+        late_counts: is_write && class.late_priority_weight > 0.0,
+        write: is_write,
     }
 }
 
-/// What one front needs to serve.
-pub(crate) struct Parts {
-    pub site: Site,
-    pub sockets: usize,
-    pub memory_mb: usize,
-    pub seed: u64,
-    pub listener: TcpListener,
-    pub clock: Clock,
-    pub front: Arc<dyn RequestHandler>,
-    pub upstream: Box<dyn Upstream>,
-    pub places: Arc<SharedConnectionLimiter>,
-    /// Requests that connections to servers may carry at once, where that is not one for each descriptor.
-    pub streams: Option<usize>,
-    pub inbox: (Sender<Event>, Receiver<Event>),
-    pub watcher: Option<Watcher>,
-    pub door: Option<valehatch_admission::Settings>,
-    /// What operators read, if anybody does.
-    pub figures: Option<Arc<OutcomeMetrics>>,
-    /// What is denied, and why.
-    pub decisions: Arc<Decisions>,
-    /// Where what is believed is published.
-    pub board: Arc<ArcSwapOption<Board>>,
+/// What one front is made of.
+pub(crate) struct FrontParts {
+    /// Its settings, with the names that clients use.
+    pub(crate) site: Site,
+    /// Its descriptors.
+    pub(crate) descriptors: usize,
+    /// Its memory, in MiB.
+    pub(crate) memory_mb: usize,
+    /// The seed of its random choices.
+    pub(crate) seed: u64,
+    /// Where its clients connect.
+    pub(crate) listener: TcpListener,
+    /// The process's clock.
+    pub(crate) clock: Clock,
+    /// Its protocol towards clients.
+    pub(crate) handler: Arc<dyn RequestHandler>,
+    /// Its protocol towards endpoints.
+    pub(crate) upstream: Box<dyn Upstream>,
+    /// Counts its connections.
+    pub(crate) connections: Arc<SharedConnectionLimiter>,
+    /// Requests that may be in flight at once, where that is not one for each upstream connection.
+    pub(crate) max_in_flight: Option<usize>,
+    /// The queue of its core.
+    pub(crate) inbox: (Sender<Event>, Receiver<Event>),
+    /// Who observes it, if anybody does.
+    pub(crate) observer: Option<Observer>,
+    /// Its admission queue, if it has one.
+    pub(crate) admission: Option<valehatch_admission::Settings>,
+    /// Its counters, if they are read.
+    pub(crate) metrics: Option<Arc<OutcomeMetrics>>,
+    /// Counts what the core denies, by reason.
+    pub(crate) decisions: Arc<Decisions>,
+    /// Where its core publishes its view.
+    pub(crate) board: Arc<ArcSwapOption<Board>>,
 }
 
 /// A front that listens.
 pub(crate) struct Front {
     state: State,
-    servers: Box<dyn Upstream>,
+    upstream: Box<dyn Upstream>,
     clients: Arc<Clients>,
     inbox: Receiver<Event>,
     clock: Clock,
-    watcher: Option<Watcher>,
+    observer: Option<Observer>,
     board: Arc<ArcSwapOption<Board>>,
 }
 
 impl Front {
     /// Makes the core and listens.
-    pub(crate) fn listen(parts: Parts) -> Result<Self, String> {
-        let Parts {
-            site,
-            sockets,
-            memory_mb,
-            seed,
-            listener,
-            clock,
-            front,
-            inbox,
-            watcher,
-            door,
-            ..
-        } = parts;
-        let Parts {
-            figures,
-            board,
-            decisions,
-            ..
-        } = parts;
-        let Parts {
-            upstream,
-            streams,
-            places,
-            ..
-        } = parts;
-        let (events, inbox) = inbox;
-        let facts = CoreConfig {
-            settings: site.settings,
-            decisions,
+    ///
+    /// # Errors
+    /// The settings contradict each other, or no thread can be started.
+    pub(crate) fn listen(parts: FrontParts) -> Result<Self, StartError> {
+        let health_check_timeout_ms = i64::try_from(parts.site.connect_timeout_ms);
+        let connection_limit = upstream_connections(parts.descriptors);
+        let has_observer = parts.observer.is_some() || parts.metrics.is_some();
+        let config = CoreConfig {
+            settings: parts.site.settings,
+            decisions: parts.decisions,
             traced: tracing::enabled!(tracing::Level::DEBUG),
-            door,
-            figures: figures.clone(),
-            watched: watcher.as_ref().map(|w| Arc::clone(&w.names)),
-            upstream_connection_limit: streams.unwrap_or(connections(sockets)),
-            probe_timeout: Span::from_millis(i64::try_from(site.connect_timeout_ms).unwrap_or(250)),
+            door: parts.admission,
+            figures: parts.metrics,
+            watched: parts.observer.as_ref().map(|o| Arc::clone(&o.names)),
+            upstream_connection_limit: parts.max_in_flight.unwrap_or(connection_limit),
+            probe_timeout: Span::from_millis(
+                health_check_timeout_ms.unwrap_or(DEFAULT_HEALTH_CHECK_TIMEOUT_MS),
+            ),
         };
-        let state = State::new(facts, seed).map_err(|e| e.to_string())?;
-        let watched = watcher.is_some() || figures.is_some();
+        let state = State::new(config, parts.seed).map_err(StartError::configuration)?;
         let limits = Limits {
-            bytes: bytes(memory_mb * 1024 * 1024),
-            watched,
+            bytes: request_memory(parts.memory_mb * 1024 * 1024),
+            watched: has_observer,
         };
-        let listens = Clients::new(front, events, clock, places, limits)
-            .and_then(|clients| clients.listen(listener).map(|bound| (clients, bound)));
-        let (clients, bound) = listens.map_err(|e| format!("listen: {e}"))?;
-        info!("listens on {bound}");
+        let (events, inbox) = parts.inbox;
+        let clients = Clients::new(
+            parts.handler,
+            events,
+            parts.clock,
+            parts.connections,
+            limits,
+        )
+        .map_err(StartError::resource("listen"))?;
+        let address = clients
+            .listen(parts.listener)
+            .map_err(StartError::resource("listen"))?;
+        info!(%address, "listening");
         Ok(Self {
             state,
-            servers: upstream,
+            upstream: parts.upstream,
             clients,
             inbox,
-            clock,
-            watcher,
-            board,
+            clock: parts.clock,
+            observer: parts.observer,
+            board: parts.board,
         })
     }
 
-    /// Its clients, which are beside its loop.
+    /// Its clients; they are served beside the event loop.
     pub(crate) fn clients(&self) -> Arc<Clients> {
         Arc::clone(&self.clients)
     }
@@ -218,72 +169,104 @@
     pub(crate) fn run(self) {
         let Self {
             mut state,
-            mut servers,
+            upstream,
             clients,
             inbox,
             clock,
-            mut watcher,
+            observer,
             board,
         } = self;
-        valehatch_net::run(&mut state, clock, &inbox, |effect| {
-            let Some(effect) = effect else {
-                servers.flush();
-                return true;
-            };
-            match effect {
-                Effect::Connect {
-                    connection,
-                    address,
-                } => servers.connect(connection, &address),
-                Effect::Submit { connection, job } => servers.submit(connection, job),
-                Effect::CloseUpstream(connection) => servers.close(connection),
-                Effect::ForwardBody {
-                    connection,
-                    client,
-                    ticket,
-                } => servers.pass(connection, clients.passage(client, ticket)),
-                Effect::Answer {
-                    client,
-                    ticket,
-                    answer,
-                } => clients.answer(client, ticket, answer),
-                Effect::CloseClient(client) => clients.close(client),
-                Effect::CloseIdleClients => clients.close_all(),
-                Effect::StopListening => clients.stop(false),
-                Effect::Log(LogEvent::InvalidQuotas(what)) => {
-                    warn!("door: shares stay as they were: {what}")
-                }
-                Effect::Log(LogEvent::UpstreamConnectionsExhausted(n)) => {
-                    warn!("all {n} connections to servers are in use")
-                }
-                Effect::Log(LogEvent::InvariantViolated {
-                    why,
-                    request,
-                    endpoint,
-                }) => {
-                    error!(%request, %endpoint, "invariant violated: {}; it was not sent", why.name());
-                }
-                Effect::Log(LogEvent::RequestStep { request, what }) => {
-                    debug!(%request, "{what:?}")
-                }
-                Effect::RecordOutcome(record) => {
-                    if let Some(watcher) = &mut watcher {
-                        crate::recovery::answered(&watcher.service, clock, &record.ending);
-                        watcher.recorder.record(record.clone());
-                    }
-                }
-                Effect::PublishView(live) => {
-                    if let Some(watcher) = &mut watcher {
-                        watcher.recorder.hand_over_missed();
-                    }
-                    board.store(Some(Arc::new(Board {
-                        live: *live,
-                        queue: inbox.len(),
-                    })));
-                }
-                Effect::Exit => return !clients.may_exit(),
+        let mut effects = EffectRunner {
+            upstream,
+            clients,
+            clock,
+            observer,
+            board,
+            inbox: inbox.clone(),
+        };
+        valehatch_net::run(&mut state, clock, &inbox, |effect| match effect {
+            Some(effect) => effects.run(effect),
+            None => {
+                effects.upstream.flush();
+                true
             }
-            true
         });
     }
 }
+
+/// Carries out the core's effects.
+struct EffectRunner {
+    upstream: Box<dyn Upstream>,
+    clients: Arc<Clients>,
+    clock: Clock,
+    observer: Option<Observer>,
+    board: Arc<ArcSwapOption<Board>>,
+    inbox: Receiver<Event>,
+}
+
+impl EffectRunner {
+    /// Carries out one effect; false once the event loop is to end.
+    fn run(&mut self, effect: Effect) -> bool {
+        match effect {
+            Effect::Connect {
+                connection,
+                address,
+            } => self.upstream.connect(connection, &address),
+            Effect::Submit { connection, job } => self.upstream.submit(connection, job),
+            Effect::CloseUpstream(connection) => self.upstream.close(connection),
+            Effect::ForwardBody {
+                connection,
+                client,
+                ticket,
+            } => {
+                let body = self.clients.passage(client, ticket);
+                self.upstream.pass(connection, body);
+            }
+            Effect::Answer {
+                client,
+                ticket,
+                answer,
+            } => self.clients.answer(client, ticket, answer),
+            Effect::CloseClient(client) => self.clients.close(client),
+            Effect::CloseIdleClients => self.clients.close_all(),
+            Effect::StopListening => self.clients.stop(false),
+            Effect::Log(event) => log(event),
+            Effect::RecordOutcome(record) => self.record(record),
+            Effect::PublishView(view) => self.publish(*view),
+            Effect::Exit => return !self.clients.may_exit(),
+        }
+        true
+    }
+
+    fn record(&mut self, record: Box<RequestRecord>) {
+        if let Some(observer) = &mut self.observer {
+            count_outcome(&observer.service, self.clock, &record.ending);
+            observer.recorder.record(record);
+        }
+    }
+
+    fn publish(&mut self, live: LiveView) {
+        if let Some(observer) = &mut self.observer {
+            observer.recorder.hand_over_missed();
+        }
+        let queue = self.inbox.len();
+        self.board.store(Some(Arc::new(Board { live, queue })));
+    }
+}
+
+fn log(event: LogEvent) {
+    match event {
+        LogEvent::InvalidQuotas(error) => warn!(%error, "tenant quotas rejected, keeping the old"),
+        LogEvent::UpstreamConnectionsExhausted(limit) => {
+            warn!(limit, "all upstream connections are in use");
+        }
+        LogEvent::InvariantViolated {
+            why,
+            request,
+            endpoint,
+        } => {
+            error!(%request, %endpoint, "invariant violated: {}; it was not sent", why.name());
+        }
+        LogEvent::RequestStep { request, what } => debug!(%request, "{what:?}"),
+    }
+}
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -1,4 +1,7 @@
-//! Two processes that are one gateway: what this one takes over from the one before, and hands on to the next.
+//! Hot restart: what this process takes over from its predecessor, and what it hands on to its successor.
+//!
+//! The steps and who holds what at each are `valehatch_hot_restart`'s; the socket between the two processes is
+//! `valehatch_net::hot_restart`'s. This module connects them with the front.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
@@ -18,148 +21,212 @@
 use valehatch_recovery::book::EndpointListCache;
 use valehatch_recovery::snapshot::Snapshot;
 
-use crate::front::{SPARE, bytes, connections, platform_limits};
-use crate::recovery::{Kept, told, wall_ms};
-
-/// How long the core may take to say what it believes: what discovery told and the list are handed on without it.
-const BELIEFS: Duration = Duration::from_millis(250);
-
-/// Where the processes of a gateway that listens there meet, if the platform gives a folder for that.
-pub(crate) fn path(listen: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|d| !d.is_empty())?;
+use crate::error::StartError;
+use crate::recovery::{RecoverableFront, decode_inherited, unix_ms};
+use crate::resources::{
+    RESERVED_DESCRIPTORS, platform_limits, request_memory, upstream_connections,
+};
+
+/// Name of the platform's front in snapshots.
+pub(crate) const PLATFORM_FRONT: &str = "platform";
+/// How long a handoff waits for the core's view; without it the endpoint list is handed on alone.
+const VIEW_TIMEOUT: Duration = Duration::from_millis(250);
+/// Pause between two looks at whether the view has been published.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(1);
+
+/// Where the processes of a gateway that listens at this address meet; `None` without `TMPDIR`.
+pub(crate) fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
+    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(PathBuf::from(folder).join(format!("handover-{listen}")))
 }
 
-/// What a start begins with.
-pub(crate) struct Begin {
-    pub listener: TcpListener,
-    pub known: Option<Snapshot>,
-    /// The line to the process before, while that lives.
-    old: Option<UnixStream>,
+/// What a process begins with.
+pub(crate) struct Inheritance {
+    listener: TcpListener,
+    /// What the predecessor knew, if it could be used.
+    pub(crate) snapshot: Option<Snapshot>,
+    /// The connection to the predecessor, while that lives.
+    predecessor: Option<UnixStream>,
 }
 
-/// Takes over from the process before this one, or begins as after a crash.
+/// Takes over from the predecessor, or begins as after a crash.
 ///
 /// # Errors
-/// The address cannot be listened on, or an upgrade is under way that does not end.
-pub(crate) fn begin(
+/// The address cannot be listened on, or two processes of this gateway run already.
+pub(crate) fn inherit(
     path: Option<&PathBuf>,
     gateway: &str,
     listen: SocketAddr,
-) -> Result<Begin, String> {
-    let own = |known, old| match listener(listen, true) {
-        Ok(listener) => Ok(Begin {
+) -> Result<Inheritance, StartError> {
+    let fresh = |snapshot, predecessor| {
+        let listener =
+            listener(listen, true).map_err(StartError::resource(format!("listen: {listen}")))?;
+        Ok(Inheritance {
             listener,
-            known,
-            old,
-        }),
-        Err(e) => Err(format!("listen: {listen}: {e}")),
+            snapshot,
+            predecessor,
+        })
+    };
+    let Some(path) = path else {
+        return fresh(None, None);
     };
-    match path.map_or(HandoffOutcome::Nobody, |path| ask(path, gateway)) {
-        HandoffOutcome::Nobody => own(None, None),
-        HandoffOutcome::Inherited(handed) => {
-            let known = told(&handed.snapshot, gateway);
-            let bytes = handed.snapshot.len();
-            let (listener, old) = handed.parts();
+    match ask(path, gateway) {
+        HandoffOutcome::Nobody => fresh(None, None),
+        HandoffOutcome::Inherited(inherited) => {
+            let snapshot = decode_inherited(&inherited.snapshot, gateway);
+            let bytes = inherited.snapshot.len();
+            let (listener, predecessor) = inherited.parts();
             let Some(listener) = listener else {
-                info!("upgrade: the process before is about to end, and handed {bytes} bytes over");
-                return own(known, Some(old));
+                info!(
+                    bytes,
+                    "hot restart: predecessor is ending, inherited its snapshot"
+                );
+                return fresh(snapshot, Some(predecessor));
             };
-            info!("upgrade: the process before handed its socket over, and {bytes} bytes");
-            Ok(Begin {
+            info!(
+                bytes,
+                "hot restart: inherited the listening socket and the snapshot"
+            );
+            Ok(Inheritance {
                 listener,
-                known,
-                old: Some(old),
+                snapshot,
+                predecessor: Some(predecessor),
             })
         }
-        HandoffOutcome::Busy => {
-            Err("an upgrade is under way, and two processes are enough for one gateway".into())
+        HandoffOutcome::Busy => Err(StartError::HotRestartInProgress),
+        HandoffOutcome::Silent(error, predecessor) => {
+            warn!(%error, "hot restart: nothing inherited, starting as after a crash");
+            fresh(None, predecessor)
         }
-        HandoffOutcome::Silent(why, old) => {
-            warn!("upgrade: nothing was handed over, the start goes on as after a crash: {why}");
-            own(None, old)
+    }
+}
+
+impl Inheritance {
+    /// A second handle of the listening socket, for the front.
+    ///
+    /// # Errors
+    /// No descriptor is left.
+    pub(crate) fn listener(&self) -> std::io::Result<TcpListener> {
+        self.listener.try_clone()
+    }
+
+    /// Whether a predecessor serves beside this process.
+    pub(crate) const fn has_predecessor(&self) -> bool {
+        self.predecessor.is_some()
+    }
+
+    /// Tells the predecessor that this process serves, and listens for a successor. `None` if there is nowhere to listen.
+    pub(crate) fn announce(
+        self,
+        path: Option<PathBuf>,
+        process: SharedProcess,
+    ) -> Option<HandoffHandle> {
+        let upgrade = Upgrade {
+            path: path?,
+            gateway: process.gateway.clone(),
+            listener: Some(self.listener),
+            whole: process.limits,
+        };
+        match upgrade.start(self.predecessor, Box::new(process)) {
+            Ok(handle) => Some(handle),
+            Err(error) => {
+                warn!(%error, "hot restart: cannot listen for a successor");
+                None
+            }
         }
     }
 }
 
-/// What is shared out and handed on.
-pub(crate) struct Shares {
-    pub gateway: String,
-    pub whole: ProcessLimits,
-    pub routers: u32,
-    pub events: Sender<Event>,
-    pub clients: Arc<Clients>,
-    pub places: Arc<SharedConnectionLimiter>,
-    pub kept: Kept,
-    pub clock: Clock,
-    /// Looks at the configuration again, for where discovery is now.
-    pub look: Arc<dyn Fn() + Send + Sync>,
+/// This process as the hot restart sees it: what can be divided between two processes, and what can be handed on.
+pub(crate) struct SharedProcess {
+    /// The gateway's name; processes of another name hand nothing on to each other.
+    pub(crate) gateway: String,
+    /// What both processes may use together.
+    pub(crate) limits: ProcessLimits,
+    /// Gateways of the deployment, this one counted once.
+    pub(crate) gateway_count: u32,
+    /// The core.
+    pub(crate) events: Sender<Event>,
+    /// The clients.
+    pub(crate) clients: Arc<Clients>,
+    /// The limiter of all connections.
+    pub(crate) connections: Arc<SharedConnectionLimiter>,
+    /// What a snapshot is made of.
+    pub(crate) front: RecoverableFront,
+    /// The process's clock.
+    pub(crate) clock: Clock,
+    /// Reads the configuration again, for discovery's address.
+    pub(crate) reload_discovery: Arc<dyn Fn() + Send + Sync>,
+}
+
+impl SharedProcess {
+    /// Asks the core for its view and waits for it, [`VIEW_TIMEOUT`] at most.
+    fn refresh_view(&self) {
+        let (requested_at, give_up_at) = (self.clock.now(), Instant::now() + VIEW_TIMEOUT);
+        let _ = self.events.try_send(Event::PublishView);
+        let is_fresh = || {
+            let board = self.front.board.load();
+            board.as_ref().is_some_and(|b| b.live.at >= requested_at)
+        };
+        while !is_fresh() && Instant::now() < give_up_at {
+            sleep(VIEW_POLL_INTERVAL);
+        }
+    }
 }
 
-impl HandoffHandler for Shares {
+impl HandoffHandler for SharedProcess {
     fn holds(&self) -> ProcessLimits {
-        let (clients, members) = self.places.held();
-        let descriptors = SPARE + clients + members;
-        let resident = procfs::process::Process::myself()
-            .and_then(|p| p.statm())
-            .map(|m| m.resident);
-        let page = procfs::page_size();
+        let (clients, upstream) = self.connections.held();
+        let resident_pages = procfs::process::Process::myself()
+            .and_then(|process| process.statm())
+            .map_or(0, |memory| memory.resident);
+        let resident_bytes = resident_pages * procfs::page_size();
         ProcessLimits {
-            descriptors,
-            bytes: resident.map_or(0, |pages| usize::try_from(pages * page).unwrap_or(0)),
+            descriptors: RESERVED_DESCRIPTORS + clients + upstream,
+            bytes: usize::try_from(resident_bytes).unwrap_or(0),
         }
     }
 
     fn snapshot(&self) -> Option<Vec<u8>> {
-        let (asked, until) = (self.clock.now(), Instant::now() + BELIEFS);
-        let _ = self.events.try_send(Event::PublishView);
-        let fresh = || {
-            self.kept
-                .board
-                .load()
-                .as_ref()
-                .is_some_and(|b| b.live.at >= asked)
-        };
-        while !fresh() && Instant::now() < until {
-            sleep(Duration::from_millis(1));
-        }
-        let at_ms = wall_ms();
-        let fronts = vec![self.kept.kept(at_ms, self.clock.now())];
-        Snapshot {
+        self.refresh_view();
+        let at_ms = unix_ms();
+        let fronts = vec![self.front.snapshot(at_ms, self.clock.now())];
+        let snapshot = Snapshot {
             gateway: self.gateway.clone(),
             at_ms,
             fronts,
             fleet: vec![],
-        }
-        .encode()
+        };
+        snapshot.encode()
     }
 
-    fn share(&self, room: ProcessLimits, processes: u32) {
-        // What is held already is not refused for it: it goes as it rests.
-        let held = room.descriptors.max(self.holds().descriptors);
-        self.places.resize(platform_limits(held));
-        self.clients.limit(bytes(room.bytes));
-        let _ = self.events.send(Event::UpstreamConnectionLimit(connections(
-            room.descriptors,
-        )));
-        let _ = self
-            .events
-            .send(Event::GatewayCount(self.routers.saturating_mul(processes)));
+    fn share(&self, limits: ProcessLimits, processes: u32) {
+        // Connections that are open already are not cut to meet a smaller limit: they go as they become idle.
+        let descriptors = limits.descriptors.max(self.holds().descriptors);
+        self.connections.resize(platform_limits(descriptors));
+        self.clients.limit(request_memory(limits.bytes));
+        let upstream = upstream_connections(limits.descriptors);
+        let _ = self.events.send(Event::UpstreamConnectionLimit(upstream));
+        let gateways = self.gateway_count.saturating_mul(processes);
+        let _ = self.events.send(Event::GatewayCount(gateways));
     }
 
     fn hear(&self, list: &[u8]) {
-        let (Some(taker), Some(book)) = (&self.kept.taker, EndpointListCache::decode(list)) else {
+        let Some(store) = &self.front.endpoint_list else {
             return;
         };
-        let mut taker = valehatch_net::lock(taker);
-        taker.hear(&book);
-        let held = taker.held().0.told;
-        drop(taker);
-        // Discovery has moved for the other process, which was told to read the configuration again; that was told the
-        // gateway, so this one looks too. What the new address tells is not taken from here: this one asks there itself.
-        let at = |told: Option<(SocketAddr, u64)>| told.map(|(at, _)| at);
-        if at(book.told) != at(held) {
-            (self.look)();
+        let Some(received) = EndpointListCache::decode(list) else {
+            return;
+        };
+        let mut store = valehatch_net::lock(store);
+        store.hear(&received);
+        let cached_source = store.held().0.told.map(|(address, _)| address);
+        drop(store);
+        // The other process has been sent SIGHUP and polls another address now. The signal was meant for the gateway,
+        // so this process reads the configuration too; it takes no list of the new address but from there itself.
+        let received_source = received.told.map(|(address, _)| address);
+        if received_source != cached_source {
+            (self.reload_discovery)();
         }
     }
 
@@ -168,37 +235,3 @@
         let _ = self.events.send(Event::HandoffStarted);
     }
 }
-
-impl Begin {
-    /// A socket for the front, and what is needed to hand it on.
-    pub(crate) fn split(&self) -> std::io::Result<TcpListener> {
-        self.listener.try_clone()
-    }
-
-    /// There is a process before this one, which serves as well.
-    pub(crate) const fn is_second(&self) -> bool {
-        self.old.is_some()
-    }
-
-    /// This process serves: it says so to the one before it, and can be asked by the next.
-    pub(crate) fn serves(self, path: Option<PathBuf>, shares: Shares) -> Option<HandoffHandle> {
-        let path = path?;
-        let (gateway, whole) = (shares.gateway.clone(), shares.whole);
-        let upgrade = Upgrade {
-            path,
-            gateway,
-            listener: Some(self.listener),
-            whole,
-        };
-        match upgrade.start(self.old, Box::new(shares)) {
-            Ok(stops) => Some(stops),
-            Err(e) => {
-                warn!("upgrade: nothing can be handed on: {e}");
-                None
-            }
-        }
-    }
-}
-
-/// What the list and the beliefs are kept by, for the next process.
-pub(crate) const FRONT: &str = "platform";
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,24 +1,32 @@
-#![forbid(unsafe_code)]
-#![expect(clippy::too_many_lines, reason = "not yet split and documented")]
-//! The gateway: its command line, and the wiring of configuration, cores, fronts, ledger and agent.
+//! The gateway: its command line, and the wiring of configuration, cores, fronts, request log and agent.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`front`] | one front: its core on its loop, its clients and servers |
-//! | [`recovery`] | what the next start begins with, and whether this one's service is whole |
-//! | [`platform`] | the platform's front, told by the platform's JSON |
-//! | [`operators`] | all fronts of an operators' file, with ledger and agent |
-//! | [`upgrade`] | two processes that are one gateway |
-//! | [`management`] | what operators are told: health and figures of all fronts |
+//! | [`platform`] | `valehatch`: the platform's front, configured by the platform's JSON |
+//! | [`operators`] | `valehatch serve`: all fronts of an operators' file, with request log, agent and membership |
+//! | [`front`] | one front: its core on its event loop, and the core's effects carried out |
+//! | [`protocols`] | PostgreSQL or Cassandra on both sides of a front |
+//! | [`resources`] | how descriptors and memory are divided |
+//! | [`hot_restart`] | what is taken over from the predecessor and handed on to the successor |
+//! | [`recovery`] | what a start takes from a snapshot, and what a front adds to the next |
+//! | [`snapshot_writer`] | the state folder's `snapshot` and `recovery.json` |
+//! | [`status`] | health and counters of all fronts, for the management address |
 //! | [`snmp`] | `valehatch snmp …` |
+//! | [`error`] | why the program cannot start |
+
+#![forbid(unsafe_code)]
 
+mod error;
 mod front;
-mod management;
+mod hot_restart;
 mod operators;
 mod platform;
+mod protocols;
 mod recovery;
+mod resources;
+mod snapshot_writer;
 mod snmp;
-mod upgrade;
+mod status;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -26,6 +34,8 @@
 use clap::{Parser, Subcommand};
 use valehatch_config::operators::Operators;
 
+use crate::error::StartError;
+
 /// A gateway between many teams' services and the databases that they share.
 ///
 /// Without a command the platform is served, as the file that BALANCER_CONFIG names says.
@@ -61,22 +71,20 @@
     Snmp(snmp::Command),
 }
 
-fn run(arguments: Arguments) -> Result<(), String> {
+fn run(arguments: Arguments) -> Result<(), StartError> {
     match arguments.command {
-        None => platform::serve(arguments.door),
+        None => platform::serve(arguments.door.then_some(platform::ADMISSION_QUEUE)),
         Some(Command::Serve { file }) => operators::serve(file),
         Some(Command::Check { file }) => {
-            let read = Operators::load(&file).map_err(|e| e.to_string())?;
-            println!(
-                "{}: {} front(s), no fault",
-                file.display(),
-                read.fronts.len()
-            );
+            let read = Operators::load(&file).map_err(StartError::configuration)?;
+            let fronts = read.fronts.len();
+            println!("{}: {fronts} front(s), no fault", file.display());
             Ok(())
         }
         Some(Command::Config { file }) => {
-            let (_, shown) = Operators::load_shown(&file).map_err(|e| e.to_string())?;
-            print!("{shown}");
+            let (_, with_defaults) =
+                Operators::load_shown(&file).map_err(StartError::configuration)?;
+            print!("{with_defaults}");
             Ok(())
         }
         Some(Command::Snmp(command)) => snmp::run(command),
@@ -84,11 +92,11 @@
 }
 
 fn main() -> ExitCode {
-    match run(Arguments::parse()) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            text.lines().for_each(|line| eprintln!("valehatch: {line}"));
-            ExitCode::from(2)
-        }
+    let Err(error) = run(Arguments::parse()) else {
+        return ExitCode::SUCCESS;
+    };
+    for line in error.to_string().lines() {
+        eprintln!("valehatch: {line}");
     }
+    ExitCode::from(2)
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,371 +1,421 @@
-//! All fronts of an operators' file, each on a core of its own, with the ledger and the agent that they share.
+//! `valehatch serve FILE`: all fronts of an operators' file, each with a core of its own, and what they share: the
+//! request log, the SNMP agent, membership and the snapshot writer.
+//!
+//! SIGHUP reads the file again; a change of the file is noticed as well. Endpoints, tenant quotas and the agent's users,
+//! views, receivers and limits are taken over; everything else stays as at the start.
 
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
-use std::thread;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::thread::{self, JoinHandle};
+use std::time::Instant;
 
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{error, info};
-use valehatch_config::operators::{self, Members, Operators, Protocol};
+use valehatch_config::operators::{self, Members, Operators};
 use valehatch_core::{Event, Observability};
-use valehatch_net::clients::RequestHandler;
-use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::link::GossipTransport;
 use valehatch_net::members::ConfiguredEndpoints;
-use valehatch_net::servers::{EndpointPools, Upstream};
 use valehatch_net::{Clock, list, members, signals};
 use valehatch_policy::Span;
-use valehatch_request_log::OutcomeMetrics;
+use valehatch_recovery::snapshot::Snapshot;
 use valehatch_snmp::Agent;
 use valehatch_snmp::world::{self, Board, World};
 use valehatch_state::RecordWriter;
 
-use crate::front::{Front, Parts, QUEUE, Watcher, connections, places};
-use crate::management::Told;
-use crate::recovery::{self, Keeper};
+use crate::error::StartError;
+use crate::front::{Front, FrontParts, Observer, admission_settings};
+use crate::platform::has_endpoints;
+use crate::protocols::protocol_stack;
+use crate::recovery::{self, RecoverableFront, SharedEndpointList, SharedService, unix_ms};
+use crate::resources::EVENT_QUEUE_LENGTH;
+use crate::snapshot_writer::SnapshotWriter;
+use crate::status::ProcessStatus;
 
-/// How often what a core believes is published to the agent.
-const PUBLISH: Span = Span::from_millis(100);
+/// How often a core publishes its view.
+const PUBLISH_INTERVAL: Span = Span::from_millis(100);
 
-/// What a front's records and the agent's rows are named by.
-fn names(front: &operators::Front) -> Arc<Observability> {
-    let all = |names: &[String]| names.iter().map(|n| Arc::from(n.as_str())).collect();
-    Arc::new(Observability {
-        front: Arc::clone(&front.name),
-        classes: all(&front.site.classes),
-        tenants: all(&front.site.tenants),
-        publish: PUBLISH,
-    })
+/// The queue of a front's core, its names, and where the core publishes its view.
+struct FrontChannels {
+    inbox: (Sender<Event>, Receiver<Event>),
+    names: Arc<Observability>,
+    board: Arc<ArcSwapOption<Board>>,
 }
 
-/// A front as the agent shows it.
-fn shown(
-    front: &operators::Front,
-    names: &Observability,
-    board: Arc<ArcSwapOption<Board>>,
-) -> world::Front {
-    let routers = f64::from(front.site.settings.routers.max(1));
-    let allowances = front
-        .site
-        .settings
-        .tenants
-        .iter()
-        .map(|t| t.allowance / routers);
-    world::Front {
-        name: Arc::clone(&names.front),
-        protocol: front.protocol.name(),
-        listen: front.listen.to_string(),
-        classes: names.classes.clone(),
-        tenants: names.tenants.iter().cloned().zip(allowances).collect(),
-        board,
+impl FrontChannels {
+    fn new(front: &operators::Front) -> Self {
+        let all = |names: &[String]| names.iter().map(|name| Arc::from(name.as_str())).collect();
+        let names = Observability {
+            front: Arc::clone(&front.name),
+            classes: all(&front.site.classes),
+            tenants: all(&front.site.tenants),
+            publish: PUBLISH_INTERVAL,
+        };
+        Self {
+            inbox: bounded(EVENT_QUEUE_LENGTH),
+            names: Arc::new(names),
+            board: Arc::default(),
+        }
     }
 }
 
-/// What speaks a front's protocol on both sides.
-struct Speakers {
-    clients: Arc<dyn RequestHandler>,
-    servers: Box<dyn Upstream>,
-    places: Arc<SharedConnectionLimiter>,
-    /// Requests that connections to servers carry at once, where one carries many.
-    streams: Option<usize>,
+/// A front that listens, with its endpoint list if it uses discovery.
+struct StartedFront {
+    name: Arc<str>,
+    front: Front,
+    endpoint_list: Option<SharedEndpointList>,
 }
 
-fn speakers(
-    front: &operators::Front,
-    clock: Clock,
-    events: Sender<Event>,
-    figures: Option<Arc<OutcomeMetrics>>,
-) -> Result<Speakers, String> {
-    let site = front.site.clone();
-    let timeout = Duration::from_millis(site.connect_timeout_ms);
-    let places = places(clock, front.sockets, front.protocol == Protocol::Postgresql);
-    Ok(match front.protocol {
-        Protocol::Postgresql => Speakers {
-            clients: Arc::new(valehatch_pg::clients::Front { site, clock }),
-            servers: Box::new(
-                EndpointPools::new(
-                    Arc::new(valehatch_pg::servers::Databases { clock }),
-                    events,
-                    clock,
-                    timeout,
-                    Arc::clone(&places),
-                )
-                .counting(figures),
-            ),
-            places,
-            streams: None,
-        },
-        Protocol::Cassandra => {
-            let prepared = Arc::new(valehatch_cql::Prepared::default());
-            let limits = &site.settings.limits;
-            let (idle, streams) = (
-                limits.idle_connection_timeout,
-                Some(limits.max_open_requests.max(1)),
-            );
-            let most = connections(front.sockets);
-            let known = Arc::clone(&prepared);
-            let nodes = valehatch_cql::nodes::Nodes::new(
-                known, events, clock, timeout, idle, most, figures,
-            )?;
-            let contracts = front.contracts.clone();
-            let clients = Arc::new(valehatch_cql::clients::Front {
-                site,
-                contracts,
-                prepared,
-                clock,
-            });
-            Speakers {
-                clients,
-                servers: Box::new(nodes),
-                places,
-                streams,
-            }
+/// Serves a file's fronts until they have stopped.
+///
+/// # Errors
+/// Why they cannot start; the text names the key at fault.
+pub(crate) fn serve(path: PathBuf) -> Result<(), StartError> {
+    let signals = signals::catch().map_err(StartError::resource("signals"))?;
+    let file = Operators::load(&path).map_err(StartError::configuration)?;
+    valehatch_net::log::init(file.log);
+    let (clock, started_at) = (Clock::start(), Instant::now());
+    let channels: Vec<FrontChannels> = file.fronts.iter().map(FrontChannels::new).collect();
+    let sites = file.fronts.iter().map(|f| (Arc::clone(&f.name), &f.site));
+    let status = ProcessStatus::new(sites);
+    if let Some(address) = file.mgmt {
+        status.serve("mgmt.listen", address)?;
+    }
+    let writer = start_record_writer(&file)?;
+    let state = file.state.as_ref();
+    let snapshot = state.and_then(|state| recovery::read_snapshot(&state.dir, &file.name));
+    let service = recovery::service(&file, clock);
+    let agent = start_agent(&file, &channels, writer.as_ref(), clock, started_at)?;
+
+    let starter = FrontStarter {
+        file: &file,
+        clock,
+        status: &status,
+        writer: writer.as_ref(),
+        snapshot: snapshot.as_ref(),
+        service: &service,
+        gateway_count: Arc::new(AtomicU32::new(file.routers)),
+    };
+    let mut fronts = vec![];
+    for (index, channels) in channels.iter().enumerate() {
+        fronts.push(starter.start(index, channels)?);
+    }
+    status.on_listening();
+
+    let agent = Arc::new(agent);
+    let events: Vec<Sender<Event>> = channels.iter().map(|c| c.inbox.0.clone()).collect();
+    let reload_requested = watch_file(path, &file, &channels, &agent)?;
+    let gossip = starter.start_gossip(&fronts, &events)?;
+    let recoverable = recoverable_fronts(&file, &channels, &fronts);
+    let snapshots = SnapshotWriter::start(
+        &file,
+        recoverable,
+        gossip.clone(),
+        Arc::clone(&service),
+        clock,
+    )
+    .map_err(StartError::resource("recovery"))?;
+    if let (None, Some(gossip)) = (&snapshots, &gossip) {
+        // Without a state folder nothing follows how complete service is: the other gateways take it as complete.
+        gossip.full(true);
+    }
+    drop(channels);
+
+    let on_reload = move || reload_requested.store(true, Ordering::Relaxed);
+    let on_shutdown = move || {
+        status.on_shutdown();
+        if let Some(gossip) = &gossip {
+            gossip.leave();
         }
-    })
+    };
+    signals::watch(signals, events, on_reload, on_shutdown)
+        .map_err(StartError::resource("signals"))?;
+    info!(gateway = %file.name, fronts = fronts.len(), "serving");
+    run_until_stopped(fronts)?;
+    finish(agent, snapshots, writer);
+    Ok(())
 }
 
-/// What a front is made of beside the file.
-struct Made {
-    inbox: (Sender<Event>, Receiver<Event>),
-    names: Arc<Observability>,
-    board: Arc<ArcSwapOption<Board>>,
+/// The request log's writer, if anything reads what it counts.
+fn start_record_writer(file: &Operators) -> Result<Option<RecordWriter>, StartError> {
+    if file.snmp.is_none() && file.state.is_none() {
+        return Ok(None);
+    }
+    let writer = valehatch_state::start(file.state.as_ref());
+    writer.map(Some).map_err(StartError::resource("state.dir"))
 }
 
-pub(crate) fn serve(path: PathBuf) -> Result<(), String> {
-    let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
-    let read = Operators::load(&path).map_err(|e| e.to_string())?;
-    valehatch_net::log::init(read.log);
-    let (clock, began) = (Clock::start(), Instant::now());
-    let made: Vec<Made> = read
-        .fronts
-        .iter()
-        .map(|f| Made {
-            inbox: bounded(QUEUE),
-            names: names(f),
-            board: Arc::default(),
+/// What the start of each front needs beside the front itself.
+struct FrontStarter<'a> {
+    file: &'a Operators,
+    clock: Clock,
+    status: &'a Arc<ProcessStatus>,
+    writer: Option<&'a RecordWriter>,
+    snapshot: Option<&'a Snapshot>,
+    service: &'a SharedService,
+    /// Gateways that are known to live; membership keeps it.
+    gateway_count: Arc<AtomicU32>,
+}
+
+impl FrontStarter<'_> {
+    fn start(&self, index: usize, channels: &FrontChannels) -> Result<StartedFront, StartError> {
+        let front = &self.file.fronts[index];
+        let metrics = self.file.mgmt.map(|_| self.status.metrics(index));
+        let events = channels.inbox.0.clone();
+        let protocol = protocol_stack(front, self.clock, events, metrics.clone())
+            .map_err(StartError::resource(format!("front.{index}")))?;
+        let seed =
+            self.clock.now().0.unsigned_abs() ^ u64::from(std::process::id()) << 32 ^ index as u64;
+        let endpoint_list = self.start_endpoint_list(index, channels, seed)?;
+        let key = format!("front.{index}.listen: {}", front.listen);
+        let quotas = self.file.shares.clone();
+        let admission = self.file.door;
+        let parts = FrontParts {
+            site: front.site.clone(),
+            descriptors: front.sockets,
+            memory_mb: front.memory_mb,
+            seed,
+            listener: valehatch_net::clients::listener(front.listen, false)
+                .map_err(StartError::resource(key))?,
+            clock: self.clock,
+            handler: protocol.handler,
+            upstream: protocol.upstream,
+            connections: protocol.connections,
+            max_in_flight: protocol.max_in_flight,
+            inbox: channels.inbox.clone(),
+            observer: self.writer.map(|writer| Observer {
+                names: Arc::clone(&channels.names),
+                recorder: writer.recorder(),
+                service: Arc::clone(self.service),
+            }),
+            admission: admission.map(|sizes| admission_settings(sizes, &front.site, quotas)),
+            metrics,
+            decisions: self.status.decisions(index),
+            board: Arc::clone(&channels.board),
+        };
+        let listening = Front::listen(parts)
+            .map_err(|error| StartError::Configuration(format!("front.{index}.{error}").into()))?;
+        Ok(StartedFront {
+            name: Arc::clone(&front.name),
+            front: listening,
+            endpoint_list,
         })
-        .collect();
-    let mgmt = Told::new(read.fronts.iter().map(|f| (Arc::clone(&f.name), &f.site)));
-    if let Some(listen) = read.mgmt {
-        mgmt.serve(listen)
-            .map_err(|e| format!("mgmt.listen: {e}"))?;
     }
-    let watched = read.snmp.is_some() || read.state.is_some();
-    let writer = if watched {
-        let started = valehatch_state::start(read.state.as_ref());
-        Some(started.map_err(|e| format!("state.dir: {e}"))?)
-    } else {
-        None
-    };
-    let kept = read
-        .state
-        .as_ref()
-        .and_then(|state| recovery::read(&state.dir, &read.name));
-    let service = recovery::service(&read, clock);
-    let agent = agent(&read, &made, writer.as_ref(), clock, began)?;
-    let fleet = Arc::new(AtomicU32::new(read.routers));
-    let mut fronts = vec![];
-    let mut asking = 0;
-    let mut takers = vec![None; made.len()];
-    for (n, (front, made)) in read.fronts.iter().zip(&made).enumerate() {
-        let watcher = writer.as_ref().map(|w| Watcher {
-            names: Arc::clone(&made.names),
-            recorder: w.recorder(),
-            service: Arc::clone(&service),
+
+    /// Starts discovery for a front that uses it; the endpoints of others are sent by [`watch_file`].
+    fn start_endpoint_list(
+        &self,
+        index: usize,
+        channels: &FrontChannels,
+        seed: u64,
+    ) -> Result<Option<SharedEndpointList>, StartError> {
+        let front = &self.file.fronts[index];
+        let Members::Discovery(address) = front.members else {
+            self.status.on_endpoint_list(index);
+            return Ok(None);
+        };
+        let watch = list::Watch::new(
+            Arc::new(list::Place::new(address)),
+            false,
+            front.site.clone(),
+            self.clock,
+            channels.inbox.0.clone(),
+            Arc::clone(&self.gateway_count),
+            seed,
+        );
+        let (service, status) = (Arc::clone(self.service), Arc::clone(self.status));
+        let (clock, list_index) = (self.clock, self.discovery_index(index));
+        let watch = watch.telling(move || {
+            status.on_endpoint_list(index);
+            valehatch_net::lock(&service).confirmed(list_index, clock.now());
         });
-        let figures = read.mgmt.map(|_| mgmt.figures(n));
-        let speakers = speakers(front, clock, made.inbox.0.clone(), figures.clone());
-        let speakers = speakers.map_err(|e| format!("front.{n}: {e}"))?;
-        let seed = clock.now().0.unsigned_abs() ^ u64::from(std::process::id()) << 32 ^ n as u64;
-        if let Members::Fixed(_) = front.members {
-            mgmt.listed(n);
+        let endpoint_list = watch.taker();
+        let started = match recovery::restore_front(self.snapshot, &front.name).list {
+            Some((endpoints, source)) => watch.resume(endpoints, source),
+            None => watch.start(&serde_json::Value::Null),
+        };
+        started.map_err(StartError::resource(format!("front.{index}")))?;
+        if has_endpoints(&endpoint_list) {
+            self.status.on_endpoint_list(index);
         }
-        if let Members::Discovery(address) = front.members {
-            let place = Arc::new(list::Place::new(address));
-            let (site, events) = (front.site.clone(), made.inbox.0.clone());
-            let watch =
-                list::Watch::new(place, false, site, clock, events, Arc::clone(&fleet), seed);
-            let (service, asks, tells) = (Arc::clone(&service), asking, Arc::clone(&mgmt));
-            asking += 1;
-            let confirmed = move || {
-                tells.listed(n);
-                valehatch_net::lock(&service).confirmed(asks, clock.now());
-            };
-            let taker = watch.taker();
-            let watch = watch.telling(confirmed);
-            let started = match recovery::restored(kept.as_ref(), &front.name).list {
-                Some((listed, told)) => watch.resume(listed, told),
-                None => watch.start(&serde_json::Value::Null),
-            };
-            started.map_err(|e| format!("front.{n}: {e}"))?;
-            if valehatch_net::lock(&taker)
-                .held()
-                .0
-                .members()
-                .next()
-                .is_some()
-            {
-                mgmt.listed(n);
+        Ok(Some(endpoint_list))
+    }
+
+    /// The place of a front among those that use discovery, as [`recovery::service`] counts them.
+    fn discovery_index(&self, index: usize) -> usize {
+        let before = self.file.fronts[..index].iter();
+        before
+            .filter(|front| matches!(front.members, Members::Discovery(_)))
+            .count()
+    }
+
+    /// Starts membership among the gateways, if the file has a section for it.
+    fn start_gossip(
+        &self,
+        fronts: &[StartedFront],
+        events: &[Sender<Event>],
+    ) -> Result<Option<Arc<GossipTransport>>, StartError> {
+        let Some(mut peers) = self.file.peers.clone() else {
+            return Ok(None);
+        };
+        for address in recovery::remembered_gateways(self.snapshot) {
+            if peers.allows(&address) {
+                peers.seeds.push(address);
             }
-            takers[n] = Some(taker);
         }
-        let parts = Parts {
-            site: front.site.clone(),
-            sockets: front.sockets,
-            memory_mb: front.memory_mb,
+        let seed = getrandom::u64().map_err(StartError::resource("peers: no random number"))?;
+        let lists = fronts.iter().filter_map(|front| {
+            let endpoint_list = front.endpoint_list.clone()?;
+            Some((Arc::clone(&front.name), endpoint_list))
+        });
+        let gossip = GossipTransport::start(
+            peers,
+            self.file.routers,
             seed,
-            listener: valehatch_net::clients::listener(front.listen, false)
-                .map_err(|e| format!("front.{n}.listen: {}: {e}", front.listen))?,
-            clock,
-            front: speakers.clients,
-            upstream: speakers.servers,
-            places: speakers.places,
-            streams: speakers.streams,
-            inbox: made.inbox.clone(),
-            watcher,
-            figures,
-            decisions: mgmt.decisions(n),
-            board: Arc::clone(&made.board),
-            door: read
-                .door
-                .map(|door| crate::front::door(door, &front.site, read.shares.clone())),
-        };
-        fronts.push((
-            Arc::clone(&front.name),
-            Front::listen(parts).map_err(|e| format!("front.{n}.{e}"))?,
-        ));
+            events.to_vec(),
+            Arc::clone(&self.gateway_count),
+            lists.collect(),
+        );
+        gossip.map(Some).map_err(StartError::configuration)
     }
-    mgmt.listens();
-    let events: Vec<Sender<Event>> = made.iter().map(|m| m.inbox.0.clone()).collect();
-    let again = Arc::new(AtomicBool::new(false));
-    let named = made.iter().map(|m| ConfiguredEndpoints {
-        front: Arc::clone(&m.names.front),
-        events: m.inbox.0.clone(),
+}
+
+/// Watches the file, and sends what may change in service. The flag that comes back has the file read again.
+fn watch_file(
+    path: PathBuf,
+    file: &Operators,
+    channels: &[FrontChannels],
+    agent: &Arc<Option<Agent>>,
+) -> Result<Arc<AtomicBool>, StartError> {
+    let reload_requested = Arc::new(AtomicBool::new(false));
+    let configured = channels.iter().map(|front| ConfiguredEndpoints {
+        front: Arc::clone(&front.names.front),
+        events: front.inbox.0.clone(),
     });
-    let agent = Arc::new(agent);
-    let told = Arc::downgrade(&agent);
-    let doors: Vec<Sender<Event>> = made.iter().map(|m| m.inbox.0.clone()).collect();
-    let with_door = read.door.is_some();
-    let reread = move |read: Operators| {
-        if with_door {
-            doors
-                .iter()
-                .for_each(|core| drop(core.send(Event::TenantQuotas(read.shares.clone()))));
-        }
-        if let (Some(agent), Some(snmp)) = (told.upgrade(), read.snmp) {
-            agent.iter().for_each(|agent| agent.reread(snmp.clone()));
+    let cores: Vec<Sender<Event>> = channels.iter().map(|c| c.inbox.0.clone()).collect();
+    let has_admission = file.door.is_some();
+    let agent = Arc::downgrade(agent);
+    let on_change = move |file: Operators| {
+        if has_admission {
+            for core in &cores {
+                let _ = core.send(Event::TenantQuotas(file.shares.clone()));
+            }
         }
-    };
-    members::watch(path, &read, named.collect(), Arc::clone(&again), reread)
-        .map_err(|e| format!("members: {e}"))?;
-    let reload = move || again.store(true, Ordering::Relaxed);
-    let link = match read.peers.clone() {
-        Some(mut peers) => {
-            let known = recovery::fleet(kept.as_ref())
-                .into_iter()
-                .filter(|a| peers.allows(a));
-            let known: Vec<_> = known.collect();
-            peers.seeds.extend(known);
-            let seed = getrandom::u64().map_err(|e| format!("peers: no random number: {e}"))?;
-            let lists = fronts.iter().zip(&takers);
-            let lists =
-                lists.filter_map(|((name, _), taker)| Some((Arc::clone(name), taker.clone()?)));
-            Some(GossipTransport::start(
-                peers,
-                read.routers,
-                seed,
-                events.clone(),
-                fleet,
-                lists.collect(),
-            )?)
+        let Some(agent) = agent.upgrade() else { return };
+        if let (Some(agent), Some(snmp)) = (&*agent, file.snmp) {
+            agent.reread(snmp);
         }
-        None => None,
     };
-    let keeps = made
-        .iter()
-        .zip(&takers)
-        .map(|(m, taker)| (taker.clone(), Arc::clone(&m.board)))
-        .collect();
-    let keeper = Keeper::start(&read, keeps, link.clone(), service, clock);
-    let keeper = keeper.map_err(|e| format!("recovery: {e}"))?;
-    if keeper.is_none() {
-        // Nothing tells how service is: there is no state folder.
-        link.iter().for_each(|link| link.full(true));
+    members::watch(
+        path,
+        file,
+        configured.collect(),
+        Arc::clone(&reload_requested),
+        on_change,
+    )
+    .map_err(StartError::resource("members"))?;
+    Ok(reload_requested)
+}
+
+fn recoverable_fronts(
+    file: &Operators,
+    channels: &[FrontChannels],
+    fronts: &[StartedFront],
+) -> Vec<RecoverableFront> {
+    let fronts = file.fronts.iter().zip(channels).zip(fronts);
+    let recoverable = fronts.map(|((front, channels), started)| RecoverableFront {
+        name: front.name.to_string(),
+        endpoint_list: started.endpoint_list.clone(),
+        board: Arc::clone(&channels.board),
+        settings: front.site.settings.clone(),
+    });
+    recoverable.collect()
+}
+
+/// Runs each front's core on a thread of its own until all have stopped.
+fn run_until_stopped(fronts: Vec<StartedFront>) -> Result<(), StartError> {
+    let mut cores: Vec<(Arc<str>, std::io::Result<JoinHandle<()>>)> = vec![];
+    for StartedFront { name, front, .. } in fronts {
+        let thread = thread::Builder::new().name("core".into());
+        cores.push((name, thread.spawn(move || front.run())));
     }
-    drop(made);
-    let leave = move || {
-        mgmt.stops();
-        link.iter().for_each(|link| link.leave());
-    };
-    signals::watch(signals, events, reload, leave).map_err(|e| format!("signals: {e}"))?;
-    info!("{}: serves {} front(s)", read.name, fronts.len());
-    let cores: Vec<_> = fronts
-        .into_iter()
-        .map(|(name, front)| {
-            (
-                name,
-                thread::Builder::new()
-                    .name("core".into())
-                    .spawn(move || front.run()),
-            )
-        })
-        .collect();
     for (name, core) in cores {
-        match core {
-            Ok(core) => {
-                if core.join().is_err() {
-                    error!("front {name}: its core ended before its time");
-                }
-            }
-            Err(e) => return Err(format!("front {name}: no thread: {e}")),
+        let core = core.map_err(StartError::resource(format!("front {name}: no thread")))?;
+        if core.join().is_err() {
+            error!(front = %name, "core ended before its time");
         }
     }
-    // The agent tells of the stop; the ledger writes what was recorded last.
+    Ok(())
+}
+
+/// Ends what outlives the cores, in this order: the agent still sends its last notification, and the writers write
+/// what was recorded last.
+fn finish(
+    agent: Arc<Option<Agent>>,
+    snapshots: Option<SnapshotWriter>,
+    writer: Option<RecordWriter>,
+) {
+    // The file's watcher holds the agent for the moment of a reload only.
     while Arc::strong_count(&agent) > 1 {
         thread::yield_now();
     }
-    Arc::into_inner(agent)
-        .flatten()
-        .into_iter()
-        .for_each(Agent::finish);
-    keeper.into_iter().for_each(Keeper::finish);
-    writer.into_iter().for_each(RecordWriter::finish);
-    Ok(())
+    if let Some(agent) = Arc::into_inner(agent).flatten() {
+        agent.finish();
+    }
+    if let Some(snapshots) = snapshots {
+        snapshots.finish();
+    }
+    if let Some(writer) = writer {
+        writer.finish();
+    }
 }
 
-fn agent(
-    read: &Operators,
-    made: &[Made],
+/// The SNMP agent, if the file has one.
+fn start_agent(
+    file: &Operators,
+    channels: &[FrontChannels],
     writer: Option<&RecordWriter>,
     clock: Clock,
     began: Instant,
-) -> Result<Option<Agent>, String> {
-    let (Some(snmp), Some(writer)) = (&read.snmp, writer) else {
+) -> Result<Option<Agent>, StartError> {
+    let (Some(snmp), Some(writer)) = (&file.snmp, writer) else {
         return Ok(None);
     };
-    let started = SystemTime::now().duration_since(UNIX_EPOCH);
+    let fronts = file.fronts.iter().zip(channels);
     let world = World {
-        name: Arc::clone(&read.name),
+        name: Arc::clone(&file.name),
         version: env!("CARGO_PKG_VERSION"),
         clock,
         began,
-        started_ms: started.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(0)),
-        fronts: read
-            .fronts
-            .iter()
-            .zip(made)
-            .map(|(f, m)| shown(f, &m.names, Arc::clone(&m.board)))
+        started_ms: unix_ms(),
+        fronts: fronts
+            .map(|(front, channels)| agent_front(front, channels))
             .collect(),
         shown: Arc::clone(&writer.shown),
         dropped: Arc::clone(&writer.dropped),
         waiting: writer.waiting(),
     };
-    let boots = writer.shown.load().status.boots;
-    let agent = Agent::start(snmp.clone(), Arc::new(world), boots);
-    agent
-        .map(Some)
-        .map_err(|e| format!("snmp.listen: {}: {e}", snmp.listen))
+    let engine_boots = writer.shown.load().status.boots;
+    let agent = Agent::start(snmp.clone(), Arc::new(world), engine_boots);
+    agent.map(Some).map_err(StartError::resource(format!(
+        "snmp.listen: {}",
+        snmp.listen
+    )))
+}
+
+/// A front as the agent shows it; a tenant's rate is this gateway's part of it.
+fn agent_front(front: &operators::Front, channels: &FrontChannels) -> world::Front {
+    let settings = &front.site.settings;
+    let gateways = f64::from(settings.routers.max(1));
+    let rates = settings.tenants.iter().map(|t| t.allowance / gateways);
+    let names = &channels.names;
+    world::Front {
+        name: Arc::clone(&names.front),
+        protocol: front.protocol.name(),
+        listen: front.listen.to_string(),
+        classes: names.classes.clone(),
+        tenants: names.tenants.iter().cloned().zip(rates).collect(),
+        board: Arc::clone(&channels.board),
+    }
 }
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,4 +1,6 @@
-//! The platform's front, told by the platform's JSON.
+//! `valehatch` without a command: the platform's front, as the JSON file says that `BALANCER_CONFIG` names.
+//!
+//! Everything is read at the start. SIGHUP reads the file again and takes over discovery's address alone.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -6,247 +8,349 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use crossbeam_channel::bounded;
+use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{info, warn};
-use valehatch_config::Gateway;
 use valehatch_config::operators::{Door, Level, Log};
+use valehatch_config::{Gateway, Site};
+use valehatch_core::Event;
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::HandoffHandle;
 use valehatch_net::servers::EndpointPools;
 use valehatch_net::{Clock, list, signals};
+use valehatch_policy::StaleReadPolicy;
+use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
 
-use crate::front::{Front, Parts, QUEUE, platform_limits};
-use crate::management::Told;
-use crate::recovery::Kept;
-use crate::upgrade::{FRONT, Shares};
-
-/// Where operators call: the environment's word goes before the file's.
-fn management(file: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
-    match std::env::var("BALANCER_MGMT") {
-        Ok(text) if !text.is_empty() => {
-            let wrong = |_| format!("BALANCER_MGMT is {text:?}, not an address with a port");
-            text.parse().map(Some).map_err(wrong)
-        }
-        _ => Ok(file),
-    }
-}
-
-/// How much is logged: the environment's word, or what is usual.
-fn level() -> Result<Level, String> {
-    match std::env::var("VALEHATCH_LOG").as_deref() {
-        Err(_) | Ok("" | "info") => Ok(Level::Info),
-        Ok("debug") => Ok(Level::Debug),
-        Ok("warn") => Ok(Level::Warn),
-        Ok("error") => Ok(Level::Error),
-        Ok(other) => Err(format!(
-            "VALEHATCH_LOG is {other:?}, not error, warn, info or debug"
-        )),
-    }
-}
+use crate::error::StartError;
+use crate::front::{Front, FrontParts, admission_settings};
+use crate::hot_restart::{self, Inheritance, PLATFORM_FRONT, SharedProcess};
+use crate::recovery::{RecoverableFront, SharedEndpointList, restore_front};
+use crate::resources::{EVENT_QUEUE_LENGTH, platform_limits};
+use crate::status::ProcessStatus;
 
-fn load(path: &str) -> Result<Gateway, String> {
-    Gateway::parse(&std::fs::read_to_string(path).map_err(|e| format!("config: {path}: {e}"))?)
-}
+/// The platform has one front.
+const FRONT: usize = 0;
 
-/// The door's sizes on the platform, within its memory.
-const DOOR: Door = Door {
+/// Sizes of the platform's admission queue, within the smallest memory that the platform gives.
+pub(crate) const ADMISSION_QUEUE: Door = Door {
     most: 4_000,
     buckets: 1024,
     lanes: 64,
 };
 
-pub(crate) fn serve(door: bool) -> Result<(), String> {
-    let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
-    let path =
-        std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG names no configuration")?;
-    let Gateway {
-        name,
-        listen,
-        discovery,
-        mgmt,
-        seed,
-        sockets,
-        memory_mb,
-        known,
-        site,
-    } = load(&path)?;
-    let mgmt = management(mgmt)?;
-    mgmt.map_or(Ok(()), |_| site.tellable())?;
+/// The handle to the other process of a hot restart, once it can be asked for; SIGHUP and discovery use it before that.
+type LateHandoffHandle = Arc<OnceLock<HandoffHandle>>;
+
+/// Serves the platform until it has stopped, with an admission queue of these sizes if one is given.
+///
+/// # Errors
+/// Why it cannot start.
+pub(crate) fn serve(admission: Option<Door>) -> Result<(), StartError> {
+    let signals = signals::catch().map_err(StartError::resource("signals"))?;
+    let path = std::env::var("BALANCER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
+    let mut config = load(&path)?;
+    config.mgmt = management_address(config.mgmt)?;
+    if config.mgmt.is_some() {
+        let tellable = config.site.tellable();
+        tellable.map_err(StartError::configuration)?;
+    }
     valehatch_net::log::init(Log {
-        level: level()?,
+        level: log_level()?,
         ..Log::default()
     });
-    let (clock, inbox) = (Clock::start(), bounded(QUEUE));
-    let place = Arc::new(list::Place::new(discovery));
-    let fleet = Arc::new(AtomicU32::new(site.settings.routers));
-    let told = Told::new([(Arc::from(name.as_str()), &site)]);
-    if let Some(listen) = mgmt {
-        told.serve(listen).map_err(|e| format!("mgmt: {e}"))?;
+
+    let clock = Clock::start();
+    let inbox = bounded(EVENT_QUEUE_LENGTH);
+    let status = ProcessStatus::new([(Arc::from(config.name.as_str()), &config.site)]);
+    if let Some(address) = config.mgmt {
+        status.serve("mgmt", address)?;
     }
-    let watch = list::Watch::new(
-        Arc::clone(&place),
-        true,
-        site.clone(),
+
+    let handoff = LateHandoffHandle::default();
+    let discovery_address = Arc::new(list::Place::new(config.discovery));
+    let watch = discovery_watch(
+        &config,
         clock,
-        inbox.0.clone(),
-        fleet,
-        seed,
+        &inbox.0,
+        &discovery_address,
+        &status,
+        &handoff,
     );
-    let taker = watch.taker();
-    let confirms = Arc::clone(&told);
-    let both: Arc<OnceLock<HandoffHandle>> = Arc::default();
-    let other = Arc::clone(&both);
-    let watch = watch
-        .telling(move || confirms.listed(0))
-        .passing(move |book| {
-            other
-                .get()
-                .into_iter()
-                .for_each(|upgrade| upgrade.pass(book.encode()))
-        });
-    let meets = crate::upgrade::path(listen);
-    let begin = crate::upgrade::begin(meets.as_ref(), &name, listen)?;
-    let restored = crate::recovery::restored(begin.known.as_ref(), FRONT);
-    let started = match restored.list {
-        Some((listed, told)) => watch.resume(listed, told),
-        None => watch.start(&known),
-    };
-    started.map_err(|e| format!("list: {e}"))?;
-    if valehatch_net::lock(&taker)
-        .held()
-        .0
-        .members()
-        .next()
-        .is_some()
-    {
-        told.listed(0);
+    let endpoint_list = watch.taker();
+    let socket_path = hot_restart::socket_path(config.listen);
+    let inheritance = hot_restart::inherit(socket_path.as_ref(), &config.name, config.listen)?;
+    start_watch(watch, &inheritance, &config)?;
+    if has_endpoints(&endpoint_list) {
+        status.on_endpoint_list(FRONT);
     }
-    // Discovery may move under way; all else is read at the start. Where it is now.
-    let read = Arc::new(move |what: &str| match load(&path) {
-        Ok(new) => {
-            info!("config: {what}, discovery is at {}", new.discovery);
-            place.set(new.discovery);
-            Some(new.discovery)
-        }
-        Err(e) => {
-            warn!("{e}; what was read before goes on to hold");
-            None
-        }
-    });
-    let reads = Arc::clone(&read);
-    let look: Arc<dyn Fn() + Send + Sync> = Arc::new(move || {
-        let _ = reads("looked at with the other process");
-    });
-    let (holds, other) = (Arc::clone(&taker), Arc::clone(&both));
-    let reload = move || {
-        let (Some(at), Some(upgrade)) = (read("read again"), other.get()) else {
-            return;
-        };
-        // The other process is told at once, by what is held under the new address: this one may end before that answers.
-        let mut book = valehatch_net::lock(&holds).held().0.clone();
-        book.told = Some((at, 0));
-        upgrade.pass(book.encode());
-    };
-    let (events, terminate, board) = (
-        inbox.0.clone(),
-        inbox.0.clone(),
-        Arc::<ArcSwapOption<Board>>::default(),
-    );
-    let (settings, routers) = (site.settings.clone(), site.settings.routers);
-    info!("{name}: serves the platform");
-    let front = Arc::new(valehatch_pg::clients::Front {
-        site: site.clone(),
-        clock,
+
+    let reloader = Arc::new(Reloader {
+        path,
+        discovery_address,
+        endpoint_list: Arc::clone(&endpoint_list),
+        handoff: Arc::clone(&handoff),
     });
-    let timeout = Duration::from_millis(site.connect_timeout_ms);
-    let databases = Arc::new(valehatch_pg::servers::Databases { clock });
-    let places = SharedConnectionLimiter::new(clock, platform_limits(sockets));
-    let upstream = EndpointPools::new(
-        databases,
-        inbox.0.clone(),
+    info!(gateway = %config.name, "serving the platform");
+    let board = Arc::<ArcSwapOption<Board>>::default();
+    let connections = SharedConnectionLimiter::new(clock, platform_limits(config.sockets));
+    let wiring = Wiring {
+        config: &config,
         clock,
-        timeout,
-        Arc::clone(&places),
-    );
-    let figures = mgmt.map(|_| told.figures(0));
-    let verifies = site.settings.stale_read_policy == valehatch_policy::StaleReadPolicy::Serve;
-    let upstream = Box::new(upstream.counting(figures.clone()).verifying(verifies));
-    // What a budget allows is its weight: the platform tells no shares.
-    let shares = site
-        .settings
-        .tenants
-        .iter()
-        .map(|t| t.allowance)
-        .collect::<Vec<_>>();
-    let all: f64 = shares.iter().sum::<f64>().max(1e-9);
-    let shares = shares.into_iter().map(|s| s / all).collect();
-    let door = door.then(|| crate::front::door(DOOR, &site, shares));
-    let parts = Parts {
-        site,
-        sockets,
-        memory_mb,
-        seed,
-        listener: begin
-            .split()
-            .map_err(|e| format!("listen: {listen}: {e}"))?,
-        board: Arc::clone(&board),
-        clock,
-        front,
-        upstream,
-        places: Arc::clone(&places),
-        streams: None,
-        inbox,
-        watcher: None,
-        door,
-        figures,
-        decisions: told.decisions(0),
-    };
-    let front = Front::listen(parts)?;
-    let clients = front.clients();
-    let kept = Kept {
-        name: FRONT.to_owned(),
-        taker: Some(Arc::clone(&taker)),
-        board,
-        settings,
+        inbox: &inbox,
+        connections: &connections,
+        board: &board,
+        status: &status,
     };
-    let whole = ProcessLimits {
-        descriptors: sockets,
-        bytes: memory_mb * 1024 * 1024,
-    };
-    let second = begin.is_second();
-    let shares = Shares {
-        gateway: name,
-        whole,
-        routers,
-        events,
-        clients,
-        places,
-        kept,
+    let front = Front::listen(wiring.front_parts(admission, &inheritance)?)?;
+
+    let shared = SharedProcess {
+        gateway: config.name,
+        limits: ProcessLimits {
+            descriptors: config.sockets,
+            bytes: config.memory_mb * 1024 * 1024,
+        },
+        gateway_count: config.site.settings.routers,
+        events: inbox.0.clone(),
+        clients: front.clients(),
+        connections,
+        front: RecoverableFront {
+            name: PLATFORM_FRONT.to_owned(),
+            endpoint_list: Some(Arc::clone(&endpoint_list)),
+            board,
+            settings: config.site.settings,
+        },
         clock,
-        look: Arc::clone(&look),
+        reload_discovery: reloader.reload_discovery_callback(),
     };
-    let stops = begin.serves(meets, shares);
-    if let Some(upgrade) = stops.clone() {
-        let _ = both.set(upgrade.clone());
-        // What discovery told this one before there was a line to pass it on: the other one may hear it seconds later.
-        let book = valehatch_net::lock(&taker).held().0.encode();
-        upgrade.pass(book);
+    let has_predecessor = inheritance.has_predecessor();
+    let handle = inheritance.announce(socket_path, shared);
+    if let Some(handle) = &handle {
+        let _ = handoff.set(handle.clone());
+        // A list that discovery sent before the handle existed has not been passed on; the other process may
+        // poll the same list seconds later only.
+        handle.pass(encoded_list(&endpoint_list));
     }
-    // Only now: whoever was told yes may start the next process at once, and that has to find this one.
-    told.listens();
-    // The one before may have been told to read the configuration again since this one read it.
-    if second {
-        look();
+    // Only now: whoever reads "ready" may start the next process at once, and that one has to find this one.
+    status.on_listening();
+    if has_predecessor {
+        // The predecessor may have been sent SIGHUP since this process read the configuration.
+        reloader.reload("looked at with the other process");
     }
-    let ending = Arc::clone(&told);
-    let leaves = move || {
-        ending.stops();
-        stops.iter().for_each(HandoffHandle::stop);
+    let on_shutdown = move || {
+        status.on_shutdown();
+        if let Some(handle) = &handle {
+            handle.stop();
+        }
     };
-    signals::watch(signals, vec![terminate], reload, leaves)
-        .map_err(|e| format!("signals: {e}"))?;
+    let on_reload = move || reloader.on_sighup();
+    signals::watch(signals, vec![inbox.0], on_reload, on_shutdown)
+        .map_err(StartError::resource("signals"))?;
+    drop(inbox.1);
     front.run();
     Ok(())
 }
+
+fn load(path: &str) -> Result<Gateway, StartError> {
+    let text =
+        std::fs::read_to_string(path).map_err(StartError::resource(format!("config: {path}")))?;
+    Gateway::parse(&text).map_err(StartError::configuration)
+}
+
+/// The management address: `BALANCER_MGMT` goes before the file.
+fn management_address(file: Option<SocketAddr>) -> Result<Option<SocketAddr>, StartError> {
+    let value = std::env::var("BALANCER_MGMT").unwrap_or_default();
+    if value.is_empty() {
+        return Ok(file);
+    }
+    let address = value.parse().map_err(|_| StartError::Environment {
+        variable: "BALANCER_MGMT",
+        value,
+        expected: "an address with a port",
+    })?;
+    Ok(Some(address))
+}
+
+/// The least level that is logged: `VALEHATCH_LOG`, or info.
+fn log_level() -> Result<Level, StartError> {
+    match std::env::var("VALEHATCH_LOG").as_deref() {
+        Err(_) | Ok("" | "info") => Ok(Level::Info),
+        Ok("debug") => Ok(Level::Debug),
+        Ok("warn") => Ok(Level::Warn),
+        Ok("error") => Ok(Level::Error),
+        Ok(other) => Err(StartError::Environment {
+            variable: "VALEHATCH_LOG",
+            value: other.to_owned(),
+            expected: "error, warn, info or debug",
+        }),
+    }
+}
+
+/// The watch of the endpoint list, not yet started. Each list also goes to the other process of a hot restart.
+fn discovery_watch(
+    config: &Gateway,
+    clock: Clock,
+    events: &Sender<Event>,
+    address: &Arc<list::Place>,
+    status: &Arc<ProcessStatus>,
+    handoff: &LateHandoffHandle,
+) -> list::Watch {
+    let gateway_count = Arc::new(AtomicU32::new(config.site.settings.routers));
+    let watch = list::Watch::new(
+        Arc::clone(address),
+        true,
+        config.site.clone(),
+        clock,
+        events.clone(),
+        gateway_count,
+        config.seed,
+    );
+    let (status, handoff) = (Arc::clone(status), Arc::clone(handoff));
+    watch
+        .telling(move || status.on_endpoint_list(FRONT))
+        .passing(move |endpoint_list| {
+            if let Some(handle) = handoff.get() {
+                handle.pass(endpoint_list.encode());
+            }
+        })
+}
+
+/// Starts the watch from the predecessor's list, or else from the one in the configuration.
+fn start_watch(
+    watch: list::Watch,
+    inheritance: &Inheritance,
+    config: &Gateway,
+) -> Result<(), StartError> {
+    let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
+    let started = match restored.list {
+        Some((endpoints, source)) => watch.resume(endpoints, source),
+        None => watch.start(&config.known),
+    };
+    started.map_err(StartError::resource("list"))
+}
+
+/// Whether an endpoint list names any endpoint.
+pub(crate) fn has_endpoints(endpoint_list: &SharedEndpointList) -> bool {
+    let endpoint_list = valehatch_net::lock(endpoint_list);
+    endpoint_list.held().0.members().next().is_some()
+}
+
+fn encoded_list(endpoint_list: &SharedEndpointList) -> Vec<u8> {
+    valehatch_net::lock(endpoint_list).held().0.encode()
+}
+
+/// What the front and the hot restart share.
+struct Wiring<'a> {
+    config: &'a Gateway,
+    clock: Clock,
+    inbox: &'a (Sender<Event>, Receiver<Event>),
+    connections: &'a Arc<SharedConnectionLimiter>,
+    board: &'a Arc<ArcSwapOption<Board>>,
+    status: &'a ProcessStatus,
+}
+
+impl Wiring<'_> {
+    fn front_parts(
+        &self,
+        admission: Option<Door>,
+        inheritance: &Inheritance,
+    ) -> Result<FrontParts, StartError> {
+        let (config, clock) = (self.config, self.clock);
+        let site = config.site.clone();
+        let metrics = config.mgmt.map(|_| self.status.metrics(FRONT));
+        let listener = inheritance
+            .listener()
+            .map_err(StartError::resource(format!("listen: {}", config.listen)))?;
+        let handler = valehatch_pg::clients::Front {
+            site: site.clone(),
+            clock,
+        };
+        Ok(FrontParts {
+            admission: admission
+                .map(|sizes| admission_settings(sizes, &site, tenant_weights(&site))),
+            descriptors: config.sockets,
+            memory_mb: config.memory_mb,
+            seed: config.seed,
+            listener,
+            clock,
+            handler: Arc::new(handler),
+            upstream: Box::new(self.endpoint_pools(metrics.clone())),
+            connections: Arc::clone(self.connections),
+            max_in_flight: None,
+            inbox: self.inbox.clone(),
+            observer: None,
+            metrics,
+            decisions: self.status.decisions(FRONT),
+            board: Arc::clone(self.board),
+            site,
+        })
+    }
+
+    fn endpoint_pools(&self, metrics: Option<Arc<OutcomeMetrics>>) -> EndpointPools {
+        let site = &self.config.site;
+        // Where replicas serve stale reads, only the position in an answer shows whether it was fresh enough.
+        let verifies = site.settings.stale_read_policy == StaleReadPolicy::Serve;
+        let pools = EndpointPools::new(
+            Arc::new(valehatch_pg::servers::Databases { clock: self.clock }),
+            self.inbox.0.clone(),
+            self.clock,
+            Duration::from_millis(site.connect_timeout_ms),
+            Arc::clone(self.connections),
+        );
+        pools.counting(metrics).verifying(verifies)
+    }
+}
+
+/// The tenants' weights in the admission queue: the platform gives rates, whose sum is the whole.
+fn tenant_weights(site: &Site) -> Vec<f64> {
+    let rates: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance).collect();
+    let total: f64 = rates.iter().sum::<f64>().max(1e-9);
+    rates.into_iter().map(|rate| rate / total).collect()
+}
+
+/// Reads the configuration again, for discovery's address.
+struct Reloader {
+    path: String,
+    discovery_address: Arc<list::Place>,
+    endpoint_list: SharedEndpointList,
+    handoff: LateHandoffHandle,
+}
+
+impl Reloader {
+    /// Moves discovery to the address in the file. A file at fault changes nothing.
+    fn reload(&self, cause: &str) -> Option<SocketAddr> {
+        match load(&self.path) {
+            Ok(config) => {
+                info!(discovery = %config.discovery, "configuration {cause}");
+                self.discovery_address.set(config.discovery);
+                Some(config.discovery)
+            }
+            Err(error) => {
+                warn!(%error, "configuration not usable, keeping the old one");
+                None
+            }
+        }
+    }
+
+    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is told at once, by the current
+    /// list under the new address. This process may end before that address answers.
+    fn on_sighup(&self) {
+        let Some(address) = self.reload("read again") else {
+            return;
+        };
+        let Some(handle) = self.handoff.get() else {
+            return;
+        };
+        let mut endpoint_list = valehatch_net::lock(&self.endpoint_list).held().0.clone();
+        endpoint_list.told = Some((address, 0));
+        handle.pass(endpoint_list.encode());
+    }
+
+    /// [`Self::reload`] for the hot restart, which calls it when the other process polls another address.
+    fn reload_discovery_callback(self: &Arc<Self>) -> Arc<dyn Fn() + Send + Sync> {
+        let reloader = Arc::clone(self);
+        Arc::new(move || {
+            let _ = reloader.reload("looked at with the other process");
+        })
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/protocols.rs
@@ -0,0 +1,103 @@
+//! The protocol of a front on both of its sides: towards clients and towards endpoints.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use crossbeam_channel::Sender;
+use valehatch_config::operators::{Front, Protocol};
+use valehatch_core::Event;
+use valehatch_net::Clock;
+use valehatch_net::clients::RequestHandler;
+use valehatch_net::connection_limits::SharedConnectionLimiter;
+use valehatch_net::servers::{EndpointPools, Upstream};
+use valehatch_request_log::OutcomeMetrics;
+
+use crate::error::Source;
+use crate::resources::{UpstreamAccounting, connection_limiter, upstream_connections};
+
+/// Both sides of a protocol, and the connections that they share.
+pub(crate) struct ProtocolStack {
+    /// Understands requests and encodes answers.
+    pub(crate) handler: Arc<dyn RequestHandler>,
+    /// Carries attempts to endpoints.
+    pub(crate) upstream: Box<dyn Upstream>,
+    /// Counts the connections.
+    pub(crate) connections: Arc<SharedConnectionLimiter>,
+    /// Requests that may be in flight at once, where one connection carries many.
+    pub(crate) max_in_flight: Option<usize>,
+}
+
+/// The protocol of a front of the operators' file.
+///
+/// # Errors
+/// The settings of the connections contradict each other.
+pub(crate) fn protocol_stack(
+    front: &Front,
+    clock: Clock,
+    events: Sender<Event>,
+    metrics: Option<Arc<OutcomeMetrics>>,
+) -> Result<ProtocolStack, Source> {
+    match front.protocol {
+        Protocol::Postgresql => Ok(postgresql(front, clock, events, metrics)),
+        Protocol::Cassandra => cassandra(front, clock, events, metrics),
+    }
+}
+
+fn postgresql(
+    front: &Front,
+    clock: Clock,
+    events: Sender<Event>,
+    metrics: Option<Arc<OutcomeMetrics>>,
+) -> ProtocolStack {
+    let site = front.site.clone();
+    let connect_timeout = Duration::from_millis(site.connect_timeout_ms);
+    let connections = connection_limiter(clock, front.sockets, UpstreamAccounting::Shared);
+    let databases = Arc::new(valehatch_pg::servers::Databases { clock });
+    let pools = EndpointPools::new(
+        databases,
+        events,
+        clock,
+        connect_timeout,
+        Arc::clone(&connections),
+    );
+    ProtocolStack {
+        handler: Arc::new(valehatch_pg::clients::Front { site, clock }),
+        upstream: Box::new(pools.counting(metrics)),
+        connections,
+        max_in_flight: None,
+    }
+}
+
+fn cassandra(
+    front: &Front,
+    clock: Clock,
+    events: Sender<Event>,
+    metrics: Option<Arc<OutcomeMetrics>>,
+) -> Result<ProtocolStack, Source> {
+    let site = front.site.clone();
+    let limits = &site.settings.limits;
+    let connect_timeout = Duration::from_millis(site.connect_timeout_ms);
+    let max_in_flight = limits.max_open_requests.max(1);
+    let prepared = Arc::new(valehatch_cql::Prepared::default());
+    let nodes = valehatch_cql::nodes::Nodes::new(
+        Arc::clone(&prepared),
+        events,
+        clock,
+        connect_timeout,
+        limits.idle_connection_timeout,
+        upstream_connections(front.sockets),
+        metrics,
+    )?;
+    let handler = valehatch_cql::clients::Front {
+        site,
+        contracts: front.contracts.clone(),
+        prepared,
+        clock,
+    };
+    Ok(ProtocolStack {
+        handler: Arc::new(handler),
+        upstream: Box::new(nodes),
+        connections: connection_limiter(clock, front.sockets, UpstreamAccounting::Separate),
+        max_in_flight: Some(max_in_flight),
+    })
+}
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -1,21 +1,21 @@
-//! What the next start begins with, and whether this one's service is whole: the state folder's `snapshot` and
-//! `recovery.json`. A thread of its own looks and writes; no core waits for it.
+//! What a start takes from the snapshot of an earlier process, and what a front adds to the next snapshot.
+//!
+//! Snapshots come from the state folder ([`read_snapshot`]) or from the predecessor of a hot restart
+//! ([`decode_inherited`]); how far each is trusted by its age is `valehatch_recovery`'s. Unix times are milliseconds.
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::path::Path;
 use std::sync::{Arc, Mutex};
-use std::thread::JoinHandle;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 
 use arc_swap::ArcSwapOption;
 use tracing::{info, warn};
 use valehatch_config::operators::{Members, Operators};
-use valehatch_net::link::GossipTransport;
+use valehatch_core::LiveView;
 use valehatch_net::list::EndpointListStore;
 use valehatch_net::{Clock, lock};
-use valehatch_policy::{PrimaryEvidence, Settings, Time};
-use valehatch_recovery::service::{Service, State};
+use valehatch_policy::{PrimaryEvidence, Settings, Span, Time};
+use valehatch_recovery::service::Service;
 use valehatch_recovery::snapshot::{Cold, Front, MOST, Primary, Snapshot};
 use valehatch_recovery::trust::{Belief, Source, Trust, trust};
 use valehatch_recovery::{Restored, cold_since, restore};
@@ -23,91 +23,96 @@
 use valehatch_snmp::world::Board;
 use valehatch_state::snapshot;
 
-/// How often service is looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// Gateways of the last run that are asked beside the seeds.
-const ASKED: usize = 8;
+/// Gateways of the last run that are contacted beside the seeds.
+const MAX_REMEMBERED_GATEWAYS: usize = 8;
 
-/// Unix time in milliseconds.
-pub(crate) fn wall_ms() -> u64 {
+/// Whether service is complete since this start; shared by all fronts and the snapshot writer.
+pub(crate) type SharedService = Arc<Mutex<Service>>;
+
+/// The endpoint list of a front that uses discovery.
+pub(crate) type SharedEndpointList = Arc<Mutex<EndpointListStore>>;
+
+/// Unix time in milliseconds, by the wall clock.
+pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
+    since.map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// What was kept for this start, if it can be used; said in the log where it cannot.
-pub(crate) fn read(dir: &Path, gateway: &str) -> Option<Snapshot> {
-    let bytes = match snapshot::read(dir, MOST) {
+/// The snapshot in the state folder, unless there is none that can be used; the log says why.
+pub(crate) fn read_snapshot(folder: &Path, gateway: &str) -> Option<Snapshot> {
+    let bytes = match snapshot::read(folder, MOST) {
         Ok(Some(bytes)) => bytes,
         Ok(None) => {
-            info!("recovery: no snapshot was kept");
+            info!("recovery: no snapshot found");
             return None;
         }
-        Err(e) => {
-            warn!("recovery: the snapshot cannot be read: {e}");
+        Err(error) => {
+            warn!(%error, "recovery: snapshot not readable");
             return None;
         }
     };
-    match Snapshot::decode(&bytes, gateway, wall_ms()) {
-        Ok(read) => Some(read),
-        Err(why) => {
-            warn!("recovery: nothing is taken from the snapshot: {why}");
-            None
-        }
-    }
+    Snapshot::decode(&bytes, gateway, unix_ms())
+        .inspect_err(|error| warn!(%error, "recovery: snapshot ignored"))
+        .ok()
 }
 
-/// What the process before this one handed over, if it can be used; said in the log where it cannot.
-pub(crate) fn told(bytes: &[u8], gateway: &str) -> Option<Snapshot> {
-    match Snapshot::decode(bytes, gateway, wall_ms()) {
-        Ok(read) => Some(read),
-        Err(why) => {
-            warn!("upgrade: nothing is taken from what was handed over: {why}");
-            None
-        }
-    }
+/// The snapshot of the predecessor, if it can be used; the log says why not.
+pub(crate) fn decode_inherited(bytes: &[u8], gateway: &str) -> Option<Snapshot> {
+    Snapshot::decode(bytes, gateway, unix_ms())
+        .inspect_err(|error| warn!(%error, "hot restart: inherited snapshot ignored"))
+        .ok()
 }
 
-/// What of it goes for a front.
-pub(crate) fn restored(kept: Option<&Snapshot>, front: &str) -> Restored {
-    let Some(kept) = kept else {
+/// What of a snapshot is still trusted for a front.
+pub(crate) fn restore_front(snapshot: Option<&Snapshot>, front: &str) -> Restored {
+    let Some(snapshot) = snapshot else {
         return Restored::default();
     };
-    let restored = restore(kept, front, wall_ms());
-    restored
-        .left
-        .iter()
-        .for_each(|why| info!("recovery: front {front}: {why}"));
-    if let Some((listed, (from, rev))) = &restored.list {
-        let (servers, hints) = (listed.len(), restored.primaries.len());
+    let restored = restore(snapshot, front, unix_ms());
+    for reason in &restored.left {
+        info!(front, %reason, "recovery: part of the snapshot not used");
+    }
+    if let Some((endpoints, (source, version))) = &restored.list {
         info!(
-            "recovery: front {front}: {servers} servers of {from} at version {rev}, {hints} primaries to try first"
+            front,
+            %source,
+            version,
+            endpoints = endpoints.len(),
+            primary_hints = restored.primaries.len(),
+            "recovery: endpoint list restored"
         );
     }
     restored
 }
 
-/// Gateways to ask beside the seeds.
-pub(crate) fn fleet(kept: Option<&Snapshot>) -> Vec<SocketAddr> {
-    let Some(kept) = kept else { return vec![] };
-    let age = wall_ms()
-        .checked_sub(kept.at_ms)
-        .and_then(|ms| i64::try_from(ms).ok());
-    let age = age.map(valehatch_policy::Span::from_millis);
-    let ask = trust(Belief::Fleet, Source::Snapshot, age) >= Trust::Guess;
-    kept.fleet
-        .iter()
-        .copied()
-        .filter(|_| ask)
-        .take(ASKED)
-        .collect()
+/// Gateways of the last run to contact beside the seeds; none once the snapshot is too old to guess from.
+pub(crate) fn remembered_gateways(snapshot: Option<&Snapshot>) -> Vec<SocketAddr> {
+    let Some(snapshot) = snapshot else {
+        return vec![];
+    };
+    let age = unix_ms()
+        .checked_sub(snapshot.at_ms)
+        .and_then(|ms| i64::try_from(ms).ok())
+        .map(Span::from_millis);
+    if trust(Belief::Fleet, Source::Snapshot, age) < Trust::Guess {
+        return vec![];
+    }
+    let gateways = snapshot.fleet.iter().copied();
+    gateways.take(MAX_REMEMBERED_GATEWAYS).collect()
 }
 
-/// Service since this start, told by fronts and lists.
-pub(crate) type Shared = Arc<Mutex<Service>>;
+/// Service since this start; it is complete once every front that uses discovery has a confirmed list and serves.
+pub(crate) fn service(file: &Operators, clock: Clock) -> SharedService {
+    let uses_discovery = |front: &&valehatch_config::operators::Front| {
+        matches!(front.members, Members::Discovery(_))
+    };
+    let waiting_for = file.fronts.iter().filter(uses_discovery).count();
+    Arc::new(Mutex::new(Service::new(waiting_for, clock.now())))
+}
 
-/// A request of a front had its final answer.
-pub(crate) fn answered(service: &Shared, clock: Clock, ending: &FinalOutcome) {
-    let served = match ending {
+/// Counts a request's final outcome towards service; requests whose client left say nothing.
+pub(crate) fn count_outcome(service: &SharedService, clock: Clock, outcome: &FinalOutcome) {
+    let served = match outcome {
         FinalOutcome::InTime | FinalOutcome::Late => true,
         FinalOutcome::Refused(_) | FinalOutcome::Failed(_) => false,
         FinalOutcome::Aborted => return,
@@ -115,264 +120,71 @@
     lock(service).answered(served, clock.now());
 }
 
-/// What takes a front's list in, where discovery tells it, and the front's board.
-pub(crate) type Held = (
-    Option<Arc<Mutex<EndpointListStore>>>,
-    Arc<ArcSwapOption<Board>>,
-);
-
-/// A front as the next start is to find it.
-pub(crate) struct Kept {
-    pub name: String,
-    pub taker: Option<Arc<Mutex<EndpointListStore>>>,
-    pub board: Arc<ArcSwapOption<Board>>,
-    pub settings: Settings,
-}
-
-/// Writes down what the next start begins with, until it is told to finish.
-pub(crate) struct Keeper {
-    over: Arc<AtomicBool>,
-    thread: JoinHandle<()>,
-}
-
-struct Keeping {
-    dir: PathBuf,
-    gateway: String,
-    every: Duration,
-    fronts: Vec<Kept>,
-    link: Option<Arc<GossipTransport>>,
-    service: Shared,
-    clock: Clock,
-    began_ms: u64,
-    /// Snapshots cannot be written, or the file that tells the state.
-    failing: bool,
-    untold: bool,
-}
-
-/// Service of a start, in which fronts that ask discovery wait for its word.
-pub(crate) fn service(read: &Operators, clock: Clock) -> Shared {
-    let asks = read
-        .fronts
-        .iter()
-        .filter(|f| matches!(f.members, Members::Discovery(_)))
-        .count();
-    Arc::new(Mutex::new(Service::new(asks, clock.now())))
-}
-
-impl Keeper {
-    /// Begins; `fronts` are, in the file's order, the lists and the boards of the fronts. `None` without a state folder.
-    pub(crate) fn start(
-        read: &Operators,
-        fronts: Vec<Held>,
-        link: Option<Arc<GossipTransport>>,
-        service: Shared,
-        clock: Clock,
-    ) -> std::io::Result<Option<Self>> {
-        let Some(state) = &read.state else {
-            return Ok(None);
-        };
-        let kept = |(front, (taker, board)): (&valehatch_config::operators::Front, Held)| Kept {
-            name: front.name.to_string(),
-            taker,
-            board,
-            settings: front.site.settings.clone(),
-        };
-        let mut keeping = Keeping {
-            dir: state.dir.clone(),
-            gateway: read.name.to_string(),
-            every: Duration::from_millis(state.snapshot_ms),
-            fronts: read.fronts.iter().zip(fronts).map(kept).collect(),
-            link,
-            service,
-            clock,
-            began_ms: wall_ms(),
-            failing: false,
-            untold: false,
-        };
-        let over = Arc::new(AtomicBool::new(false));
-        let told = Arc::clone(&over);
-        let work = move || keeping.run(&told);
-        let thread = std::thread::Builder::new()
-            .name("recovery".into())
-            .stack_size(256 * 1024)
-            .spawn(work)?;
-        Ok(Some(Self { over, thread }))
-    }
-
-    /// The last one is written.
-    pub(crate) fn finish(self) {
-        self.over.store(true, Ordering::Relaxed);
-        let _ = self.thread.join();
-    }
-}
-
-/// Trouble with a kind of file is said once, and that it is over.
-fn said(failing: &mut bool, what: &str, done: std::io::Result<()>) {
-    match done {
-        Ok(()) if std::mem::take(failing) => info!("recovery: {what}s are written again"),
-        Ok(()) => {}
-        Err(e) if !std::mem::replace(failing, true) => {
-            warn!("recovery: no {what} can be written, service goes on: {e}");
-        }
-        Err(_) => {}
-    }
+/// A front as the next process is to find it.
+pub(crate) struct RecoverableFront {
+    /// Its name in snapshots.
+    pub(crate) name: String,
+    /// Its endpoint list; `None` where the configuration names the endpoints.
+    pub(crate) endpoint_list: Option<SharedEndpointList>,
+    /// Where its core publishes its view.
+    pub(crate) board: Arc<ArcSwapOption<Board>>,
+    /// The settings of its decision module.
+    pub(crate) settings: Settings,
 }
 
-impl Keeping {
-    fn run(&mut self, over: &AtomicBool) {
-        let first = lock(&self.service).state();
-        self.tell(first);
-        let mut written = Instant::now();
-        loop {
-            let last = over.load(Ordering::Relaxed);
-            let change = lock(&self.service).look(self.clock.now());
-            change.into_iter().for_each(|state| self.tell(state));
-            if last || written.elapsed() >= self.every {
-                written = Instant::now();
-                self.write();
-            }
-            if last {
-                return;
-            }
-            std::thread::sleep(LOOK);
-        }
-    }
-
-    fn write(&mut self) {
-        let bytes = self.snapshot().encode();
-        let done = bytes.map_or_else(
-            || Err(std::io::Error::other("it is too large")),
-            |bytes| snapshot::write(&self.dir, &bytes),
-        );
-        said(&mut self.failing, "snapshot", done);
-    }
-
-    fn tell(&mut self, state: State) {
-        let told = match state {
-            State::Recovering(why) => {
-                info!("recovery: recovering, for want of: {}", why.name());
-                serde_json::json!({ "state": "recovering", "why": why.name(), "started-ms": self.began_ms })
-            }
-            State::Full { took, .. } => {
-                let took = took.0 / 1000;
-                info!("recovery: full, {took} ms after the start");
-                serde_json::json!({ "state": "full", "took-ms": took, "started-ms": self.began_ms })
-            }
-        };
-        self.link
-            .iter()
-            .for_each(|link| link.full(matches!(state, State::Full { .. })));
-        let done = snapshot::replace(
-            &self.dir,
-            "recovery.new",
-            "recovery.json",
-            told.to_string().as_bytes(),
-        );
-        said(&mut self.untold, "state file", done);
-    }
-
-    fn snapshot(&self) -> Snapshot {
-        let (at_ms, now) = (wall_ms(), self.clock.now());
-        let fronts = self
-            .fronts
-            .iter()
-            .map(|front| front.kept(at_ms, now))
-            .collect();
-        let fleet = self
-            .link
+impl RecoverableFront {
+    /// Its part of a snapshot; `at_ms` and `now` are the same moment by the wall clock and by the monotonic clock.
+    pub(crate) fn snapshot(&self, at_ms: u64, now: Time) -> Front {
+        let endpoint_list = self
+            .endpoint_list
             .as_ref()
-            .map(|link| link.living())
+            .map(|store| lock(store).held().0.clone())
             .unwrap_or_default();
-        Snapshot {
-            gateway: self.gateway.clone(),
-            at_ms,
-            fronts,
-            fleet,
+        let board = self.board.load_full();
+        let view = board.as_ref().map(|board| &board.live);
+        Front {
+            name: self.name.clone(),
+            book: endpoint_list,
+            primaries: view.map_or(vec![], |view| known_primaries(view, at_ms, now)),
+            cold: view.map_or(vec![], |view| self.warming_endpoints(view, at_ms)),
         }
     }
-}
 
-impl Kept {
-    /// What is kept of it.
-    pub(crate) fn kept(&self, at_ms: u64, now: Time) -> Front {
-        let book = self
-            .taker
-            .as_ref()
-            .map(|taker| lock(taker).held().0.clone())
-            .unwrap_or_default();
-        let board = self.board.load_full();
-        let live = board.as_ref().map(|b| &b.live);
-        let members = live.map(|l| l.members.as_slice()).unwrap_or_default();
-        let groups = live.map(|l| l.groups.as_slice()).unwrap_or_default();
-        let primaries = groups
-            .iter()
-            .filter(|g| g.known != PrimaryEvidence::Unknown)
-            .filter_map(|group| {
-                let member = members
-                    .iter()
-                    .find(|m| Some(m.view.endpoint) == group.primary)?;
-                let age_ms = u64::try_from((now - group.since).0 / 1000).unwrap_or(0);
-                Some(Primary {
-                    group: group.group.0,
-                    member: member.name.to_string(),
-                    since_ms: at_ms.saturating_sub(age_ms),
-                    proved: group.known != PrimaryEvidence::EndpointList,
-                })
-            });
+    /// Endpoints in slow start, each with the time at which it would have started to be as warm as it is.
+    fn warming_endpoints(&self, view: &LiveView, at_ms: u64) -> Vec<Cold> {
         let rules = &self.settings.rules;
-        let warming_up = members.iter().filter_map(|member| {
+        let warming = view.members.iter().filter_map(|endpoint| {
             let since_ms = cold_since(
-                member.view.warm?,
+                endpoint.view.warm?,
                 rules.slow_start_duration,
                 rules.slow_start_initial_capacity,
                 at_ms,
             );
             Some(Cold {
-                member: member.name.to_string(),
+                member: endpoint.name.to_string(),
                 since_ms,
             })
         });
-        Front {
-            name: self.name.clone(),
-            book,
-            primaries: primaries.collect(),
-            cold: warming_up.collect(),
-        }
+        warming.collect()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn that_the_state_can_be_told_does_not_say_that_snapshots_can_be_written() {
-        let dir = std::env::temp_dir().join(format!("valehatch-keeping-{}", std::process::id()));
-        // In the way of the file that is written aside.
-        std::fs::create_dir_all(dir.join("snapshot.new")).unwrap();
-        let clock = Clock::start();
-        let service = Arc::new(Mutex::new(Service::new(0, clock.now())));
-        let mut keeping = Keeping {
-            dir: dir.clone(),
-            gateway: "one".into(),
-            every: LOOK,
-            fronts: vec![],
-            link: None,
-            service,
-            clock,
-            began_ms: wall_ms(),
-            failing: false,
-            untold: false,
-        };
-        keeping.write();
-        assert!(keeping.failing, "said");
-        let state = lock(&keeping.service).state();
-        keeping.tell(state);
-        assert!(dir.join("recovery.json").exists() && !keeping.untold);
-        assert!(keeping.failing, "it is not over, and is not said again");
-        std::fs::remove_dir(dir.join("snapshot.new")).unwrap();
-        keeping.write();
-        assert!(!keeping.failing);
-        std::fs::remove_dir_all(dir).unwrap();
+fn known_primaries(view: &LiveView, at_ms: u64, now: Time) -> Vec<Primary> {
+    let mut primaries = vec![];
+    for group in &view.groups {
+        if group.known == PrimaryEvidence::Unknown {
+            continue;
+        }
+        let is_primary = |id| Some(id) == group.primary;
+        let primary = view.members.iter().find(|m| is_primary(m.view.endpoint));
+        let Some(primary) = primary else { continue };
+        let age_ms = u64::try_from((now - group.since).0 / 1000).unwrap_or(0);
+        primaries.push(Primary {
+            group: group.group.0,
+            member: primary.name.to_string(),
+            since_ms: at_ms.saturating_sub(age_ms),
+            proved: group.known != PrimaryEvidence::EndpointList,
+        });
     }
+    primaries
 }
--- /dev/null
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -0,0 +1,187 @@
+//! Writes the state folder's `snapshot` and `recovery.json`, on a thread of its own; no core waits for it.
+//!
+//! `snapshot` is what the next start begins with, written every `state.snapshot-ms` and at the end. `recovery.json` says
+//! whether service is complete since this start, and is written when that changes.
+
+use std::io;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::{JoinHandle, sleep};
+use std::time::{Duration, Instant};
+
+use tracing::{info, warn};
+use valehatch_config::operators::Operators;
+use valehatch_net::link::GossipTransport;
+use valehatch_net::{Clock, lock};
+use valehatch_recovery::service::State;
+use valehatch_recovery::snapshot::Snapshot;
+use valehatch_state::snapshot;
+
+use crate::recovery::{RecoverableFront, SharedService, unix_ms};
+
+/// How often service is checked.
+const SERVICE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Stack of the writer's thread, in bytes.
+const STACK_SIZE: usize = 256 * 1024;
+
+/// The running writer.
+pub(crate) struct SnapshotWriter {
+    stop: Arc<AtomicBool>,
+    thread: JoinHandle<()>,
+}
+
+impl SnapshotWriter {
+    /// Starts the writer; `None` without a state folder. `fronts` are in the file's order.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
+    pub(crate) fn start(
+        file: &Operators,
+        fronts: Vec<RecoverableFront>,
+        gossip: Option<Arc<GossipTransport>>,
+        service: SharedService,
+        clock: Clock,
+    ) -> io::Result<Option<Self>> {
+        let Some(state) = &file.state else {
+            return Ok(None);
+        };
+        let mut worker = Worker {
+            folder: state.dir.clone(),
+            gateway: file.name.to_string(),
+            interval: Duration::from_millis(state.snapshot_ms),
+            fronts,
+            gossip,
+            service,
+            clock,
+            started_ms: unix_ms(),
+            snapshots: FileKind::new("snapshot"),
+            service_state: FileKind::new("state file"),
+        };
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::clone(&stop);
+        let thread = std::thread::Builder::new()
+            .name("recovery".into())
+            .stack_size(STACK_SIZE)
+            .spawn(move || worker.run(&stopped))?;
+        Ok(Some(Self { stop, thread }))
+    }
+
+    /// Writes the last snapshot and ends.
+    pub(crate) fn finish(self) {
+        self.stop.store(true, Ordering::Relaxed);
+        let _ = self.thread.join();
+    }
+}
+
+/// Files of one kind, and whether the last write of one failed. Only the first failure and its end are logged.
+struct FileKind {
+    name: &'static str,
+    failing: bool,
+}
+
+impl FileKind {
+    const fn new(name: &'static str) -> Self {
+        Self {
+            name,
+            failing: false,
+        }
+    }
+
+    fn on_write(&mut self, result: io::Result<()>) {
+        let was_failing = std::mem::replace(&mut self.failing, result.is_err());
+        let kind = self.name;
+        match result {
+            Ok(()) if was_failing => info!("recovery: {kind} writing works again"),
+            Err(error) if !was_failing => {
+                warn!(%error, "recovery: {kind} write failed, service continues");
+            }
+            _ => {}
+        }
+    }
+}
+
+struct Worker {
+    folder: PathBuf,
+    gateway: String,
+    interval: Duration,
+    fronts: Vec<RecoverableFront>,
+    gossip: Option<Arc<GossipTransport>>,
+    service: SharedService,
+    clock: Clock,
+    started_ms: u64,
+    snapshots: FileKind,
+    service_state: FileKind,
+}
+
+impl Worker {
+    fn run(&mut self, stop: &AtomicBool) {
+        let first = lock(&self.service).state();
+        self.on_service_state(first);
+        let mut written_at = Instant::now();
+        loop {
+            let is_last = stop.load(Ordering::Relaxed);
+            let change = lock(&self.service).look(self.clock.now());
+            if let Some(state) = change {
+                self.on_service_state(state);
+            }
+            if is_last || written_at.elapsed() >= self.interval {
+                written_at = Instant::now();
+                self.write_snapshot();
+            }
+            if is_last {
+                return;
+            }
+            sleep(SERVICE_CHECK_INTERVAL);
+        }
+    }
+
+    fn write_snapshot(&mut self) {
+        let result = match self.snapshot().encode() {
+            Some(bytes) => snapshot::write(&self.folder, &bytes),
+            None => Err(io::Error::other("it is too large")),
+        };
+        self.snapshots.on_write(result);
+    }
+
+    fn on_service_state(&mut self, state: State) {
+        let json = match state {
+            State::Recovering(why) => {
+                info!(missing = why.name(), "recovery: service not complete yet");
+                serde_json::json!({ "state": "recovering", "why": why.name(), "started-ms": self.started_ms })
+            }
+            State::Full { took, .. } => {
+                let took_ms = took.0 / 1000;
+                info!(took_ms, "recovery: service complete");
+                serde_json::json!({ "state": "full", "took-ms": took_ms, "started-ms": self.started_ms })
+            }
+        };
+        if let Some(gossip) = &self.gossip {
+            gossip.full(matches!(state, State::Full { .. }));
+        }
+        let text = json.to_string();
+        let result = snapshot::replace(
+            &self.folder,
+            "recovery.new",
+            "recovery.json",
+            text.as_bytes(),
+        );
+        self.service_state.on_write(result);
+    }
+
+    fn snapshot(&self) -> Snapshot {
+        let (at_ms, now) = (unix_ms(), self.clock.now());
+        let fronts = self.fronts.iter();
+        let gossip = self.gossip.as_ref();
+        Snapshot {
+            gateway: self.gateway.clone(),
+            at_ms,
+            fronts: fronts.map(|front| front.snapshot(at_ms, now)).collect(),
+            fleet: gossip.map(|gossip| gossip.living()).unwrap_or_default(),
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "snapshot_writer/tests.rs"]
+mod tests;
--- a/crates/gateway/src/snmp.rs
+++ b/crates/gateway/src/snmp.rs
@@ -1,6 +1,7 @@
 //! `valehatch snmp …`: what an operator needs to set the agent up.
 
 use std::io::BufRead;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand};
@@ -8,6 +9,12 @@
 use valehatch_config::snmp::{PRIV_KEY, engine_id};
 use valehatch_snmp::{schema, usm};
 
+use crate::error::StartError;
+
+/// Bytes of an engine id (RFC 3411).
+const ENGINE_ID_BYTES: RangeInclusive<usize> = 5..=32;
+
+/// The commands of `valehatch snmp`.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Make the localized keys of a user from passwords, which are read from standard input: one line for
@@ -41,60 +48,66 @@
 }
 
 impl Engine {
-    fn id(&self) -> Result<Vec<u8>, String> {
+    fn id(&self) -> Result<Vec<u8>, StartError> {
         if let Some(file) = &self.file {
-            // The file may not be whole yet: its keys are what is being made.
-            return match Operators::load(file) {
-                Ok(read) => read
-                    .snmp
-                    .map(|s| s.engine)
-                    .ok_or_else(|| format!("{}: has no [snmp]", file.display())),
-                Err(faults) => Err(faults.to_string()),
+            let read = Operators::load(file).map_err(StartError::configuration)?;
+            let without_agent = || format!("{}: has no [snmp]", file.display());
+            return match read.snmp {
+                Some(snmp) => Ok(snmp.engine),
+                None => Err(StartError::configuration(without_agent())),
             };
         }
         if let Some(text) = &self.engine_id {
-            let id = hex::decode(text)
-                .ok()
-                .filter(|id| (5..=32).contains(&id.len()));
-            return id.ok_or_else(|| {
-                format!("--engine-id: {text:?} is not 5 to 32 bytes in hexadecimal digits")
-            });
+            let id = hex::decode(text).ok();
+            let wrong =
+                || format!("--engine-id: {text:?} is not 5 to 32 bytes in hexadecimal digits");
+            return id
+                .filter(|id| ENGINE_ID_BYTES.contains(&id.len()))
+                .ok_or_else(|| StartError::configuration(wrong()));
         }
         Ok(engine_id(self.gateway.as_deref().unwrap_or_default()))
     }
 }
 
-fn password(what: &str, line: Option<std::io::Result<String>>) -> Result<Option<String>, String> {
+/// Reads one password from a line of standard input; `None` at its end.
+fn password(
+    name: &str,
+    line: Option<std::io::Result<String>>,
+) -> Result<Option<String>, StartError> {
     let Some(line) = line else { return Ok(None) };
-    let text = line.map_err(|e| format!("{what}: {e}"))?;
+    let text = line.map_err(StartError::resource(name))?;
     if text.len() < usm::SHORTEST {
-        return Err(format!(
-            "the {what} password is shorter than {} characters",
-            usm::SHORTEST
-        ));
+        let least = usm::SHORTEST;
+        let error = format!("the {name} password is shorter than {least} characters");
+        return Err(StartError::configuration(error));
     }
     Ok(Some(text))
 }
 
-pub(crate) fn run(command: Command) -> Result<(), String> {
+/// Runs a command and prints its result on standard output.
+///
+/// # Errors
+/// What of the input cannot be used.
+pub(crate) fn run(command: Command) -> Result<(), StartError> {
     match command {
         Command::Mib => print!("{}", schema::mib()),
         Command::EngineId { engine } => println!("{}", hex::encode(engine.id()?)),
-        Command::Key { engine } => {
-            let id = engine.id()?;
-            let mut lines = std::io::stdin().lock().lines();
-            let auth =
-                password("authentication", lines.next())?.ok_or("no password on standard input")?;
-            let privacy = password("encryption", lines.next())?;
-            println!(
-                "auth-key = \"{}\"",
-                hex::encode(usm::localize(auth.as_bytes(), &id))
-            );
-            if let Some(privacy) = privacy {
-                let key = usm::localize(privacy.as_bytes(), &id);
-                println!("priv-key = \"{}\"", hex::encode(&key[..PRIV_KEY]));
-            }
-        }
+        Command::Key { engine } => print_keys(&engine)?,
+    }
+    Ok(())
+}
+
+fn print_keys(engine: &Engine) -> Result<(), StartError> {
+    let id = engine.id()?;
+    let mut lines = std::io::stdin().lock().lines();
+    let authentication = password("authentication", lines.next())?
+        .ok_or_else(|| StartError::configuration("no password on standard input"))?;
+    let encryption = password("encryption", lines.next())?;
+    let key = usm::localize(authentication.as_bytes(), &id);
+    println!("auth-key = \"{}\"", hex::encode(key));
+    if let Some(encryption) = encryption {
+        let key = usm::localize(encryption.as_bytes(), &id);
+        println!("priv-key = \"{}\"", hex::encode(&key[..PRIV_KEY]));
     }
     Ok(())
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of this process at their own address: whether it is ready to serve, and its figures.
+//! What operators read of this process at the management address: whether it is ready to serve, and its counters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,85 +10,89 @@
 use valehatch_management::{ManagementEndpoint, Source};
 use valehatch_request_log::{OutcomeMetrics, figures};
 
-/// One front: its own figures, and whether it holds a list of members.
-struct Part {
+use crate::error::StartError;
+
+/// One front: its counters, and whether it has an endpoint list.
+struct FrontStatus {
     name: Arc<str>,
-    figures: Arc<OutcomeMetrics>,
+    metrics: Arc<OutcomeMetrics>,
     decisions: Arc<Decisions>,
-    listed: AtomicBool,
+    has_endpoint_list: AtomicBool,
 }
 
-/// What is told of all fronts of this process.
-pub(crate) struct Told {
-    fronts: Vec<Part>,
-    listens: AtomicBool,
-    stopping: AtomicBool,
+/// The status of all fronts of this process. It is shared with the management thread; flags only ever become true.
+pub(crate) struct ProcessStatus {
+    fronts: Vec<FrontStatus>,
+    listening: AtomicBool,
+    shutting_down: AtomicBool,
 }
 
-impl Told {
-    /// Nothing is so yet.
+impl ProcessStatus {
+    /// The status at the start, with the fronts in their order.
     pub(crate) fn new<'a>(fronts: impl IntoIterator<Item = (Arc<str>, &'a Site)>) -> Arc<Self> {
-        let part = |(name, site): (Arc<str>, &Site)| {
-            let figures = Arc::new(OutcomeMetrics::new(&site.classes));
-            Part {
+        let fronts = fronts
+            .into_iter()
+            .map(|(name, site)| FrontStatus {
                 name,
-                figures,
+                metrics: Arc::new(OutcomeMetrics::new(&site.classes)),
                 decisions: Arc::default(),
-                listed: AtomicBool::new(false),
-            }
-        };
-        let fronts = fronts.into_iter().map(part).collect();
+                has_endpoint_list: AtomicBool::new(false),
+            })
+            .collect();
         Arc::new(Self {
             fronts,
-            listens: AtomicBool::new(false),
-            stopping: AtomicBool::new(false),
+            listening: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
         })
     }
 
-    /// Answers there from now on.
-    pub(crate) fn serve(self: &Arc<Self>, listen: SocketAddr) -> Result<(), String> {
+    /// Answers at this address from now on.
+    ///
+    /// # Errors
+    /// The address cannot be listened on; `key` is the configuration's name for it.
+    pub(crate) fn serve(self: &Arc<Self>, key: &str, listen: SocketAddr) -> Result<(), StartError> {
         let source: Arc<dyn Source> = Arc::clone(self) as _;
-        let bound = valehatch_management::start(ManagementEndpoint::new(listen), source);
-        info!(
-            "operators call at {}",
-            bound.map_err(|e| format!("{listen}: {e}"))?
-        );
+        let bound = valehatch_management::start(ManagementEndpoint::new(listen), source)
+            .map_err(StartError::resource(format!("{key}: {listen}")))?;
+        info!(address = %bound, "management endpoint listening");
         Ok(())
     }
 
-    /// The book of a front.
-    pub(crate) fn figures(&self, front: usize) -> Arc<OutcomeMetrics> {
-        Arc::clone(&self.fronts[front].figures)
+    /// The counters of a front.
+    pub(crate) fn metrics(&self, front: usize) -> Arc<OutcomeMetrics> {
+        Arc::clone(&self.fronts[front].metrics)
     }
 
-    /// What a front denies, and why.
+    /// What a front has denied, by reason.
     pub(crate) fn decisions(&self, front: usize) -> Arc<Decisions> {
         Arc::clone(&self.fronts[front].decisions)
     }
 
-    /// A front holds a list.
-    pub(crate) fn listed(&self, front: usize) {
-        self.fronts[front].listed.store(true, Ordering::Relaxed);
+    /// A front has an endpoint list.
+    pub(crate) fn on_endpoint_list(&self, front: usize) {
+        let front = &self.fronts[front];
+        front.has_endpoint_list.store(true, Ordering::Relaxed);
     }
 
     /// All fronts listen.
-    pub(crate) fn listens(&self) {
-        self.listens.store(true, Ordering::Relaxed);
+    pub(crate) fn on_listening(&self) {
+        self.listening.store(true, Ordering::Relaxed);
     }
 
-    /// A planned stop was asked for.
-    pub(crate) fn stops(&self) {
-        self.stopping.store(true, Ordering::Relaxed);
+    /// A graceful shutdown has begun.
+    pub(crate) fn on_shutdown(&self) {
+        self.shutting_down.store(true, Ordering::Relaxed);
     }
 }
 
-impl Source for Told {
+impl Source for ProcessStatus {
     fn health(&self) -> Result<String, String> {
-        let is = |what: &AtomicBool| what.load(Ordering::Relaxed);
-        if is(&self.stopping) {
+        let is_set = |flag: &AtomicBool| flag.load(Ordering::Relaxed);
+        if is_set(&self.shutting_down) {
             return Err("stopping: a planned stop was asked for".into());
         }
-        if let Some(front) = self.fronts.iter().find(|front| !is(&front.listed)) {
+        let without_list = |front: &&FrontStatus| !is_set(&front.has_endpoint_list);
+        if let Some(front) = self.fronts.iter().find(without_list) {
             let whose = if self.fronts.len() > 1 {
                 format!(" by front {}", front.name)
             } else {
@@ -96,14 +100,14 @@
             };
             return Err(format!("starting: no list of databases is held{whose}"));
         }
-        if !is(&self.listens) {
+        if !is_set(&self.listening) {
             return Err("starting: does not listen yet".into());
         }
         Ok("ready".into())
     }
 
     fn decisions(&self) -> String {
-        let text = |front: &Part| match self.fronts.len() {
+        let text = |front: &FrontStatus| match self.fronts.len() {
             1 => front.decisions.text(),
             _ => format!("front {}\n{}", front.name, front.decisions.text()),
         };
@@ -111,6 +115,6 @@
     }
 
     fn stats(&self) -> String {
-        figures::text(self.fronts.iter().map(|front| &*front.figures))
+        figures::text(self.fronts.iter().map(|front| &*front.metrics))
     }
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -139,7 +139,7 @@
     site.silence(true);
     let program = site.start(20);
     assert!(matches!(site.ask("read"), Answer::Error(code, Some(_)) if code == "53300"));
-    program.says("no snapshot was kept");
+    program.says("no snapshot found");
     site.silence(false);
     until("served again", || site.ask("read") == here());
 }
@@ -369,14 +369,11 @@
     std::fs::create_dir_all(site.dir.join("snapshot.new")).unwrap();
     let program = site.start(20);
     until("served", || site.ask("read") == here());
-    program.says("no snapshot can be written, service goes on");
+    program.says("snapshot write failed, service continues");
     std::fs::remove_dir(site.dir.join("snapshot.new")).unwrap();
-    program.says("snapshots are written again");
+    program.says("snapshot writing works again");
     site.keeps("the list", |s| s.fronts[0].book.members().count() == 1);
-    assert_eq!(
-        program.log().matches("no snapshot can be written").count(),
-        1
-    );
+    assert_eq!(program.log().matches("snapshot write failed").count(), 1);
 }
 
 #[test]
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -377,7 +377,8 @@
         assert_eq!(client.ask(&read(1)), Answer::Value("x1".into()));
     }
     let next = place.start();
-    next.program.says("handed its socket over");
+    next.program
+        .says("inherited the listening socket and the snapshot");
     old.program.terminate();
     assert!(old.program.ended().success());
     let mut client = Client::connect(place.listen);
@@ -609,7 +610,8 @@
     scene.releases();
     // The next upgrade is one like any other.
     let next = scene.place.start();
-    next.program.says("handed its socket over");
+    next.program
+        .says("inherited the listening socket and the snapshot");
     scene.old.stops();
     next.is_alone();
     let (lost, refused) = scene.end();
@@ -692,7 +694,8 @@
     scene.old.program.says("who asked has gone");
     scene.old.is_alone();
     let next = scene.place.start();
-    next.program.says("handed its socket over");
+    next.program
+        .says("inherited the listening socket and the snapshot");
     if end == End::Killed {
         scene.releases();
     }
@@ -728,7 +731,7 @@
         .take(1 + usize::from(old_too))
     {
         process.program.signal("HUP");
-        process.program.says("config: read again");
+        process.program.says("configuration read again");
     }
     scene.releases();
     until("it asks at the new address", || {
@@ -812,7 +815,7 @@
     let discovery = scene.moves();
     let told = if who == Told::Old { &scene.old } else { &new };
     told.program.signal("HUP");
-    told.program.says("config: read again");
+    told.program.says("configuration read again");
     if who == Told::Old {
         // It looks once as it begins, and once more now. Then the one that was told ends: the change is the other's to hear.
         until("the other one looks too", || {
@@ -850,14 +853,15 @@
     let discovery = scene.moves();
     if who == Told::Old {
         scene.old.program.signal("HUP");
-        scene.old.program.says("config: read again");
+        scene.old.program.says("configuration read again");
     } else {
         new.program.signal("HUP");
     }
     assert!(!new.healthy());
     drop(other);
     until("it says yes", || new.healthy());
-    new.program.says("handed its socket over");
+    new.program
+        .says("inherited the listening socket and the snapshot");
     scene.serves();
     scene.releases();
     scene.old.stops();
@@ -892,11 +896,12 @@
         .unwrap();
     until("it says yes", || new.healthy());
     assert!(
-        !new.program.log().contains("nothing was handed over"),
+        !new.program.log().contains("nothing inherited"),
         "it did not wait"
     );
-    new.program.says("is about to end, and handed 0 bytes over");
-    new.program.says("config: read again");
+    new.program
+        .says("predecessor is ending, inherited its snapshot bytes=0");
+    new.program.says("configuration read again");
     assert_eq!(
         Client::connect(place.listen).ask(&read(1)),
         Answer::Value("x1".into())
@@ -951,7 +956,9 @@
     scene.releases();
     assert!(scene.old.program.ended().success());
     until("it says yes", || third.healthy());
-    third.program.says("handed its socket over");
+    third
+        .program
+        .says("inherited the listening socket and the snapshot");
     second.stops();
     third.is_alone();
     assert_eq!(scene.end(), (0, 0), "lost, and connects refused");
@@ -963,7 +970,8 @@
     scene.old.program.terminate();
     scene.old.program.says("a planned stop was asked for");
     let new = scene.place.start();
-    new.program.says("is about to end, and handed");
+    new.program
+        .says("predecessor is ending, inherited its snapshot");
     scene
         .old
         .program
