--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -353,7 +353,7 @@
                 why,
             } => {
                 self.count_asked(tenant, now);
-                self.record_unheld(class, tenant, group, FinalOutcome::Refused(why), effects);
+                self.record_unheld(class, tenant, group, FinalOutcome::Rejected(why), effects);
             }
             Event::RequestAbandoned {
                 class,
@@ -580,7 +580,7 @@
         let refused = match why {
             Denial::DuplicateName => {
                 return (
-                    FinalOutcome::Failed(FailureReason::DuplicateName),
+                    FinalOutcome::Failed(FailureReason::DuplicateRequestId),
                     FinalAnswer::Failed(Failure::DuplicateName),
                 );
             }
@@ -593,7 +593,7 @@
             self.facts.come_back(class)
         };
         (
-            FinalOutcome::Refused(refused),
+            FinalOutcome::Rejected(refused),
             FinalAnswer::Rejected {
                 after,
                 overloaded: false,
@@ -629,16 +629,16 @@
                     }
                     AdmissionDecision::Reject(id, reason, hint) => {
                         let why = match reason {
-                            QueueRejection::WaitTooLong => RejectionReason::QueueWait,
+                            QueueRejection::WaitTooLong => RejectionReason::QueueWaitTooLong,
                             QueueRejection::QueueFull => RejectionReason::QueueFull,
-                            QueueRejection::ExpiredInQueue => RejectionReason::QueueWaited,
-                            QueueRejection::StandingQueue => RejectionReason::QueueStanding,
+                            QueueRejection::ExpiredInQueue => RejectionReason::QueueTimeout,
+                            QueueRejection::StandingQueue => RejectionReason::QueueDelayPersistent,
                         };
                         let answer = FinalAnswer::Rejected {
                             after: hint.after,
                             overloaded: !hint.honest,
                         };
-                        self.answer(now, id, answer, FinalOutcome::Refused(why), effects);
+                        self.answer(now, id, answer, FinalOutcome::Rejected(why), effects);
                     }
                 }
             }
@@ -841,7 +841,7 @@
                                     now,
                                     request,
                                     answer,
-                                    FinalOutcome::Failed(FailureReason::Statement),
+                                    FinalOutcome::Failed(FailureReason::InvalidStatement),
                                     effects,
                                 );
                                 true
@@ -956,7 +956,7 @@
                                 after,
                                 overloaded: false,
                             },
-                            FinalOutcome::Refused(RejectionReason::Stopping),
+                            FinalOutcome::Rejected(RejectionReason::Stopping),
                         )
                     } else {
                         (
@@ -1024,7 +1024,7 @@
             } => {
                 if let Some(held) = self.requests.get(&request) {
                     let after = retry_after.unwrap_or_else(|| self.facts.come_back(held.class));
-                    let how = FinalOutcome::Refused(refusal(why));
+                    let how = FinalOutcome::Rejected(refusal(why));
                     self.answer(
                         now,
                         request,
@@ -1448,9 +1448,9 @@
         }
         if let Some((member, sent)) = held.out.take() {
             held.tries.push(AttemptRecord {
-                member,
+                endpoint: member,
                 outcome: AttemptOutcome::Unfinished,
-                took_us: micros(now - sent),
+                duration_us: micros(now - sent),
             });
         }
         let waited = held.first.unwrap_or(now) - held.arrived;
@@ -1502,9 +1502,9 @@
             class: Arc::clone(&watched.classes[class]),
             tenant: tenant.and_then(|t| watched.tenants.get(t).cloned()),
             group: group.0,
-            ending,
+            outcome: ending,
             attempts,
-            waited_us: micros(waited),
+            queued_us: micros(waited),
             total_us: micros(total),
         })));
     }
@@ -1559,9 +1559,9 @@
             return;
         };
         self.tries.push(AttemptRecord {
-            member,
+            endpoint: member,
             outcome: outcome.into(),
-            took_us: micros(now - sent),
+            duration_us: micros(now - sent),
         });
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -268,7 +268,7 @@
                 }
                 Effect::RecordOutcome(record) => {
                     if let Some(watcher) = &mut watcher {
-                        crate::recovery::answered(&watcher.service, clock, &record.ending);
+                        crate::recovery::answered(&watcher.service, clock, &record.outcome);
                         watcher.recorder.record(record.clone());
                     }
                 }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -8,12 +8,12 @@
 use valehatch_config::Site;
 use valehatch_core::permission::Decisions;
 use valehatch_management::{ManagementEndpoint, Source};
-use valehatch_request_log::{OutcomeMetrics, figures};
+use valehatch_request_log::{OutcomeMetrics, outcome_metrics};
 
 /// One front: its own figures, and whether it holds a list of members.
 struct Part {
     name: Arc<str>,
-    figures: Arc<OutcomeMetrics>,
+    outcome_metrics: Arc<OutcomeMetrics>,
     decisions: Arc<Decisions>,
     listed: AtomicBool,
 }
@@ -29,10 +29,10 @@
     /// Nothing is so yet.
     pub(crate) fn new<'a>(fronts: impl IntoIterator<Item = (Arc<str>, &'a Site)>) -> Arc<Self> {
         let part = |(name, site): (Arc<str>, &Site)| {
-            let figures = Arc::new(OutcomeMetrics::new(&site.classes));
+            let outcome_metrics = Arc::new(OutcomeMetrics::new(&site.classes));
             Part {
                 name,
-                figures,
+                outcome_metrics,
                 decisions: Arc::default(),
                 listed: AtomicBool::new(false),
             }
@@ -57,8 +57,8 @@
     }
 
     /// The book of a front.
-    pub(crate) fn figures(&self, front: usize) -> Arc<OutcomeMetrics> {
-        Arc::clone(&self.fronts[front].figures)
+    pub(crate) fn outcome_metrics(&self, front: usize) -> Arc<OutcomeMetrics> {
+        Arc::clone(&self.fronts[front].outcome_metrics)
     }
 
     /// What a front denies, and why.
@@ -111,6 +111,6 @@
     }
 
     fn stats(&self) -> String {
-        figures::text(self.fronts.iter().map(|front| &*front.figures))
+        outcome_metrics::text(self.fronts.iter().map(|front| &*front.outcome_metrics))
     }
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -176,7 +176,7 @@
             recorder: w.recorder(),
             service: Arc::clone(&service),
         });
-        let figures = read.mgmt.map(|_| mgmt.figures(n));
+        let figures = read.mgmt.map(|_| mgmt.outcome_metrics(n));
         let speakers = speakers(front, clock, made.inbox.0.clone(), figures.clone());
         let speakers = speakers.map_err(|e| format!("front.{n}: {e}"))?;
         let seed = clock.now().0.unsigned_abs() ^ u64::from(std::process::id()) << 32 ^ n as u64;
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -170,7 +170,7 @@
         timeout,
         Arc::clone(&places),
     );
-    let figures = mgmt.map(|_| told.figures(0));
+    let figures = mgmt.map(|_| told.outcome_metrics(0));
     let verifies = site.settings.stale_read_policy == valehatch_policy::StaleReadPolicy::Serve;
     let upstream = Box::new(upstream.counting(figures.clone()).verifying(verifies));
     // What a budget allows is its weight: the platform tells no shares.
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -109,7 +109,7 @@
 pub(crate) fn answered(service: &Shared, clock: Clock, ending: &FinalOutcome) {
     let served = match ending {
         FinalOutcome::InTime | FinalOutcome::Late => true,
-        FinalOutcome::Refused(_) | FinalOutcome::Failed(_) => false,
+        FinalOutcome::Rejected(_) | FinalOutcome::Failed(_) => false,
         FinalOutcome::Aborted => return,
     };
     lock(service).answered(served, clock.now());
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -16,7 +16,7 @@
 use support::manager::{ROOT, Walk, audit, index, own, v2c};
 use support::watched::{Plan, load_cql, load_pg, seen_databases, seen_nodes, statement, wait};
 use support::*;
-use valehatch_request_log::{AttemptOutcome, Cell, Key, Scope};
+use valehatch_request_log::{AttemptOutcome, Counter, RowKey, Scope};
 
 fn call(at: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(at).expect("the door is open");
@@ -34,7 +34,7 @@
 }
 
 /// All figures by name, as one answer has them.
-fn figures(at: SocketAddr) -> BTreeMap<String, u64> {
+fn outcome_metrics(at: SocketAddr) -> BTreeMap<String, u64> {
     let (status, text) = call(at, "/admin/stats");
     assert_eq!(status, 200);
     let one = |line: &str| {
@@ -47,7 +47,7 @@
 }
 
 fn figure(at: SocketAddr, name: &str) -> u64 {
-    let all = figures(at);
+    let all = outcome_metrics(at);
     *all.get(name)
         .unwrap_or_else(|| panic!("{name} is among {all:?}"))
 }
@@ -208,10 +208,10 @@
                 cql.fetch_add(load_cql(watched.cql, n * 1000, stop), Ordering::SeqCst)
             });
         }
-        let mut last = figures(door);
+        let mut last = outcome_metrics(door);
         for _ in 0..10 {
             wait(Duration::from_millis(200));
-            let now = figures(door);
+            let now = outcome_metrics(door);
             let falls = last
                 .iter()
                 .find(|(name, n)| name.starts_with("operations") && now[*name] < **n);
@@ -220,7 +220,7 @@
         }
         // How much comes of which trouble hangs on what else the machine does.
         until("there is some of each", || {
-            let now = figures(door);
+            let now = outcome_metrics(door);
             let some = |what: &str| now.iter().any(|(name, n)| name.ends_with(what) && *n > 0);
             let sent = ["read", "once", "stay-read", "stay-write", "unknown"];
             some("fulfilled")
@@ -252,7 +252,7 @@
         classes.iter().map(|c| row(&walk, *c, 3)).sum::<u64>() == asked
     });
     until("none is open", || figure(door, "open_requests") == 0);
-    let shown = figures(door);
+    let shown = outcome_metrics(door);
     let told = |class: &str, what: &str| shown[&format!("operations.{class}.{what}")];
     let (log, lines) = audit(&watched.dir);
     assert_eq!(lines, asked);
@@ -285,7 +285,7 @@
             ],
             "{at:?}"
         );
-        let key = Key {
+        let key = RowKey {
             scope: Scope::Class,
             front: front.into(),
             name: class.into(),
@@ -294,16 +294,16 @@
             assert_eq!((class, counts), ("prepare", [0; 3]));
             continue;
         };
-        let served = written.get(Cell::InTime) + written.get(Cell::Late);
+        let served = written.get(Counter::InTime) + written.get(Counter::Late);
         assert_eq!(
             counts,
-            [served, written.refused(), written.failed()],
+            [served, written.rejected(), written.failed()],
             "{at:?}"
         );
         // The ledger counts an attempt by its end: some ends say that it never left, and some do not say.
         let of = |ends: &[AttemptOutcome]| {
             ends.iter()
-                .map(|o| written.get(Cell::Attempt(*o)))
+                .map(|o| written.get(Counter::Attempt(*o)))
                 .sum::<u64>()
         };
         let never = of(&[AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent]);
@@ -500,7 +500,7 @@
             });
             wait(Duration::from_millis(150));
             let before = [heard[0].all(), heard[1].all()];
-            let now = figures(door);
+            let now = outcome_metrics(door);
             for (class, before) in ["read", "once"].into_iter().zip(before) {
                 let told = ended(&now, class);
                 assert!(
@@ -522,7 +522,7 @@
     });
     let mut shown = BTreeMap::new();
     until("none is open", || {
-        shown = figures(door);
+        shown = outcome_metrics(door);
         shown["open_requests"] == 0
     });
     assert_eq!(shown["registry_entries"], 2);
--- a/crates/gateway/tests/support/manager.rs
+++ b/crates/gateway/tests/support/manager.rs
@@ -8,7 +8,7 @@
 
 use snmp2::v3::{Auth, AuthProtocol, Cipher, Security};
 use snmp2::{Oid, SyncSession, Value};
-use valehatch_request_log::{Cell, Counters, Key, RequestRecord, Row, Scope};
+use valehatch_request_log::{Counter, CounterRow, Counters, RequestRecord, RowKey, Scope};
 
 pub(crate) const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
 
@@ -158,8 +158,8 @@
 }
 
 /// What a walk must show for some counters: every cell of the request tables by its name.
-pub(crate) fn expected(counters: &Counters, rows: &[Key]) -> BTreeMap<Vec<u32>, u64> {
-    let empty = Row::default();
+pub(crate) fn expected(counters: &Counters, rows: &[RowKey]) -> BTreeMap<Vec<u32>, u64> {
+    let empty = CounterRow::default();
     let mut all = BTreeMap::new();
     for key in rows {
         let row = counters.get(key).unwrap_or(&empty);
@@ -169,23 +169,25 @@
             all.insert([&own(&[table, 1, column])[..], &at, more].concat(), n);
         };
         for (column, n) in [
-            (3, row.ended()),
-            (6, row.refused()),
+            (3, row.finished()),
+            (6, row.rejected()),
             (7, row.failed()),
             (9, row.attempts()),
         ] {
             put(table, column, &[], n);
         }
-        for cell in Cell::all() {
+        for cell in Counter::all() {
             let n = row.get(cell);
             match cell {
-                Cell::InTime => put(table, 4, &[], n),
-                Cell::Late => put(table, 5, &[], n),
-                Cell::Aborted => put(table, 8, &[], n),
-                Cell::Refused(why) => put(table + 1, 3, &[why as u32 + 1], n),
-                Cell::Failed(how) => put(table + 2, 3, &[how as u32 + 1], n),
-                Cell::Attempt(how) => put(table + 3, 3, &[how as u32 + 1], n),
-                Cell::Time(bucket) => put(table + 4, 3, &[u32::try_from(bucket).unwrap() + 1], n),
+                Counter::InTime => put(table, 4, &[], n),
+                Counter::Late => put(table, 5, &[], n),
+                Counter::Aborted => put(table, 8, &[], n),
+                Counter::Rejected(why) => put(table + 1, 3, &[why as u32 + 1], n),
+                Counter::Failed(how) => put(table + 2, 3, &[how as u32 + 1], n),
+                Counter::Attempt(how) => put(table + 3, 3, &[how as u32 + 1], n),
+                Counter::LatencyBucket(bucket) => {
+                    put(table + 4, 3, &[u32::try_from(bucket).unwrap() + 1], n)
+                }
             }
         }
     }
--- a/crates/gateway/tests/support/watched.rs
+++ b/crates/gateway/tests/support/watched.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use valehatch_request_log::{Key, Scope};
+use valehatch_request_log::{RowKey, Scope};
 
 use super::cql;
 use super::{Client, Does, Program, Seen, database, folder, free_address, tagged};
@@ -329,8 +329,8 @@
 }
 
 /// All rows of the request tables.
-pub(crate) fn rows(fronts: &[&str]) -> Vec<Key> {
-    let key = |scope, front: &str, name: &str| Key {
+pub(crate) fn rows(fronts: &[&str]) -> Vec<RowKey> {
+    let key = |scope, front: &str, name: &str| RowKey {
         scope,
         front: front.into(),
         name: name.into(),
--- a/crates/notifications/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -484,7 +484,7 @@
         for (key, row) in counters.rows().filter(|(key, _)| key.scope == Scope::Class) {
             let of = (Arc::clone(&key.front), Arc::clone(&key.name));
             let watch = self.refusals.entry(of.clone()).or_default();
-            let Some(rate) = watch.note(now, row.refused(), self.thresholds.refusals_over) else {
+            let Some(rate) = watch.note(now, row.rejected(), self.thresholds.refusals_over) else {
                 continue;
             };
             match watch.crossed(rate, self.thresholds.refusals) {
--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -119,9 +119,9 @@
                 class: "read".into(),
                 tenant: None,
                 group: 0,
-                ending: FinalOutcome::Refused(RejectionReason::Overloaded),
+                outcome: FinalOutcome::Rejected(RejectionReason::Overloaded),
                 attempts: vec![],
-                waited_us: 0,
+                queued_us: 0,
                 total_us: 0,
             });
         }
--- a/crates/request-log/src/counters.rs
+++ b/crates/request-log/src/counters.rs
@@ -20,7 +20,7 @@
 
 /// Which row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct RowKey {
     /// What it is about.
     pub scope: Scope,
     /// The front's name.
@@ -30,23 +30,23 @@
 }
 
 /// Upper bounds of the buckets of the time histogram, in microseconds; one more bucket takes all beyond.
-pub const BOUNDS_US: [u64; 14] = [
+pub const LATENCY_BOUNDS_US: [u64; 14] = [
     1_000, 2_000, 5_000, 10_000, 20_000, 50_000, 100_000, 200_000, 300_000, 500_000, 1_000_000,
     2_000_000, 5_000_000, 10_000_000,
 ];
 /// Buckets of the time histogram.
-pub const BUCKETS: usize = BOUNDS_US.len() + 1;
+pub const LATENCY_BUCKETS: usize = LATENCY_BOUNDS_US.len() + 1;
 
 const REFUSED: usize = 3;
 const FAILED: usize = REFUSED + RejectionReason::ALL.len();
 const ATTEMPTS: usize = FAILED + FailureReason::ALL.len();
 const TIMES: usize = ATTEMPTS + AttemptOutcome::ALL.len();
 /// Counters in a row.
-pub const CELLS: usize = TIMES + BUCKETS;
+pub const COUNTERS_PER_ROW: usize = TIMES + LATENCY_BUCKETS;
 
 /// One counter of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cell {
+pub enum Counter {
     /// Served within the aim.
     InTime,
     /// Served after it.
@@ -54,16 +54,16 @@
     /// Left by their clients.
     Aborted,
     /// Refused for a reason.
-    Refused(RejectionReason),
+    Rejected(RejectionReason),
     /// Failed in a way.
     Failed(FailureReason),
     /// Attempts that ended so.
     Attempt(AttemptOutcome),
     /// Served within the bounds of this bucket.
-    Time(usize),
+    LatencyBucket(usize),
 }
 
-impl Cell {
+impl Counter {
     /// Its place in a row.
     #[must_use]
     pub const fn place(self) -> usize {
@@ -71,15 +71,15 @@
             Self::InTime => 0,
             Self::Late => 1,
             Self::Aborted => 2,
-            Self::Refused(why) => REFUSED + why as usize,
+            Self::Rejected(why) => REFUSED + why as usize,
             Self::Failed(how) => FAILED + how as usize,
             Self::Attempt(how) => ATTEMPTS + how as usize,
-            Self::Time(bucket) => {
+            Self::LatencyBucket(bucket) => {
                 TIMES
-                    + if bucket < BUCKETS {
+                    + if bucket < LATENCY_BUCKETS {
                         bucket
                     } else {
-                        BUCKETS - 1
+                        LATENCY_BUCKETS - 1
                     }
             }
         }
@@ -88,10 +88,10 @@
     /// All of a row's, in their places.
     pub fn all() -> impl Iterator<Item = Self> {
         let ends = [Self::InTime, Self::Late, Self::Aborted].into_iter();
-        ends.chain(RejectionReason::ALL.iter().map(|r| Self::Refused(*r)))
+        ends.chain(RejectionReason::ALL.iter().map(|r| Self::Rejected(*r)))
             .chain(FailureReason::ALL.iter().map(|f| Self::Failed(*f)))
             .chain(AttemptOutcome::ALL.iter().map(|o| Self::Attempt(*o)))
-            .chain((0..BUCKETS).map(Self::Time))
+            .chain((0..LATENCY_BUCKETS).map(Self::LatencyBucket))
     }
 
     /// Its name in marks and checkpoints: the same whatever is added later.
@@ -101,10 +101,10 @@
             Self::InTime => "in-time".into(),
             Self::Late => "late".into(),
             Self::Aborted => "aborted".into(),
-            Self::Refused(why) => format!("refused.{}", why.name()),
+            Self::Rejected(why) => format!("refused.{}", why.name()),
             Self::Failed(how) => format!("failed.{}", how.name()),
             Self::Attempt(how) => format!("attempt.{}", how.name()),
-            Self::Time(bucket) => BOUNDS_US
+            Self::LatencyBucket(bucket) => LATENCY_BOUNDS_US
                 .get(bucket)
                 .map_or_else(|| "time.more".into(), |us| format!("time.{us}")),
         }
@@ -120,38 +120,38 @@
 /// The bucket that a time falls in.
 #[must_use]
 pub fn bucket(us: u64) -> usize {
-    BOUNDS_US.partition_point(|bound| *bound < us)
+    LATENCY_BOUNDS_US.partition_point(|bound| *bound < us)
 }
 
 /// The counters of one class or tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row(Box<[u64; CELLS]>);
+pub struct CounterRow(Box<[u64; COUNTERS_PER_ROW]>);
 
-impl Default for Row {
+impl Default for CounterRow {
     fn default() -> Self {
-        Self(Box::new([0; CELLS]))
+        Self(Box::new([0; COUNTERS_PER_ROW]))
     }
 }
 
-impl Row {
+impl CounterRow {
     /// One counter.
     #[must_use]
-    pub fn get(&self, cell: Cell) -> u64 {
+    pub fn get(&self, cell: Counter) -> u64 {
         self.0[cell.place()]
     }
 
-    fn add(&mut self, cell: Cell) {
+    fn add(&mut self, cell: Counter) {
         self.0[cell.place()] += 1;
     }
 
-    fn raise(&mut self, cell: Cell, to: u64) {
+    fn raise(&mut self, cell: Counter, to: u64) {
         let at = &mut self.0[cell.place()];
         *at = to.max(*at);
     }
 
     /// All refused, whatever the reason.
     #[must_use]
-    pub fn refused(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.0[REFUSED..FAILED].iter().sum()
     }
 
@@ -163,7 +163,7 @@
 
     /// All that had their end: served, refused, failed, left.
     #[must_use]
-    pub fn ended(&self) -> u64 {
+    pub fn finished(&self) -> u64 {
         self.0[..ATTEMPTS].iter().sum()
     }
 
@@ -174,42 +174,42 @@
     }
 
     /// The counters that are not 0, with their names.
-    pub fn some(&self) -> impl Iterator<Item = (Cell, u64)> + '_ {
-        Cell::all()
+    pub fn some(&self) -> impl Iterator<Item = (Counter, u64)> + '_ {
+        Counter::all()
             .zip(self.0.iter().copied())
             .filter(|(_, n)| *n > 0)
     }
 
     fn count(&mut self, record: &RequestRecord) {
-        match record.ending {
-            FinalOutcome::InTime => self.add(Cell::InTime),
-            FinalOutcome::Late => self.add(Cell::Late),
-            FinalOutcome::Aborted => self.add(Cell::Aborted),
-            FinalOutcome::Refused(why) => self.add(Cell::Refused(why)),
-            FinalOutcome::Failed(how) => self.add(Cell::Failed(how)),
+        match record.outcome {
+            FinalOutcome::InTime => self.add(Counter::InTime),
+            FinalOutcome::Late => self.add(Counter::Late),
+            FinalOutcome::Aborted => self.add(Counter::Aborted),
+            FinalOutcome::Rejected(why) => self.add(Counter::Rejected(why)),
+            FinalOutcome::Failed(how) => self.add(Counter::Failed(how)),
         }
-        if matches!(record.ending, FinalOutcome::InTime | FinalOutcome::Late) {
-            self.add(Cell::Time(bucket(record.total_us)));
+        if matches!(record.outcome, FinalOutcome::InTime | FinalOutcome::Late) {
+            self.add(Counter::LatencyBucket(bucket(record.total_us)));
         }
         record
             .attempts
             .iter()
-            .for_each(|t| self.add(Cell::Attempt(t.outcome)));
+            .for_each(|t| self.add(Counter::Attempt(t.outcome)));
     }
 }
 
 /// All rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    rows: OrdMap<Key, Row>,
+    rows: OrdMap<RowKey, CounterRow>,
     /// Records that were counted and are not in the request log.
     pub missed: u64,
 }
 
 impl Counters {
     /// The rows that a record counts in.
-    pub fn keys(record: &RequestRecord) -> impl Iterator<Item = Key> + '_ {
-        let key = |scope, name: &Arc<str>| Key {
+    pub fn keys(record: &RequestRecord) -> impl Iterator<Item = RowKey> + '_ {
+        let key = |scope, name: &Arc<str>| RowKey {
             scope,
             front: record.front.clone(),
             name: name.clone(),
@@ -227,17 +227,17 @@
 
     /// A row, if anything was counted in it.
     #[must_use]
-    pub fn get(&self, key: &Key) -> Option<&Row> {
+    pub fn get(&self, key: &RowKey) -> Option<&CounterRow> {
         self.rows.get(key)
     }
 
     /// All rows in their order.
-    pub fn rows(&self) -> impl Iterator<Item = (&Key, &Row)> {
+    pub fn rows(&self) -> impl Iterator<Item = (&RowKey, &CounterRow)> {
         self.rows.iter()
     }
 
     /// Raises one counter to at least a value.
-    pub fn raise(&mut self, key: Key, cell: Cell, to: u64) {
+    pub fn raise(&mut self, key: RowKey, cell: Counter, to: u64) {
         self.rows.entry(key).or_default().raise(cell, to);
     }
 
@@ -253,7 +253,7 @@
     /// Whether no counter of the other one is above this one's.
     #[must_use]
     pub fn covers(&self, other: &Self) -> bool {
-        let covered = |(key, row): (&Key, &Row)| {
+        let covered = |(key, row): (&RowKey, &CounterRow)| {
             let own = self.get(key);
             row.some()
                 .all(|(cell, n)| own.is_some_and(|o| o.get(cell) >= n))
--- a/crates/request-log/src/durable.rs
+++ b/crates/request-log/src/durable.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::counters::{Cell, Counters, Key};
-use crate::record::{CorruptRecord, Seal};
+use crate::counters::{Counter, Counters, RowKey};
+use crate::record::{ChecksumLine, CorruptRecord};
 
 /// A place in the request log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -18,10 +18,10 @@
 }
 
 /// Rows as they are written: only counters that are not 0, by name.
-type Rows = Vec<(Key, BTreeMap<String, u64>)>;
+type Rows = Vec<(RowKey, BTreeMap<String, u64>)>;
 
-fn rows<'a>(counters: &'a Counters, keys: impl Iterator<Item = &'a Key>) -> Rows {
-    let named = |key: &Key| {
+fn rows<'a>(counters: &'a Counters, keys: impl Iterator<Item = &'a RowKey>) -> Rows {
+    let named = |key: &RowKey| {
         let row = counters.get(key)?;
         Some((
             key.clone(),
@@ -36,7 +36,7 @@
     into.missed = into.missed.max(missed);
     for (key, cells) in rows {
         for (name, n) in cells {
-            if let Some(cell) = Cell::named(name) {
+            if let Some(cell) = Counter::named(name) {
                 into.raise(key.clone(), cell, *n);
             }
         }
@@ -60,9 +60,9 @@
         out: &mut Vec<u8>,
         (from, seq): (u64, u64),
         counters: &'a Counters,
-        touched: impl Iterator<Item = &'a Key>,
+        touched: impl Iterator<Item = &'a RowKey>,
     ) {
-        Seal::put(
+        ChecksumLine::put(
             out,
             &Self {
                 from,
@@ -78,7 +78,7 @@
     /// # Errors
     /// What is wrong with it.
     pub fn read(line: &[u8]) -> Result<Self, CorruptRecord> {
-        Seal::open(line)
+        ChecksumLine::open(line)
     }
 
     /// Raises the counters to what the mark says.
@@ -131,7 +131,7 @@
         let rows = rows(counters, counters.rows().map(|(key, _)| key));
         let (seq, place, boots, since_ms, missed) =
             (*seq, *place, *boots, *since_ms, counters.missed);
-        Seal::put(
+        ChecksumLine::put(
             &mut out,
             &Written {
                 version: VERSION,
@@ -151,7 +151,7 @@
     /// # Errors
     /// What is wrong with them.
     pub fn read(bytes: &[u8]) -> Result<Self, CorruptRecord> {
-        let written: Written = Seal::open(bytes)?;
+        let written: Written = ChecksumLine::open(bytes)?;
         if written.version != VERSION {
             return Err(CorruptRecord::Unreadable);
         }
--- a/crates/request-log/src/times.rs
+++ b/crates/request-log/src/latency_samples.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::counters::Key;
+use crate::counters::RowKey;
 
 /// The window, in microseconds: quantiles are of the last 30 to 60 s.
 const HALF_US: i64 = 30_000_000;
@@ -21,12 +21,12 @@
 }
 
 /// Windows of served times, by row. Rows beyond the most that it may hold are not measured.
-pub struct Times {
-    rows: BTreeMap<Key, Window>,
+pub struct LatencySamples {
+    rows: BTreeMap<RowKey, Window>,
     most: usize,
 }
 
-impl Times {
+impl LatencySamples {
     /// Room for so many rows, about 26 KB each once used.
     #[must_use]
     pub const fn new(most: usize) -> Self {
@@ -37,7 +37,7 @@
     }
 
     /// Notes a served time at a moment, both in microseconds.
-    pub fn note(&mut self, now_us: i64, key: &Key, time_us: u64) {
+    pub fn note(&mut self, now_us: i64, key: &RowKey, time_us: u64) {
         if !self.rows.contains_key(key) {
             let half = || Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
             let (true, Ok(a), Ok(b)) = (self.rows.len() < self.most, half(), half()) else {
@@ -60,7 +60,7 @@
 
     /// The time that so many parts of a thousand of those served of late stay within, in microseconds; `None` where
     /// none was served.
-    pub fn quantile(&mut self, now_us: i64, key: &Key, per_mille: u32) -> Option<u64> {
+    pub fn quantile(&mut self, now_us: i64, key: &RowKey, per_mille: u32) -> Option<u64> {
         let window = self.rows.get_mut(key)?;
         window.turn_to(now_us / HALF_US);
         let mut both = window.halves[0].clone();
--- a/crates/request-log/src/lib.rs
+++ b/crates/request-log/src/lib.rs
@@ -22,19 +22,19 @@
 
 pub mod counters;
 pub mod durable;
-pub mod figures;
-pub mod ledger;
+pub mod latency_samples;
+pub mod outcome_metrics;
 pub mod record;
 pub mod replay;
-pub mod times;
+pub mod request_log;
 
-pub use counters::{CELLS, Cell, Counters, Key, Row, Scope};
+pub use counters::{COUNTERS_PER_ROW, Counter, CounterRow, Counters, RowKey, Scope};
 pub use durable::{Checkpoint, DurableMark, LogPosition};
-pub use figures::OutcomeMetrics;
-pub use ledger::{LogStorage, RequestLog, Sizes, Status};
+pub use latency_samples::LatencySamples;
+pub use outcome_metrics::OutcomeMetrics;
 pub use record::{
-    AttemptOutcome, AttemptRecord, CorruptRecord, FailureReason, FinalOutcome, RejectionReason,
-    RequestRecord, Seal,
+    AttemptOutcome, AttemptRecord, ChecksumLine, CorruptRecord, FailureReason, FinalOutcome,
+    RejectionReason, RequestRecord,
 };
 pub use replay::{Recovered, Replay};
-pub use times::Times;
+pub use request_log::{LogStatus, LogStorage, RequestLog, SegmentLimits};
--- a/crates/request-log/src/figures.rs
+++ b/crates/request-log/src/outcome_metrics.rs
@@ -50,7 +50,7 @@
         };
         let count = match how {
             FinalOutcome::InTime | FinalOutcome::Late => &class.fulfilled,
-            FinalOutcome::Refused(_) => &class.throttled,
+            FinalOutcome::Rejected(_) => &class.throttled,
             FinalOutcome::Failed(_) => &class.faulted,
             FinalOutcome::Aborted => return,
         };
@@ -88,8 +88,8 @@
 pub fn text<'a>(fronts: impl IntoIterator<Item = &'a OutcomeMetrics>) -> String {
     let mut names: Vec<(&str, [u64; COUNTS.len()])> = vec![];
     let mut gauges = [0; GAUGES.len()];
-    for figures in fronts {
-        for (name, class) in figures.names.iter().zip(&figures.classes) {
+    for outcome_metrics in fronts {
+        for (name, class) in outcome_metrics.names.iter().zip(&outcome_metrics.classes) {
             let at = names
                 .iter()
                 .position(|(known, _)| **known == **name)
@@ -109,7 +109,11 @@
                 .zip(counts)
                 .for_each(|(sum, count)| *sum += count.load(Relaxed));
         }
-        let own = [&figures.open, &figures.listed, &figures.avoided];
+        let own = [
+            &outcome_metrics.open,
+            &outcome_metrics.listed,
+            &outcome_metrics.avoided,
+        ];
         gauges
             .iter_mut()
             .zip(own)
@@ -134,19 +138,19 @@
 
     #[test]
     fn each_final_answer_is_in_one_count_and_what_was_abandoned_in_none() {
-        let figures = OutcomeMetrics::new(&["basket".into(), "order".into()]);
+        let outcome_metrics = OutcomeMetrics::new(&["basket".into(), "order".into()]);
         let all = [
             FinalOutcome::InTime,
             FinalOutcome::Late,
-            FinalOutcome::Refused(RejectionReason::TooManyOpen),
+            FinalOutcome::Rejected(RejectionReason::TooManyOpen),
             FinalOutcome::Aborted,
         ];
-        all.iter().for_each(|how| figures.ended(1, how));
-        figures.ended(1, &FinalOutcome::Failed(FailureReason::Timeout));
-        figures.ended(7, &FinalOutcome::InTime);
-        (0..3).for_each(|_| figures.relayed(0));
-        figures.gauges(14, 5, 1);
-        let text = figures.text();
+        all.iter().for_each(|how| outcome_metrics.ended(1, how));
+        outcome_metrics.ended(1, &FinalOutcome::Failed(FailureReason::Timeout));
+        outcome_metrics.ended(7, &FinalOutcome::InTime);
+        (0..3).for_each(|_| outcome_metrics.relayed(0));
+        outcome_metrics.gauges(14, 5, 1);
+        let text = outcome_metrics.text();
         let want = "balancer.operations.basket.fulfilled:0|c\nbalancer.operations.basket.throttled:0|c\n\
              balancer.operations.basket.faulted:0|c\nbalancer.operations.basket.relayed:3|c\n\
              balancer.operations.order.fulfilled:2|c\nbalancer.operations.order.throttled:1|c\n\
@@ -164,7 +168,7 @@
         one.ended(0, &FinalOutcome::InTime);
         one.relayed(0);
         two.ended(1, &FinalOutcome::Late);
-        two.ended(0, &FinalOutcome::Refused(RejectionReason::TooManyOpen));
+        two.ended(0, &FinalOutcome::Rejected(RejectionReason::TooManyOpen));
         one.gauges(3, 2, 1);
         two.gauges(4, 3, 0);
         let both = text([&one, &two]);
--- a/crates/request-log/src/record.rs
+++ b/crates/request-log/src/record.rs
@@ -48,13 +48,13 @@
         /// The gateway stops.
         Stopping = "stopping",
         /// At the door: what waits before it takes too long.
-        QueueWait = "queue-wait",
+        QueueWaitTooLong = "queue-wait",
         /// At the door: as many wait as may.
         QueueFull = "queue-full",
         /// At the door: it waited until it could no longer be served in time.
-        QueueWaited = "queue-waited",
+        QueueTimeout = "queue-waited",
         /// At the door: the queue has stood for too long, and is cut from the front.
-        QueueStanding = "queue-standing",
+        QueueDelayPersistent = "queue-standing",
     }
 }
 
@@ -68,9 +68,9 @@
         /// A member's error was passed on; it may have run.
         UpstreamError = "told",
         /// The statement is at fault, which every member would say.
-        Statement = "statement",
+        InvalidStatement = "statement",
         /// Its id is that of a request that is open.
-        DuplicateName = "named",
+        DuplicateRequestId = "named",
         /// The gateway stopped while it was out.
         Stopping = "stopping",
     }
@@ -126,8 +126,9 @@
     InTime,
     /// Served after it.
     Late,
-    /// Refused: trying again is harmless.
-    Refused(RejectionReason),
+    /// Rejected without having run; a retry is harmless.
+    #[serde(rename = "refused")]
+    Rejected(RejectionReason),
     /// Failed.
     Failed(FailureReason),
     /// Its client left first.
@@ -138,11 +139,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRecord {
     /// The member's name.
-    pub member: Arc<str>,
+    #[serde(rename = "member")]
+    pub endpoint: Arc<str>,
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// How long it took, in microseconds.
-    pub took_us: u64,
+    #[serde(rename = "took_us")]
+    pub duration_us: u64,
 }
 
 /// What is known of a request at its final answer.
@@ -159,11 +162,12 @@
     pub group: u16,
     /// How it ended.
     #[serde(flatten)]
-    pub ending: FinalOutcome,
+    pub outcome: FinalOutcome,
     /// Its attempts, in their order; the last one's member is the one that served it, if one did.
     pub attempts: Vec<AttemptRecord>,
     /// From its arrival to its first attempt, or to its end if there was none, in microseconds.
-    pub waited_us: u64,
+    #[serde(rename = "waited_us")]
+    pub queued_us: u64,
     /// From its arrival to its final answer, in microseconds.
     pub total_us: u64,
 }
@@ -192,12 +196,12 @@
 }
 
 /// Lines of JSON that end in their own checksum: `{…,"crc":"89abcdef"}`, CRC-32 (ISO-HDLC) of all before `,"crc"`.
-pub struct Seal;
+pub struct ChecksumLine;
 
 /// `,"crc":"` and `"}` round eight digits.
 const SEAL: usize = 18;
 
-impl Seal {
+impl ChecksumLine {
     /// Appends a JSON object as a sealed line.
     pub fn put(out: &mut Vec<u8>, object: &impl Serialize) {
         let from = out.len();
@@ -236,7 +240,7 @@
 impl RequestRecord {
     /// Appends the record as a line of the request log.
     pub fn put(&self, out: &mut Vec<u8>, seq: u64, at_unix_ms: u64) {
-        Seal::put(
+        ChecksumLine::put(
             out,
             &Line {
                 seq,
@@ -251,12 +255,12 @@
     /// # Errors
     /// What is wrong with the line.
     pub fn read(line: &[u8]) -> Result<(u64, Self), CorruptRecord> {
-        Seal::open::<Line<Self>>(line).map(|line| (line.seq, line.record))
+        ChecksumLine::open::<Line<Self>>(line).map(|line| (line.seq, line.record))
     }
 
     /// The member that had it last.
     #[must_use]
-    pub fn member(&self) -> Option<&Arc<str>> {
-        self.attempts.last().map(|t| &t.member)
+    pub fn endpoint(&self) -> Option<&Arc<str>> {
+        self.attempts.last().map(|t| &t.endpoint)
     }
 }
--- a/crates/request-log/src/ledger.rs
+++ b/crates/request-log/src/request_log.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::io;
 
-use crate::counters::{Counters, Key};
+use crate::counters::{Counters, RowKey};
 use crate::durable::{Checkpoint, DurableMark, LogPosition};
 use crate::record::RequestRecord;
 use crate::replay::{Recovered, Replay};
@@ -51,7 +51,7 @@
 
 /// How much is kept.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
+pub struct SegmentLimits {
     /// Bytes of a segment from which the next one begins.
     pub segment_bytes: u64,
     /// Segments that are kept.
@@ -60,7 +60,7 @@
 
 /// How the ledger does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Status {
+pub struct LogStatus {
     /// There is a folder.
     pub durable: bool,
     /// Since when the counters are without a break, in Unix milliseconds.
@@ -86,13 +86,13 @@
 /// Counts, writes, and knows what of that is durable.
 pub struct RequestLog<F> {
     folder: Option<F>,
-    sizes: Sizes,
+    sizes: SegmentLimits,
     /// All that was counted.
     live: Counters,
     /// What of that is durable: nothing else is shown.
     shown: Counters,
     /// Rows that changed since the last mark that is durable, and the first record that it will count.
-    touched: BTreeSet<Key>,
+    touched: BTreeSet<RowKey>,
     from: u64,
     place: LogPosition,
     /// The place that the older checkpoint's generation counts up to.
@@ -103,7 +103,7 @@
     marks_may_be_torn: bool,
     lines: Vec<u8>,
     pending: u64,
-    status: Status,
+    status: LogStatus,
     notes: Vec<Note>,
 }
 
@@ -163,19 +163,19 @@
     /// One that keeps nothing: all that is counted is shown.
     #[must_use]
     pub fn fleeting(now_ms: u64) -> Self {
-        let status = Status {
+        let status = LogStatus {
             since_ms: now_ms,
             boots: 1,
-            ..Status::default()
+            ..LogStatus::default()
         };
-        let sizes = Sizes {
+        let sizes = SegmentLimits {
             segment_bytes: u64::MAX,
             segments: 1,
         };
         Self::with(None, sizes, Checkpoint::default(), status)
     }
 
-    fn with(folder: Option<F>, sizes: Sizes, at: Checkpoint, status: Status) -> Self {
+    fn with(folder: Option<F>, sizes: SegmentLimits, at: Checkpoint, status: LogStatus) -> Self {
         Self {
             folder,
             sizes,
@@ -190,7 +190,7 @@
             lines: vec![],
             pending: 0,
             notes: vec![],
-            status: Status {
+            status: LogStatus {
                 seq: at.seq,
                 segment: at.place.segment,
                 ..status
@@ -201,7 +201,7 @@
     /// Takes up what a folder holds, and begins a new segment. What is wrong is logged and counted; it never keeps the
     /// gateway from serving.
     #[must_use]
-    pub fn open(mut folder: F, sizes: Sizes, now_ms: u64) -> Self {
+    pub fn open(mut folder: F, sizes: SegmentLimits, now_ms: u64) -> Self {
         let (names, unlisted) = match folder.list() {
             Ok(names) => (names, None),
             Err(e) => (vec![], Some(e.to_string())),
@@ -259,17 +259,17 @@
             text,
         });
         let (since_ms, boots, faults) = (at.since_ms, at.boots, back.faults);
-        let status = Status {
+        let status = LogStatus {
             durable: true,
             since_ms,
             boots,
             faults,
-            ..Status::default()
+            ..LogStatus::default()
         };
-        let mut ledger = Self::with(Some(folder), sizes, back.checkpoint, status);
-        ledger.notes = notes;
-        ledger.checkpoint();
-        ledger
+        let mut request_log = Self::with(Some(folder), sizes, back.checkpoint, status);
+        request_log.notes = notes;
+        request_log.checkpoint();
+        request_log
     }
 
     /// Counts a record; it is written with the next batch.
@@ -465,7 +465,7 @@
 
     /// How it does.
     #[must_use]
-    pub const fn status(&self) -> &Status {
+    pub const fn status(&self) -> &LogStatus {
         &self.status
     }
 }
--- a/crates/request-log/tests/memory/mod.rs
+++ b/crates/request-log/tests/memory/mod.rs
@@ -94,8 +94,8 @@
 }
 
 pub(crate) fn record(n: u64) -> RequestRecord {
-    let (class, ending) = match n % 5 {
-        0 => ("write", FinalOutcome::Refused(RejectionReason::NeverSent)),
+    let (class, outcome) = match n % 5 {
+        0 => ("write", FinalOutcome::Rejected(RejectionReason::NeverSent)),
         1 => ("write", FinalOutcome::Late),
         _ => ("read", FinalOutcome::InTime),
     };
@@ -104,18 +104,18 @@
         class: class.into(),
         tenant: None,
         group: 0,
-        ending,
+        outcome,
         attempts: vec![AttemptRecord {
-            member: "m".into(),
+            endpoint: "m".into(),
             outcome: AttemptOutcome::Ok,
-            took_us: n,
+            duration_us: n,
         }],
-        waited_us: 0,
+        queued_us: 0,
         total_us: n,
     }
 }
 
-pub(crate) const SIZES: Sizes = Sizes {
+pub(crate) const SIZES: SegmentLimits = SegmentLimits {
     segment_bytes: 2000,
     segments: 2,
 };
--- a/crates/request-log/tests/replay.rs
+++ b/crates/request-log/tests/replay.rs
@@ -10,8 +10,8 @@
 fn record(n: u64) -> RequestRecord {
     let pick =
         |names: &[&str], n: u64| Arc::<str>::from(names[usize::try_from(n).unwrap() % names.len()]);
-    let ending = match n % 11 {
-        0 => FinalOutcome::Refused(
+    let outcome = match n % 11 {
+        0 => FinalOutcome::Rejected(
             RejectionReason::ALL[usize::try_from(n / 11).unwrap() % RejectionReason::ALL.len()],
         ),
         1 => FinalOutcome::Failed(
@@ -26,16 +26,16 @@
         class: pick(&["read", "write", "report"], n),
         tenant: (!n.is_multiple_of(4)).then(|| pick(&["x", "y"], n)),
         group: 0,
-        ending,
+        outcome,
         attempts: (0..n % 3)
             .map(|t| AttemptRecord {
-                member: pick(&["m1", "m2"], t),
+                endpoint: pick(&["m1", "m2"], t),
                 outcome: AttemptOutcome::ALL
                     [usize::try_from(n + t).unwrap() % AttemptOutcome::ALL.len()],
-                took_us: n * 17,
+                duration_us: n * 17,
             })
             .collect(),
-        waited_us: n % 100,
+        queued_us: n % 100,
         total_us: n * 997 % 12_000_000,
     }
 }
@@ -237,26 +237,26 @@
 
 #[test]
 fn every_cell_has_a_place_and_a_name_of_its_own() {
-    let cells: Vec<Cell> = Cell::all().collect();
-    assert_eq!(cells.len(), CELLS);
+    let cells: Vec<Counter> = Counter::all().collect();
+    assert_eq!(cells.len(), COUNTERS_PER_ROW);
     for (n, cell) in cells.iter().enumerate() {
         assert_eq!(cell.place(), n);
-        assert_eq!(Cell::named(&cell.name()), Some(*cell));
+        assert_eq!(Counter::named(&cell.name()), Some(*cell));
     }
 }
 
 #[test]
 fn quantiles_are_of_the_last_minute_and_rows_are_bounded() {
-    let key = |name: &str| Key {
+    let key = |name: &str| RowKey {
         scope: Scope::Class,
         front: "a".into(),
         name: name.into(),
     };
-    let mut times = Times::new(1);
-    (1..=1000).for_each(|n| times.note(n * 1000, &key("x"), n.unsigned_abs() * 1000));
-    let p99 = times.quantile(1_000_000, &key("x"), 990).unwrap();
+    let mut latency_samples = LatencySamples::new(1);
+    (1..=1000).for_each(|n| latency_samples.note(n * 1000, &key("x"), n.unsigned_abs() * 1000));
+    let p99 = latency_samples.quantile(1_000_000, &key("x"), 990).unwrap();
     assert!((980_000..=1_010_000).contains(&p99), "{p99}");
-    times.note(0, &key("y"), 5);
-    assert_eq!(times.quantile(0, &key("y"), 990), None);
-    assert_eq!(times.quantile(70_000_000, &key("x"), 990), None);
+    latency_samples.note(0, &key("y"), 5);
+    assert_eq!(latency_samples.quantile(0, &key("y"), 990), None);
+    assert_eq!(latency_samples.quantile(70_000_000, &key("x"), 990), None);
 }
--- a/crates/request-log/tests/stored_forms.rs
+++ b/crates/request-log/tests/stored_forms.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 use memory::Memory;
-use valehatch_request_log::counters::BOUNDS_US;
+use valehatch_request_log::counters::LATENCY_BOUNDS_US;
 use valehatch_request_log::*;
 
-const SIZES: Sizes = Sizes {
+const SIZES: SegmentLimits = SegmentLimits {
     segment_bytes: 1 << 20,
     segments: 2,
 };
@@ -49,29 +49,29 @@
 fn records() -> Vec<RequestRecord> {
     let refused = RejectionReason::ALL
         .iter()
-        .map(|why| (FinalOutcome::Refused(*why), 0));
+        .map(|why| (FinalOutcome::Rejected(*why), 0));
     let failed = FailureReason::ALL
         .iter()
         .map(|how| (FinalOutcome::Failed(*how), 0));
-    let served = BOUNDS_US
+    let served = LATENCY_BOUNDS_US
         .iter()
         .map(|us| (FinalOutcome::InTime, *us))
         .chain([(FinalOutcome::Late, u64::MAX)]);
     let outcomes = |n| AttemptOutcome::ALL.iter().skip(n % 12).take(2);
-    let record = |(n, (ending, total_us)): (usize, (FinalOutcome, u64))| RequestRecord {
+    let record = |(n, (outcome, total_us)): (usize, (FinalOutcome, u64))| RequestRecord {
         front: "front \"ä\"".into(),
         class: if n.is_multiple_of(2) { "read" } else { "write" }.into(),
         tenant: n.is_multiple_of(3).then(|| "acme".into()),
         group: if n == 5 { 65_535 } else { 0 },
-        ending,
+        outcome,
         attempts: outcomes(n)
             .map(|o| AttemptRecord {
-                member: "s-1".into(),
+                endpoint: "s-1".into(),
                 outcome: *o,
-                took_us: 250,
+                duration_us: 250,
             })
             .collect(),
-        waited_us: 12,
+        queued_us: 12,
         total_us,
     };
     refused
@@ -86,17 +86,17 @@
 #[test]
 fn same_records_are_written_to_the_stored_bytes() {
     let memory = Memory::default();
-    let mut ledger = RequestLog::open(memory.clone(), SIZES, SINCE_MS);
+    let mut request_log = RequestLog::open(memory.clone(), SIZES, SINCE_MS);
     let all = records();
     let (before, after) = all.split_at(30);
     for (n, batch) in [before, after].into_iter().enumerate() {
         batch
             .iter()
             .zip(1..)
-            .for_each(|(record, ms)| ledger.record(record, SINCE_MS + ms));
-        ledger.flush();
+            .for_each(|(record, ms)| request_log.record(record, SINCE_MS + ms));
+        request_log.flush();
         if n == 0 {
-            ledger.checkpoint();
+            request_log.checkpoint();
         }
     }
     let written = memory.0.lock().unwrap().files.clone();
@@ -124,14 +124,14 @@
             .into_iter()
             .filter(|(name, _)| lost.is_empty() || !name.starts_with(lost));
         memory.0.lock().unwrap().files = kept.collect();
-        let ledger = RequestLog::open(memory, SIZES, SINCE_MS + 9);
+        let request_log = RequestLog::open(memory, SIZES, SINCE_MS + 9);
         assert_eq!(
-            (ledger.shown(), ledger.status().seq),
+            (request_log.shown(), request_log.status().seq),
             (&counted, 36),
             "without {lost:?}"
         );
         if lost.is_empty() {
-            let status = ledger.status();
+            let status = request_log.status();
             assert_eq!(
                 (status.faults, status.boots, status.since_ms),
                 (0, 2, SINCE_MS)
@@ -152,6 +152,6 @@
 
 #[test]
 fn cells_keep_their_names_and_order() {
-    let names: Vec<String> = Cell::all().map(Cell::name).collect();
+    let names: Vec<String> = Counter::all().map(Counter::name).collect();
     assert_eq!(names, CELL_NAMES.split_whitespace().collect::<Vec<_>>());
 }
--- a/crates/request-log/tests/torn_mark.rs
+++ b/crates/request-log/tests/torn_mark.rs
@@ -10,23 +10,23 @@
 #[test]
 fn mark_behind_a_torn_one_survives_a_power_loss() {
     let memory = Memory::default();
-    let mut ledger = RequestLog::open(memory.clone(), SIZES, 1);
-    let batch = |ledger: &mut RequestLog<Memory>, from: u64| {
-        (from..from + 3).for_each(|n| ledger.record(&record(n), 0));
-        ledger.flush();
+    let mut request_log = RequestLog::open(memory.clone(), SIZES, 1);
+    let batch = |request_log: &mut RequestLog<Memory>, from: u64| {
+        (from..from + 3).for_each(|n| request_log.record(&record(n), 0));
+        request_log.flush();
     };
-    batch(&mut ledger, 0);
+    batch(&mut request_log, 0);
     // Nothing can be written: the counts of this batch are nowhere but in memory.
     memory.limit(Some(0), false);
-    batch(&mut ledger, 3);
+    batch(&mut request_log, 3);
     // Room for the log and for half a mark.
     memory.limit(Some(1), true);
-    batch(&mut ledger, 6);
+    batch(&mut request_log, 6);
     memory.limit(None, false);
-    batch(&mut ledger, 9);
-    let shown = ledger.shown().clone();
+    batch(&mut request_log, 9);
+    let shown = request_log.shown().clone();
     assert_eq!(shown.missed, 3, "three records are not in the log");
-    drop(ledger);
+    drop(request_log);
     let again = RequestLog::open(memory, SIZES, 2);
     assert_eq!(*again.shown(), shown, "what was shown goes back");
 }
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -8,8 +8,8 @@
 use valehatch_policy::{
     EndpointHealth, EndpointState, GroupView, PrimaryEvidence, Role, Span, Time,
 };
-use valehatch_request_log::counters::{BOUNDS_US, BUCKETS};
-use valehatch_request_log::{Cell, Key, Row, Scope};
+use valehatch_request_log::counters::{LATENCY_BOUNDS_US, LATENCY_BUCKETS};
+use valehatch_request_log::{Counter, CounterRow, RowKey, Scope};
 use valehatch_state::PublishedCounters;
 
 use crate::schema::{self, At, Object, Rows, Scalars, TABLES, Table};
@@ -69,7 +69,7 @@
     fixed: Vec<(Rows, Fixed)>,
     /// Fronts in the order of their index.
     fronts: Vec<(Oid, usize)>,
-    keys: [Vec<Vec<Key>>; 2],
+    keys: [Vec<Vec<RowKey>>; 2],
 }
 
 fn text_index(text: &str) -> Oid {
@@ -112,7 +112,7 @@
         };
         let keys = [Scope::Class, Scope::Tenant].map(|scope| {
             let of = |front: &crate::world::Front| {
-                let key = |name: Arc<str>| Key {
+                let key = |name: Arc<str>| RowKey {
                     scope,
                     front: Arc::clone(&front.name),
                     name,
@@ -177,12 +177,12 @@
             (Rows::ClassRefused, rows(class, refusals)),
             (Rows::ClassFailed, rows(class, faults)),
             (Rows::ClassAttempt, rows(class, outcomes)),
-            (Rows::ClassTime, rows(class, BUCKETS)),
+            (Rows::ClassTime, rows(class, LATENCY_BUCKETS)),
             (Rows::Tenant, rows(tenant, 0)),
             (Rows::TenantRefused, rows(tenant, refusals)),
             (Rows::TenantFailed, rows(tenant, faults)),
             (Rows::TenantAttempt, rows(tenant, outcomes)),
-            (Rows::TenantTime, rows(tenant, BUCKETS)),
+            (Rows::TenantTime, rows(tenant, LATENCY_BUCKETS)),
         ];
         Self {
             objects,
@@ -432,8 +432,8 @@
         };
         let key = self.layout.keys[scope].get(at.front)?.get(at.item)?;
         let row = self.shown.counters.get(key);
-        let count = |cell: Cell| Value::Counter64(row.map_or(0, |r| r.get(cell)));
-        let counted = |mut all: Box<dyn Iterator<Item = (u32, &'static str, Cell)>>| {
+        let count = |cell: Counter| Value::Counter64(row.map_or(0, |r| r.get(cell)));
+        let counted = |mut all: Box<dyn Iterator<Item = (u32, &'static str, Counter)>>| {
             let (_, name, cell) = all.nth(at.part)?;
             Some(if column.arc == 2 {
                 text(name)
@@ -446,9 +446,9 @@
             Rows::ClassFailed | Rows::TenantFailed => counted(Box::new(schema::faults())),
             Rows::ClassAttempt | Rows::TenantAttempt => counted(Box::new(schema::outcomes())),
             Rows::ClassTime | Rows::TenantTime => Some(if column.arc == 2 {
-                gauge(BOUNDS_US.get(at.part).copied().unwrap_or(u64::MAX))
+                gauge(LATENCY_BOUNDS_US.get(at.part).copied().unwrap_or(u64::MAX))
             } else {
-                count(Cell::Time(at.part))
+                count(Counter::LatencyBucket(at.part))
             }),
             _ => self
                 .ends(column, key, row)
@@ -456,19 +456,20 @@
         }
     }
 
-    fn ends(&self, column: &Object, key: &Key, row: Option<&Row>) -> Option<Value> {
-        let sum = |of: fn(&Row) -> u64| Value::Counter64(row.map_or(0, of));
+    fn ends(&self, column: &Object, key: &RowKey, row: Option<&CounterRow>) -> Option<Value> {
+        let sum = |of: fn(&CounterRow) -> u64| Value::Counter64(row.map_or(0, of));
         Some(match column.arc {
-            3 => sum(Row::ended),
-            4 => sum(|r| r.get(Cell::InTime)),
-            5 => sum(|r| r.get(Cell::Late)),
-            6 => sum(Row::refused),
-            7 => sum(Row::failed),
-            8 => sum(|r| r.get(Cell::Aborted)),
-            9 => sum(Row::attempts),
+            3 => sum(CounterRow::finished),
+            4 => sum(|r| r.get(Counter::InTime)),
+            5 => sum(|r| r.get(Counter::Late)),
+            6 => sum(CounterRow::rejected),
+            7 => sum(CounterRow::failed),
+            8 => sum(|r| r.get(Counter::Aborted)),
+            9 => sum(CounterRow::attempts),
             10 => gauge(self.shown.p99.get(key).copied().unwrap_or(0)),
             11 => gauge(row.map_or(0, |r| {
-                let parts = u128::from(r.get(Cell::InTime)) * 1000 / u128::from(r.ended().max(1));
+                let parts =
+                    u128::from(r.get(Counter::InTime)) * 1000 / u128::from(r.finished().max(1));
                 u64::try_from(parts).unwrap_or(0)
             })),
             _ => return None,
--- a/crates/snmp/src/schema.rs
+++ b/crates/snmp/src/schema.rs
@@ -1,7 +1,7 @@
 //! Every object that the agent has, once: its place, its syntax, and what the MIB says of it. The agent answers from this
 //! table and `mibs/VALEHATCH-MIB.txt` is printed from it, so neither can drift from the other.
 
-use valehatch_request_log::{AttemptOutcome, Cell, FailureReason, RejectionReason};
+use valehatch_request_log::{AttemptOutcome, Counter, FailureReason, RejectionReason};
 
 /// What an object's value is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -1113,31 +1113,31 @@
 }
 
 /// The number of a reason in its index: its place, from 1 on.
-pub fn refusals() -> impl Iterator<Item = (u32, &'static str, Cell)> {
+pub fn refusals() -> impl Iterator<Item = (u32, &'static str, Counter)> {
     (1..)
         .zip(RejectionReason::ALL)
-        .map(|(n, r)| (n, r.name(), Cell::Refused(*r)))
+        .map(|(n, r)| (n, r.name(), Counter::Rejected(*r)))
 }
 
 /// The same for kinds of failures.
-pub fn faults() -> impl Iterator<Item = (u32, &'static str, Cell)> {
+pub fn faults() -> impl Iterator<Item = (u32, &'static str, Counter)> {
     (1..)
         .zip(FailureReason::ALL)
-        .map(|(n, f)| (n, f.name(), Cell::Failed(*f)))
+        .map(|(n, f)| (n, f.name(), Counter::Failed(*f)))
 }
 
 /// The same for outcomes.
-pub fn outcomes() -> impl Iterator<Item = (u32, &'static str, Cell)> {
+pub fn outcomes() -> impl Iterator<Item = (u32, &'static str, Counter)> {
     (1..)
         .zip(AttemptOutcome::ALL)
-        .map(|(n, o)| (n, o.name(), Cell::Attempt(*o)))
+        .map(|(n, o)| (n, o.name(), Counter::Attempt(*o)))
 }
 
 /// `mibs/VALEHATCH-MIB.txt`.
 #[must_use]
 pub fn mib() -> String {
     let mut out = String::from(HEAD);
-    let words = |list: &[(u32, &'static str, Cell)]| {
+    let words = |list: &[(u32, &'static str, Counter)]| {
         let all: Vec<String> = list
             .iter()
             .map(|(n, name, _)| format!("{}({n})", label(name)))
--- a/crates/state/src/recorder.rs
+++ b/crates/state/src/recorder.rs
@@ -12,7 +12,8 @@
 use tracing::{info, warn};
 use valehatch_config::operators::State;
 use valehatch_request_log::{
-    Counters, FinalOutcome, Key, RequestLog, RequestRecord, Sizes, Status, Times,
+    Counters, FinalOutcome, LatencySamples, LogStatus, RequestLog, RequestRecord, RowKey,
+    SegmentLimits,
 };
 
 use crate::folder::StateDirectory;
@@ -41,9 +42,9 @@
     /// Counters of what is durable.
     pub counters: Counters,
     /// The 99th percentile of the time that those served in the last minute took, in microseconds.
-    pub p99: Arc<BTreeMap<Key, u64>>,
+    pub p99: Arc<BTreeMap<RowKey, u64>>,
     /// How the ledger does.
-    pub status: Status,
+    pub status: LogStatus,
 }
 
 /// A core's end of the queue.
@@ -137,7 +138,7 @@
     let (ledger, sync, checkpoint) = match state {
         None => (RequestLog::fleeting(now), FLEETING, Duration::MAX),
         Some(state) => {
-            let sizes = Sizes {
+            let sizes = SegmentLimits {
                 segment_bytes: state.segment_bytes,
                 segments: state.segments,
             };
@@ -161,7 +162,7 @@
     let show = Arc::clone(&shown);
     let keeper = Keeper {
         ledger,
-        times: Times::new(MEASURED),
+        times: LatencySamples::new(MEASURED),
         began: Instant::now(),
         sync,
         checkpoint,
@@ -183,7 +184,7 @@
 
 struct Keeper {
     ledger: RequestLog<StateDirectory>,
-    times: Times,
+    times: LatencySamples,
     began: Instant,
     sync: Duration,
     checkpoint: Duration,
@@ -197,7 +198,7 @@
     fn take(&mut self, entry: Entry, unix_ms: u64, now_us: i64) {
         match entry {
             Entry::Record(record) => {
-                if matches!(record.ending, FinalOutcome::InTime | FinalOutcome::Late) {
+                if matches!(record.outcome, FinalOutcome::InTime | FinalOutcome::Late) {
                     for key in Counters::keys(&record) {
                         self.times.note(now_us, &key, record.total_us);
                     }
@@ -212,7 +213,7 @@
     fn run(mut self, entries: &Receiver<Entry>, show: &ArcSwap<PublishedCounters>) {
         let mut next = Instant::now() + self.sync;
         let (mut checked, mut measured) = (Instant::now(), Instant::now());
-        let mut p99: Arc<BTreeMap<Key, u64>> = Arc::default();
+        let mut p99: Arc<BTreeMap<RowKey, u64>> = Arc::default();
         let mut taken = 0;
         loop {
             let got = entries.recv_deadline(next);
@@ -239,13 +240,14 @@
             if measured.elapsed() >= QUANTILES {
                 measured = Instant::now();
                 let now = self.now_us();
-                let keys: Vec<Key> = self
+                let keys: Vec<RowKey> = self
                     .ledger
                     .shown()
                     .rows()
                     .map(|(key, _)| key.clone())
                     .collect();
-                let quantile = |key: Key| Some((key.clone(), self.times.quantile(now, &key, 990)?));
+                let quantile =
+                    |key: RowKey| Some((key.clone(), self.times.quantile(now, &key, 990)?));
                 p99 = Arc::new(keys.into_iter().filter_map(quantile).collect());
             }
             for note in self.ledger.notes() {
--- a/crates/state/tests/files.rs
+++ b/crates/state/tests/files.rs
@@ -32,9 +32,9 @@
         class: "read".into(),
         tenant: None,
         group: 0,
-        ending: FinalOutcome::InTime,
+        outcome: FinalOutcome::InTime,
         attempts: vec![],
-        waited_us: 0,
+        queued_us: 0,
         total_us: 1,
     };
     writer.recorder().record(Box::new(record));
