--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,12 +13,12 @@
 
 use serde_json::Value;
 
-use self::settings::WireFacts;
+use self::settings::WireSettings;
 use valehatch_policy::{EndpointId, Settings};
 
 /// What the platform tells a gateway.
 #[derive(Clone, Debug)]
-pub struct Gateway {
+pub struct PlatformConfig {
     /// Its name.
     pub name: String,
     /// Where clients connect.
@@ -45,7 +45,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// How reports are told.
-    pub wire: WireFacts,
+    pub wire: WireSettings,
     /// Classes by name, in the settings' order.
     pub classes: Vec<String>,
     /// Tenants by name, in the settings' order.
@@ -61,7 +61,7 @@
 /// A member's number from its name, the same at every gateway and whatever else the list holds: the hexadecimal
 /// digits that the name ends in, or else a hash of it.
 #[must_use]
-pub fn number(name: &str) -> EndpointId {
+pub fn endpoint_id(name: &str) -> EndpointId {
     let digits = name.rsplit('-').next().filter(|h| h.len() == 8);
     let hash = |h: u32, b: u8| (h ^ u32::from(b)).wrapping_mul(16_777_619);
     let hashed = || name.bytes().fold(2_166_136_261, hash);
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// What is wrong with the name.
-pub fn sayable(name: &str) -> Result<(), String> {
+pub fn validate_request_name(name: &str) -> Result<(), String> {
     let whole =
         !name.is_empty() && name.trim() == name && !name.contains(',') && !name.contains("*/");
     let whole = whole && !name.contains(char::is_control);
@@ -136,7 +136,7 @@
                 Some(Value::String(name)) => name,
                 Some(other) => return Err(at(&format!("is {other}, not a text"))),
             };
-            sayable(name).map_err(|what| at(&what))?;
+            validate_request_name(name).map_err(|what| at(&what))?;
             if let Some(other) = names.iter().position(|known| known == name) {
                 return Err(at(&format!("is {name:?}, as {list}.{other}.name")));
             }
@@ -221,7 +221,7 @@
     ///
     /// # Errors
     /// The key of the name that cannot be told.
-    pub fn tellable(&self) -> Result<(), String> {
+    pub fn validate_metric_names(&self) -> Result<(), String> {
         let wrong = self
             .classes
             .iter()
@@ -332,7 +332,7 @@
         .map_err(|_| format!("config: {key} is {value:?}, not {what}"))
 }
 
-impl Gateway {
+impl PlatformConfig {
     /// Reads the platform's JSON.
     ///
     /// # Errors
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -10,11 +10,11 @@
 use toml_edit::DocumentMut;
 use valehatch_policy::{EndpointRecord, EndpointState, GroupId, KindId, ZoneId};
 
-use super::peers::Peers;
-use super::reader::{Fault, Section, Source};
+use super::peers::PeerSettings;
+use super::reader::{ConfigError, Section, Source};
 use super::settings::SHORTEST_DEADLINE_MS;
-use super::snmp::Snmp;
-use super::{Names, Site, number, sayable};
+use super::snmp::SnmpSettings;
+use super::{Names, Site, endpoint_id, validate_request_name};
 
 /// What a front speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 /// How much the log says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Level {
+pub enum LogLevel {
     /// What must be looked at.
     Error,
     /// What should be.
@@ -53,19 +53,19 @@
 
 /// `[log]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Log {
+pub struct LogSettings {
     /// The least level that is written.
-    pub level: Level,
+    pub level: LogLevel,
     /// Lines of JSON instead of text.
     pub json: bool,
     /// Lines in a second.
     pub lines_per_s: u32,
 }
 
-impl Default for Log {
+impl Default for LogSettings {
     fn default() -> Self {
         Self {
-            level: Level::Info,
+            level: LogLevel::Info,
             json: false,
             lines_per_s: 50,
         }
@@ -74,7 +74,7 @@
 
 /// `[state]`: the request log and the counters that outlive the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct State {
+pub struct StateSettings {
     /// The folder.
     pub dir: PathBuf,
     /// How often what was recorded is made durable, in milliseconds.
@@ -93,7 +93,7 @@
 
 /// `[door]`: fair queues in front of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Door {
+pub struct AdmissionSettings {
     /// Requests that may wait, of each front.
     pub most: usize,
     /// Buckets that the clients of a tenant are hashed into.
@@ -104,7 +104,7 @@
 
 /// `[[front.member]]`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fixed {
+pub struct StaticEndpoint {
     /// Its name.
     pub name: Arc<str>,
     /// As the list would tell it.
@@ -115,9 +115,9 @@
 
 /// Where a front's members are known from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Members {
+pub enum EndpointSource {
     /// The file names them.
-    Fixed(Vec<Fixed>),
+    Static(Vec<StaticEndpoint>),
     /// Discovery does, here.
     Discovery(SocketAddr),
 }
@@ -141,7 +141,7 @@
 
 /// `[[front]]`.
 #[derive(Clone, Debug)]
-pub struct Front {
+pub struct FrontSettings {
     /// Its name.
     pub name: Arc<str>,
     /// What it speaks.
@@ -153,7 +153,7 @@
     /// Memory that it may take, in megabytes.
     pub memory_mb: usize,
     /// Its members.
-    pub members: Members,
+    pub members: EndpointSource,
     /// Settings and names.
     pub site: Site,
     /// The contracts by statement.
@@ -162,27 +162,27 @@
 
 /// The operators' file.
 #[derive(Clone, Debug)]
-pub struct Operators {
+pub struct OperatorConfig {
     /// The gateway's name.
     pub name: Arc<str>,
     /// `[log]`.
-    pub log: Log,
+    pub log: LogSettings,
     /// `[state]`, unless nothing outlives the process.
-    pub state: Option<State>,
+    pub state: Option<StateSettings>,
     /// `[peers]`, unless this gateway knows of no other.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSettings>,
     /// Gateways in front of the same members, by the file.
     pub routers: u32,
     /// `[mgmt]`: where operators call for health and figures, unless nobody may.
     pub mgmt: Option<SocketAddr>,
     /// `[door]`, unless requests are handed to the decision module as they come.
-    pub door: Option<Door>,
+    pub door: Option<AdmissionSettings>,
     /// The budgets' shares, in the settings' order.
     pub shares: Vec<f64>,
     /// The fronts.
-    pub fronts: Vec<Front>,
+    pub fronts: Vec<FrontSettings>,
     /// `[snmp]`, unless there is no agent.
-    pub snmp: Option<Snmp>,
+    pub snmp: Option<SnmpSettings>,
 }
 
 /// A statement for comparing: words with one space between them, in small letters; no more of it than is asked for,
@@ -240,14 +240,14 @@
 
 /// A file that cannot be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults {
+pub struct ConfigErrors {
     /// The file.
     pub file: String,
     /// All that is wrong with it.
-    pub list: Vec<Fault>,
+    pub list: Vec<ConfigError>,
 }
 
-impl std::fmt::Display for Faults {
+impl std::fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let lines: Vec<String> = self
             .list
@@ -258,37 +258,37 @@
     }
 }
 
-impl Operators {
+impl OperatorConfig {
     /// Reads and checks a file.
     ///
     /// # Errors
     /// Every key at fault, with its line.
-    pub fn load(path: &Path) -> Result<Self, Faults> {
-        Self::load_shown(path).map(|(read, _)| read)
+    pub fn load(path: &Path) -> Result<Self, ConfigErrors> {
+        Self::load_with_defaults(path).map(|(read, _)| read)
     }
 
     /// The same, with the file as it reads once every default is filled in.
     ///
     /// # Errors
     /// Every key at fault, with its line.
-    pub fn load_shown(path: &Path) -> Result<(Self, String), Faults> {
+    pub fn load_with_defaults(path: &Path) -> Result<(Self, String), ConfigErrors> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Faults {
+        let text = std::fs::read_to_string(path).map_err(|e| ConfigErrors {
             file: file.clone(),
-            list: vec![Fault {
+            list: vec![ConfigError {
                 line: 0,
                 key: String::new(),
                 what: e.to_string(),
             }],
         })?;
-        Self::parse(text).map_err(|list| Faults { file, list })
+        Self::parse(text).map_err(|list| ConfigErrors { file, list })
     }
 
     /// Reads and checks a text.
     ///
     /// # Errors
     /// Every key at fault, with its line.
-    pub fn parse(text: String) -> Result<(Self, String), Vec<Fault>> {
+    pub fn parse(text: String) -> Result<(Self, String), Vec<ConfigError>> {
         let source = Source::new(text);
         let read = source.document().map(|document| {
             let root = Section::root(&source, &document);
@@ -313,13 +313,13 @@
         root.put("gateway", gateway.done());
         let log = root.section("log");
         let levels = [
-            ("error", Level::Error),
-            ("warn", Level::Warn),
-            ("info", Level::Info),
-            ("debug", Level::Debug),
+            ("error", LogLevel::Error),
+            ("warn", LogLevel::Warn),
+            ("info", LogLevel::Info),
+            ("debug", LogLevel::Debug),
         ];
         let lines = log.whole("lines-per-s", Some(50), 1..=1_000_000);
-        let read_log = Log {
+        let read_log = LogSettings {
             level: log.choice("level", Some("info"), &levels),
             json: log.choice("format", Some("text"), &[("text", false), ("json", true)]),
             lines_per_s: u32::try_from(lines).unwrap_or(u32::MAX),
@@ -331,13 +331,13 @@
             read
         });
         let peers = root.section_if("peers").map(|peers| {
-            let read = Peers::read(&peers);
+            let read = PeerSettings::read(&peers);
             root.put("peers", peers.done());
             read
         });
         let door = root.section_if("door").map(|door| {
             let buckets = door.whole("buckets", Some(4096), 1..=65_536);
-            let read = Door {
+            let read = AdmissionSettings {
                 most: door.size("most", 10_000, 1..=1_000_000),
                 buckets: u32::try_from(buckets).unwrap_or(1),
                 lanes: door.size("lanes", 64, 1..=100_000),
@@ -350,7 +350,7 @@
             .map(|mgmt| (mgmt.address("listen"), mgmt));
         let budgets = budgets(root);
         let sections = root.list("front");
-        let mut fronts: Vec<Front> = vec![];
+        let mut fronts: Vec<FrontSettings> = vec![];
         let mut shown = vec![];
         for section in sections {
             if let Some(front) = front(&section, routers, &budgets, limits, mgmt.is_some()) {
@@ -381,7 +381,7 @@
             listen
         });
         let snmp = root.section_if("snmp").map(|section| {
-            let read = Snmp::read(&section, &name, state.is_some());
+            let read = SnmpSettings::read(&section, &name, state.is_some());
             root.put("snmp", section.done());
             read
         });
@@ -402,14 +402,14 @@
     }
 }
 
-fn state_of(state: &Section<'_>) -> State {
+fn state_of(state: &Section<'_>) -> StateSettings {
     let dir = state.text("dir", None);
     if dir.is_empty() && state.has("dir") {
         state.fault("dir", "is empty");
     }
     let ms =
         |key: &str, usual: i64, most: i64| state.whole(key, Some(usual), 1..=most).unsigned_abs();
-    State {
+    StateSettings {
         dir: dir.into(),
         sync_ms: ms("sync-ms", 200, 10_000),
         checkpoint_ms: ms("checkpoint-ms", 10_000, 3_600_000),
@@ -546,7 +546,7 @@
     read
 }
 
-fn members(section: &Section<'_>) -> Members {
+fn members(section: &Section<'_>) -> EndpointSource {
     if section.has("discovery") {
         if section.has("member") {
             section.fault("member", "is given beside discovery: one of them must go");
@@ -555,9 +555,9 @@
                 .into_iter()
                 .for_each(|m| drop(fixed(&m)));
         }
-        return Members::Discovery(section.address("discovery"));
+        return EndpointSource::Discovery(section.address("discovery"));
     }
-    let mut all: Vec<Fixed> = vec![];
+    let mut all: Vec<StaticEndpoint> = vec![];
     let mut shown = vec![];
     for member in section.list("member") {
         let read = fixed(&member);
@@ -577,10 +577,10 @@
         section.fault("member", "is missing: a front needs members, or discovery");
     }
     section.put_list("member", shown);
-    Members::Fixed(all)
+    EndpointSource::Static(all)
 }
 
-fn fixed(section: &Section<'_>) -> Fixed {
+fn fixed(section: &Section<'_>) -> StaticEndpoint {
     let name = section.name("name", None);
     let states = [
         ("active", EndpointState::Ready),
@@ -588,7 +588,7 @@
     ];
     let entry = EndpointRecord {
         // By its name, so that it stays the same when others are taken out of the file.
-        endpoint: number(&name),
+        endpoint: endpoint_id(&name),
         group: GroupId(u16::try_from(section.whole("group", Some(0), 0..=65_535)).unwrap_or(0)),
         zone: ZoneId(0),
         kind: KindId(0),
@@ -597,7 +597,7 @@
         primary: section.flag("primary", false),
         state: section.choice("state", Some("active"), &states),
     };
-    Fixed {
+    StaticEndpoint {
         name: name.into(),
         entry,
         address: section.address("address"),
@@ -610,7 +610,7 @@
     budgets: &[Budget],
     limits: (usize, usize),
     told: bool,
-) -> Option<Front> {
+) -> Option<FrontSettings> {
     let protocol = section.choice("protocol", None, &Protocol::NAMES);
     let name = section.name("name", Some(protocol.name()));
     let listen = section.address("listen");
@@ -618,8 +618,8 @@
     let memory_mb = section.size("memory-mb", limits.1, 16..=1_048_576);
     let members = members(section);
     let groups: Option<Vec<u16>> = match &members {
-        Members::Fixed(all) => Some(all.iter().map(|m| m.entry.group.0).collect()),
-        Members::Discovery(_) => None,
+        EndpointSource::Static(all) => Some(all.iter().map(|m| m.entry.group.0).collect()),
+        EndpointSource::Discovery(_) => None,
     };
     let sections = section.list("contract");
     if sections.is_empty() && protocol == Protocol::Postgresql {
@@ -627,7 +627,9 @@
     }
     if let (Protocol::Postgresql, Some(what)) = (
         protocol,
-        budgets.iter().find_map(|b| sayable(&b.name).err()),
+        budgets
+            .iter()
+            .find_map(|b| validate_request_name(&b.name).err()),
     ) {
         section.fault(
             "protocol",
@@ -649,7 +651,7 @@
             contract.fault("name", what);
         }
         if protocol == Protocol::Postgresql {
-            sayable(&read.name).unwrap_or_else(|what| contract.fault("name", what));
+            validate_request_name(&read.name).unwrap_or_else(|what| contract.fault("name", what));
         }
         lines.push(read);
         shown.push(contract.done());
@@ -714,7 +716,7 @@
     };
     let site = Site::new(&text, names)
         .map_err(|what| section.fault("contract", format!("cannot be used: {what}")));
-    Some(Front {
+    Some(FrontSettings {
         name: name.into(),
         protocol,
         listen,
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -8,7 +8,7 @@
 
 /// `[peers]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peers {
+pub struct PeerSettings {
     /// Where datagrams are taken in.
     pub listen: SocketAddr,
     /// The address by which the others know this gateway.
@@ -29,7 +29,7 @@
     pub settle_ms: i64,
 }
 
-impl Peers {
+impl PeerSettings {
     /// Whether a gateway may be there.
     #[must_use]
     pub fn allows(&self, address: &SocketAddr) -> bool {
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -12,7 +12,7 @@
 
 /// Something wrong in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The line, from 1.
     pub line: usize,
     /// The key with its path, empty for the form of the whole.
@@ -21,7 +21,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { line, key, what } = self;
         if key.is_empty() {
@@ -35,7 +35,7 @@
 /// The text that is read and what was found wrong with it.
 pub struct Source {
     text: String,
-    faults: RefCell<Vec<Fault>>,
+    faults: RefCell<Vec<ConfigError>>,
 }
 
 impl Source {
@@ -70,12 +70,14 @@
     }
 
     fn fault(&self, line: usize, key: String, what: String) {
-        self.faults.borrow_mut().push(Fault { line, key, what });
+        self.faults
+            .borrow_mut()
+            .push(ConfigError { line, key, what });
     }
 
     /// All that was wrong, by line.
     #[must_use]
-    pub fn faults(&self) -> Vec<Fault> {
+    pub fn faults(&self) -> Vec<ConfigError> {
         let mut faults = self.faults.borrow().clone();
         faults.sort_by_key(|f| f.line);
         faults
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -12,13 +12,13 @@
 /// Milliseconds, as the settings and the simulator's wire give them, to microseconds.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
-pub fn micros(ms: f64) -> i64 {
+pub fn ms_to_micros(ms: f64) -> i64 {
     (ms * 1000.0).round() as i64
 }
 
 /// A place in a load report.
 #[derive(Clone, Copy, Debug)]
-pub enum Field {
+pub enum LoadReportField {
     /// The log position.
     Position,
     /// Whether the node was the primary.
@@ -31,29 +31,29 @@
 
 /// What translating needs to know beside the module's own settings.
 #[derive(Clone, Debug)]
-pub struct WireFacts {
+pub struct WireSettings {
     /// The values of a load report, in their order.
-    pub fields: Vec<Field>,
+    pub fields: Vec<LoadReportField>,
     /// Where the count of positions starts.
-    pub zero: Time,
+    pub position_zero: Time,
     /// Session reads bring the age of their last write.
-    pub brought: bool,
+    pub client_provided_sessions: bool,
     /// Number of classes.
     pub classes: usize,
     /// Number of tenants.
     pub tenants: usize,
 }
 
-impl WireFacts {
+impl WireSettings {
     /// The report that a node's values make, where `place` turns a position in seconds into a time.
     pub fn report(&self, values: &[f64], place: impl Fn(f64) -> Time) -> Option<LoadReport> {
         let mut out = LoadReport::default();
         for (field, value) in self.fields.iter().zip(values) {
             match field {
-                Field::Position => out.position = Some(place(*value)),
-                Field::Primary => out.primary = Some(*value > 0.0),
-                Field::Busy => out.busy = Some(*value),
-                Field::Other => {}
+                LoadReportField::Position => out.position = Some(place(*value)),
+                LoadReportField::Primary => out.primary = Some(*value > 0.0),
+                LoadReportField::Busy => out.busy = Some(*value),
+                LoadReportField::Other => {}
             }
         }
         (!values.is_empty()).then_some(out)
@@ -124,7 +124,7 @@
     }
     fn span(&self, key: &str, least_ms: f64) -> Result<Span, String> {
         self.number(key, least_ms..=LONGEST_MS)
-            .map(|ms| Span(micros(ms)))
+            .map(|ms| Span(ms_to_micros(ms)))
     }
     fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, String> {
         choice(key, self.get(key)?, choices)
@@ -185,7 +185,7 @@
         text.item(bound, n)?,
         0.0..=LONGEST_MS,
     )?;
-    Ok(Consistency::BoundedStaleness(Span(micros(ms))))
+    Ok(Consistency::BoundedStaleness(Span(ms_to_micros(ms))))
 }
 
 fn class(text: &Text<'_>, n: usize) -> Result<RequestClass, String> {
@@ -245,7 +245,11 @@
         return text.span(key, 100.0);
     }
     let ms = text.number_or(key, 0.0, 0.0..=LONGEST_MS)?;
-    Ok(Span(micros(if ms > 0.0 { ms } else { ASK_WITHIN_MS })))
+    Ok(Span(ms_to_micros(if ms > 0.0 {
+        ms
+    } else {
+        ASK_WITHIN_MS
+    })))
 }
 
 /// A connection that is not up by then counts as failed, in milliseconds: 1 to 60,000, 250 where nothing says so.
@@ -267,7 +271,7 @@
 ///
 /// # Errors
 /// What is missing or wrong, by its key.
-pub fn parse(source: &str) -> Result<(Settings, WireFacts), String> {
+pub fn parse(source: &str) -> Result<(Settings, WireSettings), String> {
     let text = Text::read(source)?;
     let classes = text.whole("classes.count", 1.0..=MOST_ITEMS)? as usize;
     let tenants = tenants(&text)?;
@@ -312,7 +316,7 @@
         routers: text.whole("fleet-size", 1.0..=1e6)?,
         zone: ZoneId(u8::try_from(text.whole("zone", 0.0..=254.0)?).unwrap_or(u8::MAX)),
         // Twice as long is waited between looks at what waits: shorter turns would take the whole core.
-        tick: Span(micros(text.number("tick-ms", 0.1..=1000.0)?)),
+        tick: Span(ms_to_micros(text.number("tick-ms", 0.1..=1000.0)?)),
         limits: Limits {
             cancel: text.flag("limits.cancel")?,
             health_checks: text.flag("limits.probing")?,
@@ -335,10 +339,10 @@
         },
     };
     let field = |name: &str| match name {
-        "x0" => Field::Position,
-        "x1" => Field::Primary,
-        "busy" => Field::Busy,
-        _ => Field::Other,
+        "x0" => LoadReportField::Position,
+        "x1" => LoadReportField::Primary,
+        "busy" => LoadReportField::Busy,
+        _ => LoadReportField::Other,
     };
     let reports = text.choice(
         "telemetry.source",
@@ -359,12 +363,12 @@
             "settings: {key} holds {name:?}, not the name of a value"
         ));
     }
-    let wire = WireFacts {
+    let wire = WireSettings {
         fields: names.into_iter().map(field).collect(),
-        zero: Time(micros(
+        position_zero: Time(ms_to_micros(
             text.number("family-info.position-zero-ms", -1e15..=1e15)?,
         )),
-        brought: settings.sessions == SessionTracking::ClientProvided,
+        client_provided_sessions: settings.sessions == SessionTracking::ClientProvided,
         classes,
         tenants: settings.tenants.len(),
     };
--- a/crates/config/src/snmp.rs
+++ b/crates/config/src/snmp.rs
@@ -15,7 +15,7 @@
 
 /// Subtrees that may be seen: the longest that fits a name decides (RFC 3415, section 4, in small).
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct View {
+pub struct SnmpView {
     /// Its name.
     pub name: String,
     /// What is seen.
@@ -24,7 +24,7 @@
     pub exclude: Vec<Vec<u32>>,
 }
 
-impl View {
+impl SnmpView {
     /// Whether an object may be seen.
     #[must_use]
     pub fn holds(&self, name: &[u32]) -> bool {
@@ -40,9 +40,9 @@
 
 /// Which addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct From(pub Vec<IpNet>);
+pub struct AllowedNetworks(pub Vec<IpNet>);
 
-impl From {
+impl AllowedNetworks {
     /// Whether an address is among them.
     #[must_use]
     pub fn holds(&self, address: IpAddr) -> bool {
@@ -58,14 +58,14 @@
     /// The word itself.
     pub name: String,
     /// What it may see.
-    pub view: View,
+    pub view: SnmpView,
     /// From where.
-    pub from: From,
+    pub from: AllowedNetworks,
 }
 
 /// `[[snmp.user]]`, for v3.
 #[derive(Clone, PartialEq, Eq)]
-pub struct User {
+pub struct SnmpUser {
     /// The user's name.
     pub name: String,
     /// The localized key for HMAC-SHA-256.
@@ -75,12 +75,12 @@
     /// Whether what is not encrypted is answered too.
     pub plain: bool,
     /// What the user may see.
-    pub view: View,
+    pub view: SnmpView,
     /// From where.
-    pub from: From,
+    pub from: AllowedNetworks,
 }
 
-impl std::fmt::Debug for User {
+impl std::fmt::Debug for SnmpUser {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("User")
             .field("name", &self.name)
@@ -95,12 +95,12 @@
     /// v2c.
     Community(String),
     /// v3: the user, and for informs the receiver's engine, to which the user's keys are localized.
-    User(User, Option<Vec<u8>>),
+    User(SnmpUser, Option<Vec<u8>>),
 }
 
 /// `[[snmp.receiver]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Receiver {
+pub struct NotificationReceiver {
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it acknowledges.
@@ -117,7 +117,7 @@
 
 /// `[snmp.notify]`: when what is told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Notify {
+pub struct NotificationSettings {
     /// A group is without a primary for longer than this, in milliseconds.
     pub no_primary_ms: u64,
     /// A search lasts for longer than this, in milliseconds.
@@ -159,7 +159,7 @@
 
 /// `[snmp]`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Snmp {
+pub struct SnmpSettings {
     /// Where it listens.
     pub listen: SocketAddr,
     /// The engine's id (RFC 3411, section 5).
@@ -171,11 +171,11 @@
     /// Who may ask with v2c.
     pub communities: Vec<Community>,
     /// Who may ask with v3.
-    pub users: Vec<User>,
+    pub users: Vec<SnmpUser>,
     /// Who is told.
-    pub receivers: Vec<Receiver>,
+    pub receivers: Vec<NotificationReceiver>,
     /// Of what.
-    pub notify: Notify,
+    pub notify: NotificationSettings,
     /// Limits.
     pub limits: Limits,
 }
@@ -196,7 +196,7 @@
     (name.len() <= 128).then_some(name)
 }
 
-impl Snmp {
+impl SnmpSettings {
     /// Reads the section. Users need `[state]`: engine boots must be kept over restarts.
     pub(super) fn read(section: &Section<'_>, gateway: &str, durable: bool) -> Self {
         let listen = section.address("listen");
@@ -218,7 +218,7 @@
             shown.push(community.done());
         }
         section.put_list("community", shown);
-        let mut users: Vec<User> = vec![];
+        let mut users: Vec<SnmpUser> = vec![];
         let mut shown = vec![];
         for entry in section.list("user") {
             let read = user(&entry, &views);
@@ -271,9 +271,9 @@
     }
 }
 
-fn views(section: &Section<'_>) -> Vec<View> {
+fn views(section: &Section<'_>) -> Vec<SnmpView> {
     // Always there, unless the file has its own of that name.
-    let all = View {
+    let all = SnmpView {
         name: "all".into(),
         include: vec![vec![1, 3, 6, 1]],
         exclude: vec![],
@@ -293,12 +293,12 @@
             }
             read.into_iter().flatten().collect()
         };
-        let view = View {
+        let view = SnmpView {
             name,
             include: subtrees("include", None),
             exclude: subtrees("exclude", Some(&[])),
         };
-        if views.iter().any(|v: &View| v.name == view.name) {
+        if views.iter().any(|v: &SnmpView| v.name == view.name) {
             entry.fault("name", format!("is {:?}, as another view's", view.name));
         }
         views.push(view);
@@ -311,7 +311,7 @@
     views
 }
 
-fn access(entry: &Section<'_>, views: &[View]) -> (View, From) {
+fn access(entry: &Section<'_>, views: &[SnmpView]) -> (SnmpView, AllowedNetworks) {
     let name = entry.text("view", Some("all"));
     let view = views
         .iter()
@@ -319,7 +319,7 @@
         .cloned()
         .unwrap_or_else(|| {
             entry.fault("view", format!("is {name:?}, which no view is named"));
-            View::default()
+            SnmpView::default()
         });
     let texts = entry.texts("from", Some(&["127.0.0.0/8", "::1/128"]));
     let net = |text: &String| -> Option<IpNet> {
@@ -333,7 +333,10 @@
             format!("holds {bad:?}, not a network such as 10.0.0.0/8"),
         );
     }
-    (view, From(texts.iter().filter_map(net).collect()))
+    (
+        view,
+        AllowedNetworks(texts.iter().filter_map(net).collect()),
+    )
 }
 
 fn key<const N: usize>(entry: &Section<'_>, name: &str) -> [u8; N] {
@@ -352,7 +355,7 @@
     })
 }
 
-fn user(entry: &Section<'_>, views: &[View]) -> User {
+fn user(entry: &Section<'_>, views: &[SnmpView]) -> SnmpUser {
     let name = entry.name("name", None);
     let auth = key(entry, "auth-key");
     let privacy = entry.has("priv-key").then(|| key(entry, "priv-key"));
@@ -370,7 +373,7 @@
         entry.fault("level", "is auth-priv, but there is no priv-key");
     }
     let (view, from) = access(entry, views);
-    User {
+    SnmpUser {
         name,
         auth,
         privacy,
@@ -380,7 +383,7 @@
     }
 }
 
-fn receivers(section: &Section<'_>, users: &[User]) -> Vec<Receiver> {
+fn receivers(section: &Section<'_>, users: &[SnmpUser]) -> Vec<NotificationReceiver> {
     let mut all = vec![];
     let mut shown = vec![];
     for entry in section.list("receiver") {
@@ -402,10 +405,10 @@
                     key(&entry, "auth-key"),
                     entry.has("priv-key").then(|| key(&entry, "priv-key")),
                 );
-                let (view, from) = (View::default(), From::default());
+                let (view, from) = (SnmpView::default(), AllowedNetworks::default());
                 let plain = privacy.is_none();
                 Credentials::User(
-                    User {
+                    SnmpUser {
                         name,
                         auth,
                         privacy,
@@ -431,7 +434,7 @@
                 Credentials::Community(String::new())
             }
         };
-        all.push(Receiver {
+        all.push(NotificationReceiver {
             address,
             inform,
             with,
@@ -447,13 +450,13 @@
     all
 }
 
-fn notify_of(notify: &Section<'_>) -> Notify {
+fn notify_of(notify: &Section<'_>) -> NotificationSettings {
     let ms = |key: &str, usual| {
         notify
             .whole(key, Some(usual), 1..=86_400_000)
             .unsigned_abs()
     };
-    let read = Notify {
+    let read = NotificationSettings {
         no_primary_ms: ms("no-primary-ms", 5000),
         search_lasting_ms: ms("search-lasting-ms", 2000),
         refusals_rising: notify.above_zero("refusals-rising-per-s", Some(10.0), 1e9),
--- a/crates/config/tests/operators.rs
+++ b/crates/config/tests/operators.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use rstest::rstest;
-use valehatch_config::operators::Operators;
+use valehatch_config::operators::OperatorConfig;
 
 const FILE: &str = r#"
 [[budget]]
@@ -46,7 +46,7 @@
     let path: PathBuf =
         std::env::temp_dir().join(format!("valehatch-{}-{tag}.toml", std::process::id()));
     std::fs::write(&path, text).unwrap();
-    let read = Operators::load(&path);
+    let read = OperatorConfig::load(&path);
     std::fs::remove_file(&path).unwrap();
     read.err()
         .map_or(String::new(), |faults| faults.to_string())
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -167,10 +167,10 @@
 
 #[test]
 fn a_name_that_figures_cannot_tell_is_named() {
-    assert_eq!(read(&settings()).unwrap().tellable(), Ok(()));
+    assert_eq!(read(&settings()).unwrap().validate_metric_names(), Ok(()));
     for name in ["plads:check", "plads|check"] {
         let site = read(&with("classes.1.name", json!(name))).unwrap();
-        let said = site.tellable().expect_err("refused");
+        let said = site.validate_metric_names().expect_err("refused");
         assert!(
             said.contains("classes.1.name") && said.contains(name),
             "{said}"
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{Receiver, Sender};
 use tracing::{debug, error, info, warn};
 use valehatch_config::Site;
-use valehatch_config::operators::Door;
+use valehatch_config::operators::AdmissionSettings;
 use valehatch_connection_limits::ANSWER_SETTLE_TIME;
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LogEvent, Observability, State};
@@ -97,7 +97,11 @@
 }
 
 /// A door for a front, with the tenants' shares.
-pub(crate) fn door(door: Door, site: &Site, shares: Vec<f64>) -> valehatch_admission::Settings {
+pub(crate) fn door(
+    door: AdmissionSettings,
+    site: &Site,
+    shares: Vec<f64>,
+) -> valehatch_admission::Settings {
     let class = |c: &valehatch_policy::RequestClass| valehatch_admission::Class {
         worth: c.priority_weight,
         aim: c.latency_objective,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -24,7 +24,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use valehatch_config::operators::Operators;
+use valehatch_config::operators::OperatorConfig;
 
 /// A gateway between many teams' services and the databases that they share.
 ///
@@ -66,7 +66,7 @@
         None => platform::serve(arguments.door),
         Some(Command::Serve { file }) => operators::serve(file),
         Some(Command::Check { file }) => {
-            let read = Operators::load(&file).map_err(|e| e.to_string())?;
+            let read = OperatorConfig::load(&file).map_err(|e| e.to_string())?;
             println!(
                 "{}: {} front(s), no fault",
                 file.display(),
@@ -75,7 +75,8 @@
             Ok(())
         }
         Some(Command::Config { file }) => {
-            let (_, shown) = Operators::load_shown(&file).map_err(|e| e.to_string())?;
+            let (_, shown) =
+                OperatorConfig::load_with_defaults(&file).map_err(|e| e.to_string())?;
             print!("{shown}");
             Ok(())
         }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{error, info};
-use valehatch_config::operators::{self, Members, Operators, Protocol};
+use valehatch_config::operators::{self, EndpointSource, OperatorConfig, Protocol};
 use valehatch_core::{Event, Observability};
 use valehatch_net::clients::RequestHandler;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
@@ -31,7 +31,7 @@
 const PUBLISH: Span = Span::from_millis(100);
 
 /// What a front's records and the agent's rows are named by.
-fn names(front: &operators::Front) -> Arc<Observability> {
+fn names(front: &operators::FrontSettings) -> Arc<Observability> {
     let all = |names: &[String]| names.iter().map(|n| Arc::from(n.as_str())).collect();
     Arc::new(Observability {
         front: Arc::clone(&front.name),
@@ -43,7 +43,7 @@
 
 /// A front as the agent shows it.
 fn shown(
-    front: &operators::Front,
+    front: &operators::FrontSettings,
     names: &Observability,
     board: Arc<ArcSwapOption<Board>>,
 ) -> world::Front {
@@ -74,7 +74,7 @@
 }
 
 fn speakers(
-    front: &operators::Front,
+    front: &operators::FrontSettings,
     clock: Clock,
     events: Sender<Event>,
     figures: Option<Arc<OutcomeMetrics>>,
@@ -136,7 +136,7 @@
 
 pub(crate) fn serve(path: PathBuf) -> Result<(), String> {
     let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
-    let read = Operators::load(&path).map_err(|e| e.to_string())?;
+    let read = OperatorConfig::load(&path).map_err(|e| e.to_string())?;
     valehatch_net::log::init(read.log);
     let (clock, began) = (Clock::start(), Instant::now());
     let made: Vec<Made> = read
@@ -180,10 +180,10 @@
         let speakers = speakers(front, clock, made.inbox.0.clone(), figures.clone());
         let speakers = speakers.map_err(|e| format!("front.{n}: {e}"))?;
         let seed = clock.now().0.unsigned_abs() ^ u64::from(std::process::id()) << 32 ^ n as u64;
-        if let Members::Fixed(_) = front.members {
+        if let EndpointSource::Static(_) = front.members {
             mgmt.listed(n);
         }
-        if let Members::Discovery(address) = front.members {
+        if let EndpointSource::Discovery(address) = front.members {
             let place = Arc::new(list::Place::new(address));
             let (site, events) = (front.site.clone(), made.inbox.0.clone());
             let watch =
@@ -249,7 +249,7 @@
     let told = Arc::downgrade(&agent);
     let doors: Vec<Sender<Event>> = made.iter().map(|m| m.inbox.0.clone()).collect();
     let with_door = read.door.is_some();
-    let reread = move |read: Operators| {
+    let reread = move |read: OperatorConfig| {
         if with_door {
             doors
                 .iter()
@@ -337,7 +337,7 @@
 }
 
 fn agent(
-    read: &Operators,
+    read: &OperatorConfig,
     made: &[Made],
     writer: Option<&RecordWriter>,
     clock: Clock,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -8,8 +8,8 @@
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::bounded;
 use tracing::{info, warn};
-use valehatch_config::Gateway;
-use valehatch_config::operators::{Door, Level, Log};
+use valehatch_config::PlatformConfig;
+use valehatch_config::operators::{AdmissionSettings, LogLevel, LogSettings};
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::HandoffHandle;
@@ -34,24 +34,26 @@
 }
 
 /// How much is logged: the environment's word, or what is usual.
-fn level() -> Result<Level, String> {
+fn level() -> Result<LogLevel, String> {
     match std::env::var("VALEHATCH_LOG").as_deref() {
-        Err(_) | Ok("" | "info") => Ok(Level::Info),
-        Ok("debug") => Ok(Level::Debug),
-        Ok("warn") => Ok(Level::Warn),
-        Ok("error") => Ok(Level::Error),
+        Err(_) | Ok("" | "info") => Ok(LogLevel::Info),
+        Ok("debug") => Ok(LogLevel::Debug),
+        Ok("warn") => Ok(LogLevel::Warn),
+        Ok("error") => Ok(LogLevel::Error),
         Ok(other) => Err(format!(
             "VALEHATCH_LOG is {other:?}, not error, warn, info or debug"
         )),
     }
 }
 
-fn load(path: &str) -> Result<Gateway, String> {
-    Gateway::parse(&std::fs::read_to_string(path).map_err(|e| format!("config: {path}: {e}"))?)
+fn load(path: &str) -> Result<PlatformConfig, String> {
+    PlatformConfig::parse(
+        &std::fs::read_to_string(path).map_err(|e| format!("config: {path}: {e}"))?,
+    )
 }
 
 /// The door's sizes on the platform, within its memory.
-const DOOR: Door = Door {
+const DOOR: AdmissionSettings = AdmissionSettings {
     most: 4_000,
     buckets: 1024,
     lanes: 64,
@@ -61,7 +63,7 @@
     let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
     let path =
         std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG names no configuration")?;
-    let Gateway {
+    let PlatformConfig {
         name,
         listen,
         discovery,
@@ -73,10 +75,10 @@
         site,
     } = load(&path)?;
     let mgmt = management(mgmt)?;
-    mgmt.map_or(Ok(()), |_| site.tellable())?;
-    valehatch_net::log::init(Log {
+    mgmt.map_or(Ok(()), |_| site.validate_metric_names())?;
+    valehatch_net::log::init(LogSettings {
         level: level()?,
-        ..Log::default()
+        ..LogSettings::default()
     });
     let (clock, inbox) = (Clock::start(), bounded(QUEUE));
     let place = Arc::new(list::Place::new(discovery));
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwapOption;
 use tracing::{info, warn};
-use valehatch_config::operators::{Members, Operators};
+use valehatch_config::operators::{EndpointSource, OperatorConfig};
 use valehatch_net::link::GossipTransport;
 use valehatch_net::list::EndpointListStore;
 use valehatch_net::{Clock, lock};
@@ -150,11 +150,11 @@
 }
 
 /// Service of a start, in which fronts that ask discovery wait for its word.
-pub(crate) fn service(read: &Operators, clock: Clock) -> Shared {
+pub(crate) fn service(read: &OperatorConfig, clock: Clock) -> Shared {
     let asks = read
         .fronts
         .iter()
-        .filter(|f| matches!(f.members, Members::Discovery(_)))
+        .filter(|f| matches!(f.members, EndpointSource::Discovery(_)))
         .count();
     Arc::new(Mutex::new(Service::new(asks, clock.now())))
 }
@@ -162,7 +162,7 @@
 impl Keeper {
     /// Begins; `fronts` are, in the file's order, the lists and the boards of the fronts. `None` without a state folder.
     pub(crate) fn start(
-        read: &Operators,
+        read: &OperatorConfig,
         fronts: Vec<Held>,
         link: Option<Arc<GossipTransport>>,
         service: Shared,
@@ -171,12 +171,13 @@
         let Some(state) = &read.state else {
             return Ok(None);
         };
-        let kept = |(front, (taker, board)): (&valehatch_config::operators::Front, Held)| Kept {
-            name: front.name.to_string(),
-            taker,
-            board,
-            settings: front.site.settings.clone(),
-        };
+        let kept =
+            |(front, (taker, board)): (&valehatch_config::operators::FrontSettings, Held)| Kept {
+                name: front.name.to_string(),
+                taker,
+                board,
+                settings: front.site.settings.clone(),
+            };
         let mut keeping = Keeping {
             dir: state.dir.clone(),
             gateway: read.name.to_string(),
--- a/crates/gateway/src/snmp.rs
+++ b/crates/gateway/src/snmp.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand};
-use valehatch_config::operators::Operators;
+use valehatch_config::operators::OperatorConfig;
 use valehatch_config::snmp::{PRIV_KEY, engine_id};
 use valehatch_snmp::{schema, usm};
 
@@ -44,7 +44,7 @@
     fn id(&self) -> Result<Vec<u8>, String> {
         if let Some(file) = &self.file {
             // The file may not be whole yet: its keys are what is being made.
-            return match Operators::load(file) {
+            return match OperatorConfig::load(file) {
                 Ok(read) => read
                     .snmp
                     .map(|s| s.engine)
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use support::cql::*;
 use support::{Program, folder, free_address, until};
-use valehatch_config::operators::{Members, Operators};
+use valehatch_config::operators::{EndpointSource, OperatorConfig};
 
 struct Gateway {
     address: SocketAddr,
@@ -503,7 +503,7 @@
 #[test]
 fn the_file_under_deploy_is_sound_and_its_contracts_know_their_statements() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gateway.toml");
-    let read = Operators::load(path.as_ref()).unwrap();
+    let read = OperatorConfig::load(path.as_ref()).unwrap();
     let front = read.fronts.iter().find(|f| &*f.name == "stays").unwrap();
     let class = |text: &str| front.site.classes[front.contracts.of(text).class].clone();
     assert_eq!(class("  select *\n FROM stays.guest;"), "stay-read");
@@ -525,8 +525,8 @@
     let text = file(free_address(), &members, None);
     let load = |text: &str| {
         std::fs::write(&path, text).unwrap();
-        match &Operators::load(&path).unwrap().fronts[0].members {
-            Members::Fixed(members) => members.clone(),
+        match &OperatorConfig::load(&path).unwrap().fronts[0].members {
+            EndpointSource::Static(members) => members.clone(),
             other => panic!("{other:?}"),
         }
     };
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -13,7 +13,7 @@
 use crossbeam_channel::Sender;
 use rustix::time::{ClockId, clock_gettime};
 use siphasher::sip::SipHasher13;
-use valehatch_config::peers::Peers;
+use valehatch_config::peers::PeerSettings;
 use valehatch_core::Event;
 use valehatch_membership::view::{Change, Reason};
 use valehatch_membership::wire::Phase;
@@ -77,7 +77,7 @@
 /// The link, and the membership that speaks on it.
 pub struct GossipTransport {
     socket: UdpSocket,
-    peers: Peers,
+    peers: PeerSettings,
     heart: Mutex<Membership>,
     /// The version of the view up to which its changes were told.
     told: AtomicU64,
@@ -96,7 +96,7 @@
     /// # Errors
     /// The address cannot be listened on, or the settings cannot be worked with.
     pub fn start(
-        peers: Peers,
+        peers: PeerSettings,
         configured: u32,
         seed: u64,
         cores: Vec<Sender<Event>>,
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use valehatch_backoff::Backoff;
-use valehatch_config::{Site, number};
+use valehatch_config::{Site, endpoint_id};
 use valehatch_policy::{
     DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Span, Time, ZoneId,
 };
@@ -548,7 +548,7 @@
         if let Some(id) = self.ids.get(&uid) {
             return *id;
         }
-        let mut id = number(&uid);
+        let mut id = endpoint_id(&uid);
         while self.ids.values().any(|known| *known == id) {
             id = EndpointId(id.0.wrapping_add(1));
         }
--- a/crates/net/src/log.rs
+++ b/crates/net/src/log.rs
@@ -8,7 +8,7 @@
 use tracing_subscriber::Layer;
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::util::SubscriberInitExt;
-use valehatch_config::operators::{Level, Log};
+use valehatch_config::operators::{LogLevel, LogSettings};
 
 /// What the limit itself says is not limited.
 const OWN: &str = "valehatch::log";
@@ -82,12 +82,12 @@
 }
 
 /// Sets the log up, once, for the whole program.
-pub fn init(log: Log) {
+pub fn init(log: LogSettings) {
     let level = match log.level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
     };
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -8,14 +8,14 @@
 
 use crossbeam_channel::Sender;
 use tracing::{info, warn};
-use valehatch_config::operators::{Fixed, Members, Operators};
+use valehatch_config::operators::{EndpointSource, OperatorConfig, StaticEndpoint};
 use valehatch_core::{Event, ListedEndpoint};
 
 /// How often the file is looked at: well within the grace that a drain leaves.
 const LOOK: Duration = Duration::from_millis(100);
 
-fn list(members: &[Fixed]) -> Event {
-    let member = |m: &Fixed| ListedEndpoint {
+fn list(members: &[StaticEndpoint]) -> Event {
+    let member = |m: &StaticEndpoint| ListedEndpoint {
         entry: m.entry.clone(),
         name: Arc::clone(&m.name),
         address: Arc::from(m.address.to_string()),
@@ -38,17 +38,17 @@
 /// says then. All else that a front is made of stays as at the start; a file that is no good changes nothing.
 pub fn watch(
     path: PathBuf,
-    first: &Operators,
+    first: &OperatorConfig,
     fronts: Vec<ConfiguredEndpoints>,
     again: Arc<AtomicBool>,
-    reread: impl Fn(Operators) + Send + 'static,
+    reread: impl Fn(OperatorConfig) + Send + 'static,
 ) -> std::io::Result<()> {
-    let tell = move |read: &Operators| {
+    let tell = move |read: &OperatorConfig| {
         for named in &fronts {
             let found = read.fronts.iter().find(|f| f.name == named.front);
             match found.map(|f| &f.members) {
-                Some(Members::Fixed(members)) => drop(named.events.send(list(members))),
-                Some(Members::Discovery(_)) => {}
+                Some(EndpointSource::Static(members)) => drop(named.events.send(list(members))),
+                Some(EndpointSource::Discovery(_)) => {}
                 None => {
                     warn!(
                         front = &*named.front,
@@ -70,7 +70,7 @@
                 continue;
             }
             seen = now;
-            match Operators::load(&path) {
+            match OperatorConfig::load(&path) {
                 Ok(read) => {
                     tell(&read);
                     reread(read);
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/link_frame.rs
@@ -3,7 +3,7 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use valehatch_config::peers::Peers;
+use valehatch_config::peers::PeerSettings;
 use valehatch_membership::wire::Datagram;
 use valehatch_net::link::GossipTransport;
 
@@ -17,7 +17,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let peers = Peers {
+    let peers = PeerSettings {
         listen: own,
         advertise: own,
         fleet: "test".into(),
--- a/crates/simulator-adapter/src/frames.rs
+++ b/crates/simulator-adapter/src/frames.rs
@@ -9,7 +9,7 @@
     ZoneId,
 };
 
-use valehatch_config::settings::{WireFacts, micros};
+use valehatch_config::settings::{WireSettings, ms_to_micros};
 
 pub(crate) const HEADER: usize = 16;
 
@@ -68,7 +68,7 @@
     let number = c.u32("number")?;
     let length = c.u32("length")?;
     let clock = c.f64("clock").map_err(|e| format!("frame {number}: {e}"))?;
-    Ok((number, length, Time(micros(clock))))
+    Ok((number, length, Time(ms_to_micros(clock))))
 }
 
 /// The records of a body: place, code and fields.
@@ -159,7 +159,7 @@
 fn entry(c: &mut Cursor<'_>) -> Result<EndpointRecord, String> {
     let launched = c.f64("launched-ms")?;
     Ok(EndpointRecord {
-        started: (launched > 0.0).then(|| Time(micros(launched))),
+        started: (launched > 0.0).then(|| Time(ms_to_micros(launched))),
         endpoint: EndpointId(c.u32("node")?),
         weight: c.f32("nominal")?,
         zone: ZoneId(c.u8("zone")?),
@@ -207,7 +207,7 @@
             let request = Box::new(Request {
                 id,
                 session: None,
-                time_left: Span(micros(left)),
+                time_left: Span(ms_to_micros(left)),
                 group: GroupId(group as u16),
                 class: ClassId(class.into()),
                 tenant: None,
@@ -238,7 +238,7 @@
             let endpoint = EndpointId(c.u32("node")?);
             let closed = c.u8("closed")? != 0;
             let outcome = outcome(c.u16("result")?)?;
-            let latency = Span(micros(c.f64("cost-time-ms")?));
+            let latency = Span(ms_to_micros(c.f64("cost-time-ms")?));
             let metrics = metrics(&mut c)?;
             let end = Box::new(AttemptEnd {
                 request,
@@ -257,7 +257,7 @@
         7 => Incoming::Wake(c.u64("ctx")?),
         8 => {
             let endpoint = EndpointId(c.u32("node")?);
-            let latency = Span(micros(c.f64("cost-time-ms")?));
+            let latency = Span(ms_to_micros(c.f64("cost-time-ms")?));
             let outcome = outcome(c.u16("result")?)?;
             Incoming::StatusBack {
                 endpoint,
@@ -293,16 +293,16 @@
 
 /// A load report of the wire, where positions are seconds after the settings' zero.
 #[allow(clippy::cast_possible_truncation)]
-fn report(wire: &WireFacts, metrics: &[f64]) -> Option<LoadReport> {
+fn report(wire: &WireSettings, metrics: &[f64]) -> Option<LoadReport> {
     wire.report(metrics, |seconds| {
-        wire.zero + Span((seconds * 1e6).floor() as i64)
+        wire.position_zero + Span((seconds * 1e6).floor() as i64)
     })
 }
 
 /// The module's event for what came in; `None` for what it has no use for.
 pub(crate) fn event(
     incoming: Incoming<'_>,
-    wire: &WireFacts,
+    wire: &WireSettings,
     tables: &BTreeMap<u16, Rc<Vec<EndpointRecord>>>,
 ) -> Result<Option<PolicyEvent>, String> {
     Ok(Some(match incoming {
@@ -333,9 +333,9 @@
                 ));
             }
             request.session = (key != 0).then_some(SessionKey(key));
-            request.work = has_work.then_some(Span(micros(work_ms)));
-            request.since_last_write =
-                (wire.brought && wrote_ms_ago > 0.0).then_some(Span(micros(wrote_ms_ago)));
+            request.work = has_work.then_some(Span(ms_to_micros(work_ms)));
+            request.since_last_write = (wire.client_provided_sessions && wrote_ms_ago > 0.0)
+                .then_some(Span(ms_to_micros(wrote_ms_ago)));
             request.tenant =
                 ((tenant as usize) < wire.tenants).then_some(TenantId(tenant as usize));
             PolicyEvent::Request(*request)
@@ -351,7 +351,8 @@
                 2 => Some(Role::Replica),
                 _ => None,
             };
-            end.position = (mark >= 4).then(|| wire.zero + Span(i64::from(mark / 4) * 1000));
+            end.position =
+                (mark >= 4).then(|| wire.position_zero + Span(i64::from(mark / 4) * 1000));
             end.report = report(wire, &metrics);
             PolicyEvent::AttemptEnded(*end)
         }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -16,7 +16,7 @@
 
 struct Instance {
     router: Router,
-    wire: settings::WireFacts,
+    wire: settings::WireSettings,
 }
 
 #[derive(Default)]
--- a/crates/snmp/examples/stack.rs
+++ b/crates/snmp/examples/stack.rs
@@ -10,7 +10,7 @@
 use std::thread::Builder;
 
 use support::{Scene, Secure, Verb, request, snmp};
-use valehatch_config::operators::{Level, Log};
+use valehatch_config::operators::{LogLevel, LogSettings};
 
 fn agent() {
     // What is made beforehand is made on the main thread; the engine's own work is what counts.
@@ -28,8 +28,8 @@
 }
 
 fn log() {
-    valehatch_net::log::init(Log {
-        level: Level::Debug,
+    valehatch_net::log::init(LogSettings {
+        level: LogLevel::Debug,
         json: true,
         lines_per_s: 1000,
     });
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use rasn_snmp::v2::{Pdus, VarBind};
-use valehatch_config::snmp::{ROOT, Snmp, User, View};
+use valehatch_config::snmp::{ROOT, SnmpSettings, SnmpUser, SnmpView};
 use valehatch_notifications::Tally;
 use valehatch_rate_limit::{SnapshotCache, Window};
 
@@ -105,7 +105,7 @@
     /// What is looked at.
     pub world: Arc<World>,
     /// `[snmp]`, which SIGHUP may replace.
-    pub access: ArcSwap<Snmp>,
+    pub access: ArcSwap<SnmpSettings>,
     /// Counters.
     pub stats: Stats,
     /// snmpEngineBoots.
@@ -155,7 +155,7 @@
 /// Who asks, once that is known.
 enum Asker<'a> {
     Community(&'a [u8]),
-    User(&'a User, u8, usize, i32),
+    User(&'a SnmpUser, u8, usize, i32),
 }
 
 /// Answers datagrams.
@@ -324,10 +324,10 @@
     /// Counts what is wrong with a message and says so, where the sender takes reports.
     fn report(
         &self,
-        access: &Snmp,
+        access: &SnmpSettings,
         secured: &Secured,
         stat: Stat,
-        signed: Option<&User>,
+        signed: Option<&SnmpUser>,
     ) -> Option<Vec<u8>> {
         self.shared.stats.add(stat);
         if secured.flags & REPORTABLE == 0 {
@@ -366,9 +366,9 @@
         &mut self,
         now: i64,
         from: SocketAddr,
-        access: &Snmp,
+        access: &SnmpSettings,
         asker: &Asker<'_>,
-        view: &View,
+        view: &SnmpView,
         request: &Request,
     ) -> Option<Vec<u8>> {
         let taken = match asker {
@@ -548,7 +548,7 @@
 /// The bindings of an answer; `None` where those that must be there have no room.
 fn bindings(
     picture: &Picture,
-    view: &View,
+    view: &SnmpView,
     request: &Request,
     room: usize,
 ) -> Option<Vec<VarBind>> {
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -32,7 +32,7 @@
 
 use arc_swap::ArcSwap;
 use tracing::{error, info, warn};
-use valehatch_config::snmp::{Limits, Snmp};
+use valehatch_config::snmp::{Limits, SnmpSettings};
 use valehatch_rate_limit::{RateLimitDecision, SourceRateLimiter, TimeShare};
 
 use engine::{Engine, Shared, Stat};
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// That it cannot listen, or that the system has no thread for it.
-    pub fn start(snmp: Snmp, world: Arc<World>, boots: u32) -> io::Result<Self> {
+    pub fn start(snmp: SnmpSettings, world: Arc<World>, boots: u32) -> io::Result<Self> {
         let socket = UdpSocket::bind(snmp.listen)?;
         socket.set_read_timeout(Some(LOOK))?;
         info!("the agent listens on {}", socket.local_addr()?);
@@ -94,12 +94,12 @@
     }
 
     /// Takes over users, communities, views, receivers, thresholds and limits; where it listens stays.
-    pub fn reread(&self, snmp: Snmp) {
+    pub fn reread(&self, snmp: SnmpSettings) {
         let old = self.shared.access.load();
         if (old.listen, &old.engine) != (snmp.listen, &snmp.engine) {
             warn!("snmp: listen and engine-id are read at the start only");
         }
-        let snmp = Snmp {
+        let snmp = SnmpSettings {
             listen: old.listen,
             engine: old.engine.clone(),
             ..snmp
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -9,7 +9,9 @@
 
 use rasn_snmp::v2::VarBind;
 use tracing::{info, warn};
-use valehatch_config::snmp::{Credentials, Notify, ROOT, Receiver, User};
+use valehatch_config::snmp::{
+    Credentials, NotificationReceiver, NotificationSettings, ROOT, SnmpUser,
+};
 use valehatch_notifications::{
     EndpointNotification, FrontNow, GroupNotification, Notification, NotificationMonitor, Outbox,
     Thresholds,
@@ -37,7 +39,7 @@
 
 /// Thresholds as the file has them.
 #[must_use]
-pub fn thresholds(notify: &Notify) -> Thresholds {
+pub fn thresholds(notify: &NotificationSettings) -> Thresholds {
     let ms = |n: u64| Span::from_millis(i64::try_from(n).unwrap_or(i64::MAX / 1000));
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let parts = |rate: f64| (rate * 1000.0) as u64;
@@ -147,7 +149,7 @@
 
 /// One receiver, and what it has not taken yet.
 struct Line {
-    receiver: Receiver,
+    receiver: NotificationReceiver,
     outbox: Outbox<Arc<Vec<VarBind>>>,
     /// What is known of the receiver's engine, where it decides over informs, and when that was learned.
     engine: Option<(Window, Time)>,
@@ -155,7 +157,7 @@
 }
 
 impl Line {
-    fn new(receiver: Receiver, first: i32) -> Self {
+    fn new(receiver: NotificationReceiver, first: i32) -> Self {
         let pause = Span::from_millis(i64::try_from(receiver.timeout_ms).unwrap_or(1000));
         let inform = receiver.inform.then_some((pause, receiver.retries));
         Self {
@@ -235,7 +237,7 @@
         now: Time,
         datagram: &[u8],
         secured: &message::Secured,
-        user: &User,
+        user: &SnmpUser,
         engine: &[u8],
     ) {
         let ours =
--- a/crates/snmp/tests/support/mod.rs
+++ b/crates/snmp/tests/support/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use valehatch_config::operators::Operators;
-use valehatch_config::snmp::Snmp;
+use valehatch_config::operators::OperatorConfig;
+use valehatch_config::snmp::SnmpSettings;
 use valehatch_core::{LiveEndpoint, LiveView};
 use valehatch_net::Clock;
 use valehatch_policy::*;
@@ -34,7 +34,7 @@
 }
 
 /// `[snmp]` of a file with a community, a user who may encrypt, one who may not, and what the test adds.
-pub(crate) fn snmp(more: &str) -> Snmp {
+pub(crate) fn snmp(more: &str) -> SnmpSettings {
     let (auth, privacy) = keys();
     let (auth, privacy) = (hex::encode(auth), hex::encode(privacy));
     let text = format!(
@@ -45,7 +45,7 @@
          [[snmp.user]]\nname = \"secret\"\nauth-key = \"{auth}\"\npriv-key = \"{privacy}\"\n\
          [[snmp.user]]\nname = \"plain\"\nauth-key = \"{auth}\"\n{more}"
     );
-    Operators::parse(text)
+    OperatorConfig::parse(text)
         .unwrap_or_else(|e| panic!("{e:?}"))
         .0
         .snmp
@@ -103,7 +103,7 @@
 }
 
 impl Scene {
-    pub(crate) fn new(snmp: Snmp, boots: u32, members: u32) -> Self {
+    pub(crate) fn new(snmp: SnmpSettings, boots: u32, members: u32) -> Self {
         let boards: Vec<_> = (0..2).map(|_| Arc::new(ArcSwapOption::empty())).collect();
         let front = |(name, board): (&str, &Arc<ArcSwapOption<Board>>)| Front {
             name: name.into(),
--- a/crates/state/src/recorder.rs
+++ b/crates/state/src/recorder.rs
@@ -10,7 +10,7 @@
 use arc_swap::ArcSwap;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
-use valehatch_config::operators::State;
+use valehatch_config::operators::StateSettings;
 use valehatch_request_log::{
     Counters, FinalOutcome, LatencySamples, LogStatus, RequestLog, RequestRecord, RowKey,
     SegmentLimits,
@@ -133,7 +133,7 @@
 ///
 /// # Errors
 /// That the folder cannot be had at all, or that the system has no thread for it.
-pub fn start(state: Option<&State>) -> io::Result<RecordWriter> {
+pub fn start(state: Option<&StateSettings>) -> io::Result<RecordWriter> {
     let now = unix_ms();
     let (ledger, sync, checkpoint) = match state {
         None => (RequestLog::fleeting(now), FLEETING, Duration::MAX),
--- a/crates/state/tests/files.rs
+++ b/crates/state/tests/files.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use valehatch_config::operators::State;
+use valehatch_config::operators::StateSettings;
 use valehatch_request_log::{FinalOutcome, RequestRecord};
 use valehatch_state::{snapshot, start};
 
@@ -17,7 +17,7 @@
 
 /// Runs a writer on the folder for one record, until all is on the disk.
 fn run(dir: &Path) {
-    let state = State {
+    let state = StateSettings {
         dir: PathBuf::from(dir),
         sync_ms: 1,
         checkpoint_ms: 3_600_000,
