--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -289,7 +289,7 @@
         self.act_on_verdicts(now, &mut let_in, effects);
         self.pending.extend(let_in);
         if let Some(figures) = &self.facts.figures {
-            figures.gauges(
+            figures.set_gauges(
                 self.requests.len(),
                 self.members.len(),
                 self.router.avoided(),
@@ -1492,7 +1492,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if let Some(figures) = &self.facts.figures {
-            figures.ended(class, &ending);
+            figures.count_final_answer(class, &ending);
         }
         let Some(watched) = &self.facts.watched else {
             return;
--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -129,7 +129,7 @@
     /// The last byte of a frame was written: the one place where an attempt at a node is counted.
     fn left(&self, attempt: Option<usize>) {
         if let (Some(class), Some(figures)) = (attempt, &self.figures) {
-            figures.relayed(class);
+            figures.count_attempt_sent(class);
         }
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -278,7 +278,7 @@
                 }
                 Effect::PublishView(live) => {
                     if let Some(watcher) = &mut watcher {
-                        watcher.recorder.hand_over_missed();
+                        watcher.recorder.send_unlogged();
                     }
                     board.store(Some(Arc::new(Board {
                         live: *live,
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -359,11 +359,11 @@
             .zip(made)
             .map(|(f, m)| shown(f, &m.names, Arc::clone(&m.board)))
             .collect(),
-        shown: Arc::clone(&writer.shown),
+        shown: Arc::clone(&writer.published),
         dropped: Arc::clone(&writer.dropped),
-        waiting: writer.waiting(),
+        waiting: writer.queue_length(),
     };
-    let boots = writer.shown.load().status.boots;
+    let boots = writer.published.load().status.boots;
     let agent = Agent::start(snmp.clone(), Arc::new(world), boots);
     agent
         .map(Some)
--- a/crates/gateway/tests/agent.rs
+++ b/crates/gateway/tests/agent.rs
@@ -323,7 +323,7 @@
     until("the folder is made anew, and all is shown", || {
         served(watched.agent) == 40
     });
-    watched.program.says("all is written again");
+    watched.program.says("state: writes recovered");
     let walk = Walk::of(&mut v2c(watched.agent), &own(&[15])).unwrap();
     assert!(walk.texts[&own(&[15, 2, 0])].is_empty());
     assert_eq!(
@@ -349,9 +349,9 @@
     std::fs::write(&log, bytes).unwrap();
     std::fs::write(watched.dir.join("checkpoint"), b"nonsense").unwrap();
     let mut program = run(&watched.file, watched.pg);
-    program.says("the file checkpoint is spoilt");
-    program.says("a record is spoilt");
-    program.says("the marks have their counts");
+    program.says("file checkpoint is corrupt");
+    program.says("record is corrupt");
+    program.says("counted from the marks");
     assert_eq!(served(watched.agent), 300);
     let walk = Walk::of(&mut v2c(watched.agent), &own(&[15])).unwrap();
     assert!(walk.one(&[15, 3, 0]) >= 3);
--- a/crates/gateway/tests/support/manager.rs
+++ b/crates/gateway/tests/support/manager.rs
@@ -142,8 +142,8 @@
             .unwrap()
             .split_inclusive(|b| *b == b'\n')
         {
-            let (seq, record) =
-                RequestRecord::read(line).unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
+            let (seq, record) = RequestRecord::parse_line(line)
+                .unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
             assert_eq!(
                 seq,
                 last + 1,
@@ -176,9 +176,9 @@
         ] {
             put(table, column, &[], n);
         }
-        for cell in Counter::all() {
-            let n = row.get(cell);
-            match cell {
+        for counter in Counter::all() {
+            let n = row.get(counter);
+            match counter {
                 Counter::InTime => put(table, 4, &[], n),
                 Counter::Late => put(table, 5, &[], n),
                 Counter::Aborted => put(table, 8, &[], n),
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/servers.rs
@@ -341,7 +341,7 @@
             return (UpstreamReply::bare(Outcome::ConnectFailed), false, None);
         }
         if let (UpstreamJob::Request { payload, .. }, Some(figures)) = (job, &self.figures) {
-            figures.relayed(payload.class);
+            figures.count_attempt_sent(payload.class);
         }
         let (reply, reusable) = self.protocol.answer(stream, job, &bytes, begin);
         (reply, reusable, Some(now))
--- a/crates/request-log/src/counters.rs
+++ b/crates/request-log/src/counters.rs
@@ -1,125 +1,125 @@
-//! Rows of counters: for each front, each class and each tenant by name. A [`Counters`] is a persistent map, so that a
-//! copy costs nothing and whoever walks one is not disturbed by what is counted meanwhile.
+//! Rows of counters: one for each front and class, and one for each front and tenant. [`Counters`] is a persistent map:
+//! a copy is cheap, and a reader of one is not disturbed by what is counted meanwhile.
 
 use std::sync::Arc;
 
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 
-use crate::record::{AttemptOutcome, FailureReason, FinalOutcome, RejectionReason, RequestRecord};
+use crate::outcomes::{AttemptOutcome, FailureReason, FinalOutcome, RejectionReason};
+use crate::record::RequestRecord;
 
-/// What a row is about.
+/// What the name of a row stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
-    /// A class of requests.
+    /// A request class.
     Class,
     /// A tenant, over all classes.
     Tenant,
 }
 
-/// Which row.
+/// The key of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowKey {
-    /// What it is about.
+    /// What the name stands for.
     pub scope: Scope,
     /// The front's name.
     pub front: Arc<str>,
-    /// The class's or the tenant's name.
+    /// The name of the class or tenant.
     pub name: Arc<str>,
 }
 
-/// Upper bounds of the buckets of the time histogram, in microseconds; one more bucket takes all beyond.
+/// Upper bounds of the latency buckets, in microseconds; one more bucket takes everything above.
 pub const LATENCY_BOUNDS_US: [u64; 14] = [
     1_000, 2_000, 5_000, 10_000, 20_000, 50_000, 100_000, 200_000, 300_000, 500_000, 1_000_000,
     2_000_000, 5_000_000, 10_000_000,
 ];
-/// Buckets of the time histogram.
+/// Number of latency buckets.
 pub const LATENCY_BUCKETS: usize = LATENCY_BOUNDS_US.len() + 1;
 
-const REFUSED: usize = 3;
-const FAILED: usize = REFUSED + RejectionReason::ALL.len();
-const ATTEMPTS: usize = FAILED + FailureReason::ALL.len();
-const TIMES: usize = ATTEMPTS + AttemptOutcome::ALL.len();
-/// Counters in a row.
-pub const COUNTERS_PER_ROW: usize = TIMES + LATENCY_BUCKETS;
+const FIRST_REJECTION: usize = 3;
+const FIRST_FAILURE: usize = FIRST_REJECTION + RejectionReason::ALL.len();
+const FIRST_ATTEMPT: usize = FIRST_FAILURE + FailureReason::ALL.len();
+const FIRST_BUCKET: usize = FIRST_ATTEMPT + AttemptOutcome::ALL.len();
+/// Number of counters in a row.
+pub const COUNTERS_PER_ROW: usize = FIRST_BUCKET + LATENCY_BUCKETS;
 
 /// One counter of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
-    /// Served within the aim.
+    /// Requests served within the latency objective.
     InTime,
-    /// Served after it.
+    /// Requests served after the latency objective.
     Late,
-    /// Left by their clients.
+    /// Requests whose client left first.
     Aborted,
-    /// Refused for a reason.
+    /// Requests rejected for a reason.
     Rejected(RejectionReason),
-    /// Failed in a way.
+    /// Requests failed for a reason.
     Failed(FailureReason),
-    /// Attempts that ended so.
+    /// Attempts with an outcome.
     Attempt(AttemptOutcome),
-    /// Served within the bounds of this bucket.
+    /// Requests served within the bounds of a latency bucket; a number beyond the last means the last.
     LatencyBucket(usize),
 }
 
 impl Counter {
-    /// Its place in a row.
+    /// Its index in a row.
     #[must_use]
-    pub const fn place(self) -> usize {
+    pub const fn index(self) -> usize {
         match self {
             Self::InTime => 0,
             Self::Late => 1,
             Self::Aborted => 2,
-            Self::Rejected(why) => REFUSED + why as usize,
-            Self::Failed(how) => FAILED + how as usize,
-            Self::Attempt(how) => ATTEMPTS + how as usize,
-            Self::LatencyBucket(bucket) => {
-                TIMES
-                    + if bucket < LATENCY_BUCKETS {
-                        bucket
-                    } else {
-                        LATENCY_BUCKETS - 1
-                    }
-            }
+            Self::Rejected(reason) => FIRST_REJECTION + reason as usize,
+            Self::Failed(reason) => FIRST_FAILURE + reason as usize,
+            Self::Attempt(outcome) => FIRST_ATTEMPT + outcome as usize,
+            Self::LatencyBucket(bucket) if bucket < LATENCY_BUCKETS => FIRST_BUCKET + bucket,
+            Self::LatencyBucket(_) => FIRST_BUCKET + LATENCY_BUCKETS - 1,
         }
     }
 
-    /// All of a row's, in their places.
+    /// All counters of a row, by index.
     pub fn all() -> impl Iterator<Item = Self> {
         let ends = [Self::InTime, Self::Late, Self::Aborted].into_iter();
-        ends.chain(RejectionReason::ALL.iter().map(|r| Self::Rejected(*r)))
-            .chain(FailureReason::ALL.iter().map(|f| Self::Failed(*f)))
-            .chain(AttemptOutcome::ALL.iter().map(|o| Self::Attempt(*o)))
-            .chain((0..LATENCY_BUCKETS).map(Self::LatencyBucket))
+        let rejections = RejectionReason::ALL.iter().copied().map(Self::Rejected);
+        let failures = FailureReason::ALL.iter().copied().map(Self::Failed);
+        let attempts = AttemptOutcome::ALL.iter().copied().map(Self::Attempt);
+        let buckets = (0..LATENCY_BUCKETS).map(Self::LatencyBucket);
+        ends.chain(rejections)
+            .chain(failures)
+            .chain(attempts)
+            .chain(buckets)
     }
 
-    /// Its name in marks and checkpoints: the same whatever is added later.
+    /// Its name in marks and checkpoints, which never changes.
     #[must_use]
     pub fn name(self) -> String {
         match self {
             Self::InTime => "in-time".into(),
             Self::Late => "late".into(),
             Self::Aborted => "aborted".into(),
-            Self::Rejected(why) => format!("refused.{}", why.name()),
-            Self::Failed(how) => format!("failed.{}", how.name()),
-            Self::Attempt(how) => format!("attempt.{}", how.name()),
-            Self::LatencyBucket(bucket) => LATENCY_BOUNDS_US
-                .get(bucket)
-                .map_or_else(|| "time.more".into(), |us| format!("time.{us}")),
+            Self::Rejected(reason) => format!("refused.{}", reason.name()),
+            Self::Failed(reason) => format!("failed.{}", reason.name()),
+            Self::Attempt(outcome) => format!("attempt.{}", outcome.name()),
+            Self::LatencyBucket(bucket) => match LATENCY_BOUNDS_US.get(bucket) {
+                Some(us) => format!("time.{us}"),
+                None => "time.more".into(),
+            },
         }
     }
 
     /// The counter of a name, if there is one.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
-        Self::all().find(|cell| cell.name() == name)
+    pub fn from_name(name: &str) -> Option<Self> {
+        Self::all().find(|counter| counter.name() == name)
     }
 }
 
-/// The bucket that a time falls in.
+/// The bucket of a latency in microseconds.
 #[must_use]
-pub fn bucket(us: u64) -> usize {
+pub fn latency_bucket(us: u64) -> usize {
     LATENCY_BOUNDS_US.partition_point(|bound| *bound < us)
 }
 
@@ -134,93 +134,102 @@
 }
 
 impl CounterRow {
-    /// One counter.
+    /// The value of a counter.
     #[must_use]
-    pub fn get(&self, cell: Counter) -> u64 {
-        self.0[cell.place()]
+    pub fn get(&self, counter: Counter) -> u64 {
+        self.0[counter.index()]
     }
 
-    fn add(&mut self, cell: Counter) {
-        self.0[cell.place()] += 1;
+    fn increment(&mut self, counter: Counter) {
+        self.0[counter.index()] += 1;
     }
 
-    fn raise(&mut self, cell: Counter, to: u64) {
-        let at = &mut self.0[cell.place()];
-        *at = to.max(*at);
+    fn raise(&mut self, counter: Counter, to: u64) {
+        let value = &mut self.0[counter.index()];
+        *value = to.max(*value);
     }
 
-    /// All refused, whatever the reason.
+    /// Rejected requests, for whatever reason.
     #[must_use]
     pub fn rejected(&self) -> u64 {
-        self.0[REFUSED..FAILED].iter().sum()
+        self.0[FIRST_REJECTION..FIRST_FAILURE].iter().sum()
     }
 
-    /// All failed, however.
+    /// Failed requests, for whatever reason.
     #[must_use]
     pub fn failed(&self) -> u64 {
-        self.0[FAILED..ATTEMPTS].iter().sum()
+        self.0[FIRST_FAILURE..FIRST_ATTEMPT].iter().sum()
     }
 
-    /// All that had their end: served, refused, failed, left.
+    /// Requests with a final outcome: served, rejected, failed or aborted.
     #[must_use]
     pub fn finished(&self) -> u64 {
-        self.0[..ATTEMPTS].iter().sum()
+        self.0[..FIRST_ATTEMPT].iter().sum()
     }
 
-    /// All attempts.
+    /// Attempts, whatever their outcome.
     #[must_use]
     pub fn attempts(&self) -> u64 {
-        self.0[ATTEMPTS..TIMES].iter().sum()
+        self.0[FIRST_ATTEMPT..FIRST_BUCKET].iter().sum()
     }
 
-    /// The counters that are not 0, with their names.
-    pub fn some(&self) -> impl Iterator<Item = (Counter, u64)> + '_ {
+    /// The counters above 0, with their values.
+    pub fn nonzero(&self) -> impl Iterator<Item = (Counter, u64)> + '_ {
         Counter::all()
             .zip(self.0.iter().copied())
-            .filter(|(_, n)| *n > 0)
+            .filter(|(_, value)| *value > 0)
     }
 
     fn count(&mut self, record: &RequestRecord) {
         match record.outcome {
-            FinalOutcome::InTime => self.add(Counter::InTime),
-            FinalOutcome::Late => self.add(Counter::Late),
-            FinalOutcome::Aborted => self.add(Counter::Aborted),
-            FinalOutcome::Rejected(why) => self.add(Counter::Rejected(why)),
-            FinalOutcome::Failed(how) => self.add(Counter::Failed(how)),
+            FinalOutcome::InTime => self.increment(Counter::InTime),
+            FinalOutcome::Late => self.increment(Counter::Late),
+            FinalOutcome::Aborted => self.increment(Counter::Aborted),
+            FinalOutcome::Rejected(reason) => self.increment(Counter::Rejected(reason)),
+            FinalOutcome::Failed(reason) => self.increment(Counter::Failed(reason)),
         }
-        if matches!(record.outcome, FinalOutcome::InTime | FinalOutcome::Late) {
-            self.add(Counter::LatencyBucket(bucket(record.total_us)));
+        if record.outcome.is_served() {
+            self.increment(Counter::LatencyBucket(latency_bucket(record.total_us)));
+        }
+        for attempt in &record.attempts {
+            self.increment(Counter::Attempt(attempt.outcome));
+        }
+    }
+
+    fn add(&mut self, other: &Self) {
+        for (value, added) in self.0.iter_mut().zip(other.0.iter()) {
+            *value += added;
         }
-        record
-            .attempts
-            .iter()
-            .for_each(|t| self.add(Counter::Attempt(t.outcome)));
     }
 }
 
-/// All rows.
+/// All rows. Their number is bounded by that of the fronts, classes and tenants of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     rows: OrdMap<RowKey, CounterRow>,
-    /// Records that were counted and are not in the request log.
-    pub missed: u64,
+    /// Records that are counted and not in the request log.
+    pub unlogged: u64,
 }
 
 impl Counters {
-    /// The rows that a record counts in.
-    pub fn keys(record: &RequestRecord) -> impl Iterator<Item = RowKey> + '_ {
+    /// The rows that a record is counted in.
+    pub fn row_keys(record: &RequestRecord) -> impl Iterator<Item = RowKey> + '_ {
         let key = |scope, name: &Arc<str>| RowKey {
             scope,
             front: record.front.clone(),
             name: name.clone(),
         };
-        let class = std::iter::once(key(Scope::Class, &record.class));
-        class.chain(record.tenant.iter().map(move |t| key(Scope::Tenant, t)))
+        let class = key(Scope::Class, &record.class);
+        let tenant = record
+            .tenant
+            .iter()
+            .map(move |name| key(Scope::Tenant, name));
+        std::iter::once(class).chain(tenant)
     }
 
     /// Counts a record.
     pub fn count(&mut self, record: &RequestRecord) {
-        for key in Self::keys(record) {
+        for key in Self::row_keys(record) {
             self.rows.entry(key).or_default().count(record);
         }
     }
@@ -231,51 +240,54 @@
         self.rows.get(key)
     }
 
-    /// All rows in their order.
+    /// All rows, ordered by key.
     pub fn rows(&self) -> impl Iterator<Item = (&RowKey, &CounterRow)> {
         self.rows.iter()
     }
 
-    /// Raises one counter to at least a value.
-    pub fn raise(&mut self, key: RowKey, cell: Counter, to: u64) {
-        self.rows.entry(key).or_default().raise(cell, to);
+    /// Raises a counter to at least a value.
+    pub fn raise(&mut self, key: RowKey, counter: Counter, to: u64) {
+        self.rows.entry(key).or_default().raise(counter, to);
     }
 
-    /// Takes over what another one has more of: the join of two lower bounds.
+    /// Raises each counter to that of another set: the join of two lower bounds.
     pub fn join(&mut self, other: &Self) {
-        self.missed = self.missed.max(other.missed);
+        self.unlogged = self.unlogged.max(other.unlogged);
         for (key, row) in other.rows() {
-            row.some()
-                .for_each(|(cell, n)| self.raise(key.clone(), cell, n));
+            for (counter, value) in row.nonzero() {
+                self.raise(key.clone(), counter, value);
+            }
         }
     }
 
-    /// Whether no counter of the other one is above this one's.
+    /// Whether no counter of another set is above that of this one.
     #[must_use]
     pub fn covers(&self, other: &Self) -> bool {
-        let covered = |(key, row): (&RowKey, &CounterRow)| {
-            let own = self.get(key);
-            row.some()
-                .all(|(cell, n)| own.is_some_and(|o| o.get(cell) >= n))
-        };
-        self.missed >= other.missed && other.rows().all(covered)
+        if self.unlogged < other.unlogged {
+            return false;
+        }
+        for (key, row) in other.rows() {
+            for (counter, value) in row.nonzero() {
+                let own = self.get(key).map_or(0, |row| row.get(counter));
+                if own < value {
+                    return false;
+                }
+            }
+        }
+        true
     }
 
-    /// Adds what another one counted: for records that were counted elsewhere, since the queue was full.
+    /// Adds the counts of another set: of other records than are counted here.
     pub fn add(&mut self, other: &Self) {
-        self.missed += other.missed;
+        self.unlogged += other.unlogged;
         for (key, row) in other.rows() {
-            let own = self.rows.entry(key.clone()).or_default();
-            own.0
-                .iter_mut()
-                .zip(row.0.iter())
-                .for_each(|(a, b)| *a += b);
+            self.rows.entry(key.clone()).or_default().add(row);
         }
     }
 
     /// Whether nothing was counted.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty() && self.missed == 0
+        self.rows.is_empty() && self.unlogged == 0
     }
 }
--- a/crates/request-log/src/durable.rs
+++ b/crates/request-log/src/durable.rs
@@ -1,176 +1,177 @@
-//! Marks and checkpoints as bytes. A mark says the counters that a batch of records touched, as they stand after it; a
-//! checkpoint says all of them, and the place in the request log up to which they count.
+//! Marks and checkpoints as bytes. A mark holds the counters that a batch of records changed, as they stand after it; a
+//! checkpoint holds all counters and the position in the request log up to which they count. JSON keys are stored names.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
+use crate::checksum_line::{ChecksumLine, CorruptRecord};
 use crate::counters::{Counter, Counters, RowKey};
-use crate::record::{ChecksumLine, CorruptRecord};
 
-/// A place in the request log.
+/// A position in the request log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The number of the segment, from 1.
+    /// The segment's number, from 1.
     pub segment: u64,
-    /// Bytes into it.
+    /// Bytes from the segment's start.
     pub offset: u64,
 }
 
-/// Rows as they are written: only counters that are not 0, by name.
-type Rows = Vec<(RowKey, BTreeMap<String, u64>)>;
-
-fn rows<'a>(counters: &'a Counters, keys: impl Iterator<Item = &'a RowKey>) -> Rows {
-    let named = |key: &RowKey| {
-        let row = counters.get(key)?;
-        Some((
-            key.clone(),
-            row.some().map(|(cell, n)| (cell.name(), n)).collect(),
-        ))
-    };
-    keys.filter_map(named).collect()
+impl LogPosition {
+    /// The start of a segment.
+    #[must_use]
+    pub const fn start_of(segment: u64) -> Self {
+        Self { segment, offset: 0 }
+    }
+}
+
+/// Consecutive sequence numbers; empty if `last` is below `first`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SequenceRange {
+    /// The first number.
+    pub first: u64,
+    /// The last number, included.
+    pub last: u64,
 }
 
-/// Counters of a later version that this one does not know are left out: they are lost to this version only.
-fn restore(rows: &Rows, missed: u64, into: &mut Counters) {
-    into.missed = into.missed.max(missed);
-    for (key, cells) in rows {
-        for (name, n) in cells {
-            if let Some(cell) = Counter::named(name) {
-                into.raise(key.clone(), cell, *n);
+/// Rows as stored: the counters above 0, by name.
+type StoredRows = Vec<(RowKey, BTreeMap<String, u64>)>;
+
+fn stored_rows<'a>(counters: &'a Counters, keys: impl Iterator<Item = &'a RowKey>) -> StoredRows {
+    let mut rows = vec![];
+    for key in keys {
+        let Some(row) = counters.get(key) else {
+            continue;
+        };
+        let named = row.nonzero().map(|(counter, n)| (counter.name(), n));
+        rows.push((key.clone(), named.collect()));
+    }
+    rows
+}
+
+/// Raises counters to the stored values. Counters of a later version, whose names are unknown here, are skipped.
+fn raise_to_stored(counters: &mut Counters, rows: &StoredRows, unlogged: u64) {
+    counters.unlogged = counters.unlogged.max(unlogged);
+    for (key, values) in rows {
+        for (name, value) in values {
+            if let Some(counter) = Counter::from_name(name) {
+                counters.raise(key.clone(), counter, *value);
             }
         }
     }
 }
 
-/// What a batch of records came to.
+/// The counters that a batch of records changed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DurableMark {
-    /// The first record of its batch.
-    pub from: u64,
-    /// The last record that it counts.
-    pub seq: u64,
-    missed: u64,
-    rows: Rows,
+    /// Sequence number of the first record of the batch.
+    #[serde(rename = "from")]
+    pub first_sequence: u64,
+    /// Sequence number of the last record that is counted.
+    #[serde(rename = "seq")]
+    pub last_sequence: u64,
+    #[serde(rename = "missed")]
+    unlogged: u64,
+    rows: StoredRows,
 }
 
 impl DurableMark {
-    /// Appends a mark as a line: of the records from and to these numbers.
-    pub fn put<'a>(
+    /// Appends a mark as a line: the batch, and the current values of the rows that it changed.
+    pub fn append<'a>(
         out: &mut Vec<u8>,
-        (from, seq): (u64, u64),
+        batch: SequenceRange,
         counters: &'a Counters,
-        touched: impl Iterator<Item = &'a RowKey>,
+        changed: impl Iterator<Item = &'a RowKey>,
     ) {
-        ChecksumLine::put(
-            out,
-            &Self {
-                from,
-                seq,
-                missed: counters.missed,
-                rows: rows(counters, touched),
-            },
-        );
+        let mark = Self {
+            first_sequence: batch.first,
+            last_sequence: batch.last,
+            unlogged: counters.unlogged,
+            rows: stored_rows(counters, changed),
+        };
+        ChecksumLine::append(out, &mark);
     }
 
-    /// Reads a line.
+    /// Parses a line.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn read(line: &[u8]) -> Result<Self, CorruptRecord> {
-        ChecksumLine::open(line)
+    /// Why the line cannot be used.
+    pub fn parse(line: &[u8]) -> Result<Self, CorruptRecord> {
+        ChecksumLine::parse(line)
     }
 
-    /// Raises the counters to what the mark says.
+    /// Raises the counters to the mark's values.
     pub fn join_into(&self, counters: &mut Counters) {
-        restore(&self.rows, self.missed, counters);
+        raise_to_stored(counters, &self.rows, self.unlogged);
     }
 }
 
 /// All that outlives the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// The last record that it counts.
-    pub seq: u64,
-    /// Where the record after that one begins.
-    pub place: LogPosition,
+    /// Sequence number of the last record that is counted.
+    pub last_sequence: u64,
+    /// Where the next record begins.
+    pub position: LogPosition,
     /// Starts of the program so far: SNMP's engine boots (RFC 3414, section 2.2).
     pub boots: u32,
-    /// Since when the counters are without a break, in Unix milliseconds.
+    /// Since when the counters are without a gap, as Unix time in milliseconds.
     pub since_ms: u64,
     /// The counters.
     pub counters: Counters,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Written {
+struct StoredCheckpoint {
     version: u32,
-    seq: u64,
-    place: LogPosition,
+    #[serde(rename = "seq")]
+    last_sequence: u64,
+    #[serde(rename = "place")]
+    position: LogPosition,
     boots: u32,
     since_ms: u64,
-    missed: u64,
-    rows: Rows,
+    #[serde(rename = "missed")]
+    unlogged: u64,
+    rows: StoredRows,
 }
 
-/// The version of the checkpoint's form.
+/// Version of the checkpoint's format.
 const VERSION: u32 = 1;
 
 impl Checkpoint {
-    /// Its bytes: one sealed line.
+    /// The bytes of the checkpoint's file: one line with a checksum.
     #[must_use]
     pub fn bytes(&self) -> Vec<u8> {
-        let Self {
-            seq,
-            place,
-            boots,
-            since_ms,
-            counters,
-        } = self;
-        let mut out = vec![];
-        let rows = rows(counters, counters.rows().map(|(key, _)| key));
-        let (seq, place, boots, since_ms, missed) =
-            (*seq, *place, *boots, *since_ms, counters.missed);
-        ChecksumLine::put(
-            &mut out,
-            &Written {
-                version: VERSION,
-                seq,
-                place,
-                boots,
-                since_ms,
-                missed,
-                rows,
-            },
-        );
-        out
+        let stored = StoredCheckpoint {
+            version: VERSION,
+            last_sequence: self.last_sequence,
+            position: self.position,
+            boots: self.boots,
+            since_ms: self.since_ms,
+            unlogged: self.counters.unlogged,
+            rows: stored_rows(&self.counters, self.counters.rows().map(|(key, _)| key)),
+        };
+        let mut bytes = vec![];
+        ChecksumLine::append(&mut bytes, &stored);
+        bytes
     }
 
-    /// Reads the bytes.
+    /// Parses the bytes of a checkpoint's file.
     ///
     /// # Errors
-    /// What is wrong with them.
-    pub fn read(bytes: &[u8]) -> Result<Self, CorruptRecord> {
-        let written: Written = ChecksumLine::open(bytes)?;
-        if written.version != VERSION {
+    /// Why the file cannot be used.
+    pub fn parse(bytes: &[u8]) -> Result<Self, CorruptRecord> {
+        let stored: StoredCheckpoint = ChecksumLine::parse(bytes)?;
+        if stored.version != VERSION {
             return Err(CorruptRecord::Unreadable);
         }
-        let Written {
-            seq,
-            place,
-            boots,
-            since_ms,
-            missed,
-            rows,
-            ..
-        } = written;
         let mut counters = Counters::default();
-        restore(&rows, missed, &mut counters);
+        raise_to_stored(&mut counters, &stored.rows, stored.unlogged);
         Ok(Self {
-            seq,
-            place,
-            boots,
-            since_ms,
+            last_sequence: stored.last_sequence,
+            position: stored.position,
+            boots: stored.boots,
+            since_ms: stored.since_ms,
             counters,
         })
     }
--- a/crates/request-log/src/latency_samples.rs
+++ b/crates/request-log/src/latency_samples.rs
@@ -1,5 +1,6 @@
-//! Quantiles of the last minute: two histograms a row, of which the older one is emptied and begun anew every half of
-//! the window.
+//! Latency quantiles of the last 30 to 60 seconds: two histograms a row, filled in turn for half of the window each.
+//!
+//! Input: latencies and times in microseconds. Rows beyond the bound of the constructor are not measured.
 
 use std::collections::BTreeMap;
 
@@ -7,78 +8,93 @@
 
 use crate::counters::RowKey;
 
-/// The window, in microseconds: quantiles are of the last 30 to 60 s.
-const HALF_US: i64 = 30_000_000;
-/// Times beyond this count as this, in microseconds: ten minutes.
-const LONGEST_US: u64 = 600_000_000;
-/// Two significant digits: a quantile is off by 1 % at the most, and a histogram takes about 13 KB.
-const DIGITS: u8 = 2;
+/// Half of the window, in microseconds.
+const HALF_WINDOW_US: i64 = 30_000_000;
+/// Longer latencies count as this, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant digits: quantiles are off by 1 % at most, and a histogram takes about 13 KB.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-struct Window {
+struct LatencyWindow {
+    /// Filled in even and in odd half windows.
     halves: [Histogram<u32>; 2],
-    /// Which half of which window is filled now.
-    turn: i64,
+    /// Number of the half window that is filled now.
+    current: i64,
 }
 
-/// Windows of served times, by row. Rows beyond the most that it may hold are not measured.
+impl LatencyWindow {
+    fn new(current: i64) -> Option<Self> {
+        let histogram = || Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok();
+        Some(Self {
+            halves: [histogram()?, histogram()?],
+            current,
+        })
+    }
+
+    /// Goes on to a half window, and clears the histograms of those that are over.
+    fn advance_to(&mut self, half_window: i64) {
+        let passed = half_window - self.current;
+        if passed >= 1 {
+            self.halves[parity(half_window)].reset();
+        }
+        if passed >= 2 {
+            self.halves[1 - parity(half_window)].reset();
+        }
+        self.current = self.current.max(half_window);
+    }
+}
+
+fn parity(half_window: i64) -> usize {
+    usize::from(half_window % 2 != 0)
+}
+
+/// Latencies of served requests, by row.
 pub struct LatencySamples {
-    rows: BTreeMap<RowKey, Window>,
-    most: usize,
+    rows: BTreeMap<RowKey, LatencyWindow>,
+    max_rows: usize,
 }
 
 impl LatencySamples {
-    /// Room for so many rows, about 26 KB each once used.
+    /// Measures at most `max_rows` rows, about 26 KB each once used.
     #[must_use]
-    pub const fn new(most: usize) -> Self {
+    pub const fn new(max_rows: usize) -> Self {
         Self {
             rows: BTreeMap::new(),
-            most,
+            max_rows,
         }
     }
 
-    /// Notes a served time at a moment, both in microseconds.
-    pub fn note(&mut self, now_us: i64, key: &RowKey, time_us: u64) {
+    /// Adds a latency, in microseconds, at a monotonic time in microseconds.
+    pub fn record(&mut self, now_us: i64, key: &RowKey, latency_us: u64) {
+        let half_window = now_us / HALF_WINDOW_US;
         if !self.rows.contains_key(key) {
-            let half = || Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
-            let (true, Ok(a), Ok(b)) = (self.rows.len() < self.most, half(), half()) else {
+            if self.rows.len() >= self.max_rows {
+                return;
+            }
+            let Some(window) = LatencyWindow::new(half_window) else {
                 return;
             };
-            self.rows.insert(
-                key.clone(),
-                Window {
-                    halves: [a, b],
-                    turn: now_us / HALF_US,
-                },
-            );
-        }
-        if let Some(window) = self.rows.get_mut(key) {
-            window.turn_to(now_us / HALF_US);
-            let half = usize::from(window.turn % 2 != 0);
-            window.halves[half].saturating_record(time_us.clamp(1, LONGEST_US));
+            self.rows.insert(key.clone(), window);
         }
+        let Some(window) = self.rows.get_mut(key) else {
+            return;
+        };
+        window.advance_to(half_window);
+        let half = &mut window.halves[parity(window.current)];
+        half.saturating_record(latency_us.clamp(1, MAX_LATENCY_US));
     }
 
-    /// The time that so many parts of a thousand of those served of late stay within, in microseconds; `None` where
-    /// none was served.
+    /// The latency, in microseconds, that so many thousandths of the recent requests stayed within; `None` if there
+    /// were none.
     pub fn quantile(&mut self, now_us: i64, key: &RowKey, per_mille: u32) -> Option<u64> {
         let window = self.rows.get_mut(key)?;
-        window.turn_to(now_us / HALF_US);
+        window.advance_to(now_us / HALF_WINDOW_US);
         let mut both = window.halves[0].clone();
-        // The same bounds on both sides: adding cannot fail.
+        // Both histograms have the same bounds: adding cannot fail.
         both.add(&window.halves[1]).ok()?;
-        (!both.is_empty()).then(|| both.value_at_quantile(f64::from(per_mille) / 1000.0))
-    }
-}
-
-impl Window {
-    fn turn_to(&mut self, turn: i64) {
-        let passed = turn - self.turn;
-        if passed >= 1 {
-            self.halves[usize::from(turn % 2 != 0)].reset();
-        }
-        if passed >= 2 {
-            self.halves[usize::from(turn % 2 == 0)].reset();
+        if both.is_empty() {
+            return None;
         }
-        self.turn = self.turn.max(turn);
+        Some(both.value_at_quantile(f64::from(per_mille) / 1000.0))
     }
 }
--- a/crates/request-log/src/lib.rs
+++ b/crates/request-log/src/lib.rs
@@ -1,40 +1,57 @@
-//! Accounting: one [`RequestRecord`] for each final answer, [`Counters`] that are nothing but the sum of the records, and
-//! the pure part of keeping them: lines of the request log, marks, checkpoints and their [`Replay`] after a crash.
+//! Outcome counters and the durable request log. One [`RequestRecord`] is written for each final answer; [`Counters`]
+//! are the sum of all records and outlive the process.
 //!
-//! Every counter only grows, so whatever is found on a disk after a crash is a lower bound of the truth, and the
-//! cell-wise maximum of any two findings is one too: counters form a join-semilattice (a grow-only counter). What a
-//! reader was shown is kept three times over: in the request log, in the marks and, soon, in a checkpoint. Losing
-//! any one of them loses no count.
+//! Input: records, bytes found in the state directory, and the time as numbers. Output: lines, marks and checkpoints
+//! through a [`LogStorage`], counters that are durable, and events for the program's log. This package has no clock, no
+//! thread and no I/O of its own.
 //!
-//! | module | holds |
+//! Every counter only grows. Whatever is read back after a crash is therefore a lower bound, and so is the maximum of
+//! two findings, counter by counter: counters form a join-semilattice (a grow-only counter). Published counts are
+//! stored three times: in the request log, in the marks and, later, in a checkpoint. Losing one of them loses no count.
+//!
+//! | module | job |
 //! | --- | --- |
-//! | [`record`] | the record, its reasons and outcomes, its line in the request log |
+//! | [`outcomes`] | how requests and attempts end, with the stored names |
+//! | [`record`] | the record of a request and its line in the request log |
+//! | [`checksum_line`] | JSON lines that end in their own checksum |
 //! | [`counters`] | rows of counters by front, scope and name |
 //! | [`durable`] | marks and checkpoints as bytes |
-//! | [`replay`] | from what a disk holds back to counters |
-//! | [`figures`] | what operators read of a running process |
-//! | [`ledger`] | what is written when, and what of it may be shown |
-//! | [`times`] | quantiles of the last minute |
+//! | [`replay`] | rebuilds counters from stored bytes |
+//! | [`storage`] | the file operations the request log needs |
+//! | [`request_log`] | what is written when, and which counts may be published |
+//! | `file_names` | names of the files in the state directory |
+//! | `startup` | reads the state directory at the start |
+//! | [`events`] | status, and events for the program's log |
+//! | [`outcome_metrics`] | metrics of the running process |
+//! | [`latency_samples`] | latency quantiles of the last minute |
 //!
-//! There is no clock here, and no I/O but through a [`LogStorage`] that is handed in.
+//! Bounds: counters hold one row for each front and class or tenant; metrics one set for each class; latency samples as
+//! many rows as their constructor says.
 
 #![forbid(unsafe_code)]
 
+pub mod checksum_line;
 pub mod counters;
 pub mod durable;
+pub mod events;
+mod file_names;
 pub mod latency_samples;
 pub mod outcome_metrics;
+pub mod outcomes;
 pub mod record;
 pub mod replay;
 pub mod request_log;
+mod startup;
+pub mod storage;
 
+pub use checksum_line::{ChecksumLine, CorruptRecord};
 pub use counters::{COUNTERS_PER_ROW, Counter, CounterRow, Counters, RowKey, Scope};
-pub use durable::{Checkpoint, DurableMark, LogPosition};
+pub use durable::{Checkpoint, DurableMark, LogPosition, SequenceRange};
+pub use events::{LogEvent, LogStatus};
 pub use latency_samples::LatencySamples;
 pub use outcome_metrics::OutcomeMetrics;
-pub use record::{
-    AttemptOutcome, AttemptRecord, ChecksumLine, CorruptRecord, FailureReason, FinalOutcome,
-    RejectionReason, RequestRecord,
-};
+pub use outcomes::{AttemptOutcome, FailureReason, FinalOutcome, RejectionReason};
+pub use record::{AttemptRecord, RequestRecord};
 pub use replay::{Recovered, Replay};
-pub use request_log::{LogStatus, LogStorage, RequestLog, SegmentLimits};
+pub use request_log::{RequestLog, SegmentLimits};
+pub use storage::LogStorage;
--- a/crates/request-log/src/outcome_metrics.rs
+++ b/crates/request-log/src/outcome_metrics.rs
@@ -1,197 +1,157 @@
-//! The figures that operators read: counts from the start of the process, and gauges of what is so now.
+//! Metrics of the running process: counts since its start, and gauges. The metric names are scraped and never change.
 //!
-//! Each count is taken in one place, where the thing becomes true: final answers by the reducer as it decides them, attempts by
-//! whoever has written an attempt's last byte. Gauges are the reducer's own, set once a turn.
+//! Each count is taken in one place, when it becomes true: final answers by the reducer as it decides them, attempts by
+//! whoever wrote an attempt's last byte. The reducer sets the gauges once a turn. There is one set of counts for each
+//! class, whose number is fixed.
 
 use std::fmt::Write;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-use crate::FinalOutcome;
+use crate::outcomes::FinalOutcome;
 
-/// What is told of each class, and of the whole.
-const COUNTS: [&str; 4] = ["fulfilled", "throttled", "faulted", "relayed"];
-const GAUGES: [&str; 3] = ["open_requests", "registry_entries", "out_of_rotation"];
-
-/// What is counted of a class.
+/// The counts of a class.
 #[derive(Debug, Default)]
-struct Class {
-    fulfilled: AtomicU64,
-    throttled: AtomicU64,
-    faulted: AtomicU64,
-    relayed: AtomicU64,
+struct ClassCounts {
+    served: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
+    attempts_sent: AtomicU64,
+}
+
+/// Values of [`ClassCounts`], added up over fronts.
+struct ClassTotals<'a> {
+    class: &'a str,
+    served: u64,
+    rejected: u64,
+    failed: u64,
+    attempts_sent: u64,
+}
+
+impl<'a> ClassTotals<'a> {
+    const fn zero(class: &'a str) -> Self {
+        Self {
+            class,
+            served: 0,
+            rejected: 0,
+            failed: 0,
+            attempts_sent: 0,
+        }
+    }
+
+    fn add(&mut self, counts: &ClassCounts) {
+        self.served += counts.served.load(Relaxed);
+        self.rejected += counts.rejected.load(Relaxed);
+        self.failed += counts.failed.load(Relaxed);
+        self.attempts_sent += counts.attempts_sent.load(Relaxed);
+    }
+
+    fn render(&self, out: &mut String) {
+        let metrics = [
+            ("fulfilled", self.served),
+            ("throttled", self.rejected),
+            ("faulted", self.failed),
+            ("relayed", self.attempts_sent),
+        ];
+        for (name, value) in metrics {
+            // Writing to a string cannot fail.
+            let _ = writeln!(out, "balancer.operations.{}.{name}:{value}|c", self.class);
+        }
+    }
 }
 
-/// Counts and gauges of one front. Their number is that of the classes, which is fixed.
+/// Counts and gauges of one front.
 #[derive(Debug, Default)]
 pub struct OutcomeMetrics {
-    names: Vec<Arc<str>>,
-    classes: Vec<Class>,
-    open: AtomicU64,
-    listed: AtomicU64,
-    avoided: AtomicU64,
+    class_names: Vec<Arc<str>>,
+    classes: Vec<ClassCounts>,
+    open_requests: AtomicU64,
+    listed_endpoints: AtomicU64,
+    ejected_endpoints: AtomicU64,
 }
 
 impl OutcomeMetrics {
-    /// All at 0, for classes of these names.
+    /// Metrics at 0 for classes of these names.
     #[must_use]
-    pub fn new(names: &[String]) -> Self {
+    pub fn new(class_names: &[String]) -> Self {
         Self {
-            names: names.iter().map(|n| Arc::from(n.as_str())).collect(),
-            classes: names.iter().map(|_| Class::default()).collect(),
+            class_names: class_names
+                .iter()
+                .map(|name| Arc::from(name.as_str()))
+                .collect(),
+            classes: class_names.iter().map(|_| ClassCounts::default()).collect(),
             ..Self::default()
         }
     }
 
-    /// A request of a class had its final answer; what its client abandoned has none.
-    pub fn ended(&self, class: usize, how: &FinalOutcome) {
+    /// Counts the final answer of a request; an aborted request has none. Unknown classes are ignored.
+    pub fn count_final_answer(&self, class: usize, outcome: &FinalOutcome) {
         let Some(class) = self.classes.get(class) else {
             return;
         };
-        let count = match how {
-            FinalOutcome::InTime | FinalOutcome::Late => &class.fulfilled,
-            FinalOutcome::Rejected(_) => &class.throttled,
-            FinalOutcome::Failed(_) => &class.faulted,
+        let count = match outcome {
+            FinalOutcome::InTime | FinalOutcome::Late => &class.served,
+            FinalOutcome::Rejected(_) => &class.rejected,
+            FinalOutcome::Failed(_) => &class.failed,
             FinalOutcome::Aborted => return,
         };
         count.fetch_add(1, Relaxed);
     }
 
-    /// The last byte of an attempt at a request of a class was written to a member.
-    pub fn relayed(&self, class: usize) {
+    /// Counts an attempt whose last byte was written to an endpoint. Unknown classes are ignored.
+    pub fn count_attempt_sent(&self, class: usize) {
         if let Some(class) = self.classes.get(class) {
-            class.relayed.fetch_add(1, Relaxed);
+            class.attempts_sent.fetch_add(1, Relaxed);
         }
     }
 
-    /// Requests that are open, members on the list, and those among them that are avoided.
-    pub fn gauges(&self, open: usize, listed: usize, avoided: usize) {
-        for (gauge, value) in [
-            (&self.open, open),
-            (&self.listed, listed),
-            (&self.avoided, avoided),
-        ] {
-            gauge.store(value as u64, Relaxed);
-        }
+    /// Sets the gauges: open requests, endpoints on the list, and the ejected ones among them.
+    pub fn set_gauges(&self, open: usize, listed: usize, ejected: usize) {
+        self.open_requests.store(open as u64, Relaxed);
+        self.listed_endpoints.store(listed as u64, Relaxed);
+        self.ejected_endpoints.store(ejected as u64, Relaxed);
     }
 
-    /// One a line, `name:value|c` for counts and `name:value|g` for gauges, in the order of the classes.
+    /// One metric a line, `name:value|c` for counts and `name:value|g` for gauges, in the order of the classes.
     #[must_use]
     pub fn text(&self) -> String {
         text([self])
     }
 }
 
-/// The figures of a process with several fronts, in the form of [`OutcomeMetrics::text`]: the one place where they are added up. Each
-/// front counts for itself, so nothing is in two of them; classes of one name are one class, in the order in which names come.
+/// The metrics of a process with several fronts, in the form of [`OutcomeMetrics::text`]. Values are added up over the
+/// fronts; classes of the same name are one class, in the order in which the names first come.
 #[must_use]
 pub fn text<'a>(fronts: impl IntoIterator<Item = &'a OutcomeMetrics>) -> String {
-    let mut names: Vec<(&str, [u64; COUNTS.len()])> = vec![];
-    let mut gauges = [0; GAUGES.len()];
-    for outcome_metrics in fronts {
-        for (name, class) in outcome_metrics.names.iter().zip(&outcome_metrics.classes) {
-            let at = names
-                .iter()
-                .position(|(known, _)| **known == **name)
-                .unwrap_or_else(|| {
-                    names.push((name, [0; COUNTS.len()]));
-                    names.len() - 1
-                });
-            let counts = [
-                &class.fulfilled,
-                &class.throttled,
-                &class.faulted,
-                &class.relayed,
-            ];
-            names[at]
-                .1
-                .iter_mut()
-                .zip(counts)
-                .for_each(|(sum, count)| *sum += count.load(Relaxed));
+    let mut totals: Vec<ClassTotals<'_>> = vec![];
+    let mut open = 0;
+    let mut listed = 0;
+    let mut ejected = 0;
+    for front in fronts {
+        for (name, counts) in front.class_names.iter().zip(&front.classes) {
+            let known = totals.iter().position(|total| *total.class == **name);
+            let index = known.unwrap_or_else(|| {
+                totals.push(ClassTotals::zero(name));
+                totals.len() - 1
+            });
+            totals[index].add(counts);
         }
-        let own = [
-            &outcome_metrics.open,
-            &outcome_metrics.listed,
-            &outcome_metrics.avoided,
-        ];
-        gauges
-            .iter_mut()
-            .zip(own)
-            .for_each(|(sum, gauge)| *sum += gauge.load(Relaxed));
+        open += front.open_requests.load(Relaxed);
+        listed += front.listed_endpoints.load(Relaxed);
+        ejected += front.ejected_endpoints.load(Relaxed);
     }
     let mut out = String::new();
-    for (name, counts) in names {
-        for (what, count) in COUNTS.iter().zip(counts) {
-            let _ = writeln!(out, "balancer.operations.{name}.{what}:{count}|c");
-        }
+    for total in &totals {
+        total.render(&mut out);
     }
-    for (what, value) in GAUGES.iter().zip(gauges) {
-        let _ = writeln!(out, "balancer.{what}:{value}|g");
+    let gauges = [
+        ("open_requests", open),
+        ("registry_entries", listed),
+        ("out_of_rotation", ejected),
+    ];
+    for (name, value) in gauges {
+        // Writing to a string cannot fail.
+        let _ = writeln!(out, "balancer.{name}:{value}|g");
     }
     out
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{FailureReason, RejectionReason};
-
-    #[test]
-    fn each_final_answer_is_in_one_count_and_what_was_abandoned_in_none() {
-        let outcome_metrics = OutcomeMetrics::new(&["basket".into(), "order".into()]);
-        let all = [
-            FinalOutcome::InTime,
-            FinalOutcome::Late,
-            FinalOutcome::Rejected(RejectionReason::TooManyOpen),
-            FinalOutcome::Aborted,
-        ];
-        all.iter().for_each(|how| outcome_metrics.ended(1, how));
-        outcome_metrics.ended(1, &FinalOutcome::Failed(FailureReason::Timeout));
-        outcome_metrics.ended(7, &FinalOutcome::InTime);
-        (0..3).for_each(|_| outcome_metrics.relayed(0));
-        outcome_metrics.gauges(14, 5, 1);
-        let text = outcome_metrics.text();
-        let want = "balancer.operations.basket.fulfilled:0|c\nbalancer.operations.basket.throttled:0|c\n\
-             balancer.operations.basket.faulted:0|c\nbalancer.operations.basket.relayed:3|c\n\
-             balancer.operations.order.fulfilled:2|c\nbalancer.operations.order.throttled:1|c\n\
-             balancer.operations.order.faulted:1|c\nbalancer.operations.order.relayed:0|c\n\
-             balancer.open_requests:14|g\nbalancer.registry_entries:5|g\nbalancer.out_of_rotation:1|g\n";
-        assert_eq!(text, want);
-    }
-
-    #[test]
-    fn fronts_are_added_up_by_the_names_of_their_classes() {
-        let (one, two) = (
-            OutcomeMetrics::new(&["read".into(), "book".into()]),
-            OutcomeMetrics::new(&["stay".into(), "read".into()]),
-        );
-        one.ended(0, &FinalOutcome::InTime);
-        one.relayed(0);
-        two.ended(1, &FinalOutcome::Late);
-        two.ended(0, &FinalOutcome::Rejected(RejectionReason::TooManyOpen));
-        one.gauges(3, 2, 1);
-        two.gauges(4, 3, 0);
-        let both = text([&one, &two]);
-        let wants = [
-            "read.fulfilled:2|c",
-            "read.relayed:1|c",
-            "book.fulfilled:0|c",
-            "stay.throttled:1|c",
-        ];
-        assert!(
-            wants
-                .iter()
-                .all(|want| both.contains(&format!("balancer.operations.{want}\n"))),
-            "{both}"
-        );
-        assert_eq!(
-            both.matches("operations.read.").count(),
-            COUNTS.len(),
-            "one class of a name"
-        );
-        assert!(both.ends_with(
-            "open_requests:7|g\nbalancer.registry_entries:5|g\nbalancer.out_of_rotation:1|g\n"
-        ));
-        assert_eq!(text([&one]), one.text());
-    }
-}
--- a/crates/request-log/src/request_log.rs
+++ b/crates/request-log/src/request_log.rs
@@ -1,469 +1,355 @@
-//! The ledger: what is counted, what of that is durable, and what is written when. It reads no clock and starts no thread.
+//! The request log: counts records, writes them, and publishes counts only once they are durable.
+//!
+//! Input: records, and the calls [`RequestLog::flush`] and [`RequestLog::checkpoint`] at the caller's pace. Output: files
+//! through a [`LogStorage`], the published counters, the status, and events. It reads no clock and starts no thread.
+//! Its memory is the counters and the batch since the last flush.
 
 use std::collections::BTreeSet;
 use std::io;
 
 use crate::counters::{Counters, RowKey};
-use crate::durable::{Checkpoint, DurableMark, LogPosition};
+use crate::durable::{Checkpoint, DurableMark, LogPosition, SequenceRange};
+use crate::events::{LogEvent, LogStatus};
+use crate::file_names::{
+    CHECKPOINT, MARKS, NEW_CHECKPOINT, OLDER_CHECKPOINT, OLDER_MARKS, segment, segment_numbers,
+};
 use crate::record::RequestRecord;
-use crate::replay::{Recovered, Replay};
+use crate::startup::StoredState;
+use crate::storage::LogStorage;
 
-/// Files by name, as the ledger needs them. What a call has done is durable when it returns, but for
-/// [`LogStorage::rename`] and [`LogStorage::remove`], which [`LogStorage::sync`] makes so. The ledger does no I/O but through this.
-pub trait LogStorage: Send {
-    /// All names.
-    fn list(&self) -> io::Result<Vec<String>>;
-    /// A whole file.
-    fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Writes a whole file anew.
-    fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Appends to a file, which is made if it is not there.
-    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file.
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Puts a file in the place of another.
-    fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Takes a file away; that it is not there is no fault.
-    fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the names durable.
-    fn sync(&mut self) -> io::Result<()>;
-}
-
-/// Something that whoever reads the log should know.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
-    /// It is a trouble, or the end of one.
-    pub trouble: bool,
-    /// In words.
-    pub text: String,
-}
-
-const NEWEST: &str = "checkpoint";
-const OLDER: &str = "checkpoint.old";
-const ASIDE: &str = "checkpoint.new";
-const MARKS: &str = "marks.log";
-const OLD_MARKS: &str = "marks.old";
-
-/// 2020-01-01 in Unix milliseconds: where engine boots that were lost go on from.
-const LONG_AGO: u64 = 1_577_836_800_000;
-/// The most that engine boots may be (RFC 3414, section 2.2.2).
-const MOST_BOOTS: u32 = 2_147_483_647;
-
-/// How much is kept.
+/// How much of the request log is kept.
 #[derive(Clone, Copy, Debug)]
 pub struct SegmentLimits {
-    /// Bytes of a segment from which the next one begins.
+    /// Size from which a segment is followed by the next, in bytes.
     pub segment_bytes: u64,
-    /// Segments that are kept.
+    /// Segments that are kept. Segments that a checkpoint needs are kept beyond that.
     pub segments: usize,
 }
 
-/// How the ledger does.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LogStatus {
-    /// There is a folder.
-    pub durable: bool,
-    /// Since when the counters are without a break, in Unix milliseconds.
-    pub since_ms: u64,
-    /// Starts of the program, this one included.
-    pub boots: u32,
-    /// Records written by this process, and bytes of them.
-    pub written: u64,
-    /// Bytes of the request log written by this process.
-    pub bytes: u64,
-    /// The number of the last record.
-    pub seq: u64,
-    /// The segment that is written to.
-    pub segment: u64,
-    /// Checkpoints written by this process.
-    pub checkpoints: u64,
-    /// Things that were found wrong at the start or went wrong since.
-    pub faults: u64,
-    /// What is wrong now.
-    pub trouble: Option<String>,
+/// Records counted since the last flush.
+#[derive(Default)]
+struct PendingBatch {
+    records: u64,
+    /// Their lines; empty without storage.
+    lines: Vec<u8>,
 }
 
-/// Counts, writes, and knows what of that is durable.
-pub struct RequestLog<F> {
-    folder: Option<F>,
-    sizes: SegmentLimits,
-    /// All that was counted.
-    live: Counters,
-    /// What of that is durable: nothing else is shown.
-    shown: Counters,
-    /// Rows that changed since the last mark that is durable, and the first record that it will count.
-    touched: BTreeSet<RowKey>,
-    from: u64,
-    place: LogPosition,
-    /// The place that the older checkpoint's generation counts up to.
-    older: LogPosition,
+/// The request log and its counters.
+pub struct RequestLog<S> {
+    storage: Option<S>,
+    limits: SegmentLimits,
+    /// Everything counted so far.
+    counted: Counters,
+    /// What of that is durable; only this is published.
+    durable: Counters,
+    /// Rows that changed since the last durable mark.
+    changed_rows: BTreeSet<RowKey>,
+    /// Sequence number of the first record that the next mark counts.
+    mark_from: u64,
+    /// Where the next line goes.
+    position: LogPosition,
+    /// The position of the older checkpoint: the log is needed from there on.
+    older_checkpoint: LogPosition,
     /// Something changed since the last checkpoint.
-    stale: bool,
-    /// Half a mark may stand at the end of the file of marks, of an earlier process or of this one.
+    checkpoint_needed: bool,
+    /// The marks may end in a torn one, of an earlier process or of this one.
     marks_may_be_torn: bool,
-    lines: Vec<u8>,
-    pending: u64,
+    pending: PendingBatch,
     status: LogStatus,
-    notes: Vec<Note>,
+    events: Vec<LogEvent>,
 }
 
-fn segment(number: u64) -> String {
-    format!("requests-{number:08}.log")
-}
-
-/// The numbers of the segments that there are, in their order.
-fn segments(names: &[String]) -> Vec<u64> {
-    let number = |name: &String| {
-        name.strip_prefix("requests-")?
-            .strip_suffix(".log")?
-            .parse()
-            .ok()
-    };
-    let mut all: Vec<u64> = names.iter().filter_map(number).collect();
-    all.sort_unstable();
-    all
+/// Treats a missing file as success.
+fn ignore_missing(error: io::Error) -> io::Result<()> {
+    if error.kind() == io::ErrorKind::NotFound {
+        Ok(())
+    } else {
+        Err(error)
+    }
 }
 
-/// Reads all that a folder holds.
-fn replay(folder: &impl LogStorage, names: &[String]) -> (Recovered, Vec<String>) {
-    let mut unread = vec![];
-    let mut read = |name: &str| match folder.read(name) {
-        Ok(bytes) => Some(bytes),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => None,
-        Err(e) => {
-            unread.push(format!("{name}: {e}"));
-            None
-        }
-    };
-    let mut replay = Replay::begin(read(NEWEST).as_deref(), read(OLDER).as_deref());
-    for name in [OLD_MARKS, MARKS] {
-        let bytes = read(name).unwrap_or_default();
-        bytes
-            .split_inclusive(|b| *b == b'\n')
-            .for_each(|line| replay.mark(line));
-    }
-    let from = replay.from();
-    for number in segments(names).into_iter().filter(|n| *n >= from.segment) {
-        let bytes = read(&segment(number)).unwrap_or_default();
-        let mut place = LogPosition {
-            segment: number,
-            offset: 0,
-        };
-        for line in bytes.split_inclusive(|b| *b == b'\n') {
-            if place >= from {
-                replay.line(place, line);
-            }
-            place.offset += line.len() as u64;
-        }
-    }
-    (replay.finish(), unread)
+/// Replaces the newest checkpoint, which becomes the older one, together with the marks since it.
+fn write_checkpoint(storage: &mut impl LogStorage, checkpoint: &Checkpoint) -> io::Result<()> {
+    storage.write(NEW_CHECKPOINT, &checkpoint.bytes())?;
+    storage
+        .rename(CHECKPOINT, OLDER_CHECKPOINT)
+        .or_else(ignore_missing)?;
+    storage.rename(NEW_CHECKPOINT, CHECKPOINT)?;
+    storage.rename(MARKS, OLDER_MARKS).or_else(ignore_missing)?;
+    storage.sync()
 }
 
-impl<F: LogStorage> RequestLog<F> {
-    /// One that keeps nothing: all that is counted is shown.
+impl<S: LogStorage> RequestLog<S> {
+    /// A log without storage: counts are published at each flush and end with the process.
     #[must_use]
-    pub fn fleeting(now_ms: u64) -> Self {
+    pub fn in_memory(now_ms: u64) -> Self {
         let status = LogStatus {
             since_ms: now_ms,
             boots: 1,
             ..LogStatus::default()
         };
-        let sizes = SegmentLimits {
+        let limits = SegmentLimits {
             segment_bytes: u64::MAX,
             segments: 1,
         };
-        Self::with(None, sizes, Checkpoint::default(), status)
+        Self::new(None, limits, Checkpoint::default(), status)
     }
 
-    fn with(folder: Option<F>, sizes: SegmentLimits, at: Checkpoint, status: LogStatus) -> Self {
+    fn new(
+        storage: Option<S>,
+        limits: SegmentLimits,
+        start: Checkpoint,
+        status: LogStatus,
+    ) -> Self {
         Self {
-            folder,
-            sizes,
-            shown: at.counters.clone(),
-            live: at.counters,
-            touched: BTreeSet::new(),
-            from: at.seq + 1,
-            place: at.place,
-            older: at.place,
-            stale: true,
+            storage,
+            limits,
+            durable: start.counters.clone(),
+            counted: start.counters,
+            changed_rows: BTreeSet::new(),
+            mark_from: start.last_sequence + 1,
+            position: start.position,
+            older_checkpoint: start.position,
+            checkpoint_needed: true,
             marks_may_be_torn: true,
-            lines: vec![],
-            pending: 0,
-            notes: vec![],
+            pending: PendingBatch::default(),
+            events: vec![],
             status: LogStatus {
-                seq: at.seq,
-                segment: at.place.segment,
+                last_sequence: start.last_sequence,
+                segment: start.position.segment,
                 ..status
             },
         }
     }
 
-    /// Takes up what a folder holds, and begins a new segment. What is wrong is logged and counted; it never keeps the
-    /// gateway from serving.
+    /// Continues from what the storage holds, in a new segment. Faults are reported and counted; none keeps the gateway
+    /// from serving. `now_ms` is Unix time in milliseconds.
     #[must_use]
-    pub fn open(mut folder: F, sizes: SegmentLimits, now_ms: u64) -> Self {
-        let (names, unlisted) = match folder.list() {
-            Ok(names) => (names, None),
-            Err(e) => (vec![], Some(e.to_string())),
-        };
-        let (mut back, unread) = replay(&folder, &names);
-        let mut notes = vec![];
-        let mut warn = |text: String| {
-            notes.push(Note {
-                trouble: true,
-                text,
-            })
-        };
-        for what in unlisted.iter().chain(&unread) {
-            back.faults += 1;
-            warn(what.clone());
+    pub fn open(mut storage: S, limits: SegmentLimits, now_ms: u64) -> Self {
+        let mut stored = StoredState::read(&storage);
+        let mut events = vec![];
+        for error in std::mem::take(&mut stored.read_errors) {
+            events.push(LogEvent::ReadFailed(error));
+        }
+        for issue in std::mem::take(&mut stored.recovered.issues) {
+            events.push(LogEvent::Replay(issue));
         }
-        back.troubles
-            .iter()
-            .for_each(|trouble| warn(trouble.to_string()));
-        for cut in &back.cuts {
-            if let Err(e) = folder.cut(&segment(cut.segment), cut.offset) {
-                warn(format!(
-                    "segment {} stays torn at its end: {e}",
-                    cut.segment
-                ));
+        for end in &stored.recovered.torn_ends {
+            if let Err(e) = storage.truncate(&segment(end.segment), end.offset) {
+                events.push(LogEvent::TruncateFailed {
+                    segment: end.segment,
+                    error: e.to_string(),
+                });
             }
         }
-        let at = &mut back.checkpoint;
-        let some = names.iter().any(|n| n != "lock") || unlisted.is_some();
-        // Boots that were lost go on from a number that is surely beyond them: the minutes since 2020.
-        let boots = if at.boots == 0 && some {
-            u32::try_from(now_ms.saturating_sub(LONG_AGO) / 60_000).unwrap_or(MOST_BOOTS)
-        } else {
-            at.boots
-        };
-        at.boots = (boots + 1).min(MOST_BOOTS);
-        if at.since_ms == 0 || back.broken {
-            at.since_ms = now_ms;
+        let boots = stored.next_boots(now_ms);
+        let position = stored.next_position();
+        let recovered = stored.recovered;
+        let mut start = recovered.checkpoint;
+        start.boots = boots;
+        start.position = position;
+        if start.since_ms == 0 || recovered.counts_lost {
+            start.since_ms = now_ms;
         }
-        let last = segments(&names)
-            .last()
-            .copied()
-            .unwrap_or(0)
-            .max(at.place.segment);
-        at.place = LogPosition {
-            segment: last + 1,
-            offset: 0,
-        };
-        let text = format!(
-            "start {}, {} records so far, {} faults",
-            at.boots, at.seq, back.faults
-        );
-        notes.push(Note {
-            trouble: false,
-            text,
+        events.push(LogEvent::Opened {
+            boots,
+            records: start.last_sequence,
+            faults: recovered.fault_count,
         });
-        let (since_ms, boots, faults) = (at.since_ms, at.boots, back.faults);
         let status = LogStatus {
             durable: true,
-            since_ms,
+            since_ms: start.since_ms,
             boots,
-            faults,
+            fault_count: recovered.fault_count,
             ..LogStatus::default()
         };
-        let mut request_log = Self::with(Some(folder), sizes, back.checkpoint, status);
-        request_log.notes = notes;
-        request_log.checkpoint();
-        request_log
+        let mut log = Self::new(Some(storage), limits, start, status);
+        log.events = events;
+        log.checkpoint();
+        log
     }
 
-    /// Counts a record; it is written with the next batch.
+    /// Counts a record; it is written with the next flush. `unix_ms` is the time of its final answer.
     pub fn record(&mut self, record: &RequestRecord, unix_ms: u64) {
-        self.status.seq += 1;
-        self.pending += 1;
-        self.touched.extend(Counters::keys(record));
-        self.live.count(record);
-        if self.folder.is_some() {
-            record.put(&mut self.lines, self.status.seq, unix_ms);
+        self.status.last_sequence += 1;
+        self.pending.records += 1;
+        self.changed_rows.extend(Counters::row_keys(record));
+        self.counted.count(record);
+        if self.storage.is_some() {
+            let sequence = self.status.last_sequence;
+            record.append_line(&mut self.pending.lines, sequence, unix_ms);
         }
     }
 
-    /// Counts what was counted elsewhere, of which there are no records.
-    pub fn missed(&mut self, counted: &Counters) {
-        self.touched
-            .extend(counted.rows().map(|(key, _)| key.clone()));
-        self.live.add(counted);
-        self.stale = true;
+    /// Adds counts of records that were counted elsewhere and are not in the log.
+    pub fn add_unlogged(&mut self, counts: &Counters) {
+        let keys = counts.rows().map(|(key, _)| key.clone());
+        self.changed_rows.extend(keys);
+        self.counted.add(counts);
+        self.checkpoint_needed = true;
     }
 
-    /// Makes durable what was counted since the last batch, and shows it then. After a failure it is tried again with
-    /// the next batch: lines that could not be written are lost to the request log and counted as missed, counts are not.
+    /// Makes durable what was counted since the last flush, then publishes it.
+    ///
+    /// Lines that cannot be written are lost to the request log and counted as unlogged. Counts are not lost: they are
+    /// written again with the next flush.
     pub fn flush(&mut self) {
-        let pending = std::mem::take(&mut self.pending);
-        let lines = std::mem::take(&mut self.lines);
-        let Some(folder) = &mut self.folder else {
-            self.status.written += pending;
-            self.shown = self.live.clone();
-            self.touched.clear();
+        let batch = std::mem::take(&mut self.pending);
+        if self.storage.is_none() {
+            self.status.records_written += batch.records;
+            self.publish();
             return;
-        };
-        if pending == 0 && self.touched.is_empty() && self.live.missed == self.shown.missed {
+        }
+        let unlogged_changed = self.counted.unlogged != self.durable.unlogged;
+        if batch.records == 0 && self.changed_rows.is_empty() && !unlogged_changed {
             return;
         }
-        self.stale = true;
-        let mut trouble = None;
-        if pending > 0 {
-            match folder.append(&segment(self.place.segment), &lines) {
-                Ok(()) => {
-                    self.place.offset += lines.len() as u64;
-                    self.status.written += pending;
-                    self.status.bytes += lines.len() as u64;
-                }
-                Err(e) => {
-                    trouble = Some(format!("the request log cannot be written: {e}"));
-                    self.live.missed += pending;
-                    // Half a batch may be there: the next one must not be appended to it.
-                    let _ = folder.cut(&segment(self.place.segment), self.place.offset);
-                    self.place = LogPosition {
-                        segment: self.place.segment + 1,
-                        offset: 0,
-                    };
-                }
-            }
+        self.checkpoint_needed = true;
+        let record_fault = self.write_records(&batch);
+        let mark_fault = self.write_mark();
+        self.status.segment = self.position.segment;
+        let fault = mark_fault.or(record_fault);
+        let failed = fault.is_some();
+        self.set_fault(fault);
+        if failed || self.position.offset >= self.limits.segment_bytes {
+            self.checkpoint();
+        }
+    }
+
+    /// Appends the lines of a batch to the segment. Returns the fault, if it failed.
+    fn write_records(&mut self, batch: &PendingBatch) -> Option<String> {
+        let storage = self.storage.as_mut()?;
+        if batch.records == 0 {
+            return None;
+        }
+        let file = segment(self.position.segment);
+        let length = batch.lines.len() as u64;
+        let Err(e) = storage.append(&file, &batch.lines) else {
+            self.position.offset += length;
+            self.status.records_written += batch.records;
+            self.status.bytes_written += length;
+            return None;
+        };
+        self.counted.unlogged += batch.records;
+        // A part of the batch may have been written. A batch appended behind it would begin in the middle of a line,
+        // and the replay would find a corrupt record. The next batch goes to a new segment, so a failing truncation
+        // does no harm: the replay finds a torn end.
+        let _ = storage.truncate(&file, self.position.offset);
+        self.position = LogPosition::start_of(self.position.segment + 1);
+        Some(format!("the request log cannot be written: {e}"))
+    }
+
+    /// Appends a mark of the rows that changed, and publishes. Returns the fault, if it failed.
+    fn write_mark(&mut self) -> Option<String> {
+        let storage = self.storage.as_mut()?;
+        let mut line = vec![];
+        // A mark appended to a torn one would be lost with it, and so would counts that were already published. An
+        // empty line ends the torn mark; the replay skips it.
+        if self.marks_may_be_torn {
+            line.push(b'\n');
         }
-        // A mark that was written half must not spoil this one: it gets a line of its own.
-        let mut mark = if self.marks_may_be_torn {
-            b"\n".to_vec()
-        } else {
-            vec![]
+        let batch = SequenceRange {
+            first: self.mark_from,
+            last: self.status.last_sequence,
         };
-        DurableMark::put(
-            &mut mark,
-            (self.from, self.status.seq),
-            &self.live,
-            self.touched.iter(),
-        );
-        match folder.append(MARKS, &mark) {
+        DurableMark::append(&mut line, batch, &self.counted, self.changed_rows.iter());
+        match storage.append(MARKS, &line) {
             Ok(()) => {
                 self.marks_may_be_torn = false;
-                self.shown = self.live.clone();
-                self.touched.clear();
-                self.from = self.status.seq + 1;
+                self.publish();
+                None
             }
             Err(e) => {
                 self.marks_may_be_torn = true;
-                trouble = Some(format!("marks cannot be written: {e}"));
+                Some(format!("marks cannot be written: {e}"))
             }
         }
-        self.status.segment = self.place.segment;
-        let failed = trouble.is_some();
-        self.troubled(trouble);
-        if failed || self.place.offset >= self.sizes.segment_bytes {
-            self.checkpoint();
-        }
     }
 
-    /// Says once that there is trouble, and once that it is over.
-    fn troubled(&mut self, trouble: Option<String>) {
-        match (&trouble, &self.status.trouble) {
-            (Some(what), None) => {
-                let text =
-                    format!("{what}; counters go on, and stay as they are shown until it is over");
-                self.notes.push(Note {
-                    trouble: true,
-                    text,
-                });
-            }
-            (None, Some(_)) => self.notes.push(Note {
-                trouble: false,
-                text: "all is written again".into(),
-            }),
+    /// Everything counted is durable.
+    fn publish(&mut self) {
+        self.durable = self.counted.clone();
+        self.changed_rows.clear();
+        self.mark_from = self.status.last_sequence + 1;
+    }
+
+    /// Sets or clears the current fault; its begin and its end are reported once each.
+    fn set_fault(&mut self, fault: Option<String>) {
+        match (&fault, &self.status.fault) {
+            (Some(fault), None) => self.events.push(LogEvent::WritesFailing(fault.clone())),
+            (None, Some(_)) => self.events.push(LogEvent::WritesRecovered),
             _ => {}
         }
-        self.status.faults += u64::from(trouble.is_some());
-        self.status.trouble = trouble;
+        self.status.fault_count += u64::from(fault.is_some());
+        self.status.fault = fault;
     }
 
-    /// Writes all counters, so that the log need be read from here on only.
+    /// Writes all counters, if they changed since the last checkpoint, so that the log is needed from here on only.
     pub fn checkpoint(&mut self) {
-        if !std::mem::take(&mut self.stale) {
+        if !std::mem::take(&mut self.checkpoint_needed) {
             return;
         }
-        if self.place.offset >= self.sizes.segment_bytes {
-            self.place = LogPosition {
-                segment: self.place.segment + 1,
-                offset: 0,
-            };
-            self.status.segment = self.place.segment;
+        if self.position.offset >= self.limits.segment_bytes {
+            self.position = LogPosition::start_of(self.position.segment + 1);
+            self.status.segment = self.position.segment;
         }
-        let Some(folder) = &mut self.folder else {
+        let Some(storage) = &mut self.storage else {
             return;
         };
         let checkpoint = Checkpoint {
-            seq: self.status.seq,
-            place: self.place,
+            last_sequence: self.status.last_sequence,
+            position: self.position,
             boots: self.status.boots,
             since_ms: self.status.since_ms,
-            counters: self.live.clone(),
-        };
-        let mut written = || {
-            folder.write(ASIDE, &checkpoint.bytes())?;
-            let there = |e: io::Error| {
-                if e.kind() == io::ErrorKind::NotFound {
-                    Ok(())
-                } else {
-                    Err(e)
-                }
-            };
-            folder.rename(NEWEST, OLDER).or_else(there)?;
-            folder.rename(ASIDE, NEWEST)?;
-            // What the marks say up to here is in the checkpoint; those since the older one are kept with it.
-            folder.rename(MARKS, OLD_MARKS).or_else(there)?;
-            folder.sync()
+            counters: self.counted.clone(),
         };
-        match written() {
+        match write_checkpoint(storage, &checkpoint) {
             Ok(()) => {
-                self.status.checkpoints += 1;
-                self.shown = self.live.clone();
-                self.touched.clear();
-                self.from = self.status.seq + 1;
-                let older = std::mem::replace(&mut self.older, self.place);
-                self.drop_segments(older.segment);
-                self.troubled(None);
+                self.status.checkpoints_written += 1;
+                self.publish();
+                let older = std::mem::replace(&mut self.older_checkpoint, self.position);
+                self.remove_segments_before(older.segment);
+                self.set_fault(None);
             }
             Err(e) => {
-                self.stale = true;
-                self.troubled(Some(format!("a checkpoint cannot be written: {e}")));
+                self.checkpoint_needed = true;
+                self.set_fault(Some(format!("a checkpoint cannot be written: {e}")));
             }
         }
     }
 
-    /// Takes away the oldest segments beyond what is kept, none that a checkpoint still counts on.
-    fn drop_segments(&mut self, needed: u64) {
-        let Some(folder) = &mut self.folder else {
+    /// Removes the oldest segments beyond the limit, as far as no checkpoint needs them.
+    fn remove_segments_before(&mut self, needed: u64) {
+        let Some(storage) = &mut self.storage else {
             return;
         };
-        let Ok(names) = folder.list() else { return };
-        let all = segments(&names);
-        let spare = all.len().saturating_sub(self.sizes.segments);
-        for number in all.into_iter().take(spare).filter(|n| *n < needed) {
-            if let Err(e) = folder.remove(&segment(number)) {
-                let text = format!("{} cannot be taken away: {e}", segment(number));
-                self.notes.push(Note {
-                    trouble: true,
-                    text,
-                });
+        let Ok(names) = storage.list() else { return };
+        let numbers = segment_numbers(&names);
+        let excess = numbers.len().saturating_sub(self.limits.segments);
+        for number in numbers.into_iter().take(excess) {
+            if number >= needed {
+                continue;
+            }
+            let file = segment(number);
+            if let Err(e) = storage.remove(&file) {
+                let error = e.to_string();
+                self.events.push(LogEvent::RemoveFailed { file, error });
             }
         }
     }
 
-    /// What the log should be told since this was asked last.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    /// Events since the last call.
+    pub fn take_events(&mut self) -> Vec<LogEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// What may be shown.
+    /// The counters that may be published: everything in them is durable, or there is no storage.
     #[must_use]
-    pub const fn shown(&self) -> &Counters {
-        &self.shown
+    pub const fn durable_counters(&self) -> &Counters {
+        &self.durable
     }
 
-    /// How it does.
+    /// The status.
     #[must_use]
     pub const fn status(&self) -> &LogStatus {
         &self.status
--- a/crates/request-log/tests/replay.rs
+++ b/crates/request-log/tests/replay.rs
@@ -1,5 +1,5 @@
-//! What a disk holds back after a crash: whatever single file is torn, truncated, flipped or gone, no counter that was
-//! shown falls, and where nothing is spoilt the counters are exactly the sum of the records.
+//! Replay after a crash: whichever single file is torn, truncated, corrupt or missing, no published counter falls; if
+//! nothing is damaged, the counters are exactly the sum of the records.
 
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A gateway's disk: the log in segments, marks, two checkpoints; and what readers were shown.
+/// A gateway's disk: the log in segments, marks, two checkpoints; and the published counters.
 #[derive(Default)]
 struct Disk {
     segments: Vec<Vec<u8>>,
@@ -48,51 +48,55 @@
     newest: Option<Vec<u8>>,
     older: Option<Vec<u8>>,
     counters: Counters,
-    seq: u64,
+    last_sequence: u64,
 }
 
 impl Disk {
-    /// Writes batches of these sizes; every `each`th is followed by a checkpoint, every `turn`th by a new segment.
-    fn write(sizes: &[u64], each: usize, turn: usize) -> Self {
+    /// Writes batches of these sizes; a checkpoint follows every `checkpoint_every`th, a new segment every
+    /// `segment_every`th.
+    fn write(sizes: &[u64], checkpoint_every: usize, segment_every: usize) -> Self {
         let mut disk = Self {
             segments: vec![vec![]],
             ..Self::default()
         };
         let mut old_marks = vec![];
         for (n, size) in sizes.iter().enumerate() {
-            let from = disk.seq + 1;
-            let mut touched = std::collections::BTreeSet::new();
+            let first = disk.last_sequence + 1;
+            let mut changed = std::collections::BTreeSet::new();
             for _ in 0..*size {
-                disk.seq += 1;
-                let record = record(disk.seq);
-                record.put(disk.segments.last_mut().unwrap(), disk.seq, 0);
-                touched.extend(Counters::keys(&record));
+                disk.last_sequence += 1;
+                let record = record(disk.last_sequence);
+                record.append_line(disk.segments.last_mut().unwrap(), disk.last_sequence, 0);
+                changed.extend(Counters::row_keys(&record));
                 disk.counters.count(&record);
             }
-            DurableMark::put(
+            DurableMark::append(
                 &mut disk.marks,
-                (from, disk.seq),
+                SequenceRange {
+                    first,
+                    last: disk.last_sequence,
+                },
                 &disk.counters,
-                touched.iter(),
+                changed.iter(),
             );
-            if n % turn == turn - 1 {
+            if n % segment_every == segment_every - 1 {
                 disk.segments.push(vec![]);
             }
-            if n % each == each - 1 {
-                let place = LogPosition {
+            if n % checkpoint_every == checkpoint_every - 1 {
+                let position = LogPosition {
                     segment: disk.segments.len() as u64,
                     offset: disk.segments.last().unwrap().len() as u64,
                 };
-                let (seq, counters) = (disk.seq, disk.counters.clone());
+                let (last_sequence, counters) = (disk.last_sequence, disk.counters.clone());
                 let checkpoint = Checkpoint {
-                    seq,
-                    place,
+                    last_sequence,
+                    position,
                     boots: 1,
                     since_ms: 5,
                     counters,
                 };
                 disk.older = disk.newest.replace(checkpoint.bytes());
-                // Marks of the last generation are kept, as the checkpoint itself is.
+                // Marks since the older checkpoint are kept, as that checkpoint is.
                 let new = disk.marks.split_off(old_marks.len());
                 (old_marks, disk.marks) = (new.clone(), new);
             }
@@ -101,20 +105,17 @@
     }
 
     fn replay(&self) -> Recovered {
-        let mut replay = Replay::begin(self.newest.as_deref(), self.older.as_deref());
-        self.marks
-            .split_inclusive(|b| *b == b'\n')
-            .for_each(|line| replay.mark(line));
+        let mut replay = Replay::new(self.newest.as_deref(), self.older.as_deref());
+        for line in self.marks.split_inclusive(|b| *b == b'\n') {
+            replay.add_mark(line);
+        }
         for (n, segment) in (1..).zip(&self.segments) {
-            let mut place = LogPosition {
-                segment: n,
-                offset: 0,
-            };
+            let mut position = LogPosition::start_of(n);
             for line in segment.split_inclusive(|b| *b == b'\n') {
-                if place >= replay.from() {
-                    replay.line(place, line);
+                if position >= replay.start_position() {
+                    replay.add_line(position, line);
                 }
-                place.offset += line.len() as u64;
+                position.offset += line.len() as u64;
             }
         }
         replay.finish()
@@ -129,37 +130,37 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_sound_disk_gives_back_exactly_what_was_counted(sizes in sizes(), each in 1..6_usize, turn in 1..6_usize) {
-        let disk = Disk::write(&sizes, each, turn);
+    fn undamaged_disk_gives_exactly_the_counts(sizes in sizes(), checkpoint_every in 1..6_usize, segment_every in 1..6_usize) {
+        let disk = Disk::write(&sizes, checkpoint_every, segment_every);
         let back = disk.replay();
-        prop_assert_eq!(&back.troubles, &vec![]);
-        prop_assert!(!back.broken);
-        prop_assert_eq!(back.checkpoint.seq, disk.seq);
+        prop_assert_eq!(&back.issues, &vec![]);
+        prop_assert!(!back.counts_lost);
+        prop_assert_eq!(back.checkpoint.last_sequence, disk.last_sequence);
         prop_assert_eq!(back.checkpoint.counters, disk.counters);
     }
 
     #[test]
-    fn a_torn_end_is_cut_and_costs_no_count(sizes in sizes(), each in 1..6_usize, cut in 1..400_usize) {
-        let mut disk = Disk::write(&sizes, each, 100);
-        // What is in the middle of being written was not shown yet: one more record, half of it on the disk.
+    fn torn_end_is_truncated_and_loses_no_count(sizes in sizes(), checkpoint_every in 1..6_usize, cut in 1..400_usize) {
+        let mut disk = Disk::write(&sizes, checkpoint_every, 100);
+        // One more record, half of it on the disk: it was not published yet.
         let mut next = vec![];
-        record(disk.seq + 1).put(&mut next, disk.seq + 1, 0);
+        record(disk.last_sequence + 1).append_line(&mut next, disk.last_sequence + 1, 0);
         next.truncate(cut.min(next.len() - 1));
-        let whole = disk.segments[0].len();
+        let complete = disk.segments[0].len();
         disk.segments[0].extend(&next);
         let back = disk.replay();
-        let place = LogPosition { segment: 1, offset: whole as u64 };
-        prop_assert_eq!(&back.cuts, &vec![place]);
-        prop_assert_eq!(&back.troubles, &vec![ReplayIssue::Torn(place)]);
+        let place = LogPosition { segment: 1, offset: complete as u64 };
+        prop_assert_eq!(&back.torn_ends, &vec![place]);
+        prop_assert_eq!(&back.issues, &vec![ReplayIssue::TornSegment(place)]);
         prop_assert_eq!(back.checkpoint.counters, disk.counters);
     }
 
     #[test]
-    fn one_spoilt_file_costs_no_count(
-        sizes in sizes(), each in 1..6_usize, turn in 1..6_usize, which in 0..4_usize, how in 0..4_u8, at in any::<prop::sample::Index>(),
+    fn one_damaged_file_loses_no_count(
+        sizes in sizes(), checkpoint_every in 1..6_usize, segment_every in 1..6_usize, which in 0..4_usize, how in 0..4_u8, at in any::<prop::sample::Index>(),
         bit in 0..8_u8,
     ) {
-        let mut disk = Disk::write(&sizes, each, turn);
+        let mut disk = Disk::write(&sizes, checkpoint_every, segment_every);
         let segments = disk.segments.len();
         let file = match which {
             0 => disk.newest.as_mut(),
@@ -176,27 +177,27 @@
             _ => file.clear(),
         }
         let back = disk.replay();
-        prop_assert!(back.checkpoint.counters.covers(&disk.counters), "{:?}", back.troubles);
-        prop_assert!(!back.broken);
-        // Numbers go on behind all that were given out, so that none is given twice.
-        prop_assert_eq!(back.checkpoint.seq, disk.seq);
+        prop_assert!(back.checkpoint.counters.covers(&disk.counters), "{:?}", back.issues);
+        prop_assert!(!back.counts_lost);
+        // Sequence numbers continue after the last, so that none is used twice.
+        prop_assert_eq!(back.checkpoint.last_sequence, disk.last_sequence);
     }
 
     #[test]
-    fn arbitrary_bytes_are_read_without_harm(
+    fn arbitrary_bytes_count_nothing(
         newest in prop::collection::vec(any::<u8>(), 0..200), lines in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..20),
     ) {
-        let mut replay = Replay::begin(Some(&newest), None);
+        let mut replay = Replay::new(Some(&newest), None);
         for (n, line) in lines.iter().enumerate() {
-            replay.mark(line);
-            replay.line(LogPosition { segment: 1, offset: n as u64 * 100 }, line);
+            replay.add_mark(line);
+            replay.add_line(LogPosition { segment: 1, offset: n as u64 * 100 }, line);
         }
         prop_assert!(replay.finish().checkpoint.counters.is_empty());
     }
 }
 
 #[test]
-fn what_nothing_knows_any_more_is_said_to_be_lost() {
+fn missing_records_without_mark_are_reported_lost() {
     let mut disk = Disk::write(&[4, 4, 4], 100, 100);
     disk.marks.clear();
     let lines: Vec<&[u8]> = disk.segments[0].split_inclusive(|b| *b == b'\n').collect();
@@ -209,20 +210,14 @@
         .collect();
     disk.segments[0] = kept;
     let back = disk.replay();
-    assert!(back.broken);
-    assert_eq!(
-        back.troubles,
-        [ReplayIssue::Missing {
-            records: 2,
-            made_up: false
-        }]
-    );
-    assert_eq!(back.checkpoint.seq, 12);
+    assert!(back.counts_lost);
+    assert_eq!(back.issues, [ReplayIssue::RecordsLost { records: 2 }]);
+    assert_eq!(back.checkpoint.last_sequence, 12);
 }
 
 #[test]
-fn a_mark_of_another_batch_does_not_make_up_for_a_record() {
-    // Batch 2's mark is gone and one of its records with it; batch 3's mark must not hide that.
+fn mark_of_other_batch_does_not_hide_lost_record() {
+    // The mark of batch 2 and its record are both missing; the mark of batch 3 must not hide that.
     let mut disk = Disk::write(&[1, 1, 1], 100, 100);
     let keep = |bytes: &[u8], n: usize| -> Vec<u8> {
         let lines = bytes
@@ -232,31 +227,33 @@
         lines.flat_map(|(_, line)| line.to_vec()).collect()
     };
     (disk.marks, disk.segments[0]) = (keep(&disk.marks, 1), keep(&disk.segments[0], 1));
-    assert!(disk.replay().broken);
+    assert!(disk.replay().counts_lost);
 }
 
 #[test]
-fn every_cell_has_a_place_and_a_name_of_its_own() {
-    let cells: Vec<Counter> = Counter::all().collect();
-    assert_eq!(cells.len(), COUNTERS_PER_ROW);
-    for (n, cell) in cells.iter().enumerate() {
-        assert_eq!(cell.place(), n);
-        assert_eq!(Counter::named(&cell.name()), Some(*cell));
+fn counters_have_distinct_indexes_and_names() {
+    let counters: Vec<Counter> = Counter::all().collect();
+    assert_eq!(counters.len(), COUNTERS_PER_ROW);
+    for (n, counter) in counters.iter().enumerate() {
+        assert_eq!(counter.index(), n);
+        assert_eq!(Counter::from_name(&counter.name()), Some(*counter));
     }
 }
 
 #[test]
-fn quantiles_are_of_the_last_minute_and_rows_are_bounded() {
+fn quantiles_cover_last_minute_and_rows_are_bounded() {
     let key = |name: &str| RowKey {
         scope: Scope::Class,
         front: "a".into(),
         name: name.into(),
     };
     let mut latency_samples = LatencySamples::new(1);
-    (1..=1000).for_each(|n| latency_samples.note(n * 1000, &key("x"), n.unsigned_abs() * 1000));
+    for n in 1..=1000_i64 {
+        latency_samples.record(n * 1000, &key("x"), n.unsigned_abs() * 1000);
+    }
     let p99 = latency_samples.quantile(1_000_000, &key("x"), 990).unwrap();
     assert!((980_000..=1_010_000).contains(&p99), "{p99}");
-    latency_samples.note(0, &key("y"), 5);
+    latency_samples.record(0, &key("y"), 5);
     assert_eq!(latency_samples.quantile(0, &key("y"), 990), None);
     assert_eq!(latency_samples.quantile(70_000_000, &key("x"), 990), None);
 }
--- a/crates/request-log/tests/stored_forms.rs
+++ b/crates/request-log/tests/stored_forms.rs
@@ -1,11 +1,11 @@
-//! Forms of the files of the state folder that hold the request log and its counters, and the names in them. Files in
+//! Formats of the files that hold the request log and its counters, and the names in them. The files in
 //! `fixtures/folder/` were written by version 0.4.0; later versions must replay them and write the same bytes.
 
-mod memory;
+mod support;
 
 use std::collections::BTreeMap;
 
-use memory::Memory;
+use support::Memory;
 use valehatch_request_log::counters::LATENCY_BOUNDS_US;
 use valehatch_request_log::*;
 
@@ -15,7 +15,7 @@
 };
 const SINCE_MS: u64 = 1_700_000_000_000;
 
-const CELL_NAMES: &str = "in-time late aborted \
+const COUNTER_NAMES: &str = "in-time late aborted \
     refused.strain refused.unsent refused.late refused.deadline refused.attempts refused.window refused.open \
     refused.room refused.places refused.stopping refused.queue-wait refused.queue-full refused.queue-waited \
     refused.queue-standing \
@@ -45,7 +45,7 @@
         .collect()
 }
 
-/// Records with each ending, each outcome of an attempt and a time in each bucket.
+/// Records with each final outcome, each attempt outcome and a latency in each bucket.
 fn records() -> Vec<RequestRecord> {
     let refused = RejectionReason::ALL
         .iter()
@@ -84,16 +84,15 @@
 }
 
 #[test]
-fn same_records_are_written_to_the_stored_bytes() {
+fn same_records_give_the_stored_bytes() {
     let memory = Memory::default();
     let mut request_log = RequestLog::open(memory.clone(), SIZES, SINCE_MS);
     let all = records();
     let (before, after) = all.split_at(30);
     for (n, batch) in [before, after].into_iter().enumerate() {
-        batch
-            .iter()
-            .zip(1..)
-            .for_each(|(record, ms)| request_log.record(record, SINCE_MS + ms));
+        for (record, ms) in batch.iter().zip(1..) {
+            request_log.record(record, SINCE_MS + ms);
+        }
         request_log.flush();
         if n == 0 {
             request_log.checkpoint();
@@ -114,10 +113,12 @@
 }
 
 #[test]
-fn stored_folder_is_replayed_completely() {
+fn stored_files_are_replayed_completely() {
     let mut counted = Counters::default();
-    records().iter().for_each(|record| counted.count(record));
-    // With any one kind of file lost the others make up for it.
+    for record in &records() {
+        counted.count(record);
+    }
+    // Any one kind of file may be lost: the others have its counts.
     for lost in ["", "requests-", "marks", "checkpoint"] {
         let memory = Memory::default();
         let kept = folder()
@@ -126,14 +127,17 @@
         memory.0.lock().unwrap().files = kept.collect();
         let request_log = RequestLog::open(memory, SIZES, SINCE_MS + 9);
         assert_eq!(
-            (request_log.shown(), request_log.status().seq),
+            (
+                request_log.durable_counters(),
+                request_log.status().last_sequence
+            ),
             (&counted, 36),
             "without {lost:?}"
         );
         if lost.is_empty() {
             let status = request_log.status();
             assert_eq!(
-                (status.faults, status.boots, status.since_ms),
+                (status.fault_count, status.boots, status.since_ms),
                 (0, 2, SINCE_MS)
             );
         }
@@ -141,17 +145,17 @@
 }
 
 #[test]
-fn stored_lines_give_back_their_records() {
+fn stored_lines_parse_to_their_records() {
     let lines = folder().remove("requests-00000001.log").unwrap();
     let read: Vec<_> = lines
         .split_inclusive(|b| *b == b'\n')
-        .map(|line| RequestRecord::read(line).unwrap())
+        .map(|line| RequestRecord::parse_line(line).unwrap())
         .collect();
     assert_eq!(read, (1..).zip(records()).collect::<Vec<_>>());
 }
 
 #[test]
-fn cells_keep_their_names_and_order() {
+fn counters_keep_their_names_and_order() {
     let names: Vec<String> = Counter::all().map(Counter::name).collect();
-    assert_eq!(names, CELL_NAMES.split_whitespace().collect::<Vec<_>>());
+    assert_eq!(names, COUNTER_NAMES.split_whitespace().collect::<Vec<_>>());
 }
--- a/crates/request-log/tests/memory/mod.rs
+++ b/crates/request-log/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A folder in memory that fails as a disk does, and records to write to it.
+//! Storage in memory that fails as a disk does, and records to write to it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -7,16 +7,16 @@
 
 use valehatch_request_log::*;
 
-/// A folder in memory. After so many calls that write it fails: all further ones do nothing, or half of their work.
+/// Storage in memory. After a number of writing calls it fails: further calls do nothing, the first may do half.
 #[derive(Clone, Default)]
 pub(crate) struct Memory(pub Arc<Mutex<Inner>>);
 
 #[derive(Default)]
 pub(crate) struct Inner {
     pub files: BTreeMap<String, Vec<u8>>,
-    /// Calls that still go through; `None`: all do.
+    /// Calls that still succeed; `None`: all do.
     left: Option<usize>,
-    /// The call that fails does half of its work.
+    /// The first call that fails does half of its work.
     half: bool,
 }
 
@@ -69,7 +69,7 @@
                 .extend_from_slice(cut(half))
         })
     }
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let length = usize::try_from(length).unwrap();
         self.call(|files, _| files.entry(name.into()).or_default().truncate(length))
     }
@@ -77,7 +77,7 @@
         if !self.0.lock().unwrap().files.contains_key(from) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        // A rename is whole or not at all.
+        // A rename is atomic.
         self.call(|files, half| {
             if let (false, Some(bytes)) = (half, files.get(from).cloned()) {
                 files.remove(from);
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -379,12 +379,9 @@
             return;
         }
         let (now, shown) = (world.clock.now(), world.shown.load());
-        let notices = self.alarms.look(
-            now,
-            &fronts,
-            &shown.counters,
-            shown.status.trouble.as_deref(),
-        );
+        let notices =
+            self.alarms
+                .look(now, &fronts, &shown.counters, shown.status.fault.as_deref());
         for notice in notices {
             info!(notice = ?notice.kind(), "{}", told(&notice));
             shared.stats.add(Stat::Notices);
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,44 +1,46 @@
-//! The snapshot's file: written aside, made durable, renamed; so there is a whole one or none at any time.
+//! The snapshot's file. It is written under another name, made durable and renamed: a reader finds a complete one or none.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::Path;
 
-/// Its name in the folder.
+/// The file's name in the state directory.
 pub const NAME: &str = "snapshot";
-const ASIDE: &str = "snapshot.new";
+/// Its name while it is written.
+const NEW_NAME: &str = "snapshot.new";
 
-/// Writes one in the place of the last.
+/// Replaces the snapshot.
 ///
 /// # Errors
-/// What the system says; then the last one is still there.
-pub fn write(dir: &Path, bytes: &[u8]) -> io::Result<()> {
-    replace(dir, ASIDE, NAME, bytes)
+/// The error of the file system; the last snapshot is then still there.
+pub fn write(directory: &Path, bytes: &[u8]) -> io::Result<()> {
+    replace(directory, NEW_NAME, NAME, bytes)
 }
 
-/// Writes a file of the folder anew, aside first.
+/// Replaces a file of the directory by way of a temporary name.
 ///
 /// # Errors
-/// What the system says; then the file is as it was.
-pub fn replace(dir: &Path, aside: &str, name: &str, bytes: &[u8]) -> io::Result<()> {
-    let mut file = File::create(dir.join(aside))?;
+/// The error of the file system; the file is then unchanged.
+pub fn replace(directory: &Path, temporary: &str, name: &str, bytes: &[u8]) -> io::Result<()> {
+    let mut file = File::create(directory.join(temporary))?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    fs::rename(dir.join(aside), dir.join(name))?;
-    File::open(dir)?.sync_all()
+    fs::rename(directory.join(temporary), directory.join(name))?;
+    File::open(directory)?.sync_all()
 }
 
-/// What was written last, `None` if nothing was; no more than `most` bytes and one are read.
+/// Reads the last snapshot; `None` if there is none. At most `max_bytes` and one byte are read, so that the caller sees
+/// that a file is too long.
 ///
 /// # Errors
-/// What the system says.
-pub fn read(dir: &Path, most: usize) -> io::Result<Option<Vec<u8>>> {
-    let file = match File::open(dir.join(NAME)) {
+/// The error of the file system.
+pub fn read(directory: &Path, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
+    let file = match File::open(directory.join(NAME)) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         file => file?,
     };
+    let limit = u64::try_from(max_bytes).unwrap_or(u64::MAX);
     let mut bytes = vec![];
-    file.take(u64::try_from(most).unwrap_or(u64::MAX).saturating_add(1))
-        .read_to_end(&mut bytes)?;
+    file.take(limit.saturating_add(1)).read_to_end(&mut bytes)?;
     Ok(Some(bytes))
 }
