--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{Receiver, Sender};
 use tracing::{debug, error, info, warn};
 use valehatch_config::Site;
-use valehatch_config::operators::Door;
+use valehatch_config::operators::AdmissionSettings;
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LiveView, LogEvent, Observability, State};
 use valehatch_net::Clock;
@@ -38,7 +38,7 @@
 
 /// The settings of a front's admission queue; `quotas` are the tenants' weights.
 pub(crate) fn admission_settings(
-    sizes: Door,
+    sizes: AdmissionSettings,
     site: &Site,
     quotas: Vec<f64>,
 ) -> valehatch_admission::Settings {
@@ -240,14 +240,14 @@
 
     fn record(&mut self, record: Box<RequestRecord>) {
         if let Some(observer) = &mut self.observer {
-            count_outcome(&observer.service, self.clock, &record.ending);
+            count_outcome(&observer.service, self.clock, &record.outcome);
             observer.recorder.record(record);
         }
     }
 
     fn publish(&mut self, live: LiveView) {
         if let Some(observer) = &mut self.observer {
-            observer.recorder.hand_over_missed();
+            observer.recorder.send_unlogged();
         }
         let queue = self.inbox.len();
         self.board.store(Some(Arc::new(Board { live, queue })));
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -32,7 +32,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use valehatch_config::operators::Operators;
+use valehatch_config::operators::OperatorConfig;
 
 use crate::error::StartError;
 
@@ -76,14 +76,14 @@
         None => platform::serve(arguments.door.then_some(platform::ADMISSION_QUEUE)),
         Some(Command::Serve { file }) => operators::serve(file),
         Some(Command::Check { file }) => {
-            let read = Operators::load(&file).map_err(StartError::configuration)?;
+            let read = OperatorConfig::load(&file).map_err(StartError::configuration)?;
             let fronts = read.fronts.len();
             println!("{}: {fronts} front(s), no fault", file.display());
             Ok(())
         }
         Some(Command::Config { file }) => {
             let (_, with_defaults) =
-                Operators::load_shown(&file).map_err(StartError::configuration)?;
+                OperatorConfig::load_with_defaults(&file).map_err(StartError::configuration)?;
             print!("{with_defaults}");
             Ok(())
         }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -13,7 +13,7 @@
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{error, info};
-use valehatch_config::operators::{self, Members, Operators};
+use valehatch_config::operators::{self, EndpointSource, OperatorConfig};
 use valehatch_core::{Event, Observability};
 use valehatch_net::link::GossipTransport;
 use valehatch_net::members::ConfiguredEndpoints;
@@ -44,7 +44,7 @@
 }
 
 impl FrontChannels {
-    fn new(front: &operators::Front) -> Self {
+    fn new(front: &operators::FrontSettings) -> Self {
         let all = |names: &[String]| names.iter().map(|name| Arc::from(name.as_str())).collect();
         let names = Observability {
             front: Arc::clone(&front.name),
@@ -73,7 +73,7 @@
 /// Why they cannot start; the text names the key at fault.
 pub(crate) fn serve(path: PathBuf) -> Result<(), StartError> {
     let signals = signals::catch().map_err(StartError::resource("signals"))?;
-    let file = Operators::load(&path).map_err(StartError::configuration)?;
+    let file = OperatorConfig::load(&path).map_err(StartError::configuration)?;
     valehatch_net::log::init(file.log);
     let (clock, started_at) = (Clock::start(), Instant::now());
     let channels: Vec<FrontChannels> = file.fronts.iter().map(FrontChannels::new).collect();
@@ -138,7 +138,7 @@
 }
 
 /// The request log's writer, if anything reads what it counts.
-fn start_record_writer(file: &Operators) -> Result<Option<RecordWriter>, StartError> {
+fn start_record_writer(file: &OperatorConfig) -> Result<Option<RecordWriter>, StartError> {
     if file.snmp.is_none() && file.state.is_none() {
         return Ok(None);
     }
@@ -148,7 +148,7 @@
 
 /// What the start of each front needs beside the front itself.
 struct FrontStarter<'a> {
-    file: &'a Operators,
+    file: &'a OperatorConfig,
     clock: Clock,
     status: &'a Arc<ProcessStatus>,
     writer: Option<&'a RecordWriter>,
@@ -211,7 +211,7 @@
         seed: u64,
     ) -> Result<Option<SharedEndpointList>, StartError> {
         let front = &self.file.fronts[index];
-        let Members::Discovery(address) = front.members else {
+        let EndpointSource::Discovery(address) = front.members else {
             self.status.on_endpoint_list(index);
             return Ok(None);
         };
@@ -246,7 +246,7 @@
     fn discovery_index(&self, index: usize) -> usize {
         let before = self.file.fronts[..index].iter();
         before
-            .filter(|front| matches!(front.members, Members::Discovery(_)))
+            .filter(|front| matches!(front.members, EndpointSource::Discovery(_)))
             .count()
     }
 
@@ -284,7 +284,7 @@
 /// Watches the file, and sends what may change in service. The flag that comes back has the file read again.
 fn watch_file(
     path: PathBuf,
-    file: &Operators,
+    file: &OperatorConfig,
     channels: &[FrontChannels],
     agent: &Arc<Option<Agent>>,
 ) -> Result<Arc<AtomicBool>, StartError> {
@@ -296,7 +296,7 @@
     let cores: Vec<Sender<Event>> = channels.iter().map(|c| c.inbox.0.clone()).collect();
     let has_admission = file.door.is_some();
     let agent = Arc::downgrade(agent);
-    let on_change = move |file: Operators| {
+    let on_change = move |file: OperatorConfig| {
         if has_admission {
             for core in &cores {
                 let _ = core.send(Event::TenantQuotas(file.shares.clone()));
@@ -319,7 +319,7 @@
 }
 
 fn recoverable_fronts(
-    file: &Operators,
+    file: &OperatorConfig,
     channels: &[FrontChannels],
     fronts: &[StartedFront],
 ) -> Vec<RecoverableFront> {
@@ -373,7 +373,7 @@
 
 /// The SNMP agent, if the file has one.
 fn start_agent(
-    file: &Operators,
+    file: &OperatorConfig,
     channels: &[FrontChannels],
     writer: Option<&RecordWriter>,
     clock: Clock,
@@ -392,11 +392,11 @@
         fronts: fronts
             .map(|(front, channels)| agent_front(front, channels))
             .collect(),
-        shown: Arc::clone(&writer.shown),
+        shown: Arc::clone(&writer.published),
         dropped: Arc::clone(&writer.dropped),
-        waiting: writer.waiting(),
+        waiting: writer.queue_length(),
     };
-    let engine_boots = writer.shown.load().status.boots;
+    let engine_boots = writer.published.load().status.boots;
     let agent = Agent::start(snmp.clone(), Arc::new(world), engine_boots);
     agent.map(Some).map_err(StartError::resource(format!(
         "snmp.listen: {}",
@@ -405,7 +405,7 @@
 }
 
 /// A front as the agent shows it; a tenant's rate is this gateway's part of it.
-fn agent_front(front: &operators::Front, channels: &FrontChannels) -> world::Front {
+fn agent_front(front: &operators::FrontSettings, channels: &FrontChannels) -> world::Front {
     let settings = &front.site.settings;
     let gateways = f64::from(settings.routers.max(1));
     let rates = settings.tenants.iter().map(|t| t.allowance / gateways);
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -10,8 +10,8 @@
 use arc_swap::ArcSwapOption;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{info, warn};
-use valehatch_config::operators::{Door, Level, Log};
-use valehatch_config::{Gateway, Site};
+use valehatch_config::operators::{AdmissionSettings, LogLevel, LogSettings};
+use valehatch_config::{PlatformConfig, Site};
 use valehatch_core::Event;
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
@@ -33,7 +33,7 @@
 const FRONT: usize = 0;
 
 /// Sizes of the platform's admission queue, within the smallest memory that the platform gives.
-pub(crate) const ADMISSION_QUEUE: Door = Door {
+pub(crate) const ADMISSION_QUEUE: AdmissionSettings = AdmissionSettings {
     most: 4_000,
     buckets: 1024,
     lanes: 64,
@@ -46,18 +46,18 @@
 ///
 /// # Errors
 /// Why it cannot start.
-pub(crate) fn serve(admission: Option<Door>) -> Result<(), StartError> {
+pub(crate) fn serve(admission: Option<AdmissionSettings>) -> Result<(), StartError> {
     let signals = signals::catch().map_err(StartError::resource("signals"))?;
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
     let mut config = load(&path)?;
     config.mgmt = management_address(config.mgmt)?;
     if config.mgmt.is_some() {
-        let tellable = config.site.tellable();
-        tellable.map_err(StartError::configuration)?;
+        let names = config.site.validate_metric_names();
+        names.map_err(StartError::configuration)?;
     }
-    valehatch_net::log::init(Log {
+    valehatch_net::log::init(LogSettings {
         level: log_level()?,
-        ..Log::default()
+        ..LogSettings::default()
     });
 
     let clock = Clock::start();
@@ -151,10 +151,10 @@
     Ok(())
 }
 
-fn load(path: &str) -> Result<Gateway, StartError> {
+fn load(path: &str) -> Result<PlatformConfig, StartError> {
     let text =
         std::fs::read_to_string(path).map_err(StartError::resource(format!("config: {path}")))?;
-    Gateway::parse(&text).map_err(StartError::configuration)
+    PlatformConfig::parse(&text).map_err(StartError::configuration)
 }
 
 /// The management address: `BALANCER_MGMT` goes before the file.
@@ -172,12 +172,12 @@
 }
 
 /// The least level that is logged: `VALEHATCH_LOG`, or info.
-fn log_level() -> Result<Level, StartError> {
+fn log_level() -> Result<LogLevel, StartError> {
     match std::env::var("VALEHATCH_LOG").as_deref() {
-        Err(_) | Ok("" | "info") => Ok(Level::Info),
-        Ok("debug") => Ok(Level::Debug),
-        Ok("warn") => Ok(Level::Warn),
-        Ok("error") => Ok(Level::Error),
+        Err(_) | Ok("" | "info") => Ok(LogLevel::Info),
+        Ok("debug") => Ok(LogLevel::Debug),
+        Ok("warn") => Ok(LogLevel::Warn),
+        Ok("error") => Ok(LogLevel::Error),
         Ok(other) => Err(StartError::Environment {
             variable: "VALEHATCH_LOG",
             value: other.to_owned(),
@@ -188,7 +188,7 @@
 
 /// The watch of the endpoint list, not yet started. Each list also goes to the other process of a hot restart.
 fn discovery_watch(
-    config: &Gateway,
+    config: &PlatformConfig,
     clock: Clock,
     events: &Sender<Event>,
     address: &Arc<list::Place>,
@@ -219,7 +219,7 @@
 fn start_watch(
     watch: list::Watch,
     inheritance: &Inheritance,
-    config: &Gateway,
+    config: &PlatformConfig,
 ) -> Result<(), StartError> {
     let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
     let started = match restored.list {
@@ -241,7 +241,7 @@
 
 /// What the front and the hot restart share.
 struct Wiring<'a> {
-    config: &'a Gateway,
+    config: &'a PlatformConfig,
     clock: Clock,
     inbox: &'a (Sender<Event>, Receiver<Event>),
     connections: &'a Arc<SharedConnectionLimiter>,
@@ -252,7 +252,7 @@
 impl Wiring<'_> {
     fn front_parts(
         &self,
-        admission: Option<Door>,
+        admission: Option<AdmissionSettings>,
         inheritance: &Inheritance,
     ) -> Result<FrontParts, StartError> {
         let (config, clock) = (self.config, self.clock);
--- a/crates/gateway/src/protocols.rs
+++ b/crates/gateway/src/protocols.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::Sender;
-use valehatch_config::operators::{Front, Protocol};
+use valehatch_config::operators::{FrontSettings, Protocol};
 use valehatch_core::Event;
 use valehatch_net::Clock;
 use valehatch_net::clients::RequestHandler;
@@ -32,7 +32,7 @@
 /// # Errors
 /// The settings of the connections contradict each other.
 pub(crate) fn protocol_stack(
-    front: &Front,
+    front: &FrontSettings,
     clock: Clock,
     events: Sender<Event>,
     metrics: Option<Arc<OutcomeMetrics>>,
@@ -44,7 +44,7 @@
 }
 
 fn postgresql(
-    front: &Front,
+    front: &FrontSettings,
     clock: Clock,
     events: Sender<Event>,
     metrics: Option<Arc<OutcomeMetrics>>,
@@ -69,7 +69,7 @@
 }
 
 fn cassandra(
-    front: &Front,
+    front: &FrontSettings,
     clock: Clock,
     events: Sender<Event>,
     metrics: Option<Arc<OutcomeMetrics>>,
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwapOption;
 use tracing::{info, warn};
-use valehatch_config::operators::{Members, Operators};
+use valehatch_config::operators::{EndpointSource, OperatorConfig};
 use valehatch_core::LiveView;
 use valehatch_net::list::EndpointListStore;
 use valehatch_net::{Clock, lock};
@@ -102,9 +102,9 @@
 }
 
 /// Service since this start; it is complete once every front that uses discovery has a confirmed list and serves.
-pub(crate) fn service(file: &Operators, clock: Clock) -> SharedService {
-    let uses_discovery = |front: &&valehatch_config::operators::Front| {
-        matches!(front.members, Members::Discovery(_))
+pub(crate) fn service(file: &OperatorConfig, clock: Clock) -> SharedService {
+    let uses_discovery = |front: &&valehatch_config::operators::FrontSettings| {
+        matches!(front.members, EndpointSource::Discovery(_))
     };
     let waiting_for = file.fronts.iter().filter(uses_discovery).count();
     Arc::new(Mutex::new(Service::new(waiting_for, clock.now())))
@@ -114,7 +114,7 @@
 pub(crate) fn count_outcome(service: &SharedService, clock: Clock, outcome: &FinalOutcome) {
     let served = match outcome {
         FinalOutcome::InTime | FinalOutcome::Late => true,
-        FinalOutcome::Refused(_) | FinalOutcome::Failed(_) => false,
+        FinalOutcome::Rejected(_) | FinalOutcome::Failed(_) => false,
         FinalOutcome::Aborted => return,
     };
     lock(service).answered(served, clock.now());
--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use tracing::{info, warn};
-use valehatch_config::operators::Operators;
+use valehatch_config::operators::OperatorConfig;
 use valehatch_net::link::GossipTransport;
 use valehatch_net::{Clock, lock};
 use valehatch_recovery::service::State;
@@ -37,7 +37,7 @@
     /// # Errors
     /// The thread cannot be started.
     pub(crate) fn start(
-        file: &Operators,
+        file: &OperatorConfig,
         fronts: Vec<RecoverableFront>,
         gossip: Option<Arc<GossipTransport>>,
         service: SharedService,
--- a/crates/gateway/src/snmp.rs
+++ b/crates/gateway/src/snmp.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand};
-use valehatch_config::operators::Operators;
+use valehatch_config::operators::OperatorConfig;
 use valehatch_config::snmp::{PRIV_KEY, engine_id};
 use valehatch_snmp::{schema, usm};
 
@@ -50,7 +50,7 @@
 impl Engine {
     fn id(&self) -> Result<Vec<u8>, StartError> {
         if let Some(file) = &self.file {
-            let read = Operators::load(file).map_err(StartError::configuration)?;
+            let read = OperatorConfig::load(file).map_err(StartError::configuration)?;
             let without_agent = || format!("{}: has no [snmp]", file.display());
             return match read.snmp {
                 Some(snmp) => Ok(snmp.engine),
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -8,7 +8,7 @@
 use valehatch_config::Site;
 use valehatch_core::permission::Decisions;
 use valehatch_management::{ManagementEndpoint, Source};
-use valehatch_request_log::{OutcomeMetrics, figures};
+use valehatch_request_log::{OutcomeMetrics, outcome_metrics};
 
 use crate::error::StartError;
 
@@ -115,6 +115,6 @@
     }
 
     fn stats(&self) -> String {
-        figures::text(self.fronts.iter().map(|front| &*front.metrics))
+        outcome_metrics::text(self.fronts.iter().map(|front| &*front.metrics))
     }
 }
