--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,247 +1,338 @@
-//! Who has a gateway's descriptors: a state machine without I/O, of which each front has one.
+//! The descriptor budget of one front: which client connections are admitted and which idle ones are evicted.
 //!
-//! Connections of clients and those to members come out of one number, and none is set aside for either.
+//! A state machine without I/O, clock or threads; the caller passes the time in. Client and upstream connections share one
+//! budget, and no part of it is set aside for either. The rules:
 //!
-//! - **A member's connection goes with a request.** What open requests need, and a little ahead, is counted as taken;
-//!   all else is for clients.
-//! - **An idle connection costs its place as soon as somebody else needs it**: first those that never asked, then those that
-//!   asked once, then those that came back to ask again (a crowd passes through the first two, as a scan does in 2Q); of each
-//!   the one that has idled for the longest. Some places are kept free ahead, so that who comes need not wait for that:
-//!   many at the cost of those that never asked, few at that of the others.
-//! - **Who asked once makes way for others to ask**: where clients can have only so many connections to ask on, and few of these
-//!   are left, those that asked once and have rested are ended, whether or not descriptors are free.
-//! - **Half a message keeps its place** until whoever does the I/O ends it by the time. Only when such halves hold more than
-//!   half of all places, the one that has been at it for the longest goes.
-//! - **Nobody is turned away at once.** Who finds no place waits in the listener's queue. When that has lasted for
-//!   [`PATIENCE`], a few more are taken in, and what they ask is refused only if open requests hold what there is: where
-//!   halves do, members are idle, and it is served.
+//! - **Upstream connections follow the requests.** What requests in flight need, and a little more, counts as used; the rest is
+//!   for clients.
+//! - **Idle connections are evicted when descriptors run short**: first those that never sent a request, then those that sent
+//!   one, then those that were reused (a burst of one-off clients passes through the first two, as a scan does in 2Q). Within
+//!   each kind the longest idle goes first. Eviction starts before the budget is exhausted, so that new connections need not
+//!   wait for it: early for connections that never sent a request, late for the others.
+//! - **Connections idle after one request are evicted early where few clients may send requests at once**
+//!   ([`ConnectionLimits::active_clients`]), whether or not descriptors are free.
+//! - **A connection with a partial request is kept** until the I/O side times it out. Only when such connections hold more than
+//!   half of the budget, the one that has been incomplete for the longest is evicted.
+//! - **No connection is refused at once.** While the budget is exhausted, new connections wait in the listener's backlog. After
+//!   [`OVERFLOW_DELAY`] a few more are admitted, and their requests are rejected only if requests in flight hold the budget:
+//!   where partial requests hold it, upstream connections are idle and the request can be served.
 //!
-//! The table holds [`Limits::most`] and [`Limits::extra`] connections at the most, and lets none in beyond. Time is told,
-//! and order is that of times, then of numbers.
+//! State is one entry a client connection, [`ConnectionLimits::total`] plus [`ConnectionLimits::overflow`] at most, and a count
+//! of upstream connections. Ties are broken by time, then by connection id.
 
 #![forbid(unsafe_code)]
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
+use std::error::Error;
+use std::fmt;
 
 use valehatch_policy::{Span, Time};
 
-/// Behind an answer, a last word within this time would pass for a second answer.
+/// How soon after a response a client could still take a closing error for a second response.
 pub const ANSWER_SETTLE_TIME: Span = Span::from_millis(250);
-/// A new one is left in peace for so long: what it asks may be on its way.
-pub const ARRIVES: Span = Span::from_millis(50);
-/// How long those who come wait while there is no place, before a few more are taken in.
-pub const PATIENCE: Span = Span::from_millis(50);
-/// Of all places, the part that is kept free ahead at the cost of those that never asked, and of others; and the part that
-/// members may need at any moment: one in so many.
-const AHEAD: usize = 8;
-/// Of the connections that clients can have to ask on, the part that is kept free ahead at the cost of those that asked once.
-const TO_ASK: usize = 4;
-const NEAR: usize = 32;
-const READY: usize = 32;
-
-/// What may be held at once.
+/// How long a new connection is not evicted: its first request may be on its way.
+pub const FIRST_REQUEST_GRACE: Span = Span::from_millis(50);
+/// How long new connections wait in the backlog of an exhausted budget before a few more are admitted.
+pub const OVERFLOW_DELAY: Span = Span::from_millis(50);
+/// Unused connections are evicted while less than one in this many descriptors is free.
+const UNUSED_HEADROOM_DIVISOR: usize = 8;
+/// Connections idle after one request are evicted while less than one in this many of the active clients' share is free.
+const ACTIVE_HEADROOM_DIVISOR: usize = 4;
+/// All other connections are evicted while less than one in this many descriptors is free.
+const HEADROOM_DIVISOR: usize = 32;
+/// One in this many descriptors is reserved for upstream connections that the next requests will need.
+const UPSTREAM_HEADROOM_DIVISOR: usize = 32;
+
+/// How many connections a front may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    /// Connections of clients and to members together.
-    pub most: usize,
-    /// What members may take beyond that whose requests came all at once; half of it those who have waited in vain.
-    pub extra: usize,
-    /// Connections to members; 0 where they are counted elsewhere.
-    pub members: usize,
-    /// Connections on which clients ask, where they can have only so many of them; `usize::MAX` where they can have any number.
-    pub asking: usize,
-    /// How long a connection that was answered is left in peace: at the least until a last word can no longer pass for a
-    /// second answer, and where the protocol has none, until nothing more is likely to be on its way.
-    pub settles: Span,
+pub struct ConnectionLimits {
+    /// Client and upstream connections together.
+    pub total: usize,
+    /// Upstream connections beyond `total` when many requests arrive at once; clients that waited for [`OVERFLOW_DELAY`] may
+    /// take half of it.
+    pub overflow: usize,
+    /// Upstream connections; 0 where they are counted elsewhere.
+    pub upstream: usize,
+    /// Client connections that have sent a request, where clients can have only so many; `usize::MAX` where they are not
+    /// limited.
+    pub active_clients: usize,
+    /// How long after a response a connection is not evicted: at least [`ANSWER_SETTLE_TIME`] where the protocol has a closing
+    /// error, and otherwise until another request is unlikely to be on its way.
+    pub settle_time: Span,
 }
 
-/// What a client's connection is doing.
+/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConnectionActivity {
-    /// It has asked nothing: it never sent anything, or only its greeting, all at once.
-    Unasked,
-    /// A message has begun to come in, or is about to from a client that writes in pieces.
-    Half,
-    /// It is owed something.
-    Open,
-    /// It was answered, and has asked once.
-    Once,
-    /// It was answered, and has asked more than once.
-    Kept,
-    /// Its last word was said; its descriptor is about to come back.
-    Parting,
+    /// Idle, and no request has been sent on it: nothing at all came, or only the protocol's handshake.
+    Unused,
+    /// Part of a request has been read, or the client sends in small writes and more is expected.
+    PartialRequest,
+    /// A request is in flight, or a response is being written.
+    Active,
+    /// Idle after its first request.
+    IdleAfterOne,
+    /// Idle after more than one request.
+    IdleReused,
+    /// This side is closing it; its descriptor is about to be freed.
+    Closing,
 }
 
-const STATES: usize = 6;
+const ACTIVITIES: usize = 6;
 
-/// What becomes of a request that is whole.
+/// What happens to a complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is taken.
-    Serve,
-    /// Open requests hold all places: it is told to come back.
+    /// It is admitted.
+    Admit,
+    /// Requests in flight hold the whole budget: the client is told when to retry.
     Reject,
 }
 
-/// All connections that count.
+/// A client connection that is to be closed, and what it was doing when it was chosen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Eviction {
+    /// The connection's id, as given to [`ConnectionLimiter::admit`].
+    pub id: u64,
+    /// Its activity until now; the limiter counts it as [`ConnectionActivity::Closing`] from here on.
+    pub activity: ConnectionActivity,
+}
+
+/// Connections that count against the budget.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Connections of clients.
+    pub clients: usize,
+    /// Connections to endpoints.
+    pub upstream: usize,
+}
+
+/// The index by activity disagrees with the connections; a fault of this module.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InconsistentIndex;
+
+impl fmt::Display for InconsistentIndex {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("the index by activity disagrees with the client connections")
+    }
+}
+
+impl Error for InconsistentIndex {}
+
+#[derive(Clone, Copy, Debug)]
+struct ClientState {
+    activity: ConnectionActivity,
+    since: Time,
+}
+
+/// Orders connections of one activity: the one that has been in it for the longest comes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ActivityEntry {
+    since: Time,
+    id: u64,
+}
+
+/// The connections of one front against its [`ConnectionLimits`].
 #[derive(Clone, Debug)]
 pub struct ConnectionLimiter {
-    limits: Limits,
-    lines: BTreeMap<u64, (ConnectionActivity, Time)>,
-    /// The same by what they do, each since when.
-    by: [BTreeSet<(Time, u64)>; STATES],
-    members: usize,
-    /// Since when there has been no place.
-    full: Option<Time>,
+    limits: ConnectionLimits,
+    clients: BTreeMap<u64, ClientState>,
+    /// The same connections, indexed by activity.
+    by_activity: [BTreeSet<ActivityEntry>; ACTIVITIES],
+    upstream: usize,
+    /// When the budget became exhausted, if it is.
+    exhausted_since: Option<Time>,
 }
 
 impl ConnectionLimiter {
-    /// None are taken yet.
+    /// A limiter without connections.
     #[must_use]
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: ConnectionLimits) -> Self {
         Self {
             limits,
-            lines: BTreeMap::new(),
-            by: Default::default(),
-            members: 0,
-            full: None,
+            clients: BTreeMap::new(),
+            by_activity: Default::default(),
+            upstream: 0,
+            exhausted_since: None,
         }
     }
 
-    /// Other limits from now on. What is held beyond them goes as it can.
-    pub const fn resize(&mut self, limits: Limits) {
+    /// Replaces the limits. Connections beyond smaller ones are evicted once they are idle.
+    pub const fn resize(&mut self, limits: ConnectionLimits) {
         self.limits = limits;
     }
 
-    fn count(&self, doing: ConnectionActivity) -> usize {
-        self.by[doing as usize].len()
+    fn count(&self, activity: ConnectionActivity) -> usize {
+        self.by_activity[activity as usize].len()
     }
 
-    /// What members have or are about to need.
-    fn reserved(&self) -> usize {
-        let soon =
-            self.members.max(self.count(ConnectionActivity::Open)) + self.limits.most / READY;
-        self.members.max(soon.min(self.limits.members))
+    /// Descriptors that upstream connections use, and those that they are about to need.
+    fn upstream_demand(&self) -> usize {
+        let in_use = self.upstream.max(self.count(ConnectionActivity::Active));
+        let expected = in_use + self.limits.total / UPSTREAM_HEADROOM_DIVISOR;
+        self.upstream.max(expected.min(self.limits.upstream))
     }
 
-    /// Whether somebody who waits may be let in now.
-    pub fn may_enter(&mut self, now: Time) -> bool {
-        let used = self.lines.len() + self.reserved();
-        if used < self.limits.most {
-            self.full = None;
+    /// Whether one more client connection may be accepted now. Call it before [`ConnectionLimiter::admit`].
+    pub fn can_admit(&mut self, now: Time) -> bool {
+        let used = self.clients.len() + self.upstream_demand();
+        if used < self.limits.total {
+            self.exhausted_since = None;
             return true;
         }
-        let since = *self.full.get_or_insert(now);
-        used < self.limits.most + self.limits.extra / 2 && since + PATIENCE <= now
+        let since = *self.exhausted_since.get_or_insert(now);
+        used < self.limits.total + self.limits.overflow / 2 && since + OVERFLOW_DELAY <= now
     }
 
-    /// A connection came up. Whoever lets it in has asked before; a number that is held already stays as it is.
-    pub fn enter(&mut self, now: Time, id: u64) {
-        if let Entry::Vacant(free) = self.lines.entry(id) {
-            free.insert((ConnectionActivity::Unasked, now));
-            self.by[ConnectionActivity::Unasked as usize].insert((now, id));
+    /// Adds a client connection that was accepted. An id that is already known stays as it is.
+    pub fn admit(&mut self, now: Time, id: u64) {
+        if let Entry::Vacant(vacant) = self.clients.entry(id) {
+            let activity = ConnectionActivity::Unused;
+            vacant.insert(ClientState {
+                activity,
+                since: now,
+            });
+            self.by_activity[activity as usize].insert(ActivityEntry { since: now, id });
         }
     }
 
-    /// What a connection does now, since when. One that is not held is of no account.
-    pub fn turn(&mut self, id: u64, doing: ConnectionActivity, since: Time) {
-        let Some(line) = self.lines.get_mut(&id) else {
+    /// Sets what a client connection has been doing since `since`. Unknown ids are ignored.
+    pub fn set_activity(&mut self, id: u64, activity: ConnectionActivity, since: Time) {
+        let Some(state) = self.clients.get_mut(&id) else {
             return;
         };
-        let (was, at) = std::mem::replace(line, (doing, since));
-        self.by[was as usize].remove(&(at, id));
-        self.by[doing as usize].insert((since, id));
+        let previous = std::mem::replace(state, ClientState { activity, since });
+        self.remove_entry(id, previous);
+        self.by_activity[activity as usize].insert(ActivityEntry { since, id });
     }
 
-    /// Its descriptor was given back.
-    pub fn leave(&mut self, id: u64) {
-        if let Some((was, at)) = self.lines.remove(&id) {
-            self.by[was as usize].remove(&(at, id));
+    /// Removes a client connection whose descriptor was freed. Unknown ids are ignored.
+    pub fn remove(&mut self, id: u64) {
+        if let Some(previous) = self.clients.remove(&id) {
+            self.remove_entry(id, previous);
         }
     }
 
-    /// Who is to be ended next so that others find room, if that is needed, and what it was doing. It counts as parting;
-    /// where it turns out that it cannot be ended, [`ConnectionLimiter::turn`] says so.
-    pub fn make_way(&mut self, now: Time) -> Option<(u64, ConnectionActivity)> {
-        let most = self.limits.most;
-        let free = most.saturating_sub(
-            self.lines.len() - self.count(ConnectionActivity::Parting) + self.reserved(),
-        );
-        let longest = |doing: ConnectionActivity, least: usize, peace: Span| {
-            let first = self.by[doing as usize]
-                .first()
-                .filter(|(since, _)| *since + peace <= now);
-            first.filter(|_| free < least).map(|(_, id)| (*id, doing))
+    fn remove_entry(&mut self, id: u64, state: ClientState) {
+        let since = state.since;
+        self.by_activity[state.activity as usize].remove(&ActivityEntry { since, id });
+    }
+
+    /// The next client connection to close, if descriptors run short; call it until it returns `None`.
+    ///
+    /// The connection counts as closing from here on. A caller that cannot close it reports what it does by
+    /// [`ConnectionLimiter::set_activity`].
+    pub fn evict_idle(&mut self, now: Time) -> Option<Eviction> {
+        let total = self.limits.total;
+        let remaining = self.clients.len() - self.count(ConnectionActivity::Closing);
+        let free = total.saturating_sub(remaining + self.upstream_demand());
+        let settle_time = self.limits.settle_time;
+        let candidate = |activity: ConnectionActivity, headroom: usize, grace: Span| {
+            let oldest = self.by_activity[activity as usize].first()?;
+            let evictable = oldest.since + grace <= now && free < headroom;
+            evictable.then_some(Eviction {
+                id: oldest.id,
+                activity,
+            })
         };
-        // Whoever asks once and stays takes what clients can have until nobody can ask any more.
-        let asking = self.count(ConnectionActivity::Open)
-            + self.count(ConnectionActivity::Once)
-            + self.count(ConnectionActivity::Kept);
-        let few = self.limits.asking.saturating_sub(asking) < self.limits.asking / TO_ASK;
-        let once = if few { usize::MAX } else { most / NEAR };
-        let halves = if self.count(ConnectionActivity::Half) > most / 2 {
-            most / NEAR
+        let eviction = candidate(
+            ConnectionActivity::Unused,
+            total / UNUSED_HEADROOM_DIVISOR,
+            FIRST_REQUEST_GRACE,
+        )
+        .or_else(|| {
+            let headroom = self.headroom_after_one();
+            candidate(ConnectionActivity::IdleAfterOne, headroom, settle_time)
+        })
+        .or_else(|| {
+            let headroom = total / HEADROOM_DIVISOR;
+            candidate(ConnectionActivity::IdleReused, headroom, settle_time)
+        })
+        .or_else(|| {
+            let headroom = self.headroom_of_partial_requests();
+            candidate(
+                ConnectionActivity::PartialRequest,
+                headroom,
+                ANSWER_SETTLE_TIME,
+            )
+        })?;
+        self.set_activity(eviction.id, ConnectionActivity::Closing, now);
+        Some(eviction)
+    }
+
+    /// Connections idle after one request are evicted while fewer descriptors than this are free.
+    fn headroom_after_one(&self) -> usize {
+        // Clients that send one request and stay connected would use up the connections on which clients may send requests,
+        // until none could send any: they go whatever number of descriptors is free.
+        let active = self.count(ConnectionActivity::Active)
+            + self.count(ConnectionActivity::IdleAfterOne)
+            + self.count(ConnectionActivity::IdleReused);
+        let limit = self.limits.active_clients;
+        if limit.saturating_sub(active) < limit / ACTIVE_HEADROOM_DIVISOR {
+            usize::MAX
+        } else {
+            self.limits.total / HEADROOM_DIVISOR
+        }
+    }
+
+    /// Connections with a partial request are evicted while fewer descriptors than this are free.
+    fn headroom_of_partial_requests(&self) -> usize {
+        if self.count(ConnectionActivity::PartialRequest) > self.limits.total / 2 {
+            self.limits.total / HEADROOM_DIVISOR
         } else {
             0
-        };
-        let (id, doing) = longest(ConnectionActivity::Unasked, most / AHEAD, ARRIVES)
-            .or_else(|| longest(ConnectionActivity::Once, once, self.limits.settles))
-            .or_else(|| longest(ConnectionActivity::Kept, most / NEAR, self.limits.settles))
-            .or_else(|| longest(ConnectionActivity::Half, halves, ANSWER_SETTLE_TIME))?;
-        self.turn(id, ConnectionActivity::Parting, now);
-        Some((id, doing))
+        }
     }
 
-    /// A request of a connection is whole.
+    /// Whether a request that has been read completely may be served.
     #[must_use]
-    pub fn ask(&self) -> AdmissionDecision {
-        let (open, half) = (
-            self.count(ConnectionActivity::Open),
-            self.count(ConnectionActivity::Half),
-        );
-        let full = open + half + self.reserved() > self.limits.most;
-        if full && open >= half {
+    pub fn decide_request(&self) -> AdmissionDecision {
+        let active = self.count(ConnectionActivity::Active);
+        let partial = self.count(ConnectionActivity::PartialRequest);
+        let exhausted = active + partial + self.upstream_demand() > self.limits.total;
+        if exhausted && active >= partial {
             AdmissionDecision::Reject
         } else {
-            AdmissionDecision::Serve
+            AdmissionDecision::Admit
         }
     }
 
-    /// Whether a connection to a member may be opened; it is counted from then on.
-    pub fn member_enters(&mut self) -> bool {
-        let fits = self.lines.len() + self.members < self.limits.most + self.limits.extra;
-        self.members += usize::from(fits);
+    /// Counts one more upstream connection, if the budget and its overflow allow it; says whether they do.
+    pub fn try_acquire_upstream(&mut self) -> bool {
+        let limit = self.limits.total + self.limits.overflow;
+        let fits = self.clients.len() + self.upstream < limit;
+        self.upstream += usize::from(fits);
         fits
     }
 
-    /// A connection to a member was given back.
-    pub const fn member_leaves(&mut self) {
-        self.members = self.members.saturating_sub(1);
+    /// Gives back the descriptor of an upstream connection that was closed.
+    pub const fn release_upstream(&mut self) {
+        self.upstream = self.upstream.saturating_sub(1);
     }
 
-    /// Connections of clients, and to members.
+    /// How many connections count against the budget now.
     #[must_use]
-    pub fn held(&self) -> (usize, usize) {
-        (self.lines.len(), self.members)
+    pub fn counts(&self) -> ConnectionCounts {
+        ConnectionCounts {
+            clients: self.clients.len(),
+            upstream: self.upstream,
+        }
     }
 
-    /// What must hold after each call.
+    /// Checks what must hold after each call: every connection is indexed once, under its own activity.
     ///
     /// # Errors
-    /// What does not hold.
-    pub fn check(&self) -> Result<(), String> {
-        let noted = |(id, (doing, since)): (&u64, &(ConnectionActivity, Time))| {
-            self.by[*doing as usize].contains(&(*since, *id))
+    /// The index disagrees with the connections.
+    pub fn check(&self) -> Result<(), InconsistentIndex> {
+        let indexed = |(id, state): (&u64, &ClientState)| {
+            let since = state.since;
+            self.by_activity[state.activity as usize].contains(&ActivityEntry { since, id: *id })
         };
-        if !self.lines.iter().all(noted)
-            || self.by.iter().map(BTreeSet::len).sum::<usize>() != self.lines.len()
-        {
-            return Err("what connections do is not what is noted".into());
+        let entries: usize = self.by_activity.iter().map(BTreeSet::len).sum();
+        if entries != self.clients.len() || !self.clients.iter().all(indexed) {
+            return Err(InconsistentIndex);
         }
         Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -8,7 +8,7 @@
 use tracing::{debug, error, info, warn};
 use valehatch_config::Site;
 use valehatch_config::operators::Door;
-use valehatch_connection_limits::ANSWER_SETTLE_TIME;
+use valehatch_connection_limits::{ANSWER_SETTLE_TIME, ConnectionLimits};
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LogEvent, Observability, State};
 use valehatch_net::Clock;
@@ -33,7 +33,7 @@
 }
 
 /// The part of those that clients and servers may take at need: one in so many.
-const EXTRA: usize = 4;
+const OVERFLOW_DIVISOR: usize = 4;
 
 const fn spare(sockets: usize) -> usize {
     if SPARE < sockets / 4 {
@@ -54,38 +54,39 @@
     SharedConnectionLimiter::new(clock, place_limits(sockets, shared))
 }
 
-/// The part of the descriptors that clients of the platform hold at the most to ask on: one in so many.
-const ASKING: usize = 3;
+/// On the platform, one in this many descriptors at most is held by clients that have sent a request.
+const ACTIVE_CLIENTS_DIVISOR: usize = 3;
 
 /// Of so many descriptors of the platform's.
-pub(crate) fn platform_limits(sockets: usize) -> valehatch_connection_limits::Limits {
-    valehatch_connection_limits::Limits {
-        asking: sockets / ASKING,
+pub(crate) fn platform_limits(sockets: usize) -> ConnectionLimits {
+    ConnectionLimits {
+        active_clients: sockets / ACTIVE_CLIENTS_DIVISOR,
         ..place_limits(sockets, true)
     }
 }
 
 /// Of so many descriptors.
-fn place_limits(sockets: usize, shared: bool) -> valehatch_connection_limits::Limits {
-    let (members, extra) = (connections(sockets), spare(sockets) / EXTRA);
-    let most = if shared {
+fn place_limits(sockets: usize, shared: bool) -> ConnectionLimits {
+    let upstream = connections(sockets);
+    let overflow = spare(sockets) / OVERFLOW_DIVISOR;
+    let total = if shared {
         sockets - spare(sockets)
     } else {
-        members
+        upstream
     };
-    let members = if shared { members } else { 0 };
-    // Cassandra's protocol has no last word: what is ended there must have rested for longer.
-    let settles = if shared {
+    let upstream = if shared { upstream } else { 0 };
+    // Cassandra's protocol has no closing error, so a connection must have idled for longer before it is closed.
+    let settle_time = if shared {
         ANSWER_SETTLE_TIME
     } else {
         Span::from_millis(2_000)
     };
-    valehatch_connection_limits::Limits {
-        most,
-        extra,
-        members,
-        asking: usize::MAX,
-        settles,
+    ConnectionLimits {
+        total,
+        overflow,
+        upstream,
+        active_clients: usize::MAX,
+        settle_time,
     }
 }
 
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -98,8 +98,8 @@
 
 impl HandoffHandler for Shares {
     fn holds(&self) -> ProcessLimits {
-        let (clients, members) = self.places.held();
-        let descriptors = SPARE + clients + members;
+        let counts = self.places.counts();
+        let descriptors = SPARE + counts.clients + counts.upstream;
         let resident = procfs::process::Process::myself()
             .and_then(|p| p.statm())
             .map(|m| m.resident);
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -20,7 +20,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Socket, Type};
 
-use valehatch_connection_limits::{ANSWER_SETTLE_TIME, AdmissionDecision};
+use valehatch_connection_limits::{ANSWER_SETTLE_TIME, AdmissionDecision, Eviction};
 use valehatch_policy::{GroupId, Span};
 use valehatch_request_log::RejectionReason;
 
@@ -189,7 +189,7 @@
         self.line.tell(&mut gate);
         drop(gate);
         self.all.make_room();
-        if self.all.places.ask() == AdmissionDecision::Reject {
+        if self.all.places.decide_request() == AdmissionDecision::Reject {
             return Err(RejectionReason::OutOfConnections);
         }
         let most = self.all.most.load(Ordering::Relaxed);
@@ -425,24 +425,24 @@
 
     /// Waits until one more connection may be let in.
     fn wait_for_room(&self) {
-        while !self.places.may_enter() && !self.left.load(Ordering::Relaxed) {
+        while !self.places.can_admit() && !self.left.load(Ordering::Relaxed) {
             self.make_room();
         }
     }
 
     /// Ends idle connections as long as others need their places.
     fn make_room(&self) {
-        while let Some((id, doing)) = self.places.make_way() {
+        while let Some(Eviction { id, activity }) = self.places.evict_idle() {
             let line = lock(&self.lines).get(&ClientId(id)).cloned();
             if let Some(line) = line {
-                line.make_way(doing);
+                line.make_way(activity);
             }
         }
     }
 
     fn begin(self: &Arc<Self>, id: ClientId, stream: TcpStream) -> io::Result<()> {
         let now = self.clock.now();
-        self.places.enter(id.0, now);
+        self.places.admit(id.0, now);
         let line = Arc::new(Line {
             id,
             stream,
--- a/crates/net/src/clients/line.rs
+++ b/crates/net/src/clients/line.rs
@@ -79,7 +79,7 @@
             open: 0,
             asked: 0,
             slow: false,
-            told: ConnectionActivity::Unasked,
+            told: ConnectionActivity::Unused,
             since: now,
             idle: IDLE,
             waits: false,
@@ -92,14 +92,14 @@
 
     pub(super) const fn doing(&self) -> ConnectionActivity {
         match self {
-            Self { over: Some(_), .. } | Self { ended: true, .. } => ConnectionActivity::Parting,
-            Self { open: 1.., .. } | Self { whole: true, .. } => ConnectionActivity::Open,
-            Self { reading: true, .. } => ConnectionActivity::Half,
-            Self { asked: 1, .. } => ConnectionActivity::Once,
-            Self { asked: 2.., .. } => ConnectionActivity::Kept,
+            Self { over: Some(_), .. } | Self { ended: true, .. } => ConnectionActivity::Closing,
+            Self { open: 1.., .. } | Self { whole: true, .. } => ConnectionActivity::Active,
+            Self { reading: true, .. } => ConnectionActivity::PartialRequest,
+            Self { asked: 1, .. } => ConnectionActivity::IdleAfterOne,
+            Self { asked: 2.., .. } => ConnectionActivity::IdleReused,
             // What a slow client writes next is on its way.
-            Self { slow: true, .. } => ConnectionActivity::Half,
-            _ => ConnectionActivity::Unasked,
+            Self { slow: true, .. } => ConnectionActivity::PartialRequest,
+            _ => ConnectionActivity::Unused,
         }
     }
 }
@@ -135,16 +135,16 @@
         let mut gate = lock(&self.gate);
         let (now, come) = (self.clock.now(), self.has_come());
         let settled =
-            chosen == ConnectionActivity::Unasked || gate.since + ANSWER_SETTLE_TIME <= now;
+            chosen == ConnectionActivity::Unused || gate.since + ANSWER_SETTLE_TIME <= now;
         if gate.doing() == chosen && settled && !come {
             return self.part(gate, self.front.farewell(AT_ONCE));
         }
         gate.told = if come {
-            ConnectionActivity::Half
+            ConnectionActivity::PartialRequest
         } else {
             gate.doing()
         };
-        self.places.turn(self.id.0, gate.told, now);
+        self.places.set_activity(self.id.0, gate.told, now);
     }
 
     /// Ends the connection unless something is open on it: the program is about to end, which would reset what is half
@@ -170,7 +170,7 @@
         let doing = gate.doing();
         if doing != gate.told {
             gate.told = doing;
-            self.places.turn(self.id.0, doing, gate.since);
+            self.places.set_activity(self.id.0, doing, gate.since);
         }
     }
 
@@ -309,7 +309,7 @@
 
 impl Drop for Line {
     fn drop(&mut self) {
-        self.places.leave(self.id.0);
+        self.places.remove(self.id.0);
     }
 }
 
--- a/crates/net/src/clients/tests.rs
+++ b/crates/net/src/clients/tests.rs
@@ -25,13 +25,14 @@
     }
 }
 
-const PLACES: valehatch_connection_limits::Limits = valehatch_connection_limits::Limits {
-    most: 0,
-    extra: 0,
-    members: 0,
-    asking: usize::MAX,
-    settles: ANSWER_SETTLE_TIME,
-};
+const PLACES: valehatch_connection_limits::ConnectionLimits =
+    valehatch_connection_limits::ConnectionLimits {
+        total: 0,
+        overflow: 0,
+        upstream: 0,
+        active_clients: usize::MAX,
+        settle_time: ANSWER_SETTLE_TIME,
+    };
 
 /// A connection as its reading thread has it, and the client's end of it.
 fn connection() -> (Arc<Line>, Incoming, TcpStream) {
@@ -44,7 +45,7 @@
     stream.set_read_timeout(Some(LOOK)).unwrap();
     let clock = Clock::start();
     let places = SharedConnectionLimiter::new(clock, PLACES);
-    places.enter(1, clock.now());
+    places.admit(1, clock.now());
     let line = Arc::new(Line {
         id: ClientId(1),
         stream,
@@ -155,23 +156,23 @@
         || lock(&line.gate).since = line.clock.now() - ANSWER_SETTLE_TIME - Span::from_millis(1);
     let over = || lock(&line.gate).over.is_some();
     only_now(&line);
-    line.make_way(ConnectionActivity::Once);
+    line.make_way(ConnectionActivity::IdleAfterOne);
     assert!(!over(), "it was answered only now");
     settled();
     client.write_all(b"ask").unwrap();
     while !line.has_come() {
         std::thread::yield_now();
     }
-    line.make_way(ConnectionActivity::Once);
+    line.make_way(ConnectionActivity::IdleAfterOne);
     assert!(!over(), "a request has come in");
     assert_eq!(incoming.begins().unwrap(), Next::Message);
     incoming.read_exact(&mut [0; 3]).unwrap();
     settled();
-    line.make_way(ConnectionActivity::Once);
+    line.make_way(ConnectionActivity::IdleAfterOne);
     assert!(!over(), "it is being read");
     incoming.ends();
     settled();
-    line.make_way(ConnectionActivity::Once);
+    line.make_way(ConnectionActivity::IdleAfterOne);
     assert!(over());
     assert!(
         line.owe().is_err(),
--- a/crates/net/src/connection_limits.rs
+++ b/crates/net/src/connection_limits.rs
@@ -3,7 +3,10 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use valehatch_connection_limits::{AdmissionDecision, ConnectionActivity, Limits};
+use valehatch_connection_limits::{
+    AdmissionDecision, ConnectionActivity, ConnectionCounts, ConnectionLimiter, ConnectionLimits,
+    Eviction,
+};
 use valehatch_policy::Time;
 
 use crate::{Clock, lock};
@@ -16,73 +19,72 @@
 /// The places of a front. The lock is held for a moment only, and no other is taken under it.
 pub struct SharedConnectionLimiter {
     clock: Clock,
-    heart: Mutex<valehatch_connection_limits::ConnectionLimiter>,
+    limiter: Mutex<ConnectionLimiter>,
     freed: Condvar,
 }
 
 impl SharedConnectionLimiter {
-    pub fn new(clock: Clock, limits: Limits) -> Arc<Self> {
-        let heart = Mutex::new(valehatch_connection_limits::ConnectionLimiter::new(limits));
+    pub fn new(clock: Clock, limits: ConnectionLimits) -> Arc<Self> {
+        let limiter = Mutex::new(ConnectionLimiter::new(limits));
         Arc::new(Self {
             clock,
-            heart,
+            limiter,
             freed: Condvar::new(),
         })
     }
 
     /// Other limits from now on.
-    pub fn resize(&self, limits: Limits) {
-        lock(&self.heart).resize(limits);
+    pub fn resize(&self, limits: ConnectionLimits) {
+        lock(&self.limiter).resize(limits);
         self.freed.notify_all();
     }
 
     /// Connections of clients, and to members.
-    pub fn held(&self) -> (usize, usize) {
-        lock(&self.heart).held()
+    pub fn counts(&self) -> ConnectionCounts {
+        lock(&self.limiter).counts()
     }
 
     /// Whether one more may be let in; waits a moment if not.
-    pub(crate) fn may_enter(&self) -> bool {
-        let mut heart = lock(&self.heart);
-        let may = heart.may_enter(self.clock.now());
+    pub(crate) fn can_admit(&self) -> bool {
+        let mut limiter = lock(&self.limiter);
+        let may = limiter.can_admit(self.clock.now());
         if !may {
             drop(
                 self.freed
-                    .wait_timeout(heart, LOOK)
+                    .wait_timeout(limiter, LOOK)
                     .unwrap_or_else(PoisonError::into_inner),
             );
         }
         may
     }
 
-    pub(crate) fn enter(&self, id: u64, now: Time) {
-        lock(&self.heart).enter(now, id);
+    pub(crate) fn admit(&self, id: u64, now: Time) {
+        lock(&self.limiter).admit(now, id);
     }
 
-    pub(crate) fn turn(&self, id: u64, doing: ConnectionActivity, since: Time) {
-        lock(&self.heart).turn(id, doing, since);
+    pub(crate) fn set_activity(&self, id: u64, doing: ConnectionActivity, since: Time) {
+        lock(&self.limiter).set_activity(id, doing, since);
     }
 
-    pub(crate) fn leave(&self, id: u64) {
-        lock(&self.heart).leave(id);
+    pub(crate) fn remove(&self, id: u64) {
+        lock(&self.limiter).remove(id);
         self.freed.notify_all();
     }
 
-    pub(crate) fn make_way(&self) -> Option<(u64, ConnectionActivity)> {
-        lock(&self.heart).make_way(self.clock.now())
+    pub(crate) fn evict_idle(&self) -> Option<Eviction> {
+        lock(&self.limiter).evict_idle(self.clock.now())
     }
 
-    pub(crate) fn ask(&self) -> AdmissionDecision {
-        lock(&self.heart).ask()
+    pub(crate) fn decide_request(&self) -> AdmissionDecision {
+        lock(&self.limiter).decide_request()
     }
 
     /// A place for a connection to a member, while it is held; none where even those who idle hold too much.
     pub(crate) fn member(self: &Arc<Self>) -> Option<Member> {
-        let full =
-            |heart: &mut valehatch_connection_limits::ConnectionLimiter| !heart.member_enters();
+        let full = |limiter: &mut ConnectionLimiter| !limiter.try_acquire_upstream();
         let waited = self
             .freed
-            .wait_timeout_while(lock(&self.heart), MEMBER_WAITS, full);
+            .wait_timeout_while(lock(&self.limiter), MEMBER_WAITS, full);
         let (_heart, waited) = waited.unwrap_or_else(PoisonError::into_inner);
         (!waited.timed_out()).then(|| Member(Arc::clone(self)))
     }
@@ -93,7 +95,7 @@
 
 impl Drop for Member {
     fn drop(&mut self) {
-        lock(&self.0.heart).member_leaves();
+        lock(&self.0.limiter).release_upstream();
         self.0.freed.notify_all();
     }
 }
