--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::Sender;
 use socket2::SockRef;
 use valehatch_core::{ConnectionId, Event, UpstreamJob, UpstreamReply};
-use valehatch_net::servers::Upstream;
+use valehatch_net::upstream::Upstream;
 use valehatch_net::{Clock, lock, spawn};
 use valehatch_policy::{Outcome, Span, Time};
 use valehatch_request_log::OutcomeMetrics;
--- a/crates/cql/tests/nodes.rs
+++ b/crates/cql/tests/nodes.rs
@@ -12,7 +12,7 @@
 use valehatch_cql::Prepared;
 use valehatch_cql::nodes::Nodes;
 use valehatch_net::Clock;
-use valehatch_net::servers::Upstream;
+use valehatch_net::upstream::Upstream;
 use valehatch_policy::{Outcome, Span};
 use valehatch_request_log::OutcomeMetrics;
 
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -14,7 +14,7 @@
 use valehatch_net::Clock;
 use valehatch_net::clients::{Clients, Limits, RequestHandler};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::servers::Upstream;
+use valehatch_net::upstream::Upstream;
 use valehatch_policy::{Consistency, Span};
 use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -12,9 +12,10 @@
 use valehatch_config::operators::{Door, Level, Log};
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
+use valehatch_net::discovery::poller as list;
 use valehatch_net::hot_restart::HandoffHandle;
-use valehatch_net::servers::EndpointPools;
-use valehatch_net::{Clock, list, signals};
+use valehatch_net::upstream::EndpointPools;
+use valehatch_net::{Clock, signals};
 use valehatch_snmp::world::Board;
 
 use crate::front::{Front, Parts, QUEUE, platform_limits};
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -1,12 +1,13 @@
 //! Connections from clients: one thread accepts, some few wait for those that rest, and whoever of these gets one reads what has
 //! come. Answers are written by whoever has them; a client that does not take one at once gets a thread for that.
 
-mod line;
-mod outbox;
-mod rests;
+mod buffer_budget;
+mod connection;
+mod idle;
+mod write_queue;
 
-pub(crate) use outbox::BUFFER;
-pub use outbox::ResponseBody;
+pub(crate) use write_queue::BUFFER;
+pub use write_queue::ResponseBody;
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -27,11 +28,11 @@
 use super::{lock, spawn};
 use crate::Clock;
 use crate::connection_limits::SharedConnectionLimiter;
-use crate::pipe::Budget;
-use line::{AT_ONCE, Gate, LINGER_BYTES, Line, Patient, Waits};
-use outbox::Outbox;
-use rests::{Resting, Rests};
+use buffer_budget::Budget;
+use connection::{AT_ONCE, Gate, LINGER_BYTES, Line, Patient, Waits};
+use idle::{Resting, Rests};
 use valehatch_core::{ClientId, Event, FinalAnswer, IncomingRequest, MemoryReservation};
+use write_queue::Outbox;
 
 /// How long a write to a client may stand still before the client counts as gone: some take seconds to read.
 const STUCK: Duration = Duration::from_secs(10);
--- a/crates/net/src/pipe.rs
+++ b/crates/net/src/clients/buffer_budget.rs
@@ -10,13 +10,13 @@
 
 /// The bytes that all connections hold: of answers that came whole, and pieces of those that are passed on.
 #[derive(Debug)]
-pub struct Budget {
+pub(super) struct Budget {
     most: AtomicUsize,
     used: AtomicUsize,
 }
 
 impl Budget {
-    pub const fn new(most: usize) -> Self {
+    pub(super) const fn new(most: usize) -> Self {
         Self {
             most: AtomicUsize::new(most),
             used: AtomicUsize::new(0),
@@ -24,28 +24,28 @@
     }
 
     /// So many bytes at the most, from now on.
-    pub fn set(&self, most: usize) {
+    pub(super) fn set(&self, most: usize) {
         self.most.store(most, Ordering::Relaxed);
     }
 
     /// So many bytes came whole, and are held until they are written.
-    pub fn add(&self, bytes: usize) {
+    pub(super) fn add(&self, bytes: usize) {
         self.used.fetch_add(bytes, Ordering::Relaxed);
     }
 
     /// So many have been written, or are let go of.
-    pub fn give_back(&self, bytes: usize) {
+    pub(super) fn give_back(&self, bytes: usize) {
         self.used.fetch_sub(bytes, Ordering::Relaxed);
     }
 
     /// Whether all room is taken: what is asked now could not be answered.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.used.load(Ordering::Relaxed) >= self.most.load(Ordering::Relaxed)
     }
 
     /// Room for one piece of an answer that is passed on. Beyond half of all room only the least is given: these
     /// answers leave the other half to those that come whole.
-    pub fn piece(self: &Arc<Self>) -> Piece {
+    pub(super) fn piece(self: &Arc<Self>) -> Piece {
         let long =
             self.used.load(Ordering::Relaxed) + PIECE <= self.most.load(Ordering::Relaxed) / 2;
         let bytes = if long { PIECE } else { LEAST };
@@ -59,14 +59,14 @@
 
 /// Room for a piece; it is given back when it is let go of.
 #[derive(Debug)]
-pub struct Piece {
+pub(super) struct Piece {
     budget: Arc<Budget>,
     bytes: usize,
 }
 
 impl Piece {
     /// How long a piece may be.
-    pub const fn bytes(&self) -> usize {
+    pub(super) const fn bytes(&self) -> usize {
         self.bytes
     }
 }
--- a/crates/net/src/clients/line.rs
+++ b/crates/net/src/clients/connection.rs
@@ -16,7 +16,7 @@
 use valehatch_core::ClientId;
 use valehatch_policy::{Span, Time};
 
-use super::outbox::Outbox;
+use super::write_queue::Outbox;
 use super::{Next, RequestHandler};
 use crate::connection_limits::SharedConnectionLimiter;
 use crate::{Clock, lock};
--- a/crates/net/src/clients/rests.rs
+++ b/crates/net/src/clients/idle.rs
@@ -13,7 +13,7 @@
 use valehatch_core::ClientId;
 use valehatch_policy::Time;
 
-use super::line::{AT_ONCE, Line};
+use super::connection::{AT_ONCE, Line};
 use super::{Clients, Incoming, Progress, Session, Talk};
 use crate::{lock, spawn};
 
--- a/crates/net/src/clients/outbox.rs
+++ b/crates/net/src/clients/write_queue.rs
@@ -10,8 +10,8 @@
 use socket2::SockRef;
 use valehatch_core::Event;
 
-use super::line::Line;
-use crate::pipe::{Budget, Piece};
+use super::buffer_budget::{Budget, Piece};
+use super::connection::Line;
 use crate::{lock, spawn};
 
 /// What the machine may hold of a long answer on either side: it would hold megabytes where a client is slow to read.
--- a/crates/net/src/list.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -19,12 +19,12 @@
     DiscoveredEndpoint, EndpointListCache, ForwardedListGuard, TOLD, TOLD_AFTER_WAIT,
 };
 
-use super::servers::place_ms;
+use super::http::Answer;
+pub use super::watch::Place;
+use super::watch::{Call, CallTimeouts, Line, first};
 use crate::Clock;
-pub use crate::call::Place;
-use crate::call::{Call, CallTimeouts, Line, first};
-use crate::http::Answer;
 use crate::lock;
+use crate::upstream::place_ms;
 use valehatch_core::{Event, ListedEndpoint};
 
 /// How often all gateways together may call a discovery that has no news: one service answers them all.
@@ -342,7 +342,7 @@
             },
         );
         let held = (told.0 == self.place.address()).then_some((told.0, rev));
-        super::spawn("list", move || self.run(held))
+        crate::spawn("list", move || self.run(held))
     }
 
     /// Takes the list as it was last held, then watches from there on: what has changed since is far less than all.
@@ -360,7 +360,7 @@
                 Err(e) => tracing::warn!("config: known is not a list of servers: {e}"),
             }
         }
-        super::spawn("list", move || self.run(held))
+        crate::spawn("list", move || self.run(held))
     }
 
     fn run(mut self, mut told: Option<(SocketAddr, u64)>) {
--- a/crates/net/src/call.rs
+++ b/crates/net/src/discovery/watch.rs
@@ -9,7 +9,7 @@
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::http::{self, Answer};
+use super::http::{self, Answer};
 use crate::lock;
 
 /// Where discovery answers, and the connection of the last call to it: a new address ends it at once, and a rest too.
--- a/crates/net/src/link.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -21,7 +21,7 @@
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::peers as lists;
 
-use crate::list::EndpointListStore;
+use crate::discovery::poller::EndpointListStore;
 use crate::lock;
 
 /// Bytes of a datagram at the most.
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,21 +4,17 @@
 #![forbid(unsafe_code)]
 #![expect(missing_docs, reason = "not yet split and documented")]
 
-mod call;
 pub mod clients;
 pub mod connection_limits;
+pub mod discovery;
+mod event_loop;
+pub mod gossip_transport;
 pub mod hot_restart;
-pub mod http;
-pub mod link;
-pub mod list;
 pub mod log;
-pub mod members;
-pub mod pipe;
-pub mod servers;
 pub mod signals;
-mod turn;
+pub mod upstream;
 
-pub use turn::{Clock, run};
+pub use event_loop::{Clock, run};
 
 use std::io;
 use std::sync::Mutex;
--- /dev/null
+++ b/crates/net/src/upstream.rs
@@ -0,0 +1,5 @@
+//! Connections to endpoints.
+
+mod connection;
+
+pub use connection::{Begin, EndpointPools, Protocol, Upstream, place_ms};
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -160,7 +160,7 @@
         let Some(link) = self.handles.get(&connection).map(Arc::clone) else {
             return;
         };
-        if let Err(e) = super::spawn("server", move || link.run(&job)) {
+        if let Err(e) = crate::spawn("server", move || link.run(&job)) {
             tracing::warn!("no thread for a connection to a server: {e}");
             let reply = UpstreamReply::bare(Outcome::LocalFailure);
             // The core's own thread: its queue must not be waited for.
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,6 +1,6 @@
 //! Answers over HTTP, whole and in the middle, in all the forms of RFC 9112 that a server may choose.
 
-use valehatch_net::http::{Answer, answer};
+use valehatch_net::discovery::http::{Answer, answer};
 
 fn whole(body: &str, keep: bool) -> Result<Option<Answer>, String> {
     Ok(Some(Answer {
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/link_frame.rs
@@ -5,7 +5,7 @@
 
 use valehatch_config::peers::Peers;
 use valehatch_membership::wire::Datagram;
-use valehatch_net::link::GossipTransport;
+use valehatch_net::gossip_transport::GossipTransport;
 
 #[test]
 fn sent_datagram_begins_with_version_channel_and_fleet() {
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -12,7 +12,7 @@
 use valehatch_core::{Failure, FinalAnswer, IncomingRequest, MemoryReservation, Payload};
 use valehatch_net::Clock;
 use valehatch_net::clients::{Incoming, Next, Progress, RequestHandler, Session, Talk};
-use valehatch_net::servers::place_ms;
+use valehatch_net::upstream::place_ms;
 
 /// How the platform's clients are spoken with.
 pub struct Front {
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -11,7 +11,7 @@
 use valehatch_core::{UpstreamJob, UpstreamReply};
 use valehatch_net::Clock;
 use valehatch_net::clients::ResponseBody;
-use valehatch_net::servers::{Begin, Protocol};
+use valehatch_net::upstream::{Begin, Protocol};
 
 /// How long an answer that has begun may stand still, while another attempt may still take its place.
 const STALL: Duration = Duration::from_millis(400);
