--- a/crates/cql/src/clients.rs
+++ b/crates/cql/src/clients.rs
@@ -12,7 +12,9 @@
 use super::codec::{self, Fault, Frame, Reader, code, error, op, put_string};
 use valehatch_core::{Failure, FinalAnswer, IncomingRequest, Payload};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Incoming, Next, Progress, RequestHandler, Session, Talk};
+use valehatch_net::clients::{
+    NextInput, RequestHandler, RequestReader, Session, SessionProgress, SessionStatus,
+};
 
 /// Drivers keep a pool of connections and look after them with a heartbeat every half minute or so.
 const IDLE: Span = Span::from_millis(120_000);
@@ -124,10 +126,10 @@
         let class = &self.site.settings.classes[contract.class];
         let write = class.consistency == Consistency::Write;
         let ticket = ticket(stream, write, asked.consistency);
-        let room = match session.room(frame.bytes().len()) {
+        let room = match session.reserve(frame.bytes().len()) {
             Ok(room) => room,
             Err(why) => {
-                session.declined(
+                session.report_rejection(
                     contract.class,
                     contract.tenant,
                     GroupId(contract.group),
@@ -145,7 +147,7 @@
             write,
             class: contract.class,
         };
-        session.ask(
+        session.submit(
             ticket,
             IncomingRequest {
                 name: None,
@@ -157,7 +159,7 @@
                 client_timeout: Span(class.deadline.0),
                 repeat: false,
                 last_write_at: None,
-                client: session.client(),
+                client: session.client_number(),
                 payload: Arc::new(payload),
                 room,
             },
@@ -199,15 +201,20 @@
 }
 
 impl RequestHandler for Front {
-    fn serve(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Talk> {
+    fn serve(
+        &self,
+        progress: &mut SessionProgress,
+        reader: &mut RequestReader,
+        session: &Session,
+    ) -> io::Result<SessionStatus> {
         loop {
-            from.ends();
-            match from.begins()? {
-                Next::Message => {}
-                Next::Nothing => return Ok(Talk::Rests),
-                Next::End => return Ok(Talk::Over),
+            reader.finish_message();
+            match reader.next_input()? {
+                NextInput::Message => {}
+                NextInput::Pending => return Ok(SessionStatus::Idle),
+                NextInput::Closed => return Ok(SessionStatus::Closed),
             }
-            let frame = match Frame::read(from, false, codec::FROM_CLIENT) {
+            let frame = match Frame::read(reader, false, codec::FROM_CLIENT) {
                 Ok(frame) => frame,
                 Err(Fault::Io(e)) => return Err(e),
                 Err(Fault::Version(version, number)) => {
@@ -216,11 +223,11 @@
                         "protocol version {version} is not spoken; supported versions are (4/v4)"
                     );
                     session.reply(0, error(number, code::PROTOCOL, &text, &[]))?;
-                    return Ok(Talk::Over);
+                    return Ok(SessionStatus::Closed);
                 }
                 Err(Fault::Bad(number, text)) => {
                     session.reply(0, error(number, code::PROTOCOL, &text, &[]))?;
-                    return Ok(Talk::Over);
+                    return Ok(SessionStatus::Closed);
                 }
             };
             let number = frame.stream();
@@ -240,13 +247,13 @@
                 op::OPTIONS => plain(op::SUPPORTED, &supported())?,
                 op::STARTUP => match startup_fault(&frame) {
                     None => {
-                        at.opened = true;
-                        session.stay(IDLE);
+                        progress.handshake_complete = true;
+                        session.set_idle_timeout(IDLE);
                         plain(op::READY, &[])?;
                     }
                     Some(text) => refuse(&text)?,
                 },
-                _ if !at.opened => refuse("STARTUP comes first")?,
+                _ if !progress.handshake_complete => refuse("STARTUP comes first")?,
                 op::REGISTER => plain(op::READY, &[])?,
                 op::QUERY | op::PREPARE | op::EXECUTE | op::BATCH => {
                     self.request(frame, session)?
@@ -299,16 +306,16 @@
         }
     }
 
-    fn ordered(&self) -> bool {
+    fn has_ordered_responses(&self) -> bool {
         false
     }
 
-    fn pipeline(&self) -> usize {
+    fn pipeline_limit(&self) -> usize {
         64
     }
 
     /// An error needs the stream of what it answers.
-    fn farewell(&self, _: Span) -> Vec<u8> {
+    fn closing_error(&self, _: Span) -> Vec<u8> {
         vec![]
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -12,7 +12,7 @@
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LogEvent, Observability, State};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Clients, Limits, RequestHandler};
+use valehatch_net::clients::{BacklogOwner, ClientLimits, Clients, RequestHandler};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::upstream::Upstream;
 use valehatch_policy::{Consistency, Span};
@@ -191,9 +191,9 @@
         };
         let state = State::new(facts, seed).map_err(|e| e.to_string())?;
         let watched = watcher.is_some() || figures.is_some();
-        let limits = Limits {
-            bytes: bytes(memory_mb * 1024 * 1024),
-            watched,
+        let limits = ClientLimits {
+            memory_bytes: bytes(memory_mb * 1024 * 1024),
+            reports_rejections: watched,
         };
         let listens = Clients::new(front, events, clock, places, limits)
             .and_then(|clients| clients.listen(listener).map(|bound| (clients, bound)));
@@ -242,15 +242,15 @@
                     connection,
                     client,
                     ticket,
-                } => servers.pass(connection, clients.passage(client, ticket)),
+                } => servers.pass(connection, clients.response_body(client, ticket)),
                 Effect::Answer {
                     client,
                     ticket,
                     answer,
                 } => clients.answer(client, ticket, answer),
-                Effect::CloseClient(client) => clients.close(client),
-                Effect::CloseIdleClients => clients.close_all(),
-                Effect::StopListening => clients.stop(false),
+                Effect::CloseClient(client) => clients.close_if_idle(client),
+                Effect::CloseIdleClients => clients.close_all_idle(),
+                Effect::StopListening => clients.stop_accepting(BacklogOwner::ThisProcess),
                 Effect::Log(LogEvent::InvalidQuotas(what)) => {
                     warn!("door: shares stay as they were: {what}")
                 }
@@ -282,7 +282,7 @@
                         queue: inbox.len(),
                     })));
                 }
-                Effect::Exit => return !clients.may_exit(),
+                Effect::Exit => return !clients.can_exit(),
             }
             true
         });
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -11,7 +11,7 @@
 use tracing::{error, info};
 use valehatch_config::operators::{self, Members, Operators, Protocol};
 use valehatch_core::{Event, Observability};
-use valehatch_net::clients::RequestHandler;
+use valehatch_net::clients::{AddressSharing, RequestHandler, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::discovery::configured::ConfiguredEndpoints;
 use valehatch_net::discovery::{configured as members, poller as list};
@@ -218,7 +218,7 @@
             sockets: front.sockets,
             memory_mb: front.memory_mb,
             seed,
-            listener: valehatch_net::clients::listener(front.listen, false)
+            listener: bind_listener(front.listen, AddressSharing::Exclusive)
                 .map_err(|e| format!("front.{n}.listen: {}: {e}", front.listen))?,
             clock,
             front: speakers.clients,
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -12,7 +12,7 @@
 use valehatch_core::Event;
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::Clock;
-use valehatch_net::clients::{Clients, listener};
+use valehatch_net::clients::{AddressSharing, BacklogOwner, Clients, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
 use valehatch_recovery::book::EndpointListCache;
@@ -47,7 +47,7 @@
     gateway: &str,
     listen: SocketAddr,
 ) -> Result<Begin, String> {
-    let own = |known, old| match listener(listen, true) {
+    let own = |known, old| match bind_listener(listen, AddressSharing::SameUser) {
         Ok(listener) => Ok(Begin {
             listener,
             known,
@@ -138,7 +138,7 @@
         // What is held already is not refused for it: it goes as it rests.
         let held = room.descriptors.max(self.holds().descriptors);
         self.places.resize(platform_limits(held));
-        self.clients.limit(bytes(room.bytes));
+        self.clients.set_memory_limit(bytes(room.bytes));
         let _ = self.events.send(Event::UpstreamConnectionLimit(connections(
             room.descriptors,
         )));
@@ -164,7 +164,12 @@
     }
 
     fn leave(&self, left: bool) {
-        self.clients.stop(left);
+        let backlog = if left {
+            BacklogOwner::OtherProcess
+        } else {
+            BacklogOwner::ThisProcess
+        };
+        self.clients.stop_accepting(backlog);
         let _ = self.events.send(Event::HandoffStarted);
     }
 }
--- a/crates/net/src/clients/idle.rs
+++ b/crates/net/src/clients/idle.rs
@@ -1,5 +1,7 @@
-//! Connections that rest, or wait for their answers: some few threads wait for all of them, and whoever of these gets one deals
-//! with what has come on it.
+//! Connections that wait for their next message, and the few threads that wait for all of them at once.
+//!
+//! A connection that becomes readable belongs to the thread that took it, until it is idle again. State: the idle connections
+//! by id, an epoll instance that watches them, and the number of threads that wait.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,101 +13,117 @@
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 use valehatch_core::ClientId;
-use valehatch_policy::Time;
+use valehatch_policy::{Span, Time};
 
-use super::connection::{AT_ONCE, Line};
-use super::{Clients, Incoming, Progress, Session, Talk};
+use super::connection::{CLOSING_ERROR_RETRY_AFTER, ClientConnection};
+use super::session::{RequestReader, Session};
+use super::{Clients, SessionProgress, SessionStatus};
 use crate::{lock, spawn};
 
-/// How often those that have rested for too long are looked for.
-const LOOK: Timespec = Timespec {
+/// How often idle timeouts are checked.
+const IDLE_CHECK_INTERVAL: Span = Span::from_millis(50);
+/// How long a thread waits for a readable connection before it checks idle timeouts.
+const EPOLL_TIMEOUT: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 50_000_000,
 };
-/// Threads that wait while nothing comes: the second one takes what comes while the first is held up.
-const SPARE: usize = 2;
+/// Threads that wait while nothing happens: the second one serves the next connection while the first is blocked.
+const WAITING_THREADS: usize = 2;
 
 /// A connection between two messages.
-pub(super) struct Resting {
-    pub from: Incoming,
+pub(super) struct IdleConnection {
+    pub reader: RequestReader,
     pub session: Session,
-    pub at: Progress,
-    /// It has been waited for before.
-    pub known: bool,
+    pub progress: SessionProgress,
+    /// The epoll instance knows its socket.
+    pub registered: bool,
 }
 
-/// All that rest.
-pub(super) struct Rests {
+/// Connections that wait for their next message.
+pub(super) struct IdleConnections {
     epoll: OwnedFd,
-    held: Mutex<BTreeMap<ClientId, Resting>>,
-    /// Threads that wait for them.
-    waiting: AtomicUsize,
-    /// When those that have rested for too long were last looked for.
-    looked: Mutex<Time>,
+    connections: Mutex<BTreeMap<ClientId, IdleConnection>>,
+    waiting_threads: AtomicUsize,
+    last_check: Mutex<Time>,
 }
 
-impl Rests {
+impl IdleConnections {
     pub(super) fn new(now: Time) -> io::Result<Self> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
         Ok(Self {
             epoll,
-            held: Mutex::default(),
-            waiting: AtomicUsize::new(0),
-            looked: Mutex::new(now),
+            connections: Mutex::default(),
+            waiting_threads: AtomicUsize::new(0),
+            last_check: Mutex::new(now),
         })
     }
 
-    /// The next connection on which something has come, if one does within a moment.
-    fn next(&self) -> Option<Resting> {
-        let mut one = Vec::with_capacity(1);
-        epoll::wait(&self.epoll, spare_capacity(&mut one), Some(&LOOK)).ok()?;
-        let event = one.first()?;
-        lock(&self.held).remove(&ClientId(event.data.u64()))
+    /// Takes the next connection that becomes readable, if one does within [`EPOLL_TIMEOUT`].
+    fn take_readable(&self) -> Option<IdleConnection> {
+        let mut events = Vec::with_capacity(1);
+        epoll::wait(
+            &self.epoll,
+            spare_capacity(&mut events),
+            Some(&EPOLL_TIMEOUT),
+        )
+        .ok()?;
+        let event = events.first()?;
+        self.take(ClientId(event.data.u64()))
     }
 
-    /// Waits for what comes on a connection, once: only one thread has it then.
-    fn arm(&self, line: &Line, known: bool) -> io::Result<()> {
+    fn take(&self, id: ClientId) -> Option<IdleConnection> {
+        lock(&self.connections).remove(&id)
+    }
+
+    /// Watches a connection for one event, so that one thread takes it.
+    fn watch(&self, connection: &ClientConnection, registered: bool) -> io::Result<()> {
         let events = EventFlags::IN | EventFlags::RDHUP | EventFlags::ONESHOT;
-        let data = EventData::new_u64(line.id.0);
-        let armed = if known {
-            epoll::modify(&self.epoll, &line.stream, data, events)
+        let data = EventData::new_u64(connection.id.0);
+        let watched = if registered {
+            epoll::modify(&self.epoll, &connection.stream, data, events)
         } else {
-            epoll::add(&self.epoll, &line.stream, data, events)
+            epoll::add(&self.epoll, &connection.stream, data, events)
         };
-        Ok(armed?)
+        Ok(watched?)
     }
 }
 
 impl Clients {
-    /// Starts the threads that wait.
-    pub(super) fn attend(self: &Arc<Self>) -> io::Result<()> {
-        (0..SPARE).try_for_each(|_| self.one_more())
+    pub(super) fn start_waiting_threads(self: &Arc<Self>) -> io::Result<()> {
+        for _ in 0..WAITING_THREADS {
+            self.start_waiting_thread()?;
+        }
+        Ok(())
     }
 
-    fn one_more(self: &Arc<Self>) -> io::Result<()> {
-        self.rests.waiting.fetch_add(1, Ordering::Relaxed);
-        let all = Arc::clone(self);
-        let started = spawn("client", move || all.wait());
+    fn start_waiting_thread(self: &Arc<Self>) -> io::Result<()> {
+        self.idle.waiting_threads.fetch_add(1, Ordering::Relaxed);
+        let clients = Arc::clone(self);
+        let started = spawn("client", move || clients.serve_readable());
         if started.is_err() {
-            self.rests.waiting.fetch_sub(1, Ordering::Relaxed);
+            self.idle.waiting_threads.fetch_sub(1, Ordering::Relaxed);
         }
         started
     }
 
-    fn wait(self: &Arc<Self>) {
-        let waiting = &self.rests.waiting;
+    /// Serves connections as they become readable, until enough other threads wait.
+    fn serve_readable(self: &Arc<Self>) {
+        let waiting = &self.idle.waiting_threads;
         loop {
-            let next = self.rests.next();
-            self.look();
-            let Some(resting) = next else { continue };
-            // Nobody would wait any more: a client that is slow to write would hold up all others.
-            if waiting.fetch_sub(1, Ordering::Relaxed) == 1 && self.one_more().is_err() {
-                tracing::warn!("no thread is left to wait for clients while one is dealt with");
+            let readable = self.idle.take_readable();
+            self.check_timeouts();
+            let Some(connection) = readable else {
+                continue;
+            };
+            // The last waiting thread starts another one first: a client that is slow to send would hold up all others.
+            let was_last = waiting.fetch_sub(1, Ordering::Relaxed) == 1;
+            if was_last && self.start_waiting_thread().is_err() {
+                tracing::warn!("no thread left to wait for idle client connections");
             }
-            self.go_on(resting);
-            let more = |w| (w < SPARE).then_some(w + 1);
+            self.serve(connection);
+            let one_more = |count| (count < WAITING_THREADS).then_some(count + 1);
             if waiting
-                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more)
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_more)
                 .is_err()
             {
                 return;
@@ -113,50 +131,56 @@
         }
     }
 
-    /// Deals with what has come on a connection.
-    fn go_on(&self, mut resting: Resting) {
-        let talk = self
-            .front
-            .serve(&mut resting.at, &mut resting.from, &resting.session);
-        if matches!(talk, Ok(Talk::Rests)) || resting.from.finish(vec![]) == Talk::Rests {
-            self.rest(resting);
+    /// Handles what has come on a connection.
+    fn serve(&self, mut connection: IdleConnection) {
+        let status = self.registry.handler.serve(
+            &mut connection.progress,
+            &mut connection.reader,
+            &connection.session,
+        );
+        if matches!(status, Ok(SessionStatus::Idle))
+            || connection.reader.close_gracefully(vec![]) == SessionStatus::Idle
+        {
+            self.wait_for_input(connection);
         } else {
-            self.finish(&resting);
+            self.remove(&connection);
         }
     }
 
-    /// Waits for the next message of a connection, or for its end.
-    pub(super) fn rest(&self, mut resting: Resting) {
-        let line = Arc::clone(&resting.session.line);
-        let known = std::mem::replace(&mut resting.known, true);
-        lock(&self.rests.held).insert(line.id, resting);
-        if let Err(e) = self.rests.arm(&line, known) {
-            tracing::warn!("a connection from a client cannot be waited for: {e}");
-            self.drop_one(line.id);
+    /// Waits for the next message on a connection, or for its end.
+    pub(super) fn wait_for_input(&self, mut idle: IdleConnection) {
+        let connection = Arc::clone(idle.session.connection());
+        let registered = std::mem::replace(&mut idle.registered, true);
+        lock(&self.idle.connections).insert(connection.id, idle);
+        if let Err(e) = self.idle.watch(&connection, registered) {
+            tracing::warn!(error = %e, "cannot watch an idle client connection, closing it");
+            self.remove_idle(connection.id);
         }
     }
 
-    fn drop_one(&self, id: ClientId) {
-        let held = lock(&self.rests.held).remove(&id);
-        if let Some(resting) = held {
-            self.finish(&resting);
+    fn remove_idle(&self, id: ClientId) {
+        let idle = self.idle.take(id);
+        if let Some(idle) = idle {
+            self.remove(&idle);
         }
     }
 
-    /// Ends those that have rested for too long, and gives up those that do not take their last word.
-    fn look(&self) {
-        let now = self.clock.now();
-        let mut looked = lock(&self.rests.looked);
-        if now - *looked < valehatch_policy::Span::from_millis(LOOK.tv_nsec / 1_000_000) {
+    /// Closes connections that have been idle for too long, and frees those whose lingering close is over.
+    fn check_timeouts(&self) {
+        let now = self.registry.clock.now();
+        let mut last_check = lock(&self.idle.last_check);
+        if now - *last_check < IDLE_CHECK_INTERVAL {
             return;
         }
-        *looked = now;
-        drop(looked);
-        self.make_room();
-        for line in self.all() {
-            line.end_if(AT_ONCE, |g| g.since + g.idle < now);
-            if line.has_lingered(now) {
-                self.drop_one(line.id);
+        *last_check = now;
+        drop(last_check);
+        self.registry.evict_idle();
+        for connection in self.registry.all() {
+            connection.close_idle_if(CLOSING_ERROR_RETRY_AFTER, |state| {
+                state.last_used + state.idle_timeout < now
+            });
+            if connection.has_lingered(now) {
+                self.remove_idle(connection.id);
             }
         }
     }
--- /dev/null
+++ b/crates/net/src/clients/session.rs
@@ -0,0 +1,241 @@
+//! What a protocol's [`RequestHandler`](super::RequestHandler) works with: a reader of messages, and the session that takes
+//! requests and responses.
+
+use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
+use std::sync::Arc;
+
+use valehatch_core::{ClientId, Event, IncomingRequest, MemoryReservation};
+use valehatch_policy::{GroupId, Span};
+use valehatch_request_log::RejectionReason;
+
+use super::connection::{
+    ClientConnection, ClientPresence, ConnectionReader, ReceiveStatus, RequestInput,
+};
+use super::registry::Registry;
+use super::{NextInput, SessionStatus};
+
+/// Bytes that are read from a client at once.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// What a client sends. [`Read::read`] blocks until bytes arrive or a timeout closes the connection, so a handler reads only
+/// after [`RequestReader::next_input`] has returned [`NextInput::Message`].
+pub struct RequestReader {
+    buffered: BufReader<ConnectionReader>,
+}
+
+impl RequestReader {
+    pub(super) fn new(connection: Arc<ClientConnection>) -> Self {
+        let reader = ConnectionReader::new(connection);
+        Self {
+            buffered: BufReader::with_capacity(READ_BUFFER_BYTES, reader),
+        }
+    }
+
+    fn connection(&self) -> &Arc<ClientConnection> {
+        &self.buffered.get_ref().connection
+    }
+
+    /// Whether a message has begun to arrive; takes nothing and does not block. Messages that a client had sent before it
+    /// disconnected are still read, and do not run.
+    ///
+    /// # Errors
+    /// The connection failed.
+    pub fn next_input(&mut self) -> io::Result<NextInput> {
+        if self.connection().closing_since().is_some() {
+            return Ok(self.discard_received());
+        }
+        match self.connection().receive_status() {
+            ReceiveStatus::PeerClosed => self.connection().state().set_disconnected(),
+            ReceiveStatus::Empty if self.buffered.buffer().is_empty() => {
+                return Ok(NextInput::Pending);
+            }
+            ReceiveStatus::Empty | ReceiveStatus::Data => {}
+        }
+        let has_bytes = !self.buffered.fill_buf()?.is_empty();
+        if has_bytes && !self.connection().state().is_aborted() {
+            Ok(NextInput::Message)
+        } else {
+            Ok(NextInput::Closed)
+        }
+    }
+
+    /// The message that was read has been handled. The next one may have been received along with it.
+    pub fn finish_message(&self) {
+        let input = if self.buffered.buffer().is_empty() {
+            RequestInput::None
+        } else {
+            RequestInput::Partial
+        };
+        self.connection().update(|state| state.input = input);
+    }
+
+    /// Closes the connection gracefully: waits until all responses are written, sends the closing error, and discards what the
+    /// client still sends. Returns [`SessionStatus::Closed`] if the client has closed the connection too.
+    pub fn close_gracefully(&mut self, closing_error: Vec<u8>) -> SessionStatus {
+        let connection = Arc::clone(self.connection());
+        // Where nothing can be written any more, only the client's close is left to be read.
+        if connection.closing_since().is_none()
+            && connection.receive_status() != ReceiveStatus::PeerClosed
+            && let Ok(state) = connection.wait_until_owed_less_than(1)
+        {
+            connection.graceful_close(state, closing_error);
+        }
+        match self.discard_received() {
+            NextInput::Pending => SessionStatus::Idle,
+            NextInput::Message | NextInput::Closed => SessionStatus::Closed,
+        }
+    }
+
+    fn discard_received(&mut self) -> NextInput {
+        self.buffered.consume(self.buffered.buffer().len());
+        self.buffered.get_mut().discard_received()
+    }
+
+    /// Writes at once, past the write queue; only before any response is queued.
+    ///
+    /// # Errors
+    /// The connection failed.
+    pub fn write_unqueued(&self, bytes: &[u8]) -> io::Result<()> {
+        (&self.connection().stream).write_all(bytes)
+    }
+}
+
+impl Read for RequestReader {
+    fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
+        self.buffered.read(into)
+    }
+}
+
+/// A client connection as its protocol's handler sees it.
+pub struct Session {
+    connection: Arc<ClientConnection>,
+    registry: Arc<Registry>,
+}
+
+impl Session {
+    pub(super) const fn new(connection: Arc<ClientConnection>, registry: Arc<Registry>) -> Self {
+        Self {
+            connection,
+            registry,
+        }
+    }
+
+    pub(super) const fn connection(&self) -> &Arc<ClientConnection> {
+        &self.connection
+    }
+
+    pub(super) fn client(&self) -> ClientId {
+        self.connection.id
+    }
+
+    /// Reserves memory for a request that has been read completely, in bytes of its message.
+    ///
+    /// # Errors
+    /// Why the request has to be rejected.
+    pub fn reserve(&self, bytes: usize) -> Result<MemoryReservation, RejectionReason> {
+        let mut state = self.connection.state();
+        state.input = RequestInput::Complete;
+        self.connection.report_activity(&mut state);
+        drop(state);
+        self.registry.reserve(bytes)
+    }
+
+    /// The connection's number, which is all that tells clients apart.
+    pub fn client_number(&self) -> u64 {
+        self.client().0
+    }
+
+    /// Hands a request to the core, unless its client has disconnected. Blocks while the client is owed too many responses.
+    ///
+    /// # Errors
+    /// The connection is closed, or the core has ended.
+    pub fn submit(&self, ticket: u64, request: IncomingRequest) -> io::Result<()> {
+        let connected = self.connection.state().is_client_connected();
+        let reserved = if connected {
+            self.connection.reserve_response()
+        } else {
+            Err(ErrorKind::ConnectionAborted.into())
+        };
+        match reserved {
+            Err(e) if e.kind() == ErrorKind::ConnectionAborted => {
+                self.abandon(&request);
+                return Ok(());
+            }
+            other => other?,
+        }
+        self.connection.state().count_request();
+        let event = Event::RequestReceived {
+            client: self.client(),
+            ticket,
+            ask: request,
+        };
+        self.registry
+            .events
+            .send(event)
+            .map_err(|_| ErrorKind::BrokenPipe.into())
+    }
+
+    /// The client has disconnected: this request does not run, and the core cancels those in flight.
+    fn abandon(&self, request: &IncomingRequest) {
+        let before = self.connection.state().set_disconnect_reported();
+        // A core that has ended counts nothing any more.
+        if before != ClientPresence::DisconnectReported {
+            let disconnected = Event::ClientDisconnected(self.client());
+            let _ = self.registry.events.send(disconnected);
+        }
+        if self.registry.reports_rejections {
+            let _ = self.registry.events.send(Event::RequestAbandoned {
+                class: request.class,
+                tenant: request.tenant,
+                group: request.group,
+            });
+        }
+    }
+
+    /// Reports a request that the handler has rejected itself, by its class, tenant and group.
+    pub fn report_rejection(
+        &self,
+        class: usize,
+        tenant: Option<usize>,
+        group: GroupId,
+        reason: RejectionReason,
+    ) {
+        if self.registry.reports_rejections {
+            let _ = self.registry.events.send(Event::RequestRejected {
+                class,
+                tenant,
+                group,
+                why: reason,
+            });
+        }
+    }
+
+    /// Answers a request without the core. Blocks while the client is owed too many responses.
+    ///
+    /// # Errors
+    /// This side has closed the connection.
+    pub fn reply(&self, ticket: u64, response: Vec<u8>) -> io::Result<()> {
+        match self.connection.reserve_response() {
+            // The client has disconnected while it was owed too many responses.
+            Err(e) if e.kind() == ErrorKind::ConnectionAborted => return Ok(()),
+            other => other?,
+        }
+        self.connection.enqueue(Some(ticket), response);
+        Ok(())
+    }
+
+    /// Sends a message that answers no request, such as the end of a handshake.
+    ///
+    /// # Errors
+    /// The client has disconnected, or this side has closed the connection.
+    pub fn send(&self, message: Vec<u8>) -> io::Result<()> {
+        self.connection.reserve_response()?;
+        self.connection.enqueue(None, message);
+        Ok(())
+    }
+
+    /// Sets how long the connection may be idle, where the protocol's clients keep theirs for longer.
+    pub fn set_idle_timeout(&self, timeout: Span) {
+        self.connection.state().idle_timeout = timeout;
+    }
+}
--- a/crates/net/src/clients/write_queue.rs
+++ b/crates/net/src/clients/write_queue.rs
@@ -1,307 +1,256 @@
-//! What is on its way to a client: whole answers in their turn, and long ones that are passed on as they come.
+//! The responses that wait to be written to one client, in the order in which they leave.
+//!
+//! The queue writes to the socket that it is given, and says what came of it; the connection draws the consequences. One
+//! thread at a time writes. State, under one lock: bytes that are ready, and responses whose turn has not come.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Write};
-use std::net::Shutdown;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-use crossbeam_channel::Sender;
 use socket2::SockRef;
-use valehatch_core::Event;
 
-use super::buffer_budget::{Budget, Piece};
-use super::connection::Line;
-use crate::{lock, spawn};
+use super::buffer_budget::{BufferBudget, ChunkReservation};
+use crate::lock;
 
-/// What the machine may hold of a long answer on either side: it would hold megabytes where a client is slow to read.
-pub(crate) const BUFFER: usize = 64 * 1024;
-
-/// What is to be written to a client.
-pub(super) struct Outbox {
-    state: Mutex<State>,
-    /// An answer has left, or nothing more is taken.
-    moved: Condvar,
-    budget: Arc<Budget>,
+pub(super) struct WriteQueue {
+    state: Mutex<QueueState>,
+    /// A response was written, or the queue was closed.
+    progressed: Condvar,
+    budget: Arc<BufferBudget>,
 }
 
 #[derive(Default)]
-struct State {
-    /// In an ordered protocol: the ticket whose answer leaves next, and those that wait for it.
-    next: u64,
-    waiting: BTreeMap<u64, Vec<u8>>,
-    /// What leaves now, and how many answers that are.
+struct QueueState {
+    /// Where responses are ordered: the ticket whose response leaves next, and the responses that wait for it.
+    next_ticket: u64,
+    out_of_order: BTreeMap<u64, Vec<u8>>,
+    /// Bytes that leave next, and how many responses they are.
     ready: Vec<u8>,
-    count: usize,
-    /// Of the budget, what whole answers hold.
-    held: usize,
-    /// A thread is at it: the client did not take all at once, or is given a long answer.
+    ready_responses: usize,
+    /// Bytes of complete responses that count against the budget.
+    buffered_bytes: usize,
+    /// A thread is writing: the client did not take all bytes at once, or gets a streamed response.
     writing: bool,
-    /// Nothing will be added any more.
-    complete: bool,
+    /// No further responses are queued.
+    closed: bool,
 }
 
-impl Outbox {
-    pub(super) fn new(budget: Arc<Budget>) -> Self {
-        Self {
-            state: Mutex::default(),
-            moved: Condvar::new(),
-            budget,
-        }
-    }
+/// What came of writing without waiting.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WriteOutcome {
+    /// Nothing was ready, or another thread is writing.
+    NothingToDo,
+    /// All that was ready is written: so many responses.
+    Written { responses: usize },
+    /// The client's receive buffer is full: the caller has to write the rest with [`WriteQueue::write_next`].
+    WouldBlock,
+    /// The connection failed.
+    Failed,
+}
 
-    fn written(&self, state: &mut State, bytes: usize) {
-        state.held -= bytes;
-        self.budget.give_back(bytes);
-    }
+/// What a thread that writes the rest has written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RestOutcome {
+    /// So many responses; there may be more.
+    Written { responses: usize },
+    /// Nothing is left. The thread no longer writes.
+    Drained(QueueStatus),
 }
 
-impl Drop for Outbox {
-    fn drop(&mut self) {
-        let held = self
-            .state
-            .get_mut()
-            .unwrap_or_else(PoisonError::into_inner)
-            .held;
-        self.budget.give_back(held);
-    }
+/// Whether further responses may be queued.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum QueueStatus {
+    /// They may.
+    Open,
+    /// They may not, and sending was shut down.
+    Closed,
 }
 
-impl State {
-    /// Takes up those answers whose turn has come.
-    fn turn(&mut self) {
-        while let Some(bytes) = self.waiting.remove(&self.next) {
-            self.ready.extend_from_slice(&bytes);
-            self.next += 1;
-            self.count += 1;
+impl QueueState {
+    /// Makes those responses ready whose turn has come.
+    fn take_in_order(&mut self) {
+        while let Some(response) = self.out_of_order.remove(&self.next_ticket) {
+            self.ready.extend_from_slice(&response);
+            self.next_ticket += 1;
+            self.ready_responses += 1;
         }
     }
 }
 
-impl Line {
-    /// Passes on what the client is owed, in its turn. Never waits: what the client does not take at once is
-    /// left to a thread.
-    pub(super) fn put(self: &Arc<Self>, ticket: Option<u64>, bytes: Vec<u8>) {
-        self.outbox.budget.add(bytes.len());
-        let mut state = lock(&self.outbox.state);
-        state.held += bytes.len();
-        match ticket.filter(|_| self.front.ordered()) {
-            Some(ticket) => drop(state.waiting.insert(ticket, bytes)),
+impl WriteQueue {
+    pub(super) fn new(budget: Arc<BufferBudget>) -> Self {
+        Self {
+            state: Mutex::default(),
+            progressed: Condvar::new(),
+            budget,
+        }
+    }
+
+    pub(super) fn reserve_chunk(&self) -> ChunkReservation {
+        self.budget.reserve_chunk()
+    }
+
+    /// Queues a response, in its turn if it has a ticket, and writes what the client takes at once.
+    pub(super) fn enqueue(
+        &self,
+        stream: &TcpStream,
+        ticket: Option<u64>,
+        response: Vec<u8>,
+    ) -> WriteOutcome {
+        self.budget.add(response.len());
+        let mut state = lock(&self.state);
+        state.buffered_bytes += response.len();
+        match ticket {
+            Some(ticket) => {
+                state.out_of_order.insert(ticket, response);
+            }
             None => {
-                state.ready.extend_from_slice(&bytes);
-                state.count += 1;
+                state.ready.extend_from_slice(&response);
+                state.ready_responses += 1;
             }
         }
-        state.turn();
-        self.write_now(state);
+        state.take_in_order();
+        self.write_ready(stream, state)
     }
 
-    /// Writes what the client takes at once; the rest is left to a thread.
-    fn write_now(self: &Arc<Self>, mut state: MutexGuard<'_, State>) {
+    fn write_ready(
+        &self,
+        stream: &TcpStream,
+        mut state: MutexGuard<'_, QueueState>,
+    ) -> WriteOutcome {
         if state.writing || state.ready.is_empty() {
-            return;
+            return WriteOutcome::NothingToDo;
         }
-        let socket = SockRef::from(&self.stream);
+        let socket = SockRef::from(stream);
         loop {
             match socket.send_with_flags(&state.ready, libc::MSG_DONTWAIT) {
-                Ok(n) => {
-                    self.outbox.written(&mut state, n);
-                    if n == state.ready.len() {
+                Ok(written) => {
+                    self.release(&mut state, written);
+                    if written == state.ready.len() {
                         break;
                     }
-                    state.ready.drain(..n);
+                    state.ready.drain(..written);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     state.writing = true;
-                    drop(state);
-                    let line = Arc::clone(self);
-                    if spawn("client out", move || line.write_rest()).is_err() {
-                        self.break_off();
-                    }
-                    return;
-                }
-                Err(_) => {
-                    drop(state);
-                    return self.break_off();
+                    return WriteOutcome::WouldBlock;
                 }
+                Err(_) => return WriteOutcome::Failed,
             }
         }
         state.ready.clear();
-        let count = std::mem::take(&mut state.count);
+        let responses = std::mem::take(&mut state.ready_responses);
         drop(state);
-        // It may be a long answer's turn.
-        self.outbox.moved.notify_all();
-        self.note(|g| g.open -= count);
+        // It may be a streamed response's turn.
+        self.progressed.notify_all();
+        WriteOutcome::Written { responses }
     }
 
-    /// Writes to a client that is slow to take things, until it has them all.
-    fn write_rest(&self) {
-        loop {
-            let mut state = lock(&self.outbox.state);
-            let (bytes, count) = (
-                std::mem::take(&mut state.ready),
-                std::mem::take(&mut state.count),
-            );
-            if bytes.is_empty() {
-                return self.wrote(state);
-            }
-            drop(state);
-            if (&self.stream).write_all(&bytes).is_err() {
-                return self.break_off();
-            }
-            self.outbox
-                .written(&mut lock(&self.outbox.state), bytes.len());
-            self.note(|g| g.open -= count);
+    /// Writes what is ready and waits until the client has taken it; for the thread that [`WriteOutcome::WouldBlock`] asks for.
+    ///
+    /// # Errors
+    /// The connection failed, or the client took nothing for the socket's write timeout.
+    pub(super) fn write_next(&self, stream: &TcpStream) -> io::Result<RestOutcome> {
+        let mut state = lock(&self.state);
+        let ready = std::mem::take(&mut state.ready);
+        let responses = std::mem::take(&mut state.ready_responses);
+        if ready.is_empty() {
+            return Ok(RestOutcome::Drained(self.stop_writing(stream, state)));
         }
+        drop(state);
+        let mut socket = stream;
+        socket.write_all(&ready)?;
+        self.release(&mut lock(&self.state), ready.len());
+        Ok(RestOutcome::Written { responses })
     }
 
-    /// The thread that was at it is done.
-    fn wrote(&self, mut state: MutexGuard<'_, State>) {
+    fn stop_writing(
+        &self,
+        stream: &TcpStream,
+        mut state: MutexGuard<'_, QueueState>,
+    ) -> QueueStatus {
         state.writing = false;
-        let complete = state.complete;
-        if complete {
-            let _ = self.stream.shutdown(Shutdown::Write);
-        }
+        let status = if state.closed {
+            let _ = stream.shutdown(Shutdown::Write);
+            QueueStatus::Closed
+        } else {
+            QueueStatus::Open
+        };
         drop(state);
-        self.outbox.moved.notify_all();
-        if complete {
-            // The client is listened to from now on, not from when the last word had to wait.
-            let now = self.clock.now();
-            lock(&self.gate)
-                .over
-                .iter_mut()
-                .for_each(|since| *since = now);
-        }
+        self.progressed.notify_all();
+        status
     }
 
-    /// Writes some of a long answer, in its turn; waits for as long as the client is slow to take it. Nothing of it is
-    /// ever left behind here.
-    fn pass(self: &Arc<Self>, ticket: u64, bytes: &[u8]) -> io::Result<()> {
-        let waits = |s: &mut State| !s.complete && (s.writing || s.next != ticket);
-        let state = self
-            .outbox
-            .moved
-            .wait_while(lock(&self.outbox.state), waits);
-        let mut state = state.unwrap_or_else(PoisonError::into_inner);
-        if state.complete {
+    /// Waits until it is the turn of the streamed response with this ticket and no other thread writes; the caller may then
+    /// write to the socket itself, until [`WriteQueue::end_streaming`].
+    ///
+    /// # Errors
+    /// The queue is closed.
+    pub(super) fn begin_streaming(&self, ticket: u64) -> io::Result<()> {
+        let must_wait = |state: &mut QueueState| {
+            !state.closed && (state.writing || state.next_ticket != ticket)
+        };
+        let mut state = self
+            .progressed
+            .wait_while(lock(&self.state), must_wait)
+            .unwrap_or_else(PoisonError::into_inner);
+        if state.closed {
             return Err(ErrorKind::BrokenPipe.into());
         }
         state.writing = true;
-        drop(state);
-        let written = (&self.stream).write_all(bytes);
-        if written.is_err() {
-            self.break_off();
-        }
-        self.wrote(lock(&self.outbox.state));
-        written
-    }
-
-    /// A long answer has left whole: those that waited for it may follow.
-    fn passed(self: &Arc<Self>) {
-        self.note(|g| g.open -= 1);
-        let mut state = lock(&self.outbox.state);
-        state.next += 1;
-        state.turn();
-        self.write_now(state);
-        self.outbox.moved.notify_all();
+        Ok(())
     }
 
-    /// The client takes nothing more.
-    pub(super) fn break_off(&self) {
-        let mut gate = lock(&self.gate);
-        gate.ended = true;
-        self.tell(&mut gate);
-        drop(gate);
-        lock(&self.outbox.state).complete = true;
-        let _ = self.stream.shutdown(Shutdown::Both);
-        self.eased.notify_all();
-        self.outbox.moved.notify_all();
+    /// The caller of [`WriteQueue::begin_streaming`] has written its bytes.
+    pub(super) fn end_streaming(&self, stream: &TcpStream) -> QueueStatus {
+        self.stop_writing(stream, lock(&self.state))
     }
 
-    /// Nothing more will be said: sending ends once all is written.
-    pub(super) fn complete(&self) {
-        let mut state = lock(&self.outbox.state);
-        state.complete = true;
-        if !state.writing {
-            let _ = self.stream.shutdown(Shutdown::Write);
-        }
-        drop(state);
-        self.outbox.moved.notify_all();
+    /// The streamed response whose turn it is has been written completely: writes those that waited for it. The caller reports
+    /// the outcome before [`WriteQueue::notify_progress`] wakes the next streamed response.
+    pub(super) fn finish_streamed_response(&self, stream: &TcpStream) -> WriteOutcome {
+        let mut state = lock(&self.state);
+        state.next_ticket += 1;
+        state.take_in_order();
+        self.write_ready(stream, state)
     }
 
-    /// Whether a thread is at it: something is on its way to a client that is slow to take things.
-    pub(super) fn writes(&self) -> bool {
-        let writing = lock(&self.outbox.state).writing;
-        writing && !lock(&self.gate).ended
+    pub(super) fn notify_progress(&self) {
+        self.progressed.notify_all();
     }
-}
-
-/// The way of one long answer to its client. What has begun is finished, or the connection is ended in the middle of it,
-/// so that the client can tell.
-pub struct ResponseBody {
-    line: Arc<Line>,
-    ticket: u64,
-    piece: Piece,
-    whole: AtomicBool,
-    events: Sender<Event>,
-}
 
-impl ResponseBody {
-    pub(super) fn new(line: Arc<Line>, ticket: u64, events: Sender<Event>) -> Self {
-        let piece = line.outbox.budget.piece();
-        Self {
-            line,
-            ticket,
-            piece,
-            whole: AtomicBool::new(false),
-            events,
+    /// Takes no further responses, and shuts sending down once all queued ones are written.
+    pub(super) fn close(&self, stream: &TcpStream) {
+        let mut state = lock(&self.state);
+        state.closed = true;
+        if !state.writing {
+            let _ = stream.shutdown(Shutdown::Write);
         }
+        drop(state);
+        self.progressed.notify_all();
     }
 
-    /// How much may be taken up of the answer at once.
-    pub const fn piece(&self) -> usize {
-        self.piece.bytes()
+    /// Takes no further responses; the caller shuts the socket down and then calls [`WriteQueue::notify_progress`].
+    pub(super) fn mark_closed(&self) {
+        lock(&self.state).closed = true;
     }
 
-    /// Waits for the turn of the answer, and begins it.
-    ///
-    /// # Errors
-    /// The client takes nothing more.
-    pub fn begin(&self, bytes: &[u8]) -> io::Result<()> {
-        SockRef::from(&self.line.stream).set_send_buffer_size(BUFFER)?;
-        self.pass(bytes)
+    /// Whether a thread is writing to the client.
+    pub(super) fn is_writing(&self) -> bool {
+        lock(&self.state).writing
     }
 
-    /// Hands on some of the answer; waits for as long as the client is slow to take it.
-    ///
-    /// # Errors
-    /// The client takes nothing more.
-    pub fn pass(&self, bytes: &[u8]) -> io::Result<()> {
-        self.line.pass(self.ticket, bytes)
-    }
-
-    /// Hands on the last of it.
-    ///
-    /// # Errors
-    /// The client takes nothing more.
-    pub fn finish(&self, bytes: &[u8]) -> io::Result<()> {
-        self.pass(bytes)?;
-        self.whole.store(true, Ordering::Relaxed);
-        self.line.passed();
-        Ok(())
+    fn release(&self, state: &mut QueueState, bytes: usize) {
+        state.buffered_bytes -= bytes;
+        self.budget.release(bytes);
     }
 }
 
-impl Drop for ResponseBody {
+impl Drop for WriteQueue {
     fn drop(&mut self) {
-        if !*self.whole.get_mut() {
-            self.line.cut_short();
-            // What was asked behind it can have no answer: it need not be sent on. May be the core's own thread, which must not
-            // wait for itself.
-            let _ = self
-                .events
-                .try_send(Event::ClientDisconnected(self.line.id));
-        }
+        let state = self.state.get_mut().unwrap_or_else(PoisonError::into_inner);
+        self.budget.release(state.buffered_bytes);
     }
 }
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -15,7 +15,7 @@
 use valehatch_request_log::OutcomeMetrics;
 
 use crate::Clock;
-use crate::clients::{BUFFER, ResponseBody};
+use crate::clients::{ResponseBody, STREAMING_SOCKET_BUFFER};
 use crate::connection_limits::{Member, SharedConnectionLimiter};
 use crate::lock;
 use valehatch_core::cluster_clock::{ClockSample, ClusterClock};
@@ -424,7 +424,9 @@
         self.events
             .send(Event::ResponseStarted(self.connection))
             .ok()?;
-        SockRef::from(stream).set_recv_buffer_size(BUFFER).ok()?;
+        SockRef::from(stream)
+            .set_recv_buffer_size(STREAMING_SOCKET_BUFFER)
+            .ok()?;
         take.recv().ok().map(Arc::new)
     }
 }
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -11,7 +11,9 @@
 use crate::codec::{self as pg, Opening};
 use valehatch_core::{Failure, FinalAnswer, IncomingRequest, MemoryReservation, Payload};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Incoming, Next, Progress, RequestHandler, Session, Talk};
+use valehatch_net::clients::{
+    NextInput, RequestHandler, RequestReader, Session, SessionProgress, SessionStatus,
+};
 use valehatch_net::upstream::place_ms;
 
 /// How the platform's clients are spoken with.
@@ -187,20 +189,24 @@
 
 impl Front {
     /// Takes the opening of a session; else the last word to the client, if it is owed one.
-    fn open(at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Step> {
+    fn open(
+        progress: &mut SessionProgress,
+        reader: &mut RequestReader,
+        session: &Session,
+    ) -> io::Result<Step> {
         loop {
-            from.ends();
-            match from.begins()? {
-                Next::Message => {}
-                Next::Nothing => return Ok(Step::Rest),
-                Next::End => return Ok(Step::Last(vec![])),
+            reader.finish_message();
+            match reader.next_input()? {
+                NextInput::Message => {}
+                NextInput::Pending => return Ok(Step::Rest),
+                NextInput::Closed => return Ok(Step::Last(vec![])),
             }
-            match pg::read_opening(from) {
+            match pg::read_opening(reader) {
                 Ok(Opening::Startup) => break,
                 // Two kinds of encryption may be wished for, each once.
-                Ok(Opening::Encryption) if at.faults < 2 => {
-                    at.faults += 1;
-                    from.write(b"N")?;
+                Ok(Opening::Encryption) if progress.malformed_messages < 2 => {
+                    progress.malformed_messages += 1;
+                    reader.write_unqueued(b"N")?;
                 }
                 Ok(Opening::Encryption) => {
                     return Ok(Step::Last(fatal("08P01", "no encryption is offered")));
@@ -220,24 +226,29 @@
                 Err(e) => return Err(e),
             }
         }
-        session.say(pg::greeting())?;
-        (at.opened, at.faults) = (true, 0);
+        session.send(pg::greeting())?;
+        (progress.handshake_complete, progress.malformed_messages) = (true, 0);
         Ok(Step::Opened)
     }
 
     /// Takes queries until nothing more has come or the session is over; the last word to the client, if it is owed one.
-    fn talk(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Step> {
+    fn serve_queries(
+        &self,
+        progress: &mut SessionProgress,
+        reader: &mut RequestReader,
+        session: &Session,
+    ) -> io::Result<Step> {
         let last = |word| Ok(Step::Last(word));
         loop {
-            from.ends();
-            match from.begins()? {
-                Next::Message => {}
-                Next::Nothing => return Ok(Step::Rest),
-                Next::End => return last(vec![]),
+            reader.finish_message();
+            match reader.next_input()? {
+                NextInput::Message => {}
+                NextInput::Pending => return Ok(Step::Rest),
+                NextInput::Closed => return last(vec![]),
             }
-            let ticket = at.next;
-            at.next += 1;
-            let (kind, bytes) = match pg::read_message(from, pg::FROM_CLIENT) {
+            let ticket = progress.next_ticket;
+            progress.next_ticket += 1;
+            let (kind, bytes) = match pg::read_message(reader, pg::FROM_CLIENT) {
                 Ok(message) => message,
                 Err(e) if e.kind() == io::ErrorKind::InvalidData => {
                     return last(fatal("54000", &e.to_string()));
@@ -259,11 +270,11 @@
             }
             let query = bytes.strip_suffix(b"\0").unwrap_or(&bytes);
             let room = |class, tenant, group| {
-                let declined = |why| session.declined(class, tenant, group, why);
-                session.room(bytes.len()).map_err(declined).ok()
+                let declined = |why| session.report_rejection(class, tenant, group, why);
+                session.reserve(bytes.len()).map_err(declined).ok()
             };
-            match self.understand(session.client(), query, room) {
-                Ok(Some(ask)) => session.ask(ticket, ask)?,
+            match self.understand(session.client_number(), query, room) {
+                Ok(Some(ask)) => session.submit(ticket, ask)?,
                 Ok(None) => {
                     let after = self.site.settings.limits.max_retry_after;
                     return last(come_back(
@@ -273,8 +284,8 @@
                 }
                 Err(fault) => {
                     let word = Self::aside(query, &fault);
-                    at.faults += usize::from(word.starts_with(b"E"));
-                    if at.faults > FAULTS {
+                    progress.malformed_messages += usize::from(word.starts_with(b"E"));
+                    if progress.malformed_messages > FAULTS {
                         return last(fatal(
                             "08P01",
                             "too much on this connection could not be understood",
@@ -288,24 +299,29 @@
 }
 
 impl RequestHandler for Front {
-    fn serve(&self, at: &mut Progress, from: &mut Incoming, session: &Session) -> io::Result<Talk> {
-        let mut step = if at.opened {
+    fn serve(
+        &self,
+        progress: &mut SessionProgress,
+        reader: &mut RequestReader,
+        session: &Session,
+    ) -> io::Result<SessionStatus> {
+        let mut step = if progress.handshake_complete {
             Step::Opened
         } else {
-            Self::open(at, from, session)?
+            Self::open(progress, reader, session)?
         };
         if matches!(step, Step::Opened) {
-            step = self.talk(at, from, session)?;
+            step = self.serve_queries(progress, reader, session)?;
         }
         Ok(match step {
-            Step::Opened | Step::Rest => Talk::Rests,
-            Step::Last(word) if word.is_empty() => Talk::Over,
+            Step::Opened | Step::Rest => SessionStatus::Idle,
+            Step::Last(word) if word.is_empty() => SessionStatus::Closed,
             Step::Last(word) => {
                 tracing::info!(
                     "a client is turned away: {}",
                     pg::field(&word[5..], b'M').unwrap_or_default()
                 );
-                from.finish(word)
+                reader.close_gracefully(word)
             }
         })
     }
@@ -356,17 +372,17 @@
         out
     }
 
-    fn ordered(&self) -> bool {
+    fn has_ordered_responses(&self) -> bool {
         true
     }
 
     /// A request's time runs from when it was sent: one that is not read for what is before it loses what its client has
     /// left, and tells its database more. The bytes of all that are open are bounded elsewhere.
-    fn pipeline(&self) -> usize {
+    fn pipeline_limit(&self) -> usize {
         PIPELINE
     }
 
-    fn farewell(&self, after: Span) -> Vec<u8> {
+    fn closing_error(&self, after: Span) -> Vec<u8> {
         come_back(
             after,
             "the connection is ended; what was asked on it meanwhile did not run",
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -212,13 +212,13 @@
     way.begin(&[before, &pg::head(b'D', length), &head].concat())
         .map_err(|_| gone())?;
     from.get_mut().slow().map_err(broken)?;
-    let mut piece = vec![0; way.piece()];
+    let mut chunk = vec![0; way.chunk_bytes()];
     while left > 0 {
-        let most = left.min(piece.len());
-        match from.read(&mut piece[..most]) {
+        let most = left.min(chunk.len());
+        match from.read(&mut chunk[..most]) {
             Ok(0) => return Err(broken(ErrorKind::UnexpectedEof.into())),
             Ok(n) => {
-                way.pass(&piece[..n]).map_err(|_| gone())?;
+                way.forward(&chunk[..n]).map_err(|_| gone())?;
                 left -= n;
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
