--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -11,9 +11,9 @@
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LiveView, LogEvent, Observability, State};
 use valehatch_net::Clock;
-use valehatch_net::clients::{Clients, Limits, RequestHandler};
+use valehatch_net::clients::{BacklogOwner, ClientLimits, Clients, RequestHandler};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::servers::Upstream;
+use valehatch_net::upstream::Upstream;
 use valehatch_policy::{Consistency, RequestClass, Span};
 use valehatch_request_log::{OutcomeMetrics, RequestRecord};
 use valehatch_snmp::world::Board;
@@ -132,9 +132,9 @@
             ),
         };
         let state = State::new(config, parts.seed).map_err(StartError::configuration)?;
-        let limits = Limits {
-            bytes: request_memory(parts.memory_mb * 1024 * 1024),
-            watched: has_observer,
+        let limits = ClientLimits {
+            memory_bytes: request_memory(parts.memory_mb * 1024 * 1024),
+            reports_rejections: has_observer,
         };
         let (events, inbox) = parts.inbox;
         let clients = Clients::new(
@@ -219,7 +219,7 @@
                 client,
                 ticket,
             } => {
-                let body = self.clients.passage(client, ticket);
+                let body = self.clients.response_body(client, ticket);
                 self.upstream.pass(connection, body);
             }
             Effect::Answer {
@@ -227,13 +227,13 @@
                 ticket,
                 answer,
             } => self.clients.answer(client, ticket, answer),
-            Effect::CloseClient(client) => self.clients.close(client),
-            Effect::CloseIdleClients => self.clients.close_all(),
-            Effect::StopListening => self.clients.stop(false),
+            Effect::CloseClient(client) => self.clients.close_if_idle(client),
+            Effect::CloseIdleClients => self.clients.close_all_idle(),
+            Effect::StopListening => self.clients.stop_accepting(BacklogOwner::ThisProcess),
             Effect::Log(event) => log(event),
             Effect::RecordOutcome(record) => self.record(record),
             Effect::PublishView(view) => self.publish(*view),
-            Effect::Exit => return !self.clients.may_exit(),
+            Effect::Exit => return !self.clients.can_exit(),
         }
         true
     }
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -15,7 +15,7 @@
 use valehatch_core::Event;
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::Clock;
-use valehatch_net::clients::{Clients, listener};
+use valehatch_net::clients::{AddressSharing, BacklogOwner, Clients, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
 use valehatch_recovery::book::EndpointListCache;
@@ -60,7 +60,7 @@
 ) -> Result<Inheritance, StartError> {
     let fresh = |snapshot, predecessor| {
         let listener =
-            listener(listen, true).map_err(StartError::resource(format!("listen: {listen}")))?;
+            bind_listener(listen, AddressSharing::SameUser).map_err(StartError::resource(format!("listen: {listen}")))?;
         Ok(Inheritance {
             listener,
             snapshot,
@@ -176,13 +176,13 @@
 
 impl HandoffHandler for SharedProcess {
     fn holds(&self) -> ProcessLimits {
-        let (clients, upstream) = self.connections.held();
+        let open = self.connections.counts();
         let resident_pages = procfs::process::Process::myself()
             .and_then(|process| process.statm())
             .map_or(0, |memory| memory.resident);
         let resident_bytes = resident_pages * procfs::page_size();
         ProcessLimits {
-            descriptors: RESERVED_DESCRIPTORS + clients + upstream,
+            descriptors: RESERVED_DESCRIPTORS + open.clients + open.upstream,
             bytes: usize::try_from(resident_bytes).unwrap_or(0),
         }
     }
@@ -204,7 +204,7 @@
         // Connections that are open already are not cut to meet a smaller limit: they go as they become idle.
         let descriptors = limits.descriptors.max(self.holds().descriptors);
         self.connections.resize(platform_limits(descriptors));
-        self.clients.limit(request_memory(limits.bytes));
+        self.clients.set_memory_limit(request_memory(limits.bytes));
         let upstream = upstream_connections(limits.descriptors);
         let _ = self.events.send(Event::UpstreamConnectionLimit(upstream));
         let gateways = self.gateway_count.saturating_mul(processes);
@@ -231,7 +231,12 @@
     }
 
     fn leave(&self, left: bool) {
-        self.clients.stop(left);
+        let backlog = if left {
+            BacklogOwner::OtherProcess
+        } else {
+            BacklogOwner::ThisProcess
+        };
+        self.clients.stop_accepting(backlog);
         let _ = self.events.send(Event::HandoffStarted);
     }
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -15,9 +15,11 @@
 use tracing::{error, info};
 use valehatch_config::operators::{self, EndpointSource, OperatorConfig};
 use valehatch_core::{Event, Observability};
-use valehatch_net::link::GossipTransport;
-use valehatch_net::members::ConfiguredEndpoints;
-use valehatch_net::{Clock, list, members, signals};
+use valehatch_net::clients::{AddressSharing, bind_listener};
+use valehatch_net::discovery::configured::{self, ConfiguredEndpoints};
+use valehatch_net::discovery::poller;
+use valehatch_net::gossip_transport::GossipTransport;
+use valehatch_net::{Clock, signals};
 use valehatch_policy::Span;
 use valehatch_recovery::snapshot::Snapshot;
 use valehatch_snmp::Agent;
@@ -176,7 +178,7 @@
             descriptors: front.sockets,
             memory_mb: front.memory_mb,
             seed,
-            listener: valehatch_net::clients::listener(front.listen, false)
+            listener: bind_listener(front.listen, AddressSharing::Exclusive)
                 .map_err(StartError::resource(key))?,
             clock: self.clock,
             handler: protocol.handler,
@@ -215,8 +217,8 @@
             self.status.on_endpoint_list(index);
             return Ok(None);
         };
-        let watch = list::Watch::new(
-            Arc::new(list::Place::new(address)),
+        let watch = poller::Watch::new(
+            Arc::new(poller::Place::new(address)),
             false,
             front.site.clone(),
             self.clock,
@@ -307,7 +309,7 @@
             agent.reread(snmp);
         }
     };
-    members::watch(
+    configured::watch(
         path,
         file,
         configured.collect(),
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -16,8 +16,9 @@
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::HandoffHandle;
-use valehatch_net::servers::EndpointPools;
-use valehatch_net::{Clock, list, signals};
+use valehatch_net::discovery::poller;
+use valehatch_net::upstream::EndpointPools;
+use valehatch_net::{Clock, signals};
 use valehatch_policy::StaleReadPolicy;
 use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
@@ -68,7 +69,7 @@
     }
 
     let handoff = LateHandoffHandle::default();
-    let discovery_address = Arc::new(list::Place::new(config.discovery));
+    let discovery_address = Arc::new(poller::Place::new(config.discovery));
     let watch = discovery_watch(
         &config,
         clock,
@@ -191,12 +192,12 @@
     config: &PlatformConfig,
     clock: Clock,
     events: &Sender<Event>,
-    address: &Arc<list::Place>,
+    address: &Arc<poller::Place>,
     status: &Arc<ProcessStatus>,
     handoff: &LateHandoffHandle,
-) -> list::Watch {
+) -> poller::Watch {
     let gateway_count = Arc::new(AtomicU32::new(config.site.settings.routers));
-    let watch = list::Watch::new(
+    let watch = poller::Watch::new(
         Arc::clone(address),
         true,
         config.site.clone(),
@@ -217,7 +218,7 @@
 
 /// Starts the watch from the predecessor's list, or else from the one in the configuration.
 fn start_watch(
-    watch: list::Watch,
+    watch: poller::Watch,
     inheritance: &Inheritance,
     config: &PlatformConfig,
 ) -> Result<(), StartError> {
@@ -311,7 +312,7 @@
 /// Reads the configuration again, for discovery's address.
 struct Reloader {
     path: String,
-    discovery_address: Arc<list::Place>,
+    discovery_address: Arc<poller::Place>,
     endpoint_list: SharedEndpointList,
     handoff: LateHandoffHandle,
 }
--- a/crates/gateway/src/protocols.rs
+++ b/crates/gateway/src/protocols.rs
@@ -9,7 +9,7 @@
 use valehatch_net::Clock;
 use valehatch_net::clients::RequestHandler;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::servers::{EndpointPools, Upstream};
+use valehatch_net::upstream::{EndpointPools, Upstream};
 use valehatch_request_log::OutcomeMetrics;
 
 use crate::error::Source;
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -12,7 +12,7 @@
 use tracing::{info, warn};
 use valehatch_config::operators::{EndpointSource, OperatorConfig};
 use valehatch_core::LiveView;
-use valehatch_net::list::EndpointListStore;
+use valehatch_net::discovery::poller::EndpointListStore;
 use valehatch_net::{Clock, lock};
 use valehatch_policy::{PrimaryEvidence, Settings, Span, Time};
 use valehatch_recovery::service::Service;
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use valehatch_connection_limits::{ANSWER_SETTLE_TIME, Limits};
+use valehatch_connection_limits::{ANSWER_SETTLE_TIME, ConnectionLimits};
 use valehatch_net::Clock;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_policy::Span;
@@ -16,9 +16,9 @@
 /// Open requests may take one in so many bytes of the memory.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
 /// Clients and upstream connections may borrow one in so many of the reserved descriptors.
-const BORROWED_DESCRIPTORS_DIVISOR: usize = 4;
+const OVERFLOW_DESCRIPTORS_DIVISOR: usize = 4;
 /// Clients of the platform with requests open hold at most one in so many descriptors.
-const REQUESTING_CLIENTS_DIVISOR: usize = 3;
+const ACTIVE_CLIENTS_DIVISOR: usize = 3;
 /// How long a connection without a closing error must have been idle before it may be evicted.
 const SILENT_CLOSE_SETTLE_TIME: Span = Span::from_millis(2_000);
 
@@ -51,9 +51,9 @@
 }
 
 /// The limits of the platform's front.
-pub(crate) fn platform_limits(descriptors: usize) -> Limits {
-    Limits {
-        asking: descriptors / REQUESTING_CLIENTS_DIVISOR,
+pub(crate) fn platform_limits(descriptors: usize) -> ConnectionLimits {
+    ConnectionLimits {
+        active_clients: descriptors / ACTIVE_CLIENTS_DIVISOR,
         ..connection_limits(descriptors, UpstreamAccounting::Shared)
     }
 }
@@ -66,25 +66,25 @@
     }
 }
 
-fn connection_limits(descriptors: usize, accounting: UpstreamAccounting) -> Limits {
+fn connection_limits(descriptors: usize, accounting: UpstreamAccounting) -> ConnectionLimits {
     let upstream = upstream_connections(descriptors);
-    let extra = reserved(descriptors) / BORROWED_DESCRIPTORS_DIVISOR;
+    let overflow = reserved(descriptors) / OVERFLOW_DESCRIPTORS_DIVISOR;
     match accounting {
-        UpstreamAccounting::Shared => Limits {
-            most: descriptors - reserved(descriptors),
-            extra,
-            members: upstream,
-            asking: usize::MAX,
-            settles: ANSWER_SETTLE_TIME,
+        UpstreamAccounting::Shared => ConnectionLimits {
+            total: descriptors - reserved(descriptors),
+            overflow,
+            upstream,
+            active_clients: usize::MAX,
+            settle_time: ANSWER_SETTLE_TIME,
         },
         // Only Cassandra's fronts count apart, and its protocol has no closing error: a client whose idle
         // connection is closed just as it sends sees a reset, so the connection must have been idle for longer.
-        UpstreamAccounting::Separate => Limits {
-            most: upstream,
-            extra,
-            members: 0,
-            asking: usize::MAX,
-            settles: SILENT_CLOSE_SETTLE_TIME,
+        UpstreamAccounting::Separate => ConnectionLimits {
+            total: upstream,
+            overflow,
+            upstream: 0,
+            active_clients: usize::MAX,
+            settle_time: SILENT_CLOSE_SETTLE_TIME,
         },
     }
 }
--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -12,7 +12,7 @@
 
 use tracing::{info, warn};
 use valehatch_config::operators::OperatorConfig;
-use valehatch_net::link::GossipTransport;
+use valehatch_net::gossip_transport::GossipTransport;
 use valehatch_net::{Clock, lock};
 use valehatch_recovery::service::State;
 use valehatch_recovery::snapshot::Snapshot;
