--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Full worth until then.
-    pub aim: Span,
+    pub latency_objective: Span,
     /// A late answer is worth something.
-    pub late_counts: bool,
+    pub late_answer_counts: bool,
     /// Only the primary takes it.
     pub write: bool,
 }
@@ -50,17 +50,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The tenants' shares: weights, which need not add up to 1. One of 0 is served when no other waits.
-    pub shares: Vec<f64>,
+    pub quotas: Vec<f64>,
     /// The classes.
     pub classes: Vec<Class>,
     /// Requests that may wait, in all lanes together.
-    pub most: usize,
+    pub max_waiting: usize,
     /// Buckets that the clients of a tenant are hashed into, in each lane.
-    pub buckets: u32,
+    pub client_buckets: u32,
     /// The longest hint that a client heeds.
-    pub max_hint: Span,
+    pub max_retry_after: Span,
     /// Lanes that may have something waiting at once; beyond it a group's requests are let in as they come.
-    pub lanes: usize,
+    pub max_lanes: usize,
 }
 
 /// A request at the door.
@@ -97,9 +97,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfterHint {
     /// After so long.
-    pub after: Span,
+    pub retry_after: Span,
     /// Room is reserved for it then. If not, the longest hint that is heeded is too short to be honest.
-    pub honest: bool,
+    pub reserved: bool,
 }
 
 /// What becomes of a request.
@@ -119,17 +119,17 @@
     /// How long the oldest has waited.
     pub oldest: Span,
     /// Requests that came.
-    pub asked: u64,
+    pub received: u64,
     /// Of them let in.
     pub admitted: u64,
     /// Cost let in, in microseconds of work.
-    pub got_us: u64,
+    pub admitted_cost_us: u64,
     /// Hints given.
-    pub hinted: u64,
+    pub hints_given: u64,
     /// Hints kept: the client came back when it was told to.
-    pub kept: u64,
+    pub hints_honoured: u64,
     /// By how much those who kept theirs were let in later than hinted, in all.
-    pub late: Span,
+    pub hint_lateness: Span,
 }
 
 /// A lane: a group's writes, or its reads.
@@ -192,9 +192,9 @@
     /// A door that nobody has come to. The seed decides which clients share a bucket.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let weights = weights(&settings.shares);
+        let weights = weights(&settings.quotas);
         Self {
-            costs: Costs::new(settings.classes.iter().map(|c| c.aim)),
+            costs: Costs::new(settings.classes.iter().map(|c| c.latency_objective)),
             lanes: BTreeMap::new(),
             waiting: BTreeMap::new(),
             due: BTreeSet::new(),
@@ -210,15 +210,15 @@
     ///
     /// # Errors
     /// That their number is another one.
-    pub fn set_shares(&mut self, shares: &[f64]) -> Result<(), String> {
-        if shares.len() != self.settings.shares.len() {
+    pub fn set_quotas(&mut self, shares: &[f64]) -> Result<(), String> {
+        if shares.len() != self.settings.quotas.len() {
             return Err(format!(
                 "{} shares for {} tenants",
                 shares.len(),
-                self.settings.shares.len()
+                self.settings.quotas.len()
             ));
         }
-        self.settings.shares = shares.to_vec();
+        self.settings.quotas = shares.to_vec();
         self.weights = weights(shares);
         Ok(())
     }
@@ -237,7 +237,7 @@
 
     /// What is shown of each tenant, the last for those that are not known.
     #[must_use]
-    pub fn shown(&self, now: Time) -> Vec<TenantQueueView> {
+    pub fn tenant_views(&self, now: Time) -> Vec<TenantQueueView> {
         let mut shown = self.shown.clone();
         for lane in self.lanes.values() {
             for (tenant, shown) in shown.iter_mut().enumerate() {
@@ -251,36 +251,41 @@
 
     /// When something is due, whatever else happens.
     #[must_use]
-    pub fn next_due(&self, now: Time) -> Option<Time> {
+    pub fn next_timer_at(&self, now: Time) -> Option<Time> {
         let due = self.due.first().map(|(at, _)| *at)?;
         Some(due.min(now + TICK))
     }
 
     /// A request has come.
-    pub fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<AdmissionDecision>) {
-        let tenant = arrival.tenant.filter(|t| *t < self.settings.shares.len());
-        let tenant = tenant.unwrap_or(self.settings.shares.len());
+    pub fn on_arrival(&mut self, now: Time, arrival: Arrival, out: &mut Vec<AdmissionDecision>) {
+        let tenant = arrival.tenant.filter(|t| *t < self.settings.quotas.len());
+        let tenant = tenant.unwrap_or(self.settings.quotas.len());
         let class = self.settings.classes[arrival.class].clone();
-        self.shown[tenant].asked += 1;
+        self.shown[tenant].received += 1;
         let key = (arrival.group, class.write);
         if !self.lanes.contains_key(&key) {
             self.forget_lanes();
-            if self.lanes.len() >= self.settings.lanes {
+            if self.lanes.len() >= self.settings.max_lanes {
                 return self.admit_unseen(now, key, &arrival, tenant, out);
             }
             self.lanes.insert(
                 key,
-                Lane::new(self.weights.len(), self.settings.buckets, self.seed, now),
+                Lane::new(
+                    self.weights.len(),
+                    self.settings.client_buckets,
+                    self.seed,
+                    now,
+                ),
             );
         }
         let cost = self.costs.of(arrival.class);
         let patience = Span((arrival.deadline - now).0 / 10 * PATIENCE_TENTHS);
         let give_up = now + patience;
         let served_in = self.costs.latency(arrival.class);
-        let useful = if class.late_counts {
+        let useful = if class.late_answer_counts {
             arrival.deadline
         } else {
-            (now + class.aim).min(arrival.deadline)
+            (now + class.latency_objective).min(arrival.deadline)
         };
         let Some(lane) = self.lanes.get_mut(&key) else {
             return;
@@ -288,8 +293,8 @@
         let kept = lane.calendars[tenant].take(now, arrival.client);
         if let Some(hinted) = kept {
             let shown = &mut self.shown[tenant];
-            shown.kept += 1;
-            shown.late += Span((now - hinted).0.max(0));
+            shown.hints_honoured += 1;
+            shown.hint_lateness += Span((now - hinted).0.max(0));
         }
         let entry = Entry {
             id: arrival.id,
@@ -304,7 +309,7 @@
                 give_up.min(useful - served_in)
             },
             cost,
-            value: class.worth / cost.0.max(1) as f64,
+            value: class.priority_weight / cost.0.max(1) as f64,
             reserved: kept.is_some(),
         };
         if lane.queue.is_empty() && lane.window.admits(lane.out) {
@@ -319,7 +324,8 @@
                 hint,
             ));
         }
-        if self.waiting.len() >= self.settings.most && !self.make_room(now, key, tenant, out) {
+        if self.waiting.len() >= self.settings.max_waiting && !self.make_room(now, key, tenant, out)
+        {
             let hint = self.hint(now, key, &entry);
             return out.push(AdmissionDecision::Reject(
                 arrival.id,
@@ -359,7 +365,7 @@
     fn admit(&mut self, now: Time, key: LaneKey, entry: Entry, out: &mut Vec<AdmissionDecision>) {
         let shown = &mut self.shown[entry.tenant];
         shown.admitted += 1;
-        shown.got_us += u64::try_from(entry.cost.0).unwrap_or(0);
+        shown.admitted_cost_us += u64::try_from(entry.cost.0).unwrap_or(0);
         if let Some(lane) = self.lanes.get_mut(&key) {
             lane.out += 1;
             lane.queue.served(&entry, &self.weights);
@@ -445,11 +451,11 @@
 
     /// When one that is refused is to come back: room is reserved for it.
     fn hint(&mut self, now: Time, key: LaneKey, entry: &Entry) -> RetryAfterHint {
-        let most = self.settings.max_hint;
+        let most = self.settings.max_retry_after;
         let Some(lane) = self.lanes.get_mut(&key) else {
             return RetryAfterHint {
-                after: most,
-                honest: false,
+                retry_after: most,
+                reserved: false,
             };
         };
         let rate = lane.rate_of(entry.tenant, &self.weights);
@@ -462,21 +468,21 @@
             rate,
             most,
         );
-        self.shown[entry.tenant].hinted += 1;
+        self.shown[entry.tenant].hints_given += 1;
         hint.map_or(
             RetryAfterHint {
-                after: most,
-                honest: false,
+                retry_after: most,
+                reserved: false,
             },
             |after| RetryAfterHint {
-                after,
-                honest: true,
+                retry_after: after,
+                reserved: true,
             },
         )
     }
 
     /// A request that was let in is over; `served` if a member answered it.
-    pub fn leave(
+    pub fn on_finished(
         &mut self,
         now: Time,
         id: RequestId,
@@ -498,7 +504,12 @@
     }
 
     /// The client of a request has left.
-    pub fn abort(&mut self, now: Time, id: RequestId, out: &mut Vec<AdmissionDecision>) {
+    pub fn on_client_disconnected(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        out: &mut Vec<AdmissionDecision>,
+    ) {
         if let Some(key) = self.waiting.remove(&id) {
             let entry = self
                 .lanes
@@ -508,11 +519,11 @@
                 self.due.remove(&(entry.until.max(entry.arrived), id));
             }
         }
-        self.leave(now, id, false, out);
+        self.on_finished(now, id, false, out);
     }
 
     /// What the decision module has room for in a group, for writes or for reads.
-    pub fn room(
+    pub fn set_capacity(
         &mut self,
         now: Time,
         group: GroupId,
@@ -554,7 +565,7 @@
 
     /// Forgets lanes that hold nothing and are not in use.
     fn forget_lanes(&mut self) {
-        if self.lanes.len() >= self.settings.lanes {
+        if self.lanes.len() >= self.settings.max_lanes {
             self.lanes
                 .retain(|_, lane| !lane.queue.is_empty() || lane.out > 0);
         }
@@ -564,7 +575,7 @@
     ///
     /// # Errors
     /// What does not hold.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         let waiting: usize = self.lanes.values().map(|l| l.queue.len()).sum();
         if waiting != self.waiting.len() || self.due.len() != waiting {
             return Err(format!(
@@ -573,8 +584,8 @@
                 self.due.len()
             ));
         }
-        if waiting > self.settings.most {
-            return Err(format!("{waiting} wait, {} may", self.settings.most));
+        if waiting > self.settings.max_waiting {
+            return Err(format!("{waiting} wait, {} may", self.settings.max_waiting));
         }
         for (key, lane) in &self.lanes {
             lane.queue.check().map_err(|e| format!("{key:?}: {e}"))?;
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -13,9 +13,9 @@
 /// A check, a report that costs twenty of them, and a write.
 fn classes() -> Vec<Class> {
     let class = |aim, write| Class {
-        worth: 1.0,
-        aim: ms(aim),
-        late_counts: write,
+        priority_weight: 1.0,
+        latency_objective: ms(aim),
+        late_answer_counts: write,
         write,
     };
     vec![class(300, false), class(6000, false), class(600, true)]
@@ -23,12 +23,12 @@
 
 fn settings(shares: &[f64]) -> Settings {
     Settings {
-        shares: shares.to_vec(),
+        quotas: shares.to_vec(),
         classes: classes(),
-        most: 2000,
-        buckets: 256,
-        max_hint: ms(2000),
-        lanes: 8,
+        max_waiting: 2000,
+        client_buckets: 256,
+        max_retry_after: ms(2000),
+        max_lanes: 8,
     }
 }
 
@@ -52,7 +52,7 @@
 
 impl World {
     fn new(settings: Settings, places: usize) -> Self {
-        let tenants = settings.shares.len() + 1;
+        let tenants = settings.quotas.len() + 1;
         #[allow(clippy::cast_precision_loss)]
         let places = places as f64;
         Self {
@@ -82,12 +82,17 @@
                     self.busy.insert((self.now + Span(self.cost[&id]), id));
                 }
                 AdmissionDecision::Reject(_, reason, hint) => {
-                    assert!(hint.after > Span(0) && hint.after <= ms(2000), "{hint:?}");
+                    assert!(
+                        hint.retry_after > Span(0) && hint.retry_after <= ms(2000),
+                        "{hint:?}"
+                    );
                     self.refused[tenant].push((reason, hint, id.0));
                 }
             }
         }
-        self.door.check().unwrap_or_else(|e| panic!("{e}"));
+        self.door
+            .check_invariants()
+            .unwrap_or_else(|e| panic!("{e}"));
     }
 
     fn ask(&mut self, tenant: usize, client: u64, class: usize, patience: Span) -> RequestId {
@@ -106,7 +111,7 @@
             deadline,
         };
         let mut out = vec![];
-        self.door.arrive(self.now, arrival, &mut out);
+        self.door.on_arrival(self.now, arrival, &mut out);
         self.take(out);
         id
     }
@@ -120,7 +125,7 @@
             let mut out = vec![];
             while let Some((_, id)) = self.busy.first().copied().filter(|(at, _)| *at <= self.now) {
                 self.busy.pop_first();
-                self.door.leave(self.now, id, true, &mut out);
+                self.door.on_finished(self.now, id, true, &mut out);
             }
             let room = Capacity {
                 limit: self.places,
@@ -128,7 +133,8 @@
                 searching: false,
             };
             for write in [false, true] {
-                self.door.room(self.now, GroupId(0), write, room, &mut out);
+                self.door
+                    .set_capacity(self.now, GroupId(0), write, room, &mut out);
             }
             self.door.tick(self.now, &mut out);
             self.take(out);
@@ -234,7 +240,7 @@
 fn one_client_against_many_gets_what_one_of_them_gets_and_no_more() {
     let mut world = World::new(
         Settings {
-            most: 20_000,
+            max_waiting: 20_000,
             ..settings(&[1.0])
         },
         20,
@@ -322,9 +328,9 @@
         let before = world.refused[0].len();
         let id = world.ask(0, client, 0, ms(1200));
         let refused = world.refused[0][before..].iter().find(|(.., r)| *r == id.0);
-        if let Some((_, hint, _)) = refused.filter(|(_, h, _)| h.honest) {
-            told.insert(client, (world.now, world.now + hint.after));
-            back.insert((world.now + hint.after, client));
+        if let Some((_, hint, _)) = refused.filter(|(_, h, _)| h.reserved) {
+            told.insert(client, (world.now, world.now + hint.retry_after));
+            back.insert((world.now + hint.retry_after, client));
         }
     }
     // Let in no later than 1.2 times the hinted time after the refusal.
@@ -342,7 +348,10 @@
             .filter(|(reason, ..)| *reason == r)
             .count()
     };
-    let honest = world.refused[0].iter().filter(|(_, h, _)| h.honest).count();
+    let honest = world.refused[0]
+        .iter()
+        .filter(|(_, h, _)| h.reserved)
+        .count();
     println!(
         "right {right} wrong {wrong} honest {honest} wait {} full {} waited {} standing {} admitted {}",
         kinds(QueueRejection::WaitTooLong),
@@ -416,7 +425,7 @@
     };
     world
         .door
-        .room(world.now, GroupId(0), true, searching, &mut out);
+        .set_capacity(world.now, GroupId(0), true, searching, &mut out);
     world.take(out);
     assert!(world.door.len() >= 30, "they keep their places");
     let reads: Vec<_> = (0..8).map(|n| world.ask(1, n, 0, ms(1200))).collect();
@@ -436,8 +445,8 @@
     let mut world = World::new(settings(&[0.9, 0.1]), 20);
     load(&mut world, 5, &[(0, 800, 50, 0), (1, 800, 50, 0)]);
     let waiting = world.door.len();
-    assert!(world.door.set_shares(&[0.1]).is_err());
-    world.door.set_shares(&[0.1, 0.9]).unwrap();
+    assert!(world.door.set_quotas(&[0.1]).is_err());
+    world.door.set_quotas(&[0.1, 0.9]).unwrap();
     assert_eq!(world.door.len(), waiting);
     let before = [world.admitted[0].len(), world.admitted[1].len()];
     load(&mut world, 10, &[(0, 800, 50, 0), (1, 800, 50, 0)]);
@@ -472,7 +481,7 @@
 fn groups_beyond_the_lanes_are_let_in_as_they_come() {
     let mut door = AdmissionQueue::new(
         Settings {
-            lanes: 2,
+            max_lanes: 2,
             ..settings(&[1.0])
         },
         1,
@@ -481,7 +490,7 @@
     for n in 0..50_u16 {
         let id = RequestId(u64::from(n) + 1);
         let (group, deadline) = (GroupId(n), Time(2_000_000));
-        door.arrive(
+        door.on_arrival(
             Time(0),
             Arrival {
                 id,
@@ -496,7 +505,7 @@
     }
     assert_eq!(out.len(), 50);
     assert!(out.iter().all(|v| matches!(v, AdmissionDecision::Admit(_))));
-    (1..=50).for_each(|n| door.leave(Time(1), RequestId(n), true, &mut out));
+    (1..=50).for_each(|n| door.on_finished(Time(1), RequestId(n), true, &mut out));
     assert!(door.is_empty());
 }
 
@@ -507,7 +516,7 @@
     fn in_any_world_each_request_has_one_verdict_in_time_and_nothing_waits_while_there_is_room(
         moves in prop::collection::vec((0..9_u8, 0..4_usize, 0..30_u64, 0..3_usize, 5..3000_i64), 1..400), places in 1..30_usize, most in 1..60_usize,
     ) {
-        let mut world = World::new(Settings { most, ..settings(&[0.5, 0.3, 0.2]) }, places);
+        let mut world = World::new(Settings { max_waiting: most, ..settings(&[0.5, 0.3, 0.2]) }, places);
         let mut asked = vec![];
         for (what, tenant, client, class, n) in moves {
             match what {
@@ -517,7 +526,7 @@
                     if let Some((id, _)) = asked.get(usize::try_from(n).unwrap() % asked.len().max(1)) {
                         let mut out = vec![];
                         world.busy.retain(|(_, b)| b != id);
-                        world.door.abort(world.now, *id, &mut out);
+                        world.door.on_client_disconnected(world.now, *id, &mut out);
                         world.verdicts.insert(*id);
                         world.take(out);
                     }
--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -26,18 +26,18 @@
 #[test]
 fn a_hundred_thousand_clients_a_second_take_no_more_after_ten_seconds_than_after_six() {
     let class = |write| Class {
-        worth: 1.0,
-        aim: Span::from_millis(400),
-        late_counts: write,
+        priority_weight: 1.0,
+        latency_objective: Span::from_millis(400),
+        late_answer_counts: write,
         write,
     };
     let settings = Settings {
-        shares: vec![0.48, 0.29, 0.23],
+        quotas: vec![0.48, 0.29, 0.23],
         classes: vec![class(false), class(true)],
-        most: MOST,
-        buckets: 4096,
-        max_hint: Span::from_millis(2_000),
-        lanes: 64,
+        max_waiting: MOST,
+        client_buckets: 4096,
+        max_retry_after: Span::from_millis(2_000),
+        max_lanes: 64,
     };
     let mut inside: VecDeque<(Time, RequestId)> = VecDeque::with_capacity(4 * MOST);
     let mut out: Vec<AdmissionDecision> = Vec::with_capacity(4 * MOST);
@@ -56,7 +56,7 @@
             group: GroupId(u16::try_from(n % 8).unwrap()),
             deadline: now + Span::from_millis(1_500),
         };
-        door.arrive(now, arrival, &mut out);
+        door.on_arrival(now, arrival, &mut out);
         if n % 500 == 0 {
             for group in 0..8 {
                 let room = Capacity {
@@ -64,8 +64,8 @@
                     waiting: 0,
                     searching: false,
                 };
-                door.room(now, GroupId(group), false, room, &mut out);
-                door.room(now, GroupId(group), true, room, &mut out);
+                door.set_capacity(now, GroupId(group), false, room, &mut out);
+                door.set_capacity(now, GroupId(group), true, room, &mut out);
             }
             door.tick(now, &mut out);
             peak = peak.max(held(&region));
@@ -74,7 +74,7 @@
             let Some((_, id)) = inside.pop_front() else {
                 break;
             };
-            door.leave(now, id, true, &mut out);
+            door.on_finished(now, id, true, &mut out);
         }
         for verdict in out.drain(..) {
             if let AdmissionDecision::Admit(id) = verdict {
@@ -83,7 +83,7 @@
         }
         most_waiting = most_waiting.max(door.len());
         if n % 100_000 == 99_999 {
-            door.check().unwrap();
+            door.check_invariants().unwrap();
             seconds.push(held(&region));
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,8 +9,8 @@
 )]
 
 pub mod cluster_clock;
+mod messages;
 pub mod permission;
-mod words;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,11 +24,11 @@
     AttemptOutcome, AttemptRecord, FailureReason, FinalOutcome, RejectionReason, RequestRecord,
 };
 
+pub use messages::*;
 use permission::{
-    AcceptCheck, Denial, ProcessStage, SendCheck, SendPermit, may_accept, may_close, may_probe,
-    may_send,
+    AcceptCheck, Denial, ProcessStage, SendCheck, SendPermit, may_accept, may_check_health,
+    may_close, may_send,
 };
-pub use words::*;
 
 /// After a planned stop was asked for, connections are still taken for so long: they keep coming for 0.4 s.
 const STILL_TAKEN: Span = Span::from_millis(450);
@@ -172,9 +172,9 @@
     pub fn new(facts: CoreConfig, seed: u64) -> Result<Self, SettingsError> {
         let rates = vec![[0; 2]; facts.settings.tenants.len()];
         let mut due = BTreeSet::from([(Time(0), Due::Sweep)]);
-        due.extend(facts.watched.iter().map(|_| (Time(0), Due::Publish)));
+        due.extend(facts.observability.iter().map(|_| (Time(0), Due::Publish)));
         let door = facts
-            .door
+            .admission
             .clone()
             .map(|settings| AdmissionQueue::new(settings, seed));
         Ok(Self {
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// What does not hold.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check_invariants(&self) -> Result<(), String> {
         let out = self.attempts.len();
         let on = self
             .conns
@@ -235,7 +235,7 @@
             return Err("connections that carry nothing are not those that are noted".into());
         }
         if let Some(door) = &self.door {
-            door.check()?;
+            door.check_invariants()?;
             let queued = self
                 .requests
                 .values()
@@ -288,7 +288,7 @@
         let mut let_in = vec![];
         self.act_on_verdicts(now, &mut let_in, effects);
         self.pending.extend(let_in);
-        if let Some(figures) = &self.facts.figures {
+        if let Some(figures) = &self.facts.metrics {
             figures.gauges(
                 self.requests.len(),
                 self.members.len(),
@@ -308,7 +308,10 @@
         effects: &mut Vec<Effect>,
     ) {
         match event {
-            Event::EndpointList { complete, members } => {
+            Event::EndpointList {
+                complete,
+                endpoints: members,
+            } => {
                 told.push(self.on_list(complete, members, effects));
                 // What was decided on before this and is still being dialled must not begin any more.
                 let barred = |(id, c): (&ConnectionId, &Conn)| {
@@ -324,7 +327,7 @@
             Event::RequestReceived {
                 client,
                 ticket,
-                ask,
+                request: ask,
             } => {
                 told.extend(self.on_asked(now, client, ticket, ask, effects));
             }
@@ -332,12 +335,12 @@
                 for id in self.clients.remove(&client).unwrap_or_default().open {
                     // Nobody takes what is passed on to it any more.
                     if let Some(connection) = self.passing(id) {
-                        let end = UpstreamReply::bare(Outcome::Cancelled);
+                        let end = UpstreamReply::without_details(Outcome::Cancelled);
                         told.extend(self.on_reply(now, connection, end, false, effects));
                         continue;
                     }
                     if let Some(door) = &mut self.door {
-                        door.abort(now, id, &mut self.verdicts);
+                        door.on_client_disconnected(now, id, &mut self.verdicts);
                     }
                     if let Some(held) = self.drop_request(now, id, effects) {
                         let known = held.queued.is_none();
@@ -350,7 +353,7 @@
                 class,
                 tenant,
                 group,
-                why,
+                reason: why,
             } => {
                 self.count_asked(tenant, now);
                 self.record_unheld(class, tenant, group, FinalOutcome::Refused(why), effects);
@@ -376,7 +379,7 @@
             Event::GatewayCount(count) => told.push(PolicyEvent::RouterCount(count)),
             Event::ClockCorrected(by) => told.push(PolicyEvent::ClockCorrected(by)),
             Event::TenantQuotas(shares) => {
-                if let Some(Err(what)) = self.door.as_mut().map(|door| door.set_shares(&shares)) {
+                if let Some(Err(what)) = self.door.as_mut().map(|door| door.set_quotas(&shares)) {
                     effects.push(Effect::Log(LogEvent::InvalidQuotas(what)));
                 }
             }
@@ -427,7 +430,7 @@
     ) -> PolicyEvent {
         let mut entries: Vec<EndpointRecord> = vec![];
         for ListedEndpoint {
-            entry,
+            record: entry,
             name,
             address,
         } in members
@@ -485,8 +488,8 @@
                 .name
                 .as_ref()
                 .is_some_and(|name| self.names.contains(name)),
-            open: self.requests.len(),
-            most_open: self.facts.settings.limits.max_open_requests,
+            open_requests: self.requests.len(),
+            max_open_requests: self.facts.settings.limits.max_open_requests,
         };
         if let Err(why) = may_accept(&asked) {
             self.facts.decisions.on_denied(why);
@@ -521,7 +524,7 @@
                 arrived,
                 deadline,
                 payload: ask.payload,
-                _memory: ask.room,
+                _memory: ask.memory,
                 attempts: 0,
                 first: None,
                 tries: vec![],
@@ -541,7 +544,7 @@
             class: valehatch_policy::ClassId(ask.class),
             tenant: ask.tenant.map(valehatch_policy::TenantId),
             work: None,
-            repeat: ask.repeat,
+            repeat: ask.is_client_retry,
             since_last_write: ask.last_write_at.map(|at| Span((now - at).0.max(0))),
         };
         let Some(door) = &mut self.door else {
@@ -557,7 +560,7 @@
             group,
             deadline,
         };
-        door.arrive(now, arrival, &mut self.verdicts);
+        door.on_arrival(now, arrival, &mut self.verdicts);
         self.wake_door(now);
         None
     }
@@ -595,7 +598,7 @@
         (
             FinalOutcome::Refused(refused),
             FinalAnswer::Rejected {
-                after,
+                retry_after: after,
                 overloaded: false,
             },
         )
@@ -635,8 +638,8 @@
                             QueueRejection::StandingQueue => RejectionReason::QueueStanding,
                         };
                         let answer = FinalAnswer::Rejected {
-                            after: hint.after,
-                            overloaded: !hint.honest,
+                            retry_after: hint.retry_after,
+                            overloaded: !hint.reserved,
                         };
                         self.answer(now, id, answer, FinalOutcome::Refused(why), effects);
                     }
@@ -696,8 +699,8 @@
                 waiting,
                 searching: false,
             };
-            door.room(now, group.group, true, write, &mut self.verdicts);
-            door.room(now, group.group, false, read, &mut self.verdicts);
+            door.set_capacity(now, group.group, true, write, &mut self.verdicts);
+            door.set_capacity(now, group.group, false, read, &mut self.verdicts);
         }
     }
 
@@ -721,7 +724,7 @@
             return self.on_reply(
                 now,
                 connection,
-                UpstreamReply::bare(Outcome::Cancelled),
+                UpstreamReply::without_details(Outcome::Cancelled),
                 false,
                 effects,
             );
@@ -737,7 +740,7 @@
             ticket: held.ticket,
         });
         if let Some(door) = &mut self.door {
-            door.leave(now, request, true, &mut self.verdicts);
+            door.on_finished(now, request, true, &mut self.verdicts);
         }
         Some(PolicyEvent::ResponseStarted(request))
     }
@@ -794,7 +797,7 @@
             }),
             Use::Attempt(request, attempt, sent) => {
                 self.attempts.remove(&(request, attempt));
-                if self.facts.traced {
+                if self.facts.trace_requests {
                     self.trace(
                         request,
                         RequestStep::AttemptEnded {
@@ -835,7 +838,7 @@
                                 self.answer(now, request, FinalAnswer::Served(body), how, effects);
                                 true
                             }
-                            Some(body) if reply.last => {
+                            Some(body) if reply.is_final_error => {
                                 let answer = FinalAnswer::Failed(Failure::UpstreamError(body));
                                 self.answer(
                                     now,
@@ -883,7 +886,7 @@
                 told.extend(self.on_reply(
                     now,
                     connection,
-                    UpstreamReply::bare(Outcome::Timeout),
+                    UpstreamReply::without_details(Outcome::Timeout),
                     false,
                     effects,
                 ));
@@ -896,13 +899,13 @@
                 }
             }
             Due::Publish => {
-                let Some(watched) = self.facts.watched.clone() else {
+                let Some(watched) = self.facts.observability.clone() else {
                     return;
                 };
                 let each =
                     Span(PUBLISH_EACH.0 * i64::try_from(self.members.len()).unwrap_or(i64::MAX));
                 self.due
-                    .insert((now + watched.publish.max(each), Due::Publish));
+                    .insert((now + watched.publish_interval.max(each), Due::Publish));
                 effects.push(Effect::PublishView(Box::new(self.live(now))));
             }
             Due::Sweep => {
@@ -953,7 +956,7 @@
                     let (answer, how) = if held.attempts == 0 {
                         (
                             FinalAnswer::Rejected {
-                                after,
+                                retry_after: after,
                                 overloaded: false,
                             },
                             FinalOutcome::Refused(RejectionReason::Stopping),
@@ -976,7 +979,7 @@
                         told.extend(self.on_reply(
                             now,
                             connection,
-                            UpstreamReply::bare(Outcome::Cancelled),
+                            UpstreamReply::without_details(Outcome::Cancelled),
                             false,
                             effects,
                         ));
@@ -1011,7 +1014,7 @@
                 let end = self.on_reply(
                     now,
                     connection,
-                    UpstreamReply::bare(Outcome::Cancelled),
+                    UpstreamReply::without_details(Outcome::Cancelled),
                     false,
                     effects,
                 );
@@ -1029,7 +1032,7 @@
                         now,
                         request,
                         FinalAnswer::Rejected {
-                            after,
+                            retry_after: after,
                             overloaded: false,
                         },
                         how,
@@ -1058,7 +1061,7 @@
                 }
             }
             Action::HealthCheck { endpoint } => {
-                if let Err(why) = may_probe(self.ready.contains(&endpoint)) {
+                if let Err(why) = may_check_health(self.ready.contains(&endpoint)) {
                     self.facts.decisions.on_denied(why);
                     let (outcome, latency) = (Outcome::NotSent, Span(0));
                     return self.pending.push(PolicyEvent::HealthCheckEnded {
@@ -1079,7 +1082,7 @@
                         report: None,
                     });
                 };
-                self.wait_until(connection, now + self.facts.probe_timeout);
+                self.wait_until(connection, now + self.facts.health_check_timeout);
                 effects.push(Effect::Submit {
                     connection,
                     job: UpstreamJob::HealthCheck,
@@ -1107,14 +1110,14 @@
         let until = timeout.map_or(held.deadline, |t| held.deadline.min(now + t));
         let asked = SendCheck {
             now,
-            until,
-            streaming: held.began.is_some(),
-            attempts_out: self
+            deadline: until,
+            response_started: held.began.is_some(),
+            attempts_in_flight: self
                 .attempts
                 .range((request, 0)..=(request, u32::MAX))
                 .count(),
             attempts: held.attempts,
-            most_attempts: self.facts.settings.limits.max_attempts,
+            max_attempts: self.facts.settings.limits.max_attempts,
             idempotency: self.facts.settings.classes[held.class].idempotency,
             may_have_run_since: held.may_have_run_since,
             endpoint_is_ready: self.ready.contains(&endpoint) || self.may_use_unlisted(endpoint),
@@ -1141,7 +1144,7 @@
         if let Some(held) = self
             .requests
             .get_mut(&request)
-            .filter(|_| self.facts.watched.is_some())
+            .filter(|_| self.facts.observability.is_some())
         {
             held.first = held.first.or(Some(now));
             held.out = self
@@ -1172,7 +1175,7 @@
             }));
         };
         self.attempts.insert((request, attempt), connection);
-        if self.facts.traced {
+        if self.facts.trace_requests {
             let endpoint = self.endpoint_name(endpoint);
             self.trace(
                 request,
@@ -1194,7 +1197,7 @@
             connection,
             job: UpstreamJob::Request {
                 payload,
-                until,
+                deadline: until,
                 permit,
             },
         });
@@ -1215,7 +1218,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.facts.decisions.on_denied(why);
-        if self.facts.traced {
+        if self.facts.trace_requests {
             self.trace(request, RequestStep::Denied(why), effects);
         }
         if why.is_violation() {
@@ -1227,7 +1230,7 @@
                 why.name()
             );
             effects.push(Effect::Log(LogEvent::InvariantViolated {
-                why,
+                denial: why,
                 request,
                 endpoint,
             }));
@@ -1250,7 +1253,7 @@
     fn trace(&self, request: RequestId, what: RequestStep, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(LogEvent::RequestStep {
             request: self.request_name(request),
-            what,
+            step: what,
         }));
     }
 
@@ -1274,7 +1277,7 @@
         self.on_reply(
             now,
             connection,
-            UpstreamReply::bare(Outcome::NotSent),
+            UpstreamReply::without_details(Outcome::NotSent),
             false,
             effects,
         )
@@ -1429,9 +1432,9 @@
         }
         if let Some(door) = &mut self.door {
             if held.queued.is_some() {
-                door.abort(now, id, &mut self.verdicts);
+                door.on_client_disconnected(now, id, &mut self.verdicts);
             } else {
-                door.leave(now, id, served, &mut self.verdicts);
+                door.on_finished(now, id, served, &mut self.verdicts);
             }
         }
         Some(held)
@@ -1439,11 +1442,11 @@
 
     /// What is counted and written down of a request that is over.
     fn record(&self, now: Time, mut held: Held, ending: FinalOutcome, effects: &mut Vec<Effect>) {
-        if self.facts.traced {
+        if self.facts.trace_requests {
             let request = held.name.clone().unwrap_or_else(|| Arc::from("unnamed"));
             effects.push(Effect::Log(LogEvent::RequestStep {
                 request,
-                what: RequestStep::RequestEnded(ending),
+                step: RequestStep::RequestEnded(ending),
             }));
         }
         if let Some((member, sent)) = held.out.take() {
@@ -1491,10 +1494,10 @@
         [waited, total]: [Span; 2],
         effects: &mut Vec<Effect>,
     ) {
-        if let Some(figures) = &self.facts.figures {
+        if let Some(figures) = &self.facts.metrics {
             figures.ended(class, &ending);
         }
-        let Some(watched) = &self.facts.watched else {
+        let Some(watched) = &self.facts.observability else {
             return;
         };
         effects.push(Effect::RecordOutcome(Box::new(RequestRecord {
@@ -1541,14 +1544,21 @@
             })
         });
         LiveView {
-            at: now,
+            taken_at: now,
             groups: view.groups,
-            members: members.collect(),
-            rates: self.rates.iter().map(|r| r[1]).collect(),
-            open: [self.requests.len(), self.conns.len(), self.clients.len()],
+            endpoints: members.collect(),
+            request_rates: self.rates.iter().map(|r| r[1]).collect(),
+            open: OpenCounts {
+                requests: self.requests.len(),
+                upstream_connections: self.conns.len(),
+                client_connections: self.clients.len(),
+            },
             turns: self.turns,
-            stopping: self.stopping,
-            door: self.door.as_ref().map_or(vec![], |door| door.shown(now)),
+            shutting_down: self.stopping,
+            tenant_queues: self
+                .door
+                .as_ref()
+                .map_or(vec![], |door| door.tenant_views(now)),
         }
     }
 }
--- a/crates/core/src/words.rs
+++ b/crates/core/src/messages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use valehatch_admission::{Settings as DoorSettings, TenantQueueView};
+use valehatch_admission::{Settings as AdmissionSettings, TenantQueueView};
 use valehatch_policy::{
     EndpointRecord, EndpointView, GroupId, GroupView, LoadReport, Outcome, Role, SessionKey,
     Settings, Span, Time,
@@ -32,7 +32,7 @@
 
 impl MemoryReservation {
     /// Takes room for so many bytes, if that leaves no more than `most` in use.
-    pub fn take(used: &Arc<AtomicUsize>, bytes: usize, most: usize) -> Option<Self> {
+    pub fn try_acquire(used: &Arc<AtomicUsize>, bytes: usize, most: usize) -> Option<Self> {
         let room = Self {
             used: Arc::clone(used),
             bytes,
@@ -71,12 +71,12 @@
     pub received: Time,
     /// How long the client will wait, from then on.
     pub client_timeout: Span,
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// When the session's last write was committed, if it brought that.
     pub last_write_at: Option<Time>,
     pub payload: Arc<Payload>,
     /// The room that its bytes take for as long as it is open.
-    pub room: MemoryReservation,
+    pub memory: MemoryReservation,
     /// Who asks, as far as the front can tell clients apart: they share evenly at the door.
     pub client: u64,
 }
@@ -102,7 +102,7 @@
     /// Trying again is harmless, after this time; `crowded` if more wait than can be served by then, so that the longest
     /// time that clients heed is too short to be honest.
     Rejected {
-        after: Span,
+        retry_after: Span,
         overloaded: bool,
     },
     Failed(Failure),
@@ -118,19 +118,19 @@
     /// The whole answer, where there is one; of an error, where the server's words are to be passed on.
     pub body: Option<Vec<u8>>,
     /// An error that every server would answer with: it is passed on, and the request is not sent again.
-    pub last: bool,
+    pub is_final_error: bool,
 }
 
 impl UpstreamReply {
     /// An outcome that nothing came along with.
-    pub const fn bare(outcome: Outcome) -> Self {
+    pub const fn without_details(outcome: Outcome) -> Self {
         Self {
             outcome,
             role: None,
             position: None,
             report: None,
             body: None,
-            last: false,
+            is_final_error: false,
         }
     }
 }
@@ -138,7 +138,7 @@
 /// A line of the list, with where the server listens.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    pub entry: EndpointRecord,
+    pub record: EndpointRecord,
     pub name: Arc<str>,
     pub address: Arc<str>,
 }
@@ -148,14 +148,14 @@
 pub enum Event {
     EndpointList {
         complete: bool,
-        members: Vec<ListedEndpoint>,
+        endpoints: Vec<ListedEndpoint>,
     },
     ClientConnected(ClientId),
     /// A request; the ticket comes back with its answer.
     RequestReceived {
         client: ClientId,
         ticket: u64,
-        ask: IncomingRequest,
+        request: IncomingRequest,
     },
     /// A request that was whole when its client had left: it is counted, and does not run.
     RequestAbandoned {
@@ -168,7 +168,7 @@
         class: usize,
         tenant: Option<usize>,
         group: GroupId,
-        why: RejectionReason,
+        reason: RejectionReason,
     },
     ClientDisconnected(ClientId),
     /// An answer that is too long to be held has begun on a connection: it waits for its way to the client.
@@ -201,7 +201,7 @@
     /// A request, when the gateway stops waiting for its answer, and the leave to write it.
     Request {
         payload: Arc<Payload>,
-        until: Time,
+        deadline: Time,
         permit: SendPermit,
     },
     /// The server is asked how it is.
@@ -256,7 +256,7 @@
     /// The decision module asked for what must never be done; it was not done.
     InvariantViolated {
         /// What forbids it.
-        why: Denial,
+        denial: Denial,
         /// The request, by its client's name for it or by its number here.
         request: Arc<str>,
         /// The endpoint.
@@ -267,7 +267,7 @@
         /// The request, by its client's name for it or by its number here.
         request: Arc<str>,
         /// What became of it.
-        what: RequestStep,
+        step: RequestStep,
     },
 }
 
@@ -300,21 +300,32 @@
 #[derive(Clone, Debug)]
 pub struct LiveView {
     /// When it was so.
-    pub at: Time,
+    pub taken_at: Time,
     /// What is believed of the groups, by number.
     pub groups: Vec<GroupView>,
     /// The members, by number.
-    pub members: Vec<LiveEndpoint>,
+    pub endpoints: Vec<LiveEndpoint>,
     /// Requests of each tenant in the last whole second.
-    pub rates: Vec<u64>,
-    /// Requests that are open, connections to servers, connections from clients.
-    pub open: [usize; 3],
+    pub request_rates: Vec<u64>,
+    /// What is open at the moment.
+    pub open: OpenCounts,
     /// Turns that the loop has taken.
     pub turns: u64,
     /// A planned stop was asked for.
-    pub stopping: bool,
+    pub shutting_down: bool,
     /// What waits at the door of each tenant, where there is a door; the last for those that are not known.
-    pub door: Vec<TenantQueueView>,
+    pub tenant_queues: Vec<TenantQueueView>,
+}
+
+/// Numbers of what is open in a gateway.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OpenCounts {
+    /// Requests that have had no final answer yet.
+    pub requests: usize,
+    /// Connections to upstream endpoints.
+    pub upstream_connections: usize,
+    /// Connections from clients.
+    pub client_connections: usize,
 }
 
 /// A member, as it is believed to be.
@@ -338,24 +349,24 @@
     /// The tenants' names, in the settings' order.
     pub tenants: Vec<Arc<str>>,
     /// How often, at the most; a deployment of many members publishes less often.
-    pub publish: Span,
+    pub publish_interval: Span,
 }
 
 /// What the core needs to know of the deployment.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
     /// Set where requests wait at a door.
-    pub door: Option<DoorSettings>,
+    pub admission: Option<AdmissionSettings>,
     /// Set where somebody watches: final answers are recorded and beliefs published.
-    pub watched: Option<Arc<Observability>>,
+    pub observability: Option<Arc<Observability>>,
     /// Set where operators read figures.
-    pub figures: Option<Arc<OutcomeMetrics>>,
+    pub metrics: Option<Arc<OutcomeMetrics>>,
     pub settings: Settings,
     /// What was denied, and why.
     pub decisions: Arc<Decisions>,
     /// Steps of requests are traced.
-    pub traced: bool,
+    pub trace_requests: bool,
     /// Connections to servers at the most.
     pub upstream_connection_limit: usize,
-    pub probe_timeout: Span,
+    pub health_check_timeout: Span,
 }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -9,7 +9,7 @@
 //! | [`may_accept`] | the reducer, for each request that comes in |
 //! | [`may_send`] | the reducer, for each attempt that the decision module asks for |
 //! | [`SendPermit::try_acquire`] | whoever carries an attempt, as its first byte is about to leave |
-//! | [`may_probe`] | the reducer, for each probe |
+//! | [`may_check_health`] | the reducer, for each probe |
 //! | [`may_close`] | the reducer, for each client connection at a planned stop |
 
 use std::sync::Arc;
@@ -123,8 +123,8 @@
 pub struct AcceptCheck {
     pub stage: ProcessStage,
     pub name_is_open: bool,
-    pub open: usize,
-    pub most_open: usize,
+    pub open_requests: usize,
+    pub max_open_requests: usize,
 }
 
 /// Whether a request that has come in may be accepted.
@@ -135,7 +135,7 @@
     if asked.name_is_open {
         return Err(Denial::DuplicateName);
     }
-    if asked.open >= asked.most_open {
+    if asked.open_requests >= asked.max_open_requests {
         return Err(Denial::TooManyOpen);
     }
     if asked.stage == ProcessStage::Stopping {
@@ -149,11 +149,11 @@
 pub struct SendCheck {
     pub now: Time,
     /// The attempt is given up then.
-    pub until: Time,
-    pub streaming: bool,
-    pub attempts_out: usize,
+    pub deadline: Time,
+    pub response_started: bool,
+    pub attempts_in_flight: usize,
     pub attempts: u32,
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     pub idempotency: Idempotency,
     /// When the first attempt was sent that may have run.
     pub may_have_run_since: Option<Time>,
@@ -165,16 +165,16 @@
 /// # Errors
 /// Why not.
 pub fn may_send(asked: &SendCheck) -> Result<(), Denial> {
-    if asked.streaming {
+    if asked.response_started {
         return Err(Denial::StreamBegan);
     }
-    if asked.attempts_out > 0 {
+    if asked.attempts_in_flight > 0 {
         return Err(Denial::AttemptOut);
     }
-    if asked.attempts >= asked.most_attempts {
+    if asked.attempts >= asked.max_attempts {
         return Err(Denial::AttemptsSpent);
     }
-    if asked.until <= asked.now {
+    if asked.deadline <= asked.now {
         return Err(Denial::DeadlineOver);
     }
     if !asked.endpoint_is_ready {
@@ -211,7 +211,7 @@
 ///
 /// # Errors
 /// Why not.
-pub const fn may_probe(endpoint_is_ready: bool) -> Result<(), Denial> {
+pub const fn may_check_health(endpoint_is_ready: bool) -> Result<(), Denial> {
     if endpoint_is_ready {
         Ok(())
     } else {
--- a/crates/core/tests/begin.rs
+++ b/crates/core/tests/begin.rs
@@ -94,7 +94,7 @@
         state,
     };
     ListedEndpoint {
-        entry,
+        record: entry,
         name: format!("s-{id}").into(),
         address: format!("127.0.0.1:{}", 9000 + id).into(),
     }
@@ -110,14 +110,14 @@
         session: None,
         received,
         client_timeout: ms(2_000),
-        repeat: false,
+        is_client_retry: false,
         last_write_at: None,
         payload: Arc::new(Payload {
             bytes: vec![0; 10],
             write: true,
             class,
         }),
-        room: MemoryReservation::take(room, 10, 100).unwrap(),
+        memory: MemoryReservation::try_acquire(room, 10, 100).unwrap(),
         client: 1,
     }
 }
@@ -126,7 +126,9 @@
 fn until(effects: &[Effect]) -> Time {
     let until = |idempotency: &Effect| match idempotency {
         Effect::Submit {
-            job: UpstreamJob::Request { until, .. },
+            job: UpstreamJob::Request {
+                deadline: until, ..
+            },
             ..
         } => Some(*until),
         _ => None,
@@ -163,7 +165,7 @@
         let mut scene = Self::new(UNSAFE);
         let end = UpstreamReply {
             body: Some(b"done".to_vec()),
-            ..UpstreamReply::bare(Outcome::Ok)
+            ..UpstreamReply::without_details(Outcome::Ok)
         };
         scene.turn(
             1,
@@ -180,7 +182,7 @@
             vec![Event::RequestReceived {
                 client: ClientId(1),
                 ticket: 1,
-                ask: asked,
+                request: asked,
             }],
         );
         (scene.connection, scene.permit) =
@@ -192,14 +194,14 @@
     /// The same where so much happened, and so much time went by, before it was asked for.
     fn asked_after(class: usize, before: Vec<Event>, time: Span) -> Self {
         let facts = CoreConfig {
-            door: None,
-            watched: None,
-            figures: None,
+            admission: None,
+            observability: None,
+            metrics: None,
             settings: settings(),
             decisions: Arc::new(Decisions::default()),
-            traced: false,
+            trace_requests: false,
             upstream_connection_limit: 8,
-            probe_timeout: ms(250),
+            health_check_timeout: ms(250),
         };
         let mut state = State::new(facts, 1).unwrap();
         let (began, room) = (Time(100_000_000), Arc::new(AtomicUsize::new(0)));
@@ -208,12 +210,12 @@
         let ask = ask(&room, class, now);
         let list = Event::EndpointList {
             complete: true,
-            members: vec![member(1, EndpointState::Ready, true)],
+            endpoints: vec![member(1, EndpointState::Ready, true)],
         };
         let asked = Event::RequestReceived {
             client: ClientId(1),
             ticket: 0,
-            ask,
+            request: ask,
         };
         let mut effects = vec![];
         state.reduce(
@@ -238,7 +240,7 @@
         self.state.reduce(self.now, events, &mut effects);
         // What an end left for the next turn, which comes at once.
         self.state.reduce(self.now, vec![], &mut effects);
-        self.state.check().unwrap();
+        self.state.check_invariants().unwrap();
         effects
     }
 }
@@ -289,7 +291,7 @@
         assert!(closed(&effects, scene.connection));
         assert_eq!(scene.room.load(Ordering::Relaxed), 0, "its room is free");
         // Whoever carried it says so as well, late.
-        let reply = UpstreamReply::bare(Outcome::NotSent);
+        let reply = UpstreamReply::without_details(Outcome::NotSent);
         let ended = Event::AttemptEnded {
             connection: scene.connection,
             reply,
@@ -324,7 +326,13 @@
         if !complete {
             members.push(member(1, state, false));
         }
-        let effects = scene.turn(50, vec![Event::EndpointList { complete, members }]);
+        let effects = scene.turn(
+            50,
+            vec![Event::EndpointList {
+                complete,
+                endpoints: members,
+            }],
+        );
         assert!(
             scene.permit.try_acquire(scene.now).is_err(),
             "{state:?}: it must not begin there any more"
@@ -346,13 +354,13 @@
         50,
         vec![Event::EndpointList {
             complete: false,
-            members,
+            endpoints: members,
         }],
     );
     assert!(submitted(&effects).is_none(), "it may have run");
     let reply = UpstreamReply {
         body: Some(b"done".to_vec()),
-        ..UpstreamReply::bare(Outcome::Ok)
+        ..UpstreamReply::without_details(Outcome::Ok)
     };
     let effects = scene.turn(
         50,
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use valehatch_core::permission::{
-    AcceptCheck, Decisions, Denial, ProcessStage, SendCheck, SendPermit, may_accept, may_close,
-    may_probe, may_repeat, may_send,
+    AcceptCheck, Decisions, Denial, ProcessStage, SendCheck, SendPermit, may_accept,
+    may_check_health, may_close, may_repeat, may_send,
 };
 use valehatch_policy::{DedupScope, Idempotency, Span, Time};
 
@@ -16,11 +16,11 @@
 fn sending() -> SendCheck {
     SendCheck {
         now: Time(1_000),
-        until: Time(1_001),
-        streaming: false,
-        attempts_out: 0,
+        deadline: Time(1_001),
+        response_started: false,
+        attempts_in_flight: 0,
         attempts: 5,
-        most_attempts: 6,
+        max_attempts: 6,
         idempotency: Idempotency::NonIdempotent,
         may_have_run_since: None,
         endpoint_is_ready: true,
@@ -29,10 +29,10 @@
 
 #[rstest]
 #[case::all_well(|_: &mut SendCheck| {}, Ok(()))]
-#[case::streaming(|s: &mut SendCheck| s.streaming = true, Err(Denial::StreamBegan))]
-#[case::attempt_out(|s: &mut SendCheck| s.attempts_out = 1, Err(Denial::AttemptOut))]
+#[case::streaming(|s: &mut SendCheck| s.response_started = true, Err(Denial::StreamBegan))]
+#[case::attempt_out(|s: &mut SendCheck| s.attempts_in_flight = 1, Err(Denial::AttemptOut))]
 #[case::attempts_spent(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsSpent))]
-#[case::deadline_over(|s: &mut SendCheck| s.until = s.now, Err(Denial::DeadlineOver))]
+#[case::deadline_over(|s: &mut SendCheck| s.deadline = s.now, Err(Denial::DeadlineOver))]
 #[case::endpoint_drains(|s: &mut SendCheck| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
 #[case::may_have_run(|s: &mut SendCheck| s.may_have_run_since = Some(Time(1)), Err(Denial::RepeatForbidden))]
 fn send(#[case] change: fn(&mut SendCheck), #[case] want: Result<(), Denial>) {
@@ -81,8 +81,8 @@
         may_accept(&AcceptCheck {
             stage,
             name_is_open,
-            open,
-            most_open: 10
+            open_requests: open,
+            max_open_requests: 10
         }),
         want
     );
@@ -91,7 +91,7 @@
 #[test]
 fn probe_and_close() {
     assert_eq!(
-        (may_probe(true), may_probe(false)),
+        (may_check_health(true), may_check_health(false)),
         (Ok(()), Err(Denial::EndpointNotReady))
     );
     assert_eq!(
--- a/crates/cql/src/clients.rs
+++ b/crates/cql/src/clients.rs
@@ -134,7 +134,7 @@
                     why,
                 );
                 let answer = FinalAnswer::Rejected {
-                    after: self.site.settings.limits.max_retry_after,
+                    retry_after: self.site.settings.limits.max_retry_after,
                     overloaded: false,
                 };
                 return session.reply(0, self.encode(ticket, answer));
@@ -155,11 +155,11 @@
                 session: None,
                 received: self.clock.now(),
                 client_timeout: Span(class.deadline.0),
-                repeat: false,
+                is_client_retry: false,
                 last_write_at: None,
                 client: session.client(),
                 payload: Arc::new(payload),
-                room,
+                memory: room,
             },
         )
     }
@@ -267,9 +267,10 @@
             FinalAnswer::Served(bytes) | FinalAnswer::Failed(Failure::UpstreamError(bytes)) => {
                 Frame::from_bytes(bytes).on_stream(stream).into_bytes()
             }
-            FinalAnswer::Rejected { after, overloaded } => {
-                codec::overloaded(stream, (after.0 / 1000).max(1), overloaded)
-            }
+            FinalAnswer::Rejected {
+                retry_after: after,
+                overloaded,
+            } => codec::overloaded(stream, (after.0 / 1000).max(1), overloaded),
             FinalAnswer::Failed(Failure::ConnectionLost | Failure::DuplicateName) => error(
                 stream,
                 code::SERVER,
--- a/crates/cql/src/exchange.rs
+++ b/crates/cql/src/exchange.rs
@@ -93,7 +93,10 @@
             } else {
                 judge(&frame).0
             };
-            return over(UpstreamReply::bare(outcome), outcome != Outcome::Ok);
+            return over(
+                UpstreamReply::without_details(outcome),
+                outcome != Outcome::Ok,
+            );
         };
         let soon = now - self.began <= REPREPARE;
         if let Some(id) = self.telling.take() {
@@ -102,13 +105,13 @@
             return if known && soon {
                 Next::Ask(self.opening())
             } else {
-                over(UpstreamReply::bare(Outcome::Misdirected), false)
+                over(UpstreamReply::without_details(Outcome::Misdirected), false)
             };
         }
         // A spoilt answer may have run; nothing of it is passed on.
         if !whole(&frame) {
             tracing::warn!("a node's answer is spoilt: opcode {:#04x}", frame.opcode());
-            return over(UpstreamReply::bare(Outcome::Error), true);
+            return over(UpstreamReply::without_details(Outcome::Error), true);
         }
         let (outcome, forgotten) = judge(&frame);
         if let Some((id, statement)) =
@@ -120,7 +123,7 @@
             self.telling = Some(id);
             return Next::Ask(prepare(&statement));
         }
-        let mut reply = UpstreamReply::bare(outcome);
+        let mut reply = UpstreamReply::without_details(outcome);
         if payload.bytes.get(OPCODE) == Some(&op::PREPARE)
             && let Some(id) = prepared_id(&frame)
         {
--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -122,7 +122,7 @@
     } else {
         Outcome::Reset
     };
-    ended(job, UpstreamReply::bare(outcome))
+    ended(job, UpstreamReply::without_details(outcome))
 }
 
 impl Context {
@@ -298,7 +298,7 @@
                         {
                             inner.exchanges.remove(&job);
                             inner.streams.cancel(now, job, &mut todo);
-                            told.push(ended(job, UpstreamReply::bare(Outcome::NotSent)));
+                            told.push(ended(job, UpstreamReply::without_details(Outcome::NotSent)));
                             continue;
                         }
                         let asked = inner.exchanges.get(&job).map(|e| (e.opening(), e.class()));
@@ -740,7 +740,7 @@
                 ConnectionId(n),
                 UpstreamJob::Request {
                     payload,
-                    until,
+                    deadline: until,
                     permit: SendPermit::new(until),
                 },
             );
--- a/crates/cql/tests/nodes.rs
+++ b/crates/cql/tests/nodes.rs
@@ -85,7 +85,7 @@
             connection,
             UpstreamJob::Request {
                 payload,
-                until,
+                deadline: until,
                 permit,
             },
         );
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -99,18 +99,18 @@
 /// A door for a front, with the tenants' shares.
 pub(crate) fn door(door: Door, site: &Site, shares: Vec<f64>) -> valehatch_admission::Settings {
     let class = |c: &valehatch_policy::RequestClass| valehatch_admission::Class {
-        worth: c.priority_weight,
-        aim: c.latency_objective,
-        late_counts: c.consistency == Consistency::Write && c.late_priority_weight > 0.0,
+        priority_weight: c.priority_weight,
+        latency_objective: c.latency_objective,
+        late_answer_counts: c.consistency == Consistency::Write && c.late_priority_weight > 0.0,
         write: c.consistency == Consistency::Write,
     };
     valehatch_admission::Settings {
-        shares,
+        quotas: shares,
         classes: site.settings.classes.iter().map(class).collect(),
-        most: door.most.min(site.settings.limits.max_open_requests),
-        buckets: door.buckets,
-        max_hint: site.settings.limits.max_retry_after,
-        lanes: door.lanes,
+        max_waiting: door.most.min(site.settings.limits.max_open_requests),
+        client_buckets: door.buckets,
+        max_retry_after: site.settings.limits.max_retry_after,
+        max_lanes: door.lanes,
     }
 }
 
@@ -181,12 +181,14 @@
         let facts = CoreConfig {
             settings: site.settings,
             decisions,
-            traced: tracing::enabled!(tracing::Level::DEBUG),
-            door,
-            figures: figures.clone(),
-            watched: watcher.as_ref().map(|w| Arc::clone(&w.names)),
+            trace_requests: tracing::enabled!(tracing::Level::DEBUG),
+            admission: door,
+            metrics: figures.clone(),
+            observability: watcher.as_ref().map(|w| Arc::clone(&w.names)),
             upstream_connection_limit: streams.unwrap_or(connections(sockets)),
-            probe_timeout: Span::from_millis(i64::try_from(site.connect_timeout_ms).unwrap_or(250)),
+            health_check_timeout: Span::from_millis(
+                i64::try_from(site.connect_timeout_ms).unwrap_or(250),
+            ),
         };
         let state = State::new(facts, seed).map_err(|e| e.to_string())?;
         let watched = watcher.is_some() || figures.is_some();
@@ -257,13 +259,16 @@
                     warn!("all {n} connections to servers are in use")
                 }
                 Effect::Log(LogEvent::InvariantViolated {
-                    why,
+                    denial: why,
                     request,
                     endpoint,
                 }) => {
                     error!(%request, %endpoint, "invariant violated: {}; it was not sent", why.name());
                 }
-                Effect::Log(LogEvent::RequestStep { request, what }) => {
+                Effect::Log(LogEvent::RequestStep {
+                    request,
+                    step: what,
+                }) => {
                     debug!(%request, "{what:?}")
                 }
                 Effect::RecordOutcome(record) => {
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -37,7 +37,7 @@
         front: Arc::clone(&front.name),
         classes: all(&front.site.classes),
         tenants: all(&front.site.tenants),
-        publish: PUBLISH,
+        publish_interval: PUBLISH,
     })
 }
 
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -302,7 +302,7 @@
             .unwrap_or_default();
         let board = self.board.load_full();
         let live = board.as_ref().map(|b| &b.live);
-        let members = live.map(|l| l.members.as_slice()).unwrap_or_default();
+        let members = live.map(|l| l.endpoints.as_slice()).unwrap_or_default();
         let groups = live.map(|l| l.groups.as_slice()).unwrap_or_default();
         let primaries = groups
             .iter()
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -118,7 +118,7 @@
                 .board
                 .load()
                 .as_ref()
-                .is_some_and(|b| b.live.at >= asked)
+                .is_some_and(|b| b.live.taken_at >= asked)
         };
         while !fresh() && Instant::now() < until {
             sleep(Duration::from_millis(1));
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -193,7 +193,7 @@
             return Err(RejectionReason::OutOfConnections);
         }
         let most = self.all.most.load(Ordering::Relaxed);
-        let room = MemoryReservation::take(&self.all.bytes, bytes, most)
+        let room = MemoryReservation::try_acquire(&self.all.bytes, bytes, most)
             .filter(|_| !self.all.passed.is_full());
         room.ok_or(RejectionReason::OutOfMemory)
     }
@@ -227,7 +227,7 @@
         let event = Event::RequestReceived {
             client: self.id,
             ticket,
-            ask,
+            request: ask,
         };
         self.events
             .send(event)
@@ -263,7 +263,7 @@
                 class,
                 tenant,
                 group,
-                why,
+                reason: why,
             });
         }
     }
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -505,7 +505,7 @@
         self.ids.retain(|uid, _| !gone.contains(uid));
         let _ = self.events.send(Event::EndpointList {
             complete: list.all,
-            members,
+            endpoints: members,
         });
         list.rev
     }
@@ -528,7 +528,7 @@
                 .map_or(u8::MAX, |n| n as u8)
         };
         Some(ListedEndpoint {
-            entry: EndpointRecord {
+            record: EndpointRecord {
                 zone: ZoneId(place(&self.site.zones, &target.az)),
                 kind: KindId(place(&self.site.kinds, &target.model)),
                 endpoint: self.id(target.uid),
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -16,13 +16,13 @@
 
 fn list(members: &[Fixed]) -> Event {
     let member = |m: &Fixed| ListedEndpoint {
-        entry: m.entry.clone(),
+        record: m.entry.clone(),
         name: Arc::clone(&m.name),
         address: Arc::from(m.address.to_string()),
     };
     Event::EndpointList {
         complete: true,
-        members: members.iter().map(member).collect(),
+        endpoints: members.iter().map(member).collect(),
     }
 }
 
--- a/crates/net/src/servers.rs
+++ b/crates/net/src/servers.rs
@@ -162,7 +162,7 @@
         };
         if let Err(e) = super::spawn("server", move || link.run(&job)) {
             tracing::warn!("no thread for a connection to a server: {e}");
-            let reply = UpstreamReply::bare(Outcome::LocalFailure);
+            let reply = UpstreamReply::without_details(Outcome::LocalFailure);
             // The core's own thread: its queue must not be waited for.
             if self
                 .events
@@ -229,7 +229,7 @@
         // An answer that breaks off cuts its client off only once the core has been told why.
         let way = RefCell::new(None);
         let (mut reply, reusable, asked) = match stream {
-            Err(outcome) => (UpstreamReply::bare(outcome), false, None),
+            Err(outcome) => (UpstreamReply::without_details(outcome), false, None),
             Ok(stream) => {
                 let begin = || way.borrow_mut().insert(self.begin(&stream)?).clone().into();
                 let (reply, reusable, asked) = self.carry(&stream, job, &begin);
@@ -294,9 +294,9 @@
         let place = self.places.member().ok_or(Outcome::LocalFailure)?;
         let began = self.clock.now();
         let most = match job {
-            UpstreamJob::Request { until, .. } => {
-                Duration::from_micros((*until - began).0.max(1_000).unsigned_abs())
-            }
+            UpstreamJob::Request {
+                deadline: until, ..
+            } => Duration::from_micros((*until - began).0.max(1_000).unsigned_abs()),
             UpstreamJob::HealthCheck => self.connect_timeout,
         };
         let most = most.min(self.connect_timeout);
@@ -330,15 +330,21 @@
         let left = match job {
             // The dial may have outlived the request, its member's time or the window for its repeat.
             UpstreamJob::Request { permit, .. } if permit.try_acquire(now).is_err() => {
-                return (UpstreamReply::bare(Outcome::NotSent), true, None);
+                return (UpstreamReply::without_details(Outcome::NotSent), true, None);
             }
-            UpstreamJob::Request { until, .. } => (*until - now).0 / 1000,
+            UpstreamJob::Request {
+                deadline: until, ..
+            } => (*until - now).0 / 1000,
             UpstreamJob::HealthCheck => self.connect_timeout.as_millis() as i64,
         };
         let bytes = self.protocol.request(job, left.max(1));
         // A break before the last byte is written means that nothing ran; after it, that it may have.
         if (&mut &*stream).write_all(&bytes).is_err() {
-            return (UpstreamReply::bare(Outcome::ConnectFailed), false, None);
+            return (
+                UpstreamReply::without_details(Outcome::ConnectFailed),
+                false,
+                None,
+            );
         }
         if let (UpstreamJob::Request { payload, .. }, Some(figures)) = (job, &self.figures) {
             figures.relayed(payload.class);
--- a/crates/notifications/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -299,7 +299,7 @@
                     Notification::StateTrouble(why.into())
                 }));
         }
-        if !self.stopping && fronts.iter().any(|f| f.live.stopping) {
+        if !self.stopping && fronts.iter().any(|f| f.live.shutting_down) {
             self.stopping = true;
             self.out.push(Notification::Stopping);
         }
@@ -328,7 +328,7 @@
         let live = front.live;
         for group in &live.groups {
             let name = |endpoint: EndpointId| {
-                let found = live.members.iter().find(|m| m.view.endpoint == endpoint);
+                let found = live.endpoints.iter().find(|m| m.view.endpoint == endpoint);
                 found.map_or_else(
                     || Arc::from(format!("{:08x}", endpoint.0)),
                     |m| Arc::clone(&m.name),
@@ -361,7 +361,7 @@
                 known: group.known,
                 changes: group.changes,
                 held: group.queued_writes as u64,
-                lasted_ms: u64::try_from((live.at - since).0 / 1000).unwrap_or(0),
+                lasted_ms: u64::try_from((live.taken_at - since).0 / 1000).unwrap_or(0),
             };
             let before = std::mem::replace(&mut watch.primary, Arc::clone(&primary));
             // Two changes between two looks may lead back to the same member: they are changes all the same.
@@ -386,7 +386,7 @@
             }
             let lasts = watch
                 .searching
-                .filter(|s| live.at - *s >= self.thresholds.search_lasting);
+                .filter(|s| live.taken_at - *s >= self.thresholds.search_lasting);
             if let Some(since) = lasts.filter(|_| !std::mem::replace(&mut watch.lasting, true)) {
                 self.out
                     .push(Notification::SearchLasting(notice(&before, since)));
@@ -396,12 +396,12 @@
                 if std::mem::take(&mut watch.without_told) {
                     self.out.push(Notification::PrimaryBack(notice(
                         &before,
-                        since.unwrap_or(live.at),
+                        since.unwrap_or(live.taken_at),
                     )));
                 }
             } else {
-                let since = *watch.without_since.get_or_insert(live.at);
-                let long = live.at - since >= self.thresholds.no_primary;
+                let since = *watch.without_since.get_or_insert(live.taken_at);
+                let long = live.taken_at - since >= self.thresholds.no_primary;
                 if long && !std::mem::replace(&mut watch.without_told, true) {
                     self.out
                         .push(Notification::NoPrimary(notice(&before, since)));
@@ -411,7 +411,7 @@
     }
 
     fn look_at_members(&mut self, front: &FrontNow<'_>) {
-        for member in &front.live.members {
+        for member in &front.live.endpoints {
             let key = (Arc::clone(front.name), member.view.endpoint);
             let notice = EndpointNotification {
                 front: Arc::clone(front.name),
@@ -442,7 +442,7 @@
     }
 
     fn look_at_budgets(&mut self, front: &FrontNow<'_>) {
-        for ((tenant, allowance), rate) in front.tenants.iter().zip(&front.live.rates) {
+        for ((tenant, allowance), rate) in front.tenants.iter().zip(&front.live.request_rates) {
             #[allow(
                 clippy::cast_precision_loss,
                 clippy::cast_possible_truncation,
@@ -462,7 +462,7 @@
     }
 
     fn look_at_queues(&mut self, front: &FrontNow<'_>) {
-        for ((tenant, _), door) in front.tenants.iter().zip(&front.live.door) {
+        for ((tenant, _), door) in front.tenants.iter().zip(&front.live.tenant_queues) {
             let waited = u64::try_from(door.oldest.0 / 1000).unwrap_or(0);
             let key = (Arc::clone(front.name), Arc::clone(tenant));
             match self
--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use valehatch_core::{LiveEndpoint, LiveView};
+use valehatch_core::{LiveEndpoint, LiveView, OpenCounts};
 use valehatch_notifications::*;
 use valehatch_policy::*;
 use valehatch_request_log::{Counters, FinalOutcome, RejectionReason, RequestRecord};
@@ -62,14 +62,14 @@
             },
         };
         let live = LiveView {
-            at: Time(0),
+            taken_at: Time(0),
             groups: vec![group],
-            members: (1..=3).map(member).collect(),
-            rates: vec![0],
-            open: [0; 3],
+            endpoints: (1..=3).map(member).collect(),
+            request_rates: vec![0],
+            open: OpenCounts::default(),
             turns: 0,
-            stopping: false,
-            door: vec![],
+            shutting_down: false,
+            tenant_queues: vec![],
         };
         let tenants = vec![("acme".into(), 100.0)];
         let alarms = NotificationMonitor::new(thresholds);
@@ -84,14 +84,14 @@
     }
 
     fn look(&mut self, at_ms: i64) -> Vec<Notification> {
-        self.live.at = Time(at_ms * 1000);
+        self.live.taken_at = Time(at_ms * 1000);
         let front = FrontNow {
             name: &self.name,
             live: &self.live,
             tenants: &self.tenants,
         };
         self.alarms
-            .look(self.live.at, &[front], &self.counters, self.trouble)
+            .look(self.live.taken_at, &[front], &self.counters, self.trouble)
     }
 
     fn kinds(&mut self, at_ms: i64) -> Vec<Kind> {
@@ -200,7 +200,7 @@
         .into_iter()
         .enumerate()
     {
-        world.live.rates = vec![rate];
+        world.live.request_rates = vec![rate];
         told.extend(
             world
                 .kinds(i64::try_from(n).unwrap() * 1000)
@@ -216,7 +216,7 @@
     let mut world = World::new(thresholds());
     let mut told = vec![];
     for (n, waited) in [0, 390, 410, 150, 399, 99, 0].into_iter().enumerate() {
-        world.live.door = vec![valehatch_admission::TenantQueueView {
+        world.live.tenant_queues = vec![valehatch_admission::TenantQueueView {
             oldest: ms(waited),
             ..Default::default()
         }];
@@ -235,11 +235,11 @@
 fn members_state_and_stop_are_told_and_a_member_that_left_is_not_waited_for() {
     let mut world = World::new(thresholds());
     world.look(0);
-    world.live.members[1].view.health = EndpointHealth::Unreachable;
+    world.live.endpoints[1].view.health = EndpointHealth::Unreachable;
     assert_eq!(world.kinds(100), [Kind::MemberOutOfReach]);
-    world.live.members[1].view.health = EndpointHealth::Unresponsive;
+    world.live.endpoints[1].view.health = EndpointHealth::Unresponsive;
     assert_eq!(world.kinds(200), [], "it still cannot be used");
-    world.live.members.remove(1);
+    world.live.endpoints.remove(1);
     assert_eq!(world.kinds(300), [Kind::MemberBack]);
     world.trouble = Some("disk full");
     assert_eq!(
@@ -248,7 +248,7 @@
     );
     world.trouble = None;
     assert_eq!(world.kinds(500), [Kind::StateWell]);
-    world.live.stopping = true;
+    world.live.shutting_down = true;
     assert_eq!(world.kinds(600), [Kind::Stopping]);
     assert_eq!(world.kinds(700), []);
 }
@@ -258,12 +258,12 @@
     let mut world = World::new(thresholds());
     let members: Vec<LiveEndpoint> = (10..210)
         .map(|n| {
-            let mut member = world.live.members[0].clone();
+            let mut member = world.live.endpoints[0].clone();
             (member.view.endpoint, member.name) = (EndpointId(n), format!("n{n}").into());
             member
         })
         .collect();
-    world.live.members = members;
+    world.live.endpoints = members;
     world.look(0);
     let mut told = vec![];
     for look in 1..100 {
@@ -274,7 +274,7 @@
         };
         world
             .live
-            .members
+            .endpoints
             .iter_mut()
             .for_each(|m| m.view.health = health);
         told.extend(world.look(look * 100));
@@ -287,7 +287,7 @@
     };
     let left_out: u64 = kinds.iter().map(|(_, n)| n).sum();
     assert_eq!(left_out, 99 * 200 - 5, "each is counted once: {kinds:?}");
-    world.live.members[0].view.health = EndpointHealth::Healthy;
+    world.live.endpoints[0].view.health = EndpointHealth::Healthy;
     assert_eq!(world.kinds(10_100), [Kind::MemberBack]);
 }
 
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -109,7 +109,7 @@
             received: self.clock.now(),
             // Nobody waits for longer than the class's deadline; what would is not held for it.
             client_timeout: Span::from_millis(client_timeout.into()).min(deadline),
-            repeat: value("r") == Some("1"),
+            is_client_retry: value("r") == Some("1"),
             last_write_at: value("after")
                 .and_then(|a| a.parse().ok())
                 .map(|ms| place_ms(self.clock, ms)),
@@ -119,7 +119,7 @@
                 write: consistency == Consistency::Write,
                 class,
             }),
-            room,
+            memory: room,
         }))
     }
 
@@ -314,7 +314,10 @@
         let mut out = vec![];
         match answer {
             FinalAnswer::Served(body) => out = body,
-            FinalAnswer::Rejected { after, overloaded } => {
+            FinalAnswer::Rejected {
+                retry_after: after,
+                overloaded,
+            } => {
                 let wait = (after.0 / 1000).max(1).to_string();
                 let text = if overloaded {
                     "refused: nothing ran; more wait than can be served by the time that is given"
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -65,9 +65,9 @@
     ) -> (UpstreamReply, bool) {
         let spoilt = |what: &str| {
             tracing::warn!("a database's answer is spoilt: {what}");
-            (UpstreamReply::bare(Outcome::Error), false)
+            (UpstreamReply::without_details(Outcome::Error), false)
         };
-        let mut reply = UpstreamReply::bare(Outcome::Reset);
+        let mut reply = UpstreamReply::without_details(Outcome::Reset);
         let (mut body, mut described, mut row, mut whole, mut way) =
             (vec![], false, None, false, None);
         let mut aside = 0;
@@ -85,7 +85,7 @@
                         Ok(opened) => (row, way) = (Some(vec![]), Some(opened)),
                         Err((outcome, what)) => {
                             tracing::warn!("a long answer is not whole: {what}");
-                            return (UpstreamReply::bare(outcome), false);
+                            return (UpstreamReply::without_details(outcome), false);
                         }
                     }
                     continue;
@@ -138,7 +138,7 @@
                     } else {
                         outcome(code)
                     };
-                    reply.last = !described && faulty(code);
+                    reply.is_final_error = !described && faulty(code);
                 }
                 b'S' => match pg::parameter(&bytes) {
                     Some(["mode", "read-write"]) => reply.role = Some(Role::Primary),
@@ -156,7 +156,7 @@
                 }
                 other => return spoilt(&format!("a message of type {other:#04x} out of place")),
             }
-            if matches!(kind, b'T' | b'D' | b'C') || reply.last && kind == b'E' {
+            if matches!(kind, b'T' | b'D' | b'C') || reply.is_final_error && kind == b'E' {
                 pg::put(&mut body, kind, &[&bytes]);
             }
         }
@@ -185,7 +185,7 @@
                     reply.report = text.and_then(|t| self.report(&t)).or(reply.report);
                 }
             }
-        } else if reply.last {
+        } else if reply.is_final_error {
             reply.body = Some(body);
         }
         reply
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -4,7 +4,7 @@
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-use valehatch_core::LiveEndpoint;
+use valehatch_core::{LiveEndpoint, OpenCounts};
 use valehatch_policy::{
     EndpointHealth, EndpointState, GroupView, PrimaryEvidence, Role, Span, Time,
 };
@@ -323,8 +323,8 @@
                 self.next_numbered(after, count, |b, n| u32::from(b.live.groups[n].group.0) + 1)
             }
             Rows::Member => {
-                let count = |b: &Board| b.live.members.len();
-                self.next_numbered(after, count, |b, n| b.live.members[n].view.endpoint.0)
+                let count = |b: &Board| b.live.endpoints.len();
+                self.next_numbered(after, count, |b, n| b.live.endpoints[n].view.endpoint.0)
             }
             Rows::Receiver => {
                 let last = after.map_or(0, |a| a.first().copied().unwrap_or(0));
@@ -400,11 +400,11 @@
             }
             Rows::Member => {
                 let (board, number) = self.numbered(index)?;
-                let members = &board.live.members;
+                let members = &board.live.endpoints;
                 let at = members
                     .binary_search_by_key(&number, |m| m.view.endpoint.0)
                     .ok()?;
-                Some(member(column, &members[at], board.live.at))
+                Some(member(column, &members[at], board.live.taken_at))
             }
             Rows::Receiver => {
                 let [number] = index else { return None };
@@ -479,7 +479,7 @@
         let allowance = self.world.fronts.get(at.front)?.tenants.get(at.item)?.1;
         let rate = self.boards[at.front]
             .as_ref()
-            .and_then(|b| b.live.rates.get(at.item))
+            .and_then(|b| b.live.request_rates.get(at.item))
             .copied()
             .unwrap_or(0);
         #[allow(clippy::cast_precision_loss)]
@@ -491,17 +491,17 @@
             15..=22 => {
                 let door = self.boards[at.front]
                     .as_ref()
-                    .and_then(|b| b.live.door.get(at.item));
+                    .and_then(|b| b.live.tenant_queues.get(at.item));
                 let door = door.copied().unwrap_or_default();
                 match column.arc {
                     15 => gauge(door.waiting),
                     16 => gauge(millis(door.oldest)),
-                    17 => Value::Counter64(door.asked),
+                    17 => Value::Counter64(door.received),
                     18 => Value::Counter64(door.admitted),
-                    19 => Value::Counter64(door.got_us),
-                    20 => Value::Counter64(door.hinted),
-                    21 => Value::Counter64(door.kept),
-                    _ => Value::Counter64(u64::try_from(door.late.0).unwrap_or(0)),
+                    19 => Value::Counter64(door.admitted_cost_us),
+                    20 => Value::Counter64(door.hints_given),
+                    21 => Value::Counter64(door.hints_honoured),
+                    _ => Value::Counter64(u64::try_from(door.hint_lateness.0).unwrap_or(0)),
                 }
             }
             _ => return None,
@@ -511,17 +511,17 @@
     fn front(&self, column: &Object, n: usize) -> Value {
         let front = &self.world.fronts[n];
         let board = self.boards[n].as_deref();
-        let open = |place: usize| gauge(board.map_or(0, |b| b.live.open[place] as u64));
+        let open = board.map_or_else(OpenCounts::default, |b| b.live.open);
         match column.arc {
             2 => text(front.protocol),
             3 => text(&front.listen),
-            4 => open(0),
-            5 => open(1),
-            6 => open(2),
+            4 => gauge(open.requests as u64),
+            5 => gauge(open.upstream_connections as u64),
+            6 => gauge(open.client_connections as u64),
             7 => gauge(board.map_or(0, |b| b.queue as u64)),
             8 => Value::Counter64(board.map_or(0, |b| b.live.turns)),
-            9 => gauge(board.map_or(u64::MAX, |b| millis(self.now - b.live.at))),
-            _ => truth(board.is_some_and(|b| b.live.stopping)),
+            9 => gauge(board.map_or(u64::MAX, |b| millis(self.now - b.live.taken_at))),
+            _ => truth(board.is_some_and(|b| b.live.shutting_down)),
         }
     }
 
@@ -610,11 +610,11 @@
 }
 
 fn group(column: &Object, group: &GroupView, board: &Board) -> Value {
-    let at = board.live.at;
+    let at = board.live.taken_at;
     match column.arc {
         3 => gauge(group.primary.map_or(0, |p| u64::from(p.0))),
         4 => {
-            let members = &board.live.members;
+            let members = &board.live.endpoints;
             let place = group
                 .primary
                 .and_then(|p| members.binary_search_by_key(&p, |m| m.view.endpoint).ok());
--- a/crates/snmp/tests/engine.rs
+++ b/crates/snmp/tests/engine.rs
@@ -107,7 +107,7 @@
     let rows = scene.walk(&own(&[14]), 7, |scene| {
         turn += 1;
         let mut live = live((1..=50).filter(|n| n % 2 == turn % 2));
-        live.members
+        live.endpoints
             .iter_mut()
             .for_each(|m| m.name = format!("other-{turn}").into());
         scene.publish(0, live);
--- a/crates/snmp/tests/support/mod.rs
+++ b/crates/snmp/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use valehatch_config::operators::Operators;
 use valehatch_config::snmp::Snmp;
-use valehatch_core::{LiveEndpoint, LiveView};
+use valehatch_core::{LiveEndpoint, LiveView, OpenCounts};
 use valehatch_net::Clock;
 use valehatch_policy::*;
 use valehatch_snmp::engine::{Engine, Shared, Stats};
@@ -82,14 +82,18 @@
         waiting: 0,
     };
     LiveView {
-        at: Time(100_000_000_000),
+        taken_at: Time(100_000_000_000),
         groups: vec![group],
-        members: members.map(member).collect(),
-        rates: vec![7],
-        open: [1, 2, 3],
+        endpoints: members.map(member).collect(),
+        request_rates: vec![7],
+        open: OpenCounts {
+            requests: 1,
+            upstream_connections: 2,
+            client_connections: 3,
+        },
         turns: 9,
-        stopping: false,
-        door: vec![],
+        shutting_down: false,
+        tenant_queues: vec![],
     }
 }
 
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -257,38 +257,38 @@
             Way::Fair | Way::Calm => plan.tenant.iter().map(|t| t.share).collect(),
         };
         let door = (way != Way::None).then(|| valehatch_admission::Settings {
-            shares,
+            quotas: shares,
             classes: settings
                 .classes
                 .iter()
                 .map(|c| valehatch_admission::Class {
-                    worth: c.priority_weight,
-                    aim: c.latency_objective,
-                    late_counts: c.consistency == Consistency::Write
+                    priority_weight: c.priority_weight,
+                    latency_objective: c.latency_objective,
+                    late_answer_counts: c.consistency == Consistency::Write
                         && c.late_priority_weight > 0.0,
                     write: c.consistency == Consistency::Write,
                 })
                 .collect(),
-            most: plan.most,
-            buckets: if matches!(way, Way::Fair | Way::Calm) {
+            max_waiting: plan.most,
+            client_buckets: if matches!(way, Way::Fair | Way::Calm) {
                 4096
             } else {
                 1
             },
-            max_hint: ms(plan.max_hint_ms),
-            lanes: 16,
+            max_retry_after: ms(plan.max_hint_ms),
+            max_lanes: 16,
         });
         let mut gateways = vec![];
         for n in 0..plan.gateways {
             let facts = CoreConfig {
-                figures: None,
-                door: door.clone(),
-                watched: None,
+                metrics: None,
+                admission: door.clone(),
+                observability: None,
                 settings: settings.clone(),
                 decisions: Arc::default(),
-                traced: false,
+                trace_requests: false,
                 upstream_connection_limit: 2_000,
-                probe_timeout: Span::from_millis(250),
+                health_check_timeout: Span::from_millis(250),
             };
             let state =
                 State::new(facts, seed.wrapping_add(n as u64)).map_err(|e| e.to_string())?;
@@ -542,7 +542,8 @@
         let ticket = gateway.next_ticket;
         gateway.tickets.insert(ticket, ask);
         let write = self.plan.class[class].write;
-        let room = MemoryReservation::take(&self.room, 8, usize::MAX).expect("room without end");
+        let room =
+            MemoryReservation::try_acquire(&self.room, 8, usize::MAX).expect("room without end");
         let payload = Arc::new(Payload {
             bytes: ask.to_be_bytes().to_vec(),
             write,
@@ -551,7 +552,7 @@
         gateway.inbox.push(Event::RequestReceived {
             client: ClientId(client),
             ticket,
-            ask: IncomingRequest {
+            request: IncomingRequest {
                 name: None,
                 class,
                 tenant: Some(tenant),
@@ -559,10 +560,10 @@
                 session: None,
                 received: self.now,
                 client_timeout: patience,
-                repeat: false,
+                is_client_retry: false,
                 last_write_at: None,
                 payload,
-                room,
+                memory: room,
                 client,
             },
         });
@@ -591,7 +592,7 @@
         }
         // It looks at all that is held: not after each turn of a crowd of thousands.
         if self.outcome.steps.is_multiple_of(16) {
-            self.gateways[n].state.check()?;
+            self.gateways[n].state.check_invariants()?;
         }
         if let Some(due) = self.gateways[n].state.next_due() {
             // The loop itself takes a moment.
@@ -719,7 +720,11 @@
     fn work(&mut self, n: usize, piece: Piece) {
         let server = &self.servers[n];
         if !server.alive {
-            return self.reply(&piece, UpstreamReply::bare(Outcome2::ConnectFailed), false);
+            return self.reply(
+                &piece,
+                UpstreamReply::without_details(Outcome2::ConnectFailed),
+                false,
+            );
         }
         let Some(ask) = piece.ask else {
             let lag = if server.primary {
@@ -736,7 +741,7 @@
                 &piece,
                 UpstreamReply {
                     report: Some(report),
-                    ..UpstreamReply::bare(Outcome2::Ok)
+                    ..UpstreamReply::without_details(Outcome2::Ok)
                 },
                 true,
             );
@@ -766,7 +771,7 @@
                 &piece,
                 UpstreamReply {
                     role,
-                    ..UpstreamReply::bare(Outcome2::Misdirected)
+                    ..UpstreamReply::without_details(Outcome2::Misdirected)
                 },
                 true,
             );
@@ -776,7 +781,7 @@
                 &piece,
                 UpstreamReply {
                     role,
-                    ..UpstreamReply::bare(Outcome2::Rejected)
+                    ..UpstreamReply::without_details(Outcome2::Rejected)
                 },
                 true,
             );
@@ -833,7 +838,7 @@
             role,
             position: Some(now - lag),
             body,
-            ..UpstreamReply::bare(Outcome2::Ok)
+            ..UpstreamReply::without_details(Outcome2::Ok)
         };
         self.reply(piece, reply, true);
         Ok(())
@@ -901,7 +906,9 @@
                         .saturating_record(u64::try_from(wait).unwrap_or(0).max(1));
                 }
             }
-            FinalAnswer::Rejected { after, .. } => {
+            FinalAnswer::Rejected {
+                retry_after: after, ..
+            } => {
                 seen.refused += u64::from(measured);
                 if plan.write && asked.effects > 0 {
                     return Err(format!("the write {ask} ran and was refused"));
@@ -916,7 +923,9 @@
         }
         let said = match answer {
             FinalAnswer::Served(_) => "served".to_owned(),
-            FinalAnswer::Rejected { after, .. } => {
+            FinalAnswer::Rejected {
+                retry_after: after, ..
+            } => {
                 format!("refused, come back in {} ms", after.0 / 1000)
             }
             FinalAnswer::Failed(why) => format!("failed: {why:?}"),
@@ -965,7 +974,11 @@
                             connection,
                             ask: Some(ask),
                         };
-                        self.reply(&piece, UpstreamReply::bare(Outcome2::Reset), false);
+                        self.reply(
+                            &piece,
+                            UpstreamReply::without_details(Outcome2::Reset),
+                            false,
+                        );
                     }
                 }
             }
@@ -989,7 +1002,7 @@
 
     fn tell_list(&mut self) {
         let member = |(n, s): (usize, &Server)| ListedEndpoint {
-            entry: EndpointRecord {
+            record: EndpointRecord {
                 endpoint: EndpointId(u32::try_from(n + 1).unwrap_or(0)),
                 group: GroupId(0),
                 zone: ZoneId(0),
@@ -1019,7 +1032,7 @@
             }
             let event = Event::EndpointList {
                 complete: true,
-                members: members.clone(),
+                endpoints: members.clone(),
             };
             self.at(at, Ev::Tell(n, Box::new(event)));
         }
