--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -44,21 +44,21 @@
 ) -> valehatch_admission::Settings {
     let limits = &site.settings.limits;
     valehatch_admission::Settings {
-        shares: quotas,
+        quotas,
         classes: site.settings.classes.iter().map(admission_class).collect(),
-        most: sizes.most.min(limits.max_open_requests),
-        buckets: sizes.buckets,
-        max_hint: limits.max_retry_after,
-        lanes: sizes.lanes,
+        max_waiting: sizes.most.min(limits.max_open_requests),
+        client_buckets: sizes.buckets,
+        max_retry_after: limits.max_retry_after,
+        max_lanes: sizes.lanes,
     }
 }
 
 fn admission_class(class: &RequestClass) -> valehatch_admission::Class {
     let is_write = class.consistency == Consistency::Write;
     valehatch_admission::Class {
-        worth: class.priority_weight,
-        aim: class.latency_objective,
-        late_counts: is_write && class.late_priority_weight > 0.0,
+        priority_weight: class.priority_weight,
+        latency_objective: class.latency_objective,
+        late_answer_counts: is_write && class.late_priority_weight > 0.0,
         write: is_write,
     }
 }
@@ -122,12 +122,12 @@
         let config = CoreConfig {
             settings: parts.site.settings,
             decisions: parts.decisions,
-            traced: tracing::enabled!(tracing::Level::DEBUG),
-            door: parts.admission,
-            figures: parts.metrics,
-            watched: parts.observer.as_ref().map(|o| Arc::clone(&o.names)),
+            trace_requests: tracing::enabled!(tracing::Level::DEBUG),
+            admission: parts.admission,
+            metrics: parts.metrics,
+            observability: parts.observer.as_ref().map(|o| Arc::clone(&o.names)),
             upstream_connection_limit: parts.max_in_flight.unwrap_or(connection_limit),
-            probe_timeout: Span::from_millis(
+            health_check_timeout: Span::from_millis(
                 health_check_timeout_ms.unwrap_or(DEFAULT_HEALTH_CHECK_TIMEOUT_MS),
             ),
         };
@@ -261,12 +261,12 @@
             warn!(limit, "all upstream connections are in use");
         }
         LogEvent::InvariantViolated {
-            why,
+            denial,
             request,
             endpoint,
         } => {
-            error!(%request, %endpoint, "invariant violated: {}; it was not sent", why.name());
+            error!(%request, %endpoint, "invariant violated: {}; it was not sent", denial.name());
         }
-        LogEvent::RequestStep { request, what } => debug!(%request, "{what:?}"),
+        LogEvent::RequestStep { request, step } => debug!(%request, "{step:?}"),
     }
 }
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -166,7 +166,7 @@
         let _ = self.events.try_send(Event::PublishView);
         let is_fresh = || {
             let board = self.front.board.load();
-            board.as_ref().is_some_and(|b| b.live.at >= requested_at)
+            board.as_ref().is_some_and(|b| b.live.taken_at >= requested_at)
         };
         while !is_fresh() && Instant::now() < give_up_at {
             sleep(VIEW_POLL_INTERVAL);
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -52,7 +52,7 @@
             front: Arc::clone(&front.name),
             classes: all(&front.site.classes),
             tenants: all(&front.site.tenants),
-            publish: PUBLISH_INTERVAL,
+            publish_interval: PUBLISH_INTERVAL,
         };
         Self {
             inbox: bounded(EVENT_QUEUE_LENGTH),
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -153,7 +153,7 @@
     /// Endpoints in slow start, each with the time at which it would have started to be as warm as it is.
     fn warming_endpoints(&self, view: &LiveView, at_ms: u64) -> Vec<Cold> {
         let rules = &self.settings.rules;
-        let warming = view.members.iter().filter_map(|endpoint| {
+        let warming = view.endpoints.iter().filter_map(|endpoint| {
             let since_ms = cold_since(
                 endpoint.view.warm?,
                 rules.slow_start_duration,
@@ -176,7 +176,7 @@
             continue;
         }
         let is_primary = |id| Some(id) == group.primary;
-        let primary = view.members.iter().find(|m| is_primary(m.view.endpoint));
+        let primary = view.endpoints.iter().find(|m| is_primary(m.view.endpoint));
         let Some(primary) = primary else { continue };
         let age_ms = u64::try_from((now - group.since).0 / 1000).unwrap_or(0);
         primaries.push(Primary {
