--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -13,7 +13,9 @@
 
 use rstest::rstest;
 use support::*;
-use valehatch_hot_restart::words::{HEAD, HandoffMessage, decode, encode, length};
+use valehatch_hot_restart::messages::{
+    HEADER_BYTES, HandoffMessage, decode, decode_length, encode,
+};
 
 /// What a gateway's processes share.
 struct Place {
@@ -664,13 +666,13 @@
         .join(format!("handover-{}", scene.place.listen));
     let mut line = UnixStream::connect(path).unwrap();
     line.set_read_timeout(Some(WAIT)).unwrap();
-    line.write_all(&encode(&HandoffMessage::Ask("n0".into())))
+    line.write_all(&encode(&HandoffMessage::Request("n0".into())))
         .unwrap();
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     line.read_exact(&mut head).unwrap();
-    let mut body = vec![0; length(head).unwrap()];
+    let mut body = vec![0; decode_length(head).unwrap()];
     line.read_exact(&mut body).unwrap();
-    assert!(matches!(decode(&body), Ok(HandoffMessage::Take(known)) if !known.is_empty()));
+    assert!(matches!(decode(&body), Ok(HandoffMessage::State(known)) if !known.is_empty()));
     line
 }
 
@@ -876,9 +878,9 @@
     let old = UnixListener::bind(place.folder.join(format!("handover-{}", place.listen))).unwrap();
     let new = place.begin();
     let mut line = old.accept().unwrap().0;
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     line.read_exact(&mut head).unwrap();
-    let mut body = vec![0; length(head).unwrap()];
+    let mut body = vec![0; decode_length(head).unwrap()];
     line.read_exact(&mut body).unwrap();
     let process = procfs::process::Process::new(new.program.0.id().cast_signed()).unwrap();
     let waits = || process.stat().is_ok_and(|s| s.state == 'S');
@@ -888,7 +890,7 @@
         new.program.signal("HUP");
     }
     // One that is about to end hands no socket over.
-    line.write_all(&encode(&HandoffMessage::Take(vec![])))
+    line.write_all(&encode(&HandoffMessage::State(vec![])))
         .unwrap();
     until("it says yes", || new.healthy());
     assert!(
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,18 +1,22 @@
-//! Two processes that are one gateway for a while: what each may take up, what is handed on, and in which order. No I/O, no
-//! clock.
+//! Hot restart: two processes that are one gateway for a while. What each may use, what is handed over, and in which
+//! order. No I/O, no clock, no threads.
 //!
-//! | module | holds |
+//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s; the caller owns the sockets and the timers. Usage and
+//! limits are counted in file descriptors and bytes of memory ([`ProcessLimits`]). The state has a fixed size.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | [`share`] | descriptors and memory of each process at each stage |
-//! | [`steps`] | who is what to whom, from a process's start to its end |
-//! | [`words`] | what the two say to each other, as bytes |
+//! | [`limits`] | descriptors and memory that each process may use at each step |
+//! | [`messages`] | messages between the two processes and their byte form |
+//! | [`state_machine`] | the steps of one process, from its start to its end |
 
 #![forbid(unsafe_code)]
-#![expect(missing_docs, reason = "not yet split and documented")]
 
-pub mod share;
-pub mod steps;
-pub mod words;
+pub mod limits;
+pub mod messages;
+pub mod state_machine;
 
-pub use share::ProcessLimits;
-pub use steps::{HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine};
+pub use limits::ProcessLimits;
+pub use state_machine::{
+    HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessStart,
+};
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::wire::Rumor;
+use crate::wire::MemberUpdate;
 
 /// Tellings of a word in powers of ten of the fleet: enough that each hears it with a probability near one.
 const TELLINGS: u32 = 4;
@@ -17,7 +17,7 @@
 pub struct Gossip {
     words: BTreeMap<SocketAddr, Rank>,
     /// In the order in which they are told: what was told least often, the newest first.
-    order: BTreeMap<Rank, Rumor>,
+    order: BTreeMap<Rank, MemberUpdate>,
     added: u64,
 }
 
@@ -26,7 +26,7 @@
 
 impl Gossip {
     /// Something new to be told.
-    pub fn add(&mut self, rumor: Rumor) {
+    pub fn add(&mut self, rumor: MemberUpdate) {
         self.forget(&rumor.about);
         self.added += 1;
         let rank = (0, u64::MAX - self.added);
@@ -42,12 +42,12 @@
     }
 
     /// What to tell next, so many at the most.
-    pub fn next(&self, most: usize) -> impl Iterator<Item = Rumor> {
+    pub fn next(&self, most: usize) -> impl Iterator<Item = MemberUpdate> {
         self.order.values().take(most).copied()
     }
 
     /// These were told, in a fleet of so many; what was told often enough is let go.
-    pub fn told(&mut self, rumors: &[Rumor], fleet: usize) {
+    pub fn told(&mut self, rumors: &[MemberUpdate], fleet: usize) {
         let most = if self.words.len() > MANY {
             FEW
         } else {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -37,12 +37,15 @@
 use probe::Probes;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use size::Size;
-use suspicion::{Health, Suspicion};
-use table::{PARTS, Peer, Table, Taken, lives};
+use size::FleetSize;
+use suspicion::{LocalHealth, Suspicion};
+use table::{Member, MemberTable, MergeOutcome, PARTS, lives};
 use valehatch_policy::{Span, Time};
-use view::{CHANGES, Change, Reason, Shared, Standing, View};
-use wire::{Datagram, Holders, Incarnation, MemberMetadata, Message, Phase, Rumor, State};
+use view::{CHANGES, ChangeReason, MemberStatus, View, ViewChange, ViewStatus};
+use wire::{
+    AgreeingMembers, Datagram, Incarnation, MemberMetadata, MemberState, MemberUpdate, Message,
+    Phase,
+};
 
 /// Gateways that are asked to look for one that did not answer.
 const HELPERS: usize = 3;
@@ -138,23 +141,23 @@
     /// It does not answer.
     Suspected(SocketAddr),
     /// It lives after all.
-    Cleared(SocketAddr),
+    SuspicionCleared(SocketAddr),
     /// It counts as dead.
     Failed(SocketAddr),
     /// It has said that it ends.
     Left(SocketAddr),
     /// This gateway stood still for so long: whatever it held for true may be over.
-    Slept(Span),
+    ProcessPaused(Span),
     /// Others took this gateway for suspect, dead or an older self; it has told them otherwise.
     Refuted,
     /// All that some gateway knew is known here, or nobody is there to ask.
     Synced,
     /// Another gateway lives under this one's name.
-    Namesake(Incarnation),
+    DuplicateIdentity(Incarnation),
     /// All in the view hold the same.
-    Settled(Shared),
+    ViewConverged(ViewStatus),
     /// That is over: the view has changed, or a member has said that it holds another.
-    Unsettled,
+    ViewDiverged,
 }
 
 /// How many gateways there are, by three words that are never mixed.
@@ -239,18 +242,18 @@
     set: Settings,
     me: Incarnation,
     card: MemberMetadata,
-    state: State,
+    state: MemberState,
     outbid: Option<Outbid>,
     /// The life by which the others know this name, where another gateway has it too and has outbid this one for good.
     yielded: Option<(Incarnation, MemberMetadata)>,
     rng: Xoshiro256PlusPlus,
-    table: Table,
+    table: MemberTable,
     /// Of those that are taken for suspect.
     suspicions: BTreeMap<SocketAddr, Suspicion>,
     gossip: Gossip,
     probes: Probes,
-    health: Health,
-    size: Size,
+    health: LocalHealth,
+    size: FleetSize,
     view: View,
     purse: Purse,
     /// The order in which the others are asked, drawn anew each round.
@@ -305,15 +308,15 @@
         let mut new = Self {
             me,
             card,
-            state: State::Alive,
+            state: MemberState::Alive,
             outbid: None,
             yielded: None,
-            table: Table::new(set.most, set.period.times(REMEMBERED)),
+            table: MemberTable::new(set.most, set.period.times(REMEMBERED)),
             suspicions: BTreeMap::new(),
             gossip: Gossip::default(),
             probes: Probes::new(rng.next_u32()),
-            health: Health::default(),
-            size: Size::new(set.configured, set.settle),
+            health: LocalHealth::default(),
+            size: FleetSize::new(set.configured, set.settle),
             view: View::new(set.me, CHANGES, set.period.times(DISSENT), now),
             purse: Purse {
                 a_second: f64::from(set.bytes_s),
@@ -383,10 +386,10 @@
             card,
             ..
         } = datagram;
-        let speaks = Rumor {
+        let speaks = MemberUpdate {
             about: from,
             incarnation,
-            state: State::Alive,
+            state: MemberState::Alive,
             accuser: 0,
             card,
         };
@@ -394,7 +397,7 @@
         let ends = datagram
             .rumors
             .iter()
-            .any(|r| r.about == from && r.state == State::Left);
+            .any(|r| r.about == from && r.state == MemberState::Left);
         if !ends {
             self.hear(&speaks, now, out);
         }
@@ -428,11 +431,11 @@
                 }
             }
             Message::Nack(seq) => self.probes.denied(seq, from),
-            Message::Look(seq, target) => self.look(from, seq, target, now, out),
-            Message::Compare(digest) => {
+            Message::IndirectPing(seq, target) => self.look(from, seq, target, now, out),
+            Message::SyncDigest(digest) => {
                 self.answer_compare(from, u64::from_be_bytes(digest), now, out)
             }
-            Message::Parts(theirs) => self.take_parts(from, &theirs, now, out),
+            Message::BucketDigests(theirs) => self.take_parts(from, &theirs, now, out),
             Message::Pull {
                 part,
                 of,
@@ -442,7 +445,7 @@
             } => {
                 self.page(from, (part, of, after), (salt, &known), now, out);
             }
-            Message::Page {
+            Message::PullPage {
                 part,
                 of,
                 after,
@@ -450,15 +453,17 @@
             } => {
                 self.take_page(from, (part, of, after), end, &datagram.rumors, now, out);
             }
-            Message::Same => {
+            Message::InSync => {
                 self.comparing.take_if(|c| c.with == from);
                 self.now_synced(out);
             }
             // One that does not know yet that all hold its view is told so.
-            Message::Word if same && self.view.all() && datagram.held.holders != Holders::All => {
-                self.send(from, Message::Word, now, out);
+            Message::Gossip
+                if same && self.view.all() && datagram.held.holders != AgreeingMembers::All =>
+            {
+                self.send(from, Message::Gossip, now, out);
             }
-            Message::Word => {}
+            Message::Gossip => {}
         }
         self.count(now, out);
     }
@@ -466,16 +471,16 @@
     /// This gateway is about to end: some are told at once, others when they ask.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Effect>) {
         let now = self.wake(now, out);
-        self.state = State::Left;
+        self.state = MemberState::Left;
         for whom in self.draw_living(FAREWELLS, None) {
-            self.send(whom, Message::Word, now, out);
+            self.send(whom, Message::Gossip, now, out);
         }
     }
 
     /// How far this gateway is now: all in the view hear of it.
     pub fn phase(&mut self, phase: Phase, now: Time, out: &mut Vec<Effect>) {
         let now = self.wake(now, out);
-        if self.card.phase == phase || self.state == State::Left {
+        if self.card.phase == phase || self.state == MemberState::Left {
             return;
         }
         self.card.phase = phase;
@@ -486,7 +491,7 @@
     }
 
     /// What is believed of the others, by address.
-    pub fn peers(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    pub fn peers(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         self.table.iter()
     }
 
@@ -497,18 +502,18 @@
 
     /// How the view is shared.
     #[must_use]
-    pub const fn shared(&self) -> Shared {
+    pub const fn shared(&self) -> ViewStatus {
         self.view.shared()
     }
 
     /// Who is in the view, this gateway included, by address, with those that are gone and still remembered.
     pub fn members(
         &self,
-    ) -> impl Iterator<Item = (SocketAddr, Incarnation, MemberMetadata, Standing)> {
+    ) -> impl Iterator<Item = (SocketAddr, Incarnation, MemberMetadata, MemberStatus)> {
         let (life, card) = self.yielded.unwrap_or((self.me, self.card));
-        let me = (self.set.me, life, card, Standing::of(self.state, card));
-        let others = |(a, p): (&SocketAddr, &Peer)| {
-            (*a, p.incarnation, p.card, Standing::of(p.state, p.card))
+        let me = (self.set.me, life, card, MemberStatus::of(self.state, card));
+        let others = |(a, p): (&SocketAddr, &Member)| {
+            (*a, p.incarnation, p.card, MemberStatus::of(p.state, p.card))
         };
         let before = self
             .table
@@ -524,7 +529,7 @@
     }
 
     /// The changes of the view after a version, each once and in order, and how many of them are not kept any more.
-    pub fn changes(&self, after: u64) -> (u64, impl Iterator<Item = &Change>) {
+    pub fn changes(&self, after: u64) -> (u64, impl Iterator<Item = &ViewChange>) {
         self.view.changes(after)
     }
 
@@ -560,7 +565,7 @@
 
     /// How well this gateway hears itself: 0 for well.
     #[must_use]
-    pub const fn health(&self) -> Health {
+    pub const fn health(&self) -> LocalHealth {
         self.health
     }
 
@@ -572,9 +577,9 @@
 
     /// Puts a fault into the join.
     #[cfg(feature = "mutants")]
-    pub const fn mutate(&mut self, mutant: view::Mutant) {
+    pub const fn mutate(&mut self, mutant: view::InjectedFault) {
         self.view.mutant = Some(mutant);
-        self.table.last_holds = matches!(mutant, view::Mutant::OldTaken);
+        self.table.last_holds = matches!(mutant, view::InjectedFault::AcceptStale);
     }
 
     // ---- Time ----
@@ -596,7 +601,7 @@
             self.suspicions.values_mut().for_each(|s| s.postpone(gap));
             // Others may have given it up by now; what it says next outweighs that.
             self.me.number += 1;
-            out.push(Effect::Event(MembershipEvent::Slept(gap)));
+            out.push(Effect::Event(MembershipEvent::ProcessPaused(gap)));
         }
         now
     }
@@ -605,11 +610,13 @@
         self.turn(now);
         match self
             .view
-            .look(self.synced && self.state != State::Left, now)
+            .look(self.synced && self.state != MemberState::Left, now)
         {
             None => {}
-            Some(true) => out.push(Effect::Event(MembershipEvent::Settled(self.view.shared()))),
-            Some(false) => out.push(Effect::Event(MembershipEvent::Unsettled)),
+            Some(true) => out.push(Effect::Event(MembershipEvent::ViewConverged(
+                self.view.shared(),
+            ))),
+            Some(false) => out.push(Effect::Event(MembershipEvent::ViewDiverged)),
         }
         let MemberCounts { mine, settled, .. } = self.numbers();
         self.size
@@ -631,7 +638,7 @@
     // ---- Words ----
 
     /// Takes a word in, whoever said it.
-    fn hear(&mut self, rumor: &Rumor, now: Time, out: &mut Vec<Effect>) {
+    fn hear(&mut self, rumor: &MemberUpdate, now: Time, out: &mut Vec<Effect>) {
         if rumor.about == self.set.me {
             return self.refute(rumor, out);
         }
@@ -639,14 +646,14 @@
         let (taken, before) = self.table.take(rumor, now);
         self.change(rumor, before, taken, now);
         let note = match taken {
-            Taken::Full => {
+            MergeOutcome::TableFull => {
                 self.counts.full += 1;
                 return;
             }
-            Taken::Known => {
+            MergeOutcome::Unchanged => {
                 // Another who suspects the same life is news.
                 let held = self.suspicions.get_mut(&about).filter(|s| {
-                    rumor.state == State::Suspect && s.incarnation == rumor.incarnation
+                    rumor.state == MemberState::Suspect && s.incarnation == rumor.incarnation
                 });
                 if held.is_some_and(|s| s.confirm(rumor.accuser)) {
                     self.gossip.add(*rumor);
@@ -654,21 +661,27 @@
                 return;
             }
             // One that is gone and was never known: kept, and no news for anybody.
-            Taken::New if !lives(rumor.state) => return,
-            Taken::New => Some(MembershipEvent::Joined(about)),
-            Taken::Restarted if lives(rumor.state) => Some(MembershipEvent::Restarted(about)),
-            Taken::Renewed => None,
-            Taken::Restarted | Taken::Turned(_) => Some(match (taken, rumor.state) {
-                (_, State::Suspect) => MembershipEvent::Suspected(about),
-                (_, State::Dead) => MembershipEvent::Failed(about),
-                (_, State::Left) => MembershipEvent::Left(about),
-                (Taken::Turned(State::Suspect), State::Alive) => MembershipEvent::Cleared(about),
-                (_, State::Alive) => MembershipEvent::Joined(about),
-            }),
+            MergeOutcome::Joined if !lives(rumor.state) => return,
+            MergeOutcome::Joined => Some(MembershipEvent::Joined(about)),
+            MergeOutcome::Restarted if lives(rumor.state) => {
+                Some(MembershipEvent::Restarted(about))
+            }
+            MergeOutcome::Refreshed => None,
+            MergeOutcome::Restarted | MergeOutcome::StateChanged(_) => {
+                Some(match (taken, rumor.state) {
+                    (_, MemberState::Suspect) => MembershipEvent::Suspected(about),
+                    (_, MemberState::Dead) => MembershipEvent::Failed(about),
+                    (_, MemberState::Left) => MembershipEvent::Left(about),
+                    (MergeOutcome::StateChanged(MemberState::Suspect), MemberState::Alive) => {
+                        MembershipEvent::SuspicionCleared(about)
+                    }
+                    (_, MemberState::Alive) => MembershipEvent::Joined(about),
+                })
+            }
         };
         // Whatever was suspected before was of an earlier incarnation, or is settled.
         self.suspicions.remove(&about);
-        if rumor.state == State::Suspect {
+        if rumor.state == MemberState::Suspect {
             let (others, least) = (
                 self.table.alive().saturating_sub(1),
                 self.set.period.times(SUSPECTED),
@@ -683,12 +696,12 @@
     /// Tells those that stand on the view, if this word has changed it.
     fn change(
         &mut self,
-        rumor: &Rumor,
-        before: Option<(State, MemberMetadata)>,
-        taken: Taken,
+        rumor: &MemberUpdate,
+        before: Option<(MemberState, MemberMetadata)>,
+        taken: MergeOutcome,
         at: Time,
     ) {
-        let Rumor {
+        let MemberUpdate {
             about,
             incarnation: life,
             card,
@@ -696,28 +709,32 @@
             ..
         } = *rumor;
         let (was, is) = (
-            before.map(|(state, card)| Standing::of(state, card)),
-            Standing::of(state, card),
+            before.map(|(state, card)| MemberStatus::of(state, card)),
+            MemberStatus::of(state, card),
         );
         let says = |c: MemberMetadata| (c.zone, c.version, c.phase);
         let why = match (taken, state) {
-            (Taken::Known | Taken::Full, _) => return,
-            (_, State::Dead) => Reason::GivenUp,
-            (_, State::Left) => Reason::Ended,
-            (Taken::Restarted, _) => Reason::Restarted,
-            (Taken::New, _) => Reason::Met,
-            (_, State::Suspect) => Reason::Silent,
-            (Taken::Turned(State::Suspect), State::Alive) => Reason::Answered,
-            (Taken::Turned(_), State::Alive) => Reason::Met,
-            (Taken::Renewed, State::Alive) => Reason::OwnWord,
+            (MergeOutcome::Unchanged | MergeOutcome::TableFull, _) => return,
+            (_, MemberState::Dead) => ChangeReason::Failed,
+            (_, MemberState::Left) => ChangeReason::Left,
+            (MergeOutcome::Restarted, _) => ChangeReason::Restarted,
+            (MergeOutcome::Joined, _) => ChangeReason::Joined,
+            (_, MemberState::Suspect) => ChangeReason::Suspected,
+            (MergeOutcome::StateChanged(MemberState::Suspect), MemberState::Alive) => {
+                ChangeReason::SuspicionCleared
+            }
+            (MergeOutcome::StateChanged(_), MemberState::Alive) => ChangeReason::Joined,
+            (MergeOutcome::Refreshed, MemberState::Alive) => ChangeReason::MetadataChanged,
         };
         let told = match why {
-            Reason::OwnWord => before.is_none_or(|b| says(b.1) != says(card)),
-            Reason::GivenUp | Reason::Ended | Reason::Silent => was.is_some_and(|was| was != is),
+            ChangeReason::MetadataChanged => before.is_none_or(|b| says(b.1) != says(card)),
+            ChangeReason::Failed | ChangeReason::Left | ChangeReason::Suspected => {
+                was.is_some_and(|was| was != is)
+            }
             _ => true,
         };
         if told {
-            self.view.change(Change {
+            self.view.change(ViewChange {
                 version: 0,
                 at,
                 about,
@@ -731,8 +748,10 @@
     }
 
     /// A word about this gateway itself: what is not so is contradicted by a later incarnation.
-    fn refute(&mut self, rumor: &Rumor, out: &mut Vec<Effect>) {
-        if self.state == State::Left || rumor.weight() <= (self.me, State::Alive, self.card) {
+    fn refute(&mut self, rumor: &MemberUpdate, out: &mut Vec<Effect>) {
+        if self.state == MemberState::Left
+            || rumor.weight() <= (self.me, MemberState::Alive, self.card)
+        {
             return;
         }
         let nonce = rumor.incarnation.nonce;
@@ -742,7 +761,9 @@
             let answered = before.map_or(0, |o| (o.answered + more).min(YIELDS));
             self.outbid = Some(Outbid { nonce, answered });
             if answered == NAMESAKES && before.is_some_and(|o| o.answered < answered) {
-                out.push(Effect::Event(MembershipEvent::Namesake(rumor.incarnation)));
+                out.push(Effect::Event(MembershipEvent::DuplicateIdentity(
+                    rumor.incarnation,
+                )));
             }
             // Outbidding each other for ever helps neither. The others know this name by the other life; it answers for both.
             if answered == YIELDS && lives(rumor.state) {
@@ -764,8 +785,8 @@
     }
 
     /// This gateway's word on itself.
-    const fn own(&self) -> Rumor {
-        Rumor {
+    const fn own(&self) -> MemberUpdate {
+        MemberUpdate {
             about: self.set.me,
             incarnation: self.me,
             state: self.state,
@@ -776,7 +797,7 @@
 
     /// Sends a datagram, with what comes along.
     fn send(&mut self, to: SocketAddr, message: Message, now: Time, out: &mut Vec<Effect>) {
-        let news: Vec<Rumor> = self.gossip.next(PAGE).collect();
+        let news: Vec<MemberUpdate> = self.gossip.next(PAGE).collect();
         let _ = self.send_with(to, message, &news, 0.0, now, out);
     }
 
@@ -785,7 +806,7 @@
         &mut self,
         to: SocketAddr,
         message: Message,
-        rumors: &[Rumor],
+        rumors: &[MemberUpdate],
         keep: f64,
         now: Time,
         out: &mut Vec<Effect>,
@@ -820,24 +841,24 @@
 
     /// What each datagram to another begins with: this gateway's own end, and what the other is taken for if that is
     /// anything else than alive, or alive in another life: it has to hear it to say otherwise.
-    fn foreword(&self, to: &SocketAddr) -> Vec<Rumor> {
-        let own = (self.state == State::Left).then_some(self.own());
+    fn foreword(&self, to: &SocketAddr) -> Vec<MemberUpdate> {
+        let own = (self.state == MemberState::Left).then_some(self.own());
         let theirs = self
             .table
             .get(to)
-            .filter(|p| p.state != State::Alive || p.behind);
+            .filter(|p| p.state != MemberState::Alive || p.behind);
         own.into_iter()
             .chain(theirs.map(|p| self.rumor(to, p)))
             .collect()
     }
 
-    fn rumor(&self, about: &SocketAddr, peer: &Peer) -> Rumor {
-        let accuser = if peer.state == State::Suspect {
+    fn rumor(&self, about: &SocketAddr, peer: &Member) -> MemberUpdate {
+        let accuser = if peer.state == MemberState::Suspect {
             self.mark()
         } else {
             0
         };
-        Rumor {
+        MemberUpdate {
             about: *about,
             incarnation: peer.incarnation,
             state: peer.state,
@@ -858,7 +879,7 @@
     fn ask(&mut self, now: Time, out: &mut Vec<Effect>) {
         let period = self.health.stretch(self.set.period);
         self.ask_at = now + period;
-        if self.state == State::Left {
+        if self.state == MemberState::Left {
             return;
         }
         let Some(target) = self.next_target() else {
@@ -874,7 +895,8 @@
     /// Each of the others once in a round, in an order of its own each time: what is asked at the latest after two
     /// rounds less one is found however unlucky the draw.
     fn next_target(&mut self) -> Option<SocketAddr> {
-        let lives = |table: &Table, a: &SocketAddr| table.get(a).is_some_and(|p| lives(p.state));
+        let lives =
+            |table: &MemberTable, a: &SocketAddr| table.get(a).is_some_and(|p| lives(p.state));
         loop {
             match self.round.pop() {
                 Some(next) if lives(&self.table, &next) => return Some(next),
@@ -902,7 +924,7 @@
             let helpers = self.draw_living(HELPERS, Some(target));
             self.probes.helped_by(seq, &helpers);
             for helper in helpers {
-                self.send(helper, Message::Look(seq, target), now, out);
+                self.send(helper, Message::IndirectPing(seq, target), now, out);
             }
         }
         for (whom, seq) in self.probes.unseen(now, self.set.period) {
@@ -915,12 +937,12 @@
             let Some(peer) = self.table.get(&target).filter(|p| lives(p.state)) else {
                 continue;
             };
-            let rumor = Rumor {
-                state: State::Suspect,
+            let rumor = MemberUpdate {
+                state: MemberState::Suspect,
                 accuser: self.mark(),
                 ..self.rumor(&target, peer)
             };
-            self.counts.suspected += u64::from(peer.state == State::Alive);
+            self.counts.suspected += u64::from(peer.state == MemberState::Alive);
             self.hear(&rumor, now, out);
         }
     }
@@ -935,7 +957,7 @@
         out: &mut Vec<Effect>,
     ) {
         // Only those that are known here are asked for others: nobody is made to send to the rest of the world.
-        if self.table.get(&target).is_none() || self.state == State::Left {
+        if self.table.get(&target).is_none() || self.state == MemberState::Left {
             return;
         }
         let until = now + self.set.period.times((1.0 - DIRECT) / 2.0);
@@ -954,10 +976,10 @@
                 .get(&about)
                 .map_or(MemberMetadata::default(), |p| p.card);
             self.hear(
-                &Rumor {
+                &MemberUpdate {
                     about,
                     incarnation,
-                    state: State::Dead,
+                    state: MemberState::Dead,
                     accuser: 0,
                     card,
                 },
@@ -971,7 +993,7 @@
     /// they know each other's word after a few tellings, and whole blocks after a few more.
     fn spread(&mut self, now: Time, out: &mut Vec<Effect>) {
         let much = self.gossip.len() >= MUCH;
-        if now < self.spread_at || self.state == State::Left || !much && self.view.all() {
+        if now < self.spread_at || self.state == MemberState::Left || !much && self.view.all() {
             return;
         }
         let shared = self.view.shared();
@@ -1004,8 +1026,8 @@
             None => self.draw_living(1, None).pop(),
         };
         if let Some(whom) = whom {
-            let news: Vec<Rumor> = self.gossip.next(PAGE).collect();
-            self.send_with(whom, Message::Word, &news, 1.0 - NEWS, now, out);
+            let news: Vec<MemberUpdate> = self.gossip.next(PAGE).collect();
+            self.send_with(whom, Message::Gossip, &news, 1.0 - NEWS, now, out);
         }
     }
 
@@ -1018,7 +1040,7 @@
             REVIVES
         };
         self.revive_at = now + self.set.period.times(pause * (0.5 + part(&mut self.rng)));
-        if self.state == State::Left {
+        if self.state == MemberState::Left {
             return;
         }
         self.table
@@ -1038,10 +1060,11 @@
             .filter(|(_, p)| !lives(p.state))
             .map(|(a, _)| *a);
         #[cfg(feature = "mutants")]
-        let dead = dead.filter(|_| self.view.mutant != Some(view::Mutant::CutForgotten));
+        let dead = dead.filter(|_| self.view.mutant != Some(view::InjectedFault::ForgetPartition));
         #[cfg(feature = "mutants")]
         let seeds = seeds.filter(|a| {
-            self.view.mutant != Some(view::Mutant::CutForgotten) || self.table.get(a).is_none()
+            self.view.mutant != Some(view::InjectedFault::ForgetPartition)
+                || self.table.get(a).is_none()
         });
         let all: BTreeSet<SocketAddr> = seeds.chain(dead).collect();
         let count = if self.table.alive() == 0 { HELPERS } else { 1 };
@@ -1058,7 +1081,7 @@
             self.comparing = None;
             self.compare_at = self.compare_at.min(now + self.set.period);
         }
-        if now < self.compare_at || self.comparing.is_some() || self.state == State::Left {
+        if now < self.compare_at || self.comparing.is_some() || self.state == MemberState::Left {
             return;
         }
         let differs = self.view.dissenting().filter(|_| self.synced);
@@ -1083,7 +1106,7 @@
             until,
         });
         let digest = self.digest().to_be_bytes();
-        self.send(with, Message::Compare(digest), now, out);
+        self.send(with, Message::SyncDigest(digest), now, out);
     }
 
     /// What this gateway itself adds to the digest of all that it knows.
@@ -1114,13 +1137,13 @@
 
     fn answer_compare(&mut self, whom: SocketAddr, digest: u64, now: Time, out: &mut Vec<Effect>) {
         if digest == self.digest() {
-            return self.send(whom, Message::Same, now, out);
+            return self.send(whom, Message::InSync, now, out);
         }
         match (self.table.alive() / A_PART).next_power_of_two().min(PARTS) {
             0 | 1 => self.page(whom, (0, 1, None), (0, &[]), now, out),
             of => {
                 let digests = self.digests(of);
-                self.send(whom, Message::Parts(digests), now, out);
+                self.send(whom, Message::BucketDigests(digests), now, out);
             }
         }
     }
@@ -1223,13 +1246,13 @@
         let all = all
             .map(|(a, p)| self.rumor(a, p))
             .filter(|r| !known.contains(&salted(salt, r)));
-        let all: Vec<Rumor> = all.take(PAGE + 1).collect();
+        let all: Vec<MemberUpdate> = all.take(PAGE + 1).collect();
         // How many fit is known when they are written.
         let mut page = self.foreword(&whom);
         let before = page.len();
         page.extend(&all);
         let (_, fit) = Datagram::encode(
-            self.bare(Message::Page {
+            self.bare(Message::PullPage {
                 part,
                 of,
                 after,
@@ -1239,7 +1262,7 @@
         );
         let fit = fit.saturating_sub(before);
         let end = fit == all.len();
-        let message = Message::Page {
+        let message = Message::PullPage {
             part,
             of,
             after,
@@ -1253,7 +1276,7 @@
         from: SocketAddr,
         (part, of, after): (u8, u8, Option<SocketAddr>),
         end: bool,
-        rumors: &[Rumor],
+        rumors: &[MemberUpdate],
         now: Time,
         out: &mut Vec<Effect>,
     ) {
@@ -1273,19 +1296,19 @@
             .max();
         // What that gateway does not know, or knows less of, it is told, and nobody else: it passes on what is new to it.
         let until = if end { None } else { last };
-        let missing = |(a, p): (&SocketAddr, &Peer)| {
+        let missing = |(a, p): (&SocketAddr, &Member)| {
             let within = until.is_none_or(|u| *a <= u) && *a != from && !p.hearsay;
             let knows = rumors
                 .iter()
                 .any(|r| r.about == *a && r.weight() >= (p.incarnation, p.state, p.card));
-            (within && !knows && p.state != State::Suspect).then(|| self.rumor(a, p))
+            (within && !knows && p.state != MemberState::Suspect).then(|| self.rumor(a, p))
         };
         // Of a larger table only what is new is told, and says nothing of what is not: the other asks for itself.
         let table = self.table.beyond(part, of, after).filter(|_| of == 1);
-        let news: Vec<Rumor> = table.filter_map(missing).collect();
+        let news: Vec<MemberUpdate> = table.filter_map(missing).collect();
         let mut left = &news[..];
         while !left.is_empty() {
-            match self.send_with(from, Message::Word, left, 1.0 - PAGES, now, out) {
+            match self.send_with(from, Message::Gossip, left, 1.0 - PAGES, now, out) {
                 0 => break,
                 told => left = &left[told..],
             }
@@ -1353,7 +1376,7 @@
 
 /// By which a word is named among those of its part that are known already.
 #[allow(clippy::cast_possible_truncation)]
-fn salted(salt: u16, rumor: &Rumor) -> u16 {
+fn salted(salt: u16, rumor: &MemberUpdate) -> u16 {
     use std::hash::Hasher;
     let all = table::hashed(&rumor.about, |h| {
         h.write_u16(salt.to_be());
--- a/crates/membership/src/size.rs
+++ b/crates/membership/src/size.rs
@@ -9,7 +9,7 @@
 /// view was settled all that time, which is all gateways' word that those that are missing are missed by all; and it is the
 /// configured size while it is not known; and while there is overload it is never below that.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     configured: u32,
     settle: Span,
     shown: u32,
@@ -17,7 +17,7 @@
     lower: Option<(Time, u32)>,
 }
 
-impl Size {
+impl FleetSize {
     /// A size that is not known yet.
     #[must_use]
     pub fn new(configured: u32, settle: Span) -> Self {
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -87,9 +87,9 @@
 /// How well one hears oneself (Lifeguard's local health multiplier): who gets no answers from many is slow itself, asks
 /// less often and waits longer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health(u32);
+pub struct LocalHealth(u32);
 
-impl Health {
+impl LocalHealth {
     /// So many signs that it is oneself who is slow.
     pub fn worse(&mut self, by: u32) {
         self.0 = (self.0 + by).min(WORST);
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -7,15 +7,15 @@
 use siphasher::sip::SipHasher13;
 use valehatch_policy::{Span, Time};
 
-use crate::wire::{Incarnation, MemberMetadata, Rumor, State};
+use crate::wire::{Incarnation, MemberMetadata, MemberState, MemberUpdate};
 
 /// What is believed of a gateway.
 #[derive(Clone, Debug)]
-pub struct Peer {
+pub struct Member {
     /// Which life of it.
     pub incarnation: Incarnation,
     /// How it is.
-    pub state: State,
+    pub state: MemberState,
     /// What it says of itself.
     pub card: MemberMetadata,
     /// Since when that is believed here.
@@ -36,25 +36,25 @@
 
 /// How a word changed what is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// Nothing was known of it.
-    New,
+    Joined,
     /// Another start than the one that was known.
     Restarted,
     /// The same start, another state than before.
-    Turned(State),
+    StateChanged(MemberState),
     /// The same state in a later incarnation.
-    Renewed,
+    Refreshed,
     /// What was known holds.
-    Known,
+    Unchanged,
     /// There is no room for one more.
-    Full,
+    TableFull,
 }
 
 /// All that are known beside oneself.
 #[derive(Debug)]
-pub struct Table {
-    peers: BTreeMap<SocketAddr, Peer>,
+pub struct MemberTable {
+    peers: BTreeMap<SocketAddr, Member>,
     most: usize,
     /// How long one that is gone is remembered, so that late words cannot bring it back.
     remember: Span,
@@ -67,7 +67,7 @@
     pub(crate) last_holds: bool,
 }
 
-impl Table {
+impl MemberTable {
     /// Full, it takes in nobody new until one that is gone can be let go of: the one gone for the longest.
     #[must_use]
     pub const fn new(most: usize, remember: Span) -> Self {
@@ -85,16 +85,16 @@
 
     /// What is believed of one.
     #[must_use]
-    pub fn get(&self, about: &SocketAddr) -> Option<&Peer> {
+    pub fn get(&self, about: &SocketAddr) -> Option<&Member> {
         self.peers.get(about)
     }
 
-    pub(crate) fn get_mut(&mut self, about: &SocketAddr) -> Option<&mut Peer> {
+    pub(crate) fn get_mut(&mut self, about: &SocketAddr) -> Option<&mut Member> {
         self.peers.get_mut(about)
     }
 
     /// All, by address.
-    pub fn iter(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         self.peers.iter()
     }
 
@@ -104,7 +104,7 @@
         part: u8,
         of: u8,
         after: Option<SocketAddr>,
-    ) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    ) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         use std::ops::Bound::{Excluded, Unbounded};
         let beyond = self
             .peers
@@ -144,21 +144,21 @@
     }
 
     /// Takes a word in if it outweighs what is believed.
-    pub fn merge(&mut self, rumor: &Rumor, now: Time) -> Taken {
+    pub fn merge(&mut self, rumor: &MemberUpdate, now: Time) -> MergeOutcome {
         self.take(rumor, now).0
     }
 
     /// The same, with what was believed before.
     pub(crate) fn take(
         &mut self,
-        rumor: &Rumor,
+        rumor: &MemberUpdate,
         now: Time,
-    ) -> (Taken, Option<(State, MemberMetadata)>) {
+    ) -> (MergeOutcome, Option<(MemberState, MemberMetadata)>) {
         let Some(peer) = self.peers.get_mut(&rumor.about) else {
             if self.peers.len() >= self.most && !self.make_room(now) {
-                return (Taken::Full, None);
+                return (MergeOutcome::TableFull, None);
             }
-            let Rumor {
+            let MemberUpdate {
                 about,
                 incarnation,
                 state,
@@ -166,7 +166,7 @@
                 ..
             } = *rumor;
             let (hearsay, part) = (!lives(state), part_of(&about));
-            let peer = Peer {
+            let peer = Member {
                 incarnation,
                 state,
                 card,
@@ -181,7 +181,7 @@
                 self.live(&about);
             }
             self.peers.insert(about, peer);
-            return (Taken::New, None);
+            return (MergeOutcome::Joined, None);
         };
         let holds = rumor.weight() <= (peer.incarnation, peer.state, peer.card);
         #[cfg(feature = "mutants")]
@@ -191,7 +191,7 @@
             holds
         };
         if holds {
-            return (Taken::Known, None);
+            return (MergeOutcome::Unchanged, None);
         }
         let before = peer.clone();
         (peer.incarnation, peer.state, peer.card) = rumor.weight();
@@ -208,9 +208,9 @@
             _ => {}
         }
         let taken = match () {
-            () if before.incarnation.nonce != rumor.incarnation.nonce => Taken::Restarted,
-            () if before.state != rumor.state => Taken::Turned(before.state),
-            () => Taken::Renewed,
+            () if before.incarnation.nonce != rumor.incarnation.nonce => MergeOutcome::Restarted,
+            () if before.state != rumor.state => MergeOutcome::StateChanged(before.state),
+            () => MergeOutcome::Refreshed,
         };
         (taken, Some((before.state, before.card)))
     }
@@ -218,7 +218,7 @@
     /// Lets go of those that have been gone for long enough; who that was.
     pub fn expire(&mut self, now: Time) -> Vec<SocketAddr> {
         let over =
-            |(_, p): &(&SocketAddr, &Peer)| !lives(p.state) && now - p.since >= self.remember;
+            |(_, p): &(&SocketAddr, &Member)| !lives(p.state) && now - p.since >= self.remember;
         let gone: Vec<SocketAddr> = self.peers.iter().filter(over).map(|(a, _)| *a).collect();
         gone.iter().for_each(|a| self.drop_one(a));
         gone
@@ -241,7 +241,7 @@
     }
 
     /// Puts a belief into the digests, or takes it out of them.
-    fn weigh(&mut self, about: &SocketAddr, peer: &Peer) {
+    fn weigh(&mut self, about: &SocketAddr, peer: &Member) {
         if lives(peer.state) {
             self.parts[usize::from(peer.part)] ^= mark(about, peer.incarnation, peer.card);
             self.view ^= view_mark(about, peer.incarnation, peer.card);
@@ -263,8 +263,8 @@
 
 /// Whether one in this state is taken to live.
 #[must_use]
-pub const fn lives(state: State) -> bool {
-    matches!(state, State::Alive | State::Suspect)
+pub const fn lives(state: MemberState) -> bool {
+    matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
 pub(crate) fn hashed(about: &SocketAddr, write: impl FnOnce(&mut SipHasher13)) -> u64 {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -14,56 +14,58 @@
 
 use valehatch_policy::{Span, Time};
 
-use crate::wire::{BLOCK, Held, Holders, Incarnation, MemberMetadata, Phase, State};
+use crate::wire::{
+    AgreeingMembers, BLOCK, Incarnation, MemberMetadata, MemberState, Phase, ViewAgreement,
+};
 
 /// Changes that are kept for those that stand on the view; one that reads too late is told how many it has missed.
 pub const CHANGES: usize = 512;
 
 /// How a gateway counts in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It answers, and says itself how far it is.
-    Is(Phase),
+    Active(Phase),
     /// It does not answer, and may still say that it lives.
     Suspected,
     /// It has ended, or has not said in time that it lives.
     Gone,
 }
 
-impl Standing {
+impl MemberStatus {
     /// Of a state that is believed, with what the gateway says of itself.
     #[must_use]
-    pub const fn of(state: State, card: MemberMetadata) -> Self {
+    pub const fn of(state: MemberState, card: MemberMetadata) -> Self {
         match state {
-            State::Alive => Self::Is(card.phase),
-            State::Suspect => Self::Suspected,
-            State::Dead | State::Left => Self::Gone,
+            MemberState::Alive => Self::Active(card.phase),
+            MemberState::Suspect => Self::Suspected,
+            MemberState::Dead | MemberState::Left => Self::Gone,
         }
     }
 }
 
 /// Why the view changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum ChangeReason {
     /// It was not known, or counted as gone.
-    Met,
+    Joined,
     /// Another start of it: what its former self held or had promised is gone.
     Restarted,
     /// It says so of itself: its phase, zone or version.
-    OwnWord,
+    MetadataChanged,
     /// It did not answer somebody.
-    Silent,
+    Suspected,
     /// It answers after all.
-    Answered,
+    SuspicionCleared,
     /// It did not say in time that it lives.
-    GivenUp,
+    Failed,
     /// It has said that it ends.
-    Ended,
+    Left,
 }
 
 /// One change of the view, told once and in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct ViewChange {
     /// The version of the view that it led to: one more than that of the change before.
     pub version: u64,
     pub at: Time,
@@ -71,14 +73,14 @@
     pub life: Incarnation,
     pub card: MemberMetadata,
     /// `None` where it was not in the view.
-    pub was: Option<Standing>,
-    pub is: Standing,
-    pub why: Reason,
+    pub was: Option<MemberStatus>,
+    pub is: MemberStatus,
+    pub why: ChangeReason,
 }
 
 /// Whether the view is shared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shared {
+pub struct ViewStatus {
     /// The same at all that hold the same view.
     pub digest: u64,
     /// Changes since this gateway's start: its own count, not comparable between gateways.
@@ -112,22 +114,22 @@
     differs: Option<SocketAddr>,
     /// How long a word of dissent counts: by then its sender's change is known here, or it has said otherwise again.
     patience: Span,
-    changes: VecDeque<Change>,
+    changes: VecDeque<ViewChange>,
     most: usize,
     #[cfg(feature = "mutants")]
-    pub(crate) mutant: Option<Mutant>,
+    pub(crate) mutant: Option<InjectedFault>,
 }
 
 /// Faults that can be put into the join, to see that whoever judges it sees them.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
+pub enum InjectedFault {
     /// A holder counts each time that it is told of.
-    Doubled,
+    DoubleCount,
     /// The last word holds, though it is of an earlier life or incarnation.
-    OldTaken,
+    AcceptStale,
     /// Those that were given up are not asked any more.
-    CutForgotten,
+    ForgetPartition,
 }
 
 impl View {
@@ -212,7 +214,7 @@
             let new = bits & whole & !*said;
             *said |= new;
             #[cfg(feature = "mutants")]
-            let new = if self.mutant == Some(Mutant::Doubled) {
+            let new = if self.mutant == Some(InjectedFault::DoubleCount) {
                 bits & whole
             } else {
                 new
@@ -242,7 +244,7 @@
     pub fn hear(
         &mut self,
         from: &SocketAddr,
-        held: &Held,
+        held: &ViewAgreement,
         living: &[SocketAddr],
         now: Time,
     ) -> bool {
@@ -263,8 +265,8 @@
         self.dissent.remove(from);
         self.mark(from, living);
         match &held.holders {
-            Holders::Unsaid => {}
-            Holders::Some {
+            AgreeingMembers::Unknown => {}
+            AgreeingMembers::Some {
                 blocks,
                 block,
                 bits,
@@ -276,7 +278,7 @@
                 }
                 self.join(usize::from(*block), *bits);
             }
-            Holders::All => (0..self.said.len()).for_each(|n| self.join(n, u64::MAX)),
+            AgreeingMembers::All => (0..self.said.len()).for_each(|n| self.join(n, u64::MAX)),
         }
         true
     }
@@ -314,11 +316,11 @@
 
     /// What is told with a datagram. Of the blocks that are not whole the own one comes first, then each in turn.
     #[must_use]
-    pub fn held(&self, living: &[SocketAddr], turn: u32) -> Held {
+    pub fn held(&self, living: &[SocketAddr], turn: u32) -> ViewAgreement {
         let digest = self.digest.to_be_bytes();
         let holders = match self.holders {
-            all if all == self.members => Holders::All,
-            0 | 1 => Holders::Unsaid,
+            all if all == self.members => AgreeingMembers::All,
+            0 | 1 => AgreeingMembers::Unknown,
             _ => {
                 let open: Vec<usize> = (0..self.said.len()).filter(|n| !self.full(*n)).collect();
                 let own = self.rank(&self.me, living).map(|r| r / BLOCK);
@@ -332,14 +334,14 @@
                     blocks.clear();
                 }
                 let bits = self.said.get(block).copied().unwrap_or(0);
-                Holders::Some {
+                AgreeingMembers::Some {
                     blocks,
                     block: u8::try_from(block).unwrap_or(u8::MAX),
                     bits,
                 }
             }
         };
-        Held { digest, holders }
+        ViewAgreement { digest, holders }
     }
 
     /// Those of the own block, by place among the living, while it is not whole: they are told first.
@@ -354,7 +356,7 @@
 
     /// How it is shared.
     #[must_use]
-    pub const fn shared(&self) -> Shared {
+    pub const fn shared(&self) -> ViewStatus {
         let Self {
             digest,
             version,
@@ -364,7 +366,7 @@
             settled,
             ..
         } = *self;
-        Shared {
+        ViewStatus {
             digest,
             version,
             held,
@@ -375,12 +377,12 @@
     }
 
     /// Something changed.
-    pub(crate) fn change(&mut self, change: Change) {
+    pub(crate) fn change(&mut self, change: ViewChange) {
         self.version += 1;
         if self.changes.len() >= self.most {
             self.changes.pop_front();
         }
-        self.changes.push_back(Change {
+        self.changes.push_back(ViewChange {
             version: self.version,
             ..change
         });
@@ -388,7 +390,7 @@
 
     /// The changes after a version, in order, and how many of them are not kept any more: who has missed any takes the whole
     /// view anew.
-    pub fn changes(&self, after: u64) -> (u64, impl Iterator<Item = &Change>) {
+    pub fn changes(&self, after: u64) -> (u64, impl Iterator<Item = &ViewChange>) {
         let kept = self.version - self.changes.len() as u64;
         let known = usize::try_from(after.saturating_sub(kept)).unwrap_or(usize::MAX);
         (kept.saturating_sub(after), self.changes.iter().skip(known))
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -24,7 +24,7 @@
 
 /// How a gateway is, in the order in which one word about the same life outweighs another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer somebody, and may still say that it lives.
@@ -68,23 +68,23 @@
 /// A word about a gateway. The greater of two, by incarnation, then state, then card, holds: so all who have heard the same
 /// words believe the same, in whatever order and however often these came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumor {
+pub struct MemberUpdate {
     /// Whom it is about.
     pub about: SocketAddr,
     /// Which life of it.
     pub incarnation: Incarnation,
     /// How it is.
-    pub state: State,
+    pub state: MemberState,
     /// Of a suspicion: a mark of who suspects. Those of several count for more.
     pub accuser: u16,
     /// What it says of itself in that life.
     pub card: MemberMetadata,
 }
 
-impl Rumor {
+impl MemberUpdate {
     /// What of two words about the same gateway holds.
     #[must_use]
-    pub const fn weight(&self) -> (Incarnation, State, MemberMetadata) {
+    pub const fn weight(&self) -> (Incarnation, MemberState, MemberMetadata) {
         (self.incarnation, self.state, self.card)
     }
 }
@@ -97,13 +97,13 @@
     /// Yes; or, from one that was asked to look: yes, it is.
     Ack(u32),
     /// Ask that one whether it is there.
-    Look(u32, SocketAddr),
+    IndirectPing(u32, SocketAddr),
     /// From one that was asked to look: it has not answered me yet, but I am there.
     Nack(u32),
     /// Do we know the same, by this digest?
-    Compare([u8; 8]),
+    SyncDigest([u8; 8]),
     /// No: these are the digests of the parts into which what I know falls, a power of two of them.
-    Parts(Vec<u32>),
+    BucketDigests(Vec<u32>),
     /// Whom do you know of that part of so many, beyond this address, but for those whose words have one of these hashes
     /// with this salt?
     Pull {
@@ -114,16 +114,16 @@
         known: Vec<u16>,
     },
     /// Those of that part beyond this address; behind the last of them there are more unless it is the end.
-    Page {
+    PullPage {
         part: u8,
         of: u8,
         after: Option<SocketAddr>,
         end: bool,
     },
     /// We know the same.
-    Same,
+    InSync,
     /// Nothing: only what comes along.
-    Word,
+    Gossip,
 }
 
 /// Members of a block, of which a view's holders are told together.
@@ -131,10 +131,10 @@
 
 /// Who has said that they hold the same view, of those that are in it: blocks of [`BLOCK`] by rank of address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Holders {
+pub enum AgreeingMembers {
     /// Nothing is said of others.
     #[default]
-    Unsaid,
+    Unknown,
     /// Of these blocks all, a bit each; of one more block those whose bits are set.
     Some {
         blocks: Vec<u8>,
@@ -147,11 +147,11 @@
 
 /// Which view the sender holds, and who else has said so.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct ViewAgreement {
     /// The view's digest.
     pub digest: [u8; 8],
     /// Who has said that they hold it.
-    pub holders: Holders,
+    pub holders: AgreeingMembers,
 }
 
 /// A datagram: which life of its sender speaks, what for, and what it passes on.
@@ -162,11 +162,11 @@
     /// What it says of itself.
     pub card: MemberMetadata,
     /// The view that it holds.
-    pub held: Held,
+    pub held: ViewAgreement,
     /// What for.
     pub message: Message,
     /// What it passes on.
-    pub rumors: Vec<Rumor>,
+    pub rumors: Vec<MemberUpdate>,
 }
 
 /// Bytes that a datagram may have: the link's 256 less what the link puts in front.
@@ -187,15 +187,15 @@
     }
 
     /// The bytes, with as many of `rumors` as fit; how many that were.
-    pub(crate) fn encode(bare: Self, rumors: &[Rumor]) -> (Vec<u8>, usize) {
+    pub(crate) fn encode(bare: Self, rumors: &[MemberUpdate]) -> (Vec<u8>, usize) {
         let mut room = MOST.saturating_sub(size(&bare));
-        let fits = |r: &&Rumor| {
+        let fits = |r: &&MemberUpdate| {
             let wanted = size(*r);
             let fits = wanted <= room;
             room = room.saturating_sub(wanted);
             fits
         };
-        let rumors: Vec<Rumor> = rumors.iter().take_while(fits).copied().collect();
+        let rumors: Vec<MemberUpdate> = rumors.iter().take_while(fits).copied().collect();
         let count = rumors.len();
         // Only memory could fail it, and a datagram that is not sent is one that was lost.
         let bytes = postcard::to_extend(&Self { rumors, ..bare }, Vec::with_capacity(MOST));
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -5,11 +5,12 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use valehatch_membership::table::{Table, Taken};
-use valehatch_membership::view::{Change, Reason, Standing, View};
-use valehatch_membership::wire::Message::Word;
+use valehatch_membership::table::{MemberTable, MergeOutcome};
+use valehatch_membership::view::{ChangeReason, MemberStatus, View, ViewChange};
+use valehatch_membership::wire::Message::Gossip;
 use valehatch_membership::wire::{
-    Datagram, Held, Holders, Incarnation, MemberMetadata, Message, Phase, Rumor, State,
+    AgreeingMembers, Datagram, Incarnation, MemberMetadata, MemberState, MemberUpdate, Message,
+    Phase, ViewAgreement,
 };
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
@@ -36,8 +37,8 @@
     (view, living)
 }
 
-fn held(digest: u64, holders: Holders) -> Held {
-    Held {
+fn held(digest: u64, holders: AgreeingMembers) -> ViewAgreement {
+    ViewAgreement {
         digest: digest.to_be_bytes(),
         holders,
     }
@@ -83,10 +84,10 @@
         words in proptest::collection::vec((1..6_usize, 1..4_u64, 0..2_u32, 0..2_u32, 0..4_usize), 0..24),
         order in proptest::collection::vec(any::<usize>(), 48),
     ) {
-        let rumors: Vec<Rumor> = words.iter().map(|(about, number, nonce, epoch, state)| Rumor {
+        let rumors: Vec<MemberUpdate> = words.iter().map(|(about, number, nonce, epoch, state)| MemberUpdate {
             about: address(*about),
             incarnation: Incarnation { number: *number, nonce: *nonce },
-            state: [State::Alive, State::Suspect, State::Dead, State::Left][*state],
+            state: [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left][*state],
             accuser: 0,
             card: MemberMetadata { epoch: *epoch, zone: 1, version: 2, phase: Phase::Full },
         }).collect();
@@ -96,13 +97,13 @@
             let (a, b) = (n % other.len(), with % other.len());
             other.swap(a, b);
         }
-        let take = |rumors: &[Rumor]| {
-            let mut table = Table::new(8, Span(1_000_000));
-            rumors.iter().for_each(|r| assert_ne!(table.merge(r, Time(0)), Taken::Full));
+        let take = |rumors: &[MemberUpdate]| {
+            let mut table = MemberTable::new(8, Span(1_000_000));
+            rumors.iter().for_each(|r| assert_ne!(table.merge(r, Time(0)), MergeOutcome::TableFull));
             table
         };
-        let lives = |t: &Table| {
-            let living = t.iter().filter(|(_, p)| matches!(p.state, State::Alive | State::Suspect));
+        let lives = |t: &MemberTable| {
+            let living = t.iter().filter(|(_, p)| matches!(p.state, MemberState::Alive | MemberState::Suspect));
             living.map(|(a, p)| (*a, p.incarnation.nonce, p.card)).collect::<Vec<_>>()
         };
         let (one, two) = (take(&rumors), take(&other));
@@ -126,13 +127,23 @@
     let (mut view, living) = view(0, size);
     assert_eq!(view.look(true, Time(1)), None);
     for one in &living[1..] {
-        view.hear(one, &held(DIGEST, Holders::Unsaid), &living, Time(2));
+        view.hear(
+            one,
+            &held(DIGEST, AgreeingMembers::Unknown),
+            &living,
+            Time(2),
+        );
     }
     assert_eq!(
         (view.shared().holders, view.look(true, Time(2))),
         (size - 1, None)
     );
-    view.hear(&living[0], &held(DIGEST, Holders::Unsaid), &living, Time(3));
+    view.hear(
+        &living[0],
+        &held(DIGEST, AgreeingMembers::Unknown),
+        &living,
+        Time(3),
+    );
     assert_eq!(
         view.look(false, Time(3)),
         None,
@@ -144,7 +155,7 @@
     );
     view.hear(
         &living[0],
-        &held(DIGEST + 1, Holders::All),
+        &held(DIGEST + 1, AgreeingMembers::All),
         &living,
         Time(5),
     );
@@ -162,7 +173,7 @@
     assert_eq!(view.look(true, Time(1_006)), Some(false));
     view.hear(
         &living[0],
-        &held(DIGEST, Holders::All),
+        &held(DIGEST, AgreeingMembers::All),
         &living,
         Time(1_007),
     );
@@ -170,7 +181,7 @@
     // A word that all hold it is passed on by one that has it from others.
     view.hear(
         &living[0],
-        &held(DIGEST + 2, Holders::All),
+        &held(DIGEST + 2, AgreeingMembers::All),
         &living,
         Time(1_008),
     );
@@ -193,12 +204,17 @@
 }
 
 /// A datagram of another that says nothing of others, or these words.
-fn said(from: (u64, u32), card: MemberMetadata, message: Message, rumors: Vec<Rumor>) -> Vec<u8> {
+fn said(
+    from: (u64, u32),
+    card: MemberMetadata,
+    message: Message,
+    rumors: Vec<MemberUpdate>,
+) -> Vec<u8> {
     let from = Incarnation {
         number: from.0,
         nonce: from.1,
     };
-    let held = Held::default();
+    let held = ViewAgreement::default();
     postcard::to_stdvec(&Datagram {
         from,
         card,
@@ -219,7 +235,7 @@
         phase,
     };
     let (starting, full) = (card(0, Phase::Starting), card(1, Phase::Full));
-    let two = |number, nonce, state, card| Rumor {
+    let two = |number, nonce, state, card| MemberUpdate {
         about: address(2),
         incarnation: Incarnation { number, nonce },
         state,
@@ -227,78 +243,78 @@
         card,
     };
     let mut at = 0;
-    let mut hear = |heart: &mut Membership, rumors: Vec<Rumor>| {
+    let mut hear = |heart: &mut Membership, rumors: Vec<MemberUpdate>| {
         // Each word twice: what is known is no change.
         for _ in 0..2 {
             at += 1;
             heart.receive(
                 Time(at),
                 address(3),
-                &said((5, 3), starting, Word, rumors.clone()),
+                &said((5, 3), starting, Gossip, rumors.clone()),
                 &mut out,
             );
         }
     };
-    hear(&mut heart, vec![two(10, 1, State::Alive, starting)]);
-    hear(&mut heart, vec![two(11, 1, State::Alive, full)]);
-    hear(&mut heart, vec![two(11, 1, State::Suspect, full)]);
-    hear(&mut heart, vec![two(12, 1, State::Alive, full)]);
-    hear(&mut heart, vec![two(12, 1, State::Dead, full)]);
-    hear(&mut heart, vec![two(20, 2, State::Alive, starting)]);
-    hear(&mut heart, vec![two(21, 7, State::Alive, starting)]);
-    hear(&mut heart, vec![two(21, 7, State::Left, starting)]);
+    hear(&mut heart, vec![two(10, 1, MemberState::Alive, starting)]);
+    hear(&mut heart, vec![two(11, 1, MemberState::Alive, full)]);
+    hear(&mut heart, vec![two(11, 1, MemberState::Suspect, full)]);
+    hear(&mut heart, vec![two(12, 1, MemberState::Alive, full)]);
+    hear(&mut heart, vec![two(12, 1, MemberState::Dead, full)]);
+    hear(&mut heart, vec![two(20, 2, MemberState::Alive, starting)]);
+    hear(&mut heart, vec![two(21, 7, MemberState::Alive, starting)]);
+    hear(&mut heart, vec![two(21, 7, MemberState::Left, starting)]);
     let (missed, changes) = heart.changes(0);
-    let changes: Vec<Change> = changes.copied().collect();
-    let is = Standing::Is;
-    let of = |c: &Change| (c.about, c.was, c.is, c.why);
+    let changes: Vec<ViewChange> = changes.copied().collect();
+    let is = MemberStatus::Active;
+    let of = |c: &ViewChange| (c.about, c.was, c.is, c.why);
     let about = address(2);
     assert_eq!(missed, 0);
     assert_eq!(
         changes.iter().map(of).collect::<Vec<_>>(),
         [
-            (address(3), None, is(Phase::Starting), Reason::Met),
-            (about, None, is(Phase::Starting), Reason::Met),
+            (address(3), None, is(Phase::Starting), ChangeReason::Joined),
+            (about, None, is(Phase::Starting), ChangeReason::Joined),
             (
                 about,
                 Some(is(Phase::Starting)),
                 is(Phase::Full),
-                Reason::OwnWord
+                ChangeReason::MetadataChanged
             ),
             (
                 about,
                 Some(is(Phase::Full)),
-                Standing::Suspected,
-                Reason::Silent
+                MemberStatus::Suspected,
+                ChangeReason::Suspected
             ),
             (
                 about,
-                Some(Standing::Suspected),
+                Some(MemberStatus::Suspected),
                 is(Phase::Full),
-                Reason::Answered
+                ChangeReason::SuspicionCleared
             ),
             (
                 about,
                 Some(is(Phase::Full)),
-                Standing::Gone,
-                Reason::GivenUp
+                MemberStatus::Gone,
+                ChangeReason::Failed
             ),
             (
                 about,
-                Some(Standing::Gone),
+                Some(MemberStatus::Gone),
                 is(Phase::Starting),
-                Reason::Restarted
+                ChangeReason::Restarted
             ),
             (
                 about,
                 Some(is(Phase::Starting)),
                 is(Phase::Starting),
-                Reason::Restarted
+                ChangeReason::Restarted
             ),
             (
                 about,
                 Some(is(Phase::Starting)),
-                Standing::Gone,
-                Reason::Ended
+                MemberStatus::Gone,
+                ChangeReason::Left
             ),
         ]
     );
@@ -314,7 +330,7 @@
 fn a_reader_that_comes_too_late_is_told_how_many_it_has_missed() {
     let (mut heart, mut out) = (heart(), vec![]);
     for n in 2..902 {
-        let bytes = said((1, 1), MemberMetadata::default(), Word, vec![]);
+        let bytes = said((1, 1), MemberMetadata::default(), Gossip, vec![]);
         heart.receive(Time(1), address(n), &bytes, &mut out);
     }
     let (missed, kept) = heart.changes(100);
@@ -325,19 +341,19 @@
 #[test]
 fn a_life_that_answers_this_ones_contradictions_is_another_gateway_under_the_same_name() {
     let (mut heart, mut out) = (heart(), vec![]);
-    let me = |number| Rumor {
+    let me = |number| MemberUpdate {
         about: address(1),
         incarnation: Incarnation { number, nonce: 99 },
-        state: State::Alive,
+        state: MemberState::Alive,
         accuser: 0,
         card: MemberMetadata::default(),
     };
     let mut hear = |heart: &mut Membership, number| {
         out.clear();
-        let bytes = said((5, 3), MemberMetadata::default(), Word, vec![me(number)]);
+        let bytes = said((5, 3), MemberMetadata::default(), Gossip, vec![me(number)]);
         heart.receive(Time(1), address(2), &bytes, &mut out);
         out.iter()
-            .any(|e| matches!(e, Effect::Event(MembershipEvent::Namesake(_))))
+            .any(|e| matches!(e, Effect::Event(MembershipEvent::DuplicateIdentity(_))))
     };
     // A former self whose clock stood later: outbid once, whatever else of it is still said.
     assert!(
--- a/crates/membership/tests/wire_forms.rs
+++ b/crates/membership/tests/wire_forms.rs
@@ -3,9 +3,10 @@
 
 use std::net::SocketAddr;
 
-use valehatch_membership::table::Table;
+use valehatch_membership::table::MemberTable;
 use valehatch_membership::wire::{
-    Datagram, Held, Holders, Incarnation, MemberMetadata, Message, Phase, Rumor, State,
+    AgreeingMembers, Datagram, Incarnation, MemberMetadata, MemberState, MemberUpdate, Message,
+    Phase, ViewAgreement,
 };
 use valehatch_membership::{Effect, Membership, Settings};
 use valehatch_policy::{Span, Time};
@@ -16,8 +17,8 @@
     text.parse().unwrap()
 }
 
-fn rumors() -> Vec<Rumor> {
-    let rumor = |(about, number, state, phase): (&str, u64, State, Phase)| Rumor {
+fn rumors() -> Vec<MemberUpdate> {
+    let rumor = |(about, number, state, phase): (&str, u64, MemberState, Phase)| MemberUpdate {
         about: address(about),
         incarnation: Incarnation {
             number,
@@ -36,34 +37,42 @@
         (
             "10.0.0.2:7946",
             1_700_000_000_000,
-            State::Alive,
+            MemberState::Alive,
             Phase::Starting,
         ),
-        ("10.0.0.3:7946", 1, State::Suspect, Phase::Full),
-        ("[2001:db8::4]:7946", 2, State::Dead, Phase::Draining),
-        ("10.0.0.5:7946", 3, State::Left, Phase::Full),
+        ("10.0.0.3:7946", 1, MemberState::Suspect, Phase::Full),
+        ("[2001:db8::4]:7946", 2, MemberState::Dead, Phase::Draining),
+        ("10.0.0.5:7946", 3, MemberState::Left, Phase::Full),
     ];
     all.into_iter().map(rumor).collect()
 }
 
 fn datagrams() -> Vec<Datagram> {
     let (four, six) = (address("10.0.0.9:7946"), address("[2001:db8::9]:7946"));
-    let some = Holders::Some {
+    let some = AgreeingMembers::Some {
         blocks: vec![0x81, 2],
         block: 3,
         bits: 0x8000_0000_0000_0001,
     };
     let all = [
-        (Message::Ping(0x0102_0304), Holders::Unsaid, rumors()),
+        (
+            Message::Ping(0x0102_0304),
+            AgreeingMembers::Unknown,
+            rumors(),
+        ),
         (Message::Ack(1), some, vec![]),
-        (Message::Look(2, four), Holders::All, vec![]),
-        (Message::Nack(3), Holders::All, vec![]),
+        (Message::IndirectPing(2, four), AgreeingMembers::All, vec![]),
+        (Message::Nack(3), AgreeingMembers::All, vec![]),
+        (
+            Message::SyncDigest([1, 2, 3, 4, 5, 6, 7, 0xff]),
+            AgreeingMembers::All,
+            vec![],
+        ),
         (
-            Message::Compare([1, 2, 3, 4, 5, 6, 7, 0xff]),
-            Holders::All,
+            Message::BucketDigests(vec![0, 300, u32::MAX]),
+            AgreeingMembers::All,
             vec![],
         ),
-        (Message::Parts(vec![0, 300, u32::MAX]), Holders::All, vec![]),
         (
             Message::Pull {
                 part: 5,
@@ -72,21 +81,21 @@
                 salt: 500,
                 known: vec![1, 65_535],
             },
-            Holders::All,
+            AgreeingMembers::All,
             vec![],
         ),
         (
-            Message::Page {
+            Message::PullPage {
                 part: 5,
                 of: 32,
                 after: None,
                 end: true,
             },
-            Holders::All,
+            AgreeingMembers::All,
             rumors(),
         ),
-        (Message::Same, Holders::All, vec![]),
-        (Message::Word, Holders::All, rumors()),
+        (Message::InSync, AgreeingMembers::All, vec![]),
+        (Message::Gossip, AgreeingMembers::All, rumors()),
     ];
     let one = |(message, holders, rumors)| Datagram {
         from: Incarnation {
@@ -99,7 +108,7 @@
             version: 4,
             phase: Phase::Full,
         },
-        held: Held {
+        held: ViewAgreement {
             digest: [0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10],
             holders,
         },
@@ -156,7 +165,7 @@
 
 #[test]
 fn digests_of_equal_tables_stay_equal_across_versions() {
-    let mut table = Table::new(8, Span::from_millis(1_000_000));
+    let mut table = MemberTable::new(8, Span::from_millis(1_000_000));
     for rumor in rumors() {
         table.merge(&rumor, Time(0));
     }
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use valehatch_membership::size::Size;
+use valehatch_membership::size::FleetSize;
 use valehatch_membership::suspicion::{CONFIRMATIONS, LONGEST, Suspicion};
-use valehatch_membership::table::Table;
+use valehatch_membership::table::MemberTable;
 use valehatch_membership::wire::{
-    Datagram, Held, Incarnation, MemberMetadata, Message, Phase, Rumor, State,
+    Datagram, Incarnation, MemberMetadata, MemberState, MemberUpdate, Message, Phase, ViewAgreement,
 };
 use valehatch_membership::{Effect, InvalidSettings, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
@@ -17,15 +17,15 @@
     SocketAddr::from(([10, 0, 0, n], 7946))
 }
 
-fn rumor() -> impl Strategy<Value = Rumor> {
+fn rumor() -> impl Strategy<Value = MemberUpdate> {
     let state = prop_oneof![
-        Just(State::Alive),
-        Just(State::Suspect),
-        Just(State::Dead),
-        Just(State::Left)
+        Just(MemberState::Alive),
+        Just(MemberState::Suspect),
+        Just(MemberState::Dead),
+        Just(MemberState::Left)
     ];
     (1..4_u8, 1..5_u64, 0..3_u32, 0..2_u32, state).prop_map(
-        |(about, number, nonce, epoch, state)| Rumor {
+        |(about, number, nonce, epoch, state)| MemberUpdate {
             about: address(about),
             incarnation: Incarnation { number, nonce },
             state,
@@ -40,8 +40,8 @@
     )
 }
 
-fn believed(rumors: &[Rumor]) -> (Vec<(SocketAddr, Incarnation, State)>, usize, u64) {
-    let mut table = Table::new(8, Span::from_millis(1_000_000));
+fn believed(rumors: &[MemberUpdate]) -> (Vec<(SocketAddr, Incarnation, MemberState)>, usize, u64) {
+    let mut table = MemberTable::new(8, Span::from_millis(1_000_000));
     for rumor in rumors {
         table.merge(rumor, Time(0));
     }
@@ -98,8 +98,8 @@
     }
 }
 
-fn datagram(from: Incarnation, message: Message, rumors: Vec<Rumor>) -> Vec<u8> {
-    let (card, held) = (MemberMetadata::default(), Held::default());
+fn datagram(from: Incarnation, message: Message, rumors: Vec<MemberUpdate>) -> Vec<u8> {
+    let (card, held) = (MemberMetadata::default(), ViewAgreement::default());
     postcard::to_stdvec(&Datagram {
         from,
         card,
@@ -131,7 +131,7 @@
         number: 5,
         nonce: 9,
     };
-    let about = |number, state| Rumor {
+    let about = |number, state| MemberUpdate {
         about: address(1),
         incarnation: Incarnation { number, nonce: 77 },
         state,
@@ -141,7 +141,11 @@
     heart.receive(
         Time(1),
         address(2),
-        &datagram(other, Message::Ping(4), vec![about(4000, State::Dead)]),
+        &datagram(
+            other,
+            Message::Ping(4),
+            vec![about(4000, MemberState::Dead)],
+        ),
         &mut out,
     );
     assert_eq!(heart.incarnation(), Incarnation { number: 4001, ..me });
@@ -160,7 +164,7 @@
         (Message::Ack(4), 4001)
     );
     let before = heart.counts().unread;
-    let beyond = about(Incarnation::MOST, State::Dead);
+    let beyond = about(Incarnation::MOST, MemberState::Dead);
     heart.receive(
         Time(2),
         address(2),
@@ -182,8 +186,8 @@
             number: 3,
             nonce: u32::from(n),
         };
-        let rumors = if state == State::Left {
-            vec![Rumor {
+        let rumors = if state == MemberState::Left {
+            vec![MemberUpdate {
                 about: address(n),
                 incarnation: inc,
                 state,
@@ -193,14 +197,19 @@
         } else {
             vec![]
         };
-        datagram(inc, Message::Word, rumors)
+        datagram(inc, Message::Gossip, rumors)
     };
     for n in 2..11 {
-        heart.receive(Time(1), address(n), &word(n, State::Alive), &mut out);
+        heart.receive(Time(1), address(n), &word(n, MemberState::Alive), &mut out);
     }
     assert_eq!((heart.peers().count(), heart.counts().full), (8, 1));
-    heart.receive(Time(2), address(4), &word(4, State::Left), &mut out);
-    heart.receive(Time(3), address(10), &word(10, State::Alive), &mut out);
+    heart.receive(Time(2), address(4), &word(4, MemberState::Left), &mut out);
+    heart.receive(
+        Time(3),
+        address(10),
+        &word(10, MemberState::Alive),
+        &mut out,
+    );
     assert!(
         heart.living().any(|a| a == address(10)) && !heart.peers().any(|(a, _)| *a == address(4))
     );
@@ -234,7 +243,7 @@
 
 #[test]
 fn a_fleet_counts_as_smaller_only_after_a_while_and_never_as_one_by_guess() {
-    let mut size = Size::new(12, Span::from_millis(1000));
+    let mut size = FleetSize::new(12, Span::from_millis(1000));
     let at = |ms: i64| Time(ms * 1000);
     assert_eq!(size.share(false), 12, "not known: as configured");
     size.count(Some(1), true, at(0));
--- a/crates/net/src/hot_restart.rs
+++ b/crates/net/src/hot_restart.rs
@@ -15,9 +15,10 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
 };
-use valehatch_hot_restart::words::{self, HEAD, HandoffMessage};
+use valehatch_hot_restart::limits::OldProcessPhase;
+use valehatch_hot_restart::messages::{self, HEADER_BYTES, HandoffMessage};
 use valehatch_hot_restart::{
-    HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessLimits,
+    HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessLimits, ProcessStart,
 };
 
 /// How long the old process may take to hand everything over: its core is asked what it believes.
@@ -85,11 +86,13 @@
 fn handed(line: &UnixStream, gateway: &str) -> io::Result<Option<(Option<TcpListener>, Vec<u8>)>> {
     line.set_read_timeout(Some(HAND))?;
     line.set_write_timeout(Some(STUCK))?;
-    (&*line).write_all(&words::encode(&HandoffMessage::Ask(gateway.to_owned())))?;
+    (&*line).write_all(&messages::encode(&HandoffMessage::Request(
+        gateway.to_owned(),
+    )))?;
     // The socket comes along with the first byte of the word.
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut came = RecvAncillaryBuffer::new(&mut space);
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     // A read with a time limit ends with any signal, one that asks for a look at the configuration too.
     let got = retry_on_intr(|| {
         rustix::net::recvmsg(
@@ -110,7 +113,7 @@
     }
     (&*line).read_exact(&mut head[got.bytes..])?;
     match (body(line, head)?, sockets.pop()) {
-        (HandoffMessage::Take(snapshot), socket) => {
+        (HandoffMessage::State(snapshot), socket) => {
             Ok(Some((socket.map(TcpListener::from), snapshot)))
         }
         (HandoffMessage::Busy, _) => Ok(None),
@@ -122,17 +125,17 @@
     io::Error::new(ErrorKind::InvalidData, what)
 }
 
-fn body(from: &UnixStream, head: [u8; HEAD]) -> io::Result<HandoffMessage> {
-    let length = words::length(head).map_err(invalid)?;
+fn body(from: &UnixStream, head: [u8; HEADER_BYTES]) -> io::Result<HandoffMessage> {
+    let length = messages::decode_length(head).map_err(|e| invalid(e.to_string()))?;
     let mut bytes = vec![];
     if Read::take(from, length as u64).read_to_end(&mut bytes)? < length {
         return Err(ErrorKind::UnexpectedEof.into());
     }
-    words::decode(&bytes).map_err(invalid)
+    messages::decode(&bytes).map_err(|e| invalid(e.to_string()))
 }
 
 fn hear(from: &UnixStream) -> io::Result<HandoffMessage> {
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     (&*from).read_exact(&mut head)?;
     body(from, head)
 }
@@ -174,7 +177,9 @@
 
 impl HandoffHandle {
     pub fn stop(&self) {
-        let _ = self.0.try_send(Event::Handoff(HandoffEvent::Stop));
+        let _ = self
+            .0
+            .try_send(Event::Handoff(HandoffEvent::ShutdownRequested));
     }
 
     /// Discovery told this process of a list: the other one is told what it holds now.
@@ -210,32 +215,40 @@
         hands: Box<dyn HandoffHandler>,
     ) -> io::Result<HandoffHandle> {
         let (events, inbox) = bounded(64);
-        let steps = HandoffStateMachine::new(self.whole, old.is_some());
+        let start = if old.is_some() {
+            ProcessStart::Successor
+        } else {
+            ProcessStart::Sole
+        };
+        let steps = HandoffStateMachine::new(self.whole, start);
         let tells = old.as_ref().map(UnixStream::try_clone).transpose()?;
         if let Some(old) = old {
             // It takes the path back if this process ends, so it is told first.
             old.set_read_timeout(None)?;
             old.set_write_timeout(Some(STUCK))?;
-            let _ = (&old).write_all(&words::encode(&HandoffMessage::Ready));
+            let _ = (&old).write_all(&messages::encode(&HandoffMessage::Ready));
             let events = events.clone();
             super::spawn("handover", move || {
                 while let Ok(word) = hear(&old) {
                     let heard = match word {
-                        HandoffMessage::List(list) => {
+                        HandoffMessage::EndpointList(list) => {
                             let _ = events.send(Event::Hear(list));
                             continue;
                         }
-                        HandoffMessage::Held(holds) => HandoffEvent::Old { holds, grows: true },
-                        HandoffMessage::Leaves(holds) => HandoffEvent::Old {
-                            holds,
-                            grows: false,
+                        HandoffMessage::Usage(usage) => HandoffEvent::OldProcessReported {
+                            usage,
+                            phase: OldProcessPhase::Serving,
+                        },
+                        HandoffMessage::DrainingUsage(usage) => HandoffEvent::OldProcessReported {
+                            usage,
+                            phase: OldProcessPhase::Draining,
                         },
                         // One that hung hands everything over after all: too late.
                         _ => continue,
                     };
                     let _ = events.send(Event::Handoff(heard));
                 }
-                let _ = events.send(Event::Handoff(HandoffEvent::OldGone));
+                let _ = events.send(Event::Handoff(HandoffEvent::OldProcessGone));
             })?;
         }
         let stops = HandoffHandle(events.clone());
@@ -251,7 +264,7 @@
             stage: None,
         };
         let mut out = vec![];
-        thread.steps.serves(&mut out);
+        thread.steps.start_serving(&mut out);
         thread.carry_out(&mut out);
         super::spawn("handover", move || thread.run(&inbox))?;
         Ok(stops)
@@ -266,32 +279,34 @@
                 Ok(Event::Handoff(heard)) => {
                     match heard {
                         // What waits in its queue is nobody's if this keeps it open.
-                        HandoffEvent::Stop => self.upgrade.listener = None,
-                        HandoffEvent::Gone(peer) => drop(self.new.take_if(|(new, _)| *new == peer)),
-                        HandoffEvent::OldGone => self.old = None,
+                        HandoffEvent::ShutdownRequested => self.upgrade.listener = None,
+                        HandoffEvent::NewProcessGone(peer) => {
+                            drop(self.new.take_if(|(new, _)| *new == peer))
+                        }
+                        HandoffEvent::OldProcessGone => self.old = None,
                         _ => {}
                     }
-                    self.steps.take(heard, &mut out);
+                    self.steps.handle(heard, &mut out);
                 }
                 Ok(Event::Came(peer, line)) => {
-                    let heard = HandoffEvent::Asked(peer);
+                    let heard = HandoffEvent::HandoffRequested(peer);
                     let before = self.new.replace((peer, line));
-                    self.steps.take(heard, &mut out);
-                    if out.contains(&HandoffAction::TurnAway(peer))
+                    self.steps.handle(heard, &mut out);
+                    if out.contains(&HandoffAction::RejectBusy(peer))
                         && let Some((_, line)) = std::mem::replace(&mut self.new, before)
                     {
-                        let _ = (&line).write_all(&words::encode(&HandoffMessage::Busy));
+                        let _ = (&line).write_all(&messages::encode(&HandoffMessage::Busy));
                     }
                 }
                 Ok(Event::Told(list)) => {
-                    let word = words::encode(&HandoffMessage::List(list));
+                    let word = messages::encode(&HandoffMessage::EndpointList(list));
                     let others = self.old.iter().chain(self.new.iter().map(|(_, line)| line));
                     others.for_each(|mut line| drop(line.write_all(&word)));
                 }
                 Ok(Event::Hear(list)) => self.hands.hear(&list),
                 Err(RecvTimeoutError::Timeout) => self
                     .steps
-                    .take(HandoffEvent::Tick(self.hands.holds()), &mut out),
+                    .handle(HandoffEvent::UsageSampled(self.hands.holds()), &mut out),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.carry_out(&mut out);
@@ -301,42 +316,41 @@
     fn carry_out(&mut self, out: &mut Vec<HandoffAction>) {
         for does in std::mem::take(out) {
             match does {
-                HandoffAction::Hand(peer) => {
+                HandoffAction::HandOver(peer) => {
                     if let Err(e) = self.hand() {
                         tracing::warn!("upgrade: nothing could be handed over: {e}");
                         let _ = self
                             .events
-                            .try_send(Event::Handoff(HandoffEvent::Gone(peer)));
+                            .try_send(Event::Handoff(HandoffEvent::NewProcessGone(peer)));
                     }
                 }
-                HandoffAction::TurnAway(_) => {
+                HandoffAction::RejectBusy(_) => {
                     tracing::info!("upgrade: another one is told to ask again")
                 }
-                HandoffAction::Tell { holds, grows, .. } => {
-                    let word = if grows {
-                        HandoffMessage::Held(holds)
-                    } else {
-                        HandoffMessage::Leaves(holds)
+                HandoffAction::ReportUsage { usage, phase, .. } => {
+                    let word = match phase {
+                        OldProcessPhase::Serving => HandoffMessage::Usage(usage),
+                        OldProcessPhase::Draining => HandoffMessage::DrainingUsage(usage),
                     };
                     if let Some((_, line)) = &self.new {
-                        let _ = (&*line).write_all(&words::encode(&word));
+                        let _ = (&*line).write_all(&messages::encode(&word));
                     }
                 }
-                HandoffAction::Share { room, processes } => {
+                HandoffAction::ApplyLimits { limits, processes } => {
                     let stage = std::mem::discriminant(&self.steps.stage());
                     if self.stage.replace(stage) != Some(stage) {
-                        let (descriptors, mb) = (room.descriptors, room.bytes >> 20);
+                        let (descriptors, mb) = (limits.descriptors, limits.bytes >> 20);
                         tracing::info!(
                             "upgrade: {processes} process(es), {descriptors} descriptors and {mb} MB here"
                         );
                     }
-                    self.hands.share(room, processes);
+                    self.hands.share(limits, processes);
                 }
-                HandoffAction::Leave => {
+                HandoffAction::StopAccepting => {
                     tracing::info!("upgrade: the new process takes the connections from here on");
                     self.hands.leave(self.along);
                 }
-                HandoffAction::Own => {
+                HandoffAction::ListenForSuccessor => {
                     if let Err(e) = self.own() {
                         tracing::warn!(
                             "upgrade: nobody can ask at {}: {e}",
@@ -353,7 +367,7 @@
             return Err(ErrorKind::NotConnected.into());
         };
         let snapshot = self.hands.snapshot().unwrap_or_default();
-        let bytes = words::encode(&HandoffMessage::Take(snapshot));
+        let bytes = messages::encode(&HandoffMessage::State(snapshot));
         line.set_write_timeout(Some(STUCK))?;
         let sockets: Vec<_> = self.upgrade.listener.iter().map(AsFd::as_fd).collect();
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -429,7 +443,7 @@
             if let Err(e) = attend(peer, &line, &gateway, &events) {
                 tracing::info!("upgrade: who asked has gone: {e}");
             }
-            let _ = events.send(Event::Handoff(HandoffEvent::Gone(peer)));
+            let _ = events.send(Event::Handoff(HandoffEvent::NewProcessGone(peer)));
             drop(heard);
         });
         if began.is_err() {
@@ -441,8 +455,10 @@
 fn attend(peer: u64, line: &UnixStream, gateway: &str, events: &Sender<Event>) -> io::Result<()> {
     line.set_read_timeout(Some(HAND))?;
     match hear(line)? {
-        HandoffMessage::Ask(name) if name == gateway => {}
-        HandoffMessage::Ask(name) => return Err(invalid(format!("it is the gateway {name:?}"))),
+        HandoffMessage::Request(name) if name == gateway => {}
+        HandoffMessage::Request(name) => {
+            return Err(invalid(format!("it is the gateway {name:?}")));
+        }
         other => return Err(invalid(format!("{other:?} where it was to ask"))),
     }
     line.set_read_timeout(None)?;
@@ -453,9 +469,9 @@
     loop {
         match hear(line)? {
             HandoffMessage::Ready => events
-                .send(Event::Handoff(HandoffEvent::Ready(peer)))
+                .send(Event::Handoff(HandoffEvent::NewProcessReady(peer)))
                 .map_err(closed)?,
-            HandoffMessage::List(list) => events.send(Event::Hear(list)).map_err(closed)?,
+            HandoffMessage::EndpointList(list) => events.send(Event::Hear(list)).map_err(closed)?,
             other => return Err(invalid(format!("{other:?} from the new process"))),
         }
     }
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -15,7 +15,7 @@
 use siphasher::sip::SipHasher13;
 use valehatch_config::peers::Peers;
 use valehatch_core::Event;
-use valehatch_membership::view::{Change, Reason};
+use valehatch_membership::view::{ChangeReason, ViewChange};
 use valehatch_membership::wire::Phase;
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
@@ -159,7 +159,7 @@
 
     fn tend(&self, what: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
         let mut out = vec![];
-        let changes: Vec<Change> = {
+        let changes: Vec<ViewChange> = {
             let mut heart = lock(&self.heart);
             what(&mut heart, &mut out);
             let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
@@ -167,7 +167,7 @@
             heart
                 .changes(told)
                 .1
-                .filter(|c| c.why == Reason::OwnWord)
+                .filter(|c| c.why == ChangeReason::MetadataChanged)
                 .copied()
                 .collect()
         };
@@ -310,7 +310,7 @@
             match effect {
                 Effect::Send { to, bytes } => self.send(MEMBERSHIP, to, &bytes),
                 Effect::Event(note) => {
-                    if matches!(note, MembershipEvent::Slept(_)) {
+                    if matches!(note, MembershipEvent::ProcessPaused(_)) {
                         // The clock by which lists are dated may have stood still too.
                         self.takers
                             .iter()
@@ -345,26 +345,28 @@
         MembershipEvent::Joined(peer) => tracing::info!("peers: {peer} is there"),
         MembershipEvent::Restarted(peer) => tracing::info!("peers: {peer} has started anew"),
         MembershipEvent::Suspected(peer) => tracing::info!("peers: {peer} does not answer"),
-        MembershipEvent::Cleared(peer) => tracing::info!("peers: {peer} answers after all"),
+        MembershipEvent::SuspicionCleared(peer) => {
+            tracing::info!("peers: {peer} answers after all")
+        }
         MembershipEvent::Failed(peer) => tracing::warn!("peers: {peer} counts as dead"),
         MembershipEvent::Left(peer) => tracing::info!("peers: {peer} has ended as planned"),
-        MembershipEvent::Slept(span) => {
+        MembershipEvent::ProcessPaused(span) => {
             tracing::warn!("peers: this gateway stood still for {} ms", span.0 / 1000)
         }
         MembershipEvent::Refuted => {
             tracing::info!("peers: was taken for gone or for a former self, and says otherwise")
         }
-        MembershipEvent::Namesake(life) => tracing::warn!(
+        MembershipEvent::DuplicateIdentity(life) => tracing::warn!(
             "peers: another gateway has this one's address (start {} of it): give each its own",
             life.number
         ),
-        MembershipEvent::Settled(view) => tracing::info!(
+        MembershipEvent::ViewConverged(view) => tracing::info!(
             "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
             view.members,
             view.digest,
             view.settled.map_or(0, |at| (at - view.held).0 / 1000)
         ),
-        MembershipEvent::Unsettled => tracing::info!("peers: the view is not settled"),
+        MembershipEvent::ViewDiverged => tracing::info!("peers: the view is not settled"),
         MembershipEvent::Synced => {
             tracing::info!("peers: all that another gateway knew is known here")
         }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use valehatch_membership::view::Standing;
+use valehatch_membership::view::MemberStatus;
 use valehatch_membership::wire::{Incarnation, MOST, Phase};
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
@@ -271,7 +271,10 @@
                 of.filter_map(|o| self.heart(*o))
                     .any(|h| h.incarnation().nonce == life.nonce)
             };
-            let there: Vec<_> = heart.members().filter(|m| m.3 != Standing::Gone).collect();
+            let there: Vec<_> = heart
+                .members()
+                .filter(|m| m.3 != MemberStatus::Gone)
+                .collect();
             looked.push((shared.digest, *n));
             there.len() == names.len()
                 && there
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use valehatch_membership::Membership;
-use valehatch_membership::view::Standing;
+use valehatch_membership::view::MemberStatus;
 
 /// What each process has held, by its number.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     /// The last claim of each that was judged: digest, and when it became settled.
     judged: Vec<Option<(u64, i64)>>,
     /// How each stands at a gateway, by the changes that it told.
-    told: Vec<(u64, BTreeMap<SocketAddr, Standing>)>,
+    told: Vec<(u64, BTreeMap<SocketAddr, MemberStatus>)>,
     /// Claims that were judged.
     pub claims: u64,
 }
@@ -58,7 +58,7 @@
         self.claims += 1;
         let living: Vec<SocketAddr> = heart
             .members()
-            .filter(|m| m.3 != Standing::Gone)
+            .filter(|m| m.3 != MemberStatus::Gone)
             .map(|m| m.0)
             .collect();
         if living.len() != shared.members || shared.holders != shared.members {
@@ -92,8 +92,8 @@
         for change in changes {
             *version += 1;
             let before = standing.insert(change.about, change.is);
-            let was = change.was.filter(|was| *was != Standing::Gone);
-            let before = before.filter(|was| *was != Standing::Gone);
+            let was = change.was.filter(|was| *was != MemberStatus::Gone);
+            let before = before.filter(|was| *was != MemberStatus::Gone);
             if change.version != *version || was != before {
                 return Err(format!(
                     "{change:?} does not follow {before:?} at {version}"
@@ -105,7 +105,7 @@
 
     /// Whether what a gateway's changes have led to is what its view says.
     pub fn followed(&self, n: usize, heart: &Membership, me: SocketAddr) -> Result<(), String> {
-        let there = |s: &Standing| *s != Standing::Gone;
+        let there = |s: &MemberStatus| *s != MemberStatus::Gone;
         let told: BTreeMap<_, _> = self.told[n]
             .1
             .iter()
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use valehatch_membership::MembershipEvent;
-use valehatch_membership::wire::State;
+use valehatch_membership::wire::MemberState;
 use valehatch_policy::Span;
 use valehatch_testbed::fleet::{Fleet, Network, address};
 
@@ -127,7 +127,7 @@
     let gone = |f: &Fleet| {
         f.running().all(|(_, h)| {
             h.peers()
-                .any(|(a, p)| *a == address(7) && p.state == State::Left)
+                .any(|(a, p)| *a == address(7) && p.state == MemberState::Left)
         })
     };
     assert!(fleet.run(s(4), gone).unwrap(), "within eight periods");
@@ -160,7 +160,7 @@
     agree(&mut fleet, s(20), "after the sleep");
     let first = fleet.notes.iter().find(|n| n.by == 4).unwrap();
     assert!(
-        matches!(first.note, MembershipEvent::Slept(gap) if gap >= s(29)),
+        matches!(first.note, MembershipEvent::ProcessPaused(gap) if gap >= s(29)),
         "{first:?}"
     );
     let blamed = |by, note| {
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -2,7 +2,7 @@
 //! settled is wrong on the way. What judges that sees a join that is spoilt.
 
 use rstest::rstest;
-use valehatch_membership::view::Mutant;
+use valehatch_membership::view::InjectedFault;
 use valehatch_policy::Span;
 use valehatch_testbed::view::{Case, Plan, Play};
 
@@ -79,7 +79,7 @@
         play.fleet
             .notes
             .iter()
-            .filter(|s| s.by == n && matches!(s.note, MembershipEvent::Namesake(_)))
+            .filter(|s| s.by == n && matches!(s.note, MembershipEvent::DuplicateIdentity(_)))
             .count()
     };
     play.fleet
@@ -102,11 +102,11 @@
 
 /// Each fault in the join is seen, and seen again with the same seed.
 #[rstest]
-#[case::a_holder_counted_twice(Mutant::Doubled, Case::Killed, 30)]
-#[case::an_old_word_taken(Mutant::OldTaken, Case::Killed, 30)]
-#[case::a_half_forgotten(Mutant::CutForgotten, Case::Halves, 12)]
-fn a_spoilt_join_is_seen(#[case] mutant: Mutant, #[case] case: Case, #[case] size: usize) {
-    let judged = |mutant: Option<Mutant>, seed| {
+#[case::a_holder_counted_twice(InjectedFault::DoubleCount, Case::Killed, 30)]
+#[case::an_old_word_taken(InjectedFault::AcceptStale, Case::Killed, 30)]
+#[case::a_half_forgotten(InjectedFault::ForgetPartition, Case::Halves, 12)]
+fn a_spoilt_join_is_seen(#[case] mutant: InjectedFault, #[case] case: Case, #[case] size: usize) {
+    let judged = |mutant: Option<InjectedFault>, seed| {
         let within = Span::from_millis(30_000);
         let mut play = Play::new(&plan(), size, seed);
         if let Some(mutant) = mutant {
