--- a/crates/backoff/tests/backoff.rs
+++ b/crates/backoff/tests/backoff.rs
@@ -1,44 +1,58 @@
-//! Gateways side by side, under one seed: what they ask for together.
+//! Backoff of many gateways side by side, each with its own seed: how many calls they make
+//! together.
 
-use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 use rstest::rstest;
-use valehatch_backoff::{Backoff, hold};
+use valehatch_backoff::{Backoff, long_poll_wait};
 use valehatch_policy::Span;
 
 const FIRST: Span = Span::from_millis(50);
 const LONGEST: Span = Span::from_millis(2_500);
 
-/// A service that answers one call in each 20 ms and turns away what comes meanwhile; all gateways start at once.
-/// How many calls came in each 100 ms of a minute, and when each gateway had its answer.
-fn herd(gateways: u64) -> (Vec<u32>, Vec<Option<i64>>) {
-    let mut paces: Vec<Backoff> = (0..gateways)
+/// What the simulated service saw.
+struct Calls {
+    /// Calls in each 100 ms.
+    asked: Vec<u32>,
+    /// When each gateway had its answer, in microseconds.
+    answered: Vec<Option<i64>>,
+}
+
+/// A service that answers one call in each 20 ms and rejects calls that come meanwhile; all
+/// gateways start at once. Returns the calls in each 100 ms of a minute, and when each gateway had
+/// its answer.
+fn simulate(gateways: u64) -> Calls {
+    let mut backoffs: Vec<Backoff> = (0..gateways)
         .map(|n| Backoff::new(FIRST, LONGEST, n))
         .collect();
-    let mut calls: BTreeMap<(i64, u64), ()> = (0..gateways).map(|n| ((0, n), ())).collect();
-    let (mut asked, mut answered, mut busy_until) = (vec![0; 600], vec![None; paces.len()], 0);
-    while let Some(((at, n), ())) = calls.pop_first() {
+    let mut calls: BTreeSet<(i64, u64)> = (0..gateways).map(|n| (0, n)).collect();
+    let mut asked = vec![0; 600];
+    let mut answered = vec![None; backoffs.len()];
+    let mut busy_until = 0;
+    while let Some((at, n)) = calls.pop_first() {
         if at >= 60_000_000 {
             break;
         }
         asked[usize::try_from(at / 100_000).unwrap()] += 1;
-        let n_place = usize::try_from(n).unwrap();
+        let index = usize::try_from(n).unwrap();
         if at >= busy_until {
             busy_until = at + 20_000;
-            answered[n_place] = Some(at);
+            answered[index] = Some(at);
         } else {
-            calls.insert((at + paces[n_place].failed().0, n), ());
+            calls.insert((at + backoffs[index].next_pause().0, n));
         }
     }
-    (asked, answered)
+    Calls { asked, answered }
 }
 
+/// All gateways of a fleet fail together, for instance when discovery restarts. With the same pause
+/// they would all call again together; drawn pauses spread them until each has its answer.
 #[rstest]
 #[case(1)]
 #[case(3)]
 #[case(100)]
-fn a_fleet_that_starts_at_once_is_answered_whole_and_asks_less_and_less(#[case] gateways: u64) {
-    let (asked, answered) = herd(gateways);
+fn gateways_failing_together_are_all_answered(#[case] gateways: u64) {
+    let Calls { asked, answered } = simulate(gateways);
     let last = answered
         .iter()
         .map(|at| at.expect("every gateway is answered"))
@@ -49,7 +63,8 @@
         last <= 12_000_000,
         "the last of {gateways} is answered after {last} us"
     );
-    // Once all have failed some times, no more come in a window than twice the fleet by the longest pause.
+    // Once all have failed some times, no more come in a window than twice the fleet by the longest
+    // pause.
     let most = asked[20..].iter().max().copied().unwrap();
     assert!(
         f64::from(most) <= 4.0 + 4.0 * gateways as f64 / 25.0,
@@ -58,9 +73,9 @@
 }
 
 #[test]
-fn first_calls_of_a_fleet_are_spread_over_the_first_bound() {
+fn first_calls_are_spread_over_first_bound() {
     let starts: Vec<Span> = (0..100)
-        .map(|n| Backoff::new(LONGEST, LONGEST, n).start())
+        .map(|n| Backoff::new(LONGEST, LONGEST, n).initial_pause())
         .collect();
     let mut tenths = [0; 10];
     for at in &starts {
@@ -74,9 +89,9 @@
 }
 
 #[test]
-fn pauses_grow_to_the_longest_and_are_short_again_after_an_answer() {
-    let mut pace = Backoff::new(FIRST, LONGEST, 7);
-    let early: Vec<Span> = (0..4).map(|_| pace.failed()).collect();
+fn pauses_grow_to_longest_and_reset_makes_them_short() {
+    let mut backoff = Backoff::new(FIRST, LONGEST, 7);
+    let early: Vec<Span> = (0..4).map(|_| backoff.next_pause()).collect();
     assert!(
         early
             .iter()
@@ -84,27 +99,31 @@
             .all(|(p, most)| *p < Span::from_millis(most)),
         "{early:?}"
     );
-    let late: Vec<i64> = (0..1_000).map(|_| pace.failed().0).skip(10).collect();
+    let late: Vec<i64> = (0..1_000)
+        .map(|_| backoff.next_pause().0)
+        .skip(10)
+        .collect();
     assert!(late.iter().all(|p| *p < LONGEST.0));
     let mean = late.iter().sum::<i64>() / 990;
     assert!(
         (mean - LONGEST.0 / 2).abs() < LONGEST.0 / 10,
         "a mean pause of {mean} us"
     );
-    pace.answered();
-    assert!(pace.failed() < FIRST);
+    backoff.reset();
+    assert!(backoff.next_pause() < FIRST);
 }
 
-/// A call that has to go out in time does, and those that have to at the same time do not all go out at its end.
+/// Many gateways must call again within the same time. Cutting the pause to it would make them all
+/// call at its end.
 #[test]
-fn a_pause_within_so_much_is_drawn_from_it_and_the_next_bound_grows_all_the_same() {
+fn limited_pause_is_drawn_evenly_and_bound_still_grows() {
     let room = Span::from_millis(300);
-    let mut paces: Vec<Backoff> = (0..100)
+    let mut backoffs: Vec<Backoff> = (0..100)
         .map(|n| Backoff::new(LONGEST, LONGEST, n))
         .collect();
-    let pauses: Vec<Span> = paces
+    let pauses: Vec<Span> = backoffs
         .iter_mut()
-        .map(|pace| pace.failed_within(room))
+        .map(|backoff| backoff.next_pause_within(room))
         .collect();
     assert!(
         pauses.iter().all(|p| *p >= Span(0) && *p < room),
@@ -119,27 +138,30 @@
             < 25,
         "{pauses:?}"
     );
-    let mut pace = Backoff::new(FIRST, LONGEST, 7);
+    let mut backoff = Backoff::new(FIRST, LONGEST, 7);
     assert_eq!(
-        (pace.failed_within(Span(0)), pace.failed_within(Span(-5))),
+        (
+            backoff.next_pause_within(Span(0)),
+            backoff.next_pause_within(Span(-5))
+        ),
         (Span(0), Span(0))
     );
     assert!(
         (0..100)
-            .map(|_| pace.failed())
+            .map(|_| backoff.next_pause())
             .any(|p| p > FIRST.times(4.0))
     );
 }
 
 #[rstest]
-#[case::nothing_to_draw_from(Span(0), Span(0))]
-#[case::the_wrong_way_round(LONGEST, FIRST)]
-#[case::below_nothing(Span(-5), Span(-7))]
-#[case::without_bound(FIRST, Span(i64::MAX))]
-fn odd_bounds_still_give_a_pause(#[case] first: Span, #[case] longest: Span) {
-    let mut pace = Backoff::new(first, longest, 1);
+#[case::zero(Span(0), Span(0))]
+#[case::longest_below_first(LONGEST, FIRST)]
+#[case::negative(Span(-5), Span(-7))]
+#[case::unbounded(FIRST, Span(i64::MAX))]
+fn unusual_bounds_give_a_valid_pause(#[case] first: Span, #[case] longest: Span) {
+    let mut backoff = Backoff::new(first, longest, 1);
     for _ in 0..200 {
-        let pause = pace.failed();
+        let pause = backoff.next_pause();
         assert!(
             pause >= Span(0) && pause <= longest.max(first).max(Span(1)),
             "{pause:?}"
@@ -154,9 +176,9 @@
 #[case::a_hundred(100, 20_000)]
 #[case::half(50, 10_000)]
 #[case::any_number(u32::MAX, 20_000)]
-fn a_call_waits_longer_the_more_gateways_there_are(#[case] gateways: u32, #[case] ms: i64) {
+fn long_poll_wait_grows_with_gateways(#[case] gateways: u32, #[case] ms: i64) {
     assert_eq!(
-        hold(
+        long_poll_wait(
             gateways,
             5,
             Span::from_millis(2_000),
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -192,19 +192,19 @@
             asking += 1;
             let confirmed = move || {
                 tells.listed(n);
-                valehatch_net::lock(&service).confirmed(asks, clock.now());
+                valehatch_net::lock(&service).list_confirmed(asks, clock.now());
             };
             let taker = watch.taker();
             let watch = watch.telling(confirmed);
             let started = match recovery::restored(kept.as_ref(), &front.name).list {
-                Some((listed, told)) => watch.resume(listed, told),
+                Some(list) => watch.resume(list.endpoints, list.version),
                 None => watch.start(&serde_json::Value::Null),
             };
             started.map_err(|e| format!("front.{n}: {e}"))?;
             if valehatch_net::lock(&taker)
                 .held()
                 .0
-                .members()
+                .endpoints()
                 .next()
                 .is_some()
             {
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -15,6 +15,7 @@
 use valehatch_net::hot_restart::HandoffHandle;
 use valehatch_net::servers::EndpointPools;
 use valehatch_net::{Clock, list, signals};
+use valehatch_recovery::endpoint_list::ListVersion;
 use valehatch_snmp::world::Board;
 
 use crate::front::{Front, Parts, QUEUE, platform_limits};
@@ -110,14 +111,14 @@
     let begin = crate::upgrade::begin(meets.as_ref(), &name, listen)?;
     let restored = crate::recovery::restored(begin.known.as_ref(), FRONT);
     let started = match restored.list {
-        Some((listed, told)) => watch.resume(listed, told),
+        Some(list) => watch.resume(list.endpoints, list.version),
         None => watch.start(&known),
     };
     started.map_err(|e| format!("list: {e}"))?;
     if valehatch_net::lock(&taker)
         .held()
         .0
-        .members()
+        .endpoints()
         .next()
         .is_some()
     {
@@ -146,7 +147,10 @@
         };
         // The other process is told at once, by what is held under the new address: this one may end before that answers.
         let mut book = valehatch_net::lock(&holds).held().0.clone();
-        book.told = Some((at, 0));
+        book.version = Some(ListVersion {
+            source: at,
+            revision: 0,
+        });
         upgrade.pass(book.encode());
     };
     let (events, terminate, board) = (
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -15,10 +15,12 @@
 use valehatch_net::list::EndpointListStore;
 use valehatch_net::{Clock, lock};
 use valehatch_policy::{PrimaryEvidence, Settings, Time};
-use valehatch_recovery::service::{Service, State};
-use valehatch_recovery::snapshot::{Cold, Front, MOST, Primary, Snapshot};
-use valehatch_recovery::trust::{Belief, Source, Trust, trust};
-use valehatch_recovery::{Restored, cold_since, restore};
+use valehatch_recovery::service::{RequestResult, ServiceRecovery, ServiceState};
+use valehatch_recovery::snapshot::{
+    FrontSnapshot, MAX_BYTES, PrimarySnapshot, Snapshot, WarmingEndpoint,
+};
+use valehatch_recovery::trust::{KnowledgeKind, KnowledgeSource, TrustLevel, trust};
+use valehatch_recovery::{RestoredState, restore, slow_start_began_ms};
 use valehatch_request_log::FinalOutcome;
 use valehatch_snmp::world::Board;
 use valehatch_state::snapshot;
@@ -36,7 +38,7 @@
 
 /// What was kept for this start, if it can be used; said in the log where it cannot.
 pub(crate) fn read(dir: &Path, gateway: &str) -> Option<Snapshot> {
-    let bytes = match snapshot::read(dir, MOST) {
+    let bytes = match snapshot::read(dir, MAX_BYTES) {
         Ok(Some(bytes)) => bytes,
         Ok(None) => {
             info!("recovery: no snapshot was kept");
@@ -68,17 +70,18 @@
 }
 
 /// What of it goes for a front.
-pub(crate) fn restored(kept: Option<&Snapshot>, front: &str) -> Restored {
+pub(crate) fn restored(kept: Option<&Snapshot>, front: &str) -> RestoredState {
     let Some(kept) = kept else {
-        return Restored::default();
+        return RestoredState::default();
     };
     let restored = restore(kept, front, wall_ms());
     restored
-        .left
+        .discarded
         .iter()
         .for_each(|why| info!("recovery: front {front}: {why}"));
-    if let Some((listed, (from, rev))) = &restored.list {
-        let (servers, hints) = (listed.len(), restored.primaries.len());
+    if let Some(list) = &restored.list {
+        let (servers, hints) = (list.endpoints.len(), restored.primaries.len());
+        let (from, rev) = (list.version.source, list.version.revision);
         info!(
             "recovery: front {front}: {servers} servers of {from} at version {rev}, {hints} primaries to try first"
         );
@@ -93,8 +96,8 @@
         .checked_sub(kept.at_ms)
         .and_then(|ms| i64::try_from(ms).ok());
     let age = age.map(valehatch_policy::Span::from_millis);
-    let ask = trust(Belief::Fleet, Source::Snapshot, age) >= Trust::Guess;
-    kept.fleet
+    let ask = trust(KnowledgeKind::Gateways, KnowledgeSource::Snapshot, age) >= TrustLevel::Hint;
+    kept.gateways
         .iter()
         .copied()
         .filter(|_| ask)
@@ -103,16 +106,16 @@
 }
 
 /// Service since this start, told by fronts and lists.
-pub(crate) type Shared = Arc<Mutex<Service>>;
+pub(crate) type Shared = Arc<Mutex<ServiceRecovery>>;
 
 /// A request of a front had its final answer.
 pub(crate) fn answered(service: &Shared, clock: Clock, ending: &FinalOutcome) {
-    let served = match ending {
-        FinalOutcome::InTime | FinalOutcome::Late => true,
-        FinalOutcome::Refused(_) | FinalOutcome::Failed(_) => false,
+    let result = match ending {
+        FinalOutcome::InTime | FinalOutcome::Late => RequestResult::Served,
+        FinalOutcome::Refused(_) | FinalOutcome::Failed(_) => RequestResult::Failed,
         FinalOutcome::Aborted => return,
     };
-    lock(service).answered(served, clock.now());
+    lock(service).request_finished(result, clock.now());
 }
 
 /// What takes a front's list in, where discovery tells it, and the front's board.
@@ -156,7 +159,7 @@
         .iter()
         .filter(|f| matches!(f.members, Members::Discovery(_)))
         .count();
-    Arc::new(Mutex::new(Service::new(asks, clock.now())))
+    Arc::new(Mutex::new(ServiceRecovery::new(asks, clock.now())))
 }
 
 impl Keeper {
@@ -225,7 +228,7 @@
         let mut written = Instant::now();
         loop {
             let last = over.load(Ordering::Relaxed);
-            let change = lock(&self.service).look(self.clock.now());
+            let change = lock(&self.service).update(self.clock.now());
             change.into_iter().for_each(|state| self.tell(state));
             if last || written.elapsed() >= self.every {
                 written = Instant::now();
@@ -247,13 +250,13 @@
         said(&mut self.failing, "snapshot", done);
     }
 
-    fn tell(&mut self, state: State) {
+    fn tell(&mut self, state: ServiceState) {
         let told = match state {
-            State::Recovering(why) => {
+            ServiceState::Recovering(why) => {
                 info!("recovery: recovering, for want of: {}", why.name());
                 serde_json::json!({ "state": "recovering", "why": why.name(), "started-ms": self.began_ms })
             }
-            State::Full { took, .. } => {
+            ServiceState::Full { took, .. } => {
                 let took = took.0 / 1000;
                 info!("recovery: full, {took} ms after the start");
                 serde_json::json!({ "state": "full", "took-ms": took, "started-ms": self.began_ms })
@@ -261,7 +264,7 @@
         };
         self.link
             .iter()
-            .for_each(|link| link.full(matches!(state, State::Full { .. })));
+            .for_each(|link| link.full(matches!(state, ServiceState::Full { .. })));
         let done = snapshot::replace(
             &self.dir,
             "recovery.new",
@@ -287,14 +290,14 @@
             gateway: self.gateway.clone(),
             at_ms,
             fronts,
-            fleet,
+            gateways: fleet,
         }
     }
 }
 
 impl Kept {
     /// What is kept of it.
-    pub(crate) fn kept(&self, at_ms: u64, now: Time) -> Front {
+    pub(crate) fn kept(&self, at_ms: u64, now: Time) -> FrontSnapshot {
         let book = self
             .taker
             .as_ref()
@@ -312,31 +315,31 @@
                     .iter()
                     .find(|m| Some(m.view.endpoint) == group.primary)?;
                 let age_ms = u64::try_from((now - group.since).0 / 1000).unwrap_or(0);
-                Some(Primary {
+                Some(PrimarySnapshot {
                     group: group.group.0,
-                    member: member.name.to_string(),
+                    endpoint: member.name.to_string(),
                     since_ms: at_ms.saturating_sub(age_ms),
                     proved: group.known != PrimaryEvidence::EndpointList,
                 })
             });
         let rules = &self.settings.rules;
         let warming_up = members.iter().filter_map(|member| {
-            let since_ms = cold_since(
+            let since_ms = slow_start_began_ms(
                 member.view.warm?,
                 rules.slow_start_duration,
                 rules.slow_start_initial_capacity,
                 at_ms,
             );
-            Some(Cold {
-                member: member.name.to_string(),
+            Some(WarmingEndpoint {
+                endpoint: member.name.to_string(),
                 since_ms,
             })
         });
-        Front {
+        FrontSnapshot {
             name: self.name.clone(),
-            book,
+            list: book,
             primaries: primaries.collect(),
-            cold: warming_up.collect(),
+            warming: warming_up.collect(),
         }
     }
 }
@@ -351,7 +354,7 @@
         // In the way of the file that is written aside.
         std::fs::create_dir_all(dir.join("snapshot.new")).unwrap();
         let clock = Clock::start();
-        let service = Arc::new(Mutex::new(Service::new(0, clock.now())));
+        let service = Arc::new(Mutex::new(ServiceRecovery::new(0, clock.now())));
         let mut keeping = Keeping {
             dir: dir.clone(),
             gateway: "one".into(),
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -15,7 +15,7 @@
 use valehatch_net::clients::{Clients, listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
-use valehatch_recovery::book::EndpointListCache;
+use valehatch_recovery::endpoint_list::{EndpointListCache, ListVersion};
 use valehatch_recovery::snapshot::Snapshot;
 
 use crate::front::{SPARE, bytes, connections, platform_limits};
@@ -129,7 +129,7 @@
             gateway: self.gateway.clone(),
             at_ms,
             fronts,
-            fleet: vec![],
+            gateways: vec![],
         }
         .encode()
     }
@@ -153,12 +153,12 @@
         };
         let mut taker = valehatch_net::lock(taker);
         taker.hear(&book);
-        let held = taker.held().0.told;
+        let held = taker.held().0.version;
         drop(taker);
         // Discovery has moved for the other process, which was told to read the configuration again; that was told the
         // gateway, so this one looks too. What the new address tells is not taken from here: this one asks there itself.
-        let at = |told: Option<(SocketAddr, u64)>| told.map(|(at, _)| at);
-        if at(book.told) != at(held) {
+        let at = |version: Option<ListVersion>| version.map(|version| version.source);
+        if at(book.version) != at(held) {
             (self.look)();
         }
     }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -120,7 +120,7 @@
     until("served", || site.ask("read") == here());
     until("full", || site.is("full", "took-ms"));
     assert_eq!(site.state_keys(), ["started-ms", "state", "took-ms"]);
-    site.keeps("the list", |s| s.fronts[0].book.members().count() == 1);
+    site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
     kill(program);
     site.silence(true);
     let program = site.start(20);
@@ -166,7 +166,7 @@
         s.fronts[0]
             .primaries
             .iter()
-            .any(|p| p.member == "b" && p.proved)
+            .any(|p| p.endpoint == "b" && p.proved)
     });
     let before = (wrong.count(), right.count());
     assert!(before.0 > 0, "the list's word was tried at first");
@@ -218,7 +218,7 @@
         s.fronts[0]
             .primaries
             .iter()
-            .any(|p| p.member == "a" && p.proved)
+            .any(|p| p.endpoint == "a" && p.proved)
     });
     kill(program);
     changed.store(true, Ordering::SeqCst);
@@ -253,8 +253,8 @@
         .push(target("b", two, "read-only", "leaving"));
     site.keeps("that it leaves", |s| {
         s.fronts[0]
-            .book
-            .members()
+            .list
+            .endpoints()
             .any(|m| m.uid == "b" && m.state == "leaving")
     });
     kill(program);
@@ -289,7 +289,7 @@
     let site = Site::new(target("a", at, "read-write", "active"));
     let program = site.start(20);
     until("served", || site.ask("read") == here());
-    site.keeps("the list", |s| s.fronts[0].book.members().count() == 1);
+    site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
     kill(program);
     let path = site.dir.join("snapshot");
     let mut bytes = std::fs::read(&path).unwrap();
@@ -372,7 +372,7 @@
     program.says("no snapshot can be written, service goes on");
     std::fs::remove_dir(site.dir.join("snapshot.new")).unwrap();
     program.says("snapshots are written again");
-    site.keeps("the list", |s| s.fronts[0].book.members().count() == 1);
+    site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
     assert_eq!(
         program.log().matches("no snapshot can be written").count(),
         1
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,8 +1,9 @@
-//! Hot restart: two processes that are one gateway for a while. What each may use, what is handed over, and in which
-//! order. No I/O, no clock, no threads.
+//! Hot restart: two processes that are one gateway for a while. What each may use, what is handed
+//! over, and in which order. No I/O, no clock, no threads.
 //!
-//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s; the caller owns the sockets and the timers. Usage and
-//! limits are counted in file descriptors and bytes of memory ([`ProcessLimits`]). The state has a fixed size.
+//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s; the caller owns the sockets and
+//! the timers. Usage and limits are counted in file descriptors and bytes of memory
+//! ([`ProcessLimits`]). The state has a fixed size.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/hot-restart/src/limits.rs
+++ b/crates/hot-restart/src/limits.rs
@@ -1,7 +1,8 @@
-//! Resource limits of each of two processes, chosen so that both together stay under the limit of one gateway.
+//! Resource limits of each of two processes, chosen so that both together stay under the limit of
+//! one gateway.
 //!
-//! Inputs are the gateway's limit and the usage that the old process reported; all quantities are file descriptors and
-//! bytes of memory. Pure functions, no state.
+//! Inputs are the gateway's limit and the usage that the old process reported; all quantities are
+//! file descriptors and bytes of memory. Pure functions, no state.
 //!
 //! | step | old process | new process |
 //! | --- | --- | --- |
@@ -22,8 +23,8 @@
     pub bytes: usize,
 }
 
-/// What a process needs to start, and the least that it is left with: its own files, the management connections and
-/// discovery.
+/// What a process needs to start, and the least that it is left with: its own files, the management
+/// connections and discovery.
 pub const MIN_PROCESS_LIMITS: ProcessLimits = ProcessLimits {
     descriptors: 40,
     bytes: 6 * 1024 * 1024,
@@ -68,7 +69,8 @@
 
 /// The old process's limit after it has handed its state over, out of the gateway's `total`.
 ///
-/// A draining process needs upstream connections only for requests in flight, so a quarter is enough for it.
+/// A draining process needs upstream connections only for requests in flight, so a quarter is
+/// enough for it.
 #[must_use]
 pub fn old_process_limits(total: ProcessLimits, step: OldProcessStep) -> ProcessLimits {
     match step {
@@ -80,8 +82,8 @@
     }
 }
 
-/// The new process's limit out of the gateway's `total`, beside an old process with this usage; `None` if it has not
-/// reported any. Never below [`MIN_PROCESS_LIMITS`] unless `total` is.
+/// The new process's limit out of the gateway's `total`, beside an old process with this usage;
+/// `None` if it has not reported any. Never below [`MIN_PROCESS_LIMITS`] unless `total` is.
 #[must_use]
 pub fn new_process_limits(
     total: ProcessLimits,
--- a/crates/hot-restart/src/messages.rs
+++ b/crates/hot-restart/src/messages.rs
@@ -1,15 +1,16 @@
 //! Messages between the old and the new process, and their byte form on a Unix stream socket.
 //!
-//! A message is a header of [`HEADER_BYTES`] bytes, then a postcard body of at most [`MAX_MESSAGE_BYTES`] bytes. The
-//! header is the length of the body (four bytes) and the protocol version (two bytes), both big-endian. Pure functions,
-//! no state. The order of the variants of [`HandoffMessage`] is part of the byte form.
+//! A message is a header of [`HEADER_BYTES`] bytes, then a postcard body of at most
+//! [`MAX_MESSAGE_BYTES`] bytes. The header is the length of the body (four bytes) and the protocol
+//! version (two bytes), both big-endian. Pure functions, no state. The order of the variants of
+//! [`HandoffMessage`] is part of the byte form.
 
 use serde::{Deserialize, Serialize};
 
 use crate::limits::ProcessLimits;
 
-/// Version of the byte form. A process that gets another version closes the connection, and the new process starts as
-/// after a crash.
+/// Version of the byte form. A process that gets another version closes the connection, and the new
+/// process starts as after a crash.
 pub const PROTOCOL_VERSION: u16 = 2;
 /// Longest body, in bytes: the largest snapshot and its envelope.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024 + 1024;
@@ -21,8 +22,8 @@
 pub enum HandoffMessage {
     /// New to old: hand over the state of the gateway with this name.
     Request(String),
-    /// Old to new: a snapshot of the old process's state. The listening socket comes as ancillary data, if it is still
-    /// open.
+    /// Old to new: a snapshot of the old process's state. The listening socket comes as ancillary
+    /// data, if it is still open.
     State(Vec<u8>),
     /// Old to new: another handoff is in progress, request again later.
     Busy,
--- a/crates/hot-restart/src/state_machine.rs
+++ b/crates/hot-restart/src/state_machine.rs
@@ -1,9 +1,10 @@
-//! The steps of one process, from its start to its end. Both processes of a hot restart run this state machine, one as the
-//! old process and one as the new.
+//! The steps of one process, from its start to its end. Both processes of a hot restart run this
+//! state machine, one as the old process and one as the new.
 //!
-//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s in the order in which they are to be done; there is no
-//! clock. At most two processes are one gateway: a third that requests a handoff is rejected. No step waits for the
-//! other process, and every step ends when that process dies (its socket closes).
+//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s in the order in which they are to
+//! be done; there is no clock. At most two processes are one gateway: a third that requests a
+//! handoff is rejected. No step waits for the other process, and every step ends when that process
+//! dies (its socket closes).
 //!
 //! | stage | who holds what | event | next stage | actions |
 //! | --- | --- | --- | --- | --- |
@@ -18,9 +19,10 @@
 //! | | | `OldProcessGone` | `Sole` | `ApplyLimits` |
 //! | | | `HandoffRequested` | the same | `RejectBusy` |
 //!
-//! `ApplyLimits` is left out if a change of stage leaves the limits as they were. `UsageSampled` leads to `ReportUsage`
-//! in `HandingOver` and `Superseded`, whenever the report differs from the last one. Events that are not listed for a
-//! stage are ignored; `ShutdownRequested` is remembered in every stage.
+//! `ApplyLimits` is left out if a change of stage leaves the limits as they were. `UsageSampled`
+//! leads to `ReportUsage` in `HandingOver` and `Superseded`, whenever the report differs from the
+//! last one. Events that are not listed for a stage are ignored; `ShutdownRequested` is remembered
+//! in every stage.
 //!
 //! | death of | in stage | means |
 //! | --- | --- | --- |
@@ -88,7 +90,8 @@
 /// An output of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoffAction {
-    /// Send the snapshot and the listening socket to the peer; without the socket if a shutdown has closed it.
+    /// Send the snapshot and the listening socket to the peer; without the socket if a shutdown has
+    /// closed it.
     HandOver(PeerId),
     /// Tell the peer to request again later.
     RejectBusy(PeerId),
@@ -105,7 +108,8 @@
     ApplyLimits {
         /// What this process may use from now on.
         limits: ProcessLimits,
-        /// Processes that are this gateway: fleet-wide quotas are divided by this number per gateway.
+        /// Processes that are this gateway: fleet-wide quotas are divided by this number per
+        /// gateway.
         processes: u32,
     },
     /// Accept no more connections; the new process accepts them from the same queue.
--- a/crates/hot-restart/tests/state_machine.rs
+++ b/crates/hot-restart/tests/state_machine.rs
@@ -58,8 +58,9 @@
     }
 }
 
-/// The old process hands its state to a new one. A shutdown request may come at any step, and the new process may die at
-/// any step: then the old one is the whole gateway again. A third process is told to ask later.
+/// The old process hands its state to a new one. A shutdown request may come at any step, and the
+/// new process may die at any step: then the old one is the whole gateway again. A third process is
+/// told to ask later.
 #[rstest]
 #[case::usual_order(
     vec![HandoffEvent::HandoffRequested(1), HandoffEvent::NewProcessReady(1), HandoffEvent::ShutdownRequested],
@@ -96,7 +97,8 @@
     assert_eq!((actions, machine.stage()), (expected, stage));
 }
 
-/// The new process takes what the old one leaves. The old process dies at the end, so the new one gets everything.
+/// The new process takes what the old one leaves. The old process dies at the end, so the new one
+/// gets everything.
 #[test]
 fn new_process_gets_the_rest_then_everything() {
     let mut machine = HandoffStateMachine::new(TOTAL, ProcessStart::Successor);
@@ -200,7 +202,8 @@
 }
 
 proptest! {
-    /// Both together stay under the limit, whatever the old process uses, once that is no more than its limit.
+    /// Both together stay under the limit, whatever the old process uses, once that is no more than
+    /// its limit.
     #[test]
     fn two_processes_stay_under_one_limit(total in 64_usize..2_000, part in 0.0_f64..1.0, grows: bool) {
         let total = ProcessLimits { descriptors: total, bytes: total << 18 };
--- a/crates/hot-restart/tests/wire_forms.rs
+++ b/crates/hot-restart/tests/wire_forms.rs
@@ -1,5 +1,6 @@
-//! Byte forms of the messages between the two processes of a hot restart. The file in `fixtures/` holds one of each kind as version
-//! 0.4.0 wrote them, one after the other; later versions must read them and write the same bytes.
+//! Byte forms of the messages between the two processes of a hot restart. The file in `fixtures/`
+//! holds one of each kind as version 0.4.0 wrote them, one after the other; later versions must
+//! read them and write the same bytes.
 
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_hot_restart::messages::{
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -19,7 +19,7 @@
 use valehatch_membership::wire::Phase;
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::peers as lists;
+use valehatch_recovery::list_exchange as lists;
 
 use crate::list::EndpointListStore;
 use crate::lock;
@@ -81,7 +81,7 @@
     heart: Mutex<Membership>,
     /// The version of the view up to which its changes were told.
     told: AtomicU64,
-    asks: Mutex<lists::Peers>,
+    asks: Mutex<lists::ListExchange>,
     takers: Lists,
     cores: Vec<Sender<Event>>,
     /// Gateways by which what is shared is divided.
@@ -122,7 +122,7 @@
         let bound = UdpSocket::bind(peers.listen)
             .map_err(|e| format!("peers.listen: {}: {e}", peers.listen))?;
         let marks: Vec<u32> = takers.iter().map(|(name, _)| mark(name)).collect();
-        let asks = Mutex::new(lists::Peers::new(&marks, seed, now()));
+        let asks = Mutex::new(lists::ListExchange::new(&marks, seed, now()));
         let (heart, told, dropped) = (Mutex::new(heart), AtomicU64::new(0), Dropped::default());
         let link = Self {
             socket: bound,
@@ -234,7 +234,7 @@
 
     /// Whoever holds no list asks others for theirs.
     fn ask_for_lists(&self) {
-        let wants = |n: usize| lock(&self.takers[n].1).held().0.told.is_none();
+        let wants = |n: usize| lock(&self.takers[n].1).held().0.version.is_none();
         let mut out = vec![];
         lock(&self.asks).tick(now(), wants, || self.living(), &mut out);
         self.carry_out_lists(out);
@@ -245,7 +245,10 @@
         let held: Vec<_> = self.takers.iter().map(|(_, taker)| lock(taker)).collect();
         let tells = |n: usize| {
             let (book, confirmed) = held.get(n)?.held();
-            Some((book, held[n].age(confirmed?)))
+            Some(lists::ConfirmedList {
+                list: book,
+                age: held[n].age(confirmed?),
+            })
         };
         lock(&self.asks).receive(now(), from, said, tells, &mut out);
         drop(held);
@@ -256,17 +259,17 @@
         for effect in out {
             match effect {
                 lists::Effect::Send { to, bytes } => self.send(LISTS, to, &bytes),
-                lists::Effect::Learned {
+                lists::Effect::ListReceived {
                     front,
-                    listed,
-                    told,
+                    endpoints,
+                    version,
                 } => {
                     let (name, taker) = &self.takers[front];
-                    let count = listed.len();
-                    if lock(taker).guess(listed, told) {
+                    let count = endpoints.len();
+                    if lock(taker).guess(endpoints, version) {
                         tracing::info!(
                             "peers: front {name}: {count} servers at version {} from another gateway",
-                            told.1
+                            version.revision
                         );
                     }
                 }
@@ -397,7 +400,10 @@
             front(MEMBERSHIP, "vestera-test")
         );
         const {
-            assert!(FRONT + valehatch_membership::wire::MOST <= MOST && FRONT + lists::MOST <= MOST)
+            assert!(
+                FRONT + valehatch_membership::wire::MOST <= MOST
+                    && FRONT + lists::MAX_DATAGRAM_BYTES <= MOST
+            )
         };
     }
 }
--- a/crates/net/src/list.rs
+++ b/crates/net/src/list.rs
@@ -15,8 +15,9 @@
 use valehatch_policy::{
     DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Span, Time, ZoneId,
 };
-use valehatch_recovery::book::{
-    DiscoveredEndpoint, EndpointListCache, ForwardedListGuard, TOLD, TOLD_AFTER_WAIT,
+use valehatch_recovery::endpoint_list::{
+    DiscoveredEndpoint, EndpointListCache, ForwardedListGuard, ListScope, ListVersion,
+    PROPAGATION_DEADLINE, PROPAGATION_DEADLINE_AFTER_WAIT,
 };
 
 use super::servers::place_ms;
@@ -87,14 +88,14 @@
     /// Takes what discovery told the other process of this gateway, if that is more than is held: the two are one gateway, which
     /// has been told.
     pub fn hear(&mut self, book: &EndpointListCache) {
-        if let Some(told) = book.told.filter(|_| book.is_ahead_of(&self.book)) {
-            self.ahead = ForwardedListGuard::of(book, self.clock.now());
+        if let Some(told) = book.version.filter(|_| book.is_ahead_of(&self.book)) {
+            self.ahead = ForwardedListGuard::new(book, self.clock.now());
             self.take(
-                told.0,
+                told.source,
                 List {
-                    rev: told.1,
+                    rev: told.revision,
                     all: true,
-                    targets: book.members().cloned().collect(),
+                    targets: book.endpoints().cloned().collect(),
                 },
             );
         }
@@ -105,11 +106,15 @@
     fn told(&mut self, from: SocketAddr, list: List) -> Option<u64> {
         let now = self.clock.now();
         if let Some(ahead) = self.ahead {
-            if ahead.covers(from, list.rev, now) {
+            let version = ListVersion {
+                source: from,
+                revision: list.rev,
+            };
+            if ahead.covers(version, now) {
                 return Some(list.rev);
             }
             self.ahead = None;
-            if ahead.is_beyond(from, list.rev) && !list.all {
+            if ahead.is_newer_than(version) && !list.all {
                 return None;
             }
         }
@@ -117,13 +122,13 @@
     }
 
     /// Takes a list that somebody else than discovery told, unless one is held.
-    pub fn guess(&mut self, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64)) -> bool {
-        let none = self.book.told.is_none();
+    pub fn guess(&mut self, listed: Vec<DiscoveredEndpoint>, told: ListVersion) -> bool {
+        let none = self.book.version.is_none();
         if none {
             self.take(
-                told.0,
+                told.source,
                 List {
-                    rev: told.1,
+                    rev: told.revision,
                     all: true,
                     targets: listed,
                 },
@@ -161,8 +166,8 @@
         let within = site.settings.rules.max_poll_interval;
         // Whatever failed before, what discovery has counts as told in the end: the next call has to go out as much
         // earlier as its answer may take.
-        let room = (TOLD - TOLD_AFTER_WAIT).min(within.times(0.4));
-        let end = duration(TOLD_AFTER_WAIT);
+        let room = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT).min(within.times(0.4));
+        let end = duration(PROPAGATION_DEADLINE_AFTER_WAIT);
         let (whole, watch, pauses) = match teller {
             Teller::Agent => {
                 let agent = CallTimeouts {
@@ -188,7 +193,8 @@
             // call each.
             Teller::Poll => {
                 let turn = duration(within.times(0.25).min(room));
-                let round = valehatch_backoff::round(site.settings.routers, CALLS_S).min(room);
+                let round = valehatch_backoff::fleet_call_interval(site.settings.routers, CALLS_S)
+                    .min(room);
                 let whole = CallTimeouts {
                     late: turn,
                     pieces: turn,
@@ -328,20 +334,16 @@
     }
 
     /// Takes the list as it was held before the last stop, then watches: from there on if the same discovery told it.
-    pub fn resume(
-        self,
-        listed: Vec<DiscoveredEndpoint>,
-        told: (SocketAddr, u64),
-    ) -> io::Result<()> {
+    pub fn resume(self, listed: Vec<DiscoveredEndpoint>, told: ListVersion) -> io::Result<()> {
         let rev = lock(&self.taker).take(
-            told.0,
+            told.source,
             List {
-                rev: told.1,
+                rev: told.revision,
                 all: true,
                 targets: listed,
             },
         );
-        let held = (told.0 == self.place.address()).then_some((told.0, rev));
+        let held = (told.source == self.place.address()).then_some((told.source, rev));
         super::spawn("list", move || self.run(held))
     }
 
@@ -366,7 +368,7 @@
     fn run(mut self, mut told: Option<(SocketAddr, u64)>) {
         let (mut out, mut line, mut trouble) = (vec![], None::<Line>, Trouble::default());
         if self.teller == Teller::Poll {
-            let pause = self.pace.start();
+            let pause = self.pace.initial_pause();
             self.place.rest(self.place.address(), duration(pause));
         }
         loop {
@@ -397,10 +399,10 @@
                     // What is still out was asked before: its answer would be an older one.
                     out.clear();
                     trouble.over();
-                    self.pace.answered();
+                    self.pace.reset();
                     (self.confirmed)();
                 }
-                Err(_) if self.place.address() != address => self.pace.answered(),
+                Err(_) if self.place.address() != address => self.pace.reset(),
                 Err(e) => {
                     trouble.failed(&e);
                     self.rest(address, &e, began, from.map(|_| hold));
@@ -415,7 +417,9 @@
         match self.teller {
             Teller::Agent => HOLD_AGENT,
             _ if trouble => duration(HOLD.0),
-            _ => duration(valehatch_backoff::hold(fleet, CALLS_S, HOLD.0, HOLD.1)),
+            _ => duration(valehatch_backoff::long_poll_wait(
+                fleet, CALLS_S, HOLD.0, HOLD.1,
+            )),
         }
     }
 
@@ -427,11 +431,11 @@
         }
         // What discovery had when this call went out is due by then, and what it had when the call failed by now.
         let room = duration(self.terms.room);
-        let after_wait = hold.unwrap_or_default() + duration(TOLD_AFTER_WAIT) / 2;
+        let after_wait = hold.unwrap_or_default() + duration(PROPAGATION_DEADLINE_AFTER_WAIT) / 2;
         let until = began + room.max(after_wait);
         let room = until.saturating_duration_since(Instant::now()).min(room);
         let room = Span(i64::try_from(room.as_micros()).unwrap_or(i64::MAX));
-        let pause = self.pace.failed_within(room);
+        let pause = self.pace.next_pause_within(room);
         self.place.rest(address, duration(pause));
     }
 
@@ -481,7 +485,16 @@
 
 impl EndpointListStore {
     fn take(&mut self, from: SocketAddr, list: List) -> u64 {
-        self.book.take(from, list.rev, list.all, &list.targets);
+        let version = ListVersion {
+            source: from,
+            revision: list.rev,
+        };
+        let scope = if list.all {
+            ListScope::Full
+        } else {
+            ListScope::Changes
+        };
+        self.book.apply(version, scope, &list.targets);
         // No news: the core need not be told of every call.
         if !list.all && list.targets.is_empty() {
             return list.rev;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,22 +1,28 @@
-//! What is known again after a start, how far it is trusted, and when service is whole again. No I/O, no clock.
+//! Recovery after a start: what is known again, how far it is trusted, and when service is complete
+//! again. No I/O, no clock, no threads.
 //!
-//! | module | holds |
+//! Times come in as [`valehatch_policy::Time`] (monotonic, whole microseconds) or as Unix
+//! milliseconds of the wall clock. Every table is bounded by what discovery lists, by the fronts in
+//! the settings, or by a constant in its module.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | [`book`] | the list of servers as it is held, whole, with its version |
-//! | [`snapshot`] | what is kept for the next start, and its form on a disk |
-//! | [`trust`] | each kind of belief by its source and age: held, a guess, or nothing |
+//! | [`endpoint_list`] | the cached endpoint list with its version |
+//! | [`snapshot`] | what is stored for the next start, and its byte form |
+//! | [`trust`] | how far knowledge is trusted by its kind, source and age |
 //! | [`restore`](restore()) | what a start takes over from a snapshot |
-//! | [`peers`] | the list asked of other gateways where none is held |
-//! | [`service`] | recovering or full, why, and how long it took |
+//! | [`list_exchange`] | endpoint lists requested from other gateways where none is cached |
+//! | [`service`] | whether service is recovering or complete, why, and how long it took |
 
 #![forbid(unsafe_code)]
-#![expect(missing_docs, reason = "not yet split and documented")]
 
-pub mod book;
-pub mod peers;
+pub mod endpoint_list;
+pub mod list_exchange;
 mod restore;
 pub mod service;
 pub mod snapshot;
 pub mod trust;
 
-pub use restore::{Restored, cold_since, restore};
+pub use restore::{
+    DiscardReason, PrimaryHint, RestoredList, RestoredState, restore, slow_start_began_ms,
+};
--- a/crates/recovery/src/restore.rs
+++ b/crates/recovery/src/restore.rs
@@ -1,99 +1,164 @@
 //! What a start takes over from a snapshot.
-
-use std::net::SocketAddr;
+//!
+//! Inputs are the snapshot, a front's name and the wall clock in Unix milliseconds; what is trusted
+//! how long is in [`crate::trust`]. Pure functions, no state.
 
 use valehatch_policy::Span;
 
-use crate::book::DiscoveredEndpoint;
-use crate::snapshot::{Front, Snapshot};
-use crate::trust::{Belief, Source, Trust, trust};
+use crate::endpoint_list::{DiscoveredEndpoint, ListVersion};
+use crate::snapshot::{FrontSnapshot, Snapshot};
+use crate::trust::{KnowledgeKind, KnowledgeSource, TrustLevel, trust};
+
+/// An endpoint list with which service begins.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RestoredList {
+    /// The endpoints, with states, start times and modes as the snapshot knew them.
+    pub endpoints: Vec<DiscoveredEndpoint>,
+    /// The version from which discovery may be watched on.
+    pub version: ListVersion,
+}
+
+/// An endpoint to try first when a group's primary is searched.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PrimaryHint {
+    /// The replication group.
+    pub group: u16,
+    /// The endpoint's name.
+    pub endpoint: String,
+}
+
+/// Why a part of a snapshot was not used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscardReason {
+    /// The snapshot does not contain the front.
+    NoSuchFront,
+    /// Primaries are older than [`crate::trust::MAX_PRIMARY_AGE`].
+    PrimariesTooOld,
+    /// The list is older than [`crate::trust::MAX_LIST_AGE`].
+    ListTooOld,
+}
+
+impl std::fmt::Display for DiscardReason {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            Self::NoSuchFront => "nothing was kept for this front",
+            Self::PrimariesTooOld => "primaries were believed too long ago",
+            Self::ListTooOld => "the list is too old",
+        })
+    }
+}
 
 /// What a start takes over for one front.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Restored {
-    /// The list with which service begins, and where a watch may go on from; `None`: none is held.
-    pub list: Option<(Vec<DiscoveredEndpoint>, (SocketAddr, u64))>,
-    /// Members that were believed to be primaries, by group: where to look first.
-    pub primaries: Vec<(u16, String)>,
-    /// What was left behind, and why: for the log.
-    pub left: Vec<&'static str>,
+pub struct RestoredState {
+    /// The endpoint list; `None` if none is usable.
+    pub list: Option<RestoredList>,
+    /// Where to look for primaries first.
+    pub primaries: Vec<PrimaryHint>,
+    /// What was not used, for the log.
+    pub discarded: Vec<DiscardReason>,
 }
 
-fn span(ms: u64) -> Span {
-    Span(
-        i64::try_from(ms)
-            .unwrap_or(i64::MAX / 1000)
-            .saturating_mul(1000),
-    )
+fn span_from_ms(ms: u64) -> Span {
+    let ms = i64::try_from(ms).unwrap_or(i64::MAX / 1000);
+    Span(ms.saturating_mul(1000))
 }
 
-/// From when on a member's warming counts, where it was this warm (a part, below 1) at a time, in milliseconds: never
-/// earlier than by what it surely has of its capacity.
+/// When the slow start of an endpoint that has this fraction of its capacity must have begun, in
+/// Unix milliseconds: no earlier than the fraction proves.
+///
+/// `initial_capacity` (below 1) is the fraction at the begin of a slow start of this `duration`.
 #[must_use]
-#[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn cold_since(warm: f64, cold: Span, cold_from: f64, now_ms: u64) -> u64 {
-    let grown = ((warm - cold_from) / (1.0 - cold_from)).clamp(0.0, 1.0);
-    now_ms.saturating_sub((cold.as_f64() / 1000.0 * grown) as u64)
+pub fn slow_start_began_ms(
+    capacity: f64,
+    duration: Span,
+    initial_capacity: f64,
+    now_ms: u64,
+) -> u64 {
+    let progress = ((capacity - initial_capacity) / (1.0 - initial_capacity)).clamp(0.0, 1.0);
+    now_ms.saturating_sub((duration.as_f64() / 1000.0 * progress) as u64)
 }
 
-/// What of a snapshot goes for a front, at this time by the wall clock.
+/// What of a snapshot is used for a front, at this time by the wall clock.
 ///
-/// A member that drained goes on draining. One that was warming counts as having begun when it did, and never as warm: its
-/// start is moved up to that time. A primary is marked in the list, whose word is the weakest there is, and only if it is
-/// listed and in use.
+/// Draining endpoints stay draining. An endpoint in slow start continues it from its recorded begin
+/// and never counts as warmed up: its start time is moved to that begin. A primary is marked only
+/// in the list's `mode`, the weakest evidence there is, and only if the endpoint is listed and
+/// active.
 #[must_use]
-pub fn restore(snapshot: &Snapshot, front: &str, now_ms: u64) -> Restored {
-    let Some(kept) = snapshot.fronts.iter().find(|f| f.name == front) else {
-        return Restored {
-            left: vec!["nothing was kept for this front"],
-            ..Restored::default()
+pub fn restore(snapshot: &Snapshot, front: &str, now_ms: u64) -> RestoredState {
+    let Some(stored) = snapshot.fronts.iter().find(|f| f.name == front) else {
+        return RestoredState {
+            discarded: vec![DiscardReason::NoSuchFront],
+            ..RestoredState::default()
         };
     };
-    let age = |at: u64| now_ms.checked_sub(at).map(span);
-    let mut left = vec![];
-    let mut primaries = vec![];
-    for primary in &kept.primaries {
-        // How old it is counts from when it was last so, which is when the snapshot was made.
-        if trust(Belief::Primary, Source::Snapshot, age(snapshot.at_ms)) >= Trust::Guess {
-            primaries.push((primary.group, primary.member.clone()));
-        } else if !left.contains(&"primaries were believed too long ago") {
-            left.push("primaries were believed too long ago");
-        }
+    // Knowledge was last checked when the snapshot was made.
+    let age = now_ms.checked_sub(snapshot.at_ms).map(span_from_ms);
+    let trust = |kind| trust(kind, KnowledgeSource::Snapshot, age);
+    let mut restored = RestoredState::default();
+    if trust(KnowledgeKind::Primary) >= TrustLevel::Hint {
+        restored.primaries = stored.primary_hints();
+    } else if !stored.primaries.is_empty() {
+        restored.discarded.push(DiscardReason::PrimariesTooOld);
     }
-    let list = match kept.book.told {
-        Some(_) if trust(Belief::List, Source::Snapshot, age(snapshot.at_ms)) < Trust::Held => {
-            left.push("the list is too old");
-            None
-        }
-        told => told.map(|told| (listed(kept, &primaries), told)),
+    let Some(version) = stored.list.version else {
+        return restored;
     };
-    if list.is_none() && kept.book.told.is_some() {
-        primaries.clear();
+    if trust(KnowledgeKind::EndpointList) < TrustLevel::Trusted {
+        restored.discarded.push(DiscardReason::ListTooOld);
+        restored.primaries.clear();
+        return restored;
     }
-    Restored {
-        list,
-        primaries,
-        left,
+    restored.list = Some(RestoredList {
+        endpoints: restored_endpoints(stored, &restored.primaries),
+        version,
+    });
+    restored
+}
+
+impl FrontSnapshot {
+    fn primary_hints(&self) -> Vec<PrimaryHint> {
+        let hint = |primary: &crate::snapshot::PrimarySnapshot| PrimaryHint {
+            group: primary.group,
+            endpoint: primary.endpoint.clone(),
+        };
+        self.primaries.iter().map(hint).collect()
     }
 }
 
-#[allow(clippy::cast_precision_loss)]
-fn listed(kept: &Front, primaries: &[(u16, String)]) -> Vec<DiscoveredEndpoint> {
-    let mut book = kept.book.clone();
-    let uses = |l: &DiscoveredEndpoint| l.state == "active";
-    let believed: Vec<(u16, String)> = book
-        .members()
-        .filter(|l| uses(l) && primaries.contains(&(l.pod_group, l.uid.clone())))
-        .map(|l| (l.pod_group, l.uid.clone()))
+fn restored_endpoints(
+    stored: &FrontSnapshot,
+    primaries: &[PrimaryHint],
+) -> Vec<DiscoveredEndpoint> {
+    let mut list = stored.list.clone();
+    let hint = |endpoint: &DiscoveredEndpoint| PrimaryHint {
+        group: endpoint.pod_group,
+        endpoint: endpoint.uid.clone(),
+    };
+    let listed_primaries: Vec<PrimaryHint> = list
+        .endpoints()
+        .filter(|endpoint| endpoint.state == "active")
+        .map(hint)
+        .filter(|endpoint| primaries.contains(endpoint))
         .collect();
-    for server in book.members_mut() {
-        if let Some(cold) = kept.cold.iter().find(|c| c.member == server.uid) {
-            server.boot_ms = server.boot_ms.max(cold.since_ms as f64);
+    for endpoint in list.endpoints_mut() {
+        let warming = stored.warming.iter().find(|w| w.endpoint == endpoint.uid);
+        if let Some(warming) = warming {
+            endpoint.boot_ms = endpoint.boot_ms.max(warming.since_ms as f64);
         }
-        if believed.iter().any(|(group, _)| *group == server.pod_group) {
-            let primary = believed.contains(&(server.pod_group, server.uid.clone()));
-            server.mode = if primary { "read-write" } else { "read-only" }.to_owned();
+        if listed_primaries
+            .iter()
+            .any(|p| p.group == endpoint.pod_group)
+        {
+            let is_primary = listed_primaries.contains(&hint(endpoint));
+            endpoint.mode = if is_primary {
+                "read-write"
+            } else {
+                "read-only"
+            }
+            .to_owned();
         }
     }
-    book.members().cloned().collect()
+    list.endpoints().cloned().collect()
 }
--- a/crates/recovery/src/service.rs
+++ b/crates/recovery/src/service.rs
@@ -1,29 +1,32 @@
-//! Recovering or full: since when, why, and how long it took.
+//! Whether service is recovering or complete since a start: why, since when, and how long it took.
+//!
+//! Inputs are confirmed lists, finished requests, and time in whole microseconds. The state holds
+//! one entry per front and one per 100 ms of the last [`STEADY`].
 
-use std::collections::VecDeque;
+use std::collections::{BTreeSet, VecDeque};
 
 use valehatch_policy::{Span, Time};
 
-/// How long service must have been whole before it counts as full.
+/// How long service must have been complete before it counts as full.
 pub const STEADY: Span = Span::from_millis(2_000);
-/// The part of the requests that have to be served in that time.
-pub const SERVED: f64 = 0.98;
-/// How fine the time is looked at.
+/// Least fraction of the requests of that time that were served.
+pub const MIN_SERVED_FRACTION: f64 = 0.98;
+/// Resolution in which requests are counted.
 const STEP: Span = Span::from_millis(100);
 
 /// Why service is not full yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveringReason {
-    /// Of so many fronts nobody has confirmed the list: it is from the snapshot, or there is none.
+    /// This many fronts have a list from the snapshot or none: discovery has not confirmed it.
     List(usize),
-    /// Too few requests were served of late.
+    /// Too few of the recent requests were served.
     Served,
-    /// It has not been whole for long enough.
+    /// Service has not been complete for [`STEADY`].
     Steady,
 }
 
 impl RecoveringReason {
-    /// In one word.
+    /// The name shown in the log and in the state file.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -34,108 +37,134 @@
     }
 }
 
-/// How service is.
+/// The state of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Coming back, and what is wanting.
+pub enum ServiceState {
+    /// Not full yet, for this reason.
     Recovering(RecoveringReason),
-    /// Whole since, and how long that took from the start.
-    Full { since: Time, took: Span },
+    /// Complete.
+    Full {
+        /// Since when.
+        since: Time,
+        /// Time from the start until then.
+        took: Span,
+    },
 }
 
-/// Service since a start. Once full it stays so: what goes wrong later is no recovery.
+/// The result of a request, as far as recovery is concerned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestResult {
+    /// It had an answer, in time or late.
+    Served,
+    /// It was rejected or failed.
+    Failed,
+}
+
+/// Requests that finished within one [`STEP`].
+#[derive(Clone, Copy, Debug)]
+struct StepCounts {
+    start: Time,
+    finished: u64,
+    served: u64,
+}
+
+/// Service since a start. Once full it stays full: later faults are no recovery.
 #[derive(Debug)]
-pub struct Service {
-    began: Time,
-    /// Fronts whose list is not confirmed.
-    unconfirmed: Vec<bool>,
+pub struct ServiceRecovery {
+    started_at: Time,
+    /// Fronts, by index, whose list discovery has not confirmed.
+    unconfirmed_fronts: BTreeSet<usize>,
     confirmed_at: Time,
-    /// Requests answered and served, by step, of the last `STEADY`.
-    steps: VecDeque<(Time, u64, u64)>,
-    state: State,
+    /// Steps of the last [`STEADY`] in which requests finished, the oldest first.
+    steps: VecDeque<StepCounts>,
+    state: ServiceState,
 }
 
-impl Service {
-    /// A start with so many fronts whose lists have to be confirmed.
+impl ServiceRecovery {
+    /// A start with this many fronts whose lists discovery has to confirm.
     #[must_use]
     pub fn new(fronts: usize, now: Time) -> Self {
-        let why = if fronts == 0 {
+        let reason = if fronts == 0 {
             RecoveringReason::Steady
         } else {
             RecoveringReason::List(fronts)
         };
-        let (steps, state) = (VecDeque::new(), State::Recovering(why));
         Self {
-            began: now,
-            unconfirmed: vec![true; fronts],
+            started_at: now,
+            unconfirmed_fronts: (0..fronts).collect(),
             confirmed_at: now,
-            steps,
-            state,
+            steps: VecDeque::new(),
+            state: ServiceState::Recovering(reason),
         }
     }
 
-    /// A front's list was confirmed.
-    pub fn confirmed(&mut self, front: usize, now: Time) {
-        if let Some(waits) = self.unconfirmed.get_mut(front).filter(|w| **w) {
-            *waits = false;
+    /// Discovery confirmed the list of a front; only the first time counts.
+    pub fn list_confirmed(&mut self, front: usize, now: Time) {
+        if self.unconfirmed_fronts.remove(&front) {
             self.confirmed_at = self.confirmed_at.max(now);
         }
     }
 
     /// A request had its final answer.
-    pub fn answered(&mut self, served: bool, now: Time) {
-        if matches!(self.state, State::Full { .. }) {
+    pub fn request_finished(&mut self, result: RequestResult, now: Time) {
+        if matches!(self.state, ServiceState::Full { .. }) {
             return;
         }
-        let step = Time(now.0 - now.0.rem_euclid(STEP.0));
-        if self.steps.back().is_none_or(|(at, ..)| *at < step) {
-            self.steps.push_back((step, 0, 0));
+        let start = Time(now.0 - now.0.rem_euclid(STEP.0));
+        if self.steps.back().is_none_or(|step| step.start < start) {
+            self.steps.push_back(StepCounts {
+                start,
+                finished: 0,
+                served: 0,
+            });
         }
-        if let Some((_, asked, ok)) = self.steps.back_mut() {
-            *asked += 1;
-            *ok += u64::from(served);
+        if let Some(step) = self.steps.back_mut() {
+            step.finished += 1;
+            step.served += u64::from(result == RequestResult::Served);
         }
     }
 
-    /// How service is now; `Some` if that is not what it was.
-    #[allow(clippy::cast_precision_loss)]
-    pub fn look(&mut self, now: Time) -> Option<State> {
-        if matches!(self.state, State::Full { .. }) {
+    /// Updates the state; `Some` if it changed.
+    pub fn update(&mut self, now: Time) -> Option<ServiceState> {
+        if matches!(self.state, ServiceState::Full { .. }) {
             return None;
         }
         while self
             .steps
             .front()
-            .is_some_and(|(at, ..)| *at + STEP <= now - STEADY)
+            .is_some_and(|step| step.start + STEP <= now - STEADY)
         {
             self.steps.pop_front();
         }
-        let waits = self.unconfirmed.iter().filter(|w| **w).count();
-        let (asked, served) = self
-            .steps
-            .iter()
-            .fold((0, 0), |(a, s), (_, asked, ok)| (a + asked, s + ok));
-        let whole = asked == 0 || served as f64 >= SERVED * asked as f64;
-        // The first moment from which on it was whole: nobody was turned away since, or too few.
-        let since = self.confirmed_at;
-        let state = match () {
-            () if waits > 0 => State::Recovering(RecoveringReason::List(waits)),
-            () if !whole => State::Recovering(RecoveringReason::Served),
-            () if now - since < STEADY => State::Recovering(RecoveringReason::Steady),
-            () => {
-                let since = since.max(now - STEADY);
-                State::Full {
-                    since,
-                    took: since - self.began,
-                }
-            }
-        };
-        (std::mem::replace(&mut self.state, state) != state).then_some(state)
+        let state = self.current_state(now);
+        let before = std::mem::replace(&mut self.state, state);
+        (before != state).then_some(state)
+    }
+
+    fn current_state(&self, now: Time) -> ServiceState {
+        let unconfirmed = self.unconfirmed_fronts.len();
+        if unconfirmed > 0 {
+            return ServiceState::Recovering(RecoveringReason::List(unconfirmed));
+        }
+        let finished: u64 = self.steps.iter().map(|step| step.finished).sum();
+        let served: u64 = self.steps.iter().map(|step| step.served).sum();
+        let enough_served = finished == 0 || served as f64 >= MIN_SERVED_FRACTION * finished as f64;
+        if !enough_served {
+            return ServiceState::Recovering(RecoveringReason::Served);
+        }
+        if now - self.confirmed_at < STEADY {
+            return ServiceState::Recovering(RecoveringReason::Steady);
+        }
+        let since = self.confirmed_at.max(now - STEADY);
+        ServiceState::Full {
+            since,
+            took: since - self.started_at,
+        }
     }
 
-    /// How service was when it was last looked at.
+    /// The state at the last [`Self::update`].
     #[must_use]
-    pub const fn state(&self) -> State {
+    pub const fn state(&self) -> ServiceState {
         self.state
     }
 }
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -1,93 +1,96 @@
-//! What is kept for the next start, and its form on a disk.
+//! The snapshot: what is stored for the next start, and its byte form.
 //!
-//! `VHSN`, the version (two bytes), the length of what follows the head (four), its CRC-32 (four), then postcard. Anything
-//! that is not exactly that is unusable, and says why; nothing of it is taken.
+//! The byte form is a header of 14 bytes and a postcard body: `VHSN`, the version (two bytes), the
+//! length of the body (four bytes) and its CRC-32 (four bytes), all big-endian. Bytes that are not
+//! exactly that are rejected as a whole. A snapshot has at most [`MAX_BYTES`]. Times are Unix
+//! milliseconds. The order of fields is part of the byte form.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::book::EndpointListCache;
+use crate::endpoint_list::EndpointListCache;
 
 const MAGIC: [u8; 4] = *b"VHSN";
-/// Another form takes another number: no version reads another's.
+/// Version of the byte form; a program reads only its own version.
 pub const VERSION: u16 = 1;
-const HEAD: usize = 14;
-/// Bytes that a snapshot may have; a longer one is neither written nor read.
-pub const MOST: usize = 16 * 1024 * 1024;
+const HEADER_BYTES: usize = 14;
+/// Longest snapshot, in bytes; a longer one is neither written nor read.
+pub const MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// A group's primary, as it was believed.
+/// A group's primary as it was known.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Primary {
-    /// The group.
+pub struct PrimarySnapshot {
+    /// The replication group.
     pub group: u16,
-    /// The member's name.
-    pub member: String,
-    /// Since when it was believed, in Unix milliseconds.
+    /// The endpoint's name.
+    pub endpoint: String,
+    /// Since when it was known as the primary, in Unix milliseconds.
     pub since_ms: u64,
-    /// The member said so itself, in an answer or a report; else the list did.
+    /// Whether the endpoint said so itself, in an answer or a load report; otherwise the endpoint
+    /// list did.
     pub proved: bool,
 }
 
-/// A member that was not warm yet.
+/// An endpoint in slow start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cold {
+pub struct WarmingEndpoint {
     /// Its name.
-    pub member: String,
-    /// From when on its warming counts, in Unix milliseconds: its start, or when it came back into reach.
+    pub endpoint: String,
+    /// Begin of the slow start in Unix milliseconds: its start, or when it became reachable again.
     pub since_ms: u64,
 }
 
-/// A front.
+/// What is stored of a front.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Front {
-    /// Its name in the file.
+pub struct FrontSnapshot {
+    /// Its name in the settings.
     pub name: String,
-    /// The list; empty where the file names the members.
-    pub book: EndpointListCache,
-    /// Believed primaries.
-    pub primaries: Vec<Primary>,
-    /// Members that were warming.
-    pub cold: Vec<Cold>,
+    /// The endpoint list; empty where the settings name the endpoints.
+    pub list: EndpointListCache,
+    /// Known primaries.
+    pub primaries: Vec<PrimarySnapshot>,
+    /// Endpoints in slow start.
+    pub warming: Vec<WarmingEndpoint>,
 }
 
-/// What a gateway keeps.
+/// What is stored of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Whose it is.
+    /// The gateway's name.
     pub gateway: String,
-    /// When it was made, in Unix milliseconds.
+    /// When the snapshot was made, in Unix milliseconds.
     pub at_ms: u64,
-    /// The fronts.
-    pub fronts: Vec<Front>,
-    /// Other gateways that lived.
-    pub fleet: Vec<SocketAddr>,
+    /// The fronts, in the order of the settings.
+    pub fronts: Vec<FrontSnapshot>,
+    /// Addresses of other gateways that were live.
+    pub gateways: Vec<SocketAddr>,
 }
 
-/// Why nothing was taken from a snapshot.
+/// Why a snapshot was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
-    /// It ends before its time, or goes on after it.
-    Torn,
-    /// It does not begin as one.
-    Foreign,
-    /// It is of another version.
+pub enum SnapshotError {
+    /// It is shorter or longer than its header says.
+    Truncated,
+    /// It does not begin like a snapshot.
+    NotASnapshot,
+    /// It has this version instead of [`VERSION`].
     Version(u16),
-    /// Its bytes are not those that were written.
-    Spoilt,
-    /// It is of a gateway of this name.
+    /// The checksum or the body is wrong.
+    Corrupt,
+    /// It belongs to the gateway of this name.
     OtherGateway(String),
-    /// It was made so many milliseconds from now: the clock stands before it.
+    /// It was made this many milliseconds after the current wall clock time.
     Future(u64),
 }
 
-impl std::fmt::Display for Unusable {
+impl std::fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Torn => f.write_str("it is not whole"),
-            Self::Foreign => f.write_str("it is no snapshot"),
+            Self::Truncated => f.write_str("it is not whole"),
+            Self::NotASnapshot => f.write_str("it is no snapshot"),
             Self::Version(v) => write!(f, "it is of version {v}, not {VERSION}"),
-            Self::Spoilt => f.write_str("its checksum is wrong"),
+            Self::Corrupt => f.write_str("its checksum is wrong"),
             Self::OtherGateway(name) => write!(f, "it is of the gateway {name:?}"),
             Self::Future(ms) => write!(
                 f,
@@ -97,54 +100,73 @@
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for SnapshotError {}
+
+/// The fields after the magic bytes of a header.
+struct Header {
+    version: u16,
+    body_bytes: u32,
+    checksum: u32,
+}
+
+impl Header {
+    fn decode(header: &[u8]) -> Option<Self> {
+        let fields = header.strip_prefix(&MAGIC)?;
+        let [v, w, l0, l1, l2, l3, c0, c1, c2, c3] = *fields.first_chunk()?;
+        Some(Self {
+            version: u16::from_be_bytes([v, w]),
+            body_bytes: u32::from_be_bytes([l0, l1, l2, l3]),
+            checksum: u32::from_be_bytes([c0, c1, c2, c3]),
+        })
+    }
+}
 
 impl Snapshot {
-    /// The bytes, or nothing if that is more than may be written.
+    /// The byte form; `None` if it is longer than [`MAX_BYTES`].
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         let body = postcard::to_stdvec(self)
             .ok()
-            .filter(|b| b.len() <= MOST - HEAD)?;
+            .filter(|body| body.len() <= MAX_BYTES - HEADER_BYTES)?;
         let length = u32::try_from(body.len()).ok()?;
-        let head = [
+        let header = [
             &MAGIC[..],
             &VERSION.to_be_bytes(),
             &length.to_be_bytes(),
             &crc32fast::hash(&body).to_be_bytes(),
         ];
-        Some([&head.concat()[..], &body].concat())
+        Some([&header.concat()[..], &body].concat())
     }
 
-    /// Reads the bytes of this gateway's snapshot, at this time by the wall clock.
+    /// Decodes the snapshot of the gateway of this name, at this time by the wall clock.
     ///
     /// # Errors
-    /// Why nothing is taken from it.
-    pub fn decode(bytes: &[u8], gateway: &str, now_ms: u64) -> Result<Self, Unusable> {
-        let (head, body) = bytes.split_at_checked(HEAD).ok_or(Unusable::Torn)?;
-        let rest = head.strip_prefix(&MAGIC).ok_or(Unusable::Foreign)?;
-        let version = u16::from_be_bytes([rest[0], rest[1]]);
-        if version != VERSION {
-            return Err(Unusable::Version(version));
+    /// Each variant of [`SnapshotError`].
+    pub fn decode(bytes: &[u8], gateway: &str, now_ms: u64) -> Result<Self, SnapshotError> {
+        let (header, body) = bytes
+            .split_at_checked(HEADER_BYTES)
+            .ok_or(SnapshotError::Truncated)?;
+        let header = Header::decode(header).ok_or(SnapshotError::NotASnapshot)?;
+        if header.version != VERSION {
+            return Err(SnapshotError::Version(header.version));
         }
-        let number =
-            |at: usize| u32::from_be_bytes([rest[at], rest[at + 1], rest[at + 2], rest[at + 3]]);
-        if usize::try_from(number(2)) != Ok(body.len()) {
-            return Err(Unusable::Torn);
+        if usize::try_from(header.body_bytes) != Ok(body.len()) {
+            return Err(SnapshotError::Truncated);
         }
-        if crc32fast::hash(body) != number(6) {
-            return Err(Unusable::Spoilt);
+        if crc32fast::hash(body) != header.checksum {
+            return Err(SnapshotError::Corrupt);
         }
-        let (read, rest) = postcard::take_from_bytes::<Self>(body).map_err(|_| Unusable::Spoilt)?;
+        let (snapshot, rest) =
+            postcard::take_from_bytes::<Self>(body).map_err(|_| SnapshotError::Corrupt)?;
         if !rest.is_empty() {
-            return Err(Unusable::Spoilt);
+            return Err(SnapshotError::Corrupt);
         }
-        if read.gateway != gateway {
-            return Err(Unusable::OtherGateway(read.gateway));
+        if snapshot.gateway != gateway {
+            return Err(SnapshotError::OtherGateway(snapshot.gateway));
         }
-        match read.at_ms.checked_sub(now_ms) {
-            Some(ahead @ 1..) => Err(Unusable::Future(ahead)),
-            _ => Ok(read),
+        match snapshot.at_ms.checked_sub(now_ms) {
+            Some(ahead_ms @ 1..) => Err(SnapshotError::Future(ahead_ms)),
+            _ => Ok(snapshot),
         }
     }
 }
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,73 +1,90 @@
-//! How far a belief that was not learned since the start is trusted.
+//! How far knowledge is trusted that was not learned since the start.
+//!
+//! Inputs are its kind, its source and its age; ages are spans in whole microseconds. Pure
+//! functions, no state.
 
 use valehatch_policy::Span;
 
-/// Kinds of beliefs.
+/// What the knowledge is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
-    /// Which members there are, with their states.
-    List,
-    /// That a member drains or is gone.
-    Leaving,
-    /// Which member is a group's primary.
+pub enum KnowledgeKind {
+    /// Which endpoints there are, with their states.
+    EndpointList,
+    /// That an endpoint drains or has left.
+    Draining,
+    /// Which endpoint is a group's primary.
     Primary,
-    /// How far a member's log was.
-    Position,
-    /// That a member is warm.
-    Warm,
+    /// An endpoint's replication position.
+    ReplicationPosition,
+    /// That an endpoint is through its slow start.
+    WarmedUp,
     /// Which other gateways there are.
-    Fleet,
+    Gateways,
 }
 
-/// Where it is from.
+/// Where the knowledge comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum KnowledgeSource {
     /// This gateway's own snapshot.
     Snapshot,
     /// Another gateway.
     Peer,
 }
 
-/// How far it goes.
+/// How far the knowledge is used; a higher level includes the lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Trust {
+pub enum TrustLevel {
     /// As if it were not known.
-    Nothing,
+    Ignored,
     /// It says where to look first; what is found there decides.
-    Guess,
-    /// It is acted on until something better is known.
-    Held,
+    Hint,
+    /// It is acted on until something newer is known.
+    Trusted,
 }
 
-/// A list older than this names machines that may have been replaced by others at the same addresses.
-pub const LIST: Span = Span::from_millis(15 * 60_000);
-/// A primary that was believed longer ago than this saves no search.
-pub const PRIMARY: Span = Span::from_millis(60_000);
-/// Gateways are asked for longer: one that is not there costs a datagram now and then.
-pub const FLEET: Span = Span::from_millis(24 * 3_600_000);
+/// Longest age of an endpoint list; an older one may name machines whose addresses others have now.
+pub const MAX_LIST_AGE: Span = Span::from_millis(15 * 60_000);
+/// Longest age of a known primary; an older one saves no search.
+pub const MAX_PRIMARY_AGE: Span = Span::from_millis(60_000);
+/// Longest age of the list of gateways. Longer than the others, since asking a gateway that has
+/// gone costs one datagram.
+pub const MAX_GATEWAYS_AGE: Span = Span::from_millis(24 * 3_600_000);
 
-/// How far a belief goes by its source and age; `None`: it is not known how old it is, as where the clock stands before
-/// the time at which it was noted.
+/// How far knowledge is trusted. An `age` of `None` is unknown, as where the wall clock stands
+/// before the time of the record; unknown and negative ages are never trusted.
 #[must_use]
-pub fn trust(belief: Belief, source: Source, age: Option<Span>) -> Trust {
+pub fn trust(kind: KnowledgeKind, source: KnowledgeSource, age: Option<Span>) -> TrustLevel {
     let Some(age) = age.filter(|age| *age >= Span(0)) else {
-        return Trust::Nothing;
+        return TrustLevel::Ignored;
     };
-    let within = |bound: Span, trust: Trust| if age <= bound { trust } else { Trust::Nothing };
-    match (belief, source) {
-        // The list that is held goes on to hold while discovery is silent; another's may be of another deployment.
-        (Belief::List, Source::Snapshot) => within(LIST, Trust::Held),
-        (Belief::List, Source::Peer) => within(LIST, Trust::Guess),
-        // That one must not be used is safe to believe of whom it may.
-        (Belief::Leaving, _) => within(LIST, Trust::Held),
-        // The member's own answer is the proof, whoever told it.
-        (Belief::Primary, _) => within(PRIMARY, Trust::Guess),
-        // A log does not go back: what it had reached it has reached, at the time at which it was seen, if it is the same
-        // process still; that is for whoever uses it to know. From another it is hearsay.
-        (Belief::Position, Source::Snapshot) => within(LIST, Trust::Guess),
-        (Belief::Position, Source::Peer) => Trust::Nothing,
-        // It may have started anew since: warm is who has been seen to be.
-        (Belief::Warm, _) => Trust::Nothing,
-        (Belief::Fleet, _) => within(FLEET, Trust::Guess),
+    let up_to = |max_age: Span, level: TrustLevel| {
+        if age <= max_age {
+            level
+        } else {
+            TrustLevel::Ignored
+        }
+    };
+    match (kind, source) {
+        // The cached list stays in use while discovery is silent. Another gateway's may be of
+        // another deployment.
+        (KnowledgeKind::EndpointList, KnowledgeSource::Snapshot) => {
+            up_to(MAX_LIST_AGE, TrustLevel::Trusted)
+        }
+        (KnowledgeKind::EndpointList, KnowledgeSource::Peer) => {
+            up_to(MAX_LIST_AGE, TrustLevel::Hint)
+        }
+        // Not using an endpoint is the safe error.
+        (KnowledgeKind::Draining, _) => up_to(MAX_LIST_AGE, TrustLevel::Trusted),
+        // The endpoint's own answer proves it, whatever the source was.
+        (KnowledgeKind::Primary, _) => up_to(MAX_PRIMARY_AGE, TrustLevel::Hint),
+        // A position never goes back while the same database process runs; who uses the hint checks
+        // that it does.
+        (KnowledgeKind::ReplicationPosition, KnowledgeSource::Snapshot) => {
+            up_to(MAX_LIST_AGE, TrustLevel::Hint)
+        }
+        (KnowledgeKind::ReplicationPosition, KnowledgeSource::Peer) => TrustLevel::Ignored,
+        // The endpoint may have restarted since; only what is observed now counts.
+        (KnowledgeKind::WarmedUp, _) => TrustLevel::Ignored,
+        (KnowledgeKind::Gateways, _) => up_to(MAX_GATEWAYS_AGE, TrustLevel::Hint),
     }
 }
--- a/crates/recovery/tests/stored_forms.rs
+++ b/crates/recovery/tests/stored_forms.rs
@@ -1,28 +1,32 @@
-//! Byte forms of the snapshot file, the server list and the datagrams that gateways exchange about it. Files in `fixtures/`
-//! were written by version 0.4.0; later versions must read them and write the same bytes.
+//! Byte forms of the snapshot file, the endpoint list and the datagrams of the list exchange. Files
+//! in `fixtures/` were written by version 0.4.0; later versions must read them and write the same
+//! bytes.
 
 use std::net::SocketAddr;
 
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::book::{DiscoveredEndpoint, EndpointListCache};
-use valehatch_recovery::peers::{Effect, Peers};
+use valehatch_recovery::endpoint_list::{
+    DiscoveredEndpoint, EndpointListCache, ListScope, ListVersion,
+};
+use valehatch_recovery::list_exchange::{ConfirmedList, Effect, ListExchange};
 use valehatch_recovery::service::RecoveringReason;
-use valehatch_recovery::snapshot::{Cold, Front, Primary, Snapshot};
+use valehatch_recovery::snapshot::{FrontSnapshot, PrimarySnapshot, Snapshot, WarmingEndpoint};
 
 const SNAPSHOT: &[u8] = include_bytes!("fixtures/snapshot.bin");
 const LIST: &[u8] = include_bytes!("fixtures/list.bin");
-const PIECE: &[u8] = include_bytes!("fixtures/list_piece.bin");
+const CHUNK: &[u8] = include_bytes!("fixtures/list_piece.bin");
 const MADE_MS: u64 = 1_700_000_000_000;
-/// The number under which both sides know the list, and the message that asks for it from its beginning.
-const MARK: u32 = 0x1234_5678;
-const ASK: &[u8] = b"\x00\xf8\xac\xd1\x91\x01\x00";
-const NOTHING: &[u8] = b"\x02\xf8\xac\xd1\x91\x01";
+/// The number by which both sides know the front; below it the request for its list from the
+/// beginning.
+const FRONT_ID: u32 = 0x1234_5678;
+const REQUEST: &[u8] = b"\x00\xf8\xac\xd1\x91\x01\x00";
+const NO_LIST: &[u8] = b"\x02\xf8\xac\xd1\x91\x01";
 
 fn address(text: &str) -> SocketAddr {
     text.parse().unwrap()
 }
 
-fn server(uid: &str, group: u16, state: &str, mode: &str) -> DiscoveredEndpoint {
+fn endpoint(uid: &str, group: u16, state: &str, mode: &str) -> DiscoveredEndpoint {
     DiscoveredEndpoint {
         uid: uid.into(),
         endpoint: format!("10.1.0.7:{}", 5432 + group),
@@ -38,41 +42,45 @@
 
 fn list() -> EndpointListCache {
     let mut list = EndpointListCache::default();
-    let servers = [
-        server("s-2", 300, "leaving", "read-only"),
-        server("s-1", 0, "active", "read-write"),
+    let endpoints = [
+        endpoint("s-2", 300, "leaving", "read-only"),
+        endpoint("s-1", 0, "active", "read-write"),
     ];
-    list.take(address("[2001:db8::8]:8500"), 4_711, true, &servers);
+    let version = ListVersion {
+        source: address("[2001:db8::8]:8500"),
+        revision: 4_711,
+    };
+    list.apply(version, ListScope::Full, &endpoints);
     list
 }
 
 fn snapshot() -> Snapshot {
-    let primary = |group, proved| Primary {
+    let primary = |group, proved| PrimarySnapshot {
         group,
-        member: "s-1".into(),
+        endpoint: "s-1".into(),
         since_ms: MADE_MS - 5_000,
         proved,
     };
-    let front = Front {
+    let front = FrontSnapshot {
         name: "platform".into(),
-        book: list(),
+        list: list(),
         primaries: vec![primary(0, true), primary(300, false)],
-        cold: vec![Cold {
-            member: "s-2".into(),
+        warming: vec![WarmingEndpoint {
+            endpoint: "s-2".into(),
             since_ms: MADE_MS - 3_000,
         }],
     };
-    let fixed = Front {
+    let fixed = FrontSnapshot {
         name: "fixed".into(),
-        book: EndpointListCache::default(),
+        list: EndpointListCache::default(),
         primaries: vec![],
-        cold: vec![],
+        warming: vec![],
     };
     Snapshot {
         gateway: "gateway-1".into(),
         at_ms: MADE_MS,
         fronts: vec![front, fixed],
-        fleet: vec![address("10.0.0.1:7946"), address("[2001:db8::1]:7946")],
+        gateways: vec![address("10.0.0.1:7946"), address("[2001:db8::1]:7946")],
     }
 }
 
@@ -92,13 +100,13 @@
 }
 
 /// The datagram that a gateway without a list sends first, and that gateway.
-fn asker() -> (Peers, Vec<Effect>) {
-    let (mut peers, mut out) = (Peers::new(&[MARK], 1, Time(0)), vec![]);
+fn requester() -> (ListExchange, Vec<Effect>) {
+    let (mut exchange, mut out) = (ListExchange::new(&[FRONT_ID], 1, Time(0)), vec![]);
     let living = || vec![address("10.0.0.1:7946")];
     // The first call only draws a delay.
-    peers.tick(Time(0), |_| true, living, &mut out);
-    peers.tick(Time(1_000_000), |_| true, living, &mut out);
-    (peers, out)
+    exchange.tick(Time(0), |_| true, living, &mut out);
+    exchange.tick(Time(1_000_000), |_| true, living, &mut out);
+    (exchange, out)
 }
 
 #[test]
@@ -109,49 +117,58 @@
             bytes: bytes.to_vec(),
         }]
     };
-    assert_eq!(asker().1, send("10.0.0.1:7946", ASK));
+    assert_eq!(requester().1, send("10.0.0.1:7946", REQUEST));
     let list = list();
-    for (held, answer) in [
-        (Some((&list, Span::from_millis(1_500))), PIECE),
-        (None, NOTHING),
-    ] {
-        let (mut peers, mut out) = (Peers::new(&[MARK], 2, Time(0)), vec![]);
-        peers.receive(Time(0), address("10.0.0.2:7946"), ASK, |_| held, &mut out);
+    let confirmed = ConfirmedList {
+        list: &list,
+        age: Span::from_millis(1_500),
+    };
+    for (confirmed, answer) in [(Some(confirmed), CHUNK), (None, NO_LIST)] {
+        let (mut exchange, mut out) = (ListExchange::new(&[FRONT_ID], 2, Time(0)), vec![]);
+        exchange.receive(
+            Time(0),
+            address("10.0.0.2:7946"),
+            REQUEST,
+            |_| confirmed,
+            &mut out,
+        );
         assert_eq!(out, send("10.0.0.2:7946", answer));
     }
 }
 
 #[test]
 fn stored_list_answers_are_understood() {
-    let (mut peers, mut out) = asker();
+    let (mut exchange, mut out) = requester();
     out.clear();
-    peers.receive(
+    exchange.receive(
         Time(1_000_000),
         address("10.0.0.1:7946"),
-        PIECE,
+        CHUNK,
         |_| None,
         &mut out,
     );
-    let (listed, told) = (list().members().cloned().collect(), list().told.unwrap());
+    let endpoints = list().endpoints().cloned().collect();
+    let version = list().version.unwrap();
     assert_eq!(
         out,
-        [Effect::Learned {
+        [Effect::ListReceived {
             front: 0,
-            listed,
-            told
+            endpoints,
+            version
         }]
     );
-    // Without a list to learn the asker goes on to its next round, which is later than a repeated request would be.
-    let (mut peers, mut out) = asker();
-    let repeat = peers.next_due();
-    peers.receive(
+    // Without a list to receive the requester goes on to its next round, which is later than a
+    // repeated request would be.
+    let (mut exchange, mut out) = requester();
+    let repeat = exchange.next_due();
+    exchange.receive(
         Time(1_000_000),
         address("10.0.0.1:7946"),
-        NOTHING,
+        NO_LIST,
         |_| None,
         &mut out,
     );
-    assert!(peers.next_due() > repeat);
+    assert!(exchange.next_due() > repeat);
 }
 
 #[test]
