--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -25,9 +25,9 @@
         }
         if let Some((member, sent)) = held.out.take() {
             held.tries.push(AttemptRecord {
-                member,
+                endpoint: member,
                 outcome: AttemptOutcome::Unfinished,
-                took_us: micros(now - sent),
+                duration_us: micros(now - sent),
             });
         }
         let waited = held.first.unwrap_or(now) - held.arrived;
@@ -36,7 +36,7 @@
             held.class,
             held.tenant,
             held.group,
-            ending,
+            outcome: ending,
             attempts,
             times,
             effects,
@@ -69,7 +69,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if let Some(figures) = &self.facts.metrics {
-            figures.ended(class, &ending);
+            figures.count_final_answer(class, &ending);
         }
         let Some(watched) = &self.facts.observability else {
             return;
@@ -79,9 +79,9 @@
             class: Arc::clone(&watched.classes[class]),
             tenant: tenant.and_then(|t| watched.tenants.get(t).cloned()),
             group: group.0,
-            ending,
+            outcome: ending,
             attempts,
-            waited_us: micros(waited),
+            queued_us: micros(waited),
             total_us: micros(total),
         })));
     }
@@ -93,9 +93,9 @@
             return;
         };
         self.tries.push(AttemptRecord {
-            member,
+            endpoint: member,
             outcome: outcome.into(),
-            took_us: micros(now - sent),
+            duration_us: micros(now - sent),
         });
     }
 }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -117,7 +117,7 @@
         self.act_on_verdicts(now, &mut let_in, effects);
         self.pending.extend(let_in);
         if let Some(figures) = &self.facts.metrics {
-            figures.gauges(
+            figures.set_gauges(
                 self.requests.len(),
                 self.members.len(),
                 self.router.avoided(),
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -18,7 +18,7 @@
 use valehatch_net::clients::{AddressSharing, BacklogOwner, Clients, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
-use valehatch_recovery::book::EndpointListCache;
+use valehatch_recovery::endpoint_list::EndpointListCache;
 use valehatch_recovery::snapshot::Snapshot;
 
 use crate::error::StartError;
@@ -195,7 +195,7 @@
             gateway: self.gateway.clone(),
             at_ms,
             fronts,
-            fleet: vec![],
+            gateways: vec![],
         };
         snapshot.encode()
     }
@@ -220,11 +220,11 @@
         };
         let mut store = valehatch_net::lock(store);
         store.hear(&received);
-        let cached_source = store.held().0.told.map(|(address, _)| address);
+        let cached_source = store.held().0.version.map(|version| version.source);
         drop(store);
         // The other process has been sent SIGHUP and polls another address now. The signal was meant for the gateway,
         // so this process reads the configuration too; it takes no list of the new address but from there itself.
-        let received_source = received.told.map(|(address, _)| address);
+        let received_source = received.version.map(|version| version.source);
         if received_source != cached_source {
             (self.reload_discovery)();
         }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -230,11 +230,11 @@
         let (clock, list_index) = (self.clock, self.discovery_index(index));
         let watch = watch.telling(move || {
             status.on_endpoint_list(index);
-            valehatch_net::lock(&service).confirmed(list_index, clock.now());
+            valehatch_net::lock(&service).list_confirmed(list_index, clock.now());
         });
         let endpoint_list = watch.taker();
         let started = match recovery::restore_front(self.snapshot, &front.name).list {
-            Some((endpoints, source)) => watch.resume(endpoints, source),
+            Some(list) => watch.resume(list.endpoints, list.version),
             None => watch.start(&serde_json::Value::Null),
         };
         started.map_err(StartError::resource(format!("front.{index}")))?;
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -20,6 +20,7 @@
 use valehatch_net::upstream::EndpointPools;
 use valehatch_net::{Clock, signals};
 use valehatch_policy::StaleReadPolicy;
+use valehatch_recovery::endpoint_list::ListVersion;
 use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
 
@@ -224,7 +225,7 @@
 ) -> Result<(), StartError> {
     let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
     let started = match restored.list {
-        Some((endpoints, source)) => watch.resume(endpoints, source),
+        Some(list) => watch.resume(list.endpoints, list.version),
         None => watch.start(&config.known),
     };
     started.map_err(StartError::resource("list"))
@@ -233,7 +234,7 @@
 /// Whether an endpoint list names any endpoint.
 pub(crate) fn has_endpoints(endpoint_list: &SharedEndpointList) -> bool {
     let endpoint_list = valehatch_net::lock(endpoint_list);
-    endpoint_list.held().0.members().next().is_some()
+    endpoint_list.held().0.endpoints().next().is_some()
 }
 
 fn encoded_list(endpoint_list: &SharedEndpointList) -> Vec<u8> {
@@ -343,7 +344,10 @@
             return;
         };
         let mut endpoint_list = valehatch_net::lock(&self.endpoint_list).held().0.clone();
-        endpoint_list.told = Some((address, 0));
+        endpoint_list.version = Some(ListVersion {
+            source: address,
+            revision: 0,
+        });
         handle.pass(endpoint_list.encode());
     }
 
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -15,10 +15,12 @@
 use valehatch_net::discovery::poller::EndpointListStore;
 use valehatch_net::{Clock, lock};
 use valehatch_policy::{PrimaryEvidence, Settings, Span, Time};
-use valehatch_recovery::service::Service;
-use valehatch_recovery::snapshot::{Cold, Front, MOST, Primary, Snapshot};
-use valehatch_recovery::trust::{Belief, Source, Trust, trust};
-use valehatch_recovery::{Restored, cold_since, restore};
+use valehatch_recovery::service::{RequestResult, ServiceRecovery};
+use valehatch_recovery::snapshot::{
+    FrontSnapshot, MAX_BYTES, PrimarySnapshot, Snapshot, WarmingEndpoint,
+};
+use valehatch_recovery::trust::{KnowledgeKind, KnowledgeSource, TrustLevel, trust};
+use valehatch_recovery::{RestoredState, restore, slow_start_began_ms};
 use valehatch_request_log::FinalOutcome;
 use valehatch_snmp::world::Board;
 use valehatch_state::snapshot;
@@ -27,7 +29,7 @@
 const MAX_REMEMBERED_GATEWAYS: usize = 8;
 
 /// Whether service is complete since this start; shared by all fronts and the snapshot writer.
-pub(crate) type SharedService = Arc<Mutex<Service>>;
+pub(crate) type SharedService = Arc<Mutex<ServiceRecovery>>;
 
 /// The endpoint list of a front that uses discovery.
 pub(crate) type SharedEndpointList = Arc<Mutex<EndpointListStore>>;
@@ -40,7 +42,7 @@
 
 /// The snapshot in the state folder, unless there is none that can be used; the log says why.
 pub(crate) fn read_snapshot(folder: &Path, gateway: &str) -> Option<Snapshot> {
-    let bytes = match snapshot::read(folder, MOST) {
+    let bytes = match snapshot::read(folder, MAX_BYTES) {
         Ok(Some(bytes)) => bytes,
         Ok(None) => {
             info!("recovery: no snapshot found");
@@ -64,20 +66,20 @@
 }
 
 /// What of a snapshot is still trusted for a front.
-pub(crate) fn restore_front(snapshot: Option<&Snapshot>, front: &str) -> Restored {
+pub(crate) fn restore_front(snapshot: Option<&Snapshot>, front: &str) -> RestoredState {
     let Some(snapshot) = snapshot else {
-        return Restored::default();
+        return RestoredState::default();
     };
     let restored = restore(snapshot, front, unix_ms());
-    for reason in &restored.left {
+    for reason in &restored.discarded {
         info!(front, %reason, "recovery: part of the snapshot not used");
     }
-    if let Some((endpoints, (source, version))) = &restored.list {
+    if let Some(list) = &restored.list {
         info!(
             front,
-            %source,
-            version,
-            endpoints = endpoints.len(),
+            source = %list.version.source,
+            version = list.version.revision,
+            endpoints = list.endpoints.len(),
             primary_hints = restored.primaries.len(),
             "recovery: endpoint list restored"
         );
@@ -94,10 +96,10 @@
         .checked_sub(snapshot.at_ms)
         .and_then(|ms| i64::try_from(ms).ok())
         .map(Span::from_millis);
-    if trust(Belief::Fleet, Source::Snapshot, age) < Trust::Guess {
+    if trust(KnowledgeKind::Gateways, KnowledgeSource::Snapshot, age) < TrustLevel::Hint {
         return vec![];
     }
-    let gateways = snapshot.fleet.iter().copied();
+    let gateways = snapshot.gateways.iter().copied();
     gateways.take(MAX_REMEMBERED_GATEWAYS).collect()
 }
 
@@ -107,17 +109,17 @@
         matches!(front.members, EndpointSource::Discovery(_))
     };
     let waiting_for = file.fronts.iter().filter(uses_discovery).count();
-    Arc::new(Mutex::new(Service::new(waiting_for, clock.now())))
+    Arc::new(Mutex::new(ServiceRecovery::new(waiting_for, clock.now())))
 }
 
 /// Counts a request's final outcome towards service; requests whose client left say nothing.
 pub(crate) fn count_outcome(service: &SharedService, clock: Clock, outcome: &FinalOutcome) {
-    let served = match outcome {
-        FinalOutcome::InTime | FinalOutcome::Late => true,
-        FinalOutcome::Rejected(_) | FinalOutcome::Failed(_) => false,
+    let result = match outcome {
+        FinalOutcome::InTime | FinalOutcome::Late => RequestResult::Served,
+        FinalOutcome::Rejected(_) | FinalOutcome::Failed(_) => RequestResult::Failed,
         FinalOutcome::Aborted => return,
     };
-    lock(service).answered(served, clock.now());
+    lock(service).request_finished(result, clock.now());
 }
 
 /// A front as the next process is to find it.
@@ -134,7 +136,7 @@
 
 impl RecoverableFront {
     /// Its part of a snapshot; `at_ms` and `now` are the same moment by the wall clock and by the monotonic clock.
-    pub(crate) fn snapshot(&self, at_ms: u64, now: Time) -> Front {
+    pub(crate) fn snapshot(&self, at_ms: u64, now: Time) -> FrontSnapshot {
         let endpoint_list = self
             .endpoint_list
             .as_ref()
@@ -142,26 +144,26 @@
             .unwrap_or_default();
         let board = self.board.load_full();
         let view = board.as_ref().map(|board| &board.live);
-        Front {
+        FrontSnapshot {
             name: self.name.clone(),
-            book: endpoint_list,
+            list: endpoint_list,
             primaries: view.map_or(vec![], |view| known_primaries(view, at_ms, now)),
-            cold: view.map_or(vec![], |view| self.warming_endpoints(view, at_ms)),
+            warming: view.map_or(vec![], |view| self.warming_endpoints(view, at_ms)),
         }
     }
 
     /// Endpoints in slow start, each with the time at which it would have started to be as warm as it is.
-    fn warming_endpoints(&self, view: &LiveView, at_ms: u64) -> Vec<Cold> {
+    fn warming_endpoints(&self, view: &LiveView, at_ms: u64) -> Vec<WarmingEndpoint> {
         let rules = &self.settings.rules;
         let warming = view.endpoints.iter().filter_map(|endpoint| {
-            let since_ms = cold_since(
+            let since_ms = slow_start_began_ms(
                 endpoint.view.warm?,
                 rules.slow_start_duration,
                 rules.slow_start_initial_capacity,
                 at_ms,
             );
-            Some(Cold {
-                member: endpoint.name.to_string(),
+            Some(WarmingEndpoint {
+                endpoint: endpoint.name.to_string(),
                 since_ms,
             })
         });
@@ -169,7 +171,7 @@
     }
 }
 
-fn known_primaries(view: &LiveView, at_ms: u64, now: Time) -> Vec<Primary> {
+fn known_primaries(view: &LiveView, at_ms: u64, now: Time) -> Vec<PrimarySnapshot> {
     let mut primaries = vec![];
     for group in &view.groups {
         if group.known == PrimaryEvidence::Unknown {
@@ -179,9 +181,9 @@
         let primary = view.endpoints.iter().find(|m| is_primary(m.view.endpoint));
         let Some(primary) = primary else { continue };
         let age_ms = u64::try_from((now - group.since).0 / 1000).unwrap_or(0);
-        primaries.push(Primary {
+        primaries.push(PrimarySnapshot {
             group: group.group.0,
-            member: primary.name.to_string(),
+            endpoint: primary.name.to_string(),
             since_ms: at_ms.saturating_sub(age_ms),
             proved: group.known != PrimaryEvidence::EndpointList,
         });
--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -14,7 +14,7 @@
 use valehatch_config::operators::OperatorConfig;
 use valehatch_net::gossip_transport::GossipTransport;
 use valehatch_net::{Clock, lock};
-use valehatch_recovery::service::State;
+use valehatch_recovery::service::ServiceState;
 use valehatch_recovery::snapshot::Snapshot;
 use valehatch_state::snapshot;
 
@@ -121,7 +121,7 @@
         let mut written_at = Instant::now();
         loop {
             let is_last = stop.load(Ordering::Relaxed);
-            let change = lock(&self.service).look(self.clock.now());
+            let change = lock(&self.service).update(self.clock.now());
             if let Some(state) = change {
                 self.on_service_state(state);
             }
@@ -144,20 +144,20 @@
         self.snapshots.on_write(result);
     }
 
-    fn on_service_state(&mut self, state: State) {
+    fn on_service_state(&mut self, state: ServiceState) {
         let json = match state {
-            State::Recovering(why) => {
+            ServiceState::Recovering(why) => {
                 info!(missing = why.name(), "recovery: service not complete yet");
                 serde_json::json!({ "state": "recovering", "why": why.name(), "started-ms": self.started_ms })
             }
-            State::Full { took, .. } => {
+            ServiceState::Full { took, .. } => {
                 let took_ms = took.0 / 1000;
                 info!(took_ms, "recovery: service complete");
                 serde_json::json!({ "state": "full", "took-ms": took_ms, "started-ms": self.started_ms })
             }
         };
         if let Some(gossip) = &self.gossip {
-            gossip.full(matches!(state, State::Full { .. }));
+            gossip.full(matches!(state, ServiceState::Full { .. }));
         }
         let text = json.to_string();
         let result = snapshot::replace(
@@ -177,7 +177,7 @@
             gateway: self.gateway.clone(),
             at_ms,
             fronts: fronts.map(|front| front.snapshot(at_ms, now)).collect(),
-            fleet: gossip.map(|gossip| gossip.living()).unwrap_or_default(),
+            gateways: gossip.map(|gossip| gossip.living()).unwrap_or_default(),
         }
     }
 }
--- a/crates/gateway/src/snapshot_writer/tests.rs
+++ b/crates/gateway/src/snapshot_writer/tests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use valehatch_recovery::service::Service;
+use valehatch_recovery::service::ServiceRecovery;
 
 use super::*;
 
@@ -14,7 +14,7 @@
     // In the way of the file that is written first and renamed then.
     std::fs::create_dir_all(folder.join("snapshot.new")).unwrap();
     let clock = Clock::start();
-    let service = Arc::new(Mutex::new(Service::new(0, clock.now())));
+    let service = Arc::new(Mutex::new(ServiceRecovery::new(0, clock.now())));
     let mut worker = Worker {
         folder: folder.clone(),
         gateway: "one".into(),
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -15,11 +15,11 @@
 use siphasher::sip::SipHasher13;
 use valehatch_config::peers::PeerSettings;
 use valehatch_core::Event;
-use valehatch_membership::view::{Change, Reason};
+use valehatch_membership::view::{ChangeReason, ViewChange};
 use valehatch_membership::wire::Phase;
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::peers as lists;
+use valehatch_recovery::list_exchange as lists;
 
 use crate::discovery::poller::EndpointListStore;
 use crate::lock;
@@ -81,7 +81,7 @@
     heart: Mutex<Membership>,
     /// The version of the view up to which its changes were told.
     told: AtomicU64,
-    asks: Mutex<lists::Peers>,
+    asks: Mutex<lists::ListExchange>,
     takers: Lists,
     cores: Vec<Sender<Event>>,
     /// Gateways by which what is shared is divided.
@@ -122,7 +122,7 @@
         let bound = UdpSocket::bind(peers.listen)
             .map_err(|e| format!("peers.listen: {}: {e}", peers.listen))?;
         let marks: Vec<u32> = takers.iter().map(|(name, _)| mark(name)).collect();
-        let asks = Mutex::new(lists::Peers::new(&marks, seed, now()));
+        let asks = Mutex::new(lists::ListExchange::new(&marks, seed, now()));
         let (heart, told, dropped) = (Mutex::new(heart), AtomicU64::new(0), Dropped::default());
         let link = Self {
             socket: bound,
@@ -159,7 +159,7 @@
 
     fn tend(&self, what: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
         let mut out = vec![];
-        let changes: Vec<Change> = {
+        let changes: Vec<ViewChange> = {
             let mut heart = lock(&self.heart);
             what(&mut heart, &mut out);
             let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
@@ -167,7 +167,7 @@
             heart
                 .changes(told)
                 .1
-                .filter(|c| c.why == Reason::OwnWord)
+                .filter(|c| c.why == ChangeReason::MetadataChanged)
                 .copied()
                 .collect()
         };
@@ -234,7 +234,7 @@
 
     /// Whoever holds no list asks others for theirs.
     fn ask_for_lists(&self) {
-        let wants = |n: usize| lock(&self.takers[n].1).held().0.told.is_none();
+        let wants = |n: usize| lock(&self.takers[n].1).held().0.version.is_none();
         let mut out = vec![];
         lock(&self.asks).tick(now(), wants, || self.living(), &mut out);
         self.carry_out_lists(out);
@@ -245,7 +245,10 @@
         let held: Vec<_> = self.takers.iter().map(|(_, taker)| lock(taker)).collect();
         let tells = |n: usize| {
             let (book, confirmed) = held.get(n)?.held();
-            Some((book, held[n].age(confirmed?)))
+            Some(lists::ConfirmedList {
+                list: book,
+                age: held[n].age(confirmed?),
+            })
         };
         lock(&self.asks).receive(now(), from, said, tells, &mut out);
         drop(held);
@@ -256,17 +259,17 @@
         for effect in out {
             match effect {
                 lists::Effect::Send { to, bytes } => self.send(LISTS, to, &bytes),
-                lists::Effect::Learned {
+                lists::Effect::ListReceived {
                     front,
-                    listed,
-                    told,
+                    endpoints,
+                    version,
                 } => {
                     let (name, taker) = &self.takers[front];
-                    let count = listed.len();
-                    if lock(taker).guess(listed, told) {
+                    let count = endpoints.len();
+                    if lock(taker).guess(endpoints, version) {
                         tracing::info!(
                             "peers: front {name}: {count} servers at version {} from another gateway",
-                            told.1
+                            version.revision
                         );
                     }
                 }
@@ -310,7 +313,7 @@
             match effect {
                 Effect::Send { to, bytes } => self.send(MEMBERSHIP, to, &bytes),
                 Effect::Event(note) => {
-                    if matches!(note, MembershipEvent::Slept(_)) {
+                    if matches!(note, MembershipEvent::ProcessPaused(_)) {
                         // The clock by which lists are dated may have stood still too.
                         self.takers
                             .iter()
@@ -345,26 +348,28 @@
         MembershipEvent::Joined(peer) => tracing::info!("peers: {peer} is there"),
         MembershipEvent::Restarted(peer) => tracing::info!("peers: {peer} has started anew"),
         MembershipEvent::Suspected(peer) => tracing::info!("peers: {peer} does not answer"),
-        MembershipEvent::Cleared(peer) => tracing::info!("peers: {peer} answers after all"),
+        MembershipEvent::SuspicionCleared(peer) => {
+            tracing::info!("peers: {peer} answers after all")
+        }
         MembershipEvent::Failed(peer) => tracing::warn!("peers: {peer} counts as dead"),
         MembershipEvent::Left(peer) => tracing::info!("peers: {peer} has ended as planned"),
-        MembershipEvent::Slept(span) => {
+        MembershipEvent::ProcessPaused(span) => {
             tracing::warn!("peers: this gateway stood still for {} ms", span.0 / 1000)
         }
         MembershipEvent::Refuted => {
             tracing::info!("peers: was taken for gone or for a former self, and says otherwise")
         }
-        MembershipEvent::Namesake(life) => tracing::warn!(
+        MembershipEvent::DuplicateIdentity(life) => tracing::warn!(
             "peers: another gateway has this one's address (start {} of it): give each its own",
             life.number
         ),
-        MembershipEvent::Settled(view) => tracing::info!(
+        MembershipEvent::ViewConverged(view) => tracing::info!(
             "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
             view.members,
             view.digest,
             view.settled.map_or(0, |at| (at - view.held).0 / 1000)
         ),
-        MembershipEvent::Unsettled => tracing::info!("peers: the view is not settled"),
+        MembershipEvent::ViewDiverged => tracing::info!("peers: the view is not settled"),
         MembershipEvent::Synced => {
             tracing::info!("peers: all that another gateway knew is known here")
         }
@@ -395,7 +400,10 @@
             front(MEMBERSHIP, "vestera-test")
         );
         const {
-            assert!(FRONT + valehatch_membership::wire::MOST <= MOST && FRONT + lists::MOST <= MOST)
+            assert!(
+                FRONT + valehatch_membership::wire::MOST <= MOST
+                    && FRONT + lists::MAX_DATAGRAM_BYTES <= MOST
+            )
         };
     }
 }
