--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -75,8 +75,29 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod decide;
-mod interface;
+mod concurrency_limit;
+mod endpoint;
+mod endpoint_list;
+mod events;
+mod group;
+mod health_checks;
+mod ids;
+mod latency;
+mod load_shedding;
+mod outlier_detection;
+mod primary_search;
+mod replica_selection;
+mod retry;
+mod router;
+mod scheduling;
+mod settings;
+mod slow_start;
+mod time;
+mod view;
 
-pub use decide::Router;
-pub use interface::*;
+pub use events::*;
+pub use ids::*;
+pub use router::Router;
+pub use settings::*;
+pub use time::{Span, Time};
+pub use view::{EndpointHealth, EndpointView, GroupView, PrimaryEvidence, RouterView};
--- a/crates/policy/src/decide/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -9,9 +9,14 @@
 //! Long queries count by their work. Their tokens are kept apart, by their part of all work, so that one that waits
 //! does not use up what short ones need; what they leave unused is the short ones' too.
 
-use crate::interface::{ClassId, EndpointId, EndpointState, Span, Time};
+#![allow(clippy::cast_precision_loss)]
 
-use super::{MEMORY, Node, Router};
+use crate::endpoint::Node;
+use crate::events::EndpointState;
+use crate::ids::{ClassId, EndpointId};
+use crate::latency::MEMORY;
+use crate::router::Router;
+use crate::time::{Span, Time};
 
 /// The part of the budget that is used; the rest is for estimates that are off and for chance.
 const BUDGET_USED: f64 = 0.7;
@@ -30,7 +35,7 @@
 
 /// What requests of each class cost an endpoint, compared with the mean request.
 #[derive(Debug)]
-pub(super) struct ClassCosts {
+pub(crate) struct ClassCosts {
     /// Assumed work of a request of each class before any was answered, in microseconds: only their ratios count.
     assumed: Vec<f64>,
     /// The same from answers, once there was one.
@@ -41,7 +46,7 @@
 
 impl ClassCosts {
     /// Starts from what each class's latency is taken to be before any answer was measured, in microseconds.
-    pub(super) fn new(latencies: &[f64]) -> Self {
+    pub(crate) fn new(latencies: &[f64]) -> Self {
         let assumed = latencies.iter().map(|latency| latency.max(1.0)).collect();
         Self {
             assumed,
@@ -51,7 +56,7 @@
     }
 
     /// Counts a request that came in.
-    pub(super) fn on_request(&mut self, class: ClassId) {
+    pub(crate) fn on_request(&mut self, class: ClassId) {
         self.arrivals[class.0] += 1.0;
         if self.arrivals.iter().sum::<f64>() > MIX_MEMORY {
             self.arrivals.iter_mut().for_each(|count| *count /= 2.0);
@@ -59,7 +64,7 @@
     }
 
     /// Takes in how long a served request took, in microseconds.
-    pub(super) fn on_served(&mut self, class: ClassId, latency: f64) {
+    pub(crate) fn on_served(&mut self, class: ClassId, latency: f64) {
         let work = self.measured[class.0].get_or_insert(latency);
         let gain = if latency < *work {
             WORK_GAIN_DOWN
@@ -90,7 +95,7 @@
 
     /// Work of a request of this class, in requests of mean work; and the part of all work, from 0 to 1, that long
     /// classes bring.
-    pub(super) fn cost_and_long_part(&self, class: ClassId) -> (f64, f64) {
+    pub(crate) fn cost_and_long_part(&self, class: ClassId) -> (f64, f64) {
         let work = self.work();
         let inverse: f64 = work.iter().map(|work| 1.0 / work).sum();
         let weight = |class: usize| self.arrivals[class] + PRIOR_REQUESTS / work[class] / inverse;
@@ -109,7 +114,7 @@
 
 /// Tokens of one endpoint, in requests of mean work.
 #[derive(Debug, Default)]
-pub(super) struct SlowStartBudget {
+pub(crate) struct SlowStartBudget {
     short: f64,
     long: f64,
     refilled_at: Time,
@@ -147,7 +152,7 @@
 
 impl Router {
     /// The part of its capacity that an endpoint in slow start surely has; `None` once it is warm.
-    pub(super) fn slow_start_fraction(&self, endpoint: &Node) -> Option<f64> {
+    pub(crate) fn slow_start_fraction(&self, endpoint: &Node) -> Option<f64> {
         let rules = &self.cfg.rules;
         let age = self.now - endpoint.started.max(endpoint.health.revived)?;
         let grown = (age.as_f64() / rules.slow_start_duration.as_f64()).max(0.0);
@@ -156,7 +161,7 @@
         )
     }
 
-    pub(super) fn is_warm(&self, id: EndpointId) -> bool {
+    pub(crate) fn is_warm(&self, id: EndpointId) -> bool {
         self.endpoints
             .get(&id)
             .is_some_and(|endpoint| self.slow_start_fraction(endpoint).is_none())
@@ -165,7 +170,7 @@
     /// Whether a request of this class may be sent to an endpoint now, as far as slow start goes; uses its budget.
     ///
     /// Departure: acts on all that is sent. May hurt a write whose primary is cold.
-    pub(super) fn try_acquire_slow_start_budget(&mut self, id: EndpointId, class: ClassId) -> bool {
+    pub(crate) fn try_acquire_slow_start_budget(&mut self, id: EndpointId, class: ClassId) -> bool {
         let (rules, over) = (
             &self.cfg.rules,
             self.cfg.rules.slow_start_duration.max(MEMORY).as_f64(),
--- a/crates/policy/src/decide/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,6 +1,92 @@
 //! What a router believes, read-only: nothing here decides or changes anything.
 
-use super::*;
+use crate::endpoint::Node;
+use crate::events::*;
+use crate::ids::*;
+use crate::outlier_detection::Shut;
+use crate::router::Router;
+use crate::settings::*;
+use crate::time::*;
+
+/// How a group's primary is known.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub enum PrimaryEvidence {
+    /// It is not: the lowest member stands in, or none.
+    #[default]
+    Unknown,
+    /// The list says so.
+    EndpointList,
+    /// It said so in an answer.
+    Answer,
+    /// It said so when it was probed.
+    LoadReport,
+    /// The write that searched for it found it.
+    Search,
+}
+
+/// Whether a router can use a node, by its own evidence.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EndpointHealth {
+    /// It can.
+    Healthy,
+    /// It leaves what is sent unanswered.
+    Unresponsive,
+    /// Connections to it fail.
+    Unreachable,
+}
+
+/// What a router believes of a group.
+#[derive(Clone, Debug, PartialEq)]
+pub struct GroupView {
+    /// The group.
+    pub group: GroupId,
+    /// The member that it takes for the primary.
+    pub primary: Option<EndpointId>,
+    /// How it knows.
+    pub known: PrimaryEvidence,
+    /// Since when it believes that.
+    pub since: Time,
+    /// How often it has believed something else.
+    pub changes: u64,
+    /// Since when it searches, if it does.
+    pub searching: Option<Time>,
+    /// Writes that wait here.
+    pub queued_writes: usize,
+    /// All requests that wait here.
+    pub waiting: usize,
+}
+
+/// What a router believes of a node.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointView {
+    /// The node.
+    pub endpoint: EndpointId,
+    /// Its group.
+    pub group: GroupId,
+    /// What the list says.
+    pub state: EndpointState,
+    /// The role that it is taken for, unless none is known.
+    pub role: Option<Role>,
+    /// Whether it can be used.
+    pub health: EndpointHealth,
+    /// Attempts that are out at it.
+    pub in_flight: usize,
+    /// How many may be.
+    pub limit: f64,
+    /// Lower bound of its position in the log.
+    pub position: Option<Time>,
+    /// The part of its capacity that it surely has; `None` once it is warm.
+    pub warm: Option<f64>,
+}
+
+/// What a router believes, for those who watch it.
+#[derive(Clone, Debug, PartialEq, Default)]
+pub struct RouterView {
+    /// The groups, by number.
+    pub groups: Vec<GroupView>,
+    /// The nodes, by number.
+    pub endpoints: Vec<EndpointView>,
+}
 
 /// A member that is shut and has been sent nothing for so long is out of use.
 const AVOIDED: Span = Span::from_millis(1_000);
