--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,25 +1,65 @@
-//! How many attempts an endpoint may have in flight.
+//! How many attempts this router may have in flight at an endpoint: additive increase, additive
+//! decrease by latency.
+//!
+//! Inputs: the end of each attempt, the number of routers. State: `Endpoint::concurrency_limit`.
+//! Bounds: at least 1; it grows only while at least half of it is used. Units: attempts.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::endpoint::Node;
-use crate::ids::*;
+use crate::endpoint::Endpoint;
+use crate::events::{AttemptEnd, Outcome};
+use crate::ids::{ClassId, EndpointId};
 use crate::router::Router;
 
-/// Attempts a node may have from one router before anything was measured; soon replaced by what it answers.
-pub(crate) const START_LIMIT: f64 = 8.0;
-/// What a slow answer takes off a node's limit; a quick one adds one through the limit.
-pub(crate) const LIMIT_CUT: f64 = 0.7;
+/// Attempts that may be in flight at an endpoint before any response was measured.
+pub(crate) const INITIAL_LIMIT: f64 = 8.0;
+/// What a slow response or a rejection takes off the limit. A quick response adds one through the
+/// limit.
+const DECREASE: f64 = 0.7;
+/// The least that a growing number of routers leaves of a limit.
+const MIN_AFTER_SCALING: f64 = 2.0;
+
+impl Endpoint {
+    /// Whether one more attempt fits, and `reserved` more after it.
+    pub(crate) fn has_capacity(&self, reserved: f64) -> bool {
+        self.in_flight.len() as f64 + reserved < self.concurrency_limit.max(1.0)
+    }
+
+    /// Leaves this fraction, at most 1, of the limit: the rest is for routers that have started.
+    pub(crate) fn scale_concurrency_limit(&mut self, fraction: f64) {
+        let scaled = (self.concurrency_limit * fraction).max(MIN_AFTER_SCALING);
+        self.concurrency_limit = self.concurrency_limit.min(scaled);
+    }
+
+    fn on_slow_response(&mut self) {
+        self.concurrency_limit = (self.concurrency_limit - DECREASE).max(1.0);
+    }
+
+    fn on_quick_response(&mut self) {
+        let limit_was_used = self.in_flight.len() as f64 + 1.0 > self.concurrency_limit / 2.0;
+        if limit_was_used {
+            self.concurrency_limit += 1.0 / self.concurrency_limit;
+        }
+    }
+}
+
 impl Router {
-    /// Departure: what a node has from this router at once is limited by how fast it answers.
-    pub(crate) fn room(&self, id: EndpointId, spare: f64) -> bool {
-        self.endpoints
-            .get(&id)
-            .is_some_and(|n| n.out.len() as f64 + spare < n.limit.max(1.0))
+    pub(crate) fn update_concurrency_limit(&mut self, end: &AttemptEnd, slow: bool) {
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
+            return;
+        };
+        if slow || end.outcome == Outcome::Rejected {
+            endpoint.on_slow_response();
+        } else if end.outcome == Outcome::Ok {
+            endpoint.on_quick_response();
+        }
     }
 
-    pub(crate) fn grants(&mut self, id: EndpointId, class: ClassId, spare: f64) -> bool {
-        let takes = self.endpoints.get(&id).is_some_and(Node::ready) && self.room(id, spare);
-        takes && self.try_acquire_slow_start_budget(id, class)
+    /// Whether an attempt of this class may be sent to an endpoint now: it is ready, has capacity
+    /// for it and `reserved` more, and its slow-start budget allows it. Uses that budget.
+    pub(crate) fn try_acquire(&mut self, id: EndpointId, class: ClassId, reserved: f64) -> bool {
+        let admits = self
+            .endpoints
+            .get(&id)
+            .is_some_and(|endpoint| endpoint.is_ready() && endpoint.has_capacity(reserved));
+        admits && self.try_acquire_slow_start_budget(id, class)
     }
 }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,62 +1,101 @@
-//! Takes in the endpoint list.
+//! Takes in the endpoint list, and polls it where that is needed.
+//!
+//! Inputs: [`crate::PolicyEvent::EndpointList`], [`crate::PolicyEvent::DiscoveryFailed`]. State:
+//! the endpoints and the members of groups, and [`ListPolling`]. Bounds: an endpoint that left the
+//! list is dropped as soon as it has no attempt in flight. Units: microseconds.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
+use std::collections::BTreeSet;
 
-use crate::concurrency_limit::START_LIMIT;
-use crate::endpoint::Node;
-use crate::events::*;
-use crate::ids::*;
-use crate::outlier_detection::Reach;
+use crate::endpoint::Endpoint;
+use crate::events::{Action, EndpointRecord, EndpointState};
+use crate::ids::{EndpointId, GroupId};
+use crate::outlier_detection::OutlierState;
 use crate::router::Router;
-use crate::settings::*;
-use crate::time::*;
-use std::collections::BTreeSet;
+use crate::settings::{DiscoveryMode, Settings};
+use crate::time::{Span, Time};
+
+/// The first backoff after a failed poll is this fraction of the longest poll interval ...
+const FIRST_BACKOFF_DIVISOR: i64 = 16;
+/// ... and the longest one this fraction, so that a few failures still leave the list up to date.
+const MAX_BACKOFF_DIVISOR: i64 = 2;
+
+/// When the list is polled next.
+#[derive(Debug)]
+pub(crate) struct ListPolling {
+    next_poll_at: Option<Time>,
+    backoff: Span,
+}
+
+impl ListPolling {
+    /// Polls at once, if the list has to be polled.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let polls = settings.discovery_mode == DiscoveryMode::Poll;
+        Self {
+            next_poll_at: polls.then_some(Time(i64::MIN)),
+            backoff: Self::first_backoff(settings),
+        }
+    }
+
+    fn first_backoff(settings: &Settings) -> Span {
+        settings.rules.max_poll_interval / FIRST_BACKOFF_DIVISOR
+    }
+
+    pub(crate) fn next_poll_at(&self) -> Option<Time> {
+        self.next_poll_at
+    }
+}
 
 impl Router {
-    pub(crate) fn on_list(&mut self, complete: bool, entries: &[EndpointRecord]) {
+    pub(crate) fn on_endpoint_list(&mut self, complete: bool, entries: &[EndpointRecord]) {
         if complete {
-            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
-            let all: Vec<EndpointId> = self.endpoints.keys().copied().collect();
-            all.iter()
-                .filter(|n| !named.contains(n))
-                .for_each(|n| self.leave(*n, EndpointState::Removed));
+            self.remove_unlisted(entries);
         }
-        entries.iter().for_each(|e| self.on_entry(e));
-        self.groups
+        for entry in entries {
+            self.on_entry(entry);
+        }
+        let groups: Vec<GroupId> = self.groups.keys().copied().collect();
+        for group in groups {
+            self.seed_primary(group);
+        }
+        self.list_polling.backoff = ListPolling::first_backoff(&self.settings);
+    }
+
+    fn remove_unlisted(&mut self, entries: &[EndpointRecord]) {
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        let unlisted: Vec<EndpointId> = self
+            .endpoints
             .keys()
+            .filter(|id| !listed.contains(id))
             .copied()
-            .collect::<Vec<_>>()
-            .into_iter()
-            .for_each(|id| self.seed_primary(id));
-        self.ask_gap = Span(self.cfg.rules.max_poll_interval.0 / 16);
+            .collect();
+        for id in unlisted {
+            self.stop_using(id, EndpointState::Removed);
+        }
     }
 
-    pub(crate) fn on_entry(&mut self, entry: &EndpointRecord) {
+    fn on_entry(&mut self, entry: &EndpointRecord) {
         if entry.state != EndpointState::Ready {
-            return self.leave(entry.endpoint, entry.state);
+            return self.stop_using(entry.endpoint, entry.state);
         }
         let endpoint = self
             .endpoints
             .entry(entry.endpoint)
-            .or_insert_with(|| Node {
-                group: entry.group,
-                started: entry.started,
-                limit: START_LIMIT,
-                ..Node::default()
-            });
-        let restarted = endpoint.started != entry.started;
-        (endpoint.state, endpoint.started, endpoint.zone) =
-            (entry.state, entry.started, entry.zone);
+            .or_insert_with(|| Endpoint::new(entry));
+        // A restarted process has none of the requests that were sent before: that they stay
+        // unanswered proves nothing.
+        if endpoint.started != entry.started {
+            endpoint.outlier = OutlierState::default();
+            endpoint.unanswered_since = None;
+        }
+        endpoint.state = entry.state;
+        endpoint.started = entry.started;
+        endpoint.zone = entry.zone;
         endpoint.weight = if entry.weight > 0.0 {
             entry.weight
         } else {
             1.0
         };
         endpoint.listed_primary = entry.primary;
-        // A process that started anew holds nothing of what was sent to the old one.
-        if restarted {
-            (endpoint.health, endpoint.quiet_since) = (Reach::default(), None);
-        }
         self.groups
             .entry(endpoint.group)
             .or_default()
@@ -64,47 +103,59 @@
             .insert(entry.endpoint);
     }
 
-    /// Takes a node out of use at once; the stated grace is never drawn on.
-    pub(crate) fn leave(&mut self, id: EndpointId, state: EndpointState) {
+    /// Sends an endpoint nothing more.
+    fn stop_using(&mut self, id: EndpointId, state: EndpointState) {
+        let removal_is_advisory = self.settings.rules.removal_is_advisory;
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        if state == EndpointState::Removed
-            && self.cfg.rules.removal_is_advisory
-            && endpoint.state == EndpointState::Ready
-        {
+        let is_advisory = state == EndpointState::Removed
+            && removal_is_advisory
+            && endpoint.state == EndpointState::Ready;
+        if is_advisory {
             return;
         }
         endpoint.state = state;
         self.lose_primary(id);
-        self.forget(id);
+        self.drop_if_removed(id);
     }
 
-    /// Memory is bounded: a node that is gone and holds nothing of this router is dropped.
-    pub(crate) fn forget(&mut self, id: EndpointId) {
-        let Some(endpoint) = self
-            .endpoints
-            .get(&id)
-            .filter(|n| n.state == EndpointState::Removed)
-        else {
+    /// Drops a removed endpoint once it has no attempt in flight, which bounds memory.
+    pub(crate) fn drop_if_removed(&mut self, id: EndpointId) {
+        let Some(endpoint) = self.endpoints.get(&id) else {
             return;
         };
+        if endpoint.state != EndpointState::Removed {
+            return;
+        }
         self.groups
             .entry(endpoint.group)
             .or_default()
             .members
             .remove(&id);
-        if endpoint.out.is_empty() {
+        if endpoint.in_flight.is_empty() {
             self.endpoints.remove(&id);
         }
     }
 
-    /// Backs off with jitter, never beyond half of what the rules count as asked.
-    pub(crate) fn on_list_failed(&mut self) {
-        if self.cfg.discovery_mode == DiscoveryMode::Poll {
-            let jitter = 0.5 + self.random() * 0.5;
-            self.ask_at = Some(self.now + self.ask_gap.times(jitter));
-            self.ask_gap = Span((self.ask_gap.0 * 2).min(self.cfg.rules.max_poll_interval.0 / 2));
+    /// Polls again after a backoff with jitter.
+    pub(crate) fn on_discovery_failed(&mut self) {
+        if self.settings.discovery_mode != DiscoveryMode::Poll {
+            return;
+        }
+        let jitter = 0.5 + self.random() * 0.5;
+        let longest = self.settings.rules.max_poll_interval / MAX_BACKOFF_DIVISOR;
+        let polling = &mut self.list_polling;
+        polling.next_poll_at = Some(self.now + polling.backoff.times(jitter));
+        polling.backoff = (polling.backoff * 2).min(longest);
+    }
+
+    /// Polls the list if that is due.
+    pub(crate) fn run_list_polling(&mut self, actions: &mut Vec<Action>) {
+        let now = self.now;
+        if self.list_polling.next_poll_at.is_some_and(|at| at <= now) {
+            self.list_polling.next_poll_at = None;
+            actions.push(Action::RefreshEndpointList);
         }
     }
 }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,42 +1,43 @@
-//! Inputs and outputs of the decision module.
+//! Inputs ([`PolicyEvent`]) and outputs ([`Action`]) of the decision module. Times are in
+//! microseconds of the embedder's clock; attempts of a request are numbered from 0.
 
-use crate::ids::*;
-use crate::time::*;
+use crate::ids::{ClassId, EndpointId, GroupId, KindId, RequestId, SessionKey, TenantId, ZoneId};
+use crate::time::{Span, Time};
 
-/// What the list says of a node.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Wraps up; nothing new may go there.
+    /// Finishes what it has; nothing new may be sent to it.
     Draining,
-    /// Removed.
+    /// No longer on the list.
     Removed,
 }
 
-/// A line of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// The node.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its group.
+    /// Its replication group.
     pub group: GroupId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: KindId,
-    /// Its size against others', as registered.
+    /// Its capacity compared with other endpoints', as registered; not above 0 counts as 1.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When its process started; `None`: so long ago that it no longer matters.
     pub started: Option<Time>,
-    /// Listed as its group's primary.
+    /// Whether it is listed as its group's primary.
     pub primary: bool,
     /// Its state.
     pub state: EndpointState,
 }
 
-/// A role that a node told.
+/// A role that an endpoint reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The group's primary.
@@ -45,33 +46,35 @@
     Replica,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// An error; it may have had an effect.
+    /// The endpoint answered with an error; the request may have had an effect.
     Error,
-    /// Turned away unseen.
+    /// The endpoint rejected it without executing any of it.
     Rejected,
-    /// No answer in time; it may run yet.
+    /// No response in time; it may still be running.
     Timeout,
-    /// No connection; nothing ran.
+    /// No connection could be established; nothing ran.
     ConnectFailed,
-    /// This machine had no connection to give: nothing was sent, and nothing is known of the node.
+    /// This machine could not open a connection: nothing was sent, and nothing is known of the
+    /// endpoint.
     LocalFailure,
-    /// The connection dropped; it might have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled by this router; the request may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Turned away untouched: not the primary, or too far behind.
+    /// The endpoint rejected it without executing any of it, because it is not the primary or its
+    /// data is too old.
     Misdirected,
 }
 
 impl Outcome {
-    /// The attempt certainly did not run.
+    /// Whether the request certainly did not run.
     #[must_use]
     pub const fn never_ran(self) -> bool {
         matches!(
@@ -83,7 +86,8 @@
                 | Self::Misdirected
         )
     }
-    /// The node itself spoke.
+
+    /// Whether the endpoint itself answered.
     #[must_use]
     pub const fn from_endpoint(self) -> bool {
         matches!(
@@ -93,14 +97,14 @@
     }
 }
 
-/// What a probed node reports, as of some time earlier.
+/// Load report of an endpoint, as of some time before it arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct LoadReport {
-    /// Time up to which it has applied all commits.
+    /// Replication position: every commit up to this time has been applied.
     pub position: Option<Time>,
-    /// Whether it was the primary.
+    /// Whether the endpoint was the primary.
     pub primary: Option<bool>,
-    /// Share of its cores in use.
+    /// Fraction of its cores in use, from 0 to 1.
     pub busy: Option<f64>,
 }
 
@@ -111,19 +115,19 @@
     pub id: RequestId,
     /// Its session, if it has one.
     pub session: Option<SessionKey>,
-    /// How long until the client gives up on this try.
+    /// How long the client still waits for the final answer.
     pub time_left: Span,
-    /// The group it is for.
+    /// The replication group it is for.
     pub group: GroupId,
-    /// Its class.
+    /// Its class. A request of an unknown class is ignored.
     pub class: ClassId,
     /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
-    /// A guess of its work, if there is one.
+    /// Estimated work, if known.
     pub work: Option<Span>,
-    /// A client's repeat, where clients mark it.
+    /// Whether it is a client's retry, where clients mark those.
     pub repeat: bool,
-    /// Time since the session's last write, if it brought that.
+    /// Time since the session's last write, if the client sent it.
     pub since_last_write: Option<Span>,
 }
 
@@ -132,133 +136,134 @@
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
-    /// Its attempt, counted from 0.
+    /// The attempt.
     pub attempt: u32,
-    /// The node it went to.
+    /// The endpoint it was sent to.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request is over with it, or was before.
+    /// Whether the request has its final answer, by this attempt or before it.
     pub closed: bool,
-    /// How long it took.
+    /// How long the attempt took.
     pub latency: Span,
-    /// The role the node told.
+    /// The role that the endpoint reported.
     pub role: Option<Role>,
-    /// Log position it told; for a write served, its commit.
+    /// The replication position that the endpoint reported; for a served write, its commit.
     pub position: Option<Time>,
-    /// Load report, if one came along.
+    /// A load report, if one came with the response.
     pub report: Option<LoadReport>,
 }
 
-/// What a router learns.
+/// An input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyEvent {
-    /// The list, complete or its changes only.
+    /// The endpoint list, complete or changes only.
     EndpointList {
-        /// Nodes it does not name are gone.
+        /// Whether endpoints without an entry have been removed.
         complete: bool,
-        /// The lines.
+        /// The entries.
         entries: Vec<EndpointRecord>,
     },
-    /// Asking for the list failed, or the subscription dropped.
+    /// A poll of the endpoint list failed, or the watch broke.
     DiscoveryFailed,
     /// A new request.
     Request(Request),
-    /// An attempt's stream began: the request is bound to it.
+    /// The response of an attempt has begun; the request is bound to this attempt.
     ResponseStarted(RequestId),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left; nothing more is owed.
+    /// The client disconnected; it gets no final answer.
     ClientDisconnected(RequestId),
-    /// So many routers there are now, 1 at the least. Where that is more than before, each leaves the others their part of
-    /// its limits (never below two attempts at a node) and of what it takes to be its share of the nodes' work; where it is
-    /// fewer, both grow by answers.
+    /// The number of routers that share the endpoints, at least 1 (0 counts as 1). If it grew, this
+    /// router reduces its concurrency limits (never below two attempts at an endpoint) and its
+    /// estimate of its own part of the traffic in proportion. If it shrank, both grow again with
+    /// the responses.
     RouterCount(u32),
-    /// Times of the cluster's clock that came in before (positions, commits, starts of nodes) lie so much later than they
-    /// were taken to, or earlier if negative.
+    /// The cluster's clock was corrected: times that arrived before (positions, commits, starts of
+    /// endpoints) move by this much, back if negative.
     ClockCorrected(Span),
-    /// A timer fell due.
+    /// A timer expired; the number is the token of [`Action::SetTimer`].
     Timer(u64),
-    /// A probe came back.
+    /// A health check ended.
     HealthCheckEnded {
-        /// The node.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the check ended.
         outcome: Outcome,
         /// How long it took.
         latency: Span,
-        /// The report, if one came.
+        /// The load report, if one came.
         report: Option<LoadReport>,
     },
 }
 
-/// Why a request is not tried further.
+/// Why a request gets no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GiveUpReason {
-    /// Its deadline is over.
+    /// Its deadline has passed.
     DeadlineExceeded,
-    /// The answers of late take too much of their time.
+    /// It was shed on arrival, because responses have taken too much of their latency objective.
     Overloaded,
-    /// Half its time went by and it was never sent.
+    /// Half of its time has passed without a first attempt.
     NeverSent,
-    /// It could no longer be served in time that counts.
+    /// A response would come too late to count.
     TooLate,
-    /// Its attempts are used up.
+    /// It has had the maximum number of attempts.
     AttemptsExhausted,
-    /// Its repeats would no longer be dropped.
+    /// It may have run, and a retry would no longer be deduplicated.
     RetryWindowClosed,
 }
 
-/// What a router wants done.
+/// An output of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt; attempts of a request count from 0.
+    /// Start the request's next attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Its time-out; `None`: until the client gives up.
+        /// Timeout of the attempt; `None`: the client's deadline.
         timeout: Option<Span>,
-        /// Nothing of it may be written later than this, however long a connection takes to come up; `None`: while its
-        /// time-out lasts.
+        /// No byte of the request may be written after this moment, however long the connection
+        /// takes to establish; `None`: no limit within the timeout.
         send_before: Option<Time>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// Final answer: not served, trying again is harmless.
+    /// Final answer: not served, and safe to retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Span>,
-        /// Why it is given up.
+        /// Why the request is given up.
         why: GiveUpReason,
     },
-    /// Final answer: no success, no promise.
+    /// Final answer: not known to be served, and the request may have run.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why it is given up.
+        /// Why the request is given up.
         why: GiveUpReason,
     },
-    /// Probe a node.
+    /// Send a health check.
     HealthCheck {
-        /// The node.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to the list.
+    /// Poll the endpoint list.
     RefreshEndpointList,
-    /// Set a timer.
+    /// Set a timer; [`PolicyEvent::Timer`] reports that it expired.
     SetTimer {
-        /// When.
+        /// When it expires.
         at: Time,
-        /// Comes back as given.
+        /// Returned with the event.
         token: u64,
     },
 }
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -1,35 +1,67 @@
-//! What is known of one group: a primary and its replicas.
+//! What one router knows of one replication group: a primary and its replicas.
+//!
+//! Inputs: none of its own; the module that owns a concern updates its part. State: [`Group`], one
+//! for each group that has endpoints or waiting requests. Bounds: `members` by the endpoint list,
+//! `waiting` by the open requests. Units: microseconds.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::ids::*;
-use crate::primary_search::Search;
-use crate::time::*;
-use crate::view::*;
 use std::collections::BTreeSet;
 
+use crate::ids::{EndpointId, RequestId};
+use crate::load_shedding::LatencyUtilization;
+use crate::primary_search::PrimarySearch;
+use crate::time::Time;
+use crate::view::PrimaryEvidence;
+
+/// What one router knows of one replication group.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     pub(crate) members: BTreeSet<EndpointId>,
+    /// The endpoint that is taken for the primary.
     pub(crate) primary: Option<EndpointId>,
-    /// The primary is known by list role, answer or report, not just the seed.
-    pub(crate) known: bool,
-    pub(crate) search: Option<Search>,
+    /// How it is known.
+    pub(crate) primary_evidence: PrimaryEvidence,
+    pub(crate) primary_since: Time,
+    /// How often another endpoint, or none, was taken for the primary.
+    pub(crate) primary_changes: u64,
+    pub(crate) search: Option<PrimarySearch>,
+    /// Requests without an attempt in flight.
     pub(crate) waiting: Vec<RequestId>,
-    /// What attempts at replicas and at the primary take of late, as a part of their class's aim.
-    pub(crate) strain: [f64; 2],
-    /// How and since when that primary is believed in, and how often another one was: for the view only.
-    pub(crate) belief: (PrimaryEvidence, Time, u64),
+    pub(crate) latency_utilization: LatencyUtilization,
 }
 
 impl Group {
-    pub(crate) fn believe(&mut self, primary: Option<EndpointId>, how: PrimaryEvidence, now: Time) {
+    /// Whether there is evidence for the primary: it does not just stand in.
+    pub(crate) fn knows_primary(&self) -> bool {
+        self.primary_evidence != PrimaryEvidence::Unknown
+    }
+
+    /// The primary, if there is evidence for it.
+    pub(crate) fn known_primary(&self) -> Option<EndpointId> {
+        self.primary.filter(|_| self.knows_primary())
+    }
+
+    /// Sets the primary; evidence for one ends the search.
+    pub(crate) fn set_primary(
+        &mut self,
+        primary: Option<EndpointId>,
+        evidence: PrimaryEvidence,
+        now: Time,
+    ) {
         if self.primary != primary {
-            self.belief = (how, now, self.belief.2 + 1);
-        } else if how != PrimaryEvidence::Unknown && self.belief.0 != how {
-            self.belief.0 = how;
+            self.primary = primary;
+            self.primary_evidence = evidence;
+            self.primary_since = now;
+            self.primary_changes += 1;
+        } else if evidence != PrimaryEvidence::Unknown {
+            self.primary_evidence = evidence;
+        }
+        if self.knows_primary() {
+            self.search = None;
         }
-        (self.primary, self.known) = (primary, how != PrimaryEvidence::Unknown);
-        self.search.take_if(|_| self.known);
+    }
+
+    /// Whether nothing would be lost if it were forgotten.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.members.is_empty() && self.waiting.is_empty()
     }
 }
--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -1,52 +1,97 @@
-//! When endpoints are checked, and what their load reports say.
+//! Health checks: when they are sent, and what load reports show.
+//!
+//! Inputs: reads and writes that need an endpoint's role or position, ends of health checks, load
+//! reports. State: [`HealthCheckState`] of each endpoint, and how many positions primaries have
+//! reported. Bounds: one check in flight at an endpoint. Units: microseconds.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::events::*;
-use crate::ids::*;
-use crate::latency::GAIN;
-use crate::outlier_detection::{DOUBTS, Shut};
+use crate::endpoint::{ReplicationLag, ReportedRole};
+use crate::events::{Action, EndpointState, LoadReport, Outcome, Role};
+use crate::ids::EndpointId;
 use crate::router::Router;
-use crate::time::*;
+use crate::time::{Span, Time};
+use crate::view::PrimaryEvidence;
+
+/// Reported positions of primaries from which no more are asked for to compare this machine's clock
+/// with them.
+const CLOCK_COMPARISONS: u32 = 3;
+/// Interval between two health checks of one primary for that.
+const CLOCK_CHECK_INTERVAL: Span = Span::from_millis(100);
+
+/// Health checks of one endpoint.
+#[derive(Debug, Default)]
+pub(crate) struct HealthCheckState {
+    pub(crate) in_flight: bool,
+    last_sent_at: Option<Time>,
+}
+
+impl HealthCheckState {
+    /// Whether the last check was sent at least this long ago.
+    fn is_older_than(&self, interval: Span, now: Time) -> bool {
+        self.last_sent_at.is_none_or(|at| now - at >= interval)
+    }
+}
 
-/// Positions that primaries have told from which no more are asked for: they corroborate each other.
-pub(crate) const CLOCK_TOLD: u32 = 3;
-/// The pause between two questions to one primary for that.
-pub(crate) const CLOCK_PAUSE: Span = Span::from_millis(100);
 impl Router {
-    pub(crate) fn probe(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
+    /// Sends a health check, unless one is in flight or the deployment allows none.
+    pub(crate) fn start_health_check(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        if self.cfg.limits.health_checks
-            && !endpoint.probe_out
+        let check = &mut endpoint.health_check;
+        if self.settings.limits.health_checks
+            && !check.in_flight
             && endpoint.state == EndpointState::Ready
         {
-            (endpoint.probe_out, endpoint.probed_at) = (true, Some(self.now));
+            check.in_flight = true;
+            check.last_sent_at = Some(self.now);
             actions.push(Action::HealthCheck { endpoint: id });
         }
     }
 
-    /// Probes a node that a read could use, if the answer can be expected to make it fresh enough.
-    pub(crate) fn probe_for(
+    /// Checks a replica that a read could use, unless a new report can hardly be newer than the
+    /// last one.
+    pub(crate) fn check_freshness(
         &mut self,
         id: EndpointId,
-        consistency: Time,
+        required_position: Time,
         actions: &mut Vec<Action>,
     ) {
         let Some(endpoint) = self.endpoints.get(&id) else {
             return;
         };
-        let since = endpoint.probed_at.map(|at| self.now - at);
-        let helps = self.now - endpoint.lag >= consistency;
-        // A report is as old as its refreshing makes it: asking sooner than half of that tells nothing new.
-        let gap = Span(endpoint.lag.0 / if helps { 2 } else { 4 });
-        if since.is_none_or(|s| s >= gap.max(self.cfg.tick)) {
-            self.probe(id, actions);
+        let lag = endpoint.lag.span;
+        let report_would_suffice = self.now - lag >= required_position;
+        // A report is as old as its refresh interval makes it, so a check sooner than half of the
+        // lag shows nothing new.
+        let interval = if report_would_suffice {
+            lag / 2
+        } else {
+            lag / 4
+        };
+        let interval = interval.max(self.settings.tick);
+        if endpoint.health_check.is_older_than(interval, self.now) {
+            self.start_health_check(id, actions);
+        }
+    }
+
+    /// Checks a primary until enough positions of primaries are known. A primary's data is never
+    /// behind, so its position shows whether this machine's clock is right. The interval keeps
+    /// checks that fail at once from following each other within one moment.
+    pub(crate) fn check_clock(&mut self, primary: EndpointId, actions: &mut Vec<Action>) {
+        if self.primary_positions >= CLOCK_COMPARISONS {
+            return;
+        }
+        let is_due = self.endpoints.get(&primary).is_none_or(|endpoint| {
+            endpoint
+                .health_check
+                .is_older_than(CLOCK_CHECK_INTERVAL, self.now)
+        });
+        if is_due {
+            self.start_health_check(primary, actions);
         }
     }
 
-    pub(crate) fn on_probed(
+    pub(crate) fn on_health_check_ended(
         &mut self,
         id: EndpointId,
         outcome: Outcome,
@@ -56,58 +101,49 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        endpoint.probe_out = false;
+        endpoint.health_check.in_flight = false;
         if outcome == Outcome::Ok {
-            self.probe_latency += GAIN * (latency.as_f64() - self.probe_latency);
-            if endpoint.health.shut != Some(Shut::Silent) {
-                endpoint.health.open(self.now);
-            }
-            report.into_iter().for_each(|r| self.on_report(id, r));
-        } else if matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout)
-            && endpoint.health.shut.is_none()
-        {
-            endpoint.health.doubts += u32::from(endpoint.health.doubts > 0);
-            if endpoint.health.doubts >= DOUBTS {
-                endpoint.health.shut(Shut::OutOfReach, self.now);
-                self.lose_primary(id);
+            self.latencies.on_health_check(latency);
+            endpoint.outlier.on_health_check_passed(self.now);
+            if let Some(report) = report {
+                self.on_load_report(id, report);
             }
+            return;
+        }
+        let unanswered = matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout);
+        if unanswered && endpoint.outlier.on_health_check_failed(self.now) {
+            self.lose_primary(id);
         }
     }
 
-    pub(crate) fn on_report(&mut self, id: EndpointId, report: &LoadReport) {
+    pub(crate) fn on_load_report(&mut self, id: EndpointId, report: &LoadReport) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        if let Some(position) = report.position {
-            endpoint.position = endpoint.position.max(Some(position));
-            (endpoint.lag, endpoint.told_at) = (self.now - position, self.now);
-            self.clock_told = self
-                .clock_told
-                .saturating_add(u32::from(report.primary == Some(true)));
-        }
-        // A report's position is the earliest that its word on the role can be dated to.
-        let (Some(primary), Some(at)) = (report.primary, report.position) else {
+        // A reported role is as old as the report's position at most.
+        let Some(position) = report.position else {
             return;
         };
-        self.on_role(
-            id,
-            if primary {
-                Role::Primary
-            } else {
-                Role::Replica
-            },
-            at,
-            false,
-        );
+        endpoint.position = endpoint.position.max(Some(position));
+        endpoint.lag = ReplicationLag {
+            span: self.now - position,
+            measured_at: self.now,
+        };
+        let Some(is_primary) = report.primary else {
+            return;
+        };
+        let role = if is_primary {
+            self.count_primary_position();
+            Role::Primary
+        } else {
+            Role::Replica
+        };
+        let reported = ReportedRole { role, at: position };
+        self.on_role(id, reported, PrimaryEvidence::LoadReport);
     }
 
-    /// Whether a primary is asked for what shows the clock: seldom enough that probes which come to nothing at once do not
-    /// follow each other without a pause.
-    pub(crate) fn asks_for_clock(&self, id: EndpointId) -> bool {
-        let last = self
-            .endpoints
-            .get(&id)
-            .and_then(|endpoint| endpoint.probed_at);
-        self.clock_told < CLOCK_TOLD && last.is_none_or(|at| self.now - at >= CLOCK_PAUSE)
+    /// Counts a position that a primary reported.
+    pub(crate) fn count_primary_position(&mut self) {
+        self.primary_positions = self.primary_positions.saturating_add(1);
     }
 }
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers.
+//! Identifiers of what the decision module works on. The embedder assigns them; they carry no
+//! state.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -8,11 +9,43 @@
     };
 }
 
-id!(/** A client's request; never used twice. */ RequestId, u64);
-id!(/** A member of a group; stays the same over restarts of its process. */ EndpointId, u32);
-id!(/** A group: one primary and its replicas. */ GroupId, u16);
-id!(/** Place of a class in [`crate::Settings::classes`]. */ ClassId, usize);
-id!(/** Place of a tenant in [`crate::Settings::tenants`]. */ TenantId, usize);
-id!(/** A zone (hall, data centre). */ ZoneId, u8);
-id!(/** A kind of machine. */ KindId, u8);
-id!(/** A client's session. */ SessionKey, u64);
+id!(
+    /// A client's request. An id is never used twice.
+    RequestId,
+    u64
+);
+id!(
+    /// An endpoint (a database server). It keeps its id when its process restarts.
+    EndpointId,
+    u32
+);
+id!(
+    /// A replication group: one primary and its replicas.
+    GroupId,
+    u16
+);
+id!(
+    /// A request class: its index in [`crate::Settings::classes`].
+    ClassId,
+    usize
+);
+id!(
+    /// A tenant: its index in [`crate::Settings::tenants`].
+    TenantId,
+    usize
+);
+id!(
+    /// An availability zone.
+    ZoneId,
+    u8
+);
+id!(
+    /// A machine type.
+    KindId,
+    u8
+);
+id!(
+    /// A client's session, for read-your-writes consistency.
+    SessionKey,
+    u64
+);
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,134 +1,200 @@
-//! Estimates from how attempts ended.
+//! Latency estimates, from how attempts and health checks ended.
+//!
+//! Inputs: the outcome and latency of each attempt, whether or not its request still waits, and of
+//! each health check. State: [`LatencyEstimates`] (mean and deviation of each class), and of each
+//! endpoint its failure rate and [`DecayingValue`]s. Bounds: one entry for each class or endpoint.
+//! Units: microseconds as `f64`; rates and excesses are fractions.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::concurrency_limit::LIMIT_CUT;
-use crate::endpoint::Node;
-use crate::events::*;
-use crate::ids::*;
-use crate::load_shedding::{STRAIN, STRAIN_GAIN};
+use crate::endpoint::{Endpoint, SentAttempt};
+use crate::events::{AttemptEnd, Outcome};
+use crate::ids::{ClassId, EndpointId};
 use crate::router::Router;
-use crate::settings::*;
-use crate::time::*;
+use crate::settings::{RequestClass, Settings};
+use crate::time::{Span, Time};
 
-/// Smoothing of measured latencies and lags: the last ten or so samples count.
+/// Weight of a new sample in a moving average: about the last ten samples count.
 pub(crate) const GAIN: f64 = 0.1;
-/// The same for how slow one member is: the last two or three answers, all that a router may have of it.
-pub(crate) const EXCESS_GAIN: f64 = 0.3;
-/// A member that answers so many times later than usual is as slow as any.
-pub(crate) const MOST_EXCESS: f64 = 9.0;
-/// An answer that takes more than this part of its class's aim is slow: the rest is for waiting and retrying.
-pub(crate) const SLOW_PART: f64 = 0.33;
-/// Answers and lags are remembered for so long at least, however soon a member gets warm.
-pub(crate) const MEMORY: Span = Span::from_millis(1000);
+/// Weight of a new sample in an endpoint's excess latency: a router may get only two or three
+/// responses from one.
+const EXCESS_GAIN: f64 = 0.3;
+/// Largest excess latency, as a multiple of the class's mean latency.
+pub(crate) const MAX_EXCESS: f64 = 9.0;
+/// Standard deviations above the mean latency after which an unanswered attempt marks its endpoint
+/// unresponsive.
+const UNRESPONSIVE_AFTER_DEVIATIONS: f64 = 9.0;
+/// A response that takes more than this fraction of its class's latency objective is slow: the rest
+/// is for queueing and retries.
+pub(crate) const SLOW_FRACTION: f64 = 0.33;
+/// Shortest time constant of decaying values, for endpoints whose slow start is shorter.
+pub(crate) const MIN_DECAY: Span = Span::from_millis(1000);
+
+/// `amount` after it has decayed exponentially for `elapsed`, with time constant `over`.
+pub(crate) fn decayed(amount: f64, elapsed: Span, over: Span) -> f64 {
+    amount * (-elapsed.as_f64() / over.max(MIN_DECAY).as_f64()).exp()
+}
+
+/// A value that decays exponentially since it was last set.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct DecayingValue {
+    pub(crate) value: f64,
+    pub(crate) set_at: Time,
+}
+
+impl DecayingValue {
+    pub(crate) fn at(&self, now: Time, over: Span) -> f64 {
+        decayed(self.value, now - self.set_at, over)
+    }
+}
+
+/// Latencies of each class and of health checks, in microseconds.
+#[derive(Debug)]
+pub(crate) struct LatencyEstimates {
+    mean: Vec<f64>,
+    deviation: Vec<f64>,
+    health_check: f64,
+}
+
+impl LatencyEstimates {
+    /// Assumes a quarter of each latency objective, and one tick for health checks, until something
+    /// was measured.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let objectives = || {
+            settings
+                .classes
+                .iter()
+                .map(|class| class.latency_objective.as_f64())
+        };
+        Self {
+            mean: objectives()
+                .map(|objective| (objective / 4.0).max(1.0))
+                .collect(),
+            deviation: objectives().map(|objective| objective / 8.0).collect(),
+            health_check: settings.tick.as_f64(),
+        }
+    }
+
+    /// Mean latency of each class, in microseconds; at least 1.
+    pub(crate) fn means(&self) -> &[f64] {
+        &self.mean
+    }
+
+    /// Mean latency of a class, in microseconds; at least 1.
+    pub(crate) fn mean(&self, class: ClassId) -> f64 {
+        self.mean[class.0]
+    }
+
+    /// Mean latency of a class.
+    pub(crate) fn expected(&self, class: ClassId) -> Span {
+        Span::from_micros(self.mean(class))
+    }
+
+    /// Mean latency of health checks, in microseconds.
+    pub(crate) fn health_check(&self) -> f64 {
+        self.health_check
+    }
+
+    /// How long an attempt may stay unanswered, among `in_flight` at its endpoint, before that
+    /// marks the endpoint unresponsive. It depends on the class: a long query that is cancelled for
+    /// its latency only runs twice.
+    pub(crate) fn unresponsive_after(&self, class: ClassId, in_flight: usize) -> Span {
+        let deviations = UNRESPONSIVE_AFTER_DEVIATIONS / (in_flight.max(1) as f64).sqrt();
+        Span::from_micros(self.mean[class.0] + deviations * self.deviation[class.0])
+    }
+
+    fn on_served(&mut self, class: ClassId, latency: f64) {
+        let (mean, deviation) = (&mut self.mean[class.0], &mut self.deviation[class.0]);
+        *deviation += GAIN * ((latency - *mean).abs() - *deviation);
+        *mean = (*mean + GAIN * (latency - *mean)).max(1.0);
+    }
+
+    pub(crate) fn on_health_check(&mut self, latency: Span) {
+        self.health_check += GAIN * (latency.as_f64() - self.health_check);
+    }
+}
+
+/// Whether a response took long enough to count as slow. The time that a client waited proves
+/// nothing: it may be short.
+fn is_slow(end: &AttemptEnd, class: &RequestClass) -> bool {
+    end.latency > class.latency_objective.times(SLOW_FRACTION)
+}
+
 impl Router {
-    /// Learns from how an attempt ended, whether or not its request is still held.
-    pub(crate) fn measure(&mut self, end: &AttemptEnd, class_id: ClassId, key: Option<SessionKey>) {
-        let class = &self.cfg.classes[class_id.0];
-        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
+    /// Updates all estimates from the end of an attempt, whether or not its request still waits.
+    pub(crate) fn measure(&mut self, end: &AttemptEnd, sent: &SentAttempt) {
+        if !self.endpoints.contains_key(&end.endpoint) {
             return;
-        };
-        let fault = f64::from(u8::from(matches!(
-            end.outcome,
-            Outcome::Error | Outcome::Reset
-        )));
-        endpoint.faults += GAIN * (fault - endpoint.faults);
-        let slow = end.latency > class.latency_objective.times(SLOW_PART); // A client's haste proves nothing.
+        }
+        let slow = is_slow(end, self.settings.class(sent.class));
+        self.update_failure_rate(end);
         if !end.outcome.never_ran() && (end.outcome == Outcome::Ok || slow) {
-            let usual = self.class_latency[class_id.0];
-            let excess = (end.latency.as_f64() / usual - 1.0).clamp(0.0, MOST_EXCESS);
-            let before = faded(
-                endpoint.excess,
-                self.now - endpoint.excess_at,
-                self.cfg.rules.slow_start_duration,
-            );
-            (endpoint.excess, endpoint.excess_at) =
-                (before + EXCESS_GAIN * (excess - before), self.now);
+            self.update_excess_latency(end, sent.class);
         }
-        let full = if end.outcome == Outcome::Rejected {
-            STRAIN.1
-        } else {
-            0.0
-        };
-        let part =
-            (end.latency.as_f64() / class.latency_objective.as_f64().max(1.0)).clamp(full, 2.0);
         if !end.outcome.never_ran() || end.outcome == Outcome::Rejected {
-            // Answers from other groups stand in where a group has few of its own.
-            let primary = self
-                .groups
-                .get(&endpoint.group)
-                .is_some_and(|g| g.primary == Some(end.endpoint));
-            let shared = STRAIN_GAIN / (self.groups.len() as f64).sqrt();
-            for (id, group) in &mut self.groups {
-                let strain = &mut group.strain[usize::from(primary)];
-                *strain += if *id == endpoint.group {
-                    STRAIN_GAIN
-                } else {
-                    shared
-                } * (part - *strain);
-            }
-        }
-        if slow || end.outcome == Outcome::Rejected {
-            endpoint.limit = (endpoint.limit - LIMIT_CUT).max(1.0);
-        } else if end.outcome == Outcome::Ok
-            && endpoint.out.len() as f64 + 1.0 > endpoint.limit / 2.0
-        {
-            endpoint.limit += 1.0 / endpoint.limit;
+            self.update_latency_utilization(end, sent.class);
         }
+        self.update_concurrency_limit(end, slow);
         if end.outcome != Outcome::Ok {
             return;
         }
-        let warm = |n: &&Node| n.ready() && self.slow_start_fraction(n).is_none();
-        if self.endpoints.get(&end.endpoint).filter(warm).is_some() {
-            // By the size that was warm then: by what is warm later, nodes of a group most of which went away
-            // would seem to have served far more for their size.
-            let sizes: f64 = self.endpoints.values().filter(warm).map(|n| n.weight).sum();
-            (self.served, self.served_at) = (self.served_now() + 1.0 / sizes, self.now);
-        }
-        let sample = end.latency.as_f64();
-        self.costs.on_served(class_id, sample);
-        let (mean, deviation) = (
-            &mut self.class_latency[class_id.0],
-            &mut self.class_deviation[class_id.0],
-        );
-        *deviation += GAIN * ((sample - *mean).abs() - *deviation);
-        *mean = (*mean + GAIN * (sample - *mean)).max(1.0);
-        let kept = class.consistency == Consistency::Write
-            && self.cfg.sessions == SessionTracking::RouterTracked;
-        let (true, Some(key), Some(at)) = (kept, key, end.position) else {
+        self.count_warm_response(end.endpoint);
+        let latency = end.latency.as_f64();
+        self.class_costs.on_served(sent.class, latency);
+        self.latencies.on_served(sent.class, latency);
+        self.remember_session_write(end, sent);
+    }
+
+    fn update_failure_rate(&mut self, end: &AttemptEnd) {
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
             return;
         };
-        let kept = *self
-            .sessions
-            .entry(key)
-            .and_modify(|kept| *kept = at.max(*kept))
-            .or_insert(at);
-        self.session_order.push_back((key, kept));
-        // Memory is bounded by letting the oldest go: its position is then asked of every unknown session.
-        while self.session_order.len() > self.cfg.limits.max_open_requests {
-            let Some((old, when)) = self.session_order.pop_front() else {
-                break;
-            };
-            if self.sessions.get(&old) == Some(&when) && self.sessions.remove(&old).is_some() {
-                self.session_floor = self.session_floor.max(Some(when));
-            }
-        }
+        let failed = matches!(end.outcome, Outcome::Error | Outcome::Reset);
+        endpoint.failure_rate += GAIN * (f64::from(u8::from(failed)) - endpoint.failure_rate);
     }
 
-    /// How much this router's own answers of late tell of each member: from nothing to enough, 1.
-    pub(crate) fn heard(&self) -> f64 {
-        (self.served_now() * GAIN).min(1.0)
+    fn update_excess_latency(&mut self, end: &AttemptEnd, class: ClassId) {
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
+            return;
+        };
+        let excess =
+            (end.latency.as_f64() / self.latencies.mean(class) - 1.0).clamp(0.0, MAX_EXCESS);
+        let before = endpoint
+            .excess_latency
+            .at(self.now, self.settings.rules.slow_start_duration);
+        endpoint.excess_latency = DecayingValue {
+            value: before + EXCESS_GAIN * (excess - before),
+            set_at: self.now,
+        };
     }
 
-    pub(crate) fn served_now(&self) -> f64 {
-        faded(
-            self.served,
-            self.now - self.served_at,
-            self.cfg.rules.slow_start_duration,
-        )
+    /// Counts a response of an endpoint at full capacity, divided by the weight of all such
+    /// endpoints at that moment. With the weight of a later moment, an endpoint whose group has
+    /// shrunk would seem to have served far more.
+    fn count_warm_response(&mut self, id: EndpointId) {
+        let is_warm = |endpoint: &&Endpoint| self.is_ready_and_warm(endpoint);
+        if self.endpoints.get(&id).filter(is_warm).is_none() {
+            return;
+        }
+        let weight: f64 = self
+            .endpoints
+            .values()
+            .filter(is_warm)
+            .map(|endpoint| endpoint.weight)
+            .sum();
+        self.warm_responses = DecayingValue {
+            value: self.warm_responses_now() + 1.0 / weight,
+            set_at: self.now,
+        };
     }
-}
 
-pub(crate) fn faded(amount: f64, after: Span, over: Span) -> f64 {
-    amount * (-after.as_f64() / over.max(MEMORY).as_f64()).exp()
+    /// Recent responses of endpoints at full capacity, for a weight of 1.
+    pub(crate) fn warm_responses_now(&self) -> f64 {
+        self.warm_responses
+            .at(self.now, self.settings.rules.slow_start_duration)
+    }
+
+    /// How much this router's own recent responses show of each endpoint: from 0 (nothing) to 1
+    /// (enough).
+    pub(crate) fn measurement_confidence(&self) -> f64 {
+        (self.warm_responses_now() * GAIN).min(1.0)
+    }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,28 @@
 #![forbid(unsafe_code)]
-//! Decides for a read/write splitter in front of database groups: one primary and its replicas each.
+//! The decision module of a read/write splitter in front of replication groups of one primary and
+//! its replicas each: which endpoint a request is sent to, whether it is attempted again, and what
+//! is rejected.
 //!
-//! [`Router`] is a state machine without input or output of its own. An embedder hands it whole batches of
-//! [`PolicyEvent`]s with the time of its clock and carries out the [`Action`]s that come back, in their order.
+//! [`Router`] is a state machine without I/O, clock or threads. An embedder hands it
+//! [`PolicyEvent`]s in batches, with the time of its clock, and carries out the [`Action`]s that
+//! come back, in their order. The same settings, seed and events give the same actions.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `router` | the step: events in, actions out |
+//! | `endpoint_list` | takes in the endpoint list, and polls it |
+//! | `scheduling` | order of the waiting requests; when they are given up |
+//! | `load_shedding` | which new requests are rejected under overload |
+//! | `primary_search` | finds a group's primary; endpoint of a write |
+//! | `replica_selection` | endpoint of a read |
+//! | `sessions` | read-your-writes |
+//! | `concurrency_limit`, `slow_start` | how much an endpoint may be sent |
+//! | `outlier_detection`, `health_checks` | which endpoints may be used; what load reports show |
+//! | `retry` | ends of attempts; until when a request may be attempted again |
+//! | `latency` | latency estimates |
+//! | `endpoint`, `group` | what is known of one endpoint and of one group |
+//! | `view` | the same, for observers |
+//! | `events`, `settings`, `ids`, `time` | vocabulary |
 //!
 //! ```
 //! use valehatch_policy::*;
@@ -90,6 +110,7 @@
 mod retry;
 mod router;
 mod scheduling;
+mod sessions;
 mod settings;
 mod slow_start;
 mod time;
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,48 +1,139 @@
-//! Rejects part of the requests while answers take too long.
+//! Load shedding: rejects part of the new requests while responses take too much of their latency
+//! objective.
+//!
+//! Many routers with few requests in flight each fill an endpoint's queue without seeing it. The
+//! time that responses take shows it, whatever the overload comes from. Requests with the least
+//! priority for their work are shed first.
+//!
+//! Inputs: the latency of each attempt, and each new request. State: [`LatencyUtilization`] of each
+//! group, and the priority per work of a typical request. Bounds: at most [`MAX_SHED_PROBABILITY`]
+//! of the new requests are shed, and a request only as it arrives. Units: fractions of the latency
+//! objective; priority weight per microsecond.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::ids::*;
+use crate::events::{AttemptEnd, Outcome, Role};
+use crate::ids::{ClassId, RequestId};
 use crate::latency::GAIN;
 use crate::router::Router;
-use crate::scheduling::Open;
-use crate::settings::*;
-
-/// Mean part of the aim that answers take from which on some requests are refused, and where all would be.
-pub(crate) const STRAIN: (f64, f64) = (0.4, 0.7);
-/// Smoothing of that mean. Parts vary by 0.5 or so: over the last forty answers the mean is out by 0.08, a
-/// quarter of the way between the two; over ten, as others are smoothed, by half of it.
-pub(crate) const STRAIN_GAIN: f64 = GAIN / 2.0;
+use crate::settings::Consistency;
+
+/// Fraction of the latency objective that responses take on average above which some requests are
+/// shed.
+const SHED_FROM: f64 = 0.4;
+/// The same above which nearly all are.
+const SHED_ALL_AT: f64 = 0.7;
+/// Weight of a new sample in that average; smaller than [`GAIN`], as a few slow responses must not
+/// shed anything.
+const UTILIZATION_GAIN: f64 = GAIN / 2.0;
+/// Largest fraction that a single attempt counts as.
+const MAX_UTILIZATION: f64 = 2.0;
+/// The rest shows when the overload ends.
+const MAX_SHED_PROBABILITY: f64 = 1.0 - GAIN;
+/// Stands in for a priority weight of 0, by which nothing could be divided.
+const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
+
+/// Moving averages of the fraction of their latency objective that a group's attempts take, by the
+/// role of the endpoint.
+#[derive(Debug, Default)]
+pub(crate) struct LatencyUtilization {
+    primary: f64,
+    replica: f64,
+}
+
+impl LatencyUtilization {
+    fn get(&self, role: Role) -> f64 {
+        match role {
+            Role::Primary => self.primary,
+            Role::Replica => self.replica,
+        }
+    }
+
+    fn add_sample(&mut self, role: Role, sample: f64, gain: f64) {
+        let average = match role {
+            Role::Primary => &mut self.primary,
+            Role::Replica => &mut self.replica,
+        };
+        *average += gain * (sample - *average);
+    }
+}
+
 impl Router {
-    /// Departure: hundreds of routers with hardly anything in flight fill the nodes' queues unseen, so a
-    /// router whose answers take too much of their aim refuses part of what comes in, the least worth for its
-    /// work first. Acts on any kind of overload; may hurt where answers are slow for few.
-    pub(crate) fn shed(&mut self, id: RequestId) -> bool {
-        let Some(open) = self.open.get(&id).filter(|o| o.arrived == self.now) else {
+    /// Priority weight of a request of this class for each microsecond of its expected latency.
+    pub(crate) fn priority_per_work(&self, class: ClassId) -> f64 {
+        let weight = self.settings.class(class).priority_weight;
+        weight.max(MIN_PRIORITY_WEIGHT) / self.latencies.mean(class)
+    }
+
+    /// Whether a request that has just arrived is shed.
+    pub(crate) fn should_shed(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.pending.get(&id) else {
             return false;
         };
-        let value = self.value(open);
-        let primary = matches!(
-            self.cfg.classes[open.class.0].consistency,
-            Consistency::Write | Consistency::Strong
-        );
-        let strain = self
+        if request.arrived != self.now {
+            return false;
+        }
+        let (class, group) = (request.class, request.group);
+        let priority = self.priority_per_work(class);
+        let role = match self.settings.class(class).consistency {
+            Consistency::Write | Consistency::Strong => Role::Primary,
+            _ => Role::Replica,
+        };
+        let utilization = self
             .groups
-            .get(&open.group)
-            .map_or(0.0, |g| g.strain[usize::from(primary)]);
-        self.usual_value += if self.usual_value > 0.0 {
-            GAIN * (value - self.usual_value)
+            .get(&group)
+            .map_or(0.0, |group| group.latency_utilization.get(role));
+        self.update_typical_priority(priority);
+        let overload = ((utilization - SHED_FROM) / (SHED_ALL_AT - SHED_FROM)).clamp(0.0, 1.0);
+        let over = self.unseen_load_fraction().powi(2) * overload;
+        let probability = over * (self.typical_priority / priority).powi(2);
+        self.random() < probability.min(MAX_SHED_PROBABILITY)
+    }
+
+    fn update_typical_priority(&mut self, priority: f64) {
+        if self.typical_priority > 0.0 {
+            self.typical_priority += GAIN * (priority - self.typical_priority);
         } else {
-            value
-        };
-        // The fewer routers there are for each node, the better the nodes' limits at each see what is filled.
-        let unseen = f64::from(self.cfg.routers)
-            / (f64::from(self.cfg.routers) + self.endpoints.len() as f64);
-        let over = unseen.powi(2) * ((strain - STRAIN.0) / (STRAIN.1 - STRAIN.0)).clamp(0.0, 1.0);
-        self.random() < (over * (self.usual_value / value).powi(2)).min(1.0 - GAIN)
+            self.typical_priority += priority;
+        }
+    }
+
+    /// The fraction of the load that concurrency limits do not see: the fewer routers there are for
+    /// each endpoint, the more of its queue each of them sees.
+    fn unseen_load_fraction(&self) -> f64 {
+        let routers = f64::from(self.settings.routers);
+        routers / (routers + self.endpoints.len() as f64)
     }
 
-    pub(crate) fn value(&self, open: &Open) -> f64 {
-        self.cfg.classes[open.class.0].priority_weight.max(1e-9) / self.class_latency[open.class.0]
+    /// Takes in what an attempt took of its latency objective. A rejection counts as
+    /// [`SHED_ALL_AT`] at least.
+    pub(crate) fn update_latency_utilization(&mut self, end: &AttemptEnd, class: ClassId) {
+        let Some(endpoint) = self.endpoints.get(&end.endpoint) else {
+            return;
+        };
+        let least = if end.outcome == Outcome::Rejected {
+            SHED_ALL_AT
+        } else {
+            0.0
+        };
+        let objective = self.settings.class(class).latency_objective.as_f64();
+        let sample = (end.latency.as_f64() / objective.max(1.0)).clamp(least, MAX_UTILIZATION);
+        let is_primary = self
+            .groups
+            .get(&endpoint.group)
+            .is_some_and(|group| group.primary == Some(end.endpoint));
+        let role = if is_primary {
+            Role::Primary
+        } else {
+            Role::Replica
+        };
+        // A group with few responses of its own goes by those of the others.
+        let gain_of_others = UTILIZATION_GAIN / (self.groups.len() as f64).sqrt();
+        for (id, group) in &mut self.groups {
+            let gain = if *id == endpoint.group {
+                UTILIZATION_GAIN
+            } else {
+                gain_of_others
+            };
+            group.latency_utilization.add_sample(role, sample, gain);
+        }
     }
 }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,105 +1,217 @@
-//! Whether an endpoint may be used, by this router's own evidence.
+//! Outlier detection: whether an endpoint may be used, by this router's own evidence.
+//!
+//! - An endpoint that leaves an attempt unanswered for longer than responses ever take is ejected
+//!   as unresponsive. It gets a trial attempt now and then, and only an answer readmits it, because
+//!   a hung process passes health checks.
+//! - Failed attempts and failed health checks without an answer between them eject it as
+//!   unreachable; health checks find out when it is back. A single broken connection ejects
+//!   nothing.
+//!
+//! Inputs: ends of attempts and of health checks, time. State: [`OutlierState`] of each endpoint.
+//! Bounds: none of its own. Units: microseconds; failures are counted.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
+use std::collections::BTreeSet;
 
-use crate::endpoint::{Node, Sent};
-use crate::events::*;
-use crate::ids::*;
-use crate::primary_search::SEARCH_PAUSE;
+use crate::endpoint::{Endpoint, SentAttempt};
+use crate::events::{Action, EndpointState};
+use crate::ids::{EndpointId, RequestId};
 use crate::router::Router;
-use crate::scheduling::Open;
-use crate::settings::*;
-use crate::time::*;
-
-/// Deviations above the mean at which one unanswered attempt counts as silence: answers vary widely.
-pub(crate) const PATIENCE_DEVS: f64 = 9.0;
-/// Lost attempts and failed probes without an answer between them from which a node counts as out of reach.
-pub(crate) const DOUBTS: u32 = 3;
-/// May I use this node, by my own evidence? Lost attempts raise doubts, which an answer ends; silence shuts
-/// it, or a failed probe among some doubts; an answer opens it, and a passing probe too unless it is silent
-/// (a hung process passes probes). A single break shuts nothing: what comes back from that counts as cold.
-#[derive(Debug, Default)]
-pub(crate) struct Reach {
-    pub(crate) doubts: u32,
-    pub(crate) shut: Option<Shut>,
-    pub(crate) again: Time,
-    /// Until it is asked once more after that.
-    pub(crate) gap: Span,
-    /// When it came back from out of reach: it may have started anew, long before the list says so.
-    pub(crate) revived: Option<Time>,
-}
+use crate::settings::Idempotency;
+use crate::time::{Span, Time};
+
+/// Failed attempts and health checks without an answer between them from which an endpoint is
+/// ejected.
+pub(crate) const FAILURES_BEFORE_EJECTION: u32 = 3;
+/// From an ejection, or the last attempt, to the next trial; later trials take twice as long each.
+const FIRST_TRIAL_AFTER: Span = Span::from_millis(500);
+/// Longest interval between two trials: every router tries the same dead endpoint.
+const MAX_TRIAL_INTERVAL: Span = Span::from_millis(4000);
 
+/// Why an endpoint is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Shut {
-    Silent,
-    OutOfReach,
+pub(crate) enum EjectionCause {
+    /// It leaves what is sent unanswered.
+    Unresponsive,
+    /// Connections to it fail.
+    Unreachable,
+}
+
+/// This router's evidence of whether an endpoint may be used.
+#[derive(Debug, Default)]
+pub(crate) struct OutlierState {
+    /// Failures since the last answer. Failed health checks count only once an attempt has failed.
+    consecutive_failures: u32,
+    ejected: Option<EjectionCause>,
+    next_trial_at: Time,
+    trial_interval: Span,
+    /// When it was last readmitted after it had been unreachable. Its process may have restarted
+    /// then, long before the endpoint list says so, and slow start begins anew.
+    readmitted_at: Option<Time>,
 }
 
-impl Reach {
-    pub(crate) fn open(&mut self, now: Time) {
-        if self.shut.take() == Some(Shut::OutOfReach) {
-            self.revived = Some(now);
+impl OutlierState {
+    pub(crate) fn ejected(&self) -> Option<EjectionCause> {
+        self.ejected
+    }
+
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.ejected.is_some()
+    }
+
+    pub(crate) fn readmitted_at(&self) -> Option<Time> {
+        self.readmitted_at
+    }
+
+    /// Readmits the endpoint, and forgets its failures.
+    pub(crate) fn readmit(&mut self, now: Time) {
+        if self.ejected.take() == Some(EjectionCause::Unreachable) {
+            self.readmitted_at = Some(now);
+        }
+        self.consecutive_failures = 0;
+    }
+
+    fn eject(&mut self, cause: EjectionCause, now: Time) {
+        self.ejected = Some(cause);
+        self.next_trial_at = now + FIRST_TRIAL_AFTER;
+        self.trial_interval = FIRST_TRIAL_AFTER;
+    }
+
+    pub(crate) fn on_attempt_sent(&mut self, now: Time) {
+        self.next_trial_at = now + FIRST_TRIAL_AFTER;
+    }
+
+    /// A connection failed or broke.
+    pub(crate) fn on_attempt_failed(&mut self) {
+        self.consecutive_failures += 1;
+    }
+
+    /// A health check passed. It proves nothing of an unresponsive endpoint.
+    pub(crate) fn on_health_check_passed(&mut self, now: Time) {
+        if self.ejected != Some(EjectionCause::Unresponsive) {
+            self.readmit(now);
+        }
+    }
+
+    /// A health check got no answer; returns whether that ejects the endpoint.
+    pub(crate) fn on_health_check_failed(&mut self, now: Time) -> bool {
+        if self.is_ejected() {
+            return false;
         }
-        self.doubts = 0;
+        if self.consecutive_failures > 0 {
+            self.consecutive_failures += 1;
+        }
+        if self.consecutive_failures < FAILURES_BEFORE_EJECTION {
+            return false;
+        }
+        self.eject(EjectionCause::Unreachable, now);
+        true
+    }
+
+    /// Whether an unresponsive endpoint may have a trial attempt now.
+    fn trial_attempt_is_due(&self, now: Time) -> bool {
+        self.ejected == Some(EjectionCause::Unresponsive) && now >= self.next_trial_at
     }
 
-    pub(crate) fn shut(&mut self, why: Shut, now: Time) {
-        (self.shut, self.again, self.gap) = (Some(why), now + SEARCH_PAUSE, SEARCH_PAUSE);
+    /// Whether an unreachable endpoint gets a health check now; if so, the next one takes twice as
+    /// long.
+    fn try_start_trial_check(&mut self, now: Time) -> bool {
+        if self.ejected != Some(EjectionCause::Unreachable) || now < self.next_trial_at {
+            return false;
+        }
+        self.next_trial_at = now + self.trial_interval;
+        self.trial_interval = (self.trial_interval * 2).min(MAX_TRIAL_INTERVAL);
+        true
     }
 }
 
 impl Router {
-    /// How long an attempt of a class may stay unanswered, among so many out, before that counts as evidence.
-    /// By class: a long query is no silence, and calling it off only makes the node run it twice.
-    pub(crate) fn patience(&self, class: ClassId, out: usize) -> Span {
-        let devs = PATIENCE_DEVS / (out.max(1) as f64).sqrt();
-        let (mean, deviation) = (self.class_latency[class.0], self.class_deviation[class.0]);
-        Span(1).times(mean + devs * deviation) + self.cfg.tick
-    }
-
-    /// Departure: silence is evidence. A hung node never says miss, so one that leaves all its attempts
-    /// unanswered for longer than this router's answers ever take gets nothing new but a trickle.
-    pub(crate) fn tend_health(&mut self, actions: &mut Vec<Action>) {
-        let over = |(id, endpoint): (&EndpointId, &Node)| {
-            self.silence(endpoint)
-                .filter(|at| *at < self.now)
-                .map(|_| *id)
+    /// Ejects the endpoints that have become unresponsive.
+    pub(crate) fn run_outlier_detection(&mut self, actions: &mut Vec<Action>) {
+        let is_unresponsive = |endpoint: &Endpoint| {
+            self.unresponsive_at(endpoint)
+                .is_some_and(|at| at < self.now)
         };
-        for id in self.endpoints.iter().filter_map(over).collect::<Vec<_>>() {
-            let Some(endpoint) = self.endpoints.get_mut(&id) else {
-                continue;
-            };
-            endpoint.health.shut(Shut::Silent, self.now);
-            let harms =
-                |o: &Open| self.cfg.classes[o.class.0].idempotency == Idempotency::NonIdempotent;
-            let off = |id: &RequestId| {
-                self.cfg.limits.cancel && self.open.get(id).is_some_and(|o| !harms(o))
-            };
-            let out = endpoint.out.keys().copied().filter(|(id, _)| off(id));
-            actions.extend(out.map(|(request, attempt)| Action::Cancel { request, attempt }));
-            self.lose_primary(id);
+        let unresponsive: Vec<EndpointId> = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| is_unresponsive(endpoint))
+            .map(|(id, _)| *id)
+            .collect();
+        for id in unresponsive {
+            self.eject_unresponsive(id, actions);
         }
     }
 
-    /// When what is out at a node will count as silence.
-    pub(crate) fn silence(&self, endpoint: &Node) -> Option<Time> {
-        let quiet = |(sent, class, _): &Sent| {
-            endpoint.quiet_since.map_or(*sent, |q| q.max(*sent))
-                + self.patience(*class, endpoint.out.len())
+    /// Ejects an endpoint, and cancels what may run again elsewhere.
+    fn eject_unresponsive(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
         };
         endpoint
-            .out
-            .values()
-            .filter(|_| endpoint.health.shut != Some(Shut::Silent))
-            .map(quiet)
-            .min()
-    }
-
-    /// Takes new work: ready, and not shut (but for a trial now and then).
-    pub(crate) fn takes(&self, id: EndpointId) -> bool {
-        let due = |n: &Node| n.health.shut == Some(Shut::Silent) && self.now >= n.health.again;
-        self.endpoints
-            .get(&id)
-            .is_some_and(|n| n.ready() || (n.state == EndpointState::Ready && due(n)))
+            .outlier
+            .eject(EjectionCause::Unresponsive, self.now);
+        let endpoint = &self.endpoints[&id];
+        for attempt in endpoint.in_flight.keys() {
+            if self.settings.limits.cancel && self.is_repeatable(attempt.request) {
+                actions.push(Action::Cancel {
+                    request: attempt.request,
+                    attempt: attempt.attempt,
+                });
+            }
+        }
+        self.lose_primary(id);
+    }
+
+    /// Whether a request that still waits for its answer may run twice.
+    fn is_repeatable(&self, id: RequestId) -> bool {
+        self.pending.get(&id).is_some_and(|request| {
+            self.settings.class(request.class).idempotency != Idempotency::NonIdempotent
+        })
+    }
+
+    /// When an endpoint becomes unresponsive unless it answers; `None` if it is already, or has
+    /// nothing in flight.
+    pub(crate) fn unresponsive_at(&self, endpoint: &Endpoint) -> Option<Time> {
+        if endpoint.outlier.ejected() == Some(EjectionCause::Unresponsive) {
+            return None;
+        }
+        let overdue_at = |attempt: &SentAttempt| {
+            let waits_since = endpoint
+                .unanswered_since
+                .map_or(attempt.sent_at, |since| since.max(attempt.sent_at));
+            waits_since + self.unresponsive_after(attempt, endpoint.in_flight.len())
+        };
+        endpoint.in_flight.values().map(overdue_at).min()
+    }
+
+    fn unresponsive_after(&self, attempt: &SentAttempt, in_flight: usize) -> Span {
+        self.latencies.unresponsive_after(attempt.class, in_flight) + self.settings.tick
+    }
+
+    /// Whether an endpoint may get an attempt now: it is ready, or unresponsive and due for a
+    /// trial.
+    pub(crate) fn accepts_attempts(&self, id: EndpointId) -> bool {
+        self.endpoints.get(&id).is_some_and(|endpoint| {
+            endpoint.is_ready()
+                || (endpoint.state == EndpointState::Ready
+                    && endpoint.outlier.trial_attempt_is_due(self.now))
+        })
+    }
+
+    /// Sends health checks to the unreachable endpoints that are due for one. Called only while a
+    /// request waits that they could serve.
+    pub(crate) fn check_unreachable_endpoints(
+        &mut self,
+        members: &BTreeSet<EndpointId>,
+        actions: &mut Vec<Action>,
+    ) {
+        for member in members {
+            let Some(endpoint) = self.endpoints.get_mut(member) else {
+                continue;
+            };
+            if endpoint.outlier.try_start_trial_check(self.now) {
+                self.start_health_check(*member, actions);
+            }
+        }
     }
 }
--- a/crates/policy/src/primary_search.rs
+++ b/crates/policy/src/primary_search.rs
@@ -1,222 +1,348 @@
-//! Finds the primary of a group.
+//! Finds the primary of a group, and selects the endpoint of a write.
+//!
+//! The primary is known from the endpoint list, from roles in answers and from load reports. While
+//! it is not known, one write at a time searches: it is sent to each member in order, while the
+//! group's other writes wait. At the same time health checks ask the members for their role, so
+//! that a new primary may be found without using up a write's attempts.
+//!
+//! Inputs: reported roles, ejections, writes. State: [`PrimarySearch`] of a group whose primary was
+//! lost. Bounds: one write in flight for a search. Units: microseconds.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
+use std::collections::BTreeSet;
 
-use crate::events::*;
-use crate::ids::*;
+use crate::endpoint::ReportedRole;
+use crate::events::{Action, EndpointState, Role};
+use crate::ids::{ClassId, EndpointId, GroupId, RequestId};
 use crate::router::Router;
-use crate::settings::*;
-use crate::time::*;
-use crate::view::*;
-use std::collections::BTreeSet;
+use crate::scheduling::NoTarget;
+use crate::settings::ListedRole;
+use crate::time::{Span, Time};
+use crate::view::PrimaryEvidence;
+
+/// Pause after every member was tried, and first interval between two rounds of health checks.
+const SEARCH_PAUSE: Span = Span::from_millis(500);
+/// From the start of a search to its first round of health checks.
+const FIRST_CHECKS_AFTER: Span = Span::from_millis(125);
+/// Most [`SEARCH_PAUSE`]s by which routers in large numbers extend that interval.
+const MAX_EXTRA_PAUSES: f64 = 8.0;
 
-/// Design page: the pause after a round of misses.
-pub(crate) const SEARCH_PAUSE: Span = Span::from_millis(500);
-/// How many times the first pause the pauses between questions to members grow to.
-pub(crate) const LONGEST_GAP: f64 = 8.0;
+/// The write that searches, and where it was sent.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LeadingWrite {
+    pub(crate) request: RequestId,
+    pub(crate) endpoint: EndpointId,
+    pub(crate) sent_at: Time,
+}
+
+/// The search for the primary of one group.
 #[derive(Debug)]
-pub(crate) struct Search {
-    pub(crate) leader: Option<(RequestId, EndpointId, Time)>,
-    pub(crate) tried: BTreeSet<EndpointId>,
-    pub(crate) pause_until: Option<Time>,
-    pub(crate) ask_at: Time,
-    pub(crate) gap: Span,
-    pub(crate) began: Time,
+pub(crate) struct PrimarySearch {
+    leading_write: Option<LeadingWrite>,
+    /// Members that were tried in this round.
+    tried_endpoints: BTreeSet<EndpointId>,
+    /// End of the pause after a round.
+    paused_until: Option<Time>,
+    next_checks_at: Time,
+    check_interval: Span,
+    started_at: Time,
+}
+
+impl PrimarySearch {
+    fn new(lost: EndpointId, now: Time) -> Self {
+        Self {
+            leading_write: None,
+            tried_endpoints: BTreeSet::from([lost]),
+            paused_until: None,
+            next_checks_at: now + FIRST_CHECKS_AFTER,
+            check_interval: SEARCH_PAUSE,
+            started_at: now,
+        }
+    }
+
+    pub(crate) fn started_at(&self) -> Time {
+        self.started_at
+    }
+
+    fn is_led_to(&self, endpoint: EndpointId) -> bool {
+        self.leading_write
+            .is_some_and(|write| write.endpoint == endpoint)
+    }
+
+    /// The endpoint is not the primary.
+    fn on_lost(&mut self, endpoint: EndpointId) {
+        self.tried_endpoints.insert(endpoint);
+        if self.is_led_to(endpoint) {
+            self.leading_write = None;
+        }
+    }
+
+    /// The next of the candidates in this round; pauses after the last.
+    fn next_untried(&mut self, candidates: &[EndpointId], now: Time) -> Option<EndpointId> {
+        if self.leading_write.is_some() || self.paused_until.is_some_and(|until| now < until) {
+            return None;
+        }
+        if self.paused_until.take().is_some() {
+            self.tried_endpoints.clear();
+        }
+        let next = candidates
+            .iter()
+            .find(|id| !self.tried_endpoints.contains(id))
+            .copied();
+        if next.is_none() {
+            self.paused_until = Some(now + SEARCH_PAUSE);
+        }
+        next
+    }
 }
 
 impl Router {
-    /// Design page: seeded from the list's role or the lowest sorted member. The list's word is the weakest:
-    /// it counts only while nothing better is known, and not for a member that has told its role itself.
+    /// Sets the primary of a group that has no evidence for one: the one that the list names, or,
+    /// before a search, the lowest ready member. The list is the weakest evidence, and none for a
+    /// member that has reported its own role.
     pub(crate) fn seed_primary(&mut self, id: GroupId) {
-        let (endpoints, trusted, now) = (
-            &self.endpoints,
-            self.cfg.listed_role != ListedRole::Ignored,
-            self.now,
-        );
-        let Some(group) = self.groups.get_mut(&id).filter(|g| !g.known) else {
+        let trusts_list = self.settings.listed_role != ListedRole::Ignored;
+        let endpoints = &self.endpoints;
+        let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        let mut ready = group
-            .members
-            .iter()
-            .filter(|n| endpoints[n].state == EndpointState::Ready);
-        let listed =
-            |n: &&EndpointId| trusted && endpoints[n].listed_primary && endpoints[n].role.is_none();
-        if let Some(member) = ready.clone().find(listed) {
-            group.believe(Some(*member), PrimaryEvidence::EndpointList, now);
+        if group.knows_primary() {
+            return;
+        }
+        let is_ready = |id: &&EndpointId| endpoints[id].state == EndpointState::Ready;
+        let is_listed =
+            |id: &&EndpointId| endpoints[id].listed_primary && endpoints[id].role.is_none();
+        let mut ready = group.members.iter().filter(is_ready).copied();
+        let listed = ready.clone().find(|id| trusts_list && is_listed(&id));
+        let lowest = ready.next();
+        if listed.is_some() {
+            group.set_primary(listed, PrimaryEvidence::EndpointList, self.now);
         } else if group.primary.is_none() && group.search.is_none() {
-            group.believe(ready.next().copied(), PrimaryEvidence::Unknown, now);
+            group.set_primary(lowest, PrimaryEvidence::Unknown, self.now);
         }
     }
 
-    pub(crate) fn on_role(&mut self, id: EndpointId, role: Role, at: Time, answered: bool) {
+    /// Takes in a role that an endpoint reported, in an answer or in a load report. The newest
+    /// report counts.
+    pub(crate) fn on_role(
+        &mut self,
+        id: EndpointId,
+        reported: ReportedRole,
+        evidence: PrimaryEvidence,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        if endpoint.role.is_some_and(|(_, told)| told > at) {
+        if endpoint.role.is_some_and(|last| last.at > reported.at) {
             return;
         }
-        endpoint.role = Some((role, at));
-        let (group_id, shut, ready) = (
-            endpoint.group,
-            endpoint.health.shut.is_some(),
-            endpoint.state == EndpointState::Ready,
-        );
-        if role == Role::Replica {
+        endpoint.role = Some(reported);
+        if reported.role == Role::Replica {
             return self.lose_primary(id);
         }
+        let answered = evidence == PrimaryEvidence::Answer;
+        if endpoint.state != EndpointState::Ready || (endpoint.outlier.is_ejected() && !answered) {
+            return;
+        }
+        let group_id = endpoint.group;
+        if self.has_newer_primary(group_id, id, reported.at) {
+            return;
+        }
         let Some(group) = self.groups.get_mut(&group_id) else {
             return;
         };
-        let other = group
-            .primary
-            .filter(|p| *p != id)
-            .and_then(|p| self.endpoints.get(&p));
-        let beaten = other.is_none_or(|p| {
-            p.health.shut.is_some()
-                || p.role
-                    .is_none_or(|(r, told)| r == Role::Replica || told < at)
-        });
-        if beaten && ready && (answered || !shut) {
-            let led = group
+        let found_by_search = answered
+            && group
                 .search
                 .as_ref()
-                .is_some_and(|s| s.leader.is_some_and(|(_, endpoint, _)| endpoint == id));
-            let told = if answered {
-                PrimaryEvidence::Answer
-            } else {
-                PrimaryEvidence::LoadReport
-            };
-            group.believe(
-                Some(id),
-                if led && answered {
-                    PrimaryEvidence::Search
-                } else {
-                    told
-                },
-                self.now,
-            );
-        }
+                .is_some_and(|search| search.is_led_to(id));
+        let evidence = if found_by_search {
+            PrimaryEvidence::Search
+        } else {
+            evidence
+        };
+        group.set_primary(Some(id), evidence, self.now);
+    }
+
+    /// Whether another endpoint is the group's primary by a report that is at least as new.
+    fn has_newer_primary(&self, group: GroupId, candidate: EndpointId, reported_at: Time) -> bool {
+        let current = self.groups.get(&group).and_then(|group| group.primary);
+        let Some(current) = current.filter(|id| *id != candidate) else {
+            return false;
+        };
+        self.endpoints.get(&current).is_some_and(|endpoint| {
+            !endpoint.outlier.is_ejected()
+                && endpoint
+                    .role
+                    .is_some_and(|last| last.role == Role::Primary && last.at >= reported_at)
+        })
     }
 
+    /// The endpoint is not the primary, or not usable as one: starts a search if it was taken for
+    /// it.
     pub(crate) fn lose_primary(&mut self, id: EndpointId) {
-        let Some(group) = self
-            .endpoints
-            .get(&id)
-            .and_then(|n| self.groups.get_mut(&n.group))
-        else {
+        let Some(endpoint) = self.endpoints.get(&id) else {
+            return;
+        };
+        let Some(group) = self.groups.get_mut(&endpoint.group) else {
             return;
         };
         if group.primary == Some(id) {
-            group.believe(None, PrimaryEvidence::Unknown, self.now);
-            let (ask_at, began) = (self.now + Span(SEARCH_PAUSE.0 / 4), self.now);
-            let (tried, gap) = (BTreeSet::from([id]), SEARCH_PAUSE);
-            group.search = Some(Search {
-                leader: None,
-                tried,
-                pause_until: None,
-                ask_at,
-                gap,
-                began,
-            });
+            group.set_primary(None, PrimaryEvidence::Unknown, self.now);
+            group.search = Some(PrimarySearch::new(id, self.now));
         } else if let Some(search) = &mut group.search {
-            search.tried.insert(id);
-            search.leader.take_if(|(_, endpoint, _)| *endpoint == id);
+            search.on_lost(id);
         }
     }
 
-    /// One write leads; it loses its turn when its attempt stays out too long, so that the search goes on.
-    pub(crate) fn tend_search(&mut self, id: GroupId, actions: &mut Vec<Action>) {
-        let leader = self.groups.get(&id).and_then(|g| g.search.as_ref()?.leader);
-        let over = leader.is_some_and(|(request, _, since)| {
-            self.open
-                .get(&request)
-                .is_none_or(|o| self.now - since > self.patience(o.class, 1))
+    /// Carries on the search of a group in which requests wait.
+    pub(crate) fn run_primary_search(&mut self, id: GroupId, actions: &mut Vec<Action>) {
+        self.replace_overdue_leader(id);
+        self.check_roles(id, actions);
+    }
+
+    fn search_mut(&mut self, id: GroupId) -> Option<&mut PrimarySearch> {
+        self.groups.get_mut(&id)?.search.as_mut()
+    }
+
+    /// Lets another write search if the attempt of the leading one takes too long, or its request
+    /// has ended.
+    fn replace_overdue_leader(&mut self, id: GroupId) {
+        let leader = self.search_mut(id).and_then(|search| search.leading_write);
+        let Some(leader) = leader else {
+            return;
+        };
+        let is_overdue = self.pending.get(&leader.request).is_none_or(|request| {
+            let longest = self.latencies.unresponsive_after(request.class, 1) + self.settings.tick;
+            self.now - leader.sent_at > longest
         });
+        if !is_overdue {
+            return;
+        }
+        if let Some(search) = self.search_mut(id) {
+            search.leading_write = None;
+            search.tried_endpoints.insert(leader.endpoint);
+        }
+    }
+
+    /// Asks the members of a group for their role by health checks, with exponential backoff and
+    /// jitter, as many routers search at once.
+    fn check_roles(&mut self, id: GroupId, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let is_due = self
+            .search_mut(id)
+            .is_some_and(|search| now >= search.next_checks_at);
+        if !is_due {
+            return;
+        }
+        let jitter = 0.5 + self.random();
+        // The more routers there are for each endpoint, the longer each waits.
+        let routers_per_endpoint =
+            f64::from(self.settings.routers) / self.endpoints.len().max(1) as f64;
+        let longest = SEARCH_PAUSE.times(1.0 + routers_per_endpoint.min(MAX_EXTRA_PAUSES));
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
         let Some(search) = &mut group.search else {
             return;
         };
-        if let Some((_, endpoint, _)) = search.leader.take_if(|_| over) {
-            search.tried.insert(endpoint);
-        }
-        // Departure: members are asked for their role while something waits, so that a successor is known
-        // without spending a write's attempts; paced, with jitter, as hundreds of routers search at once.
-        if self.now < search.ask_at {
-            return;
+        search.next_checks_at = now + search.check_interval.times(jitter);
+        search.check_interval = (search.check_interval * 2).min(longest);
+        for member in group.members.clone() {
+            self.start_health_check(member, actions);
         }
-        let members = group.members.clone();
-        // The more routers there are for each member, the slower each asks when it has asked in vain.
-        let routers = f64::from(self.cfg.routers) / self.endpoints.len().max(1) as f64;
-        let (jitter, most) = (0.5 + self.random(), 1.0 + routers.min(LONGEST_GAP));
-        let Some(search) = self.groups.get_mut(&id).and_then(|g| g.search.as_mut()) else {
-            return;
+    }
+
+    /// The endpoint of a write: the primary, or for the one write that searches the next member to
+    /// try.
+    pub(crate) fn select_write_target(&mut self, id: RequestId) -> Result<EndpointId, NoTarget> {
+        let Some(request) = self.pending.get(&id) else {
+            return Err(NoTarget::RequestEnded);
         };
-        search.ask_at = self.now + search.gap.times(jitter);
-        search.gap = Span(search.gap.0 * 2).min(SEARCH_PAUSE.times(most));
-        members
-            .into_iter()
-            .for_each(|member| self.probe(member, actions));
+        let (group_id, class, attempts) = (request.group, request.class, request.attempts);
+        let Some(group) = self.groups.get(&group_id) else {
+            return Err(NoTarget::NoPrimary);
+        };
+        if group.search.is_none() {
+            let primary = group.primary.ok_or(NoTarget::NoPrimary)?;
+            return self.acquire_target(primary, class, 0.0);
+        }
+        // A searching write keeps one attempt for the primary that is found, if it has more than
+        // one.
+        if attempts + 1 >= self.settings.limits.max_attempts.max(2) {
+            return Err(NoTarget::LastAttemptReserved);
+        }
+        self.lead_search(id, group_id, class)
     }
 
-    /// The next member in sorted order that this round has not tried; starts the pause after the last.
-    pub(crate) fn search_next(&mut self, id: GroupId) -> Option<EndpointId> {
-        let (now, members) = (self.now, &self.groups.get(&id)?.members);
-        let takes: Vec<EndpointId> = members
+    /// Lets a write search, if no other does and a member is left to try.
+    fn lead_search(
+        &mut self,
+        request: RequestId,
+        group: GroupId,
+        class: ClassId,
+    ) -> Result<EndpointId, NoTarget> {
+        let endpoint = self.next_search_target(group).ok_or(NoTarget::Searching)?;
+        let has_budget = self.try_acquire_slow_start_budget(endpoint, class);
+        let now = self.now;
+        let search = self.search_mut(group).ok_or(NoTarget::NoPrimary)?;
+        if !has_budget {
+            search.tried_endpoints.insert(endpoint);
+            return Err(NoTarget::NoCapacity);
+        }
+        search.leading_write = Some(LeadingWrite {
+            request,
+            endpoint,
+            sent_at: now,
+        });
+        Ok(endpoint)
+    }
+
+    fn next_search_target(&mut self, group: GroupId) -> Option<EndpointId> {
+        let now = self.now;
+        let candidates: Vec<EndpointId> = self
+            .groups
+            .get(&group)?
+            .members
             .iter()
-            .filter(|n| self.takes(**n))
+            .filter(|id| self.accepts_attempts(**id))
             .copied()
             .collect();
-        let search = self.groups.get_mut(&id)?.search.as_mut()?;
-        if search.leader.is_some() || search.pause_until.is_some_and(|at| now < at) {
-            return None;
-        }
-        if search.pause_until.take().is_some() {
-            search.tried.clear();
-        }
-        let next = takes.into_iter().find(|n| !search.tried.contains(n));
-        search.pause_until = next.is_none().then_some(now + SEARCH_PAUSE);
-        next
+        self.search_mut(group)?.next_untried(&candidates, now)
     }
 
-    /// The remembered primary; else, for the one write that leads, the next member to try.
-    pub(crate) fn target_of_write(&mut self, id: RequestId) -> Option<EndpointId> {
-        let open = self.open.get(&id)?;
-        let (group, class) = (self.groups.get(&open.group)?, open.class);
-        if group.search.is_none() {
-            return group.primary.filter(|p| self.grants(*p, class, 0.0));
-        }
-        // A leader keeps one attempt for the primary that is found, if it has more than one.
-        if open.attempts + 1 >= self.cfg.limits.max_attempts.max(2) {
-            return None;
-        }
-        let (group, now) = (open.group, self.now);
-        let next = self.search_next(group)?;
-        if !self.try_acquire_slow_start_budget(next, class) {
-            self.groups
-                .get_mut(&group)?
-                .search
-                .as_mut()?
-                .tried
-                .insert(next);
-            return None;
+    /// The leading write's attempt ended: another member is tried, or another write searches.
+    pub(crate) fn release_search(
+        &mut self,
+        group: GroupId,
+        request: RequestId,
+        endpoint: EndpointId,
+    ) {
+        let Some(search) = self.search_mut(group) else {
+            return;
+        };
+        if search
+            .leading_write
+            .is_some_and(|write| write.request == request)
+        {
+            search.leading_write = None;
+            search.tried_endpoints.insert(endpoint);
         }
-        self.groups.get_mut(&group)?.search.as_mut()?.leader = Some((id, next, now));
-        Some(next)
     }
 
-    pub(crate) fn known_primary(
+    /// The primary that there is evidence for, if it can have an attempt now with `reserved` more
+    /// left.
+    pub(crate) fn select_known_primary(
         &mut self,
         group: GroupId,
         class: ClassId,
-        spare: f64,
-    ) -> Option<EndpointId> {
-        let group = self.groups.get(&group)?;
-        let primary = group
-            .primary
-            .filter(|_| group.known && group.search.is_none())?;
-        self.grants(primary, class, spare).then_some(primary)
+        reserved: f64,
+    ) -> Result<EndpointId, NoTarget> {
+        let primary = self
+            .groups
+            .get(&group)
+            .filter(|group| group.search.is_none())
+            .and_then(|group| group.known_primary())
+            .ok_or(NoTarget::NoPrimary)?;
+        self.acquire_target(primary, class, reserved)
     }
 }
--- a/crates/policy/src/replica_selection.rs
+++ b/crates/policy/src/replica_selection.rs
@@ -1,198 +1,325 @@
-//! Which endpoint serves a read: two random choices among those that are fresh enough.
+//! Selects the endpoint of a read: two random choices among the replicas that are fresh enough,
+//! else the primary.
+//!
+//! A replica is fresh enough if its position is known to be, or, where replicas reject reads that
+//! need newer data, if it may be: a wrong guess costs one attempt. If none is, health checks ask
+//! two replicas for their position, and the read waits for the answer once. Long queries of a group
+//! all go to one replica, because a replica applies nothing while it executes one: so the others
+//! stay fresh.
+//!
+//! Inputs: reads, positions and lags, load. State: none of its own. Bounds: one pass over the
+//! members of a group for each read. Units: microseconds; positions are times.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::endpoint::Node;
-use crate::events::*;
+use crate::endpoint::Endpoint;
+use crate::events::Action;
 use crate::group::Group;
-use crate::ids::*;
-use crate::latency::{GAIN, MOST_EXCESS, SLOW_PART, faded};
+use crate::ids::{ClassId, EndpointId, RequestId};
+use crate::latency::{GAIN, MAX_EXCESS, SLOW_FRACTION, decayed};
 use crate::router::Router;
-use crate::settings::*;
-use crate::time::*;
+use crate::scheduling::{NoTarget, PendingRequest};
+use crate::settings::{Consistency, RequestClass, StaleReadPolicy};
+use crate::time::{Span, Time};
 
-/// The part of the time a connection may stand idle for which it is taken to stand.
-pub(crate) const STANDS: f64 = 0.75;
-/// A query that takes more than this part of the tightest bound on age is long.
-pub(crate) const LONG_PART: f64 = 0.7;
-impl Router {
-    /// The position that a read needs now; `None`: any.
-    pub(crate) fn needed(class: &RequestClass, floor: Option<Time>, now: Time) -> Option<Time> {
-        match class.consistency {
-            Consistency::BoundedStaleness(bound) => Some(now - bound),
-            Consistency::Session => floor,
-            _ => None,
-        }
+/// Fraction of the idle timeout for which a connection is assumed to be still open.
+const IDLE_TIMEOUT_USED: f64 = 0.75;
+/// A class is one of long queries if they take more than this fraction of the tightest staleness
+/// bound.
+const LONG_QUERY_FRACTION: f64 = 0.7;
+/// Attempts that a read leaves free at the primary, for writes.
+const RESERVED_FOR_WRITES: f64 = 1.0;
+/// Replicas that are asked for their position if none is known to be fresh enough.
+const REPLICAS_CHECKED: usize = 2;
+/// Smallest factor of an endpoint's selection weight for its failures: it must be tried again some
+/// time.
+const MIN_RELIABILITY: f64 = GAIN * GAIN;
+
+/// Load by which two random choices are compared, the smaller first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SelectionLoad {
+    in_flight: usize,
+    is_in_other_zone: bool,
+}
+
+/// The replication position that a read needs if it is sent now; `None`: any.
+pub(crate) fn required_position(
+    class: &RequestClass,
+    session_position: Option<Time>,
+    now: Time,
+) -> Option<Time> {
+    match class.consistency {
+        Consistency::BoundedStaleness(bound) => Some(now - bound),
+        Consistency::Session => session_position,
+        Consistency::Write | Consistency::Strong | Consistency::Eventual => None,
     }
+}
 
-    /// Known to be fresh enough; where replicas check for themselves, a lag not told is none, and one told or
-    /// shown by a miss is taken to fade: a wrong guess costs one more miss.
-    pub(crate) fn fresh(&self, id: EndpointId, consistency: Option<Time>) -> bool {
-        let (Some(consistency), Some(endpoint)) = (consistency, self.endpoints.get(&id)) else {
-            return consistency.is_none();
+impl Router {
+    /// The endpoint of a read that need not go to the primary.
+    pub(crate) fn select_read_target(
+        &mut self,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> Result<EndpointId, NoTarget> {
+        let Some(request) = self.pending.get(&id) else {
+            return Err(NoTarget::RequestEnded);
+        };
+        let (group_id, class) = (request.group, request.class);
+        let Some(group) = self.groups.get(&group_id) else {
+            return Err(NoTarget::NoPrimary);
         };
-        let lag = faded(
-            endpoint.lag.as_f64(),
-            self.now - endpoint.told_at,
-            self.cfg.rules.slow_start_duration,
+        if let Some(replica) = self.select_long_query_replica(request, group) {
+            return self.acquire_target(replica, class, 0.0);
+        }
+        let primary = group.primary;
+        let required = required_position(
+            self.settings.class(class),
+            request.session_position,
+            self.now,
         );
-        let bears = self
-            .groups
-            .get(&endpoint.group)
-            .is_some_and(|g| self.bearer(g) == Some(id));
-        let guess = self.cfg.stale_read_policy != StaleReadPolicy::Serve
-            && !bears
-            && self.now - Span(1).times(lag) >= consistency;
-        guess || endpoint.position.is_some_and(|p| p >= consistency)
-    }
-
-    /// Departure: while a replica holds a long query it applies nothing, so those of a group all go to one of
-    /// its replicas, the last in sorted order at every router, and the others stay fresh.
-    pub(crate) fn long(&self, class: ClassId) -> bool {
-        let bound = |c: &RequestClass| {
-            if let Consistency::BoundedStaleness(b) = c.consistency {
-                Some(b.times(LONG_PART).as_f64())
-            } else {
-                None
-            }
+        let replicas = self.usable_replicas(request, group);
+        if let Some(replica) = self.select_fresh_replica(&replicas, class, required) {
+            return Ok(replica);
+        }
+        self.check_replicas(&replicas, required, actions);
+        if let (Some(primary), Some(_)) = (primary, required) {
+            self.check_clock(primary, actions);
+        }
+        if self.awaits_health_check(id, &replicas) {
+            return Err(NoTarget::AwaitingHealthCheck);
+        }
+        let target = self.select_known_primary(group_id, class, RESERVED_FOR_WRITES);
+        if target.is_err() && replicas.is_empty() {
+            self.allow_all_endpoints(id);
+        }
+        target
+    }
+
+    /// The replica that a long query goes to. After a part of its latency objective any other will
+    /// do.
+    fn select_long_query_replica(
+        &self,
+        request: &PendingRequest,
+        group: &Group,
+    ) -> Option<EndpointId> {
+        if !self.is_long_query(request.class) {
+            return None;
+        }
+        let waited = self.now - request.arrived;
+        let objective = self.settings.class(request.class).latency_objective;
+        if waited >= objective.times(SLOW_FRACTION) {
+            return None;
+        }
+        self.long_query_replica(group)
+            .filter(|replica| !request.excluded_endpoints.contains(replica))
+    }
+
+    /// Whether a replica that executes a request of this class falls behind what other reads need.
+    fn is_long_query(&self, class: ClassId) -> bool {
+        let long_from = |class: &RequestClass| match class.consistency {
+            Consistency::BoundedStaleness(bound) => Some(bound.times(LONG_QUERY_FRACTION).as_f64()),
+            _ => None,
         };
-        let tightest = self.cfg.classes.iter().filter_map(bound).reduce(f64::min);
-        self.cfg.classes[class.0].consistency == Consistency::Eventual
-            && tightest.is_some_and(|b| self.class_latency[class.0] > b)
+        let long_from = self
+            .settings
+            .classes
+            .iter()
+            .filter_map(long_from)
+            .reduce(f64::min);
+        self.settings.class(class).consistency == Consistency::Eventual
+            && long_from.is_some_and(|long_from| self.latencies.mean(class) > long_from)
+    }
+
+    /// The replica of a group that gets the long queries, the same at every router: the last one,
+    /// if possible of those that are not in slow start, which long queries would overload first.
+    /// `None` with less than two replicas.
+    fn long_query_replica(&self, group: &Group) -> Option<EndpointId> {
+        let replicas: Vec<EndpointId> = group
+            .members
+            .iter()
+            .filter(|id| group.primary != Some(**id) && self.accepts_attempts(**id))
+            .copied()
+            .collect();
+        if replicas.len() < 2 {
+            return None;
+        }
+        let warm = replicas.iter().rev().find(|id| self.is_warm(**id));
+        warm.or(replicas.last()).copied()
     }
 
-    /// The last replica that is warm, if there is one: while an endpoint starts, long queries would fill it first.
-    pub(crate) fn bearer(&self, group: &Group) -> Option<EndpointId> {
-        let replicas = group
+    fn usable_replicas(&self, request: &PendingRequest, group: &Group) -> Vec<EndpointId> {
+        let is_usable = |id: &EndpointId| {
+            group.primary != Some(*id)
+                && !request.excluded_endpoints.contains(id)
+                && self.accepts_attempts(*id)
+                && self.endpoints[id].has_capacity(0.0)
+        };
+        group
             .members
             .iter()
-            .filter(|n| group.primary != Some(**n) && self.takes(**n));
-        let replicas: Vec<EndpointId> = replicas.copied().collect();
-        let warm = replicas.iter().rev().find(|n| self.is_warm(**n));
-        warm.or(replicas.last())
-            .filter(|_| replicas.len() > 1)
+            .filter(|id| is_usable(id))
             .copied()
+            .collect()
     }
 
-    pub(crate) fn target_of_read(
+    fn select_fresh_replica(
         &mut self,
-        id: RequestId,
-        actions: &mut Vec<Action>,
+        replicas: &[EndpointId],
+        class: ClassId,
+        required: Option<Time>,
     ) -> Option<EndpointId> {
-        let open = self.open.get(&id)?;
-        let (group_id, class) = (open.group, open.class);
-        let (group, waited) = (self.groups.get(&group_id)?, self.now - open.arrived);
-        let alone = self.long(open.class)
-            && waited
-                < self.cfg.classes[open.class.0]
-                    .latency_objective
-                    .times(SLOW_PART);
-        if let Some(bearer) = self
-            .bearer(group)
-            .filter(|n| alone && !open.avoid.contains(n))
-        {
-            return self.grants(bearer, class, 0.0).then_some(bearer);
-        }
-        let consistency = Self::needed(&self.cfg.classes[open.class.0], open.floor, self.now);
-        let (probe_wait, avoid) = (open.probe_wait, open.avoid.clone());
-        let usable = |n: &&EndpointId| {
-            group.primary != Some(**n)
-                && !avoid.contains(n)
-                && self.takes(**n)
-                && self.room(**n, 0.0)
-        };
-        let replicas: Vec<EndpointId> = group.members.iter().filter(usable).copied().collect();
         let mut fresh: Vec<EndpointId> = replicas
             .iter()
-            .filter(|n| self.fresh(**n, consistency))
+            .filter(|id| self.is_fresh_enough(**id, required))
             .copied()
             .collect();
-        while let Some(pick) = self.pick(&fresh) {
-            if self.try_acquire_slow_start_budget(pick, class) {
-                return Some(pick);
+        while let Some(replica) = self.two_random_choices(&fresh) {
+            if self.try_acquire_slow_start_budget(replica, class) {
+                return Some(replica);
             }
-            fresh.retain(|n| *n != pick);
+            fresh.retain(|id| *id != replica);
         }
-        // Two drawn replicas are asked if none is known to be fresh, each at most as often as that can help.
-        for _ in 0..2 {
-            if let (Some(consistency), Some(drawn)) = (consistency, self.draw(&replicas)) {
-                self.probe_for(drawn, consistency, actions);
-            }
+        None
+    }
+
+    /// Whether a replica is known to be fresh enough, or may be and rejects the read if it is not.
+    fn is_fresh_enough(&self, id: EndpointId, required: Option<Time>) -> bool {
+        let Some(required) = required else {
+            return true;
+        };
+        let Some(endpoint) = self.endpoints.get(&id) else {
+            return false;
+        };
+        endpoint.position.is_some_and(|known| known >= required)
+            || self.may_be_fresh_enough(id, endpoint, required)
+    }
+
+    /// Whether a replica that rejects reads by itself may be fresh enough: its last known lag is
+    /// taken to decay.
+    fn may_be_fresh_enough(&self, id: EndpointId, endpoint: &Endpoint, required: Time) -> bool {
+        if self.settings.stale_read_policy == StaleReadPolicy::Serve {
+            return false;
         }
-        // A primary stands at the present: what it tells shows whether the clock of this machine is right. That is asked for
-        // at the start only, of any primary.
-        let primary = self.groups.get(&group_id).and_then(|g| g.primary);
-        if let (Some(_), Some(primary)) =
-            (consistency, primary.filter(|id| self.asks_for_clock(*id)))
-        {
-            self.probe(primary, actions);
-        }
-        // None known: a probe on its way may tell of one, and is waited for once.
-        let asked = replicas.iter().any(|n| self.endpoints[n].probe_out);
-        let until = probe_wait
-            .unwrap_or(self.now + Span(1).times(2.0 * self.probe_latency) + self.cfg.tick);
-        self.open.get_mut(&id)?.probe_wait = Some(until);
-        if asked && self.now < until {
-            return None;
+        let executes_long_queries = self
+            .groups
+            .get(&endpoint.group)
+            .is_some_and(|group| self.long_query_replica(group) == Some(id));
+        if executes_long_queries {
+            return false;
         }
-        let primary = self.known_primary(group_id, class, 1.0);
-        if primary.is_none() && replicas.is_empty() {
-            self.open.get_mut(&id)?.avoid.clear();
+        let lag = decayed(
+            endpoint.lag.span.as_f64(),
+            self.now - endpoint.lag.measured_at,
+            self.settings.rules.slow_start_duration,
+        );
+        self.now - Span::from_micros(lag) >= required
+    }
+
+    /// Asks random replicas for their position. They are drawn even if no position is required, so
+    /// that the sequence of random numbers does not depend on that.
+    fn check_replicas(
+        &mut self,
+        replicas: &[EndpointId],
+        required: Option<Time>,
+        actions: &mut Vec<Action>,
+    ) {
+        for _ in 0..REPLICAS_CHECKED {
+            let drawn = self.weighted_random_choice(replicas);
+            if let (Some(drawn), Some(required)) = (drawn, required) {
+                self.check_freshness(drawn, required, actions);
+            }
         }
-        primary
     }
 
-    /// Design page: of two drawn, the one with fewer of this router's requests in flight; ours: on a tie the
-    /// one in the router's zone.
-    pub(crate) fn pick(&mut self, from: &[EndpointId]) -> Option<EndpointId> {
-        let (first, second) = (self.draw(from)?, self.draw(from)?);
-        let load = |n: EndpointId| {
-            (
-                self.endpoints[&n].out.len(),
-                self.endpoints[&n].zone != self.cfg.zone,
-            )
+    /// Whether a read waits for health checks that are in flight: once, for twice as long as they
+    /// take on average.
+    fn awaits_health_check(&mut self, id: RequestId, replicas: &[EndpointId]) -> bool {
+        let in_flight = replicas
+            .iter()
+            .any(|replica| self.endpoints[replica].health_check.in_flight);
+        let usual_wait = Span::from_micros(2.0 * self.latencies.health_check());
+        let until = self.now + usual_wait + self.settings.tick;
+        let Some(request) = self.pending.get_mut(&id) else {
+            return false;
         };
-        Some(if load(second) < load(first) {
-            second
+        let until = *request.health_check_wait_until.get_or_insert(until);
+        in_flight && self.now < until
+    }
+
+    /// Every endpoint has failed to serve the read: all may be tried again.
+    fn allow_all_endpoints(&mut self, id: RequestId) {
+        if let Some(request) = self.pending.get_mut(&id) {
+            request.excluded_endpoints.clear();
+        }
+    }
+
+    /// Of two that are drawn, the one with fewer attempts in flight from this router; of equals,
+    /// the one in its zone.
+    fn two_random_choices(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
+        let first = self.weighted_random_choice(candidates)?;
+        let second = self.weighted_random_choice(candidates)?;
+        if self.selection_load(second) < self.selection_load(first) {
+            Some(second)
         } else {
-            first
-        })
-    }
-
-    /// Draws by what a node can do: its size, the warm part of it, how seldom it fails. Failing is quick and
-    /// leaves little in flight, so that such a node would draw ever more.
-    pub(crate) fn draw(&mut self, from: &[EndpointId]) -> Option<EndpointId> {
-        // Whoever meets a member often sees that it is slow in what is out there and in its limit; who meets
-        // it seldom has nothing out, and the last few answers.
-        let seldom = 2.0 * (1.0 - self.heard());
-        // It would also need a new connection nearly each time: it goes on where one stands unused.
-        let idle = self.cfg.limits.idle_connection_timeout.times(STANDS);
-        let stands =
-            |n: &Node| n.out.is_empty() && n.sent_at.is_some_and(|at| self.now - at < idle);
-        let part = |id: &EndpointId| {
-            let endpoint = &self.endpoints[id];
-            let excess = faded(
-                endpoint.excess,
-                self.now - endpoint.excess_at,
-                self.cfg.rules.slow_start_duration,
-            );
-            let fit =
-                (1.0 - endpoint.faults).powi(4).max(GAIN.powi(2)) / (1.0 + excess).powf(seldom);
-            let stands = if stands(endpoint) {
-                (1.0 + MOST_EXCESS).powf(seldom)
-            } else {
-                1.0
-            };
-            endpoint.weight * self.slow_start_fraction(endpoint).unwrap_or(1.0) * fit * stands
-        };
-        let parts: Vec<f64> = from.iter().map(part).collect();
-        let mut at = self.random() * parts.iter().sum::<f64>();
-        for (id, part) in from.iter().zip(parts) {
-            at -= part;
-            if at < 0.0 {
+            Some(first)
+        }
+    }
+
+    fn selection_load(&self, id: EndpointId) -> SelectionLoad {
+        let endpoint = &self.endpoints[&id];
+        SelectionLoad {
+            in_flight: endpoint.in_flight.len(),
+            is_in_other_zone: endpoint.zone != self.settings.zone,
+        }
+    }
+
+    /// Draws one by [`Router::selection_weight`]; takes one random number even if there is none to
+    /// draw.
+    fn weighted_random_choice(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
+        let few_measurements = 2.0 * (1.0 - self.measurement_confidence());
+        let weights: Vec<f64> = candidates
+            .iter()
+            .map(|id| self.selection_weight(&self.endpoints[id], few_measurements))
+            .collect();
+        let mut rest = self.random() * weights.iter().sum::<f64>();
+        for (id, weight) in candidates.iter().zip(weights) {
+            rest -= weight;
+            if rest < 0.0 {
                 return Some(*id);
             }
         }
-        from.last().copied()
+        candidates.last().copied()
+    }
+
+    /// What an endpoint can do: its weight, its capacity in slow start, and how seldom it fails.
+    /// Failed attempts end quickly and leave little in flight, so that two random choices alone
+    /// would prefer an endpoint that fails.
+    ///
+    /// A router with few responses from each endpoint (`few_measurements`, from 0 to 2) has nothing
+    /// in flight by which to recognise a slow endpoint, so its last latencies count. It also
+    /// prefers an endpoint with an idle connection, as it would need a new one for nearly each
+    /// attempt elsewhere.
+    fn selection_weight(&self, endpoint: &Endpoint, few_measurements: f64) -> f64 {
+        let excess = endpoint
+            .excess_latency
+            .at(self.now, self.settings.rules.slow_start_duration);
+        let reliability = (1.0 - endpoint.failure_rate).powi(4).max(MIN_RELIABILITY);
+        let fitness = reliability / (1.0 + excess).powf(few_measurements);
+        let connection_factor = if self.has_idle_connection(endpoint) {
+            (1.0 + MAX_EXCESS).powf(few_measurements)
+        } else {
+            1.0
+        };
+        let capacity = self.slow_start_fraction(endpoint).unwrap_or(1.0);
+        endpoint.weight * capacity * fitness * connection_factor
+    }
+
+    /// Whether an open connection without an attempt on it can be assumed.
+    fn has_idle_connection(&self, endpoint: &Endpoint) -> bool {
+        let idle_timeout = self.settings.limits.idle_connection_timeout;
+        let open_for = idle_timeout.times(IDLE_TIMEOUT_USED);
+        endpoint.in_flight.is_empty()
+            && endpoint
+                .last_sent_at
+                .is_some_and(|at| self.now - at < open_for)
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,168 +1,249 @@
-//! Whether a request may run again, and until when.
+//! Attempts in flight, their ends, and whether and until when a request may be attempted again.
+//!
+//! Inputs: [`crate::PolicyEvent::ResponseStarted`], [`crate::PolicyEvent::AttemptEnded`]. State:
+//! the attempts in [`crate::endpoint::Endpoint`] and [`crate::scheduling::PendingRequest`]. Bounds:
+//! `Limits::max_attempts` for each request, one of them in flight. Units: microseconds.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-
-use crate::events::*;
-use crate::ids::*;
+use crate::endpoint::{AttemptId, ReplicationLag, ReportedRole, SentAttempt, StreamingAttempt};
+use crate::events::{Action, AttemptEnd, Outcome, Role};
+use crate::ids::{EndpointId, RequestId};
+use crate::replica_selection::required_position;
 use crate::router::Router;
-use crate::scheduling::Open;
-use crate::settings::*;
-use crate::time::*;
+use crate::scheduling::PendingRequest;
+use crate::settings::{Consistency, DedupScope, Idempotency, StaleReadPolicy};
+use crate::time::{Span, Time};
+use crate::view::PrimaryEvidence;
+
+/// Ticks before the end of a deduplication window at which retries stop.
+const WINDOW_MARGIN_TICKS: i64 = 2;
+/// Ticks between the end of an attempt that may have run and the next one: the endpoint must see
+/// the end of the connection first, or the retry would overtake it.
+const RETRY_DELAY_TICKS: i64 = 2;
+/// How far a reported position may lie above the one that has surely been applied.
+const POSITION_RESOLUTION: Span = Span::from_millis(1);
+/// A rejected read shows a lag; the replica is taken to be so many times as far behind.
+const LAG_AFTER_MISDIRECTION: i64 = 2;
+
+/// An attempt that is no longer in flight.
+#[derive(Clone, Copy, Debug, Default)]
+struct EndedAttempt {
+    sent: Option<SentAttempt>,
+    response_started_at: Option<Time>,
+}
+
+impl EndedAttempt {
+    fn sent_at(&self) -> Option<Time> {
+        self.sent.map(|sent| sent.sent_at)
+    }
+}
 
 impl Router {
-    /// Until when a repeat is sure to be dropped where an earlier attempt may have run.
-    pub(crate) fn repeats_until(&self, open: &Open) -> Option<Time> {
-        match self.cfg.classes[open.class.0].idempotency {
+    /// Until when a request that may have run may be attempted again; `None`: without limit.
+    pub(crate) fn retry_allowed_until(&self, request: &PendingRequest) -> Option<Time> {
+        match self.settings.class(request.class).idempotency {
+            Idempotency::Idempotent => None,
             Idempotency::NonIdempotent
             | Idempotency::IdempotencyKey {
                 scope: DedupScope::Zone,
                 ..
-            } => open.ran_from,
+            } => request.may_have_run_since,
             Idempotency::IdempotencyKey { window, .. } => {
-                Some(open.ran_from? + window - Span(self.cfg.tick.0 * 2))
+                let margin = self.settings.tick * WINDOW_MARGIN_TICKS;
+                Some(request.may_have_run_since? + window - margin)
             }
-            Idempotency::Idempotent => None,
         }
     }
 
-    /// Until when what is decided now holds: connections may come up late, and knowledge ages meanwhile.
-    pub(crate) fn send_before(&self, open: &Open, to: EndpointId) -> Option<Time> {
-        let repeat = self.repeats_until(open);
-        let Consistency::BoundedStaleness(bound) = self.cfg.classes[open.class.0].consistency
+    /// Until when an attempt that is decided now may be written: a connection may take long to
+    /// establish, and meanwhile the retry window ends and the replica's known position ages.
+    pub(crate) fn send_before(&self, request: &PendingRequest, to: EndpointId) -> Option<Time> {
+        let retry_until = self.retry_allowed_until(request);
+        let Consistency::BoundedStaleness(bound) = self.settings.class(request.class).consistency
         else {
-            return repeat;
+            return retry_until;
         };
-        let primary = self
+        let endpoint = self.endpoints.get(&to)?;
+        let is_primary = self
             .groups
-            .get(&open.group)
-            .is_some_and(|g| g.known && g.primary == Some(to));
-        let known = self
-            .endpoints
-            .get(&to)?
-            .position
-            .filter(|_| self.cfg.stale_read_policy == StaleReadPolicy::Serve && !primary);
-        known.map(|at| at + bound).into_iter().chain(repeat).min()
+            .get(&request.group)
+            .is_some_and(|group| group.known_primary() == Some(to));
+        let router_checks = self.settings.stale_read_policy == StaleReadPolicy::Serve;
+        let position = endpoint.position.filter(|_| router_checks && !is_primary);
+        let fresh_until = position.map(|position| position + bound);
+        fresh_until.into_iter().chain(retry_until).min()
     }
 
-    /// An answer has begun: its node has done the work, is not silent, and is not filled by what is sent on.
-    pub(crate) fn on_streaming(&mut self, id: RequestId) {
-        let now = self.now;
-        let Some(open) = self.open.get_mut(&id) else {
+    /// A response has begun: its endpoint has done the work and answers, and forwarding the rest
+    /// takes none of its capacity.
+    pub(crate) fn on_response_started(&mut self, id: RequestId) {
+        let Some(request) = self.pending.get_mut(&id) else {
             return;
         };
-        open.streaming = true;
-        for (attempt, endpoint) in &open.out {
+        request.streaming = true;
+        for (attempt, endpoint) in &request.in_flight {
+            let attempt = AttemptId {
+                request: id,
+                attempt: *attempt,
+            };
             let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
                 continue;
             };
-            let Some(sent) = endpoint.out.remove(&(id, *attempt)) else {
+            let Some(sent) = endpoint.in_flight.remove(&attempt) else {
                 continue;
             };
-            endpoint.streams.insert((id, *attempt), (now, sent));
-            endpoint.health.open(now);
-            endpoint.quiet_since = Some(now).filter(|_| !endpoint.out.is_empty());
+            let started = StreamingAttempt {
+                started_at: self.now,
+                sent,
+            };
+            endpoint.streaming.insert(attempt, started);
+            endpoint.outlier.readmit(self.now);
+            endpoint.unanswered_since = (!endpoint.in_flight.is_empty()).then_some(self.now);
         }
     }
 
-    pub(crate) fn on_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let (now, id) = (self.now, (end.request, end.attempt));
-        let endpoint = self.endpoints.get_mut(&end.endpoint);
-        let (out, stream) =
-            endpoint.map_or((None, None), |n| (n.out.remove(&id), n.streams.remove(&id)));
-        let (gone, begun) = (
-            out.or(stream.map(|(_, sent)| sent)),
-            stream.map(|(at, _)| at),
-        );
-        let sent = gone.map(|(at, ..)| at);
-        gone.into_iter()
-            .for_each(|(_, class, key)| self.measure(end, class, key));
-        if let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) {
-            if end.outcome.from_endpoint() {
-                endpoint.health.open(now);
-                endpoint.quiet_since = Some(now);
-            } else if matches!(end.outcome, Outcome::ConnectFailed | Outcome::Reset) {
-                endpoint.health.doubts += 1;
-            }
-            endpoint.quiet_since = endpoint.quiet_since.filter(|_| !endpoint.out.is_empty());
-            // A primary stood at the present when it answered, so at least where it was when this was sent.
-            let told = if end.role == Some(Role::Primary) {
-                sent
-            } else {
-                None
-            };
-            let stamped = end.position.map(|p| p - Span::from_millis(1));
-            endpoint.position = endpoint.position.max(told).max(stamped);
+    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let attempt = self.take_attempt(end);
+        if let Some(sent) = &attempt.sent {
+            self.measure(end, sent);
+        }
+        self.update_endpoint(end, &attempt);
+        self.update_role(end, &attempt);
+        if let Some(report) = &end.report {
+            self.on_load_report(end.endpoint, report);
         }
-        // A primary may have been one only as its answer began.
-        let at = begun
-            .filter(|_| end.role == Some(Role::Primary))
-            .unwrap_or(now);
-        end.role
-            .into_iter()
-            .for_each(|role| self.on_role(end.endpoint, role, at, true));
-        let told = end.role == Some(Role::Primary) && end.position.is_some();
-        self.clock_told = self.clock_told.saturating_add(u32::from(told));
-        end.report
-            .iter()
-            .for_each(|r| self.on_report(end.endpoint, r));
-        self.forget(end.endpoint);
+        self.drop_if_removed(end.endpoint);
+        // A failed connection does not show whether the endpoint is down or short of connections; a
+        // health check does.
         if end.outcome == Outcome::ConnectFailed {
-            self.probe(end.endpoint, actions); // It may be dead or short of connections.
+            self.start_health_check(end.endpoint, actions);
         }
-        let Some(open) = self.open.get_mut(&end.request) else {
+        let Some(request) = self.pending.get_mut(&end.request) else {
             return;
         };
-        open.out.remove(&end.attempt);
-        let group_id = open.group;
-        let search = self
-            .groups
-            .get_mut(&group_id)
-            .and_then(|g| g.search.as_mut());
-        if let Some(search) = search.filter(|s| s.leader.is_some_and(|(id, ..)| id == end.request))
-        {
-            search.leader = None;
-            search.tried.insert(end.endpoint);
-        }
+        request.in_flight.remove(&end.attempt);
+        let group = request.group;
+        self.release_search(group, end.request, end.endpoint);
         if end.closed {
             return self.finish(end.request, actions);
         }
-        let Some(open) = self.open.get_mut(&end.request) else {
+        self.prepare_retry(end, attempt.sent_at());
+    }
+
+    /// Removes an attempt from its endpoint.
+    fn take_attempt(&mut self, end: &AttemptEnd) -> EndedAttempt {
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
+            return EndedAttempt::default();
+        };
+        let id = AttemptId {
+            request: end.request,
+            attempt: end.attempt,
+        };
+        let in_flight = endpoint.in_flight.remove(&id);
+        let streaming = endpoint.streaming.remove(&id);
+        EndedAttempt {
+            sent: in_flight.or(streaming.map(|attempt| attempt.sent)),
+            response_started_at: streaming.map(|attempt| attempt.started_at),
+        }
+    }
+
+    /// Takes in what the end of an attempt shows of its endpoint's health and position.
+    fn update_endpoint(&mut self, end: &AttemptEnd, attempt: &EndedAttempt) {
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
+            return;
+        };
+        if end.outcome.from_endpoint() {
+            endpoint.outlier.readmit(self.now);
+            endpoint.unanswered_since = Some(self.now);
+        } else if matches!(end.outcome, Outcome::ConnectFailed | Outcome::Reset) {
+            endpoint.outlier.on_attempt_failed();
+        }
+        if endpoint.in_flight.is_empty() {
+            endpoint.unanswered_since = None;
+        }
+        // A primary that answered had every commit, so at least those made before the attempt was
+        // sent.
+        let primary_position = attempt
+            .sent_at()
+            .filter(|_| end.role == Some(Role::Primary));
+        let reported_position = end.position.map(|position| position - POSITION_RESOLUTION);
+        endpoint.position = endpoint
+            .position
+            .max(primary_position)
+            .max(reported_position);
+    }
+
+    /// Takes in the role that came with an answer. A primary may have been one only until its
+    /// response began.
+    fn update_role(&mut self, end: &AttemptEnd, attempt: &EndedAttempt) {
+        let Some(role) = end.role else {
+            return;
+        };
+        let at = match role {
+            Role::Primary => attempt.response_started_at.unwrap_or(self.now),
+            Role::Replica => self.now,
+        };
+        let reported = ReportedRole { role, at };
+        self.on_role(end.endpoint, reported, PrimaryEvidence::Answer);
+        if role == Role::Primary && end.position.is_some() {
+            self.count_primary_position();
+        }
+    }
+
+    /// Lets a request wait for its next attempt.
+    fn prepare_retry(&mut self, end: &AttemptEnd, sent_at: Option<Time>) {
+        let Some(request) = self.pending.get_mut(&end.request) else {
             return;
         };
-        open.ran_from = open.ran_from.or(sent.filter(|_| !end.outcome.never_ran()));
-        let class = &self.cfg.classes[open.class.0];
-        // The end of a connection that was given up must not be overtaken by the next attempt.
-        let given_up = matches!(
+        if !end.outcome.never_ran() {
+            request.may_have_run_since = request.may_have_run_since.or(sent_at);
+        }
+        let may_still_run = matches!(
             end.outcome,
             Outcome::Timeout | Outcome::Cancelled | Outcome::Error
         );
-        open.not_before = if given_up {
-            now + Span(self.cfg.tick.0 * 2)
-        } else {
-            open.not_before
-        };
+        if may_still_run {
+            request.not_before = self.now + self.settings.tick * RETRY_DELAY_TICKS;
+        }
+        let class = self.settings.class(request.class);
+        let expected_latency = self.latencies.expected(request.class);
         if end.outcome == Outcome::LocalFailure {
-            open.not_before = now + Span(1).times(self.class_latency[open.class.0]);
+            request.not_before = self.now + expected_latency;
         } else if class.consistency != Consistency::Write {
-            open.avoid.insert(end.endpoint);
-            let consistency = Self::needed(class, open.floor, sent.unwrap_or(now));
-            let endpoint = self
-                .endpoints
-                .get_mut(&end.endpoint)
-                .filter(|_| end.outcome == Outcome::Misdirected);
-            if let (Some(endpoint), Some(consistency)) = (endpoint, consistency) {
-                (endpoint.lag, endpoint.told_at) =
-                    (Span((now - consistency).0.saturating_mul(2)), now);
+            request.excluded_endpoints.insert(end.endpoint);
+            let required =
+                required_position(class, request.session_position, sent_at.unwrap_or(self.now));
+            if end.outcome == Outcome::Misdirected {
+                self.record_lag(end.endpoint, required);
             }
         } else if matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed) {
-            open.not_before = now + Span(1).times(self.class_latency[open.class.0]);
+            request.not_before = self.now + expected_latency;
         }
-        if open.out.is_empty() {
+        self.enqueue_if_idle(end.request);
+    }
+
+    /// A replica rejected a read that needed this position.
+    fn record_lag(&mut self, id: EndpointId, required: Option<Time>) {
+        let (Some(endpoint), Some(required)) = (self.endpoints.get_mut(&id), required) else {
+            return;
+        };
+        let shown = self.now - required;
+        endpoint.lag = ReplicationLag {
+            span: Span(shown.0.saturating_mul(LAG_AFTER_MISDIRECTION)),
+            measured_at: self.now,
+        };
+    }
+
+    /// Lets a request wait unless one of its attempts is still in flight.
+    fn enqueue_if_idle(&mut self, id: RequestId) {
+        let Some(request) = self.pending.get(&id) else {
+            return;
+        };
+        if request.in_flight.is_empty() {
             self.groups
-                .entry(group_id)
+                .entry(request.group)
                 .or_default()
                 .waiting
-                .push(end.request);
+                .push(id);
         }
     }
 }
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,189 +1,202 @@
-//! The decision module: events of one moment in, actions out.
+//! The decision module's step: events of one moment in, actions out, and nothing else.
+//!
+//! Inputs: [`PolicyEvent`]s with the time of the embedder's clock. State: [`Router`]; each module
+//! of the package owns its part and says how it is bounded. Units: microseconds. The same settings,
+//! seed and events give the same actions.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
+use std::collections::BTreeMap;
 
-use crate::endpoint::Node;
-use crate::events::*;
-use crate::group::Group;
-use crate::ids::*;
-use crate::scheduling::Open;
-use crate::settings::*;
-use crate::slow_start::ClassCosts;
-use crate::time::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use std::collections::{BTreeMap, VecDeque};
 
-/// Decides for one router. See [`Router::step`].
+use crate::endpoint::Endpoint;
+use crate::endpoint_list::ListPolling;
+use crate::events::{Action, PolicyEvent};
+use crate::group::Group;
+use crate::ids::{EndpointId, GroupId, RequestId};
+use crate::latency::{DecayingValue, LatencyEstimates};
+use crate::scheduling::PendingRequest;
+use crate::sessions::SessionStore;
+use crate::settings::{Settings, SettingsError};
+use crate::slow_start::ClassCosts;
+use crate::time::{Span, Time};
+
+/// Ticks until the next step while a request waits.
+const WAITING_STEP_TICKS: i64 = 2;
+/// The router has one timer at a time and needs no token to tell them apart.
+const TIMER_TOKEN: u64 = 0;
+
+/// The decision module of one router. It works only in [`Router::step`].
 #[derive(Debug)]
 pub struct Router {
-    pub(crate) cfg: Settings,
-    pub(crate) rng: Xoshiro256PlusPlus,
+    pub(crate) settings: Settings,
+    random: Xoshiro256PlusPlus,
+    /// The time of the last step; never goes back.
     pub(crate) now: Time,
-    pub(crate) endpoints: BTreeMap<EndpointId, Node>,
+    pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    pub(crate) open: BTreeMap<RequestId, Open>,
-    pub(crate) sessions: BTreeMap<SessionKey, Time>,
-    pub(crate) session_order: VecDeque<(SessionKey, Time)>,
-    pub(crate) session_floor: Option<Time>,
-    /// What requests of each class cost an endpoint in slow start.
-    pub(crate) costs: ClassCosts,
-    /// Answers of warm nodes of late for their size, fading over the time in which a node gets warm.
-    pub(crate) served: f64,
-    pub(crate) served_at: Time,
-    /// Worth for its work of what comes in.
-    pub(crate) usual_value: f64,
-    pub(crate) class_deviation: Vec<f64>,
-    pub(crate) class_latency: Vec<f64>,
-    pub(crate) probe_latency: f64,
-    /// Positions that primaries have told since the start.
-    pub(crate) clock_told: u32,
-    pub(crate) ask_at: Option<Time>,
-    pub(crate) ask_gap: Span,
-    pub(crate) wake_at: Option<Time>,
+    /// Requests without a final answer.
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) sessions: SessionStore,
+    pub(crate) class_costs: ClassCosts,
+    pub(crate) latencies: LatencyEstimates,
+    /// Recent responses of endpoints at full capacity, for a weight of 1.
+    pub(crate) warm_responses: DecayingValue,
+    /// Moving average of the requests' priority weight per microsecond of their expected latency.
+    pub(crate) typical_priority: f64,
+    /// Positions that primaries have reported since the start.
+    pub(crate) primary_positions: u32,
+    pub(crate) list_polling: ListPolling,
+    /// When the timer expires, if one is set.
+    timer_at: Option<Time>,
 }
 
 impl Router {
-    /// A router that knows nothing yet.
+    /// A router that knows no endpoint yet. `seed` determines its random choices.
     ///
     /// # Errors
-    /// Settings that cannot be worked with.
-    pub fn new(cfg: Settings, seed: u64) -> Result<Self, SettingsError> {
-        if cfg.classes.is_empty()
-            || cfg.routers == 0
-            || cfg.limits.max_attempts == 0
-            || cfg.tick.0 <= 0
-        {
-            return Err(SettingsError(
-                "classes, routers, max_attempts and tick must be above 0".into(),
-            ));
-        }
-        let class_latency: Vec<f64> = cfg
-            .classes
-            .iter()
-            .map(|c| (c.latency_objective.as_f64() / 4.0).max(1.0))
-            .collect();
+    /// [`SettingsError`] if there is no class, or if the number of routers, the attempts for a
+    /// request or the tick is not above 0.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        let latencies = LatencyEstimates::new(&settings);
         Ok(Self {
-            costs: ClassCosts::new(&class_latency),
-            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
+            random: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: Time(i64::MIN),
             endpoints: BTreeMap::new(),
             groups: BTreeMap::new(),
-            open: BTreeMap::new(),
-            sessions: BTreeMap::new(),
-            session_order: VecDeque::new(),
-            session_floor: None,
-            served: 0.0,
-            served_at: Time(i64::MIN),
-            usual_value: 0.0,
-            class_deviation: cfg
-                .classes
-                .iter()
-                .map(|c| c.latency_objective.as_f64() / 8.0)
-                .collect(),
-            class_latency,
-            probe_latency: cfg.tick.as_f64(),
-            clock_told: 0,
-            ask_at: (cfg.discovery_mode == DiscoveryMode::Poll).then_some(Time(i64::MIN)),
-            ask_gap: Span(cfg.rules.max_poll_interval.0 / 16),
-            wake_at: None,
-            cfg,
+            pending: BTreeMap::new(),
+            sessions: SessionStore::default(),
+            class_costs: ClassCosts::new(latencies.means()),
+            latencies,
+            warm_responses: DecayingValue {
+                value: 0.0,
+                set_at: Time(i64::MIN),
+            },
+            typical_priority: 0.0,
+            primary_positions: 0,
+            list_polling: ListPolling::new(&settings),
+            timer_at: None,
+            settings,
         })
     }
 
-    /// Takes all events of one moment and appends what is to be done, in order.
+    /// Takes all events of one moment, and appends the actions that follow, in the order in which
+    /// they are to be carried out. A `now` before that of an earlier step counts as that one's.
     pub fn step(&mut self, now: Time, events: &[PolicyEvent], actions: &mut Vec<Action>) {
-        let now = self.now.max(now);
-        self.now = now;
+        self.now = self.now.max(now);
         for event in events {
-            match event {
-                PolicyEvent::EndpointList { complete, entries } => self.on_list(*complete, entries),
-                PolicyEvent::DiscoveryFailed => self.on_list_failed(),
-                PolicyEvent::Request(request) => self.on_request(request),
-                PolicyEvent::ResponseStarted(id) => self.on_streaming(*id),
-                PolicyEvent::AttemptEnded(end) => self.on_ended(end, actions),
-                PolicyEvent::ClientDisconnected(id) => self.finish(*id, actions),
-                PolicyEvent::ClockCorrected(by) => self.on_clock_corrected(*by),
-                PolicyEvent::RouterCount(count) => self.on_routers((*count).max(1)),
-                PolicyEvent::Timer(_) => self.wake_at = self.wake_at.filter(|at| *at > self.now),
-                PolicyEvent::HealthCheckEnded {
-                    endpoint,
-                    outcome,
-                    latency,
-                    report,
-                } => {
-                    self.on_probed(*endpoint, *outcome, *latency, report.as_ref());
-                }
-            }
+            self.on_event(event, actions);
         }
-        actions.extend(
-            self.ask_at
-                .take_if(|at| *at <= now)
-                .map(|_| Action::RefreshEndpointList),
-        );
-        self.tend_health(actions);
-        let wanted = |(id, g): (&GroupId, &Group)| (!g.waiting.is_empty()).then_some(*id);
-        // Any number may come from a client: a group that holds nothing is forgotten.
-        self.groups
-            .retain(|_, g| !(g.members.is_empty() && g.waiting.is_empty()));
-        for group in self.groups.iter().filter_map(wanted).collect::<Vec<_>>() {
-            self.tend_search(group, actions);
-            self.tend_waiting(group, actions);
+        self.run_list_polling(actions);
+        self.run_outlier_detection(actions);
+        self.forget_empty_groups();
+        for group in self.groups_with_waiting_requests() {
+            self.run_primary_search(group, actions);
+            self.run_waiting_requests(group, actions);
         }
         self.set_timer(actions);
     }
 
-    /// Where more share the nodes, each keeps its part of what it has: two of a limit, as one is for writes.
-    pub(crate) fn on_routers(&mut self, count: u32) {
-        let part = (f64::from(self.cfg.routers) / f64::from(count)).min(1.0);
-        self.endpoints
-            .values_mut()
-            .for_each(|n| n.limit = n.limit.min((n.limit * part).max(2.0)));
-        (self.cfg.routers, self.served) = (count, self.served * part);
+    fn on_event(&mut self, event: &PolicyEvent, actions: &mut Vec<Action>) {
+        match event {
+            PolicyEvent::EndpointList { complete, entries } => {
+                self.on_endpoint_list(*complete, entries);
+            }
+            PolicyEvent::DiscoveryFailed => self.on_discovery_failed(),
+            PolicyEvent::Request(request) => self.on_request(request),
+            PolicyEvent::ResponseStarted(request) => self.on_response_started(*request),
+            PolicyEvent::AttemptEnded(end) => self.on_attempt_ended(end, actions),
+            PolicyEvent::ClientDisconnected(request) => self.finish(*request, actions),
+            PolicyEvent::RouterCount(count) => self.on_router_count(*count),
+            PolicyEvent::ClockCorrected(by) => self.on_clock_corrected(*by),
+            PolicyEvent::Timer(_) => self.on_timer(),
+            PolicyEvent::HealthCheckEnded {
+                endpoint,
+                outcome,
+                latency,
+                report,
+            } => self.on_health_check_ended(*endpoint, *outcome, *latency, report.as_ref()),
+        }
+    }
+
+    /// Leaves routers that have started their part of the concurrency limits and of the traffic.
+    fn on_router_count(&mut self, count: u32) {
+        let count = count.max(1);
+        let remaining = (f64::from(self.settings.routers) / f64::from(count)).min(1.0);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.scale_concurrency_limit(remaining);
+        }
+        self.warm_responses.value *= remaining;
+        self.settings.routers = count;
     }
 
-    /// Positions that were told right behind the correction are moved by it too: where that makes them older they stay, and
-    /// where it would make them newer they are forgotten.
-    pub(crate) fn on_clock_corrected(&mut self, by: Span) {
-        let now = self.now;
+    /// Moves all times of the cluster's clock. A position that was reported right after the
+    /// correction is moved as well. Where that makes it older, it stays true; where it would make
+    /// it newer, the position is forgotten.
+    fn on_clock_corrected(&mut self, by: Span) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.started = endpoint.started.map(|at| at + by);
-            endpoint.role = endpoint.role.map(|(role, told)| (role, told.min(now)));
-            endpoint.position = endpoint
-                .position
-                .filter(|_| by <= Span(0))
-                .map(|at| at + by);
-            // Where the clock was ahead, all data looked older than it is; where it was behind, such times never came so far.
-            endpoint.lag = Span((endpoint.lag - by.max(Span(0))).0.max(0));
+            endpoint.on_clock_corrected(by, self.now);
+        }
+        self.sessions.on_clock_corrected(by);
+        for request in self.pending.values_mut() {
+            request.session_position = request.session_position.map(|position| position + by);
         }
-        self.sessions.values_mut().for_each(|at| *at = *at + by);
-        self.session_order
-            .iter_mut()
-            .for_each(|(_, at)| *at = *at + by);
-        self.session_floor = self.session_floor.map(|at| at + by);
-        self.open
-            .values_mut()
-            .for_each(|open| open.floor = open.floor.map(|at| at + by));
     }
 
+    /// Any client may name any group, so those without endpoints are kept only while a request
+    /// waits there.
+    fn forget_empty_groups(&mut self) {
+        self.groups.retain(|_, group| !group.is_empty());
+    }
+
+    fn groups_with_waiting_requests(&self) -> Vec<GroupId> {
+        self.groups
+            .iter()
+            .filter(|(_, group)| !group.waiting.is_empty())
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// A random number, evenly distributed from 0 to 1, 1 excluded.
     pub(crate) fn random(&mut self) -> f64 {
-        (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
+        (self.random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Looks again soon while something waits, else when what is out would count as silence.
-    pub(crate) fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let waits = self.groups.values().any(|g| !g.waiting.is_empty());
-        let soon = waits.then(|| self.now + Span(self.cfg.tick.0 * 2));
-        let silence = self
+    fn on_timer(&mut self) {
+        if self.timer_at.is_some_and(|at| at <= self.now) {
+            self.timer_at = None;
+        }
+    }
+
+    /// Sets the timer for the next step: soon while a request waits, else when an endpoint becomes
+    /// unresponsive or the list is polled.
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        let Some(at) = self.next_step_at() else {
+            return;
+        };
+        if self.timer_at.is_none_or(|timer_at| at < timer_at) {
+            self.timer_at = Some(at);
+            actions.push(Action::SetTimer {
+                at,
+                token: TIMER_TOKEN,
+            });
+        }
+    }
+
+    fn next_step_at(&self) -> Option<Time> {
+        let tick = self.settings.tick;
+        let is_waiting = self.groups.values().any(|group| !group.waiting.is_empty());
+        let retry_at = is_waiting.then(|| self.now + tick * WAITING_STEP_TICKS);
+        let unresponsive_at = self
             .endpoints
             .values()
-            .filter_map(|n| self.silence(n))
+            .filter_map(|endpoint| self.unresponsive_at(endpoint))
             .min();
-        let silence = silence.map(|at| at.max(self.now) + self.cfg.tick);
-        let at = soon.into_iter().chain(silence).chain(self.ask_at).min();
-        if let Some(at) = at.filter(|at| self.wake_at.is_none_or(|w| *at < w)) {
-            self.wake_at = Some(at);
-            actions.push(Action::SetTimer { at, token: 0 });
-        }
+        let ejection_at = unresponsive_at.map(|at| at.max(self.now) + tick);
+        [retry_at, ejection_at, self.list_polling.next_poll_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -1,73 +1,110 @@
-//! Requests without a final answer: their order, their attempts and their end.
+//! Requests without a final answer: the order in which they are sent, and when they are given up.
+//!
+//! In each step the waiting requests of a group are taken in the order of their priority weight for
+//! their work, and each is sent, given up, or left to wait. The newest of equals goes first: when
+//! not all can be served in time, those are served that still can be.
+//!
+//! Inputs: [`crate::PolicyEvent::Request`], time. State: [`PendingRequest`], one for each request
+//! without a final answer. Bounds: the embedder admits at most `Limits::max_open_requests`, and
+//! each ends by its deadline. Units: microseconds.
 
-#![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
 
-use crate::events::*;
-use crate::ids::*;
-use crate::outlier_detection::Shut;
-use crate::primary_search::{LONGEST_GAP, SEARCH_PAUSE};
+use crate::endpoint::{AttemptId, SentAttempt};
+use crate::events::{Action, GiveUpReason, Request};
+use crate::ids::{ClassId, EndpointId, GroupId, RequestId, SessionKey};
 use crate::router::Router;
-use crate::settings::*;
-use crate::time::*;
-use std::collections::{BTreeMap, BTreeSet};
+use crate::settings::{Consistency, Idempotency, RequestClass};
+use crate::time::{Span, Time};
 
+/// Scale at which priorities are compared as whole numbers.
+const PRIORITY_SCALE: f64 = 1e9;
+/// A request that was never sent is given up this long before half of its time, so that its client
+/// can still retry: so many ticks ...
+const NEVER_SENT_MARGIN_TICKS: i64 = 4;
+/// ... and at most the class's deadline divided by this.
+const NEVER_SENT_MARGIN_DIVISOR: i64 = 8;
+
+/// A request without a final answer.
 #[derive(Debug, Default)]
-pub(crate) struct Open {
+pub(crate) struct PendingRequest {
     pub(crate) class: ClassId,
     pub(crate) group: GroupId,
     pub(crate) session: Option<SessionKey>,
     pub(crate) arrived: Time,
     pub(crate) deadline: Time,
+    /// A response after this does not count.
     pub(crate) useful_until: Time,
-    pub(crate) floor: Option<Time>,
+    /// The position that it must see of its session's writes.
+    pub(crate) session_position: Option<Time>,
+    /// Attempts so far.
     pub(crate) attempts: u32,
-    pub(crate) out: BTreeMap<u32, EndpointId>,
+    pub(crate) in_flight: BTreeMap<u32, EndpointId>,
     /// When the first attempt that may have run was sent.
-    pub(crate) ran_from: Option<Time>,
-    pub(crate) avoid: BTreeSet<EndpointId>,
+    pub(crate) may_have_run_since: Option<Time>,
+    /// Endpoints that have failed to serve it.
+    pub(crate) excluded_endpoints: BTreeSet<EndpointId>,
+    /// No attempt before this.
     pub(crate) not_before: Time,
-    pub(crate) probe_wait: Option<Time>,
+    /// Until when it waits for health checks to show a replica that is fresh enough; set once.
+    pub(crate) health_check_wait_until: Option<Time>,
+    /// Whether its response has begun.
     pub(crate) streaming: bool,
 }
 
+/// Why a waiting request is sent nowhere in this step.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum NoTarget {
+    /// The request has its final answer.
+    RequestEnded,
+    /// No primary is known.
+    NoPrimary,
+    /// Another write searches for the primary, or the search pauses.
+    Searching,
+    /// Its last attempt is kept for the primary that a search finds.
+    LastAttemptReserved,
+    /// The endpoint is not ready, or has no capacity for one more attempt.
+    NoCapacity,
+    /// A health check may show a replica that is fresh enough.
+    AwaitingHealthCheck,
+}
+
+/// What becomes of a request that waited.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Disposition {
+    /// It was sent, or given up, or needs nothing.
+    Settled,
+    /// It goes on waiting.
+    Waiting,
+}
+
+/// Place of a request among those that wait: the smaller goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
+struct ScheduleOrder {
+    priority: Reverse<i64>,
+    arrived: Reverse<Time>,
+}
+
 impl Router {
     pub(crate) fn on_request(&mut self, request: &Request) {
-        let Some(class) = self.cfg.classes.get(request.class.0) else {
+        let Some(class) = self.settings.classes.get(request.class.0) else {
             return;
         };
-        self.costs.on_request(request.class);
-        let stretch = request
-            .work
-            .map_or(Span(0), |w| w.times(class.latency_objective_stretch));
+        self.class_costs.on_request(request.class);
         let deadline = self.now + request.time_left;
-        let late_counts =
-            class.consistency == Consistency::Write && class.late_priority_weight > 0.0;
-        let kept = request
-            .session
-            .and_then(|key| self.sessions.get(&key).copied());
-        let floor = match (class.consistency, self.cfg.sessions) {
-            (Consistency::Session, SessionTracking::ClientProvided) => {
-                request.since_last_write.map(|ago| self.now - ago)
-            }
-            (Consistency::Session, SessionTracking::RouterTracked) => kept.or(self.session_floor),
-            _ => None,
-        };
-        let open = Open {
+        let pending = PendingRequest {
             class: request.class,
             group: request.group,
             session: request.session,
             arrived: self.now,
             deadline,
-            useful_until: if late_counts {
-                deadline
-            } else {
-                deadline.min(self.now + class.latency_objective + stretch)
-            },
-            floor,
+            useful_until: self.useful_until(request, class, deadline),
+            session_position: self.session_position(request, class),
             not_before: self.now,
-            ..Open::default()
+            ..PendingRequest::default()
         };
-        self.open.insert(request.id, open);
+        self.pending.insert(request.id, pending);
         self.groups
             .entry(request.group)
             .or_default()
@@ -75,146 +112,192 @@
             .push(request.id);
     }
 
-    pub(crate) fn tend_waiting(&mut self, id: GroupId, actions: &mut Vec<Action>) {
+    /// Until when a response counts: a late write may count until the deadline, a read only until
+    /// its latency objective.
+    fn useful_until(&self, request: &Request, class: &RequestClass, deadline: Time) -> Time {
+        let late_counts =
+            class.consistency == Consistency::Write && class.late_priority_weight > 0.0;
+        if late_counts {
+            return deadline;
+        }
+        let stretch = request
+            .work
+            .map_or(Span(0), |work| work.times(class.latency_objective_stretch));
+        deadline.min(self.now + class.latency_objective + stretch)
+    }
+
+    /// Sends, gives up or leaves waiting each request of a group that waits.
+    pub(crate) fn run_waiting_requests(&mut self, id: GroupId, actions: &mut Vec<Action>) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
-        // The most worth for its work first, in time before late, and the newest first: when not all can be
-        // served in time, those that still can are.
         let mut waiting = std::mem::take(&mut group.waiting);
-        for member in group.members.clone() {
-            // Whether a member is within reach again is asked when something waits that it could serve.
-            let Some(endpoint) = self.endpoints.get_mut(&member) else {
-                continue;
-            };
-            if endpoint.health.shut == Some(Shut::OutOfReach) && self.now >= endpoint.health.again {
-                // All routers ask the same dead member: each the more seldom the longer it stays so.
-                endpoint.health.again = self.now + endpoint.health.gap;
-                endpoint.health.gap =
-                    Span(endpoint.health.gap.0 * 2).min(SEARCH_PAUSE.times(LONGEST_GAP));
-                self.probe(member, actions);
-            }
-        }
-        waiting.sort_by_cached_key(|id| self.rank(*id));
+        let members = group.members.clone();
+        self.check_unreachable_endpoints(&members, actions);
+        waiting.sort_by_cached_key(|request| self.schedule_order(*request));
         for request in waiting {
-            if self.place(request, actions) {
+            if self.schedule(request, actions) == Disposition::Waiting {
                 self.groups.entry(id).or_default().waiting.push(request);
             }
         }
     }
 
-    pub(crate) fn rank(&self, id: RequestId) -> (i64, i64) {
-        let Some(open) = self.open.get(&id) else {
-            return (0, 0);
+    fn schedule_order(&self, id: RequestId) -> ScheduleOrder {
+        let Some(request) = self.pending.get(&id) else {
+            return ScheduleOrder::default();
         };
-        let class = &self.cfg.classes[open.class.0];
-        let part = if self.now - open.arrived > class.latency_objective {
+        let class = self.settings.class(request.class);
+        let is_late = self.now - request.arrived > class.latency_objective;
+        let late_factor = if is_late {
             class.late_priority_weight
         } else {
             1.0
         };
-        (-(self.value(open) * part * 1e9) as i64, -open.arrived.0)
+        let priority = self.priority_per_work(request.class) * late_factor * PRIORITY_SCALE;
+        ScheduleOrder {
+            priority: Reverse(priority as i64),
+            arrived: Reverse(request.arrived),
+        }
     }
 
-    /// Sends a waiting request, ends it, or leaves it waiting (true).
-    pub(crate) fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let shed = self.shed(id);
-        let Some(open) = self.open.get(&id) else {
-            return false;
+    fn schedule(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Disposition {
+        let shed = self.should_shed(id);
+        let Some(request) = self.pending.get(&id) else {
+            return Disposition::Settled;
         };
-        if !open.out.is_empty() {
-            return false;
-        }
-        let (class, tick) = (&self.cfg.classes[open.class.0], self.cfg.tick);
-        let expected = Span(1).times(self.class_latency[open.class.0]);
-        let window_over = self.repeats_until(open).is_some_and(|at| self.now >= at);
-        // Never sent by half its time: its client is told while it can come back.
-        let half =
-            Span((open.deadline - open.arrived).0 / 2 - (tick.0 * 4).min(class.deadline.0 / 8));
-        let held = open.attempts == 0 && self.now - open.arrived > half;
-        let useless = held || self.now + expected > open.useful_until && self.now > open.arrived;
-        let (spent, over) = (
-            open.attempts >= self.cfg.limits.max_attempts,
-            self.now >= open.deadline,
-        );
-        let why = [
-            (over, GiveUpReason::DeadlineExceeded),
-            (shed, GiveUpReason::Overloaded),
-            (held, GiveUpReason::NeverSent),
-            (useless, GiveUpReason::TooLate),
-        ];
-        let why = why.into_iter().chain([
-            (spent, GiveUpReason::AttemptsExhausted),
-            (window_over, GiveUpReason::RetryWindowClosed),
-        ]);
-        if let Some((_, why)) = why.into_iter().find(|(holds, _)| *holds) {
-            self.give_up(id, why, actions);
-            return false;
-        }
-        if self.now < open.not_before {
-            return true;
-        }
-        let target = match class.consistency {
-            Consistency::Write => self.target_of_write(id),
-            Consistency::Strong => {
-                self.known_primary(self.open[&id].group, self.open[&id].class, 0.0)
-            }
-            _ => self.target_of_read(id, actions),
-        };
-        target.is_none_or(|endpoint| !self.send(id, endpoint, actions))
+        if !request.in_flight.is_empty() {
+            return Disposition::Settled;
+        }
+        if let Some(reason) = self.give_up_reason(request, shed) {
+            self.finish_with(id, reason, actions);
+            return Disposition::Settled;
+        }
+        if self.now < request.not_before {
+            return Disposition::Waiting;
+        }
+        match self.select_target(id, actions) {
+            Ok(endpoint) => self.send(id, endpoint, actions),
+            Err(_) => Disposition::Waiting,
+        }
     }
 
-    pub(crate) fn send(
+    fn give_up_reason(&self, request: &PendingRequest, shed: bool) -> Option<GiveUpReason> {
+        let now = self.now;
+        if now >= request.deadline {
+            return Some(GiveUpReason::DeadlineExceeded);
+        }
+        if shed {
+            return Some(GiveUpReason::Overloaded);
+        }
+        if request.attempts == 0 && now - request.arrived > self.longest_unsent_wait(request) {
+            return Some(GiveUpReason::NeverSent);
+        }
+        let expected_end = now + self.latencies.expected(request.class);
+        if expected_end > request.useful_until && now > request.arrived {
+            return Some(GiveUpReason::TooLate);
+        }
+        if request.attempts >= self.settings.limits.max_attempts {
+            return Some(GiveUpReason::AttemptsExhausted);
+        }
+        let retry_until = self.retry_allowed_until(request);
+        if retry_until.is_some_and(|until| now >= until) {
+            return Some(GiveUpReason::RetryWindowClosed);
+        }
+        None
+    }
+
+    /// How long a request may wait for its first attempt.
+    fn longest_unsent_wait(&self, request: &PendingRequest) -> Span {
+        let margin = self.settings.tick * NEVER_SENT_MARGIN_TICKS;
+        let most = self.settings.class(request.class).deadline / NEVER_SENT_MARGIN_DIVISOR;
+        (request.deadline - request.arrived) / 2 - margin.min(most)
+    }
+
+    fn select_target(
         &mut self,
         id: RequestId,
-        to: EndpointId,
         actions: &mut Vec<Action>,
-    ) -> bool {
+    ) -> Result<EndpointId, NoTarget> {
+        let Some(request) = self.pending.get(&id) else {
+            return Err(NoTarget::RequestEnded);
+        };
+        let (group, class) = (request.group, request.class);
+        match self.settings.class(class).consistency {
+            Consistency::Write => self.select_write_target(id),
+            Consistency::Strong => self.select_known_primary(group, class, 0.0),
+            _ => self.select_read_target(id, actions),
+        }
+    }
+
+    /// [`Router::try_acquire`] for a target that has been selected.
+    pub(crate) fn acquire_target(
+        &mut self,
+        endpoint: EndpointId,
+        class: ClassId,
+        reserved: f64,
+    ) -> Result<EndpointId, NoTarget> {
+        if self.try_acquire(endpoint, class, reserved) {
+            Ok(endpoint)
+        } else {
+            Err(NoTarget::NoCapacity)
+        }
+    }
+
+    fn send(&mut self, id: RequestId, to: EndpointId, actions: &mut Vec<Action>) -> Disposition {
         let now = self.now;
         let send_before = self
-            .open
+            .pending
             .get(&id)
-            .and_then(|open| self.send_before(open, to));
-        let (Some(open), Some(endpoint)) = (self.open.get_mut(&id), self.endpoints.get_mut(&to))
+            .and_then(|request| self.send_before(request, to));
+        let (Some(request), Some(endpoint)) =
+            (self.pending.get_mut(&id), self.endpoints.get_mut(&to))
         else {
-            return false;
+            return Disposition::Waiting;
         };
-        open.out.insert(open.attempts, to);
-        endpoint
-            .out
-            .insert((id, open.attempts), (now, open.class, open.session));
-        open.attempts += 1;
-        endpoint.quiet_since = endpoint.quiet_since.or(Some(now));
-        (endpoint.health.again, endpoint.sent_at) = (now + SEARCH_PAUSE, Some(now));
-        // Where nothing can be called off, a safe read's time-out leaves room for a second try.
-        let bare = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent
-            && !self.cfg.limits.cancel;
-        let timeout = bare.then_some(Span((open.deadline - now).0 / 2));
+        let attempt = AttemptId {
+            request: id,
+            attempt: request.attempts,
+        };
+        let sent = SentAttempt {
+            sent_at: now,
+            class: request.class,
+            session: request.session,
+        };
+        endpoint.in_flight.insert(attempt, sent);
+        endpoint.unanswered_since = endpoint.unanswered_since.or(Some(now));
+        endpoint.outlier.on_attempt_sent(now);
+        endpoint.last_sent_at = Some(now);
+        request.in_flight.insert(request.attempts, to);
+        request.attempts += 1;
+        // Where attempts cannot be cancelled, the timeout of an idempotent request leaves time for
+        // a second one.
+        let class = self.settings.class(request.class);
+        let needs_timeout =
+            class.idempotency == Idempotency::Idempotent && !self.settings.limits.cancel;
+        let timeout = needs_timeout.then_some((request.deadline - now) / 2);
         actions.push(Action::Send {
             request: id,
             endpoint: to,
             timeout,
             send_before,
         });
-        true
+        Disposition::Settled
     }
 
-    /// The final answer of a request that is not tried further: a refusal where that is known to be harmless.
-    pub(crate) fn give_up(&mut self, id: RequestId, why: GiveUpReason, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else {
+    /// Gives a request its final answer: a rejection where a retry is known to be safe, else a
+    /// failure.
+    fn finish_with(&mut self, id: RequestId, why: GiveUpReason, actions: &mut Vec<Action>) {
+        let Some(request) = self.pending.get(&id) else {
             return;
         };
-        let harmless = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent
-            || open.ran_from.is_none();
-        let retry_after = self
-            .cfg
-            .limits
-            .retry_after
-            .then_some(self.cfg.limits.max_retry_after);
-        actions.push(if harmless {
+        let class = self.settings.class(request.class);
+        let is_safe_to_retry =
+            class.idempotency == Idempotency::Idempotent || request.may_have_run_since.is_none();
+        let limits = &self.settings.limits;
+        actions.push(if is_safe_to_retry {
             Action::Reject {
                 request: id,
-                retry_after,
+                retry_after: limits.retry_after.then_some(limits.max_retry_after),
                 why,
             }
         } else {
@@ -223,17 +306,22 @@
         self.finish(id, actions);
     }
 
-    /// Forgets a request; what is still out for it is called off.
+    /// Forgets a request that has its final answer, and cancels the attempts that nobody needs.
     pub(crate) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else {
+        let Some(request) = self.pending.remove(&id) else {
             return;
         };
-        let safe = self.cfg.classes[open.class.0].idempotency == Idempotency::Idempotent;
-        if self.cfg.limits.cancel && safe && !open.streaming {
-            actions.extend(open.out.keys().map(|a| Action::Cancel {
+        let class = self.settings.class(request.class);
+        let may_cancel =
+            self.settings.limits.cancel && class.idempotency == Idempotency::Idempotent;
+        if !may_cancel || request.streaming {
+            return;
+        }
+        for attempt in request.in_flight.keys() {
+            actions.push(Action::Cancel {
                 request: id,
-                attempt: *a,
-            }));
+                attempt: *attempt,
+            });
         }
     }
 }
--- /dev/null
+++ b/crates/policy/src/sessions.rs
@@ -0,0 +1,98 @@
+//! Read-your-writes: the position of each session's last write.
+//!
+//! Inputs: the commit of each write that was served, where the router tracks sessions. State:
+//! [`SessionStore`]. Bounds: as many writes as there may be open requests. When it is full the
+//! oldest write is dropped, and its position is required of the reads of every session that is not
+//! remembered. Units: replication positions, which are times.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::endpoint::SentAttempt;
+use crate::events::{AttemptEnd, Request};
+use crate::ids::SessionKey;
+use crate::router::Router;
+use crate::settings::{Consistency, RequestClass, SessionTracking};
+use crate::time::{Span, Time};
+
+#[derive(Debug)]
+struct SessionWrite {
+    session: SessionKey,
+    position: Time,
+}
+
+/// Positions of sessions' last writes.
+#[derive(Debug, Default)]
+pub(crate) struct SessionStore {
+    last_writes: BTreeMap<SessionKey, Time>,
+    /// The same in the order of arrival, earlier writes of a session included.
+    write_order: VecDeque<SessionWrite>,
+    /// Latest position of the writes that were dropped.
+    dropped_position: Option<Time>,
+}
+
+impl SessionStore {
+    /// The position that a read of this session must see.
+    fn required_position(&self, session: Option<SessionKey>) -> Option<Time> {
+        let last_write = session.and_then(|session| self.last_writes.get(&session).copied());
+        last_write.or(self.dropped_position)
+    }
+
+    fn on_write(&mut self, session: SessionKey, position: Time, capacity: usize) {
+        let last_write = self.last_writes.entry(session).or_insert(position);
+        *last_write = position.max(*last_write);
+        let position = *last_write;
+        self.write_order
+            .push_back(SessionWrite { session, position });
+        while self.write_order.len() > capacity {
+            self.drop_oldest();
+        }
+    }
+
+    fn drop_oldest(&mut self) {
+        let Some(oldest) = self.write_order.pop_front() else {
+            return;
+        };
+        // A later write of the session has an entry of its own.
+        if self.last_writes.get(&oldest.session) == Some(&oldest.position) {
+            self.last_writes.remove(&oldest.session);
+            self.dropped_position = self.dropped_position.max(Some(oldest.position));
+        }
+    }
+
+    pub(crate) fn on_clock_corrected(&mut self, by: Span) {
+        for position in self.last_writes.values_mut() {
+            *position = *position + by;
+        }
+        for write in &mut self.write_order {
+            write.position = write.position + by;
+        }
+        self.dropped_position = self.dropped_position.map(|position| position + by);
+    }
+}
+
+impl Router {
+    /// The position that a session read must see; `None` for other reads, and if its session has no
+    /// known write.
+    pub(crate) fn session_position(&self, request: &Request, class: &RequestClass) -> Option<Time> {
+        if class.consistency != Consistency::Session {
+            return None;
+        }
+        match self.settings.sessions {
+            SessionTracking::ClientProvided => request.since_last_write.map(|ago| self.now - ago),
+            SessionTracking::RouterTracked => self.sessions.required_position(request.session),
+        }
+    }
+
+    /// Remembers the commit of a write that was served, if this router tracks sessions.
+    pub(crate) fn remember_session_write(&mut self, end: &AttemptEnd, sent: &SentAttempt) {
+        if self.settings.class(sent.class).consistency != Consistency::Write
+            || self.settings.sessions != SessionTracking::RouterTracked
+        {
+            return;
+        }
+        if let (Some(session), Some(position)) = (sent.session, end.position) {
+            let capacity = self.settings.limits.max_open_requests;
+            self.sessions.on_write(session, position, capacity);
+        }
+    }
+}
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,186 +1,213 @@
-//! What a router is given at its start.
+//! Settings of a router, fixed for its life except [`Settings::routers`], which
+//! [`crate::PolicyEvent::RouterCount`] changes. Durations are in microseconds ([`Span`]), rates in
+//! requests a second.
 
 use std::fmt;
 
-use crate::ids::*;
-use crate::time::*;
+use crate::ids::{ClassId, ZoneId};
+use crate::time::Span;
 
-/// What a class asks of the member that serves it.
+/// Which data a request must see, and so which endpoints may serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// A write: only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
-    /// A read that must see all that was committed before it came in.
+    /// A read that must see every commit made before it arrived.
     Strong,
     /// A read that must see its session's own writes.
     Session,
-    /// A read of data no older than this when it is sent.
+    /// A read of data that is at most this old when the read is sent.
     BoundedStaleness(Span),
-    /// A read that any member may serve.
+    /// A read that any endpoint of the group may serve.
     Eventual,
 }
 
-/// Where a repeat of a keyed request is dropped.
+/// Where a retry with the same idempotency key is deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Among all nodes.
+    /// At all endpoints.
     All,
-    /// Among the nodes of one zone: what may have run is never repeated, as a group's next primary may stand in another.
+    /// At the endpoints of one zone. A request that may have run is never retried, because the
+    /// group's next primary may be in another zone.
     Zone,
-    /// Within the request's group.
+    /// At the endpoints of the request's group.
     Group,
 }
 
-/// What happens if a request runs twice.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats are dropped within the scope, for the window.
+    /// It carries an idempotency key: retries are deduplicated within the scope, for the window.
     IdempotencyKey {
-        /// Where repeats are dropped.
+        /// Where retries are deduplicated.
         scope: DedupScope,
-        /// How long after the first attempt a repeat is dropped.
+        /// How long after the first attempt a retry is deduplicated.
         window: Span,
     },
-    /// Harm.
+    /// It must not run twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// What it needs of a member.
+    /// Which data its requests must see.
     pub consistency: Consistency,
-    /// What a second run does.
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// An answer within this time earns the full worth.
+    /// Target latency: a response within this time counts with the full priority weight.
     pub latency_objective: Span,
-    /// The aim grows by this many times the request's own work (0: not at all).
+    /// The latency objective grows by this many times the request's own estimated work (0: not at
+    /// all).
     pub latency_objective_stretch: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits for the final answer, over all attempts.
     pub deadline: Span,
-    /// Worth of one request.
+    /// Value of one request that is served in time, compared with those of other classes.
     pub priority_weight: f64,
-    /// The share of the worth that a late answer earns.
+    /// The fraction of the priority weight that a late response counts with.
     pub late_priority_weight: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all routers, within its share.
+    /// Requests a second within its quota, over all routers.
     pub allowance: f64,
 }
 
-/// How the list of nodes arrives.
+/// How the endpoint list is obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Unprompted.
+    /// Changes are pushed.
     Watch,
-    /// Only to a router that asks.
+    /// The router polls.
     Poll,
 }
 
-/// What the list's primary mark means.
+/// How reliable the primary mark of the endpoint list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRole {
-    /// Follows changes, late.
+    /// It follows changes of the primary with a delay.
     Trailing,
-    /// As it was at the start.
+    /// It never changes after the start.
     Static,
-    /// Means nothing.
+    /// It carries no information.
     Ignored,
 }
 
-/// What a replica does with a read it is too far behind for.
+/// What a replica does with a read that needs newer data than it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleReadPolicy {
-    /// Answers from what it has.
+    /// It serves the data it has. The router must check freshness itself.
     Serve,
-    /// Turns it away.
+    /// It rejects the read.
     Reject,
-    /// Waits this long to catch up, then turns it away.
+    /// It waits this long to catch up, then rejects the read.
     WaitThenReject(Span),
 }
 
-/// Where the knowledge of a session's last write comes from.
+/// Where the position of a session's last write is known from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTracking {
     /// The read says how long ago it was.
     ClientProvided,
-    /// The router remembers the writes it had answered.
+    /// The router remembers the commits of the writes it forwarded.
     RouterTracked,
 }
 
 /// What the deployment allows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Nodes may be probed.
+    /// Whether health checks may be sent.
     pub health_checks: bool,
-    /// A request may have two attempts out.
+    /// Whether a request may have two attempts in flight.
     pub hedged_requests: bool,
-    /// Clients receive a retry-after.
+    /// Whether a rejection carries a Retry-After.
     pub retry_after: bool,
-    /// Attempts for one request.
+    /// Most attempts for one request; at least 1.
     pub max_attempts: u32,
-    /// The longest retry-after a client honours.
+    /// The longest Retry-After that clients honour.
     pub max_retry_after: Span,
-    /// Requests that may be open at once.
+    /// Most requests without a final answer; also the number of sessions that are remembered.
     pub max_open_requests: usize,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub idle_connection_timeout: Span,
 }
 
-/// Figures of the rules.
+/// Parameters of endpoint discovery and slow start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Where the list is asked for: how often at least.
+    /// Longest interval between two polls of the endpoint list.
     pub max_poll_interval: Span,
-    /// A node starts at this share of its capacity or above.
+    /// Fraction of its capacity, from 0 to 1, that an endpoint has when it starts.
     pub slow_start_initial_capacity: f64,
-    /// And is warm after this at most.
+    /// How long an endpoint takes to reach its full capacity.
     pub slow_start_duration: Span,
-    /// More than this multiple of the capacity of a cold node ...
+    /// An endpoint in slow start overloads when it receives more than this multiple of its capacity
+    /// ...
     pub overload_multiple: f64,
-    /// ... for this long pushes it over.
+    /// ... over this long.
     pub overload_duration: Span,
-    /// Only a draining mark binds; a node that vanished stays open.
+    /// Whether an endpoint that disappears from the list stays in use; only the draining mark ends
+    /// its use then.
     pub removal_is_advisory: bool,
 }
 
-/// What a router is told at its start.
+/// What a router is given at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes, by [`ClassId`].
+    /// Request classes, by [`ClassId`]; at least one.
     pub classes: Vec<RequestClass>,
-    /// Tenants, by [`TenantId`]; there may be none.
+    /// Tenants, by [`crate::TenantId`]; there may be none.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share; `None` without tenants.
+    /// Priority weight of a request beyond its tenant's quota; `None` without tenants.
     pub over_quota_priority_weight: Option<f64>,
-    /// How the list arrives.
+    /// How the endpoint list is obtained.
     pub discovery_mode: DiscoveryMode,
-    /// What its primary mark means.
+    /// How reliable the list's primary mark is.
     pub listed_role: ListedRole,
-    /// What replicas do with reads they are too far behind for.
+    /// What replicas do with reads that need newer data than they have.
     pub stale_read_policy: StaleReadPolicy,
-    /// Where sessions' writes are known from.
+    /// Where the positions of sessions' writes are known from.
     pub sessions: SessionTracking,
-    /// Number of routers.
+    /// Number of routers that share the endpoints; at least 1.
     pub routers: u32,
     /// This router's zone.
     pub zone: ZoneId,
-    /// Shortest gap between batches.
+    /// Shortest interval between two steps; above 0.
     pub tick: Span,
-    /// What is allowed.
+    /// What the deployment allows.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of endpoint discovery and slow start.
     pub rules: Rules,
 }
 
-/// Settings that no router can work with.
+impl Settings {
+    /// # Errors
+    /// [`SettingsError`] if there is no class, or if a count or the tick is not above 0.
+    pub(crate) fn check(&self) -> Result<(), SettingsError> {
+        let valid = !self.classes.is_empty()
+            && self.routers > 0
+            && self.limits.max_attempts > 0
+            && self.tick > Span(0);
+        if valid {
+            return Ok(());
+        }
+        Err(SettingsError(
+            "classes, routers, max_attempts and tick must be above 0".into(),
+        ))
+    }
+
+    pub(crate) fn class(&self, id: ClassId) -> &RequestClass {
+        &self.classes[id.0]
+    }
+}
+
+/// Settings that no router can work with; the text names them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -189,4 +216,5 @@
         write!(f, "settings: {}", self.0)
     }
 }
+
 impl std::error::Error for SettingsError {}
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,51 +1,61 @@
 //! Slow start: how much an endpoint that has just started may be sent.
 //!
-//! An endpoint overloads when all gateways together send it more work than the settings allow within a window
-//! (`Rules::tip_multiple` times what it can do in `Rules::tip_after`, plus a slack for chance). No gateway sees what
-//! the others send, so each keeps to its share: a token bucket for each endpoint, refilled by the endpoint's part of
-//! what tenants may ask for, in requests of mean work. A share is mostly less than one request, so a fraction of a
-//! token is a chance.
+//! An endpoint overloads when all gateways together send it more work than the settings allow
+//! within a window (`Rules::overload_multiple` times what it can do in `Rules::overload_duration`,
+//! plus a slack for chance). No gateway sees what the others send, so each keeps to its quota: a
+//! token bucket for each endpoint, refilled by the endpoint's part of what tenants may request, in
+//! requests of mean work. A quota is mostly less than one request, so a fraction of a token is a
+//! probability.
 //!
-//! Long queries count by their work. Their tokens are kept apart, by their part of all work, so that one that waits
-//! does not use up what short ones need; what they leave unused is the short ones' too.
-
-#![allow(clippy::cast_precision_loss)]
+//! Long queries count by their work. Their tokens are kept apart, by their part of all work, so
+//! that one that waits does not use up what short ones need; what they leave unused is available to
+//! the short ones too.
+//!
+//! Inputs: requests and responses by class, attempts that are about to be sent. State:
+//! [`ClassCosts`], and a [`SlowStartBudget`] for each endpoint. Bounds: one entry for each class; a
+//! bucket holds at most what one window allows beyond its refill. Units: microseconds; tokens are
+//! requests of mean work.
 
-use crate::endpoint::Node;
+use crate::endpoint::Endpoint;
 use crate::events::EndpointState;
 use crate::ids::{ClassId, EndpointId};
-use crate::latency::MEMORY;
+use crate::latency::MIN_DECAY;
 use crate::router::Router;
 use crate::time::{Span, Time};
 
-/// The part of the budget that is used; the rest is for estimates that are off and for chance.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Fraction of the budget that is used; the rest is for estimation errors and for chance.
 const BUDGET_USED: f64 = 0.7;
 /// A class whose requests take more than so many times the mean work counts as long.
 const LONG_COST: f64 = 3.0;
-/// A request of c times the mean work is charged c to this power. A sum of few large requests varies more than one of
-/// many small ones: with this exponent four standard deviations of it stay within the slack that the rule gives.
+/// A request of c times the mean work is charged c to this power. A sum of few large requests
+/// varies more than one of many small ones: with this exponent four standard deviations of it stay
+/// within the slack that the rule gives.
 const COST_EXPONENT: f64 = 1.5;
 /// Weight of the assumption that all classes bring the same work, in requests.
 const PRIOR_REQUESTS: f64 = 20.0;
-/// Requests over which the mix of classes is remembered.
-const MIX_MEMORY: f64 = 400.0;
-/// Smoothing of a class's work, taken from its quickest answers: the rest of a latency is waiting.
+/// Requests over which the mix of classes is averaged.
+const CLASS_MIX_REQUESTS: f64 = 400.0;
+/// Weight of a sample below the estimate of a class's work. The work is taken from the quickest
+/// responses: the rest of a latency is queueing.
 const WORK_GAIN_DOWN: f64 = 0.3;
+/// Weight of a sample above it.
 const WORK_GAIN_UP: f64 = 0.02;
 
 /// What requests of each class cost an endpoint, compared with the mean request.
 #[derive(Debug)]
 pub(crate) struct ClassCosts {
-    /// Assumed work of a request of each class before any was answered, in microseconds: only their ratios count.
+    /// Assumed work of a request of each class before any response, in microseconds: only their
+    /// ratios count.
     assumed: Vec<f64>,
-    /// The same from answers, once there was one.
+    /// The same as measured, once there was a response.
     measured: Vec<Option<f64>>,
-    /// Requests of each class of late.
+    /// Recent requests of each class.
     arrivals: Vec<f64>,
 }
 
 impl ClassCosts {
-    /// Starts from what each class's latency is taken to be before any answer was measured, in microseconds.
+    /// Starts from the latency that is assumed of each class before any response, in microseconds.
     pub(crate) fn new(latencies: &[f64]) -> Self {
         let assumed = latencies.iter().map(|latency| latency.max(1.0)).collect();
         Self {
@@ -58,8 +68,10 @@
     /// Counts a request that came in.
     pub(crate) fn on_request(&mut self, class: ClassId) {
         self.arrivals[class.0] += 1.0;
-        if self.arrivals.iter().sum::<f64>() > MIX_MEMORY {
-            self.arrivals.iter_mut().for_each(|count| *count /= 2.0);
+        if self.arrivals.iter().sum::<f64>() > CLASS_MIX_REQUESTS {
+            for count in &mut self.arrivals {
+                *count /= 2.0;
+            }
         }
     }
 
@@ -74,8 +86,8 @@
         *work = (*work + gain * (latency - *work)).max(1.0);
     }
 
-    /// Estimated work of a request of each class, in microseconds. Classes that were not measured yet are taken to be off
-    /// by the same factor as those that were.
+    /// Estimated work of a request of each class, in microseconds. The assumptions for classes
+    /// without a measurement are corrected by the mean factor of the others.
     fn work(&self) -> Vec<f64> {
         let measured = self.measured.iter().zip(&self.assumed);
         let factors: Vec<f64> = measured
@@ -93,9 +105,8 @@
             .collect()
     }
 
-    /// Work of a request of this class, in requests of mean work; and the part of all work, from 0 to 1, that long
-    /// classes bring.
-    pub(crate) fn cost_and_long_part(&self, class: ClassId) -> (f64, f64) {
+    /// What a request of this class costs.
+    fn cost(&self, class: ClassId) -> RequestCost {
         let work = self.work();
         let inverse: f64 = work.iter().map(|work| 1.0 / work).sum();
         let weight = |class: usize| self.arrivals[class] + PRIOR_REQUESTS / work[class] / inverse;
@@ -108,10 +119,22 @@
         let all = total(&|_| true);
         let mean = all / (0..work.len()).map(weight).sum::<f64>();
         let long = total(&|class| work[class] > LONG_COST * mean);
-        (work[class.0] / mean, long / all)
+        RequestCost {
+            cost: work[class.0] / mean,
+            long_fraction: long / all,
+        }
     }
 }
 
+/// Cost of a request, compared with all requests.
+#[derive(Clone, Copy, Debug)]
+struct RequestCost {
+    /// Its work, in requests of mean work.
+    cost: f64,
+    /// The fraction of all work, from 0 to 1, that long classes bring.
+    long_fraction: f64,
+}
+
 /// Tokens of one endpoint, in requests of mean work.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStartBudget {
@@ -121,14 +144,15 @@
 }
 
 impl SlowStartBudget {
-    /// Adds what has accrued at `rate` tokens in a microsecond. What is saved up and what accrues meanwhile stay within
-    /// the budget of any one window.
-    fn refill(&mut self, now: Time, rate: f64, window: Span, long_part: f64) {
+    /// Adds what has accrued at `rate` tokens a microsecond. What is saved and what accrues
+    /// meanwhile stay within the budget of any one window.
+    fn refill(&mut self, now: Time, rate: f64, window: Span, long_fraction: f64) {
         let elapsed = (now - self.refilled_at.max(now - window)).as_f64();
         let most = rate * window.as_f64() * (1.0 / BUDGET_USED - 1.0);
-        let refilled = |tokens: f64, part: f64| (tokens + part * rate * elapsed).min(part * most);
-        self.short = refilled(self.short, 1.0 - long_part);
-        self.long = refilled(self.long, long_part);
+        let refilled =
+            |tokens: f64, fraction: f64| (tokens + fraction * rate * elapsed).min(fraction * most);
+        self.short = refilled(self.short, 1.0 - long_fraction);
+        self.long = refilled(self.long, long_fraction);
         self.refilled_at = now;
     }
 
@@ -151,61 +175,81 @@
 }
 
 impl Router {
-    /// The part of its capacity that an endpoint in slow start surely has; `None` once it is warm.
-    pub(crate) fn slow_start_fraction(&self, endpoint: &Node) -> Option<f64> {
-        let rules = &self.cfg.rules;
-        let age = self.now - endpoint.started.max(endpoint.health.revived)?;
-        let grown = (age.as_f64() / rules.slow_start_duration.as_f64()).max(0.0);
-        (grown < 1.0).then_some(
-            rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown,
-        )
+    /// The fraction of its capacity that an endpoint in slow start surely has; `None` once it has
+    /// its full capacity.
+    pub(crate) fn slow_start_fraction(&self, endpoint: &Endpoint) -> Option<f64> {
+        let rules = &self.settings.rules;
+        let started = endpoint.started.max(endpoint.outlier.readmitted_at())?;
+        let age = self.now - started;
+        let progress = (age.as_f64() / rules.slow_start_duration.as_f64()).max(0.0);
+        if progress < 1.0 {
+            let initial = rules.slow_start_initial_capacity;
+            Some(initial + (1.0 - initial) * progress)
+        } else {
+            None
+        }
     }
 
+    /// Whether an endpoint has its full capacity.
     pub(crate) fn is_warm(&self, id: EndpointId) -> bool {
         self.endpoints
             .get(&id)
             .is_some_and(|endpoint| self.slow_start_fraction(endpoint).is_none())
     }
 
-    /// Whether a request of this class may be sent to an endpoint now, as far as slow start goes; uses its budget.
-    ///
-    /// Departure: acts on all that is sent. May hurt a write whose primary is cold.
+    pub(crate) fn is_ready_and_warm(&self, endpoint: &Endpoint) -> bool {
+        endpoint.is_ready() && self.slow_start_fraction(endpoint).is_none()
+    }
+
+    /// Whether a request of this class may be sent to an endpoint now, as far as slow start goes.
+    /// Uses its budget.
     pub(crate) fn try_acquire_slow_start_budget(&mut self, id: EndpointId, class: ClassId) -> bool {
-        let (rules, over) = (
-            &self.cfg.rules,
-            self.cfg.rules.slow_start_duration.max(MEMORY).as_f64(),
-        );
         let Some(endpoint) = self.endpoints.get(&id) else {
             return false;
         };
         let Some(fraction) = self.slow_start_fraction(endpoint) else {
             return true;
         };
-        // What an endpoint can do is at least what this router's warm ones do, and its part of what tenants may
-        // ask of all: a router that has just started, or seldom meets it, has seen next to nothing.
-        let size: f64 = self
-            .endpoints
-            .values()
-            .filter(|n| n.state == EndpointState::Ready)
-            .map(|n| n.weight)
-            .sum();
-        let quota =
-            self.cfg.tenants.iter().map(|t| t.allowance).sum::<f64>() / f64::from(self.cfg.routers);
-        let usual = (self.served_now() / over).max(quota / 1e6 / size) * endpoint.weight;
+        let rules = &self.settings.rules;
+        let usual = self.usual_request_rate(endpoint);
         let rate = BUDGET_USED * rules.overload_multiple * fraction * usual;
-        let (window, now) = (rules.overload_duration, self.now);
-        let (cost, long_part) = self.costs.cost_and_long_part(class);
+        let window = rules.overload_duration;
+        let RequestCost {
+            cost,
+            long_fraction,
+        } = self.class_costs.cost(class);
         let chance = self.random();
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return false;
         };
-        endpoint.slow_start.refill(now, rate, window, long_part);
+        let budget = &mut endpoint.slow_start;
+        budget.refill(self.now, rate, window, long_fraction);
         if cost > LONG_COST {
-            endpoint
-                .slow_start
-                .take_long(cost.powf(COST_EXPONENT), chance)
+            budget.take_long(cost.powf(COST_EXPONENT), chance)
         } else {
-            endpoint.slow_start.take_short(chance)
+            budget.take_short(chance)
         }
     }
+
+    /// Requests of mean work a microsecond that this router may expect an endpoint to serve at full
+    /// capacity: what its warm endpoints serve, and at least the endpoint's part of the tenants'
+    /// quotas, because a router that has just started, or seldom uses it, has hardly any responses.
+    fn usual_request_rate(&self, endpoint: &Endpoint) -> f64 {
+        let memory = self.settings.rules.slow_start_duration.max(MIN_DECAY);
+        let measured = self.warm_responses_now() / memory.as_f64();
+        let all_tenants: f64 = self
+            .settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.allowance)
+            .sum();
+        let quota = all_tenants / f64::from(self.settings.routers);
+        let ready_weight: f64 = self
+            .endpoints
+            .values()
+            .filter(|endpoint| endpoint.state == EndpointState::Ready)
+            .map(|endpoint| endpoint.weight)
+            .sum();
+        measured.max(quota / MICROS_PER_SECOND / ready_weight) * endpoint.weight
+    }
 }
