--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,30 +1,35 @@
-//! What a router believes, read-only: nothing here decides or changes anything.
+//! What a router knows, read-only, for whoever observes it. Nothing here decides or changes
+//! anything. Times are in microseconds of the embedder's clock.
 
-use crate::endpoint::Node;
-use crate::events::*;
-use crate::ids::*;
-use crate::outlier_detection::Shut;
+use crate::endpoint::Endpoint;
+use crate::events::{EndpointState, Role};
+use crate::group::Group;
+use crate::ids::{EndpointId, GroupId, RequestId};
+use crate::outlier_detection::EjectionCause;
 use crate::router::Router;
-use crate::settings::*;
-use crate::time::*;
+use crate::settings::Consistency;
+use crate::time::{Span, Time};
+
+/// An ejected endpoint that has been sent nothing for this long counts as avoided.
+const AVOIDED_AFTER: Span = Span::from_millis(1_000);
 
 /// How a group's primary is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum PrimaryEvidence {
-    /// It is not: the lowest member stands in, or none.
+    /// It is not known: the lowest member stands in, or none.
     #[default]
     Unknown,
-    /// The list says so.
+    /// The endpoint list names it.
     EndpointList,
-    /// It said so in an answer.
+    /// It reported the role in an answer.
     Answer,
-    /// It said so when it was probed.
+    /// It reported the role in a load report.
     LoadReport,
     /// The write that searched for it found it.
     Search,
 }
 
-/// Whether a router can use a node, by its own evidence.
+/// Whether a router can use an endpoint, by its own evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointHealth {
     /// It can.
@@ -35,126 +40,153 @@
     Unreachable,
 }
 
-/// What a router believes of a group.
+/// What a router knows of a replication group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupView {
     /// The group.
     pub group: GroupId,
-    /// The member that it takes for the primary.
+    /// The endpoint that is taken for the primary.
     pub primary: Option<EndpointId>,
-    /// How it knows.
+    /// How it is known.
     pub known: PrimaryEvidence,
-    /// Since when it believes that.
+    /// Since when it is taken for the primary.
     pub since: Time,
-    /// How often it has believed something else.
+    /// How often another endpoint, or none, was taken for the primary.
     pub changes: u64,
-    /// Since when it searches, if it does.
+    /// Since when a search for the primary runs, if one does.
     pub searching: Option<Time>,
-    /// Writes that wait here.
+    /// Writes that wait.
     pub queued_writes: usize,
-    /// All requests that wait here.
+    /// All requests that wait.
     pub waiting: usize,
 }
 
-/// What a router believes of a node.
+/// What a router knows of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointView {
-    /// The node.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its group.
+    /// Its replication group.
     pub group: GroupId,
-    /// What the list says.
+    /// Its state in the endpoint list.
     pub state: EndpointState,
-    /// The role that it is taken for, unless none is known.
+    /// The role that it is taken to have, if known.
     pub role: Option<Role>,
     /// Whether it can be used.
     pub health: EndpointHealth,
-    /// Attempts that are out at it.
+    /// Attempts in flight there.
     pub in_flight: usize,
-    /// How many may be.
+    /// Concurrency limit: how many attempts may be in flight there.
     pub limit: f64,
-    /// Lower bound of its position in the log.
+    /// Lower bound of its replication position.
     pub position: Option<Time>,
-    /// The part of its capacity that it surely has; `None` once it is warm.
+    /// The fraction of its capacity, from 0 to 1, that it surely has in slow start; `None` at full
+    /// capacity.
     pub warm: Option<f64>,
 }
 
-/// What a router believes, for those who watch it.
+/// What a router knows.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct RouterView {
-    /// The groups, by number.
+    /// The groups, in the order of their ids.
     pub groups: Vec<GroupView>,
-    /// The nodes, by number.
+    /// The endpoints, in the order of their ids.
     pub endpoints: Vec<EndpointView>,
 }
 
-/// A member that is shut and has been sent nothing for so long is out of use.
-const AVOIDED: Span = Span::from_millis(1_000);
-
 impl Router {
-    /// What it believes now, as of its last step.
+    /// What the router knows as of its last step.
     #[must_use]
     pub fn view(&self) -> RouterView {
-        let groups = self.groups.iter().map(|(id, group)| {
-            let writes = |id: &&RequestId| {
-                self.open
-                    .get(id)
-                    .is_some_and(|o| self.cfg.classes[o.class.0].consistency == Consistency::Write)
-            };
-            GroupView {
-                group: *id,
-                primary: group.primary,
-                known: group.belief.0,
-                since: group.belief.1,
-                changes: group.belief.2,
-                searching: group.search.as_ref().map(|s| s.began),
-                queued_writes: group.waiting.iter().filter(writes).count(),
-                waiting: group.waiting.len(),
-            }
-        });
-        let endpoints = self.endpoints.iter().map(|(id, endpoint)| EndpointView {
-            endpoint: *id,
+        RouterView {
+            groups: self
+                .groups
+                .iter()
+                .map(|(id, group)| self.group_view(*id, group))
+                .collect(),
+            endpoints: self
+                .endpoints
+                .iter()
+                .map(|(id, endpoint)| self.endpoint_view(*id, endpoint))
+                .collect(),
+        }
+    }
+
+    fn group_view(&self, id: GroupId, group: &Group) -> GroupView {
+        GroupView {
+            group: id,
+            primary: group.primary,
+            known: group.primary_evidence,
+            since: group.primary_since,
+            changes: group.primary_changes,
+            searching: group.search.as_ref().map(|search| search.started_at()),
+            queued_writes: group
+                .waiting
+                .iter()
+                .filter(|id| self.is_write(**id))
+                .count(),
+            waiting: group.waiting.len(),
+        }
+    }
+
+    fn is_write(&self, id: RequestId) -> bool {
+        self.pending.get(&id).is_some_and(|request| {
+            self.settings.class(request.class).consistency == Consistency::Write
+        })
+    }
+
+    fn endpoint_view(&self, id: EndpointId, endpoint: &Endpoint) -> EndpointView {
+        EndpointView {
+            endpoint: id,
             group: endpoint.group,
             state: endpoint.state,
-            role: self.role_of(*id, endpoint),
-            health: match endpoint.health.shut {
+            role: self.role_of(id, endpoint),
+            health: match endpoint.outlier.ejected() {
                 None => EndpointHealth::Healthy,
-                Some(Shut::Silent) => EndpointHealth::Unresponsive,
-                Some(Shut::OutOfReach) => EndpointHealth::Unreachable,
+                Some(EjectionCause::Unresponsive) => EndpointHealth::Unresponsive,
+                Some(EjectionCause::Unreachable) => EndpointHealth::Unreachable,
             },
-            in_flight: endpoint.out.len(),
-            limit: endpoint.limit,
+            in_flight: endpoint.in_flight.len(),
+            limit: endpoint.concurrency_limit,
             position: endpoint.position,
             warm: self.slow_start_fraction(endpoint),
-        });
-        RouterView {
-            groups: groups.collect(),
-            endpoints: endpoints.collect(),
         }
     }
 
-    /// Members on the list that are avoided now: they drain, or are shut by this router's own evidence and have been sent
-    /// nothing for a while. One that is shut for a moment, or still gets its trials, is in use.
+    /// Number of listed endpoints that get no requests now: those that drain, and those that are
+    /// ejected and have been sent nothing for a second. One that was ejected just now, or still
+    /// gets trial attempts, does not count.
     #[must_use]
     pub fn avoided(&self) -> usize {
-        let unused = |n: &Node| n.sent_at.is_none_or(|at| self.now - at >= AVOIDED);
-        let shut = |n: &Node| n.health.shut.is_some() && unused(n);
         self.endpoints
             .values()
-            .filter(|n| {
-                n.state == EndpointState::Draining || n.state == EndpointState::Ready && shut(n)
-            })
+            .filter(|endpoint| self.is_avoided(endpoint))
             .count()
     }
 
-    /// The group's primary is taken for one whatever it said last; others for what they said.
-    fn role_of(&self, id: EndpointId, endpoint: &Node) -> Option<Role> {
-        let known = self
+    fn is_avoided(&self, endpoint: &Endpoint) -> bool {
+        match endpoint.state {
+            EndpointState::Draining => true,
+            EndpointState::Removed => false,
+            EndpointState::Ready => {
+                endpoint.outlier.is_ejected()
+                    && endpoint
+                        .last_sent_at
+                        .is_none_or(|at| self.now - at >= AVOIDED_AFTER)
+            }
+        }
+    }
+
+    /// The known primary counts as one whatever it reported last; other endpoints count as what
+    /// they reported.
+    fn role_of(&self, id: EndpointId, endpoint: &Endpoint) -> Option<Role> {
+        let is_known_primary = self
             .groups
             .get(&endpoint.group)
-            .filter(|g| g.known && g.primary == Some(id));
-        known
-            .map(|_| Role::Primary)
-            .or(endpoint.role.map(|(role, _)| role))
+            .is_some_and(|group| group.known_primary() == Some(id));
+        if is_known_primary {
+            return Some(Role::Primary);
+        }
+        endpoint.role.map(|reported| reported.role)
     }
 }
