--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -36,7 +36,7 @@
             held.class,
             held.tenant,
             held.group,
-            outcome: ending,
+            ending,
             attempts,
             times,
             effects,
--- a/crates/net/src/hot_restart/socket.rs
+++ b/crates/net/src/hot_restart/socket.rs
@@ -215,32 +215,40 @@
         hands: Box<dyn HandoffHandler>,
     ) -> io::Result<HandoffHandle> {
         let (events, inbox) = bounded(64);
-        let steps = HandoffStateMachine::new(self.whole, old.is_some());
+        let start = if old.is_some() {
+            ProcessStart::Successor
+        } else {
+            ProcessStart::Sole
+        };
+        let steps = HandoffStateMachine::new(self.whole, start);
         let tells = old.as_ref().map(UnixStream::try_clone).transpose()?;
         if let Some(old) = old {
             // It takes the path back if this process ends, so it is told first.
             old.set_read_timeout(None)?;
             old.set_write_timeout(Some(STUCK))?;
-            let _ = (&old).write_all(&words::encode(&HandoffMessage::Ready));
+            let _ = (&old).write_all(&messages::encode(&HandoffMessage::Ready));
             let events = events.clone();
             crate::spawn("handover", move || {
                 while let Ok(word) = hear(&old) {
                     let heard = match word {
-                        HandoffMessage::List(list) => {
+                        HandoffMessage::EndpointList(list) => {
                             let _ = events.send(Event::Hear(list));
                             continue;
                         }
-                        HandoffMessage::Held(holds) => HandoffEvent::Old { holds, grows: true },
-                        HandoffMessage::Leaves(holds) => HandoffEvent::Old {
-                            holds,
-                            grows: false,
+                        HandoffMessage::Usage(usage) => HandoffEvent::OldProcessReported {
+                            usage,
+                            phase: OldProcessPhase::Serving,
+                        },
+                        HandoffMessage::DrainingUsage(usage) => HandoffEvent::OldProcessReported {
+                            usage,
+                            phase: OldProcessPhase::Draining,
                         },
                         // One that hung hands everything over after all: too late.
                         _ => continue,
                     };
                     let _ = events.send(Event::Handoff(heard));
                 }
-                let _ = events.send(Event::Handoff(HandoffEvent::OldGone));
+                let _ = events.send(Event::Handoff(HandoffEvent::OldProcessGone));
             })?;
         }
         let stops = HandoffHandle(events.clone());
--- /dev/null
+++ b/crates/policy/src/router.rs
@@ -0,0 +1,202 @@
+//! The decision module's step: events of one moment in, actions out, and nothing else.
+//!
+//! Inputs: [`PolicyEvent`]s with the time of the embedder's clock. State: [`Router`]; each module
+//! of the package owns its part and says how it is bounded. Units: microseconds. The same settings,
+//! seed and events give the same actions.
+
+use std::collections::BTreeMap;
+
+use rand_core::{RngCore, SeedableRng};
+use rand_xoshiro::Xoshiro256PlusPlus;
+
+use crate::endpoint::Endpoint;
+use crate::endpoint_list::ListPolling;
+use crate::events::{Action, PolicyEvent};
+use crate::group::Group;
+use crate::ids::{EndpointId, GroupId, RequestId};
+use crate::latency::{DecayingValue, LatencyEstimates};
+use crate::scheduling::PendingRequest;
+use crate::sessions::SessionStore;
+use crate::settings::{Settings, SettingsError};
+use crate::slow_start::ClassCosts;
+use crate::time::{Span, Time};
+
+/// Ticks until the next step while a request waits.
+const WAITING_STEP_TICKS: i64 = 2;
+/// The router has one timer at a time and needs no token to tell them apart.
+const TIMER_TOKEN: u64 = 0;
+
+/// The decision module of one router. It works only in [`Router::step`].
+#[derive(Debug)]
+pub struct Router {
+    pub(crate) settings: Settings,
+    random: Xoshiro256PlusPlus,
+    /// The time of the last step; never goes back.
+    pub(crate) now: Time,
+    pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
+    pub(crate) groups: BTreeMap<GroupId, Group>,
+    /// Requests without a final answer.
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) sessions: SessionStore,
+    pub(crate) class_costs: ClassCosts,
+    pub(crate) latencies: LatencyEstimates,
+    /// Recent responses of endpoints at full capacity, for a weight of 1.
+    pub(crate) warm_responses: DecayingValue,
+    /// Moving average of the requests' priority weight per microsecond of their expected latency.
+    pub(crate) typical_priority: f64,
+    /// Positions that primaries have reported since the start.
+    pub(crate) primary_positions: u32,
+    pub(crate) list_polling: ListPolling,
+    /// When the timer expires, if one is set.
+    timer_at: Option<Time>,
+}
+
+impl Router {
+    /// A router that knows no endpoint yet. `seed` determines its random choices.
+    ///
+    /// # Errors
+    /// [`SettingsError`] if there is no class, or if the number of routers, the attempts for a
+    /// request or the tick is not above 0.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        let latencies = LatencyEstimates::new(&settings);
+        Ok(Self {
+            random: Xoshiro256PlusPlus::seed_from_u64(seed),
+            now: Time(i64::MIN),
+            endpoints: BTreeMap::new(),
+            groups: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            sessions: SessionStore::default(),
+            class_costs: ClassCosts::new(latencies.means()),
+            latencies,
+            warm_responses: DecayingValue {
+                value: 0.0,
+                set_at: Time(i64::MIN),
+            },
+            typical_priority: 0.0,
+            primary_positions: 0,
+            list_polling: ListPolling::new(&settings),
+            timer_at: None,
+            settings,
+        })
+    }
+
+    /// Takes all events of one moment, and appends the actions that follow, in the order in which
+    /// they are to be carried out. A `now` before that of an earlier step counts as that one's.
+    pub fn step(&mut self, now: Time, events: &[PolicyEvent], actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        for event in events {
+            self.on_event(event, actions);
+        }
+        self.run_list_polling(actions);
+        self.run_outlier_detection(actions);
+        self.forget_empty_groups();
+        for group in self.groups_with_waiting_requests() {
+            self.run_primary_search(group, actions);
+            self.run_waiting_requests(group, actions);
+        }
+        self.set_timer(actions);
+    }
+
+    fn on_event(&mut self, event: &PolicyEvent, actions: &mut Vec<Action>) {
+        match event {
+            PolicyEvent::EndpointList { complete, entries } => {
+                self.on_endpoint_list(*complete, entries);
+            }
+            PolicyEvent::DiscoveryFailed => self.on_discovery_failed(),
+            PolicyEvent::Request(request) => self.on_request(request),
+            PolicyEvent::ResponseStarted(request) => self.on_response_started(*request),
+            PolicyEvent::AttemptEnded(end) => self.on_attempt_ended(end, actions),
+            PolicyEvent::ClientDisconnected(request) => self.finish(*request, actions),
+            PolicyEvent::RouterCount(count) => self.on_router_count(*count),
+            PolicyEvent::ClockCorrected(by) => self.on_clock_corrected(*by),
+            PolicyEvent::Timer(_) => self.on_timer(),
+            PolicyEvent::HealthCheckEnded {
+                endpoint,
+                outcome,
+                latency,
+                report,
+            } => self.on_health_check_ended(*endpoint, *outcome, *latency, report.as_ref()),
+        }
+    }
+
+    /// Leaves routers that have started their part of the concurrency limits and of the traffic.
+    fn on_router_count(&mut self, count: u32) {
+        let count = count.max(1);
+        let remaining = (f64::from(self.settings.routers) / f64::from(count)).min(1.0);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.scale_concurrency_limit(remaining);
+        }
+        self.warm_responses.value *= remaining;
+        self.settings.routers = count;
+    }
+
+    /// Moves all times of the cluster's clock. A position that was reported right after the
+    /// correction is moved as well. Where that makes it older, it stays true; where it would make
+    /// it newer, the position is forgotten.
+    fn on_clock_corrected(&mut self, by: Span) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.on_clock_corrected(by, self.now);
+        }
+        self.sessions.on_clock_corrected(by);
+        for request in self.pending.values_mut() {
+            request.session_position = request.session_position.map(|position| position + by);
+        }
+    }
+
+    /// Any client may name any group, so those without endpoints are kept only while a request
+    /// waits there.
+    fn forget_empty_groups(&mut self) {
+        self.groups.retain(|_, group| !group.is_empty());
+    }
+
+    fn groups_with_waiting_requests(&self) -> Vec<GroupId> {
+        self.groups
+            .iter()
+            .filter(|(_, group)| !group.waiting.is_empty())
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// A random number, evenly distributed from 0 to 1, 1 excluded.
+    pub(crate) fn random(&mut self) -> f64 {
+        (self.random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
+    }
+
+    fn on_timer(&mut self) {
+        if self.timer_at.is_some_and(|at| at <= self.now) {
+            self.timer_at = None;
+        }
+    }
+
+    /// Sets the timer for the next step: soon while a request waits, else when an endpoint becomes
+    /// unresponsive or the list is polled.
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        let Some(at) = self.next_step_at() else {
+            return;
+        };
+        if self.timer_at.is_none_or(|timer_at| at < timer_at) {
+            self.timer_at = Some(at);
+            actions.push(Action::SetTimer {
+                at,
+                token: TIMER_TOKEN,
+            });
+        }
+    }
+
+    fn next_step_at(&self) -> Option<Time> {
+        let tick = self.settings.tick;
+        let is_waiting = self.groups.values().any(|group| !group.waiting.is_empty());
+        let retry_at = is_waiting.then(|| self.now + tick * WAITING_STEP_TICKS);
+        let unresponsive_at = self
+            .endpoints
+            .values()
+            .filter_map(|endpoint| self.unresponsive_at(endpoint))
+            .min();
+        let ejection_at = unresponsive_at.map(|at| at.max(self.now) + tick);
+        [retry_at, ejection_at, self.list_polling.next_poll_at()]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+}
