--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -258,6 +258,8 @@
     }
 }
 
+impl std::error::Error for ConfigErrors {}
+
 impl OperatorConfig {
     /// Reads and checks a file.
     ///
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -59,8 +59,8 @@
     listen: SocketAddr,
 ) -> Result<Inheritance, StartError> {
     let fresh = |snapshot, predecessor| {
-        let listener =
-            bind_listener(listen, AddressSharing::SameUser).map_err(StartError::resource(format!("listen: {listen}")))?;
+        let listener = bind_listener(listen, AddressSharing::SameUser)
+            .map_err(StartError::resource(format!("listen: {listen}")))?;
         Ok(Inheritance {
             listener,
             snapshot,
@@ -166,7 +166,9 @@
         let _ = self.events.try_send(Event::PublishView);
         let is_fresh = || {
             let board = self.front.board.load();
-            board.as_ref().is_some_and(|b| b.live.taken_at >= requested_at)
+            board
+                .as_ref()
+                .is_some_and(|b| b.live.taken_at >= requested_at)
         };
         while !is_fresh() && Instant::now() < give_up_at {
             sleep(VIEW_POLL_INTERVAL);
--- a/crates/net/src/clients/registry.rs
+++ b/crates/net/src/clients/registry.rs
@@ -100,7 +100,7 @@
             return Err(RejectionReason::OutOfConnections);
         }
         let limit = self.request_bytes_limit.load(Ordering::Relaxed);
-        let reservation = MemoryReservation::take(&self.request_bytes, bytes, limit);
+        let reservation = MemoryReservation::try_acquire(&self.request_bytes, bytes, limit);
         reservation
             .filter(|_| !self.response_budget.is_exhausted())
             .ok_or(RejectionReason::OutOfMemory)
--- a/crates/net/src/clients/session.rs
+++ b/crates/net/src/clients/session.rs
@@ -167,7 +167,7 @@
         let event = Event::RequestReceived {
             client: self.client(),
             ticket,
-            ask: request,
+            request,
         };
         self.registry
             .events
@@ -205,7 +205,7 @@
                 class,
                 tenant,
                 group,
-                why: reason,
+                reason,
             });
         }
     }
