--- a/crates/management/tests/door.rs
+++ b/crates/management/tests/management.rs
@@ -1,4 +1,4 @@
-//! The door between good and bad callers, on real sockets.
+//! The endpoint on real sockets, between well-behaved and misbehaving clients.
 
 use rstest::rstest;
 use std::io::{ErrorKind, Read, Write};
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 use valehatch_management::{ManagementEndpoint, Source, start};
 
-struct Given {
+struct FixedSource {
     ready: bool,
     stats: String,
 }
 
-impl Source for Given {
+impl Source for FixedSource {
     fn health(&self) -> Result<String, String> {
         if self.ready {
             Ok("ready".into())
@@ -29,14 +29,14 @@
     }
 }
 
-fn door(patience: Duration, ready: bool, stats: &str) -> SocketAddr {
-    let door = ManagementEndpoint {
-        patience,
+fn endpoint(timeout: Duration, ready: bool, stats: &str) -> SocketAddr {
+    let endpoint = ManagementEndpoint {
+        timeout,
         ..ManagementEndpoint::new(([127, 0, 0, 1], 0).into())
     };
     start(
-        door,
-        Arc::new(Given {
+        endpoint,
+        Arc::new(FixedSource {
             ready,
             stats: stats.into(),
         }),
@@ -44,12 +44,12 @@
     .unwrap()
 }
 
-fn good() -> SocketAddr {
-    door(Duration::from_secs(4), true, "a:1|c\nb:2|g\n")
+fn ready_endpoint() -> SocketAddr {
+    endpoint(Duration::from_secs(4), true, "a:1|c\nb:2|g\n")
 }
 
-fn connect(door: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(door).unwrap();
+fn connect(endpoint: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(endpoint).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(8)))
         .unwrap();
@@ -57,8 +57,8 @@
 }
 
 /// Sends this and reads to the end, which must be an orderly one.
-fn ask(door: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = connect(door);
+fn request(endpoint: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = connect(endpoint);
     stream.write_all(bytes).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -99,8 +99,8 @@
     200,
     "ready\n"
 )]
-fn each_call_has_its_answer(#[case] call: &str, #[case] status: u16, #[case] body: &str) {
-    let answer = ask(good(), call.as_bytes());
+fn request_gets_its_response(#[case] call: &str, #[case] status: u16, #[case] body: &str) {
+    let answer = request(ready_endpoint(), call.as_bytes());
     assert_eq!(parts(&answer, true), (status, body));
     assert_eq!(answer.contains("\r\nAllow: GET, HEAD\r\n"), status == 405);
 }
@@ -109,20 +109,20 @@
 #[case("/admin/health", 200)]
 #[case("/admin/stats", 200)]
 #[case("/", 404)]
-fn head_is_the_same_without_the_body(#[case] path: &str, #[case] status: u16) {
-    let (door, rest) = (good(), format!("{path} HTTP/1.1\r\n\r\n"));
+fn head_request_gets_no_body(#[case] path: &str, #[case] status: u16) {
+    let (endpoint, rest) = (ready_endpoint(), format!("{path} HTTP/1.1\r\n\r\n"));
     let (get, head) = (
-        ask(door, format!("GET {rest}").as_bytes()),
-        ask(door, format!("HEAD {rest}").as_bytes()),
+        request(endpoint, format!("GET {rest}").as_bytes()),
+        request(endpoint, format!("HEAD {rest}").as_bytes()),
     );
     assert_eq!(parts(&head, false), (status, ""));
     assert!(get.starts_with(&head));
 }
 
 #[test]
-fn who_is_not_ready_says_why() {
-    let answer = ask(
-        door(Duration::from_secs(4), false, ""),
+fn not_ready_process_returns_503_with_reason() {
+    let answer = request(
+        endpoint(Duration::from_secs(4), false, ""),
         b"GET /admin/health HTTP/1.1\r\n\r\n",
     );
     assert_eq!(parts(&answer, true), (503, "no list yet\n"));
@@ -131,22 +131,28 @@
 #[rstest]
 #[case::one_long(format!("GET /admin/health HTTP/1.1\r\na: {}\r\n\r\n", "x".repeat(20_000)))]
 #[case::many(format!("GET /admin/health HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(70)))]
-fn too_large_a_head(#[case] call: String) {
-    assert_eq!(parts(&ask(good(), call.as_bytes()), true).0, 431);
+fn too_large_head_returns_431(#[case] call: String) {
+    assert_eq!(
+        parts(&request(ready_endpoint(), call.as_bytes()), true).0,
+        431
+    );
 }
 
 #[test]
-fn a_body_does_not_tear_the_answer_away() {
+fn request_with_body_does_not_reset_response() {
     let call = format!(
         "GET /admin/health HTTP/1.1\r\nContent-Length: 300000\r\n\r\n{}",
         "b".repeat(300_000)
     );
-    assert_eq!(parts(&ask(good(), call.as_bytes()), true), (200, "ready\n"));
+    assert_eq!(
+        parts(&request(ready_endpoint(), call.as_bytes()), true),
+        (200, "ready\n")
+    );
 }
 
 #[test]
-fn half_a_head_and_the_end() {
-    let mut stream = connect(good());
+fn incomplete_head_at_end_returns_400() {
+    let mut stream = connect(ready_endpoint());
     stream.write_all(b"GET /admin/he").unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     let mut answer = String::new();
@@ -168,11 +174,11 @@
 }
 
 #[test]
-fn slow_and_silent_callers_stay_for_the_patience() {
-    let patience = Duration::from_millis(700);
-    let door = door(patience, true, "");
+fn slow_and_silent_clients_are_closed_at_timeout() {
+    let timeout = Duration::from_millis(700);
+    let endpoint = endpoint(timeout, true, "");
     let since = Instant::now();
-    let (mut silent, mut slow) = (connect(door), connect(door));
+    let (mut silent, mut slow) = (connect(endpoint), connect(endpoint));
     let mut writer = slow.try_clone().unwrap();
     let over = Arc::new(AtomicBool::new(false));
     let writing = std::thread::spawn({
@@ -192,17 +198,17 @@
     let silent = closed(&mut silent, since);
     println!("slow closed after {slow:?}, silent after {silent:?}");
     // It takes over 5 s to write all, and longer where the machine is slow.
-    assert!(slow >= patience && !through, "{slow:?}");
-    assert!(silent >= patience, "{silent:?}");
+    assert!(slow >= timeout && !through, "{slow:?}");
+    assert!(silent >= timeout, "{silent:?}");
     writing.join().unwrap();
 }
 
 #[test]
-fn who_does_not_read_keeps_nobody_waiting_and_is_cut_off() {
+fn client_that_does_not_read_blocks_no_other_and_is_closed() {
     let text = "figure:1|g\n".repeat(1_000_000);
-    let patience = Duration::from_secs(3);
-    let door = door(patience, true, &text);
-    let mut deaf: Vec<_> = (0..3).map(|_| connect(door)).collect();
+    let timeout = Duration::from_secs(3);
+    let endpoint = endpoint(timeout, true, &text);
+    let mut deaf: Vec<_> = (0..3).map(|_| connect(endpoint)).collect();
     for stream in &mut deaf {
         stream
             .write_all(b"GET /admin/stats HTTP/1.1\r\n\r\n")
@@ -210,16 +216,20 @@
     }
     let since = Instant::now();
     assert_eq!(
-        parts(&ask(door, b"GET /admin/health HTTP/1.1\r\n\r\n"), true).0,
+        parts(
+            &request(endpoint, b"GET /admin/health HTTP/1.1\r\n\r\n"),
+            true
+        )
+        .0,
         200
     );
     assert!(
-        since.elapsed() < patience,
+        since.elapsed() < timeout,
         "before any of them is cut off: {:?}",
         since.elapsed()
     );
     // This one came later: once it is closed, the others have had their time as well.
-    closed(&mut connect(door), since);
+    closed(&mut connect(endpoint), since);
     for stream in &mut deaf {
         let mut got = Vec::new();
         let _ = stream.read_to_end(&mut got);
@@ -231,14 +241,14 @@
 }
 
 #[test]
-fn two_thousand_silent_callers_do_not_keep_a_good_one_out() {
-    let door = good();
+fn two_thousand_silent_clients_do_not_lock_one_out() {
+    let endpoint = ready_endpoint();
     let over = Arc::new(AtomicBool::new(false));
     let crowd = std::thread::spawn({
         let over = over.clone();
         move || {
             for batch in 0..10 {
-                let mut held: Vec<_> = (0..200).map(|_| connect(door)).collect();
+                let mut held: Vec<_> = (0..200).map(|_| connect(endpoint)).collect();
                 if batch % 2 == 1 {
                     held.iter_mut()
                         .for_each(|stream| drop(stream.write_all(b"GET /adm")));
@@ -254,7 +264,7 @@
     let mut took = vec![];
     while !over.load(Ordering::Relaxed) || took.len() < 20 {
         let since = Instant::now();
-        let answer = ask(door, b"GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n");
+        let answer = request(endpoint, b"GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n");
         took.push(since.elapsed());
         assert_eq!(parts(&answer, true).0, 200);
     }
