--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -218,7 +218,7 @@
         std::fs::write(&self.config, text.replace(own, &to.to_string())).unwrap();
         let at = Instant::now();
         self.program.signal("HUP");
-        self.program.says(&format!("discovery is at {to}"));
+        self.program.says(&format!("discovery={to}"));
         at
     }
 
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -349,7 +349,7 @@
         }
     });
     if end == End::Hung {
-        new.program.says("the start goes on as after a crash");
+        new.program.says("starting as after a crash");
         old.program.0.kill().unwrap();
         old.program.ended();
         new.program.says("1 process(es), 1024 descriptors");
