--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -12,7 +12,7 @@
 
 use super::peers::PeerSettings;
 use super::reader::{ConfigError, Section, Source};
-use super::settings::SHORTEST_DEADLINE_MS;
+use super::settings::MIN_DEADLINE_MS;
 use super::snmp::SnmpSettings;
 use super::{Names, Site, endpoint_id, validate_request_name};
 
@@ -516,7 +516,7 @@
             0.0
         },
         aim_ms: section.above_zero("aim-ms", None, DAY_MS),
-        deadline_ms: section.number("deadline-ms", None, SHORTEST_DEADLINE_MS..=DAY_MS),
+        deadline_ms: section.number("deadline-ms", None, MIN_DEADLINE_MS..=DAY_MS),
         priority_weight: section.above_zero("worth", Some(1.0), 1e9),
         late_priority_weight: section.number("late-worth", Some(0.0), 0.0..=1.0),
     };
@@ -651,7 +651,8 @@
             contract.fault("name", what);
         }
         if protocol == Protocol::Postgresql {
-            validate_request_name(&read.name).unwrap_or_else(|what| contract.fault("name", what));
+            validate_request_name(&read.name)
+                .unwrap_or_else(|what| contract.fault("name", what.to_string()));
         }
         lines.push(read);
         shown.push(contract.done());
@@ -681,7 +682,7 @@
         .into_iter()
         .enumerate()
         {
-            let deadline_ms = section.number(key, Some(5000.0), SHORTEST_DEADLINE_MS..=DAY_MS);
+            let deadline_ms = section.number(key, Some(5000.0), MIN_DEADLINE_MS..=DAY_MS);
             contracts.push(Contract {
                 class: own + n,
                 tenant: None,
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -293,7 +293,8 @@
                     accepted.set(accepted.get() + 1);
                     play(&site, &moves);
                 }
-                Err(said) => {
+                Err(error) => {
+                    let said = error.to_string();
                     let names = |c: &Change| matches!(c, Change::Number(key, _) if named(&said, KEYS[*key]));
                     let time = said.contains("rules.ask-within-ms");
                     prop_assert!(time || changes.iter().any(names), "{said} names none of {changes:?}");
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -10,7 +10,7 @@
 use valehatch_policy::{Consistency, DedupScope, Idempotency, Span, StaleReadPolicy};
 
 fn read(settings: &Value) -> Result<Site, String> {
-    Site::from_json(settings)
+    Site::from_json(settings).map_err(|e| e.to_string())
 }
 
 fn shown(settings: &Value) -> String {
@@ -170,7 +170,10 @@
     assert_eq!(read(&settings()).unwrap().validate_metric_names(), Ok(()));
     for name in ["plads:check", "plads|check"] {
         let site = read(&with("classes.1.name", json!(name))).unwrap();
-        let said = site.validate_metric_names().expect_err("refused");
+        let said = site
+            .validate_metric_names()
+            .expect_err("refused")
+            .to_string();
         assert!(
             said.contains("classes.1.name") && said.contains(name),
             "{said}"
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -47,9 +47,8 @@
 }
 
 fn load(path: &str) -> Result<PlatformConfig, String> {
-    PlatformConfig::parse(
-        &std::fs::read_to_string(path).map_err(|e| format!("config: {path}: {e}"))?,
-    )
+    let text = std::fs::read_to_string(path).map_err(|e| format!("config: {path}: {e}"))?;
+    PlatformConfig::parse(&text).map_err(|e| e.to_string())
 }
 
 /// The door's sizes on the platform, within its memory.
@@ -75,7 +74,9 @@
         site,
     } = load(&path)?;
     let mgmt = management(mgmt)?;
-    mgmt.map_or(Ok(()), |_| site.validate_metric_names())?;
+    if mgmt.is_some() {
+        site.validate_metric_names().map_err(|e| e.to_string())?;
+    }
     valehatch_net::log::init(LogSettings {
         level: level()?,
         ..LogSettings::default()
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -52,11 +52,13 @@
                     match other {
                         Incoming::Attach { seed, text } => {
                             pending.remove(&inst);
-                            match settings::parse(text).and_then(|(settings, wire)| {
-                                let router =
-                                    Router::new(settings, seed).map_err(|e| e.to_string())?;
-                                Ok(Instance { router, wire })
-                            }) {
+                            match settings::parse(text).map_err(|e| e.to_string()).and_then(
+                                |(settings, wire)| {
+                                    let router =
+                                        Router::new(settings, seed).map_err(|e| e.to_string())?;
+                                    Ok(Instance { router, wire })
+                                },
+                            ) {
                                 Ok(instance) => {
                                     self.instances.insert(inst, instance);
                                     note(&mut order, &mut pending, inst);
