--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,10 +18,6 @@
 //! | [`snmp`] | its section `[snmp]` |
 
 #![forbid(unsafe_code)]
-#![expect(
-    clippy::too_many_lines,
-    reason = "operators.rs is split in the next step"
-)]
 
 pub mod error;
 pub mod flatten;
--- /dev/null
+++ b/crates/config/src/operators/fronts.rs
@@ -0,0 +1,105 @@
+//! `[[front]]`: where clients connect, with the endpoints, contracts and settings behind it.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use super::Protocol;
+use super::contracts::{self, ContractSection, Contracts, Metrics};
+use super::endpoints::EndpointSource;
+use super::front_settings::settings_text;
+use super::sections::{Budget, GatewaySection, MEMORY_MB, SOCKETS};
+use crate::names::Names;
+use crate::reader::Section;
+use crate::site::Site;
+
+/// `[[front]]`.
+#[derive(Clone, Debug)]
+pub struct FrontSettings {
+    /// Its name.
+    pub name: Arc<str>,
+    /// The protocol of its clients and endpoints.
+    pub protocol: Protocol,
+    /// Where its clients connect.
+    pub listen: SocketAddr,
+    /// Most descriptors, 64 to 1,048,576; default that of `[gateway]`.
+    pub sockets: usize,
+    /// Most memory, in megabytes, 16 to 1,048,576; default that of `[gateway]`.
+    pub memory_mb: usize,
+    /// Where its endpoints are known from.
+    pub members: EndpointSource,
+    /// Settings and names.
+    pub site: Site,
+    /// The contracts of its statements.
+    pub contracts: Contracts,
+}
+
+/// What all fronts of a file share.
+pub(super) struct SharedSettings<'a> {
+    pub(super) gateway: &'a GatewaySection,
+    pub(super) budgets: &'a [Budget],
+    pub(super) metrics: Metrics,
+}
+
+/// Reads a front; `None` if it has faults that leave it without settings.
+pub(super) fn read_front(
+    section: &Section<'_>,
+    shared: &SharedSettings<'_>,
+) -> Option<FrontSettings> {
+    let protocol = section.choice("protocol", None, &Protocol::NAMES);
+    let name = section.name("name", Some(protocol.name()));
+    let listen = section.address("listen");
+    let sockets = section.size("sockets", shared.gateway.sockets, SOCKETS);
+    let memory_mb = section.size("memory-mb", shared.gateway.memory_mb, MEMORY_MB);
+    let members = EndpointSource::read(section);
+    let groups = members.groups();
+    let mut contracts = contracts::read_contracts(
+        section,
+        protocol,
+        shared.budgets,
+        groups.as_deref(),
+        shared.metrics,
+    );
+    if protocol == Protocol::Cassandra {
+        contracts.extend(contracts::built_in_contracts(section, groups.as_deref()));
+    }
+    let site = read_site(section, protocol, shared, &contracts)?;
+    Some(FrontSettings {
+        name: name.into(),
+        protocol,
+        listen,
+        sockets,
+        memory_mb,
+        members,
+        site,
+        contracts: contracts::contracts(&contracts, shared.budgets),
+    })
+}
+
+fn read_site(
+    section: &Section<'_>,
+    protocol: Protocol,
+    shared: &SharedSettings<'_>,
+    contracts: &[ContractSection],
+) -> Option<Site> {
+    let text = settings_text(
+        section,
+        protocol,
+        shared.gateway.gateways,
+        shared.budgets,
+        contracts,
+    );
+    let names = Names {
+        classes: contracts.iter().map(|c| c.name.clone()).collect(),
+        tenants: shared.budgets.iter().map(|b| b.name.clone()).collect(),
+        zones: vec!["site".into()],
+        kinds: vec!["member".into()],
+    };
+    match Site::new(&text, names) {
+        Ok(_) if contracts.is_empty() => None,
+        Ok(site) => Some(site),
+        Err(error) => {
+            section.fault("contract", format!("cannot be used: {error}"));
+            None
+        }
+    }
+}
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,23 +1,24 @@
-//! Reads a TOML document key by key. Every fault is kept with its key and its line, so that one look at a file tells all
-//! that is wrong with it, and every value that was read or filled in is kept, so that the whole can be printed.
+//! Reads a TOML document key by key. Every fault is kept with its key and line, so that one run reports all of them, and
+//! every value that was read or filled in is kept, so that the file can be printed with its defaults.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
+use std::error::Error;
 use std::fmt;
 use std::net::SocketAddr;
-use std::ops::RangeInclusive;
+use std::ops::{Range, RangeInclusive};
 
 use strsim::levenshtein;
 use toml_edit::{Array, ArrayOfTables, Document, Item, Table, TableLike, Value};
 
-/// Something wrong in a file.
+/// A fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The line, from 1.
+    /// The line, from 1; 0 if the file cannot be read.
     pub line: usize,
-    /// The key with its path, empty for the form of the whole.
+    /// The key with its path; empty if the file as such is at fault.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with it, to be read after the key.
     pub what: String,
 }
 
@@ -32,14 +33,89 @@
     }
 }
 
-/// The text that is read and what was found wrong with it.
+impl Error for ConfigError {}
+
+/// Why a value cannot be used.
+enum InvalidValue {
+    /// It is a table.
+    Table,
+    /// It has another type; the value as TOML.
+    WrongType {
+        value: String,
+        expected: &'static str,
+    },
+    NotAName(String),
+    WholeOutOfBounds(i64, RangeInclusive<i64>),
+    NumberOutOfBounds(f64, RangeInclusive<f64>),
+    NotAboveZero {
+        value: f64,
+        max: f64,
+    },
+    NotAnAddress(String),
+    NotAChoice {
+        text: String,
+        choices: Vec<String>,
+    },
+    /// It is a list with an item that is not a text.
+    ItemNotAText,
+}
+
+impl fmt::Display for InvalidValue {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Table => f.write_str("is a table, not a value"),
+            Self::WrongType { value, expected } => write!(f, "is {value}, not {expected}"),
+            Self::NotAName(text) => write!(
+                f,
+                "is {text:?}, not a name of 1 to 32 printable ASCII characters"
+            ),
+            Self::WholeOutOfBounds(n, bounds) => {
+                write!(f, "is {n}, not from {} to {}", bounds.start(), bounds.end())
+            }
+            Self::NumberOutOfBounds(n, bounds) => {
+                write!(f, "is {n}, not from {} to {}", bounds.start(), bounds.end())
+            }
+            Self::NotAboveZero { value, max } => {
+                write!(f, "is {value}, not above 0 and at most {max}")
+            }
+            Self::NotAnAddress(text) => write!(f, "is {text:?}, not an address with a port"),
+            Self::NotAChoice { text, choices } => {
+                write!(f, "is {text:?}, not one of {}", choices.join(", "))
+            }
+            Self::ItemNotAText => f.write_str("holds something that is no text"),
+        }
+    }
+}
+
+fn wrong_type(value: &Value, expected: &'static str) -> InvalidValue {
+    InvalidValue::WrongType {
+        value: value.to_string().trim().to_owned(),
+        expected,
+    }
+}
+
+fn as_text(value: &Value) -> Result<&str, InvalidValue> {
+    value.as_str().ok_or_else(|| wrong_type(value, "a text"))
+}
+
+/// A number; a whole number will do.
+#[allow(clippy::cast_precision_loss)]
+fn as_number(value: &Value) -> Result<f64, InvalidValue> {
+    let whole = value.as_integer().map(|n| n as f64);
+    value
+        .as_float()
+        .or(whole)
+        .ok_or_else(|| wrong_type(value, "a number"))
+}
+
+/// The text that is read, and the faults found in it.
 pub struct Source {
     text: String,
     faults: RefCell<Vec<ConfigError>>,
 }
 
 impl Source {
-    /// For reading a text.
+    /// A text without faults so far.
     #[must_use]
     pub const fn new(text: String) -> Self {
         Self {
@@ -48,60 +124,62 @@
         }
     }
 
-    /// The document, if it is TOML at all.
+    /// The document. If the text is not TOML, that is a fault and there is none.
     #[must_use]
     pub fn document(&self) -> Option<Document<&str>> {
         match Document::parse(self.text.as_str()) {
             Ok(document) => Some(document),
             Err(e) => {
-                let at = e.span().map_or(0, |s| s.start);
-                self.fault(
-                    self.line(at),
-                    String::new(),
-                    format!("is no TOML: {}", e.message()),
-                );
+                let offset = e.span().map_or(0, |span| span.start);
+                let what = format!("is no TOML: {}", e.message());
+                self.add_fault(self.line(offset), String::new(), what);
                 None
             }
         }
     }
 
-    fn line(&self, at: usize) -> usize {
-        1 + self.text.bytes().take(at).filter(|b| *b == b'\n').count()
+    /// The line of a byte offset, from 1.
+    fn line(&self, offset: usize) -> usize {
+        let before = self.text.bytes().take(offset);
+        1 + before.filter(|byte| *byte == b'\n').count()
     }
 
-    fn fault(&self, line: usize, key: String, what: String) {
+    fn add_fault(&self, line: usize, key: String, what: String) {
         self.faults
             .borrow_mut()
             .push(ConfigError { line, key, what });
     }
 
-    /// All that was wrong, by line.
+    /// All faults, by line.
     #[must_use]
     pub fn faults(&self) -> Vec<ConfigError> {
         let mut faults = self.faults.borrow().clone();
-        faults.sort_by_key(|f| f.line);
+        faults.sort_by_key(|fault| fault.line);
         faults
     }
 }
 
-/// A table of the document, or one that it does not have and whose keys all have their defaults.
+/// A table of the document, or a missing one whose keys all have their defaults.
 pub struct Section<'a> {
     source: &'a Source,
     path: String,
     table: Option<&'a dyn TableLike>,
+    /// Line of the table's header.
     line: usize,
-    seen: RefCell<BTreeSet<String>>,
-    shown: RefCell<Table>,
+    /// Keys that were asked for: others are unknown.
+    known_keys: RefCell<BTreeSet<String>>,
+    /// The table with its defaults.
+    completed: RefCell<Table>,
 }
 
 impl<'a> Section<'a> {
-    /// The document itself.
+    /// The document's root.
     #[must_use]
     pub fn root(source: &'a Source, document: &'a Document<&str>) -> Self {
-        Self::over(source, String::new(), Some(document.as_table()), 1)
+        Self::new(source, String::new(), Some(document.as_table()), 1)
     }
 
-    fn over(
+    fn new(
         source: &'a Source,
         path: String,
         table: Option<&'a dyn TableLike>,
@@ -112,12 +190,13 @@
             path,
             table,
             line,
-            seen: RefCell::default(),
-            shown: RefCell::default(),
+            known_keys: RefCell::default(),
+            completed: RefCell::default(),
         }
     }
 
-    fn path(&self, key: &str) -> String {
+    /// A key with this section's path.
+    fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
         } else {
@@ -126,161 +205,181 @@
     }
 
     fn item(&self, key: &str) -> Option<&'a Item> {
-        self.seen.borrow_mut().insert(key.to_owned());
+        self.known_keys.borrow_mut().insert(key.to_owned());
         self.table?.get(key).filter(|item| !item.is_none())
     }
 
+    /// The line of a span; without one, the section's.
+    fn line_at(&self, span: Option<Range<usize>>) -> usize {
+        span.map_or(self.line, |span| self.source.line(span.start))
+    }
+
+    fn key_span(&self, key: &str) -> Option<Range<usize>> {
+        self.table?.key(key)?.span()
+    }
+
     fn line_of(&self, key: &str) -> usize {
-        let item = self.table.and_then(|t| t.get(key));
-        let span = item
-            .and_then(Item::span)
-            .or_else(|| self.table?.key(key)?.span());
-        span.map_or(self.line, |s| self.source.line(s.start))
+        let item = self.table.and_then(|table| table.get(key));
+        let span = item.and_then(Item::span).or_else(|| self.key_span(key));
+        self.line_at(span)
     }
 
     /// Whether the file has the key.
     #[must_use]
     pub fn has(&self, key: &str) -> bool {
-        self.table.is_some_and(|t| t.get(key).is_some())
+        self.table.is_some_and(|table| table.get(key).is_some())
     }
 
-    /// Says that a key is at fault: on its line, or on the section's where it is missing.
+    /// Adds a fault of a key: on the key's line, or on the section's if it is missing.
     pub fn fault(&self, key: &str, what: impl Into<String>) {
         self.source
-            .fault(self.line_of(key), self.path(key), what.into());
+            .add_fault(self.line_of(key), self.path_of(key), what.into());
     }
 
-    /// A value: as the file has it, else the default; without one it must be there. What cannot be read is a fault, and
-    /// the fallback stands in for it, so that reading goes on.
+    /// The value of a key, or its default. A missing key without a default is a fault, and so is a value that cannot be
+    /// used; `fallback` then stands in for it, so that reading goes on.
     fn value<T: Clone>(
         &self,
         key: &str,
         default: Option<T>,
         fallback: T,
-        read: impl Fn(&Value) -> Result<T, String>,
+        read: impl Fn(&Value) -> Result<T, InvalidValue>,
         show: impl Fn(&T) -> Value,
     ) -> T {
         let value = match self.item(key) {
-            None => default.unwrap_or_else(|| {
-                self.source
-                    .fault(self.line, self.path(key), "is missing".into());
-                fallback
-            }),
             Some(item) => {
-                let value = item
-                    .as_value()
-                    .ok_or_else(|| "is a table, not a value".into());
-                value.and_then(read).unwrap_or_else(|what| {
-                    self.fault(key, what);
+                let value = item.as_value().ok_or(InvalidValue::Table).and_then(read);
+                value.unwrap_or_else(|invalid| {
+                    self.fault(key, invalid.to_string());
                     fallback
                 })
             }
+            None => default.unwrap_or_else(|| {
+                self.source
+                    .add_fault(self.line, self.path_of(key), "is missing".into());
+                fallback
+            }),
         };
-        self.shown
+        self.completed
             .borrow_mut()
             .insert(key, Item::Value(show(&value)));
         value
     }
 
-    /// A text.
+    /// A text; an empty one stands in for an invalid value.
     #[must_use]
     pub fn text(&self, key: &str, default: Option<&str>) -> String {
-        let read = |v: &Value| {
-            v.as_str()
-                .map(str::to_owned)
-                .ok_or_else(|| not(v, "a text"))
-        };
-        self.value(key, default.map(str::to_owned), String::new(), read, |s| {
-            Value::from(s.as_str())
-        })
+        self.value(
+            key,
+            default.map(str::to_owned),
+            String::new(),
+            |value| as_text(value).map(str::to_owned),
+            |text| Value::from(text.as_str()),
+        )
     }
 
     /// A text that may be missing.
     #[must_use]
-    pub fn text_if(&self, key: &str) -> Option<String> {
+    pub fn optional_text(&self, key: &str) -> Option<String> {
         self.has(key).then(|| self.text(key, None))
     }
 
-    /// A name: 1 to 32 printable ASCII characters without a space, since the agent shows it as an index.
+    /// A name: 1 to 32 printable ASCII characters without a space, since SNMP shows it as an index.
     #[must_use]
     pub fn name(&self, key: &str, default: Option<&str>) -> String {
-        let read = |v: &Value| {
-            let text = v.as_str().ok_or_else(|| not(v, "a text"))?;
-            let fits = (1..=32).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
-            fits.then(|| text.to_owned()).ok_or_else(|| {
-                format!("is {text:?}, not a name of 1 to 32 printable ASCII characters")
-            })
+        let read = |value: &Value| {
+            let text = as_text(value)?;
+            let printable = text.bytes().all(|byte| byte.is_ascii_graphic());
+            if (1..=32).contains(&text.len()) && printable {
+                Ok(text.to_owned())
+            } else {
+                Err(InvalidValue::NotAName(text.to_owned()))
+            }
         };
-        self.value(key, default.map(str::to_owned), "?".into(), read, |s| {
-            Value::from(s.as_str())
+        self.value(key, default.map(str::to_owned), "?".into(), read, |name| {
+            Value::from(name.as_str())
         })
     }
 
-    /// A whole number within bounds.
+    /// A whole number within bounds; the lower bound stands in for an invalid value.
     #[must_use]
     pub fn whole(&self, key: &str, default: Option<i64>, bounds: RangeInclusive<i64>) -> i64 {
-        let read = |v: &Value| {
-            let n = v.as_integer().ok_or_else(|| not(v, "a whole number"))?;
-            let within = bounds.contains(&n).then_some(n);
-            within.ok_or_else(|| format!("is {n}, not from {} to {}", bounds.start(), bounds.end()))
+        let read = |value: &Value| {
+            let n = value
+                .as_integer()
+                .ok_or_else(|| wrong_type(value, "a whole number"))?;
+            if bounds.contains(&n) {
+                Ok(n)
+            } else {
+                Err(InvalidValue::WholeOutOfBounds(n, bounds.clone()))
+            }
         };
         self.value(key, default, *bounds.start(), read, |n| Value::from(*n))
     }
 
-    /// A whole number as a size.
+    /// A whole number within bounds, as a size.
     #[must_use]
     pub fn size(&self, key: &str, default: usize, bounds: RangeInclusive<i64>) -> usize {
         let default = i64::try_from(default).unwrap_or(i64::MAX);
         usize::try_from(self.whole(key, Some(default), bounds)).unwrap_or(0)
     }
 
-    /// A number within bounds; a whole one will do.
+    /// A number within bounds; a whole number will do, and the lower bound stands in for an invalid value.
     #[must_use]
     pub fn number(&self, key: &str, default: Option<f64>, bounds: RangeInclusive<f64>) -> f64 {
-        let read = |v: &Value| {
-            let n = number(v)?;
-            let within = bounds.contains(&n).then_some(n);
-            within.ok_or_else(|| format!("is {n}, not from {} to {}", bounds.start(), bounds.end()))
+        let read = |value: &Value| {
+            let n = as_number(value)?;
+            if bounds.contains(&n) {
+                Ok(n)
+            } else {
+                Err(InvalidValue::NumberOutOfBounds(n, bounds.clone()))
+            }
         };
         self.value(key, default, *bounds.start(), read, |n| Value::from(*n))
     }
 
-    /// A number above 0 and no more than a bound.
+    /// A number above 0, at most `max`; `max` stands in for an invalid value.
     #[must_use]
-    pub fn above_zero(&self, key: &str, default: Option<f64>, most: f64) -> f64 {
-        let read = |v: &Value| {
-            let n = number(v)?;
-            let within = (n > 0.0 && n <= most).then_some(n);
-            within.ok_or_else(|| format!("is {n}, not above 0 and at most {most}"))
+    pub fn above_zero(&self, key: &str, default: Option<f64>, max: f64) -> f64 {
+        let read = |value: &Value| {
+            let n = as_number(value)?;
+            if n > 0.0 && n <= max {
+                Ok(n)
+            } else {
+                Err(InvalidValue::NotAboveZero { value: n, max })
+            }
         };
-        self.value(key, default, most, read, |n| Value::from(*n))
+        self.value(key, default, max, read, |n| Value::from(*n))
     }
 
-    /// Yes or no.
+    /// `true` or `false`.
     #[must_use]
     pub fn flag(&self, key: &str, default: bool) -> bool {
-        let read = |v: &Value| v.as_bool().ok_or_else(|| not(v, "true or false"));
-        self.value(key, Some(default), default, read, |b| Value::from(*b))
+        let read = |value: &Value| {
+            value
+                .as_bool()
+                .ok_or_else(|| wrong_type(value, "true or false"))
+        };
+        self.value(key, Some(default), default, read, |flag| Value::from(*flag))
     }
 
-    /// An address with a port.
+    /// An address with a port, which must be there; 127.0.0.1:0 stands in for an invalid value.
     #[must_use]
     pub fn address(&self, key: &str) -> SocketAddr {
-        let read = |v: &Value| {
-            let text = v.as_str().ok_or_else(|| not(v, "an address with a port"))?;
+        let read = |value: &Value| {
+            let text = value
+                .as_str()
+                .ok_or_else(|| wrong_type(value, "an address with a port"))?;
             text.parse()
-                .map_err(|_| format!("is {text:?}, not an address with a port"))
+                .map_err(|_| InvalidValue::NotAnAddress(text.to_owned()))
         };
-        self.value(
-            key,
-            None,
-            SocketAddr::from(([127, 0, 0, 1], 0)),
-            read,
-            |a| Value::from(a.to_string()),
-        )
+        let fallback = SocketAddr::from(([127, 0, 0, 1], 0));
+        self.value(key, None, fallback, read, |address| {
+            Value::from(address.to_string())
+        })
     }
 
-    /// One of some words.
+    /// One of some texts; the first stands in for an invalid value.
     #[must_use]
     pub fn choice<T: Copy + PartialEq>(
         &self,
@@ -288,62 +387,56 @@
         default: Option<&str>,
         choices: &[(&str, T)],
     ) -> T {
-        let named = |name: &str| {
-            choices
-                .iter()
-                .find(|(n, _)| *n == name)
-                .map(|(_, value)| *value)
+        let by_name = |name: &str| {
+            let choice = choices.iter().find(|(known, _)| *known == name);
+            choice.map(|(_, value)| *value)
         };
-        let read = |v: &Value| {
-            let text = v.as_str().ok_or_else(|| not(v, "a text"))?;
-            named(text).ok_or_else(|| {
-                let names: Vec<_> = choices.iter().map(|(name, _)| *name).collect();
-                format!("is {text:?}, not one of {}", names.join(", "))
+        let read = |value: &Value| {
+            let text = as_text(value)?;
+            by_name(text).ok_or_else(|| InvalidValue::NotAChoice {
+                text: text.to_owned(),
+                choices: choices.iter().map(|(name, _)| (*name).to_owned()).collect(),
             })
         };
         let show = |value: &T| {
-            Value::from(
-                choices
-                    .iter()
-                    .find(|(_, v)| v == value)
-                    .map_or("", |(name, _)| *name),
-            )
+            let choice = choices.iter().find(|(_, known)| known == value);
+            Value::from(choice.map_or("", |(name, _)| *name))
         };
-        self.value(key, default.and_then(named), choices[0].1, read, show)
+        self.value(key, default.and_then(by_name), choices[0].1, read, show)
     }
 
-    /// Texts.
+    /// A list of texts; an empty one stands in for an invalid value.
     #[must_use]
     pub fn texts(&self, key: &str, default: Option<&[&str]>) -> Vec<String> {
-        let read = |v: &Value| {
-            let list = v.as_array().ok_or_else(|| not(v, "a list of texts"))?;
-            let texts = list.iter().map(|t| t.as_str().map(str::to_owned));
+        let read = |value: &Value| {
+            let list = value
+                .as_array()
+                .ok_or_else(|| wrong_type(value, "a list of texts"))?;
+            let texts = list.iter().map(|item| item.as_str().map(str::to_owned));
             texts
                 .collect::<Option<Vec<_>>>()
-                .ok_or_else(|| "holds something that is no text".into())
+                .ok_or(InvalidValue::ItemNotAText)
         };
-        let default = default.map(|d| d.iter().map(|t| (*t).to_owned()).collect());
         let show =
             |texts: &Vec<String>| Value::Array(texts.iter().map(String::as_str).collect::<Array>());
+        let default = default.map(|texts| texts.iter().map(|text| (*text).to_owned()).collect());
         self.value(key, default, vec![], read, show)
     }
 
     /// A table within this one, which may be missing.
     #[must_use]
     pub fn section(&self, key: &str) -> Section<'a> {
-        let table = self.item(key).and_then(|item| {
-            let table = item.as_table_like();
-            if table.is_none() {
-                self.fault(key, "is a value, not a table");
-            }
-            table
-        });
-        Section::over(self.source, self.path(key), table, self.line_of(key))
+        let item = self.item(key);
+        let table = item.and_then(Item::as_table_like);
+        if item.is_some() && table.is_none() {
+            self.fault(key, "is a value, not a table");
+        }
+        Section::new(self.source, self.path_of(key), table, self.line_of(key))
     }
 
-    /// The same, `None` where the file does not have it.
+    /// A table within this one; `None` if the file does not have it.
     #[must_use]
-    pub fn section_if(&self, key: &str) -> Option<Section<'a>> {
+    pub fn optional_section(&self, key: &str) -> Option<Section<'a>> {
         self.has(key).then(|| self.section(key))
     }
 
@@ -353,87 +446,70 @@
         let Some(item) = self.item(key) else {
             return vec![];
         };
-        let path = self.path(key);
-        let one = |(n, table): (usize, &'a dyn TableLike), at: Option<std::ops::Range<usize>>| {
-            let line = at.map_or(self.line, |s| self.source.line(s.start));
-            Section::over(self.source, format!("{path}.{n}"), Some(table), line)
-        };
+        let path = self.path_of(key);
+        let mut sections = vec![];
         match item {
-            Item::ArrayOfTables(list) => list
-                .iter()
-                .enumerate()
-                .map(|(n, t)| one((n, t), t.span()))
-                .collect(),
-            Item::Value(Value::Array(list)) if list.iter().all(Value::is_inline_table) => {
-                let tables = list
-                    .iter()
-                    .filter_map(|v| Some((v.as_inline_table()?, v.span())));
-                tables
-                    .enumerate()
-                    .map(|(n, (t, span))| one((n, t), span))
-                    .collect()
+            Item::ArrayOfTables(tables) => {
+                for (n, table) in tables.iter().enumerate() {
+                    let line = self.line_at(table.span());
+                    let path = format!("{path}.{n}");
+                    sections.push(Section::new(self.source, path, Some(table), line));
+                }
             }
-            _ => {
-                self.fault(key, "is no list of tables");
-                vec![]
+            Item::Value(Value::Array(values)) if values.iter().all(Value::is_inline_table) => {
+                for (n, value) in values.iter().enumerate() {
+                    let line = self.line_at(value.span());
+                    let path = format!("{path}.{n}");
+                    let table = value.as_inline_table().map(|table| table as &dyn TableLike);
+                    sections.push(Section::new(self.source, path, table, line));
+                }
             }
+            _ => self.fault(key, "is no list of tables"),
         }
+        sections
     }
 
-    /// Says of every key that nothing asked for that it is not known, and gives back all that was read and filled in.
+    /// Adds a fault for each unknown key, and returns the table with its defaults.
     #[must_use]
-    pub fn done(self) -> Table {
-        let seen = self.seen.into_inner();
-        for (key, _) in self
-            .table
-            .into_iter()
-            .flat_map(TableLike::iter)
-            .filter(|(k, _)| !seen.contains(*k))
-        {
-            let span = self
-                .table
-                .and_then(|t| t.key(key))
-                .and_then(toml_edit::Key::span);
-            let line = span.map_or(self.line, |s| self.source.line(s.start));
-            let near = seen
-                .iter()
-                .map(|known| (levenshtein(known, key), known))
-                .min();
-            let near = near.filter(|(letters, _)| *letters <= 3);
-            let hint = near.map_or(String::new(), |(_, n)| format!("; is {n} meant?"));
-            let path = if self.path.is_empty() {
-                key.to_owned()
-            } else {
-                format!("{}.{key}", self.path)
-            };
-            self.source.fault(line, path, format!("is not known{hint}"));
+    pub fn finish(self) -> Table {
+        let known = self.known_keys.borrow();
+        for (key, _) in self.table.into_iter().flat_map(TableLike::iter) {
+            if known.contains(key) {
+                continue;
+            }
+            let line = self.line_at(self.key_span(key));
+            let hint = similar_key(&known, key).map(|near| format!("; is {near} meant?"));
+            let what = format!("is not known{}", hint.unwrap_or_default());
+            self.source.add_fault(line, self.path_of(key), what);
         }
-        self.shown.into_inner()
+        drop(known);
+        self.completed.into_inner()
     }
 
-    /// Puts what a table within this one came to.
+    /// Sets a table of the completed file.
     pub fn put(&self, key: &str, table: Table) {
-        self.shown.borrow_mut().insert(key, Item::Table(table));
+        self.completed.borrow_mut().insert(key, Item::Table(table));
     }
 
-    /// Puts what the tables of a list came to.
+    /// Sets a list of tables of the completed file, if it has any.
     pub fn put_list(&self, key: &str, tables: Vec<Table>) {
-        if !tables.is_empty() {
-            let list: ArrayOfTables = tables.into_iter().collect();
-            self.shown
-                .borrow_mut()
-                .insert(key, Item::ArrayOfTables(list));
+        if tables.is_empty() {
+            return;
         }
+        let list: ArrayOfTables = tables.into_iter().collect();
+        self.completed
+            .borrow_mut()
+            .insert(key, Item::ArrayOfTables(list));
     }
 }
 
-/// A number; a whole one will do.
-#[allow(clippy::cast_precision_loss)]
-fn number(value: &Value) -> Result<f64, String> {
-    let number = value.as_float().or(value.as_integer().map(|n| n as f64));
-    number.ok_or_else(|| not(value, "a number"))
-}
-
-fn not(value: &Value, wanted: &str) -> String {
-    format!("is {}, not {wanted}", value.to_string().trim())
+/// The known key that an unknown one is probably a misspelling of.
+fn similar_key<'k>(known: &'k BTreeSet<String>, key: &str) -> Option<&'k String> {
+    const MAX_DISTANCE: usize = 3;
+    let nearest = known
+        .iter()
+        .map(|candidate| (levenshtein(candidate, key), candidate))
+        .min();
+    let (distance, candidate) = nearest?;
+    (distance <= MAX_DISTANCE).then_some(candidate)
 }
--- a/crates/config/src/snmp.rs
+++ b/crates/config/src/snmp.rs
@@ -215,7 +215,7 @@
             }
             let (view, from) = access(&community, &views);
             communities.push(Community { name, view, from });
-            shown.push(community.done());
+            shown.push(community.finish());
         }
         section.put_list("community", shown);
         let mut users: Vec<SnmpUser> = vec![];
@@ -232,7 +232,7 @@
                 entry.fault("name", format!("is {:?}, as another user's", read.name));
             }
             users.push(read);
-            shown.push(entry.done());
+            shown.push(entry.finish());
         }
         section.put_list("user", shown);
         let receivers = receivers(section, &users);
@@ -244,7 +244,7 @@
         }
         let notify = section.section("notify");
         let read_notify = notify_of(&notify);
-        section.put("notify", notify.done());
+        section.put("notify", notify.finish());
         let limits = section.section("limits");
         let rate = |key: &str, usual| {
             u32::try_from(limits.whole(key, Some(usual), 1..=1_000_000)).unwrap_or(1)
@@ -256,7 +256,7 @@
             total: rate("total-per-s", 5000),
             cpu_share: limits.above_zero("cpu-share", Some(0.1), 1.0),
         };
-        section.put("limits", limits.done());
+        section.put("limits", limits.finish());
         Self {
             listen,
             engine,
@@ -302,7 +302,7 @@
             entry.fault("name", format!("is {:?}, as another view's", view.name));
         }
         views.push(view);
-        shown.push(entry.done());
+        shown.push(entry.finish());
     }
     section.put_list("view", shown);
     if !views.iter().any(|v| v.name == "all") {
@@ -389,7 +389,7 @@
     for entry in section.list("receiver") {
         let address = entry.address("address");
         let inform = entry.choice("kind", Some("trap"), &[("trap", false), ("inform", true)]);
-        let with = match (entry.text_if("community"), entry.has("user")) {
+        let with = match (entry.optional_text("community"), entry.has("user")) {
             (Some(community), false) => Credentials::Community(community),
             (None, true) if inform => {
                 // The receiver's engine decides over an inform: the keys are localized to it, not to this engine.
@@ -444,7 +444,7 @@
             retries: u32::try_from(entry.whole("retries", Some(5), 0..=100)).unwrap_or(0),
             queue: entry.size("queue", 256, 1..=100_000),
         });
-        shown.push(entry.done());
+        shown.push(entry.finish());
     }
     section.put_list("receiver", shown);
     all
