--- a/crates/config/src/operators/mod.rs
+++ b/crates/config/src/operators/mod.rs
@@ -35,7 +35,7 @@
 pub use self::sections::{AdmissionSettings, LogLevel, LogSettings, StateSettings};
 use crate::peers::PeerSettings;
 use crate::reader::{ConfigError, Section, Source};
-use crate::snmp::SnmpSettings;
+use crate::snmp::{EngineBoots, SnmpSettings};
 
 /// The protocol of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -179,7 +179,11 @@
         let fronts = read_fronts(root, &shared, management.as_ref());
         let mgmt = management.map(|management| management.finish(root));
         let snmp = root.optional_section("snmp").map(|section| {
-            let snmp = SnmpSettings::read(&section, &gateway.name, state.is_some());
+            let boots = match state {
+                Some(_) => EngineBoots::Kept,
+                None => EngineBoots::NotKept,
+            };
+            let snmp = SnmpSettings::read(&section, &gateway.name, boots);
             root.put("snmp", section.finish());
             snmp
         });
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -1,107 +1,134 @@
-//! `[peers]`: the other gateways, and how they are spoken with.
+//! `[peers]`: the other gateways of the fleet, and how they are reached.
 
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
 use ipnet::IpNet;
 
-use super::reader::Section;
+use crate::reader::Section;
+use crate::snmp::access::parse_network;
+
+const MINUTE_MS: i64 = 60_000;
+const DAY_MS: i64 = 86_400_000;
 
 /// `[peers]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Where datagrams are taken in.
+    /// `listen`: where datagrams are received; an address of this machine with a port.
     pub listen: SocketAddr,
-    /// The address by which the others know this gateway.
+    /// `advertise`: the address that the others send to; default that of `listen`.
     pub advertise: SocketAddr,
-    /// The fleet's name: datagrams of another are dropped.
+    /// `fleet`: the fleet's name; datagrams of another fleet are dropped.
     pub fleet: String,
-    /// Gateways to begin with.
+    /// `seeds`: gateways that are contacted first; default none.
     pub seeds: Vec<SocketAddr>,
-    /// Where gateways may be: nothing is taken from elsewhere, and nothing sent there.
+    /// `from`: networks that gateways may be in; nothing is received from or sent to other addresses but the seeds.
     pub from: Vec<IpNet>,
-    /// Time between two questions, in milliseconds.
+    /// `probe-ms`: time between two probes, in milliseconds, 50 to 60,000, default 500.
     pub probe_ms: i64,
-    /// Gateways that are known at the most.
+    /// `most`: gateways that are known at most, 1 to 10,000, default 1,024.
     pub most: usize,
-    /// Bytes sent in a second, in the mean.
+    /// `bytes-per-s`: bytes sent in a second on average, 1,024 to 1,048,576, default 8,192.
     pub bytes_per_s: u32,
-    /// How long the fleet must have been smaller before that is believed, in milliseconds.
+    /// `settle-ms`: how long the fleet must have been smaller before its size is lowered, in milliseconds, 0 to
+    /// 86,400,000, default 30,000.
     pub settle_ms: i64,
 }
 
 impl PeerSettings {
-    /// Whether a gateway may be there.
+    /// Whether a gateway may have this address.
     #[must_use]
     pub fn allows(&self, address: &SocketAddr) -> bool {
-        self.seeds.contains(address) || self.from.iter().any(|net| net.contains(&address.ip()))
+        let in_network = |network: &IpNet| network.contains(&address.ip());
+        self.seeds.contains(address) || self.from.iter().any(in_network)
     }
 
     pub(crate) fn read(section: &Section<'_>) -> Self {
-        let listen = section.address("listen");
-        if section.has("listen") && (listen.ip().is_unspecified() || listen.port() == 0) {
-            section.fault(
-                "listen",
-                format!("is {listen}, not an address of this machine with a port"),
-            );
-        }
-        let advertise = if section.has("advertise") {
-            section.address("advertise")
-        } else {
-            listen
-        };
-        if advertise.ip().is_unspecified() || advertise.port() == 0 && section.has("advertise") {
-            section.fault(
-                "advertise",
-                format!("is {advertise}, not an address that others can send to"),
-            );
-        }
-        let mut seeds = vec![];
-        for text in section.texts("seeds", Some(&[])) {
-            match text.parse::<SocketAddr>() {
-                Ok(seed) if seed.port() == 0 || seed.ip().is_unspecified() => {
-                    section.fault("seeds", format!("holds {seed}, which nobody can be at"));
-                }
-                Ok(seed) if seed.is_ipv4() != listen.is_ipv4() => {
-                    section.fault(
-                        "seeds",
-                        format!("holds {seed}, which cannot be reached from {listen}"),
-                    );
-                }
-                Ok(seed) => seeds.push(seed),
-                Err(_) => section.fault(
-                    "seeds",
-                    format!("holds {text:?}, not an address with a port"),
-                ),
-            }
-        }
-        let mut from = vec![];
-        for text in section.texts("from", Some(&[])) {
-            match text
-                .parse()
-                .ok()
-                .or(text.parse::<IpAddr>().ok().map(IpNet::from))
-            {
-                Some(net) => from.push(net),
-                None => section.fault("from", format!("holds {text:?}, not a network")),
-            }
-        }
-        if from.is_empty() && seeds.iter().all(|s| *s == advertise) {
+        let listen = read_listen(section);
+        let advertise = read_advertise(section, listen);
+        let seeds = read_seeds(section, listen);
+        let from = read_networks(section);
+        if from.is_empty() && seeds.iter().all(|seed| *seed == advertise) {
             section.fault(
                 "seeds",
                 "names nobody else, and from allows nobody: there would be no peers",
             );
         }
-        let bytes = section.whole("bytes-per-s", Some(8192), 1024..=1_048_576);
+        let bytes_per_s = section.whole("bytes-per-s", Some(8192), 1024..=1_048_576);
         Self {
             listen,
             advertise,
             fleet: section.name("fleet", None),
             seeds,
             from,
-            probe_ms: section.whole("probe-ms", Some(500), 50..=60_000),
+            probe_ms: section.whole("probe-ms", Some(500), 50..=MINUTE_MS),
             most: section.size("most", 1024, 1..=10_000),
-            bytes_per_s: u32::try_from(bytes).unwrap_or(u32::MAX),
-            settle_ms: section.whole("settle-ms", Some(30_000), 0..=86_400_000),
+            bytes_per_s: u32::try_from(bytes_per_s).unwrap_or(u32::MAX),
+            settle_ms: section.whole("settle-ms", Some(30_000), 0..=DAY_MS),
+        }
+    }
+}
+
+fn read_listen(section: &Section<'_>) -> SocketAddr {
+    let listen = section.address("listen");
+    let unusable = listen.ip().is_unspecified() || listen.port() == 0;
+    if section.has("listen") && unusable {
+        section.fault(
+            "listen",
+            format!("is {listen}, not an address of this machine with a port"),
+        );
+    }
+    listen
+}
+
+fn read_advertise(section: &Section<'_>, listen: SocketAddr) -> SocketAddr {
+    let given = section.has("advertise");
+    let advertise = if given {
+        section.address("advertise")
+    } else {
+        listen
+    };
+    // A missing port of `listen` is reported there.
+    let without_port = advertise.port() == 0 && given;
+    if advertise.ip().is_unspecified() || without_port {
+        section.fault(
+            "advertise",
+            format!("is {advertise}, not an address that others can send to"),
+        );
+    }
+    advertise
+}
+
+fn read_seeds(section: &Section<'_>, listen: SocketAddr) -> Vec<SocketAddr> {
+    let mut seeds = vec![];
+    for text in section.texts("seeds", Some(&[])) {
+        let Ok(seed) = text.parse::<SocketAddr>() else {
+            section.fault(
+                "seeds",
+                format!("holds {text:?}, not an address with a port"),
+            );
+            continue;
+        };
+        if seed.port() == 0 || seed.ip().is_unspecified() {
+            section.fault("seeds", format!("holds {seed}, which nobody can be at"));
+        } else if seed.is_ipv4() != listen.is_ipv4() {
+            section.fault(
+                "seeds",
+                format!("holds {seed}, which cannot be reached from {listen}"),
+            );
+        } else {
+            seeds.push(seed);
+        }
+    }
+    seeds
+}
+
+fn read_networks(section: &Section<'_>) -> Vec<IpNet> {
+    let mut networks = vec![];
+    for text in section.texts("from", Some(&[])) {
+        match parse_network(&text) {
+            Some(network) => networks.push(network),
+            None => section.fault("from", format!("holds {text:?}, not a network")),
         }
     }
+    networks
 }
--- /dev/null
+++ b/crates/config/src/snmp/notifications.rs
@@ -0,0 +1,83 @@
+//! `[snmp.notify]`: when notifications are sent.
+
+use crate::reader::Section;
+
+const DAY_MS: i64 = 86_400_000;
+const MAX_PER_S: f64 = 1e9;
+const MAX_PERMILLE: i64 = 1_000_000;
+
+/// `[snmp.notify]`. A condition is notified when it begins, at its rising threshold, and when it ends, below its falling
+/// one. Times are 1 to 86,400,000 ms.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NotificationSettings {
+    /// `no-primary-ms`: time without a primary from which a group is reported, in milliseconds, default 5,000.
+    pub no_primary_ms: u64,
+    /// `search-lasting-ms`: time from which a primary search is reported, in milliseconds, default 2,000.
+    pub search_lasting_ms: u64,
+    /// `refusals-rising-per-s`: rejections of a class in a second, default 10.
+    pub refusals_rising: f64,
+    /// `refusals-falling-per-s`: rejections of a class in a second, default 2; below the rising threshold.
+    pub refusals_falling: f64,
+    /// `refusals-over-ms`: the time over which rejections are averaged, in milliseconds, default 5,000.
+    pub refusals_over_ms: u64,
+    /// `budget-rising-permille`: use of a tenant's quota in thousandths, 1 to 1,000,000, default 1,100.
+    pub budget_rising: u64,
+    /// `budget-falling-permille`: use of a tenant's quota in thousandths, default 1,000; at most the rising threshold.
+    pub budget_falling: u64,
+    /// `queue-rising-ms`: longest wait in a tenant's admission queue, in milliseconds, default 400.
+    pub queue_rising_ms: u64,
+    /// `queue-falling-ms`: longest wait in a tenant's admission queue, in milliseconds, default 100; at most the rising
+    /// threshold.
+    pub queue_falling_ms: u64,
+    /// `storm`: notifications within the storm's window, 1 to 100,000, default 20; further ones are sent as one.
+    pub storm: usize,
+    /// `storm-window-ms`: the window, in milliseconds, default 10,000.
+    pub storm_window_ms: u64,
+}
+
+impl NotificationSettings {
+    pub(super) fn read(snmp: &Section<'_>) -> Self {
+        let section = snmp.section("notify");
+        let ms = |key: &str, default| section.whole(key, Some(default), 1..=DAY_MS).unsigned_abs();
+        let permille = |key: &str, default| {
+            section
+                .whole(key, Some(default), 1..=MAX_PERMILLE)
+                .unsigned_abs()
+        };
+        let read = Self {
+            no_primary_ms: ms("no-primary-ms", 5000),
+            search_lasting_ms: ms("search-lasting-ms", 2000),
+            refusals_rising: section.above_zero("refusals-rising-per-s", Some(10.0), MAX_PER_S),
+            refusals_falling: section.number("refusals-falling-per-s", Some(2.0), 0.0..=MAX_PER_S),
+            refusals_over_ms: ms("refusals-over-ms", 5000),
+            budget_rising: permille("budget-rising-permille", 1100),
+            budget_falling: permille("budget-falling-permille", 1000),
+            queue_rising_ms: ms("queue-rising-ms", 400),
+            queue_falling_ms: ms("queue-falling-ms", 100),
+            storm: section.size("storm", 20, 1..=100_000),
+            storm_window_ms: ms("storm-window-ms", 10_000),
+        };
+        read.check(&section);
+        snmp.put("notify", section.finish());
+        read
+    }
+
+    /// Checks that a condition ends below where it begins.
+    fn check(&self, section: &Section<'_>) {
+        if self.refusals_falling >= self.refusals_rising {
+            section.fault(
+                "refusals-falling-per-s",
+                "must be below refusals-rising-per-s",
+            );
+        }
+        if self.queue_falling_ms > self.queue_rising_ms {
+            section.fault("queue-falling-ms", "must not be above queue-rising-ms");
+        }
+        if self.budget_falling > self.budget_rising {
+            section.fault(
+                "budget-falling-permille",
+                "must not be above budget-rising-permille",
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/config/src/snmp/receivers.rs
@@ -0,0 +1,102 @@
+//! `[[snmp.receiver]]`: who gets notifications, and how.
+
+use std::net::SocketAddr;
+
+use super::access::{AllowedNetworks, SnmpUser, SnmpView, read_key, read_privacy_key};
+use super::parse_engine_id;
+use crate::reader::Section;
+
+/// How a receiver knows that a notification is genuine.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Credentials {
+    /// SNMPv2c: the community string.
+    Community(String),
+    /// SNMPv3: the user, and for informs the receiver's engine id, to which the user's keys are localized.
+    User(SnmpUser, Option<Vec<u8>>),
+}
+
+/// `[[snmp.receiver]]`.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NotificationReceiver {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// `kind`: whether it acknowledges notifications (inform) or not (trap, the default).
+    pub inform: bool,
+    /// `community` or `user`.
+    pub with: Credentials,
+    /// `timeout-ms`: time until the first retransmission of an inform, in milliseconds, 10 to 600,000, default 1,000;
+    /// twice as long before each further one.
+    pub timeout_ms: u64,
+    /// `retries`: retransmissions of an inform, 0 to 100, default 5.
+    pub retries: u32,
+    /// `queue`: notifications that may wait for it, 1 to 100,000, default 256.
+    pub queue: usize,
+}
+
+pub(super) fn read_receivers(snmp: &Section<'_>, users: &[SnmpUser]) -> Vec<NotificationReceiver> {
+    let mut receivers = vec![];
+    let mut completed = vec![];
+    for section in snmp.list("receiver") {
+        receivers.push(read_receiver(&section, users));
+        completed.push(section.finish());
+    }
+    snmp.put_list("receiver", completed);
+    receivers
+}
+
+fn read_receiver(section: &Section<'_>, users: &[SnmpUser]) -> NotificationReceiver {
+    let address = section.address("address");
+    let kinds = [("trap", false), ("inform", true)];
+    let inform = section.choice("kind", Some("trap"), &kinds);
+    let community = section.optional_text("community");
+    let with = match (community, section.has("user")) {
+        (Some(community), false) => Credentials::Community(community),
+        (None, true) if inform => read_inform_user(section),
+        (None, true) => find_trap_user(section, users),
+        _ => {
+            section.fault("community", "or user: exactly one of them must be there");
+            Credentials::Community(String::new())
+        }
+    };
+    let timeout_ms = section.whole("timeout-ms", Some(1000), 10..=600_000);
+    let retries = section.whole("retries", Some(5), 0..=100);
+    NotificationReceiver {
+        address,
+        inform,
+        with,
+        timeout_ms: timeout_ms.unsigned_abs(),
+        retries: u32::try_from(retries).unwrap_or(0),
+        queue: section.size("queue", 256, 1..=100_000),
+    }
+}
+
+/// The user of informs. The receiver's engine is authoritative for an inform, so the keys are localized to that engine
+/// and stand in the receiver's own section.
+fn read_inform_user(section: &Section<'_>) -> Credentials {
+    let name = section.name("user", None);
+    let engine = parse_engine_id(&section.text("engine-id", None));
+    if engine.is_none() && section.has("engine-id") {
+        section.fault("engine-id", "is not 5 to 32 bytes in hexadecimal digits");
+    }
+    let auth = read_key(section, "auth-key");
+    let privacy = read_privacy_key(section);
+    let user = SnmpUser {
+        name,
+        auth,
+        privacy,
+        plain: privacy.is_none(),
+        view: SnmpView::default(),
+        from: AllowedNetworks::default(),
+    };
+    Credentials::User(user, engine)
+}
+
+/// The user of traps: one of `[[snmp.user]]`, since this engine is authoritative for a trap.
+fn find_trap_user(section: &Section<'_>, users: &[SnmpUser]) -> Credentials {
+    let name = section.text("user", None);
+    let Some(user) = users.iter().find(|user| user.name == name) else {
+        section.fault("user", format!("is {name:?}, which no user is named"));
+        return Credentials::Community(String::new());
+    };
+    Credentials::User(user.clone(), None)
+}
