--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -11,10 +11,10 @@
 use valehatch_connection_limits::{ANSWER_SETTLE_TIME, ConnectionLimits};
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LogEvent, Observability, State};
-use valehatch_net::Clock;
 use valehatch_net::clients::{BacklogOwner, ClientLimits, Clients, RequestHandler};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::upstream::Upstream;
+use valehatch_net::{Clock, LoopControl, TurnStep};
 use valehatch_policy::{Consistency, Span};
 use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
@@ -226,10 +226,10 @@
             mut watcher,
             board,
         } = self;
-        valehatch_net::run(&mut state, clock, &inbox, |effect| {
-            let Some(effect) = effect else {
+        valehatch_net::run(&mut state, clock, &inbox, |step| {
+            let TurnStep::Effect(effect) = step else {
                 servers.flush();
-                return true;
+                return LoopControl::Continue;
             };
             match effect {
                 Effect::Connect {
@@ -282,9 +282,10 @@
                         queue: inbox.len(),
                     })));
                 }
-                Effect::Exit => return !clients.can_exit(),
+                Effect::Exit if clients.can_exit() => return LoopControl::Exit,
+                Effect::Exit => {}
             }
-            true
+            LoopControl::Continue
         });
     }
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -14,7 +14,9 @@
 use valehatch_net::clients::{AddressSharing, RequestHandler, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::discovery::configured::ConfiguredEndpoints;
-use valehatch_net::discovery::{configured as members, poller as list};
+use valehatch_net::discovery::{
+    AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig, configured,
+};
 use valehatch_net::gossip_transport::GossipTransport;
 use valehatch_net::upstream::{EndpointPools, Upstream};
 use valehatch_net::{Clock, signals};
@@ -185,26 +187,30 @@
             mgmt.listed(n);
         }
         if let Members::Discovery(address) = front.members {
-            let place = Arc::new(list::Place::new(address));
-            let (site, events) = (front.site.clone(), made.inbox.0.clone());
-            let watch =
-                list::Watch::new(place, false, site, clock, events, Arc::clone(&fleet), seed);
+            let poller = DiscoveryPoller::new(PollerConfig {
+                address: Arc::new(DiscoveryAddress::new(address)),
+                agent: AgentLocation::Remote,
+                site: front.site.clone(),
+                clock,
+                events: made.inbox.0.clone(),
+                gateway_count: Arc::clone(&fleet),
+                seed,
+            });
             let (service, asks, tells) = (Arc::clone(&service), asking, Arc::clone(&mgmt));
             asking += 1;
             let confirmed = move || {
                 tells.listed(n);
                 valehatch_net::lock(&service).confirmed(asks, clock.now());
             };
-            let taker = watch.taker();
-            let watch = watch.telling(confirmed);
+            let taker = poller.store();
+            let poller = poller.on_confirmed(confirmed);
             let started = match recovery::restored(kept.as_ref(), &front.name).list {
-                Some((listed, told)) => watch.resume(listed, told),
-                None => watch.start(&serde_json::Value::Null),
+                Some((listed, told)) => poller.resume(listed, told),
+                None => poller.start(&serde_json::Value::Null),
             };
             started.map_err(|e| format!("front.{n}: {e}"))?;
             if valehatch_net::lock(&taker)
-                .held()
-                .0
+                .cache()
                 .members()
                 .next()
                 .is_some()
@@ -260,7 +266,7 @@
             agent.iter().for_each(|agent| agent.reread(snmp.clone()));
         }
     };
-    members::watch(path, &read, named.collect(), Arc::clone(&again), reread)
+    configured::watch(path, &read, named.collect(), Arc::clone(&again), reread)
         .map_err(|e| format!("members: {e}"))?;
     let reload = move || again.store(true, Ordering::Relaxed);
     let link = match read.peers.clone() {
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -12,7 +12,7 @@
 use valehatch_config::operators::{Door, Level, Log};
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::discovery::poller as list;
+use valehatch_net::discovery::{AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig};
 use valehatch_net::hot_restart::HandoffHandle;
 use valehatch_net::upstream::EndpointPools;
 use valehatch_net::{Clock, signals};
@@ -80,28 +80,28 @@
         ..Log::default()
     });
     let (clock, inbox) = (Clock::start(), bounded(QUEUE));
-    let place = Arc::new(list::Place::new(discovery));
+    let place = Arc::new(DiscoveryAddress::new(discovery));
     let fleet = Arc::new(AtomicU32::new(site.settings.routers));
     let told = Told::new([(Arc::from(name.as_str()), &site)]);
     if let Some(listen) = mgmt {
         told.serve(listen).map_err(|e| format!("mgmt: {e}"))?;
     }
-    let watch = list::Watch::new(
-        Arc::clone(&place),
-        true,
-        site.clone(),
+    let poller = DiscoveryPoller::new(PollerConfig {
+        address: Arc::clone(&place),
+        agent: AgentLocation::ThisMachine,
+        site: site.clone(),
         clock,
-        inbox.0.clone(),
-        fleet,
+        events: inbox.0.clone(),
+        gateway_count: fleet,
         seed,
-    );
-    let taker = watch.taker();
+    });
+    let taker = poller.store();
     let confirms = Arc::clone(&told);
     let both: Arc<OnceLock<HandoffHandle>> = Arc::default();
     let other = Arc::clone(&both);
-    let watch = watch
-        .telling(move || confirms.listed(0))
-        .passing(move |book| {
+    let poller = poller
+        .on_confirmed(move || confirms.listed(0))
+        .on_changed(move |book| {
             other
                 .get()
                 .into_iter()
@@ -111,13 +111,12 @@
     let begin = crate::upgrade::begin(meets.as_ref(), &name, listen)?;
     let restored = crate::recovery::restored(begin.known.as_ref(), FRONT);
     let started = match restored.list {
-        Some((listed, told)) => watch.resume(listed, told),
-        None => watch.start(&known),
+        Some((listed, told)) => poller.resume(listed, told),
+        None => poller.start(&known),
     };
     started.map_err(|e| format!("list: {e}"))?;
     if valehatch_net::lock(&taker)
-        .held()
-        .0
+        .cache()
         .members()
         .next()
         .is_some()
@@ -146,7 +145,7 @@
             return;
         };
         // The other process is told at once, by what is held under the new address: this one may end before that answers.
-        let mut book = valehatch_net::lock(&holds).held().0.clone();
+        let mut book = valehatch_net::lock(&holds).cache().clone();
         book.told = Some((at, 0));
         upgrade.pass(book.encode());
     };
@@ -232,7 +231,7 @@
     if let Some(upgrade) = stops.clone() {
         let _ = both.set(upgrade.clone());
         // What discovery told this one before there was a line to pass it on: the other one may hear it seconds later.
-        let book = valehatch_net::lock(&taker).held().0.encode();
+        let book = valehatch_net::lock(&taker).cache().encode();
         upgrade.pass(book);
     }
     // Only now: whoever was told yes may start the next process at once, and that has to find this one.
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -11,7 +11,7 @@
 use arc_swap::ArcSwapOption;
 use tracing::{info, warn};
 use valehatch_config::operators::{Members, Operators};
-use valehatch_net::discovery::poller::EndpointListStore;
+use valehatch_net::discovery::EndpointListStore;
 use valehatch_net::gossip_transport::GossipTransport;
 use valehatch_net::{Clock, lock};
 use valehatch_policy::{PrimaryEvidence, Settings, Time};
@@ -298,7 +298,7 @@
         let book = self
             .taker
             .as_ref()
-            .map(|taker| lock(taker).held().0.clone())
+            .map(|taker| lock(taker).cache().clone())
             .unwrap_or_default();
         let board = self.board.load_full();
         let live = board.as_ref().map(|b| &b.live);
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -152,8 +152,8 @@
             return;
         };
         let mut taker = valehatch_net::lock(taker);
-        taker.hear(&book);
-        let held = taker.held().0.told;
+        taker.apply_forwarded(&book);
+        let held = taker.cache().told;
         drop(taker);
         // Discovery has moved for the other process, which was told to read the configuration again; that was told the
         // gateway, so this one looks too. What the new address tells is not taken from here: this one asks there itself.
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -510,7 +510,8 @@
     let said = scene.program.log();
     let wrong = said
         .lines()
-        .find(|l| l.contains("goes on to hold") && !l.contains("no answer"));
+        .filter(|l| !l.contains("no response"))
+        .find(|l| l.contains("keeping the cached endpoint list") || l.contains("goes on to hold"));
     assert_eq!(wrong, None);
 }
 
@@ -543,9 +544,9 @@
             false => Says::Right(Form::Plain),
         });
     scene.discovery.reset();
-    scene.program.says("goes on to hold");
+    scene.program.says("keeping the cached endpoint list");
     scene.owed(scene.leaves(), GRACE);
-    scene.program.says("discovery answers again");
+    scene.program.says("discovery poll succeeded again");
 }
 
 // ---- Versions ----
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -1,6 +1,9 @@
-//! Members that the operators' file names: a change of the file is taken as it comes.
+//! Endpoints that the operators' file names: reads the file again whenever it changes, and hands the endpoints to the cores.
+//!
+//! One thread. State: when the file was last modified as of the last read.
 
-use std::path::PathBuf;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::sleep;
@@ -11,73 +14,85 @@
 use valehatch_config::operators::{Fixed, Members, Operators};
 use valehatch_core::{Event, ListedEndpoint};
 
-/// How often the file is looked at: well within the grace that a drain leaves.
-const LOOK: Duration = Duration::from_millis(100);
+use crate::spawn;
 
-fn list(members: &[Fixed]) -> Event {
-    let member = |m: &Fixed| ListedEndpoint {
-        entry: m.entry.clone(),
-        name: Arc::clone(&m.name),
-        address: Arc::from(m.address.to_string()),
-    };
-    Event::EndpointList {
-        complete: true,
-        members: members.iter().map(member).collect(),
-    }
-}
+/// How often the file is checked: well within the grace period of a draining endpoint.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A front whose members the file names.
+/// A front whose endpoints the file names.
 pub struct ConfiguredEndpoints {
-    /// Its name in the file.
+    /// The front's name in the file.
     pub front: Arc<str>,
-    /// Its core.
+    /// The front's core.
     pub events: Sender<Event>,
 }
 
-/// Tells the cores of their members, now, whenever the file changes and when `again` is set, and hands on what the file
-/// says then. All else that a front is made of stays as at the start; a file that is no good changes nothing.
+/// Hands the endpoints to the cores now, whenever the file changes, and when `reload_requested` is set; then calls `on_reload`
+/// with what was read. All other settings stay as at the start. A file that is not valid changes nothing.
+///
+/// # Errors
+/// The machine has no thread for it.
 pub fn watch(
     path: PathBuf,
     first: &Operators,
     fronts: Vec<ConfiguredEndpoints>,
-    again: Arc<AtomicBool>,
-    reread: impl Fn(Operators) + Send + 'static,
-) -> std::io::Result<()> {
-    let tell = move |read: &Operators| {
-        for named in &fronts {
-            let found = read.fronts.iter().find(|f| f.name == named.front);
-            match found.map(|f| &f.members) {
-                Some(Members::Fixed(members)) => drop(named.events.send(list(members))),
-                Some(Members::Discovery(_)) => {}
-                None => {
-                    warn!(
-                        front = &*named.front,
-                        "the front is no longer in the file; it goes on as it was"
-                    )
-                }
-            }
-        }
-    };
-    tell(first);
-    let stamp = |path: &PathBuf| std::fs::metadata(path).and_then(|m| m.modified()).ok();
-    // The file may have changed since it was read: the first look reads it once more.
-    let mut seen: Option<SystemTime> = None;
-    crate::spawn("members", move || {
+    reload_requested: Arc<AtomicBool>,
+    on_reload: impl Fn(Operators) + Send + 'static,
+) -> io::Result<()> {
+    send_endpoints(&fronts, first);
+    spawn("members", move || {
+        // The file may have changed since the caller has read it, so the first check reads it again.
+        let mut last_modified: Option<SystemTime> = None;
         loop {
-            sleep(LOOK);
-            let now = stamp(&path);
-            if !again.swap(false, Ordering::Relaxed) && (now.is_none() || now == seen) {
+            sleep(CHECK_INTERVAL);
+            let modified = modified_at(&path);
+            let changed = modified.is_some() && modified != last_modified;
+            if !reload_requested.swap(false, Ordering::Relaxed) && !changed {
                 continue;
             }
-            seen = now;
+            last_modified = modified;
             match Operators::load(&path) {
                 Ok(read) => {
-                    tell(&read);
-                    reread(read);
-                    info!("members were read again");
+                    send_endpoints(&fronts, &read);
+                    on_reload(read);
+                    info!("reloaded the configured endpoints");
                 }
-                Err(e) => warn!("members and all else stay as they were: {e}"),
+                Err(e) => warn!(error = %e, "reload failed, keeping the configuration"),
             }
         }
     })
 }
+
+fn modified_at(path: &Path) -> Option<SystemTime> {
+    std::fs::metadata(path)
+        .and_then(|metadata| metadata.modified())
+        .ok()
+}
+
+fn send_endpoints(fronts: &[ConfiguredEndpoints], read: &Operators) {
+    for configured in fronts {
+        let front = read.fronts.iter().find(|f| f.name == configured.front);
+        match front.map(|front| &front.members) {
+            Some(Members::Fixed(endpoints)) => {
+                let _ = configured.events.send(endpoint_list(endpoints));
+            }
+            Some(Members::Discovery(_)) => {}
+            None => warn!(
+                front = &*configured.front,
+                "the file no longer names the front, keeping its endpoints"
+            ),
+        }
+    }
+}
+
+fn endpoint_list(endpoints: &[Fixed]) -> Event {
+    let listed = |endpoint: &Fixed| ListedEndpoint {
+        entry: endpoint.entry.clone(),
+        name: Arc::clone(&endpoint.name),
+        address: Arc::from(endpoint.address.to_string()),
+    };
+    Event::EndpointList {
+        complete: true,
+        members: endpoints.iter().map(listed).collect(),
+    }
+}
--- /dev/null
+++ b/crates/net/src/discovery/endpoint_list.rs
@@ -0,0 +1,230 @@
+//! The endpoint list of one front: takes lists from discovery, from the gateway's other process and from gossip, caches them,
+//! and hands them to the core.
+//!
+//! Shared by the poller's thread, the gossip transport and the hot restart, behind one mutex. State: the cached list and the
+//! numbers of its endpoints.
+
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use crossbeam_channel::Sender;
+use serde::Deserialize;
+use valehatch_config::{Site, number};
+use valehatch_core::{Event, ListedEndpoint};
+use valehatch_policy::{
+    EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Span, Time, ZoneId,
+};
+use valehatch_recovery::book::{DiscoveredEndpoint, EndpointListCache, ForwardedListGuard};
+
+use crate::Clock;
+
+/// A list as discovery sends it.
+#[derive(Deserialize)]
+pub(super) struct ListResponse {
+    #[serde(rename = "rev")]
+    pub version: u64,
+    /// It names all endpoints; otherwise those that have changed.
+    #[serde(rename = "all")]
+    pub complete: bool,
+    #[serde(rename = "targets")]
+    pub endpoints: Vec<DiscoveredEndpoint>,
+}
+
+impl ListResponse {
+    /// Whether it says more than that nothing has changed.
+    pub(super) fn has_changes(&self) -> bool {
+        self.complete || !self.endpoints.is_empty()
+    }
+}
+
+/// A version of the list, which belongs to the discovery that counted it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ListVersion {
+    pub source: SocketAddr,
+    pub version: u64,
+}
+
+/// The endpoint list of a front, whoever it came from.
+pub struct EndpointListStore {
+    site: Site,
+    clock: Clock,
+    events: Sender<Event>,
+    ids: HashMap<String, EndpointId>,
+    cache: EndpointListCache,
+    /// When discovery itself has last confirmed the list.
+    confirmed_at: Option<Time>,
+    /// How far the other process of this gateway has brought the list.
+    forwarded: Option<ForwardedListGuard>,
+}
+
+impl EndpointListStore {
+    pub(super) fn new(site: Site, clock: Clock, events: Sender<Event>) -> Self {
+        Self {
+            site,
+            clock,
+            events,
+            ids: HashMap::new(),
+            cache: EndpointListCache::default(),
+            confirmed_at: None,
+            forwarded: None,
+        }
+    }
+
+    /// The list as it is cached.
+    pub const fn cache(&self) -> &EndpointListCache {
+        &self.cache
+    }
+
+    /// How long ago discovery has confirmed the list; `None` if it has not, or the time is not known any more.
+    pub fn confirmation_age(&self) -> Option<Span> {
+        Some(self.clock.now() - self.confirmed_at?)
+    }
+
+    /// Forgets when discovery has confirmed the list, after the clock may have stood still: the list is not gossiped until
+    /// discovery confirms it again.
+    pub const fn forget_confirmation(&mut self) {
+        self.confirmed_at = None;
+    }
+
+    /// Takes a list that the other process of this gateway has received from discovery, if it is ahead of the cached one.
+    pub fn apply_forwarded(&mut self, list: &EndpointListCache) {
+        let Some((source, version)) = list.told else {
+            return;
+        };
+        if !list.is_ahead_of(&self.cache) {
+            return;
+        }
+        self.forwarded = ForwardedListGuard::of(list, self.clock.now());
+        let endpoints = list.members().cloned().collect();
+        self.apply(source, complete_list(version, endpoints));
+    }
+
+    /// Takes a list from another gateway or a former process, unless one is cached already; says whether it did.
+    pub fn apply_unconfirmed(
+        &mut self,
+        endpoints: Vec<DiscoveredEndpoint>,
+        told: (SocketAddr, u64),
+    ) -> bool {
+        if self.cache.told.is_some() {
+            return false;
+        }
+        let (source, version) = told;
+        self.apply(source, complete_list(version, endpoints));
+        true
+    }
+
+    /// Takes a list from discovery, unless the other process has forwarded it already; returns the version that was reached.
+    /// `None` for changes that do not fit the cached list, because discovery has begun to count anew.
+    pub(super) fn apply_discovered(
+        &mut self,
+        source: SocketAddr,
+        list: ListResponse,
+    ) -> Option<u64> {
+        let now = self.clock.now();
+        if let Some(forwarded) = self.forwarded {
+            if forwarded.covers(source, list.version, now) {
+                return Some(list.version);
+            }
+            self.forwarded = None;
+            if forwarded.is_beyond(source, list.version) && !list.complete {
+                return None;
+            }
+        }
+        Some(self.apply(source, list))
+    }
+
+    pub(super) const fn set_confirmed(&mut self, now: Time) {
+        self.confirmed_at = Some(now);
+    }
+
+    /// Caches a list and hands it to the core; returns its version.
+    pub(super) fn apply(&mut self, source: SocketAddr, list: ListResponse) -> u64 {
+        self.cache
+            .take(source, list.version, list.complete, &list.endpoints);
+        if !list.has_changes() {
+            return list.version;
+        }
+        // Endpoints come and go all day: the numbers of those that a complete list does not name are forgotten.
+        if list.complete {
+            let named: HashSet<&str> = list.endpoints.iter().map(|e| e.uid.as_str()).collect();
+            self.ids.retain(|uid, _| named.contains(uid.as_str()));
+        }
+        let has_left = |endpoint: &&DiscoveredEndpoint| endpoint.state == "left";
+        let departed: Vec<String> = list
+            .endpoints
+            .iter()
+            .filter(has_left)
+            .map(|endpoint| endpoint.uid.clone())
+            .collect();
+        let mut members = vec![];
+        for endpoint in list.endpoints {
+            members.extend(self.listed_endpoint(endpoint));
+        }
+        self.ids.retain(|uid, _| !departed.contains(uid));
+        let _ = self.events.send(Event::EndpointList {
+            complete: list.complete,
+            members,
+        });
+        list.version
+    }
+
+    fn listed_endpoint(&mut self, discovered: DiscoveredEndpoint) -> Option<ListedEndpoint> {
+        let state = match discovered.state.as_str() {
+            "active" => EndpointState::Ready,
+            "leaving" => EndpointState::Draining,
+            "left" => EndpointState::Removed,
+            state => {
+                tracing::warn!(endpoint = %discovered.uid, state, "unknown endpoint state, ignoring the endpoint");
+                return None;
+            }
+        };
+        let name = Arc::from(discovered.uid.as_str());
+        let started_at_ms = Some(discovered.boot_ms).filter(|ms| *ms > 0.0);
+        Some(ListedEndpoint {
+            entry: EndpointRecord {
+                zone: ZoneId(index_of(&self.site.zones, &discovered.az)),
+                kind: KindId(index_of(&self.site.kinds, &discovered.model)),
+                endpoint: self.endpoint_id(discovered.uid),
+                group: GroupId(discovered.pod_group),
+                weight: discovered.capacity_hint,
+                started: started_at_ms.map(|ms| self.clock.at_unix_ms(ms)),
+                primary: discovered.mode == "read-write",
+                state,
+            },
+            name,
+            address: Arc::from(discovered.endpoint),
+        })
+    }
+
+    /// The endpoint's number: the same at every gateway, unless two names have the same hash.
+    fn endpoint_id(&mut self, uid: String) -> EndpointId {
+        if let Some(id) = self.ids.get(&uid) {
+            return *id;
+        }
+        let mut id = number(&uid);
+        while self.ids.values().any(|known| *known == id) {
+            id = EndpointId(id.0.wrapping_add(1));
+        }
+        self.ids.insert(uid, id);
+        id
+    }
+}
+
+pub(super) const fn complete_list(
+    version: u64,
+    endpoints: Vec<DiscoveredEndpoint>,
+) -> ListResponse {
+    ListResponse {
+        version,
+        complete: true,
+        endpoints,
+    }
+}
+
+/// The index of a name among those that the settings know; `u8::MAX` for an unknown one.
+#[allow(clippy::cast_possible_truncation)]
+fn index_of(known: &[String], name: &str) -> u8 {
+    let index = known.iter().position(|other| other == name);
+    index.map_or(u8::MAX, |index| index as u8)
+}
--- a/crates/net/src/discovery/http.rs
+++ b/crates/net/src/discovery/http.rs
@@ -1,206 +1,302 @@
-//! HTTP/1.1 answers (RFC 9112), as much as a client needs that reads short ones: no I/O.
+//! HTTP/1.1 responses (RFC 9112), as far as a client that reads short ones needs them. No I/O and no state: a response is
+//! parsed anew from its first byte whenever more bytes have arrived.
 
-/// The longest body that is read, in bytes.
-const MOST: usize = 1024 * 1024;
+use std::error::Error;
+use std::fmt;
+
+/// The longest body, in bytes.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// The longest head, and the longest line between chunks, in bytes.
-const LINE: usize = 16 * 1024;
-/// What an answer may take at the most, in bytes: no body needs more, in chunks of a reasonable size.
-const WHOLE: usize = 2 * MOST + LINE;
-/// Header fields of an answer, at the most.
-const FIELDS: usize = 64;
+const MAX_LINE_BYTES: usize = 16 * 1024;
+/// The longest response, in bytes: enough for the longest body in chunks of a reasonable size.
+const MAX_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES + MAX_LINE_BYTES;
+/// The most header fields of a response.
+const MAX_FIELDS: usize = 64;
 
-/// A whole answer with status 200.
+/// A complete response with status 200.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
+    /// The body, with its chunks joined.
     pub body: Vec<u8>,
-    /// Whether the connection can be used again: nothing stands behind this answer that the next would be read from.
-    pub keep: bool,
+    /// Whether the connection can carry another request: it stays open, and no bytes follow this response.
+    pub reusable: bool,
+}
+
+/// Whether the server may still send bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Sending {
+    /// More bytes may follow.
+    Open,
+    /// The server has closed the connection regularly.
+    Ended,
+}
+
+/// Why bytes are not a usable response.
+#[derive(Debug, PartialEq, Eq)]
+pub enum HttpError {
+    /// The response or its body exceeds the bounds of this module (1 MiB of body, 16 KiB of head).
+    TooLong,
+    /// The connection was closed in the middle of the response.
+    Incomplete,
+    /// The head is not HTTP/1.
+    Malformed(httparse::Error),
+    /// The status is another one than 200.
+    Status(Option<u16>),
+    /// `Content-Length` is no number, or several that differ: the values, joined by commas.
+    ContentLength(String),
+    /// A chunk's size is no hexadecimal number: the line.
+    ChunkSize(String),
+    /// A chunk is longer than its size.
+    ChunkTooLong,
+}
+
+impl fmt::Display for HttpError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::TooLong => f.write_str("the response is too long"),
+            Self::Incomplete => {
+                f.write_str("the connection was closed in the middle of the response")
+            }
+            Self::Malformed(e) => write!(f, "not HTTP: {e}"),
+            Self::Status(Some(status)) => write!(f, "HTTP status {status}"),
+            Self::Status(None) => f.write_str("no HTTP status"),
+            Self::ContentLength(values) => write!(f, "invalid Content-Length {values:?}"),
+            Self::ChunkSize(line) => write!(f, "invalid chunk size {line:?}"),
+            Self::ChunkTooLong => f.write_str("a chunk is longer than its size"),
+        }
+    }
 }
 
-/// How an answer's end is told.
+impl Error for HttpError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::Malformed(e) => Some(e),
+            _ => None,
+        }
+    }
+}
+
+/// How the end of a body is found.
 enum Framing {
     Chunked,
-    Length(usize),
-    /// By the end of the connection: its regular end, never a reset.
-    Close,
+    ContentLength(usize),
+    /// The server closes the connection regularly; a reset is no end.
+    ConnectionClose,
 }
 
 struct Head {
     framing: Framing,
-    keep: bool,
+    keep_alive: bool,
+}
+
+/// A part of a response, and how many bytes of the input it takes.
+struct Parsed<T> {
+    value: T,
+    bytes: usize,
 }
 
-/// Whether this is more than any answer may take.
+/// Whether these are more bytes than any response may have.
 #[must_use]
 pub const fn is_too_long(bytes: &[u8]) -> bool {
-    bytes.len() > WHOLE
+    bytes.len() > MAX_RESPONSE_BYTES
 }
 
-/// The answer that these bytes are; `None` while there is more to come. `ended`: the other side has ended its sending.
+/// Parses the response that these bytes begin with; `None` while more bytes are needed.
 ///
 /// # Errors
-/// It is no HTTP, not status 200, too long (1 MiB of body, 16 KiB of head), or ends in the middle.
-pub fn answer(bytes: &[u8], ended: bool) -> Result<Option<Answer>, String> {
+/// The bytes are no response, have another status than 200, are too long, or end in the middle.
+pub fn parse_response(bytes: &[u8], sending: Sending) -> Result<Option<Response>, HttpError> {
     if is_too_long(bytes) {
-        return Err("the answer is too long".into());
+        return Err(HttpError::TooLong);
     }
-    match whole(bytes, ended)? {
-        None if ended => Err("the answer ends in the middle".into()),
-        whole => Ok(whole),
+    let response = parse_complete(bytes, sending)?;
+    if response.is_none() && sending == Sending::Ended {
+        return Err(HttpError::Incomplete);
     }
+    Ok(response)
 }
 
-fn whole(bytes: &[u8], ended: bool) -> Result<Option<Answer>, String> {
-    let Some((head, at)) = head(bytes)? else {
+fn parse_complete(bytes: &[u8], sending: Sending) -> Result<Option<Response>, HttpError> {
+    let Some(head) = parse_head(bytes)? else {
         return Ok(None);
     };
-    let rest = &bytes[at..];
-    let body = match head.framing {
-        Framing::Chunked => chunks(rest)?,
-        Framing::Length(length) if length > MOST => {
-            return Err(format!("a body of {length} bytes"));
-        }
-        Framing::Length(length) => rest.get(..length).map(|body| (body.to_vec(), length)),
-        Framing::Close if rest.len() > MOST => return Err("a body without an end".into()),
-        Framing::Close => ended.then(|| (rest.to_vec(), rest.len())),
+    let rest = &bytes[head.bytes..];
+    let Some(body) = parse_body(&head.value.framing, rest, sending)? else {
+        return Ok(None);
     };
-    Ok(body.map(|(body, used)| Answer {
-        body,
-        keep: head.keep && !ended && used == rest.len(),
+    let is_last = body.bytes == rest.len();
+    Ok(Some(Response {
+        body: body.value,
+        reusable: head.value.keep_alive && sending == Sending::Open && is_last,
     }))
 }
 
-/// The head of the final answer, behind any interim ones, and where its body begins.
-fn head(bytes: &[u8]) -> Result<Option<(Head, usize)>, String> {
-    let mut at = 0;
+fn parse_body(
+    framing: &Framing,
+    bytes: &[u8],
+    sending: Sending,
+) -> Result<Option<Parsed<Vec<u8>>>, HttpError> {
+    match *framing {
+        Framing::Chunked => parse_chunks(bytes),
+        Framing::ContentLength(length) if length > MAX_BODY_BYTES => Err(HttpError::TooLong),
+        Framing::ContentLength(length) => Ok(bytes.get(..length).map(parsed_bytes)),
+        Framing::ConnectionClose if bytes.len() > MAX_BODY_BYTES => Err(HttpError::TooLong),
+        Framing::ConnectionClose => Ok((sending == Sending::Ended).then(|| parsed_bytes(bytes))),
+    }
+}
+
+fn parsed_bytes(bytes: &[u8]) -> Parsed<Vec<u8>> {
+    Parsed {
+        value: bytes.to_vec(),
+        bytes: bytes.len(),
+    }
+}
+
+/// Parses the head of the final response, and skips interim ones.
+fn parse_head(bytes: &[u8]) -> Result<Option<Parsed<Head>>, HttpError> {
+    let mut position = 0;
     loop {
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
         let parsed = response
-            .parse(&bytes[at..])
-            .map_err(|e| format!("no HTTP: {e}"))?;
-        let httparse::Status::Complete(size) = parsed else {
-            let endless = bytes.len() - at > LINE;
-            return if endless {
-                Err("the answer has no end of its head".into())
-            } else {
-                Ok(None)
-            };
+            .parse(&bytes[position..])
+            .map_err(HttpError::Malformed)?;
+        let httparse::Status::Complete(length) = parsed else {
+            if bytes.len() - position > MAX_LINE_BYTES {
+                return Err(HttpError::TooLong);
+            }
+            return Ok(None);
         };
-        at += size;
+        position += length;
         match response.code {
             Some(100 | 102..=199) => {}
-            Some(200) => return Ok(Some((read_head(&response)?, at))),
-            code => return Err(format!("HTTP status {code:?}")),
+            Some(200) => {
+                let value = read_head(&response)?;
+                return Ok(Some(Parsed {
+                    value,
+                    bytes: position,
+                }));
+            }
+            status => return Err(HttpError::Status(status)),
         }
     }
 }
 
-fn read_head(response: &httparse::Response) -> Result<Head, String> {
-    // Fields may come more than once, and each may be a list.
-    let values = |name: &str| {
-        let named = response
-            .headers
-            .iter()
-            .filter(|f| f.name.eq_ignore_ascii_case(name));
-        let text = named
-            .filter_map(|f| std::str::from_utf8(f.value).ok())
-            .collect::<Vec<_>>()
-            .join(",");
-        let all: Vec<_> = text
-            .split(',')
-            .map(|v| v.trim().to_ascii_lowercase())
-            .collect();
-        all.into_iter()
-            .filter(|v| !v.is_empty())
-            .collect::<Vec<_>>()
-    };
-    let (connection, coding, lengths) = (
-        values("connection"),
-        values("transfer-encoding"),
-        values("content-length"),
-    );
-    let says = |word: &str| connection.iter().any(|v| v == word);
-    // Without a word, HTTP/1.1 keeps its connections and HTTP/1.0 does not.
-    let keep = !says("close") && (response.version == Some(1) || says("keep-alive"));
-    let framing = match (coding.last(), lengths.first()) {
+fn read_head(response: &httparse::Response) -> Result<Head, HttpError> {
+    let connection = field_values(response, "connection");
+    let transfer_encoding = field_values(response, "transfer-encoding");
+    let content_length = field_values(response, "content-length");
+    let has_option = |option: &str| connection.iter().any(|value| value == option);
+    // HTTP/1.1 keeps connections alive unless told otherwise, HTTP/1.0 only if told so.
+    let keep_alive =
+        !has_option("close") && (response.version == Some(1) || has_option("keep-alive"));
+    let framing = match (transfer_encoding.last(), content_length.first()) {
         (Some(last), _) if last == "chunked" => Framing::Chunked,
-        (Some(_), _) | (None, None) => Framing::Close,
-        (None, Some(length)) => Framing::Length(read_length(length, &lengths)?),
+        (Some(_), _) | (None, None) => Framing::ConnectionClose,
+        (None, Some(first)) => Framing::ContentLength(read_length(first, &content_length)?),
     };
-    Ok(Head { framing, keep })
-}
-
-fn read_length(length: &str, all: &[String]) -> Result<usize, String> {
-    let digits =
-        length.bytes().all(|b| b.is_ascii_digit()) && all.iter().all(|other| other == length);
-    length
-        .parse()
-        .ok()
-        .filter(|_| digits)
-        .ok_or_else(|| format!("a length of {}", all.join(",")))
-}
-
-/// The line that these bytes begin with, without its end, and what it takes with it; `None` while it is not whole.
-fn line(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, String> {
-    match bytes.iter().take(LINE).position(|b| *b == b'\n') {
-        Some(at) => Ok(Some((
-            bytes[..at].strip_suffix(b"\r").unwrap_or(&bytes[..at]),
-            at + 1,
-        ))),
-        None if bytes.len() >= LINE => Err("a line between chunks has no end".into()),
-        None => Ok(None),
+    Ok(Head {
+        framing,
+        keep_alive,
+    })
+}
+
+/// All values of a header field in lower case. A field may come more than once, and each may be a list.
+fn field_values(response: &httparse::Response, name: &str) -> Vec<String> {
+    let mut values = vec![];
+    for field in response.headers.iter() {
+        if !field.name.eq_ignore_ascii_case(name) {
+            continue;
+        }
+        let Ok(text) = std::str::from_utf8(field.value) else {
+            continue;
+        };
+        for value in text.split(',').map(str::trim) {
+            if !value.is_empty() {
+                values.push(value.to_ascii_lowercase());
+            }
+        }
     }
+    values
+}
+
+fn read_length(first: &str, all: &[String]) -> Result<usize, HttpError> {
+    let is_number = first.bytes().all(|byte| byte.is_ascii_digit());
+    let agree = all.iter().all(|other| other == first);
+    let length = first.parse().ok().filter(|_| is_number && agree);
+    length.ok_or_else(|| HttpError::ContentLength(all.join(",")))
+}
+
+/// Parses the line that these bytes begin with; its value is without the line end.
+fn parse_line(bytes: &[u8]) -> Result<Option<Parsed<&[u8]>>, HttpError> {
+    let end = bytes
+        .iter()
+        .take(MAX_LINE_BYTES)
+        .position(|byte| *byte == b'\n');
+    let Some(end) = end else {
+        if bytes.len() >= MAX_LINE_BYTES {
+            return Err(HttpError::TooLong);
+        }
+        return Ok(None);
+    };
+    let line = &bytes[..end];
+    Ok(Some(Parsed {
+        value: line.strip_suffix(b"\r").unwrap_or(line),
+        bytes: end + 1,
+    }))
 }
 
-/// The body that these chunks are, and what they take with their trailers.
-fn chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, String> {
-    let (mut body, mut at) = (vec![], 0);
+/// Parses a chunked body with its trailers.
+fn parse_chunks(bytes: &[u8]) -> Result<Option<Parsed<Vec<u8>>>, HttpError> {
+    let mut body = vec![];
+    let mut position = 0;
     loop {
-        let Some((text, used)) = line(&bytes[at..])? else {
+        let Some(size_line) = parse_line(&bytes[position..])? else {
             return Ok(None);
         };
-        let size = chunk_size(text)?;
-        at += used;
+        let size = read_chunk_size(size_line.value)?;
+        position += size_line.bytes;
         if size == 0 {
-            return Ok(trailers(&bytes[at..])?.map(|used| (body, at + used)));
+            let trailers = trailer_bytes(&bytes[position..])?;
+            return Ok(trailers.map(|trailers| Parsed {
+                value: body,
+                bytes: position + trailers,
+            }));
         }
-        if size > MOST - body.len() {
-            return Err("the answer is too long".into());
+        if size > MAX_BODY_BYTES - body.len() {
+            return Err(HttpError::TooLong);
         }
-        let Some(chunk) = bytes.get(at..at + size) else {
+        let Some(chunk) = bytes.get(position..position + size) else {
             return Ok(None);
         };
-        let Some((after, used)) = line(&bytes[at + size..])? else {
+        let Some(line_end) = parse_line(&bytes[position + size..])? else {
             return Ok(None);
         };
-        if !after.is_empty() {
-            return Err("a chunk is longer than it says".into());
+        if !line_end.value.is_empty() {
+            return Err(HttpError::ChunkTooLong);
         }
         body.extend_from_slice(chunk);
-        at += size + used;
+        position += size + line_end.bytes;
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<usize, String> {
-    let size = line
-        .split(|b| *b == b';')
-        .next()
-        .unwrap_or_default()
-        .trim_ascii();
-    let hex = !size.is_empty() && size.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(size).ok().filter(|_| hex);
+fn read_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
+    let without_extensions = line.split(|byte| *byte == b';').next().unwrap_or_default();
+    let digits = without_extensions.trim_ascii();
+    // `from_str_radix` alone would take a sign.
+    let is_hex = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| is_hex);
     let size = text.and_then(|text| usize::from_str_radix(text, 16).ok());
-    size.ok_or_else(|| format!("no size of a chunk: {:?}", String::from_utf8_lossy(line)))
+    size.ok_or_else(|| HttpError::ChunkSize(String::from_utf8_lossy(line).into_owned()))
 }
 
-/// What fields behind the last chunk take, with the empty line that ends them.
-fn trailers(bytes: &[u8]) -> Result<Option<usize>, String> {
-    let mut at = 0;
-    while let Some((text, used)) = line(&bytes[at..])? {
-        at += used;
-        if text.is_empty() {
-            return Ok(Some(at));
+/// The length of the trailer fields after the last chunk, with the empty line that ends them.
+fn trailer_bytes(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
+    let mut position = 0;
+    while let Some(line) = parse_line(&bytes[position..])? {
+        position += line.bytes;
+        if line.value.is_empty() {
+            return Ok(Some(position));
         }
     }
     Ok(None)
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -1,558 +1,469 @@
-//! Discovery: the list of servers, watched over HTTP.
+//! Polls discovery for the endpoint list over HTTP.
+//!
+//! One thread, which drives all calls. A call without news waits at discovery for a change; the next one begins when it is
+//! answered, has failed or is late, so that a change arrives in time whatever becomes of single calls. State: the calls in
+//! flight, an idle connection, the version that was reached, and the backoff after failures.
 
-use std::collections::{HashMap, HashSet};
-use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Sender;
-use serde::Deserialize;
 use serde_json::Value;
 use valehatch_backoff::Backoff;
-use valehatch_config::{Site, number};
-use valehatch_policy::{
-    DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Span, Time, ZoneId,
+use valehatch_config::Site;
+use valehatch_core::Event;
+use valehatch_policy::{DiscoveryMode, Span};
+use valehatch_recovery::book::{DiscoveredEndpoint, EndpointListCache, TOLD, TOLD_AFTER_WAIT};
+
+use super::endpoint_list::{EndpointListStore, ListResponse, ListVersion, complete_list};
+use super::error::PollError;
+use super::watch::{
+    AnsweredCall, CallKind, CallTimeouts, DiscoveryAddress, DiscoveryCall, DiscoveryConnection,
+    first_response,
 };
-use valehatch_recovery::book::{
-    DiscoveredEndpoint, EndpointListCache, ForwardedListGuard, TOLD, TOLD_AFTER_WAIT,
-};
-
-use super::http::Answer;
-pub use super::watch::Place;
-use super::watch::{Call, CallTimeouts, Line, first};
-use crate::Clock;
-use crate::lock;
-use crate::upstream::place_ms;
-use valehatch_core::{Event, ListedEndpoint};
-
-/// How often all gateways together may call a discovery that has no news: one service answers them all.
-const CALLS_S: u32 = 5;
-/// How long one call of the watch may wait for news, by that.
-const HOLD: (Span, Span) = (Span::from_millis(2_000), Span::from_millis(20_000));
-/// The same where the gateway's own agent is asked, at no cost: what it has binds at once, and an agent that falls
-/// silent in a call and is back before that call is over would not be heard until then.
-const HOLD_AGENT: Duration = Duration::from_millis(100);
-/// How much longer than that the agent, which answers at once, may take before it is asked anew, beside the call that
-/// is out: its silence is heard to be over this long and the wait after it at the latest.
-const LATE_AGENT: Duration = Duration::from_millis(100);
-/// The same of a call to a service that may wait. Also how long nothing may be heard before that is said, and how long an
-/// answer may come in pieces before the next call goes out beside it.
-const SILENCE: Duration = Duration::from_millis(700);
-/// Calls that may be out at once: as many as become late one after the other within the silence that is said.
-const OUT: usize = 7;
-/// Between tries: the first bound, the last one where the agent is asked, and where lists are pushed from elsewhere.
-const PAUSE: Span = Span::from_millis(50);
-const LONGEST_AGENT: Span = Span::from_millis(100);
-const LONGEST_PUSHED: Span = Span::from_millis(2_500);
-
-#[derive(Deserialize)]
-struct List {
-    rev: u64,
-    all: bool,
-    targets: Vec<DiscoveredEndpoint>,
-}
-
-/// What takes lists in, whoever tells them, and hands them to the core.
-pub struct EndpointListStore {
-    site: Site,
-    clock: Clock,
-    events: Sender<Event>,
-    ids: HashMap<String, EndpointId>,
-    /// The list as it is held.
-    book: EndpointListCache,
-    /// When discovery itself has confirmed it.
-    confirmed_at: Option<Time>,
-    /// How far the other process of this gateway has brought it.
-    ahead: Option<ForwardedListGuard>,
-}
-
-impl EndpointListStore {
-    /// What is held, and when discovery confirmed it, if it has.
-    pub const fn held(&self) -> (&EndpointListCache, Option<Time>) {
-        (&self.book, self.confirmed_at)
-    }
-
-    /// How long ago that was.
-    pub fn age(&self, at: Time) -> Span {
-        self.clock.now() - at
-    }
-
-    /// How long ago discovery confirmed it is not known any more: it is told to nobody until that is done again.
-    pub const fn doubt(&mut self) {
-        self.confirmed_at = None;
-    }
-
-    /// Takes what discovery told the other process of this gateway, if that is more than is held: the two are one gateway, which
-    /// has been told.
-    pub fn hear(&mut self, book: &EndpointListCache) {
-        if let Some(told) = book.told.filter(|_| book.is_ahead_of(&self.book)) {
-            self.ahead = ForwardedListGuard::of(book, self.clock.now());
-            self.take(
-                told.0,
-                List {
-                    rev: told.1,
-                    all: true,
-                    targets: book.members().cloned().collect(),
-                },
-            );
-        }
-    }
-
-    /// Takes a list of discovery's own, unless all of it is in already: up to which version it has been followed. None
-    /// for changes that do not fit what is held, since who tells them has begun to count anew.
-    fn told(&mut self, from: SocketAddr, list: List) -> Option<u64> {
-        let now = self.clock.now();
-        if let Some(ahead) = self.ahead {
-            if ahead.covers(from, list.rev, now) {
-                return Some(list.rev);
-            }
-            self.ahead = None;
-            if ahead.is_beyond(from, list.rev) && !list.all {
-                return None;
-            }
-        }
-        Some(self.take(from, list))
-    }
-
-    /// Takes a list that somebody else than discovery told, unless one is held.
-    pub fn guess(&mut self, listed: Vec<DiscoveredEndpoint>, told: (SocketAddr, u64)) -> bool {
-        let none = self.book.told.is_none();
-        if none {
-            self.take(
-                told.0,
-                List {
-                    rev: told.1,
-                    all: true,
-                    targets: listed,
-                },
-            );
-        }
-        none
-    }
+use crate::{Clock, lock, spawn};
+
+/// How often all gateways together may call a discovery service that has no news.
+const FLEET_CALLS_PER_SECOND: u32 = 5;
+/// The shortest wait for news that a call asks a service for.
+const MIN_WATCH_WAIT: Span = Span::from_millis(2_000);
+/// The longest wait for news that a call asks a service for, in a large fleet.
+const MAX_WATCH_WAIT: Span = Span::from_millis(20_000);
+/// The same of an agent on this machine. Calls to it cost nothing, and short ones notice sooner that it has fallen silent and
+/// come back during a call.
+const AGENT_WATCH_WAIT: Duration = Duration::from_millis(100);
+/// When a call to an agent, which answers at once, is late.
+const AGENT_STALLED_AFTER: Duration = Duration::from_millis(100);
+/// When a call to a service is late, or an outage of an agent or a service is logged.
+const STALLED_AFTER: Duration = Duration::from_millis(700);
+/// Calls in flight at once: as many as become late one after the other until [`STALLED_AFTER`].
+const MAX_CALLS: usize = 7;
+const MIN_BACKOFF: Span = Span::from_millis(50);
+const MAX_AGENT_BACKOFF: Span = Span::from_millis(100);
+const MAX_PUSH_BACKOFF: Span = Span::from_millis(2_500);
+
+/// Where the discovery that pushes lists runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AgentLocation {
+    /// It is an agent on this machine, which no other gateway calls.
+    ThisMachine,
+    /// It is a service elsewhere.
+    Remote,
 }
 
-/// Who tells the list.
+/// What answers the calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
-    /// An agent on the gateway's own machine: it is asked at no cost, and what it has binds at once.
+enum DiscoverySource {
+    /// An agent on this machine: calls cost nothing, and its list counts at once.
     Agent,
-    /// A service elsewhere, which pushes its lists.
-    Pushes,
-    /// One service that all gateways ask, and that answers so many a second: a call waits for its turn.
-    Poll,
+    /// A service that answers calls as soon as the list changes.
+    PushService,
+    /// A service for all gateways, which answers a limited number of calls a second: a call waits for its turn.
+    PollService,
 }
 
-/// How the teller is asked.
+/// How long calls may take, so that a change arrives in time.
 #[derive(Clone, Copy, Debug)]
-struct Terms {
-    /// How long a call for the whole list is waited for, and one that may wait for news.
-    whole: CallTimeouts,
-    watch: CallTimeouts,
-    /// Between tries: the first bound and the last.
-    pauses: (Span, Span),
-    /// How long after one that failed the next call may begin, at the latest.
-    room: Span,
+struct PropagationDeadlines {
+    complete_list: CallTimeouts,
+    changes: CallTimeouts,
+    min_backoff: Span,
+    max_backoff: Span,
+    /// How long after the beginning of a call that failed the next one may begin, at the latest.
+    max_call_interval: Span,
 }
 
-impl Terms {
-    fn of(teller: Teller, site: &Site) -> Self {
-        let within = site.settings.rules.max_poll_interval;
-        // Whatever failed before, what discovery has counts as told in the end: the next call has to go out as much
-        // earlier as its answer may take.
-        let room = (TOLD - TOLD_AFTER_WAIT).min(within.times(0.4));
-        let end = duration(TOLD_AFTER_WAIT);
-        let (whole, watch, pauses) = match teller {
-            Teller::Agent => {
-                let agent = CallTimeouts {
-                    late: LATE_AGENT,
-                    pieces: SILENCE,
-                    end,
+impl PropagationDeadlines {
+    fn new(source: DiscoverySource, site: &Site) -> Self {
+        let max_poll_interval = site.settings.rules.max_poll_interval;
+        // Whatever failed before, a change has to arrive within `TOLD`: the next call begins earlier by as much as its
+        // response may take.
+        let max_call_interval = (TOLD - TOLD_AFTER_WAIT).min(max_poll_interval.times(0.4));
+        let total = duration(TOLD_AFTER_WAIT);
+        match source {
+            DiscoverySource::Agent => {
+                let timeouts = CallTimeouts {
+                    stalled: AGENT_STALLED_AFTER,
+                    trickling: STALLED_AFTER,
+                    total,
                 };
-                (agent, agent, (PAUSE, LONGEST_AGENT))
+                Self {
+                    complete_list: timeouts,
+                    changes: timeouts,
+                    min_backoff: MIN_BACKOFF,
+                    max_backoff: MAX_AGENT_BACKOFF,
+                    max_call_interval,
+                }
             }
-            Teller::Pushes => {
-                let service = CallTimeouts {
-                    late: SILENCE,
-                    pieces: SILENCE,
-                    end,
+            DiscoverySource::PushService => {
+                let timeouts = CallTimeouts {
+                    stalled: STALLED_AFTER,
+                    trickling: STALLED_AFTER,
+                    total,
                 };
-                (
-                    service,
-                    service,
-                    (PAUSE, LONGEST_PUSHED.min(within.times(0.25))),
-                )
+                Self {
+                    complete_list: timeouts,
+                    changes: timeouts,
+                    min_backoff: MIN_BACKOFF,
+                    max_backoff: MAX_PUSH_BACKOFF.min(max_poll_interval.times(0.25)),
+                    max_call_interval,
+                }
             }
-            // Hanging up on a call that waits for its turn only wastes it. The first bound is what the fleet takes for a
-            // call each.
-            Teller::Poll => {
-                let turn = duration(within.times(0.25).min(room));
-                let round = valehatch_backoff::round(site.settings.routers, CALLS_S).min(room);
-                let whole = CallTimeouts {
-                    late: turn,
-                    pieces: turn,
-                    end: turn,
+            DiscoverySource::PollService => {
+                // Abandoning a call that waits for its turn would only waste the turn.
+                let turn = duration(max_poll_interval.times(0.25).min(max_call_interval));
+                let complete_list = CallTimeouts {
+                    stalled: turn,
+                    trickling: turn,
+                    total: turn,
+                };
+                let changes = CallTimeouts {
+                    stalled: STALLED_AFTER.min(turn),
+                    ..complete_list
                 };
-                (
-                    whole,
-                    CallTimeouts {
-                        late: SILENCE.min(turn),
-                        ..whole
-                    },
-                    (round.max(PAUSE), room),
-                )
+                let fleet_round =
+                    valehatch_backoff::round(site.settings.routers, FLEET_CALLS_PER_SECOND)
+                        .min(max_call_interval);
+                Self {
+                    complete_list,
+                    changes,
+                    min_backoff: fleet_round.max(MIN_BACKOFF),
+                    max_backoff: max_call_interval,
+                    max_call_interval,
+                }
             }
-        };
-        Self {
-            whole,
-            watch,
-            pauses,
-            room,
         }
     }
+
+    const fn timeouts(&self, kind: CallKind) -> CallTimeouts {
+        match kind {
+            CallKind::CompleteList => self.complete_list,
+            CallKind::Changes { .. } => self.changes,
+        }
+    }
+}
+
+const fn duration(span: Span) -> Duration {
+    Duration::from_micros(span.0.unsigned_abs())
+}
+
+/// What a poller is made of.
+pub struct PollerConfig {
+    /// Where discovery is; it may move while the poller runs.
+    pub address: Arc<DiscoveryAddress>,
+    /// Where a discovery that pushes lists runs; of no account for one that is polled.
+    pub agent: AgentLocation,
+    /// The front's settings.
+    pub site: Site,
+    /// The gateway's clock.
+    pub clock: Clock,
+    /// The core that gets the lists.
+    pub events: Sender<Event>,
+    /// How many gateways call the same service; may change while the poller runs.
+    pub gateway_count: Arc<AtomicU32>,
+    /// Seeds the jitter of the backoff.
+    pub seed: u64,
 }
 
-/// Watches the list.
-pub struct Watch {
-    place: Arc<Place>,
-    taker: Arc<Mutex<EndpointListStore>>,
-    teller: Teller,
+/// Polls discovery and keeps an [`EndpointListStore`] up to date.
+pub struct DiscoveryPoller {
+    address: Arc<DiscoveryAddress>,
+    store: Arc<Mutex<EndpointListStore>>,
+    source: DiscoverySource,
     clock: Clock,
-    /// Gateways that ask the same service.
-    fleet: Arc<AtomicU32>,
-    terms: Terms,
-    pace: Backoff,
-    /// Called whenever discovery itself has confirmed the list.
-    confirmed: Box<dyn Fn() + Send>,
-    /// Called with all that is held whenever discovery itself has changed it.
-    changed: Box<dyn Fn(EndpointListCache) + Send>,
+    gateway_count: Arc<AtomicU32>,
+    deadlines: PropagationDeadlines,
+    backoff: Backoff,
+    on_confirmed: Box<dyn Fn() + Send>,
+    on_changed: Box<dyn Fn(EndpointListCache) + Send>,
 }
 
-/// What discovery has told, in a call from a version on or for the whole list.
-struct Heard {
-    list: List,
-    from: Option<u64>,
-    line: Option<Line>,
+/// What the poller's thread works with.
+struct PollState {
+    calls: Vec<DiscoveryCall>,
+    idle_connection: Option<DiscoveryConnection>,
+    /// The version that was reached with the discovery that is polled.
+    reached: Option<ListVersion>,
 }
 
-/// Nothing was heard: since when, and whether that was said.
+/// A list, what it was asked for with, and the connection if that can be used again.
+struct PollResponse {
+    list: ListResponse,
+    since: Option<u64>,
+    connection: Option<DiscoveryConnection>,
+}
+
+/// A time without successful polls.
 #[derive(Default)]
-struct Trouble {
+struct Outage {
     since: Option<Instant>,
-    said: bool,
+    logged: bool,
 }
 
-impl Trouble {
-    /// Silence is said once it has lasted, all else at once; each trouble once.
-    fn failed(&mut self, e: &io::Error) {
+impl Outage {
+    /// Logs each outage once: at once if discovery fails, and after [`STALLED_AFTER`] if it is silent.
+    fn on_failure(&mut self, error: &PollError, address: SocketAddr) {
         let lasted = self.since.get_or_insert_with(Instant::now).elapsed();
-        let silent = e.kind() == io::ErrorKind::TimedOut;
-        if !self.said && (!silent || lasted >= SILENCE) {
-            self.said = true;
-            tracing::warn!("discovery: {e}; the list that is held goes on to hold");
+        if !self.logged && (!error.is_timeout() || lasted >= STALLED_AFTER) {
+            self.logged = true;
+            tracing::warn!(%error, %address, "discovery poll failed, keeping the cached endpoint list");
         }
     }
 
-    fn over(&mut self) {
-        if std::mem::take(self).said {
-            tracing::info!("discovery answers again");
+    fn on_success(&mut self, address: SocketAddr) {
+        if std::mem::take(self).logged {
+            tracing::info!(%address, "discovery poll succeeded again");
         }
     }
 }
 
-const fn duration(span: Span) -> Duration {
-    Duration::from_micros(span.0.unsigned_abs())
-}
-
-impl Watch {
-    /// `own`: what pushes lists is an agent on this machine.
-    pub fn new(
-        place: Arc<Place>,
-        own: bool,
-        site: Site,
-        clock: Clock,
-        events: Sender<Event>,
-        fleet: Arc<AtomicU32>,
-        seed: u64,
-    ) -> Self {
-        let teller = match site.settings.discovery_mode {
-            DiscoveryMode::Poll => Teller::Poll,
-            DiscoveryMode::Watch if own => Teller::Agent,
-            DiscoveryMode::Watch => Teller::Pushes,
+impl DiscoveryPoller {
+    /// A poller that does not poll yet.
+    pub fn new(config: PollerConfig) -> Self {
+        let source = match (config.site.settings.discovery_mode, config.agent) {
+            (DiscoveryMode::Poll, _) => DiscoverySource::PollService,
+            (DiscoveryMode::Watch, AgentLocation::ThisMachine) => DiscoverySource::Agent,
+            (DiscoveryMode::Watch, AgentLocation::Remote) => DiscoverySource::PushService,
         };
-        let terms = Terms::of(teller, &site);
-        let pace = Backoff::new(terms.pauses.0, terms.pauses.1, seed);
-        let (ids, book, confirmed_at, ahead) =
-            (HashMap::new(), EndpointListCache::default(), None, None);
-        let taker = Arc::new(Mutex::new(EndpointListStore {
-            site,
-            clock,
-            events,
-            ids,
-            book,
-            confirmed_at,
-            ahead,
-        }));
-        let (confirmed, changed) = (Box::new(|| {}), Box::new(drop));
+        let deadlines = PropagationDeadlines::new(source, &config.site);
+        let backoff = Backoff::new(deadlines.min_backoff, deadlines.max_backoff, config.seed);
+        let store = EndpointListStore::new(config.site, config.clock, config.events);
         Self {
-            place,
-            taker,
-            teller,
-            clock,
-            fleet,
-            terms,
-            pace,
-            confirmed,
-            changed,
+            address: config.address,
+            store: Arc::new(Mutex::new(store)),
+            source,
+            clock: config.clock,
+            gateway_count: config.gateway_count,
+            deadlines,
+            backoff,
+            on_confirmed: Box::new(|| {}),
+            on_changed: Box::new(drop),
         }
     }
 
-    /// What takes the lists in.
-    pub fn taker(&self) -> Arc<Mutex<EndpointListStore>> {
-        Arc::clone(&self.taker)
+    /// The list that the poller keeps up to date.
+    pub fn store(&self) -> Arc<Mutex<EndpointListStore>> {
+        Arc::clone(&self.store)
     }
 
-    /// Tells of each time that discovery confirms the list.
+    /// Calls this on the poller's thread whenever discovery has confirmed the list.
     #[must_use]
-    pub fn telling(mut self, confirmed: impl Fn() + Send + 'static) -> Self {
-        self.confirmed = Box::new(confirmed);
+    pub fn on_confirmed(mut self, callback: impl Fn() + Send + 'static) -> Self {
+        self.on_confirmed = Box::new(callback);
         self
     }
 
-    /// Tells of each change that discovery has made, with all that is held after it.
+    /// Calls this on the poller's thread with the list whenever discovery has changed it.
     #[must_use]
-    pub fn passing(mut self, changed: impl Fn(EndpointListCache) + Send + 'static) -> Self {
-        self.changed = Box::new(changed);
+    pub fn on_changed(mut self, callback: impl Fn(EndpointListCache) + Send + 'static) -> Self {
+        self.on_changed = Box::new(callback);
         self
     }
 
-    /// Takes the list as it was held before the last stop, then watches: from there on if the same discovery told it.
+    /// Starts with the list of a former process, as it had it from this address at this version: polls for changes since then
+    /// if discovery is still there, and for the complete list otherwise.
+    ///
+    /// # Errors
+    /// The machine has no thread for the poller.
     pub fn resume(
         self,
-        listed: Vec<DiscoveredEndpoint>,
+        endpoints: Vec<DiscoveredEndpoint>,
         told: (SocketAddr, u64),
-    ) -> io::Result<()> {
-        let rev = lock(&self.taker).take(
-            told.0,
-            List {
-                rev: told.1,
-                all: true,
-                targets: listed,
-            },
-        );
-        let held = (told.0 == self.place.address()).then_some((told.0, rev));
-        crate::spawn("list", move || self.run(held))
+    ) -> std::io::Result<()> {
+        let (source, version) = told;
+        let version = lock(&self.store).apply(source, complete_list(version, endpoints));
+        let reached = ListVersion { source, version };
+        let is_current = source == self.address.current();
+        self.spawn(is_current.then_some(reached))
     }
 
-    /// Takes the list as it was last held, then watches from there on: what has changed since is far less than all.
-    pub fn start(self, known: &Value) -> io::Result<()> {
-        let mut held = None;
-        if !known.is_null() {
-            match serde_json::from_value::<List>(known.clone()) {
-                Ok(list) if list.all && !list.targets.is_empty() => {
-                    let address = self.place.address();
-                    held = Some((address, lock(&self.taker).take(address, list)));
-                }
-                Ok(list) => {
-                    lock(&self.taker).take(self.place.address(), list);
-                }
-                Err(e) => tracing::warn!("config: known is not a list of servers: {e}"),
-            }
+    /// Starts with the list that the configuration has, which may be null.
+    ///
+    /// # Errors
+    /// The machine has no thread for the poller.
+    pub fn start(self, known: &Value) -> std::io::Result<()> {
+        let reached = self.apply_known(known);
+        self.spawn(reached)
+    }
+
+    fn apply_known(&self, known: &Value) -> Option<ListVersion> {
+        if known.is_null() {
+            return None;
         }
-        crate::spawn("list", move || self.run(held))
+        let list = match serde_json::from_value::<ListResponse>(known.clone()) {
+            Ok(list) => list,
+            Err(e) => {
+                tracing::warn!(error = %e, "ignoring the configuration's known endpoint list");
+                return None;
+            }
+        };
+        // Changes alone, or an empty list, are nothing to ask for further changes from.
+        let is_base = list.complete && !list.endpoints.is_empty();
+        let source = self.address.current();
+        let version = lock(&self.store).apply(source, list);
+        is_base.then_some(ListVersion { source, version })
     }
 
-    fn run(mut self, mut told: Option<(SocketAddr, u64)>) {
-        let (mut out, mut line, mut trouble) = (vec![], None::<Line>, Trouble::default());
-        if self.teller == Teller::Poll {
-            let pause = self.pace.start();
-            self.place.rest(self.place.address(), duration(pause));
+    fn spawn(self, reached: Option<ListVersion>) -> std::io::Result<()> {
+        spawn("list", move || self.run(reached))
+    }
+
+    fn run(mut self, reached: Option<ListVersion>) {
+        let mut state = PollState {
+            calls: vec![],
+            idle_connection: None,
+            reached,
+        };
+        let mut outage = Outage::default();
+        if self.source == DiscoverySource::PollService {
+            let pause = self.backoff.start();
+            self.address.pause(self.address.current(), duration(pause));
         }
         loop {
-            let address = self.place.address();
-            line = line.filter(|l| l.leads_to(address));
-            out.retain(|call: &Call| call.leads_to(address));
-            // Versions belong to the address that told them: elsewhere the whole list is asked for first.
-            let from = told.filter(|(at, _)| *at == address).map(|(_, rev)| rev);
-            let (began, hold) = (Instant::now(), self.hold(trouble.since.is_some()));
-            let heard = self
-                .ask(&mut out, line.take(), address, from, hold)
-                .and_then(|heard| {
-                    line = heard.line;
-                    // Nobody but a discovery that counts anew, or one that lags, tells less than it was asked from: which of
-                    // the two it is its whole list tells, and that goes whatever its version.
-                    told = None;
-                    if let Some(from) = heard.from.filter(|from| heard.list.rev < *from) {
-                        let rev = heard.list.rev;
-                        return Err(io::Error::other(format!(
-                            "version {rev} was told to one that has {from}"
-                        )));
-                    }
-                    self.take(address, heard.list)
-                        .map(|rev| told = Some((address, rev)))
-                });
-            match heard {
+            let address = self.address.current();
+            state.idle_connection = state.idle_connection.filter(|c| c.is_to(address));
+            state.calls.retain(|call| call.is_to(address));
+            let began_at = Instant::now();
+            let kind = self.next_call(&state, address, &outage);
+            match self.poll(&mut state, address, kind) {
                 Ok(()) => {
-                    // What is still out was asked before: its answer would be an older one.
-                    out.clear();
-                    trouble.over();
-                    self.pace.answered();
-                    (self.confirmed)();
+                    // Calls that are still in flight were begun earlier: their responses would be older.
+                    state.calls.clear();
+                    outage.on_success(address);
+                    self.backoff.answered();
+                    (self.on_confirmed)();
                 }
-                Err(_) if self.place.address() != address => self.pace.answered(),
+                Err(_) if self.address.current() != address => self.backoff.answered(),
                 Err(e) => {
-                    trouble.failed(&e);
-                    self.rest(address, &e, began, from.map(|_| hold));
+                    outage.on_failure(&e, address);
+                    self.pause_after_failure(address, &e, began_at, kind);
                 }
             }
         }
     }
 
-    /// How long a call may wait for news. In trouble a short wait, so that the next call is not held up for long either.
-    fn hold(&self, trouble: bool) -> Duration {
-        let fleet = self.fleet.load(Ordering::Relaxed);
-        match self.teller {
-            Teller::Agent => HOLD_AGENT,
-            _ if trouble => duration(HOLD.0),
-            _ => duration(valehatch_backoff::hold(fleet, CALLS_S, HOLD.0, HOLD.1)),
+    /// What the next call asks for. Versions belong to the address that counted them: another one is asked for the complete
+    /// list first.
+    fn next_call(&self, state: &PollState, address: SocketAddr, outage: &Outage) -> CallKind {
+        let max_wait = self.max_wait(outage);
+        match state.reached {
+            Some(reached) if reached.source == address => CallKind::Changes {
+                since: reached.version,
+                max_wait,
+            },
+            _ => CallKind::CompleteList,
         }
     }
 
-    /// Rests between a call that failed, which may have waited so long, and the next.
-    fn rest(&mut self, address: SocketAddr, e: &io::Error, began: Instant, hold: Option<Duration>) {
-        // An agent that is late has been waited for, and costs nothing.
-        if self.teller == Teller::Agent && e.kind() == io::ErrorKind::TimedOut {
-            return;
+    /// How long a call may wait for news; short in an outage, so that the next call is not held up for long either.
+    fn max_wait(&self, outage: &Outage) -> Duration {
+        if self.source == DiscoverySource::Agent {
+            return AGENT_WATCH_WAIT;
         }
-        // What discovery had when this call went out is due by then, and what it had when the call failed by now.
-        let room = duration(self.terms.room);
-        let after_wait = hold.unwrap_or_default() + duration(TOLD_AFTER_WAIT) / 2;
-        let until = began + room.max(after_wait);
-        let room = until.saturating_duration_since(Instant::now()).min(room);
-        let room = Span(i64::try_from(room.as_micros()).unwrap_or(i64::MAX));
-        let pause = self.pace.failed_within(room);
-        self.place.rest(address, duration(pause));
+        if outage.since.is_some() {
+            return duration(MIN_WATCH_WAIT);
+        }
+        duration(valehatch_backoff::hold(
+            self.gateway_count.load(Ordering::Relaxed),
+            FLEET_CALLS_PER_SECOND,
+            MIN_WATCH_WAIT,
+            MAX_WATCH_WAIT,
+        ))
     }
 
-    /// Takes what discovery has told: up to which version it has been followed.
-    fn take(&self, address: SocketAddr, list: List) -> io::Result<u64> {
-        let news = list.all || !list.targets.is_empty();
-        let mut taker = lock(&self.taker);
-        let Some(rev) = taker.told(address, list) else {
-            return Err(io::Error::other(
-                "an older version than the other process of this gateway was told",
-            ));
-        };
-        taker.confirmed_at = Some(self.clock.now());
-        let held = news.then(|| taker.book.clone());
-        drop(taker);
-        held.into_iter().for_each(&self.changed);
-        Ok(rev)
+    /// Makes one more call and takes the first list that arrives.
+    fn poll(
+        &self,
+        state: &mut PollState,
+        address: SocketAddr,
+        kind: CallKind,
+    ) -> Result<(), PollError> {
+        let connection = state.idle_connection.take();
+        let response = self.call(&mut state.calls, connection, address, kind)?;
+        state.idle_connection = response.connection;
+        // A version below the one that was asked from comes from a discovery that counts anew or lags behind. The complete
+        // list, which is asked for next, decides: it counts whatever its version.
+        state.reached = None;
+        let version = response.list.version;
+        if let Some(since) = response.since.filter(|since| version < *since) {
+            return Err(PollError::VersionWentBack { version, since });
+        }
+        let version = self.apply(address, response.list)?;
+        state.reached = Some(ListVersion {
+            source: address,
+            version,
+        });
+        Ok(())
     }
 
-    /// Asks once more, beside the calls that are out, and waits for the first answer to any of them.
-    fn ask(
+    /// Begins a call beside those in flight and waits for the first response to any of them.
+    fn call(
         &self,
-        out: &mut Vec<Call>,
-        line: Option<Line>,
+        calls: &mut Vec<DiscoveryCall>,
+        connection: Option<DiscoveryConnection>,
         address: SocketAddr,
-        from: Option<u64>,
-        hold: Duration,
-    ) -> io::Result<Heard> {
-        let line = line.map_or_else(|| Line::connect(address), Ok)?;
-        let timeouts = if from.is_some() {
-            self.terms.watch
-        } else {
-            self.terms.whole
+        kind: CallKind,
+    ) -> Result<PollResponse, PollError> {
+        let connection = match connection {
+            Some(connection) => connection,
+            None => DiscoveryConnection::connect(address)?,
         };
-        out.push(Call::begin(&self.place, line, from, hold, timeouts)?);
-        out.drain(..out.len().saturating_sub(OUT));
-        let (call, Answer { body, keep }) = first(out)?;
-        let list =
-            serde_json::from_slice(&body).map_err(|e| io::Error::other(format!("no list: {e}")))?;
-        Ok(Heard {
+        let timeouts = self.deadlines.timeouts(kind);
+        calls.push(DiscoveryCall::begin(
+            &self.address,
+            connection,
+            kind,
+            timeouts,
+        )?);
+        calls.drain(..calls.len().saturating_sub(MAX_CALLS));
+        let AnsweredCall { call, response } = first_response(calls)?;
+        let list = serde_json::from_slice(&response.body).map_err(PollError::InvalidList)?;
+        Ok(PollResponse {
             list,
-            from: call.from,
-            line: keep.then(|| call.line()),
+            since: call.kind.since(),
+            connection: response.reusable.then(|| call.into_connection()),
         })
     }
-}
-
-impl EndpointListStore {
-    fn take(&mut self, from: SocketAddr, list: List) -> u64 {
-        self.book.take(from, list.rev, list.all, &list.targets);
-        // No news: the core need not be told of every call.
-        if !list.all && list.targets.is_empty() {
-            return list.rev;
-        }
-        // Names come and go all day: those that the list no longer holds are forgotten with it.
-        let named: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
-        self.ids
-            .retain(|uid, _| !list.all || named.contains(uid.as_str()));
-        let left = |t: &&DiscoveredEndpoint| t.state == "left";
-        let gone: Vec<String> = list
-            .targets
-            .iter()
-            .filter(left)
-            .map(|t| t.uid.clone())
-            .collect();
-        let members = list
-            .targets
-            .into_iter()
-            .filter_map(|t| self.member(t))
-            .collect();
-        self.ids.retain(|uid, _| !gone.contains(uid));
-        let _ = self.events.send(Event::EndpointList {
-            complete: list.all,
-            members,
-        });
-        list.rev
-    }
 
-    #[allow(clippy::cast_possible_truncation)]
-    fn member(&mut self, target: DiscoveredEndpoint) -> Option<ListedEndpoint> {
-        let state = match target.state.as_str() {
-            "active" => EndpointState::Ready,
-            "leaving" => EndpointState::Draining,
-            "left" => EndpointState::Removed,
-            other => {
-                tracing::warn!("discovery: {} has the unknown state {other:?}", target.uid);
-                return None;
-            }
+    /// Takes a list from discovery; returns the version that was reached.
+    fn apply(&self, address: SocketAddr, list: ListResponse) -> Result<u64, PollError> {
+        let has_changes = list.has_changes();
+        let mut store = lock(&self.store);
+        let Some(version) = store.apply_discovered(address, list) else {
+            return Err(PollError::OlderThanForwarded);
         };
-        let name = Arc::from(target.uid.as_str());
-        let place = |all: &[String], name: &str| {
-            all.iter()
-                .position(|n| n == name)
-                .map_or(u8::MAX, |n| n as u8)
-        };
-        Some(ListedEndpoint {
-            entry: EndpointRecord {
-                zone: ZoneId(place(&self.site.zones, &target.az)),
-                kind: KindId(place(&self.site.kinds, &target.model)),
-                endpoint: self.id(target.uid),
-                group: GroupId(target.pod_group),
-                weight: target.capacity_hint,
-                started: (target.boot_ms > 0.0).then(|| place_ms(self.clock, target.boot_ms)),
-                primary: target.mode == "read-write",
-                state,
-            },
-            name,
-            address: Arc::from(target.endpoint),
-        })
+        store.set_confirmed(self.clock.now());
+        let changed = has_changes.then(|| store.cache().clone());
+        drop(store);
+        if let Some(changed) = changed {
+            (self.on_changed)(changed);
+        }
+        Ok(version)
     }
 
-    /// The same number for the same uid at every gateway, but where two fall together.
-    fn id(&mut self, uid: String) -> EndpointId {
-        if let Some(id) = self.ids.get(&uid) {
-            return *id;
-        }
-        let mut id = number(&uid);
-        while self.ids.values().any(|known| *known == id) {
-            id = EndpointId(id.0.wrapping_add(1));
+    /// Pauses between a call that failed and the next one.
+    fn pause_after_failure(
+        &mut self,
+        address: SocketAddr,
+        error: &PollError,
+        began_at: Instant,
+        kind: CallKind,
+    ) {
+        // An agent that is late has been waited for, and calls to it cost nothing.
+        if self.source == DiscoverySource::Agent && error.is_timeout() {
+            return;
         }
-        self.ids.insert(uid, id);
-        id
+        // The next call has to begin early enough for changes from before this call began, and from before it failed.
+        let max_interval = duration(self.deadlines.max_call_interval);
+        let after_wait = kind.max_wait() + duration(TOLD_AFTER_WAIT) / 2;
+        let latest = began_at + max_interval.max(after_wait);
+        let left = latest
+            .saturating_duration_since(Instant::now())
+            .min(max_interval);
+        let left = Span(i64::try_from(left.as_micros()).unwrap_or(i64::MAX));
+        let pause = self.backoff.failed_within(left);
+        self.address.pause(address, duration(pause));
     }
 }
--- a/crates/net/src/discovery/watch.rs
+++ b/crates/net/src/discovery/watch.rs
@@ -1,4 +1,6 @@
-//! Calls to discovery: several may be out at once, and the first that is answered counts.
+//! Calls to discovery. Several may be in flight at once, each on a connection of its own; the first response counts.
+//!
+//! All calls of a poller are driven by its one thread. State: a call's unsent request, and what of its response has arrived.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,62 +11,82 @@
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::http::{self, Answer};
+use super::error::PollError;
+use super::http::{self, Response, Sending};
 use crate::lock;
 
-/// Where discovery answers, and the connection of the last call to it: a new address ends it at once, and a rest too.
-pub struct Place(Mutex<(SocketAddr, Option<Arc<TcpStream>>)>, Condvar);
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-impl Place {
+/// Where discovery is. A change of the address ends the latest call and any pause at once.
+pub struct DiscoveryAddress {
+    state: Mutex<AddressState>,
+    changed: Condvar,
+}
+
+struct AddressState {
+    address: SocketAddr,
+    /// The connection of the latest call.
+    latest: Option<Arc<TcpStream>>,
+}
+
+impl DiscoveryAddress {
+    /// Discovery is at this address for now.
     pub const fn new(address: SocketAddr) -> Self {
-        Self(Mutex::new((address, None)), Condvar::new())
+        Self {
+            state: Mutex::new(AddressState {
+                address,
+                latest: None,
+            }),
+            changed: Condvar::new(),
+        }
     }
 
-    pub(crate) fn address(&self) -> SocketAddr {
-        lock(&self.0).0
+    pub(super) fn current(&self) -> SocketAddr {
+        lock(&self.state).address
     }
 
-    /// Takes the watch elsewhere; the list that is held goes on to hold.
+    /// Polls another address from now on; the cached endpoint list stays in use until that answers.
     pub fn set(&self, address: SocketAddr) {
-        let mut held = lock(&self.0);
-        if held.0 != address {
-            held.0 = address;
-            held.1
-                .take()
-                .into_iter()
-                .for_each(|line| drop(line.shutdown(Shutdown::Both)));
-            self.1.notify_all();
+        let mut state = lock(&self.state);
+        if state.address == address {
+            return;
+        }
+        state.address = address;
+        if let Some(latest) = state.latest.take() {
+            let _ = latest.shutdown(Shutdown::Both);
         }
+        self.changed.notify_all();
     }
 
-    /// Waits, for as long as discovery stays at this address.
-    pub(crate) fn rest(&self, address: SocketAddr, pause: Duration) {
+    /// Pauses for as long as discovery stays at this address.
+    pub(super) fn pause(&self, address: SocketAddr, pause: Duration) {
+        let unchanged = |state: &mut AddressState| state.address == address;
         drop(
-            self.1
-                .wait_timeout_while(lock(&self.0), pause, |held| held.0 == address),
+            self.changed
+                .wait_timeout_while(lock(&self.state), pause, unchanged),
         );
     }
 
-    /// Has a new address end this connection.
-    fn ends(&self, line: &Line) -> io::Result<()> {
-        let mut held = lock(&self.0);
-        if held.0 != line.address {
-            return Err(io::Error::other("discovery has moved"));
+    /// Lets a change of the address end this connection.
+    fn track(&self, connection: &DiscoveryConnection) -> Result<(), PollError> {
+        let mut state = lock(&self.state);
+        if state.address != connection.address {
+            return Err(PollError::Moved);
         }
-        held.1 = Some(Arc::clone(&line.stream));
+        state.latest = Some(Arc::clone(&connection.stream));
         Ok(())
     }
 }
 
-/// A connection to discovery, which may not be up yet.
-pub(crate) struct Line {
+/// A connection to discovery, which may not be established yet.
+pub(super) struct DiscoveryConnection {
     address: SocketAddr,
     stream: Arc<TcpStream>,
 }
 
-impl Line {
-    /// Begins to connect and does not wait: a connect that hangs is given up like a call that does.
-    pub(crate) fn connect(address: SocketAddr) -> io::Result<Self> {
+impl DiscoveryConnection {
+    /// Begins to connect and does not wait: a connect that hangs is abandoned like a call that does.
+    pub(super) fn connect(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
             Type::STREAM,
@@ -81,103 +103,131 @@
         }
     }
 
-    pub(crate) fn leads_to(&self, address: SocketAddr) -> bool {
+    pub(super) fn is_to(&self, address: SocketAddr) -> bool {
         self.address == address
     }
 }
 
-/// How long a call is waited for, counted from the end of the wait that it asks for.
+/// How long a call is waited for, counted from the end of the wait that it asks discovery for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CallTimeouts {
-    /// Without a byte for so long it is late: the next one may go out beside it.
-    pub late: Duration,
-    /// It is late after so long also where the answer goes on to come in pieces.
-    pub pieces: Duration,
-    /// The whole of it is given up then.
-    pub end: Duration,
+pub(super) struct CallTimeouts {
+    /// Without a further byte for this long the call is late: the next one may begin beside it.
+    pub stalled: Duration,
+    /// The call is late after this long also while its response trickles in.
+    pub trickling: Duration,
+    /// The call is abandoned.
+    pub total: Duration,
 }
 
-/// A call that is out.
-pub(crate) struct Call {
-    line: Line,
-    /// The version it asks from; none where it asks for the whole list.
-    pub from: Option<u64>,
-    /// What has yet to be written.
-    request: Vec<u8>,
-    /// What of the answer has come, and when the last of it did.
-    bytes: Vec<u8>,
-    came: Option<Instant>,
+/// What a call asks for.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum CallKind {
+    /// The complete list.
+    CompleteList,
+    /// Changes since a version; discovery may wait this long for one.
+    Changes { since: u64, max_wait: Duration },
+}
+
+impl CallKind {
+    pub(super) const fn since(self) -> Option<u64> {
+        match self {
+            Self::CompleteList => None,
+            Self::Changes { since, .. } => Some(since),
+        }
+    }
+
+    pub(super) const fn max_wait(self) -> Duration {
+        match self {
+            Self::CompleteList => Duration::ZERO,
+            Self::Changes { max_wait, .. } => max_wait,
+        }
+    }
+
+    fn path(self) -> String {
+        match self {
+            Self::CompleteList => "/v1/servers".to_owned(),
+            Self::Changes { since, max_wait } => {
+                format!("/v1/servers?from={since}&hold_ms={}", max_wait.as_millis())
+            }
+        }
+    }
+}
+
+/// A call in flight.
+pub(super) struct DiscoveryCall {
+    connection: DiscoveryConnection,
+    pub kind: CallKind,
+    unsent: Vec<u8>,
+    received: Vec<u8>,
+    last_received_at: Option<Instant>,
     /// When the wait that it asks for is over.
     due: Instant,
     timeouts: CallTimeouts,
 }
 
-impl Call {
-    /// Asks on this line from a version on, for as long as it may wait for news; or for the whole list.
-    pub(crate) fn begin(
-        place: &Place,
-        line: Line,
-        from: Option<u64>,
-        hold: Duration,
+impl DiscoveryCall {
+    /// Begins a call on this connection.
+    pub(super) fn begin(
+        discovery: &DiscoveryAddress,
+        connection: DiscoveryConnection,
+        kind: CallKind,
         timeouts: CallTimeouts,
-    ) -> io::Result<Self> {
-        place.ends(&line)?;
-        let path = match from {
-            None => "/v1/servers".to_owned(),
-            Some(rev) => format!("/v1/servers?from={rev}&hold_ms={}", hold.as_millis()),
-        };
-        let host = line.address;
+    ) -> Result<Self, PollError> {
+        discovery.track(&connection)?;
+        let path = kind.path();
+        let host = connection.address;
         let request =
             format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
-        let due = Instant::now() + if from.is_some() { hold } else { Duration::ZERO };
         Ok(Self {
-            line,
-            from,
-            request: request.into_bytes(),
-            bytes: vec![],
-            came: None,
-            due,
+            connection,
+            kind,
+            unsent: request.into_bytes(),
+            received: vec![],
+            last_received_at: None,
+            due: Instant::now() + kind.max_wait(),
             timeouts,
         })
     }
 
-    pub(crate) fn leads_to(&self, address: SocketAddr) -> bool {
-        self.line.leads_to(address)
+    pub(super) fn is_to(&self, address: SocketAddr) -> bool {
+        self.connection.is_to(address)
     }
 
-    /// The connection, to be used again.
-    pub(crate) fn line(self) -> Line {
-        self.line
+    /// The connection, for the next call.
+    pub(super) fn into_connection(self) -> DiscoveryConnection {
+        self.connection
     }
 
-    /// From when on it is late, if nothing more comes.
+    /// When the call is late, if nothing more arrives.
     fn late_at(&self) -> Instant {
-        let late = self.due + self.timeouts.late;
-        let pieces = self
-            .came
-            .map(|came| (came + self.timeouts.late).min(self.due + self.timeouts.pieces));
-        pieces.map_or(late, |pieces| pieces.max(late))
+        let silent_until = self.due + self.timeouts.stalled;
+        let Some(received_at) = self.last_received_at else {
+            return silent_until;
+        };
+        let stalled_at = received_at + self.timeouts.stalled;
+        let trickling_until = self.due + self.timeouts.trickling;
+        stalled_at.min(trickling_until).max(silent_until)
     }
 
-    fn ends_at(&self) -> Instant {
-        self.due + self.timeouts.end
+    fn abandoned_at(&self) -> Instant {
+        self.due + self.timeouts.total
     }
 
-    fn waits_for(&self) -> PollFd<'_> {
-        let flags = if self.request.is_empty() {
+    fn poll_fd(&self) -> PollFd<'_> {
+        let flags = if self.unsent.is_empty() {
             PollFlags::IN
         } else {
             PollFlags::OUT
         };
-        PollFd::new(&*self.line.stream, flags)
+        PollFd::new(&*self.connection.stream, flags)
     }
 
-    /// Writes and reads what goes at once.
-    fn go_on(&mut self) -> io::Result<Option<Answer>> {
-        if !self.request.is_empty() {
+    /// Writes and reads as far as it goes without blocking.
+    fn advance(&mut self) -> Result<Option<Response>, PollError> {
+        if !self.unsent.is_empty() {
             self.write()?;
         }
-        if self.request.is_empty() {
+        if self.unsent.is_empty() {
             self.read()
         } else {
             Ok(None)
@@ -185,110 +235,126 @@
     }
 
     fn write(&mut self) -> io::Result<()> {
-        if let Some(e) = self.line.stream.take_error()? {
+        if let Some(e) = self.connection.stream.take_error()? {
             return Err(e);
         }
-        match (&*self.line.stream).write(&self.request) {
-            Ok(written) => drop(self.request.drain(..written)),
-            Err(e)
-                if matches!(
-                    e.kind(),
-                    io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
-                ) => {}
+        match (&*self.connection.stream).write(&self.unsent) {
+            Ok(written) => drop(self.unsent.drain(..written)),
+            Err(e) if would_block(&e) || e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
         Ok(())
     }
 
-    fn read(&mut self) -> io::Result<Option<Answer>> {
-        let mut some = [0; 16 * 1024];
-        let mut spoilt = None;
-        let ended = loop {
-            match (&*self.line.stream).read(&mut some) {
-                Ok(0) => break true,
+    fn read(&mut self) -> Result<Option<Response>, PollError> {
+        let received = self.receive();
+        let sending = match received {
+            Ok(sending) => sending,
+            Err(_) => Sending::Open,
+        };
+        let response = http::parse_response(&self.received, sending).map_err(PollError::Http)?;
+        // A reset ends no response, but one that was complete before it counts.
+        match (response, received) {
+            (response, Ok(_)) => Ok(response),
+            (Some(response), Err(_)) => Ok(Some(Response {
+                reusable: false,
+                ..response
+            })),
+            (None, Err(e)) => Err(e.into()),
+        }
+    }
+
+    /// Reads what has arrived.
+    fn receive(&mut self) -> io::Result<Sending> {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        loop {
+            match (&*self.connection.stream).read(&mut buffer) {
+                Ok(0) => return Ok(Sending::Ended),
                 Ok(count) => {
-                    self.bytes.extend_from_slice(&some[..count]);
-                    self.came = Some(Instant::now());
-                    if count < some.len() || http::is_too_long(&self.bytes) {
-                        break false;
+                    self.received.extend_from_slice(&buffer[..count]);
+                    self.last_received_at = Some(Instant::now());
+                    if count < buffer.len() || http::is_too_long(&self.received) {
+                        return Ok(Sending::Open);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break false,
-                Err(e) => {
-                    spoilt = Some(e);
-                    break false;
-                }
+                Err(e) if would_block(&e) => return Ok(Sending::Open),
+                Err(e) => return Err(e),
             }
-        };
-        // An answer that was whole by its own word before a reset is whole; a reset is no end of any other.
-        match (
-            http::answer(&self.bytes, ended).map_err(io::Error::other)?,
-            spoilt,
-        ) {
-            (Some(answer), None) => Ok(Some(answer)),
-            (Some(answer), Some(_)) => Ok(Some(Answer {
-                keep: false,
-                ..answer
-            })),
-            (None, Some(e)) => Err(e),
-            (None, None) => Ok(None),
         }
     }
 }
 
-/// Waits until one of these calls is answered, or until the last of them has failed (and is gone) or is late.
+fn would_block(error: &io::Error) -> bool {
+    error.kind() == io::ErrorKind::WouldBlock
+}
+
+/// A call that was answered.
+pub(super) struct AnsweredCall {
+    pub call: DiscoveryCall,
+    pub response: Response,
+}
+
+/// Waits until one of these calls is answered, or until the last of them has failed or is late. Calls that have failed or are
+/// abandoned are removed.
 ///
 /// # Errors
-/// Of the last one: what it failed of, or that it is late.
-pub(crate) fn first(out: &mut Vec<Call>) -> io::Result<(Call, Answer)> {
+/// Why the last call failed, or that it is late.
+pub(super) fn first_response(calls: &mut Vec<DiscoveryCall>) -> Result<AnsweredCall, PollError> {
     loop {
-        // From the last on, so that the places of those before it stay as they are.
-        let ready = ready(out)?;
-        let mut failed = None;
-        for at in (0..ready.len()).rev().filter(|at| ready[*at]) {
-            match out[at].go_on() {
+        let ready = wait_until_ready(calls)?;
+        let mut last_failure = None;
+        // From the last on: removing a call leaves the indices of those before it as they are.
+        for index in (0..ready.len()).rev() {
+            if !ready[index] {
+                continue;
+            }
+            match calls[index].advance() {
                 Ok(None) => {}
-                Ok(Some(answer)) => return Ok((out.remove(at), answer)),
+                Ok(Some(response)) => {
+                    let call = calls.remove(index);
+                    return Ok(AnsweredCall { call, response });
+                }
                 Err(e) => {
-                    out.remove(at);
-                    failed = failed.or((at + 1 == ready.len()).then_some(e));
+                    calls.remove(index);
+                    let is_last = index + 1 == ready.len();
+                    if is_last {
+                        last_failure = Some(e);
+                    }
                 }
             }
         }
-        if let Some(e) = failed {
+        if let Some(e) = last_failure {
             return Err(e);
         }
         let now = Instant::now();
-        let late = out.last().is_none_or(|last| last.late_at() <= now);
-        out.retain(|call| call.ends_at() > now);
-        if late {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, "no answer"));
+        let is_late = calls.last().is_none_or(|last| last.late_at() <= now);
+        calls.retain(|call| call.abandoned_at() > now);
+        if is_late {
+            return Err(PollError::NoResponse);
         }
     }
 }
 
-/// Waits until one of these calls can go on, until the last is late, or until one is to be given up: which can go on.
-fn ready(out: &[Call]) -> io::Result<Vec<bool>> {
-    let until = out
-        .iter()
-        .map(Call::ends_at)
-        .chain(out.last().map(Call::late_at))
+/// Waits until one of these calls can advance, the last is late, or one is to be abandoned; returns for each call whether it
+/// can advance.
+fn wait_until_ready(calls: &[DiscoveryCall]) -> io::Result<Vec<bool>> {
+    let abandoned_at = calls.iter().map(DiscoveryCall::abandoned_at);
+    let until = abandoned_at
+        .chain(calls.last().map(DiscoveryCall::late_at))
         .min();
-    let mut lines: Vec<PollFd<'_>> = out.iter().map(Call::waits_for).collect();
+    let mut sockets: Vec<PollFd<'_>> = calls.iter().map(DiscoveryCall::poll_fd).collect();
     loop {
-        let left = until.map_or(Duration::ZERO, |at| {
-            at.saturating_duration_since(Instant::now())
+        let left = until.map_or(Duration::ZERO, |until| {
+            until.saturating_duration_since(Instant::now())
         });
-        let left = Timespec::try_from(left).unwrap_or_default();
-        match poll(&mut lines, Some(&left)) {
+        let timeout = Timespec::try_from(left).unwrap_or_default();
+        match poll(&mut sockets, Some(&timeout)) {
             Ok(_) => {
-                return Ok(lines
-                    .iter()
-                    .map(|line| !line.revents().is_empty())
-                    .collect());
+                let is_ready = |socket: &PollFd<'_>| !socket.revents().is_empty();
+                return Ok(sockets.iter().map(is_ready).collect());
             }
-            // As after a stop of the process: what has come meanwhile is looked for before anything counts as late.
+            // Also after the process was stopped: what has arrived meanwhile is read before a call counts as late.
             Err(Errno::INTR) => {}
             Err(e) => return Err(e.into()),
         }
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -21,7 +21,7 @@
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::peers as lists;
 
-use crate::discovery::poller::EndpointListStore;
+use crate::discovery::EndpointListStore;
 use crate::lock;
 
 /// Bytes of a datagram at the most.
@@ -234,7 +234,7 @@
 
     /// Whoever holds no list asks others for theirs.
     fn ask_for_lists(&self) {
-        let wants = |n: usize| lock(&self.takers[n].1).held().0.told.is_none();
+        let wants = |n: usize| lock(&self.takers[n].1).cache().told.is_none();
         let mut out = vec![];
         lock(&self.asks).tick(now(), wants, || self.living(), &mut out);
         self.carry_out_lists(out);
@@ -244,8 +244,8 @@
         let mut out = vec![];
         let held: Vec<_> = self.takers.iter().map(|(_, taker)| lock(taker)).collect();
         let tells = |n: usize| {
-            let (book, confirmed) = held.get(n)?.held();
-            Some((book, held[n].age(confirmed?)))
+            let store = held.get(n)?;
+            Some((store.cache(), store.confirmation_age()?))
         };
         lock(&self.asks).receive(now(), from, said, tells, &mut out);
         drop(held);
@@ -263,7 +263,7 @@
                 } => {
                     let (name, taker) = &self.takers[front];
                     let count = listed.len();
-                    if lock(taker).guess(listed, told) {
+                    if lock(taker).apply_unconfirmed(listed, told) {
                         tracing::info!(
                             "peers: front {name}: {count} servers at version {} from another gateway",
                             told.1
@@ -314,7 +314,7 @@
                         // The clock by which lists are dated may have stood still too.
                         self.takers
                             .iter()
-                            .for_each(|(_, taker)| lock(taker).doubt());
+                            .for_each(|(_, taker)| lock(taker).forget_confirmation());
                     }
                     say(note);
                 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -5,6 +5,7 @@
 #![expect(missing_docs, reason = "not yet split and documented")]
 
 pub mod clients;
+mod clock;
 pub mod connection_limits;
 pub mod discovery;
 mod event_loop;
@@ -14,7 +15,8 @@
 pub mod signals;
 pub mod upstream;
 
-pub use event_loop::{Clock, run};
+pub use clock::Clock;
+pub use event_loop::{LoopControl, TurnStep, run};
 
 use std::io;
 use std::sync::Mutex;
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -2,4 +2,4 @@
 
 mod connection;
 
-pub use connection::{Begin, EndpointPools, Protocol, Upstream, place_ms};
+pub use connection::{Begin, EndpointPools, Protocol, Upstream};
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -361,11 +361,13 @@
                 let _ = self.events.send(Event::ClockCorrected(by));
             }
         };
-        let answered = reply.position.map(|at| self.clock.unix_by_wall_clock(at));
+        let answered = reply
+            .position
+            .map(|at| self.clock.uncorrected_unix_micros(at));
         let reported = reply
             .report
             .and_then(|report| report.position)
-            .map(|at| self.clock.unix_by_wall_clock(at));
+            .map(|at| self.clock.uncorrected_unix_micros(at));
         if let Some(unix) = answered {
             let primary = reply.role == Some(Role::Primary);
             observe(
@@ -456,9 +458,3 @@
     let waits = matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
     waits && stream.set_nonblocking(false).is_ok()
 }
-
-/// A position or a start that a server told in Unix milliseconds.
-#[allow(clippy::cast_possible_truncation)]
-pub fn place_ms(clock: Clock, unix_ms: f64) -> Time {
-    clock.place((unix_ms * 1000.0).floor() as i64)
-}
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,15 +1,15 @@
-//! Answers over HTTP, whole and in the middle, in all the forms of RFC 9112 that a server may choose.
+//! HTTP responses, complete and incomplete, in all the forms of RFC 9112 that a server may choose.
 
-use valehatch_net::discovery::http::{Answer, answer};
+use valehatch_net::discovery::http::{HttpError, Response, Sending, parse_response};
 
-fn whole(body: &str, keep: bool) -> Result<Option<Answer>, String> {
-    Ok(Some(Answer {
+fn complete(body: &str, reusable: bool) -> Result<Option<Response>, HttpError> {
+    Ok(Some(Response {
         body: body.into(),
-        keep,
+        reusable,
     }))
 }
 
-/// Answers that tell their own end, and whether their connection can be used again.
+/// Responses whose end does not depend on the connection's, and whether the connection is reusable.
 const FRAMED: [(&str, &str, bool); 14] = [
     (
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -80,53 +80,65 @@
 ];
 
 #[test]
-fn an_answer_is_whole_at_its_last_byte_and_not_before() {
-    for (text, body, keep) in FRAMED {
+fn response_is_complete_at_its_last_byte() {
+    for (text, body, reusable) in FRAMED {
         let bytes = text.as_bytes();
         for end in 0..bytes.len() {
-            assert_eq!(answer(&bytes[..end], false), Ok(None), "{:?}", &text[..end]);
+            assert_eq!(
+                parse_response(&bytes[..end], Sending::Open),
+                Ok(None),
+                "{:?}",
+                &text[..end]
+            );
             assert!(
-                answer(&bytes[..end], true).is_err(),
-                "ended: {:?}",
+                parse_response(&bytes[..end], Sending::Ended).is_err(),
+                "connection closed: {:?}",
                 &text[..end]
             );
         }
-        assert_eq!(answer(bytes, false), whole(body, keep), "{text:?}");
         assert_eq!(
-            answer(bytes, true),
-            whole(body, false),
-            "an end behind it: {text:?}"
+            parse_response(bytes, Sending::Open),
+            complete(body, reusable),
+            "{text:?}"
+        );
+        assert_eq!(
+            parse_response(bytes, Sending::Ended),
+            complete(body, false),
+            "connection closed after it: {text:?}"
         );
     }
 }
 
 #[test]
-fn what_stands_behind_an_answer_is_not_read_as_the_next_ones_beginning() {
+fn bytes_after_response_make_connection_unusable() {
     for (text, body, _) in FRAMED {
         assert_eq!(
-            answer(&[text.as_bytes(), b"x"].concat(), false),
-            whole(body, false),
+            parse_response(&[text.as_bytes(), b"x"].concat(), Sending::Open),
+            complete(body, false),
             "{text:?}"
         );
     }
 }
 
 #[test]
-fn without_a_length_only_the_regular_end_of_the_connection_is_the_end() {
+fn response_without_length_ends_with_connection() {
     let text = b"HTTP/1.1 200 OK\r\n\r\n{\"rev\":1}";
-    assert_eq!(answer(text, false), Ok(None));
-    assert_eq!(answer(text, true), whole("{\"rev\":1}", false));
+    assert_eq!(parse_response(text, Sending::Open), Ok(None));
+    assert_eq!(
+        parse_response(text, Sending::Ended),
+        complete("{\"rev\":1}", false)
+    );
     assert_eq!(
-        answer(
+        parse_response(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nx",
-            false
+            Sending::Open
         ),
         Ok(None)
     );
 }
 
 #[test]
-fn what_is_no_answer_is_an_error() {
+fn invalid_response_is_an_error() {
     let chunked =
         |rest: &str| format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{rest}");
     let sized = |length: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\nhello");
@@ -152,7 +164,7 @@
         "x".repeat(3 * 1024 * 1024),
     ];
     for case in cases {
-        let read = answer(case.as_bytes(), false);
+        let read = parse_response(case.as_bytes(), Sending::Open);
         assert!(read.is_err(), "{:?}: {read:?}", &case[..case.len().min(90)]);
     }
 }
--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -14,7 +14,6 @@
 use valehatch_net::clients::{
     NextInput, RequestHandler, RequestReader, Session, SessionProgress, SessionStatus,
 };
-use valehatch_net::upstream::place_ms;
 
 /// How the platform's clients are spoken with.
 pub struct Front {
@@ -114,7 +113,7 @@
             repeat: value("r") == Some("1"),
             last_write_at: value("after")
                 .and_then(|a| a.parse().ok())
-                .map(|ms| place_ms(self.clock, ms)),
+                .map(|ms| self.clock.at_unix_ms(ms)),
             client,
             payload: Arc::new(Payload {
                 bytes: query.to_vec(),
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -49,9 +49,10 @@
     /// A position in Unix milliseconds. Whether it can be true is judged by who knows when it was asked for.
     #[allow(clippy::cast_possible_truncation)]
     fn position(&self, ms: f64) -> Option<Time> {
-        POSITIONS_MS
-            .contains(&ms)
-            .then(|| self.clock.by_wall_clock((ms * 1_000.0).floor() as i64))
+        POSITIONS_MS.contains(&ms).then(|| {
+            self.clock
+                .at_uncorrected_unix_micros((ms * 1_000.0).floor() as i64)
+        })
     }
 
     /// Reads up to ReadyForQuery. What does not fit, in itself or in its place, spoils the answer: it may have
