--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -105,7 +105,7 @@
             other
                 .get()
                 .into_iter()
-                .for_each(|upgrade| upgrade.pass(book.encode()))
+                .for_each(|upgrade| upgrade.forward_list(book.encode()))
         });
     let meets = crate::upgrade::path(listen);
     let begin = crate::upgrade::begin(meets.as_ref(), &name, listen)?;
@@ -147,7 +147,7 @@
         // The other process is told at once, by what is held under the new address: this one may end before that answers.
         let mut book = valehatch_net::lock(&holds).cache().clone();
         book.told = Some((at, 0));
-        upgrade.pass(book.encode());
+        upgrade.forward_list(book.encode());
     };
     let (events, terminate, board) = (
         inbox.0.clone(),
@@ -232,7 +232,7 @@
         let _ = both.set(upgrade.clone());
         // What discovery told this one before there was a line to pass it on: the other one may hear it seconds later.
         let book = valehatch_net::lock(&taker).cache().encode();
-        upgrade.pass(book);
+        upgrade.forward_list(book);
     }
     // Only now: whoever was told yes may start the next process at once, and that has to find this one.
     told.listens();
--- a/crates/gateway/src/upgrade.rs
+++ b/crates/gateway/src/upgrade.rs
@@ -14,7 +14,9 @@
 use valehatch_net::Clock;
 use valehatch_net::clients::{AddressSharing, BacklogOwner, Clients, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
+use valehatch_net::hot_restart::{
+    HandoffHandle, HandoffHandler, HandoffOutcome, HotRestart, request_handoff,
+};
 use valehatch_recovery::book::EndpointListCache;
 use valehatch_recovery::snapshot::Snapshot;
 
@@ -55,12 +57,14 @@
         }),
         Err(e) => Err(format!("listen: {listen}: {e}")),
     };
-    match path.map_or(HandoffOutcome::Nobody, |path| ask(path, gateway)) {
-        HandoffOutcome::Nobody => own(None, None),
+    match path.map_or(HandoffOutcome::NoProcess, |path| {
+        request_handoff(path, gateway)
+    }) {
+        HandoffOutcome::NoProcess => own(None, None),
         HandoffOutcome::Inherited(handed) => {
             let known = told(&handed.snapshot, gateway);
             let bytes = handed.snapshot.len();
-            let (listener, old) = handed.parts();
+            let (listener, old) = (handed.listener, handed.connection);
             let Some(listener) = listener else {
                 info!("upgrade: the process before is about to end, and handed {bytes} bytes over");
                 return own(known, Some(old));
@@ -75,9 +79,9 @@
         HandoffOutcome::Busy => {
             Err("an upgrade is under way, and two processes are enough for one gateway".into())
         }
-        HandoffOutcome::Silent(why, old) => {
-            warn!("upgrade: nothing was handed over, the start goes on as after a crash: {why}");
-            own(None, old)
+        HandoffOutcome::Failed { error, connection } => {
+            warn!("upgrade: nothing was handed over, the start goes on as after a crash: {error}");
+            own(None, connection)
         }
     }
 }
@@ -97,7 +101,7 @@
 }
 
 impl HandoffHandler for Shares {
-    fn holds(&self) -> ProcessLimits {
+    fn usage(&self) -> ProcessLimits {
         let counts = self.places.counts();
         let descriptors = SPARE + counts.clients + counts.upstream;
         let resident = procfs::process::Process::myself()
@@ -134,9 +138,9 @@
         .encode()
     }
 
-    fn share(&self, room: ProcessLimits, processes: u32) {
+    fn set_limits(&self, room: ProcessLimits, processes: u32) {
         // What is held already is not refused for it: it goes as it rests.
-        let held = room.descriptors.max(self.holds().descriptors);
+        let held = room.descriptors.max(self.usage().descriptors);
         self.places.resize(platform_limits(held));
         self.clients.set_memory_limit(bytes(room.bytes));
         let _ = self.events.send(Event::UpstreamConnectionLimit(connections(
@@ -147,7 +151,7 @@
             .send(Event::GatewayCount(self.routers.saturating_mul(processes)));
     }
 
-    fn hear(&self, list: &[u8]) {
+    fn on_list_forwarded(&self, list: &[u8]) {
         let (Some(taker), Some(book)) = (&self.kept.taker, EndpointListCache::decode(list)) else {
             return;
         };
@@ -163,12 +167,7 @@
         }
     }
 
-    fn leave(&self, left: bool) {
-        let backlog = if left {
-            BacklogOwner::OtherProcess
-        } else {
-            BacklogOwner::ThisProcess
-        };
+    fn stop_accepting(&self, backlog: BacklogOwner) {
         self.clients.stop_accepting(backlog);
         let _ = self.events.send(Event::HandoffStarted);
     }
@@ -189,11 +188,11 @@
     pub(crate) fn serves(self, path: Option<PathBuf>, shares: Shares) -> Option<HandoffHandle> {
         let path = path?;
         let (gateway, whole) = (shares.gateway.clone(), shares.whole);
-        let upgrade = Upgrade {
+        let upgrade = HotRestart {
             path,
             gateway,
             listener: Some(self.listener),
-            whole,
+            total_limits: whole,
         };
         match upgrade.start(self.old, Box::new(shares)) {
             Ok(stops) => Some(stops),
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -350,7 +350,7 @@
         new.program.says("the start goes on as after a crash");
         old.program.0.kill().unwrap();
         old.program.ended();
-        new.program.says("1 process(es), 1024 descriptors");
+        new.program.says("processes=1 descriptors=1024");
     }
 }
 
@@ -363,15 +363,15 @@
         let before = old.program.log().len();
         let mut new = place.start();
         until("it is one of two", || {
-            old.program.log()[before..].contains("2 process(es)")
+            old.program.log()[before..].contains("processes=2")
         });
         new.program.0.kill().unwrap();
         new.program.ended();
         until("it is the only one again", || {
             let log = old.program.log();
             log[before..]
-                .rsplit_once(" process(es)")
-                .is_some_and(|(said, _)| said.ends_with('1'))
+                .rsplit_once(" processes=")
+                .is_some_and(|(_, said)| said.starts_with("1 "))
         });
         let mut client = Client::connect(place.listen);
         assert_eq!(client.ask(&read(1)), Answer::Value("x1".into()));
@@ -391,7 +391,7 @@
     let mut old = place.start();
     let mut new = place.start();
     let third = place.begin();
-    new.program.says("another one is told to ask again");
+    new.program.says("rejected a second hot restart");
     assert!(!third.healthy());
     old.program.terminate();
     assert!(old.program.ended().success());
@@ -401,7 +401,7 @@
     let mut client = Client::connect(place.listen);
     assert_eq!(client.ask(&read(1)), Answer::Value("x1".into()));
     // The first two have gone, so this one has everything.
-    third.program.says("1 process(es), 1024 descriptors");
+    third.program.says("processes=1 descriptors=1024");
 }
 
 /// Under load, with one request that the old process holds open until it is to be answered.
@@ -541,8 +541,8 @@
     fn is_alone(&self) {
         until("it is the only one", || {
             let log = self.program.log();
-            let last = log.lines().rfind(|line| line.contains("process(es)"));
-            last.is_some_and(|line| line.contains("1 process(es), 1024 descriptors"))
+            let last = log.lines().rfind(|line| line.contains("processes="));
+            last.is_some_and(|line| line.contains("processes=1 descriptors=1024"))
         });
     }
 }
@@ -571,7 +571,7 @@
         scene
             .old
             .program
-            .says("the new process takes the connections from here on");
+            .says("the new process accepts connections from now on");
     }
     if end == End::Hung {
         scene.old.hangs();
@@ -603,7 +603,7 @@
         scene.serves_others();
     }
     new.kill();
-    scene.old.program.says("who asked has gone");
+    scene.old.program.says("hot restart peer disconnected");
     scene.old.is_alone();
     scene.serves();
     scene.releases();
@@ -630,12 +630,12 @@
     scene
         .old
         .program
-        .says("the new process takes the connections from here on");
+        .says("the new process accepts connections from now on");
     if end == End::Hung {
         new.hangs();
     }
     new.kill();
-    scene.old.program.says("who asked has gone");
+    scene.old.program.says("hot restart peer disconnected");
     // Nobody takes connections until the next one is there; it need not wait for the old one's end.
     let next = scene.place.start();
     assert!(
@@ -678,7 +678,7 @@
 fn a_new_one_that_ends_before_its_yes_changes_nothing(#[values(End::Killed, End::Hung)] end: End) {
     let mut scene = Scene::begin();
     let line = asks(&scene);
-    scene.old.program.says("2 process(es)");
+    scene.old.program.says("processes=2");
     scene.serves();
     if end == End::Hung {
         // It says nothing, so that nobody else can begin: the platform has to end it.
@@ -689,7 +689,7 @@
         scene.serves();
     }
     drop(line);
-    scene.old.program.says("who asked has gone");
+    scene.old.program.says("hot restart peer disconnected");
     scene.old.is_alone();
     let next = scene.place.start();
     next.program.says("handed its socket over");
@@ -714,7 +714,7 @@
         scene
             .old
             .program
-            .says("the new process takes the connections from here on");
+            .says("the new process accepts connections from now on");
     }
     // Discovery moves; a replica begins to drain, and only the new address says so.
     let primary = scene.place.known.clone();
@@ -846,7 +846,7 @@
     // It has read the configuration, and has to ask again until another one's upgrade is over.
     let other = asks(&scene);
     let new = scene.place.begin();
-    scene.old.program.says("another one is told to ask again");
+    scene.old.program.says("rejected a second hot restart");
     let discovery = scene.moves();
     if who == Told::Old {
         scene.old.program.signal("HUP");
@@ -918,7 +918,7 @@
     let new = place.start();
     old.program.terminate();
     old.program
-        .says("the new process takes the connections from here on");
+        .says("the new process accepts connections from now on");
     let mut id = 1;
     let turned_away = loop {
         id += 1;
@@ -945,7 +945,7 @@
     scene.old.program.terminate();
     // The old one has a request open yet, so the third has to wait, and says yes only once it has gone.
     let third = scene.place.begin();
-    second.program.says("another one is told to ask again");
+    second.program.says("rejected a second hot restart");
     assert!(!third.healthy() && second.healthy());
     scene.serves();
     scene.releases();
@@ -967,7 +967,7 @@
     scene
         .old
         .program
-        .says("the new process takes the connections from here on");
+        .says("the new process accepts connections from now on");
     assert!(
         scene.old.program.0.try_wait().unwrap().is_none(),
         "the old one still has a request open"
@@ -998,7 +998,7 @@
     let old = place.start();
     let mut clients: Vec<_> = (0..20).map(|_| Client::connect(place.listen)).collect();
     let new = place.start();
-    old.program.says("2 process(es), 512 descriptors");
+    old.program.says("processes=2 descriptors=512");
     clients.extend((0..40).map(|_| Client::connect(place.listen)));
     for (id, client) in (1..).zip(&mut clients) {
         client.send(&once(id));
--- /dev/null
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -0,0 +1,387 @@
+//! The side of a hot restart that a serving process has: hands over to its successor, and shares the gateway's limits with its
+//! predecessor and its successor while they live.
+//!
+//! One thread carries out what the state machine says; it alone has the connections to both. Further threads read from the
+//! predecessor, accept successors, and read from each of them.
+
+use std::fs;
+use std::io::{self, ErrorKind, Write};
+use std::mem::{Discriminant, discriminant};
+use std::net::TcpListener;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::thread::sleep;
+use std::time::Duration;
+
+use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
+use valehatch_hot_restart::words::{self, HandoffMessage};
+use valehatch_hot_restart::{
+    HandoffAction, HandoffEvent, HandoffStage, HandoffStateMachine, ProcessLimits,
+};
+
+use super::socket::{invalid_data, receive, send, send_with_listener};
+use super::{HANDOFF_TIMEOUT, HandoffHandler, RETRY_INTERVAL, WRITE_TIMEOUT};
+use crate::clients::BacklogOwner;
+use crate::spawn;
+
+/// How often this process's usage is reported to the state machine.
+const USAGE_INTERVAL: Duration = Duration::from_millis(50);
+/// Successors whose messages are read at once: one, and others that are told to retry.
+const MAX_SUCCESSORS: usize = 4;
+/// Events that may wait for the thread.
+const EVENT_QUEUE: usize = 64;
+
+enum ExporterEvent {
+    StateMachine(HandoffEvent),
+    SuccessorConnected(Successor),
+    /// This process has an endpoint list from discovery.
+    ListDiscovered(Vec<u8>),
+    /// The other process has forwarded one.
+    ListForwarded(Vec<u8>),
+}
+
+struct Successor {
+    peer: u64,
+    connection: UnixStream,
+}
+
+/// A process's part in hot restarts.
+pub struct HotRestart {
+    /// Where the processes of the gateway meet.
+    pub path: PathBuf,
+    /// The gateway's name.
+    pub gateway: String,
+    /// The listening socket, which is handed over, or closed with a planned shutdown.
+    pub listener: Option<TcpListener>,
+    /// The limits of both processes together.
+    pub total_limits: ProcessLimits,
+}
+
+/// Sends events to a running [`HotRestart`].
+#[derive(Clone)]
+pub struct HandoffHandle(Sender<ExporterEvent>);
+
+impl HandoffHandle {
+    /// A planned shutdown has begun. Never blocks.
+    pub fn stop(&self) {
+        let stop = ExporterEvent::StateMachine(HandoffEvent::Stop);
+        let _ = self.0.try_send(stop);
+    }
+
+    /// Forwards an encoded endpoint list from discovery to the other process. Blocks while the queue is full.
+    pub fn forward_list(&self, list: Vec<u8>) {
+        let _ = self.0.send(ExporterEvent::ListDiscovered(list));
+    }
+}
+
+struct Exporter {
+    restart: HotRestart,
+    handler: Box<dyn HandoffHandler>,
+    state_machine: HandoffStateMachine,
+    events: Sender<ExporterEvent>,
+    predecessor: Option<UnixStream>,
+    successor: Option<Successor>,
+    /// Who has the backlog of the listening socket once this process stops accepting.
+    backlog: BacklogOwner,
+    accepts_successors: bool,
+    /// The stage that was logged last.
+    logged_stage: Option<Discriminant<HandoffStage>>,
+}
+
+impl HotRestart {
+    /// Starts the threads. The process serves, and once this returns a successor finds it. `predecessor` is the connection to
+    /// the old process, if there is one; it is told that this one is ready.
+    ///
+    /// # Errors
+    /// The machine has no thread or descriptor.
+    pub fn start(
+        self,
+        predecessor: Option<UnixStream>,
+        handler: Box<dyn HandoffHandler>,
+    ) -> io::Result<HandoffHandle> {
+        let (events, inbox) = bounded(EVENT_QUEUE);
+        let state_machine = HandoffStateMachine::new(self.total_limits, predecessor.is_some());
+        let writer = predecessor
+            .as_ref()
+            .map(UnixStream::try_clone)
+            .transpose()?;
+        if let Some(predecessor) = predecessor {
+            start_reading_predecessor(predecessor, events.clone())?;
+        }
+        let handle = HandoffHandle(events.clone());
+        let mut exporter = Exporter {
+            restart: self,
+            handler,
+            state_machine,
+            events,
+            predecessor: writer,
+            successor: None,
+            backlog: BacklogOwner::ThisProcess,
+            accepts_successors: false,
+            logged_stage: None,
+        };
+        let mut actions = vec![];
+        exporter.state_machine.serves(&mut actions);
+        exporter.carry_out(&mut actions);
+        spawn("handover", move || exporter.run(&inbox))?;
+        Ok(handle)
+    }
+}
+
+/// Tells the predecessor that this process is ready, and reads its messages from then on.
+fn start_reading_predecessor(
+    predecessor: UnixStream,
+    events: Sender<ExporterEvent>,
+) -> io::Result<()> {
+    predecessor.set_read_timeout(None)?;
+    predecessor.set_write_timeout(Some(WRITE_TIMEOUT))?;
+    // Before this process takes over the path: the predecessor takes it back if this process ends.
+    let _ = send(&predecessor, &HandoffMessage::Ready);
+    spawn("handover", move || {
+        while let Ok(message) = receive(&predecessor) {
+            let event = match message {
+                HandoffMessage::List(list) => ExporterEvent::ListForwarded(list),
+                HandoffMessage::Held(holds) => {
+                    ExporterEvent::StateMachine(HandoffEvent::Old { holds, grows: true })
+                }
+                HandoffMessage::Leaves(holds) => ExporterEvent::StateMachine(HandoffEvent::Old {
+                    holds,
+                    grows: false,
+                }),
+                // A predecessor that hung hands over after all: too late.
+                _ => continue,
+            };
+            let _ = events.send(event);
+        }
+        let _ = events.send(ExporterEvent::StateMachine(HandoffEvent::OldGone));
+    })
+}
+
+impl Exporter {
+    fn run(mut self, inbox: &Receiver<ExporterEvent>) {
+        let mut actions = vec![];
+        loop {
+            match inbox.recv_timeout(USAGE_INTERVAL) {
+                Ok(event) => self.on_event(event, &mut actions),
+                Err(RecvTimeoutError::Timeout) => {
+                    let usage = self.handler.usage();
+                    self.state_machine
+                        .take(HandoffEvent::Tick(usage), &mut actions);
+                }
+                Err(RecvTimeoutError::Disconnected) => return,
+            }
+            self.carry_out(&mut actions);
+        }
+    }
+
+    fn on_event(&mut self, event: ExporterEvent, actions: &mut Vec<HandoffAction>) {
+        match event {
+            ExporterEvent::StateMachine(event) => {
+                match event {
+                    // Connections in its backlog would never be accepted if this process kept it open.
+                    HandoffEvent::Stop => self.restart.listener = None,
+                    HandoffEvent::Gone(peer) => {
+                        drop(self.successor.take_if(|successor| successor.peer == peer));
+                    }
+                    HandoffEvent::OldGone => self.predecessor = None,
+                    _ => {}
+                }
+                self.state_machine.take(event, actions);
+            }
+            ExporterEvent::SuccessorConnected(successor) => {
+                self.on_successor(successor, actions);
+            }
+            ExporterEvent::ListDiscovered(list) => self.forward_list(list),
+            ExporterEvent::ListForwarded(list) => self.handler.on_list_forwarded(&list),
+        }
+    }
+
+    fn on_successor(&mut self, successor: Successor, actions: &mut Vec<HandoffAction>) {
+        let peer = successor.peer;
+        let current = self.successor.replace(successor);
+        self.state_machine.take(HandoffEvent::Asked(peer), actions);
+        if !actions.contains(&HandoffAction::TurnAway(peer)) {
+            return;
+        }
+        if let Some(rejected) = std::mem::replace(&mut self.successor, current) {
+            let _ = send(&rejected.connection, &HandoffMessage::Busy);
+        }
+    }
+
+    fn forward_list(&self, list: Vec<u8>) {
+        let message = words::encode(&HandoffMessage::List(list));
+        let successor = self.successor.as_ref().map(|s| &s.connection);
+        for mut peer in self.predecessor.iter().chain(successor) {
+            let _ = peer.write_all(&message);
+        }
+    }
+
+    fn carry_out(&mut self, actions: &mut Vec<HandoffAction>) {
+        for action in std::mem::take(actions) {
+            match action {
+                HandoffAction::Hand(peer) => self.hand_over_or_give_up(peer),
+                HandoffAction::TurnAway(_) => {
+                    tracing::info!("rejected a second hot restart, it may retry");
+                }
+                HandoffAction::Tell { holds, grows, .. } => {
+                    let message = if grows {
+                        HandoffMessage::Held(holds)
+                    } else {
+                        HandoffMessage::Leaves(holds)
+                    };
+                    if let Some(successor) = &self.successor {
+                        let _ = send(&successor.connection, &message);
+                    }
+                }
+                HandoffAction::Share { room, processes } => {
+                    self.log_limits(room, processes);
+                    self.handler.set_limits(room, processes);
+                }
+                HandoffAction::Leave => {
+                    tracing::info!("the new process accepts connections from now on");
+                    self.handler.stop_accepting(self.backlog);
+                }
+                HandoffAction::Own => {
+                    if let Err(e) = self.take_over_path() {
+                        let path = self.restart.path.display();
+                        tracing::warn!(error = %e, %path, "cannot be found by a new process");
+                    }
+                }
+            }
+        }
+    }
+
+    /// Logs limits once a stage; they change with the usage every few milliseconds.
+    fn log_limits(&mut self, limits: ProcessLimits, processes: u32) {
+        let stage = discriminant(&self.state_machine.stage());
+        if self.logged_stage.replace(stage) == Some(stage) {
+            return;
+        }
+        tracing::info!(
+            processes,
+            descriptors = limits.descriptors,
+            memory_mb = limits.bytes >> 20,
+            "hot restart limits"
+        );
+    }
+
+    fn hand_over_or_give_up(&mut self, peer: u64) {
+        if let Err(e) = self.hand_over() {
+            tracing::warn!(error = %e, "handoff failed");
+            let gone = ExporterEvent::StateMachine(HandoffEvent::Gone(peer));
+            let _ = self.events.try_send(gone);
+        }
+    }
+
+    /// Sends the snapshot and the listening socket, unless that is closed, to the successor.
+    fn hand_over(&mut self) -> io::Result<()> {
+        let Some(successor) = &self.successor else {
+            return Err(ErrorKind::NotConnected.into());
+        };
+        let snapshot = self.handler.snapshot().unwrap_or_default();
+        let message = HandoffMessage::Take(snapshot);
+        let listener = self.restart.listener.as_ref();
+        let bytes = send_with_listener(&successor.connection, &message, listener)?;
+        let with_socket = listener.is_some();
+        self.backlog = if with_socket {
+            BacklogOwner::OtherProcess
+        } else {
+            BacklogOwner::ThisProcess
+        };
+        tracing::info!(with_socket, bytes, "handed over to the new process");
+        Ok(())
+    }
+
+    /// Listens under a name of its own, once, and links the path to it in place of the predecessor's.
+    fn take_over_path(&mut self) -> io::Result<()> {
+        let process = std::process::id();
+        let own = self.path_with_suffix(&format!("{process}"));
+        let link = self.path_with_suffix(&format!("{process}-link"));
+        if !self.accepts_successors {
+            let _ = fs::remove_file(&own);
+            let listener = UnixListener::bind(&own)?;
+            let events = self.events.clone();
+            let gateway = self.restart.gateway.clone();
+            spawn("handover", move || {
+                accept_successors(&listener, &gateway, &events);
+            })?;
+            self.accepts_successors = true;
+        }
+        let _ = fs::remove_file(&link);
+        fs::hard_link(&own, &link)?;
+        fs::rename(&link, &self.restart.path)?;
+        // A rename between two links to the same file does nothing and leaves both.
+        let _ = fs::remove_file(&link);
+        Ok(())
+    }
+
+    fn path_with_suffix(&self, suffix: &str) -> PathBuf {
+        let mut path = self.restart.path.clone().into_os_string();
+        path.push(format!(".{suffix}"));
+        PathBuf::from(path)
+    }
+}
+
+/// Accepts successors for as long as the process lives.
+fn accept_successors(listener: &UnixListener, gateway: &str, events: &Sender<ExporterEvent>) {
+    // One reference is held by each thread that reads from a successor.
+    let readers = Arc::new(());
+    for (peer, connection) in (1..).zip(listener.incoming()) {
+        let Ok(connection) = connection else {
+            sleep(RETRY_INTERVAL);
+            continue;
+        };
+        if Arc::strong_count(&readers) > MAX_SUCCESSORS {
+            continue;
+        }
+        let reader = Arc::clone(&readers);
+        let events = events.clone();
+        let gateway = gateway.to_owned();
+        let started = spawn("handover", move || {
+            if let Err(e) = read_successor(peer, &connection, &gateway, &events) {
+                tracing::info!(error = %e, "hot restart peer disconnected");
+            }
+            let gone = ExporterEvent::StateMachine(HandoffEvent::Gone(peer));
+            let _ = events.send(gone);
+            drop(reader);
+        });
+        if started.is_err() {
+            sleep(RETRY_INTERVAL);
+        }
+    }
+}
+
+/// Reads a successor's messages until it disconnects or sends an unexpected one.
+fn read_successor(
+    peer: u64,
+    connection: &UnixStream,
+    gateway: &str,
+    events: &Sender<ExporterEvent>,
+) -> io::Result<()> {
+    connection.set_read_timeout(Some(HANDOFF_TIMEOUT))?;
+    match receive(connection)? {
+        HandoffMessage::Ask(name) if name == gateway => {}
+        HandoffMessage::Ask(name) => return Err(invalid_data(format!("it is gateway {name:?}"))),
+        other => return Err(invalid_data(format!("{other:?} instead of a request"))),
+    }
+    connection.set_read_timeout(None)?;
+    let send_event = |event| {
+        events
+            .send(event)
+            .map_err(|_| io::Error::from(ErrorKind::BrokenPipe))
+    };
+    send_event(ExporterEvent::SuccessorConnected(Successor {
+        peer,
+        connection: connection.try_clone()?,
+    }))?;
+    loop {
+        match receive(connection)? {
+            HandoffMessage::Ready => {
+                send_event(ExporterEvent::StateMachine(HandoffEvent::Ready(peer)))?;
+            }
+            HandoffMessage::List(list) => send_event(ExporterEvent::ListForwarded(list))?,
+            other => return Err(invalid_data(format!("unexpected {other:?}"))),
+        }
+    }
+}
--- /dev/null
+++ b/crates/net/src/hot_restart/importer.rs
@@ -0,0 +1,106 @@
+//! The new process's side of a hot restart, on the thread that starts the gateway.
+
+use std::io::{self, ErrorKind};
+use std::net::TcpListener;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+use valehatch_hot_restart::words::HandoffMessage;
+
+use super::socket::{invalid_data, receive_with_listener, send};
+use super::{HANDOFF_TIMEOUT, RETRY_INTERVAL, WRITE_TIMEOUT};
+
+/// How long a handoff is requested again while another hot restart is under way, which ends within this time.
+const BUSY_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// What the old process has handed over.
+pub struct InheritedState {
+    /// The listening socket; `None` if the old process is ending and has closed it.
+    pub listener: Option<TcpListener>,
+    /// What the old process knows, as a snapshot; may be empty.
+    pub snapshot: Vec<u8>,
+    /// The connection to the old process, for [`super::HotRestart::start`].
+    pub connection: UnixStream,
+}
+
+/// What came of requesting a handoff.
+pub enum HandoffOutcome {
+    /// No old process listens.
+    NoProcess,
+    /// The old process has handed over.
+    Inherited(Box<InheritedState>),
+    /// Another hot restart has been under way for 5 s.
+    Busy,
+    /// There is a process, but it has handed nothing over.
+    Failed {
+        /// Why not.
+        error: io::Error,
+        /// The connection to it, if there is one.
+        connection: Option<UnixStream>,
+    },
+}
+
+enum Reply {
+    HandedOver {
+        listener: Option<TcpListener>,
+        snapshot: Vec<u8>,
+    },
+    Busy,
+}
+
+/// Requests a handoff from the process that listens at this path for the gateway of this name. Blocks for 5 s at the most while
+/// another hot restart is under way, and 1.5 s for each answer.
+pub fn request_handoff(path: &Path, gateway: &str) -> HandoffOutcome {
+    let until = Instant::now() + BUSY_TIMEOUT;
+    loop {
+        let connection = match UnixStream::connect(path) {
+            Ok(connection) => connection,
+            Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
+                return HandoffOutcome::NoProcess;
+            }
+            // A signal for this process, which is handled once the start is complete.
+            Err(e) if e.kind() == ErrorKind::Interrupted && Instant::now() < until => continue,
+            Err(e) => {
+                let error = io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+                return HandoffOutcome::Failed {
+                    error,
+                    connection: None,
+                };
+            }
+        };
+        match request_once(&connection, gateway) {
+            Ok(Reply::HandedOver { listener, snapshot }) => {
+                return HandoffOutcome::Inherited(Box::new(InheritedState {
+                    listener,
+                    snapshot,
+                    connection,
+                }));
+            }
+            Ok(Reply::Busy) if Instant::now() < until => sleep(RETRY_INTERVAL),
+            Ok(Reply::Busy) => return HandoffOutcome::Busy,
+            Err(error) => {
+                return HandoffOutcome::Failed {
+                    error,
+                    connection: Some(connection),
+                };
+            }
+        }
+    }
+}
+
+fn request_once(connection: &UnixStream, gateway: &str) -> io::Result<Reply> {
+    connection.set_read_timeout(Some(HANDOFF_TIMEOUT))?;
+    connection.set_write_timeout(Some(WRITE_TIMEOUT))?;
+    send(connection, &HandoffMessage::Ask(gateway.to_owned()))?;
+    let received = receive_with_listener(connection)?;
+    match received.message {
+        HandoffMessage::Take(snapshot) => Ok(Reply::HandedOver {
+            listener: received.listener,
+            snapshot,
+        }),
+        HandoffMessage::Busy => Ok(Reply::Busy),
+        other => Err(invalid_data(format!("{other:?} instead of a handoff"))),
+    }
+}
