--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -242,7 +242,7 @@
                     connection,
                     client,
                     ticket,
-                } => servers.pass(connection, clients.response_body(client, ticket)),
+                } => servers.forward_body(connection, clients.response_body(client, ticket)),
                 Effect::Answer {
                     client,
                     ticket,
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -96,7 +96,7 @@
                     timeout,
                     Arc::clone(&places),
                 )
-                .counting(figures),
+                .count_attempts(figures),
             ),
             places,
             streams: None,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -172,7 +172,11 @@
     );
     let figures = mgmt.map(|_| told.figures(0));
     let verifies = site.settings.stale_read_policy == valehatch_policy::StaleReadPolicy::Serve;
-    let upstream = Box::new(upstream.counting(figures.clone()).verifying(verifies));
+    let upstream = Box::new(
+        upstream
+            .count_attempts(figures.clone())
+            .require_verified_clock(verifies),
+    );
     // What a budget allows is its weight: the platform tells no shares.
     let shares = site
         .settings
--- a/crates/net/src/connection_limits.rs
+++ b/crates/net/src/connection_limits.rs
@@ -1,4 +1,5 @@
-//! A front's descriptors, as its threads share them: [`valehatch_connection_limits`] decides.
+//! The descriptor budget of a front, shared by its threads. [`valehatch_connection_limits`] decides; this adds the lock, the
+//! clock, and the waiting.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,59 +12,60 @@
 
 use crate::{Clock, lock};
 
-/// How often who waits for a place looks again, should nobody give one back.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long a connection to a member waits for a place while clients that idle make way.
-const MEMBER_WAITS: Duration = Duration::from_millis(100);
+/// How long the accepting thread waits for a descriptor before it evicts idle connections again.
+const ADMIT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// How long an upstream connection waits for a descriptor while idle clients are evicted.
+const UPSTREAM_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The places of a front. The lock is held for a moment only, and no other is taken under it.
+/// A front's connection limiter. Its lock is held for moments only, and no other is taken under it.
 pub struct SharedConnectionLimiter {
     clock: Clock,
     limiter: Mutex<ConnectionLimiter>,
+    /// A descriptor was freed, or the limits have changed.
     freed: Condvar,
 }
 
 impl SharedConnectionLimiter {
+    /// A limiter without connections.
     pub fn new(clock: Clock, limits: ConnectionLimits) -> Arc<Self> {
-        let limiter = Mutex::new(ConnectionLimiter::new(limits));
         Arc::new(Self {
             clock,
-            limiter,
+            limiter: Mutex::new(ConnectionLimiter::new(limits)),
             freed: Condvar::new(),
         })
     }
 
-    /// Other limits from now on.
+    /// Replaces the limits. Connections beyond smaller ones are evicted once they are idle.
     pub fn resize(&self, limits: ConnectionLimits) {
         lock(&self.limiter).resize(limits);
         self.freed.notify_all();
     }
 
-    /// Connections of clients, and to members.
+    /// How many connections count against the budget now.
     pub fn counts(&self) -> ConnectionCounts {
         lock(&self.limiter).counts()
     }
 
-    /// Whether one more may be let in; waits a moment if not.
+    /// Whether one more client connection may be accepted; waits a moment for a descriptor if not.
     pub(crate) fn can_admit(&self) -> bool {
         let mut limiter = lock(&self.limiter);
-        let may = limiter.can_admit(self.clock.now());
-        if !may {
+        let admits = limiter.can_admit(self.clock.now());
+        if !admits {
             drop(
                 self.freed
-                    .wait_timeout(limiter, LOOK)
+                    .wait_timeout(limiter, ADMIT_RETRY_INTERVAL)
                     .unwrap_or_else(PoisonError::into_inner),
             );
         }
-        may
+        admits
     }
 
     pub(crate) fn admit(&self, id: u64, now: Time) {
         lock(&self.limiter).admit(now, id);
     }
 
-    pub(crate) fn set_activity(&self, id: u64, doing: ConnectionActivity, since: Time) {
-        lock(&self.limiter).set_activity(id, doing, since);
+    pub(crate) fn set_activity(&self, id: u64, activity: ConnectionActivity, since: Time) {
+        lock(&self.limiter).set_activity(id, activity, since);
     }
 
     pub(crate) fn remove(&self, id: u64) {
@@ -79,21 +81,24 @@
         lock(&self.limiter).decide_request()
     }
 
-    /// A place for a connection to a member, while it is held; none where even those who idle hold too much.
-    pub(crate) fn member(self: &Arc<Self>) -> Option<Member> {
-        let full = |limiter: &mut ConnectionLimiter| !limiter.try_acquire_upstream();
-        let waited = self
+    /// Reserves the descriptor of an upstream connection; waits for one for up to [`UPSTREAM_TIMEOUT`].
+    pub(crate) fn acquire_upstream(self: &Arc<Self>) -> Option<UpstreamSlot> {
+        let is_exhausted = |limiter: &mut ConnectionLimiter| !limiter.try_acquire_upstream();
+        let (_limiter, waited) = self
             .freed
-            .wait_timeout_while(lock(&self.limiter), MEMBER_WAITS, full);
-        let (_heart, waited) = waited.unwrap_or_else(PoisonError::into_inner);
-        (!waited.timed_out()).then(|| Member(Arc::clone(self)))
+            .wait_timeout_while(lock(&self.limiter), UPSTREAM_TIMEOUT, is_exhausted)
+            .unwrap_or_else(PoisonError::into_inner);
+        if waited.timed_out() {
+            return None;
+        }
+        Some(UpstreamSlot(Arc::clone(self)))
     }
 }
 
-/// The place of a connection to a member.
-pub(crate) struct Member(Arc<SharedConnectionLimiter>);
+/// The descriptor of an upstream connection; dropping it gives it back.
+pub(crate) struct UpstreamSlot(Arc<SharedConnectionLimiter>);
 
-impl Drop for Member {
+impl Drop for UpstreamSlot {
     fn drop(&mut self) {
         lock(&self.0.limiter).release_upstream();
         self.0.freed.notify_all();
--- /dev/null
+++ b/crates/net/src/upstream/pool.rs
@@ -0,0 +1,107 @@
+//! Upstream connections that carry one request at a time, by the core's ids.
+//!
+//! Used by the core's thread only; each job runs on a thread of its own. State: one [`UpstreamConnection`] for each connection
+//! that the core has.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crossbeam_channel::Sender;
+use valehatch_core::{ConnectionId, Event, UpstreamJob, UpstreamReply};
+use valehatch_policy::Outcome;
+use valehatch_request_log::OutcomeMetrics;
+
+use super::connection::{UpstreamConnection, UpstreamContext};
+use super::{Protocol, Upstream};
+use crate::clients::ResponseBody;
+use crate::connection_limits::SharedConnectionLimiter;
+use crate::{Clock, spawn};
+
+/// The upstream connections of a front.
+pub struct EndpointPools {
+    context: Arc<UpstreamContext>,
+    connections: HashMap<ConnectionId, Arc<UpstreamConnection>>,
+}
+
+impl EndpointPools {
+    /// Pools without connections. `connect_timeout` is for connecting and the protocol's handshake together.
+    pub fn new(
+        protocol: Arc<dyn Protocol>,
+        events: Sender<Event>,
+        clock: Clock,
+        connect_timeout: Duration,
+        limiter: Arc<SharedConnectionLimiter>,
+    ) -> Self {
+        let context = UpstreamContext {
+            protocol,
+            events,
+            clock,
+            connect_timeout,
+            requires_verified_clock: false,
+            metrics: None,
+            limiter,
+        };
+        Self {
+            context: Arc::new(context),
+            connections: HashMap::new(),
+        }
+    }
+
+    /// Whether positions count only once a primary has confirmed this machine's clock: where endpoints do not check the age of
+    /// their own data, nobody else would notice that it is taken for newer than it is.
+    #[must_use]
+    pub fn require_verified_clock(mut self, required: bool) -> Self {
+        Arc::make_mut(&mut self.context).requires_verified_clock = required;
+        self
+    }
+
+    /// Counts attempts whose last byte was written, if there are metrics.
+    #[must_use]
+    pub fn count_attempts(mut self, metrics: Option<Arc<OutcomeMetrics>>) -> Self {
+        Arc::make_mut(&mut self.context).metrics = metrics;
+        self
+    }
+}
+
+impl Upstream for EndpointPools {
+    /// Opens nothing yet: the first job does.
+    fn connect(&mut self, connection: ConnectionId, address: &Arc<str>) {
+        let context = Arc::clone(&self.context);
+        let upstream = UpstreamConnection::new(connection, address, context);
+        self.connections.insert(connection, Arc::new(upstream));
+    }
+
+    /// Runs the job on a thread of the shared ones. An idle connection has none, since a gateway of a large fleet has a
+    /// connection to nearly every endpoint and uses each seldom.
+    fn submit(&mut self, connection: ConnectionId, job: UpstreamJob) {
+        let Some(upstream) = self.connections.get(&connection).map(Arc::clone) else {
+            return;
+        };
+        let Err(e) = spawn("server", move || upstream.run(&job)) else {
+            return;
+        };
+        tracing::warn!(error = %e, "no thread for an upstream connection");
+        // Not `send`: this is the core's own thread, which would wait for itself if its queue is full.
+        let ended = self.context.events.try_send(Event::AttemptEnded {
+            connection,
+            reply: UpstreamReply::bare(Outcome::LocalFailure),
+            reusable: false,
+        });
+        if ended.is_err() {
+            tracing::warn!("the core's queue is full, an attempt ends only by its timeout");
+        }
+    }
+
+    fn forward_body(&mut self, connection: ConnectionId, body: Option<ResponseBody>) {
+        if let Some(upstream) = self.connections.get(&connection) {
+            upstream.forward_body(body);
+        }
+    }
+
+    fn close(&mut self, connection: ConnectionId) {
+        if let Some(upstream) = self.connections.remove(&connection) {
+            upstream.close();
+        }
+    }
+}
--- a/crates/pg/src/servers.rs
+++ b/crates/pg/src/servers.rs
@@ -11,7 +11,7 @@
 use valehatch_core::{UpstreamJob, UpstreamReply};
 use valehatch_net::Clock;
 use valehatch_net::clients::ResponseBody;
-use valehatch_net::upstream::{Begin, Protocol};
+use valehatch_net::upstream::{BodyOpener, Protocol, ReceivedReply};
 
 /// How long an answer that has begun may stand still, while another attempt may still take its place.
 const STALL: Duration = Duration::from_millis(400);
@@ -57,12 +57,12 @@
 
     /// Reads up to ReadyForQuery. What does not fit, in itself or in its place, spoils the answer: it may have
     /// run, nothing of it counts, and its connection is of no further use. A long value goes the way to its client
-    /// that `begin` opens; what spoils the answer from then on ends the client's connection too.
+    /// that `open_body` opens; what spoils the answer from then on ends the client's connection too.
     fn read(
         &self,
         from: &mut BufReader<Answer>,
         job: &UpstreamJob,
-        begin: Begin,
+        open_body: BodyOpener,
     ) -> (UpstreamReply, bool) {
         let spoilt = |what: &str| {
             tracing::warn!("a database's answer is spoilt: {what}");
@@ -82,7 +82,7 @@
                     if !described || row.is_some() || failed {
                         return spoilt("a long row out of place");
                     }
-                    match pass_on(from, &std::mem::take(&mut body), length, begin) {
+                    match pass_on(from, &std::mem::take(&mut body), length, open_body) {
                         Ok(opened) => (row, way) = (Some(vec![]), Some(opened)),
                         Err((outcome, what)) => {
                             tracing::warn!("a long answer is not whole: {what}");
@@ -199,7 +199,7 @@
     from: &mut BufReader<Answer>,
     before: &[u8],
     length: usize,
-    begin: Begin,
+    open_body: BodyOpener,
 ) -> Result<Arc<ResponseBody>, (Outcome, String)> {
     let broken = |e: io::Error| (Outcome::Reset, e.to_string());
     let mut head = [0; 6];
@@ -209,7 +209,7 @@
         return Err((Outcome::Error, "a row that is not one column".into()));
     }
     let gone = || (Outcome::Cancelled, "its client has left".to_owned());
-    let way = begin().ok_or_else(gone)?;
+    let way = open_body().ok_or_else(gone)?;
     way.begin(&[before, &pg::head(b'D', length), &head].concat())
         .map_err(|_| gone())?;
     from.get_mut().slow().map_err(broken)?;
@@ -295,8 +295,8 @@
         stream: &TcpStream,
         job: &UpstreamJob,
         _sent: &[u8],
-        begin: Begin,
-    ) -> (UpstreamReply, bool) {
+        open_body: BodyOpener,
+    ) -> ReceivedReply {
         let mut from = BufReader::with_capacity(
             4096,
             Answer {
@@ -305,11 +305,14 @@
                 timed: false,
             },
         );
-        let (reply, settled) = self.read(&mut from, job, begin);
+        let (reply, settled) = self.read(&mut from, job, open_body);
         // What came along behind the answer would be taken for the next one.
         let alone = settled && from.buffer().is_empty();
         let untimed = !from.get_ref().timed || stream.set_read_timeout(None).is_ok();
-        (reply, alone && untimed)
+        ReceivedReply {
+            reply,
+            reusable: alone && untimed,
+        }
     }
 }
 
