--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -10,10 +10,10 @@
 use valehatch_config::operators::AdmissionSettings;
 use valehatch_core::permission::Decisions;
 use valehatch_core::{CoreConfig, Effect, Event, LiveView, LogEvent, Observability, State};
-use valehatch_net::Clock;
 use valehatch_net::clients::{BacklogOwner, ClientLimits, Clients, RequestHandler};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_net::upstream::Upstream;
+use valehatch_net::{Clock, LoopControl, TurnStep};
 use valehatch_policy::{Consistency, RequestClass, Span};
 use valehatch_request_log::{OutcomeMetrics, RequestRecord};
 use valehatch_snmp::world::Board;
@@ -184,11 +184,11 @@
             board,
             inbox: inbox.clone(),
         };
-        valehatch_net::run(&mut state, clock, &inbox, |effect| match effect {
-            Some(effect) => effects.run(effect),
-            None => {
+        valehatch_net::run(&mut state, clock, &inbox, |step| match step {
+            TurnStep::Effect(effect) => effects.run(effect),
+            TurnStep::End => {
                 effects.upstream.flush();
-                true
+                LoopControl::Continue
             }
         });
     }
@@ -205,8 +205,8 @@
 }
 
 impl EffectRunner {
-    /// Carries out one effect; false once the event loop is to end.
-    fn run(&mut self, effect: Effect) -> bool {
+    /// Carries out one effect.
+    fn run(&mut self, effect: Effect) -> LoopControl {
         match effect {
             Effect::Connect {
                 connection,
@@ -220,7 +220,7 @@
                 ticket,
             } => {
                 let body = self.clients.response_body(client, ticket);
-                self.upstream.pass(connection, body);
+                self.upstream.forward_body(connection, body);
             }
             Effect::Answer {
                 client,
@@ -233,9 +233,10 @@
             Effect::Log(event) => log(event),
             Effect::RecordOutcome(record) => self.record(record),
             Effect::PublishView(view) => self.publish(*view),
-            Effect::Exit => return !self.clients.can_exit(),
+            Effect::Exit if self.clients.can_exit() => return LoopControl::Exit,
+            Effect::Exit => {}
         }
-        true
+        LoopControl::Continue
     }
 
     fn record(&mut self, record: Box<RequestRecord>) {
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -17,7 +17,9 @@
 use valehatch_net::Clock;
 use valehatch_net::clients::{AddressSharing, BacklogOwner, Clients, bind_listener};
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::hot_restart::{HandoffHandle, HandoffHandler, HandoffOutcome, Upgrade, ask};
+use valehatch_net::hot_restart::{
+    HandoffHandle, HandoffHandler, HandoffOutcome, HotRestart, request_handoff,
+};
 use valehatch_recovery::endpoint_list::EndpointListCache;
 use valehatch_recovery::snapshot::Snapshot;
 
@@ -70,12 +72,12 @@
     let Some(path) = path else {
         return fresh(None, None);
     };
-    match ask(path, gateway) {
-        HandoffOutcome::Nobody => fresh(None, None),
+    match request_handoff(path, gateway) {
+        HandoffOutcome::NoProcess => fresh(None, None),
         HandoffOutcome::Inherited(inherited) => {
             let snapshot = decode_inherited(&inherited.snapshot, gateway);
             let bytes = inherited.snapshot.len();
-            let (listener, predecessor) = inherited.parts();
+            let (listener, predecessor) = (inherited.listener, inherited.connection);
             let Some(listener) = listener else {
                 info!(
                     bytes,
@@ -94,9 +96,9 @@
             })
         }
         HandoffOutcome::Busy => Err(StartError::HotRestartInProgress),
-        HandoffOutcome::Silent(error, predecessor) => {
+        HandoffOutcome::Failed { error, connection } => {
             warn!(%error, "hot restart: nothing inherited, starting as after a crash");
-            fresh(None, predecessor)
+            fresh(None, connection)
         }
     }
 }
@@ -121,13 +123,13 @@
         path: Option<PathBuf>,
         process: SharedProcess,
     ) -> Option<HandoffHandle> {
-        let upgrade = Upgrade {
+        let hot_restart = HotRestart {
             path: path?,
             gateway: process.gateway.clone(),
             listener: Some(self.listener),
-            whole: process.limits,
+            total_limits: process.limits,
         };
-        match upgrade.start(self.predecessor, Box::new(process)) {
+        match hot_restart.start(self.predecessor, Box::new(process)) {
             Ok(handle) => Some(handle),
             Err(error) => {
                 warn!(%error, "hot restart: cannot listen for a successor");
@@ -177,7 +179,7 @@
 }
 
 impl HandoffHandler for SharedProcess {
-    fn holds(&self) -> ProcessLimits {
+    fn usage(&self) -> ProcessLimits {
         let open = self.connections.counts();
         let resident_pages = procfs::process::Process::myself()
             .and_then(|process| process.statm())
@@ -202,9 +204,9 @@
         snapshot.encode()
     }
 
-    fn share(&self, limits: ProcessLimits, processes: u32) {
+    fn set_limits(&self, limits: ProcessLimits, processes: u32) {
         // Connections that are open already are not cut to meet a smaller limit: they go as they become idle.
-        let descriptors = limits.descriptors.max(self.holds().descriptors);
+        let descriptors = limits.descriptors.max(self.usage().descriptors);
         self.connections.resize(platform_limits(descriptors));
         self.clients.set_memory_limit(request_memory(limits.bytes));
         let upstream = upstream_connections(limits.descriptors);
@@ -213,7 +215,7 @@
         let _ = self.events.send(Event::GatewayCount(gateways));
     }
 
-    fn hear(&self, list: &[u8]) {
+    fn on_list_forwarded(&self, list: &[u8]) {
         let Some(store) = &self.front.endpoint_list else {
             return;
         };
@@ -221,8 +223,8 @@
             return;
         };
         let mut store = valehatch_net::lock(store);
-        store.hear(&received);
-        let cached_source = store.held().0.version.map(|version| version.source);
+        store.apply_forwarded(&received);
+        let cached_source = store.cache().version.map(|version| version.source);
         drop(store);
         // The other process has been sent SIGHUP and polls another address now. The signal was meant for the gateway,
         // so this process reads the configuration too; it takes no list of the new address but from there itself.
@@ -232,12 +234,7 @@
         }
     }
 
-    fn leave(&self, left: bool) {
-        let backlog = if left {
-            BacklogOwner::OtherProcess
-        } else {
-            BacklogOwner::ThisProcess
-        };
+    fn stop_accepting(&self, backlog: BacklogOwner) {
         self.clients.stop_accepting(backlog);
         let _ = self.events.send(Event::HandoffStarted);
     }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -16,8 +16,10 @@
 use valehatch_config::operators::{self, EndpointSource, OperatorConfig};
 use valehatch_core::{Event, Observability};
 use valehatch_net::clients::{AddressSharing, bind_listener};
-use valehatch_net::discovery::configured::{self, ConfiguredEndpoints};
-use valehatch_net::discovery::poller;
+use valehatch_net::discovery::configured::ConfiguredEndpoints;
+use valehatch_net::discovery::{
+    AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig, configured,
+};
 use valehatch_net::gossip_transport::GossipTransport;
 use valehatch_net::{Clock, signals};
 use valehatch_policy::Span;
@@ -217,25 +219,25 @@
             self.status.on_endpoint_list(index);
             return Ok(None);
         };
-        let watch = poller::Watch::new(
-            Arc::new(poller::Place::new(address)),
-            false,
-            front.site.clone(),
-            self.clock,
-            channels.inbox.0.clone(),
-            Arc::clone(&self.gateway_count),
+        let poller = DiscoveryPoller::new(PollerConfig {
+            address: Arc::new(DiscoveryAddress::new(address)),
+            agent: AgentLocation::Remote,
+            site: front.site.clone(),
+            clock: self.clock,
+            events: channels.inbox.0.clone(),
+            gateway_count: Arc::clone(&self.gateway_count),
             seed,
-        );
+        });
         let (service, status) = (Arc::clone(self.service), Arc::clone(self.status));
         let (clock, list_index) = (self.clock, self.discovery_index(index));
-        let watch = watch.telling(move || {
+        let poller = poller.on_confirmed(move || {
             status.on_endpoint_list(index);
             valehatch_net::lock(&service).list_confirmed(list_index, clock.now());
         });
-        let endpoint_list = watch.taker();
+        let endpoint_list = poller.store();
         let started = match recovery::restore_front(self.snapshot, &front.name).list {
-            Some(list) => watch.resume(list.endpoints, list.version),
-            None => watch.start(&serde_json::Value::Null),
+            Some(list) => poller.resume(list.endpoints, list.version),
+            None => poller.start(&serde_json::Value::Null),
         };
         started.map_err(StartError::resource(format!("front.{index}")))?;
         if has_endpoints(&endpoint_list) {
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -15,7 +15,7 @@
 use valehatch_core::Event;
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
-use valehatch_net::discovery::poller;
+use valehatch_net::discovery::{AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig};
 use valehatch_net::hot_restart::HandoffHandle;
 use valehatch_net::upstream::EndpointPools;
 use valehatch_net::{Clock, signals};
@@ -70,8 +70,8 @@
     }
 
     let handoff = LateHandoffHandle::default();
-    let discovery_address = Arc::new(poller::Place::new(config.discovery));
-    let watch = discovery_watch(
+    let discovery_address = Arc::new(DiscoveryAddress::new(config.discovery));
+    let poller = discovery_poller(
         &config,
         clock,
         &inbox.0,
@@ -79,10 +79,10 @@
         &status,
         &handoff,
     );
-    let endpoint_list = watch.taker();
+    let endpoint_list = poller.store();
     let socket_path = hot_restart::socket_path(config.listen);
     let inheritance = hot_restart::inherit(socket_path.as_ref(), &config.name, config.listen)?;
-    start_watch(watch, &inheritance, &config)?;
+    start_poller(poller, &inheritance, &config)?;
     if has_endpoints(&endpoint_list) {
         status.on_endpoint_list(FRONT);
     }
@@ -131,7 +131,7 @@
         let _ = handoff.set(handle.clone());
         // A list that discovery sent before the handle existed has not been passed on; the other process may
         // poll the same list seconds later only.
-        handle.pass(encoded_list(&endpoint_list));
+        handle.forward_list(encoded_list(&endpoint_list));
     }
     // Only now: whoever reads "ready" may start the next process at once, and that one has to find this one.
     status.on_listening();
@@ -188,45 +188,45 @@
     }
 }
 
-/// The watch of the endpoint list, not yet started. Each list also goes to the other process of a hot restart.
-fn discovery_watch(
+/// The poller of the endpoint list, not yet started. Each list also goes to the other process of a hot restart.
+fn discovery_poller(
     config: &PlatformConfig,
     clock: Clock,
     events: &Sender<Event>,
-    address: &Arc<poller::Place>,
+    address: &Arc<DiscoveryAddress>,
     status: &Arc<ProcessStatus>,
     handoff: &LateHandoffHandle,
-) -> poller::Watch {
+) -> DiscoveryPoller {
     let gateway_count = Arc::new(AtomicU32::new(config.site.settings.routers));
-    let watch = poller::Watch::new(
-        Arc::clone(address),
-        true,
-        config.site.clone(),
+    let poller = DiscoveryPoller::new(PollerConfig {
+        address: Arc::clone(address),
+        agent: AgentLocation::ThisMachine,
+        site: config.site.clone(),
         clock,
-        events.clone(),
+        events: events.clone(),
         gateway_count,
-        config.seed,
-    );
+        seed: config.seed,
+    });
     let (status, handoff) = (Arc::clone(status), Arc::clone(handoff));
-    watch
-        .telling(move || status.on_endpoint_list(FRONT))
-        .passing(move |endpoint_list| {
+    poller
+        .on_confirmed(move || status.on_endpoint_list(FRONT))
+        .on_changed(move |endpoint_list| {
             if let Some(handle) = handoff.get() {
-                handle.pass(endpoint_list.encode());
+                handle.forward_list(endpoint_list.encode());
             }
         })
 }
 
-/// Starts the watch from the predecessor's list, or else from the one in the configuration.
-fn start_watch(
-    watch: poller::Watch,
+/// Starts the poller from the predecessor's list, or else from the one in the configuration.
+fn start_poller(
+    poller: DiscoveryPoller,
     inheritance: &Inheritance,
     config: &PlatformConfig,
 ) -> Result<(), StartError> {
     let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
     let started = match restored.list {
-        Some(list) => watch.resume(list.endpoints, list.version),
-        None => watch.start(&config.known),
+        Some(list) => poller.resume(list.endpoints, list.version),
+        None => poller.start(&config.known),
     };
     started.map_err(StartError::resource("list"))
 }
@@ -234,11 +234,11 @@
 /// Whether an endpoint list names any endpoint.
 pub(crate) fn has_endpoints(endpoint_list: &SharedEndpointList) -> bool {
     let endpoint_list = valehatch_net::lock(endpoint_list);
-    endpoint_list.held().0.endpoints().next().is_some()
+    endpoint_list.cache().endpoints().next().is_some()
 }
 
 fn encoded_list(endpoint_list: &SharedEndpointList) -> Vec<u8> {
-    valehatch_net::lock(endpoint_list).held().0.encode()
+    valehatch_net::lock(endpoint_list).cache().encode()
 }
 
 /// What the front and the hot restart share.
@@ -291,7 +291,7 @@
     fn endpoint_pools(&self, metrics: Option<Arc<OutcomeMetrics>>) -> EndpointPools {
         let site = &self.config.site;
         // Where replicas serve stale reads, only the position in an answer shows whether it was fresh enough.
-        let verifies = site.settings.stale_read_policy == StaleReadPolicy::Serve;
+        let needs_verified_clock = site.settings.stale_read_policy == StaleReadPolicy::Serve;
         let pools = EndpointPools::new(
             Arc::new(valehatch_pg::servers::Databases { clock: self.clock }),
             self.inbox.0.clone(),
@@ -299,7 +299,9 @@
             Duration::from_millis(site.connect_timeout_ms),
             Arc::clone(self.connections),
         );
-        pools.counting(metrics).verifying(verifies)
+        pools
+            .count_attempts(metrics)
+            .require_verified_clock(needs_verified_clock)
     }
 }
 
@@ -313,7 +315,7 @@
 /// Reads the configuration again, for discovery's address.
 struct Reloader {
     path: String,
-    discovery_address: Arc<poller::Place>,
+    discovery_address: Arc<DiscoveryAddress>,
     endpoint_list: SharedEndpointList,
     handoff: LateHandoffHandle,
 }
@@ -343,12 +345,12 @@
         let Some(handle) = self.handoff.get() else {
             return;
         };
-        let mut endpoint_list = valehatch_net::lock(&self.endpoint_list).held().0.clone();
+        let mut endpoint_list = valehatch_net::lock(&self.endpoint_list).cache().clone();
         endpoint_list.version = Some(ListVersion {
             source: address,
             revision: 0,
         });
-        handle.pass(endpoint_list.encode());
+        handle.forward_list(endpoint_list.encode());
     }
 
     /// [`Self::reload`] for the hot restart, which calls it when the other process polls another address.
--- a/crates/gateway/src/protocols.rs
+++ b/crates/gateway/src/protocols.rs
@@ -62,7 +62,7 @@
     );
     ProtocolStack {
         handler: Arc::new(valehatch_pg::clients::Front { site, clock }),
-        upstream: Box::new(pools.counting(metrics)),
+        upstream: Box::new(pools.count_attempts(metrics)),
         connections,
         max_in_flight: None,
     }
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -12,7 +12,7 @@
 use tracing::{info, warn};
 use valehatch_config::operators::{EndpointSource, OperatorConfig};
 use valehatch_core::LiveView;
-use valehatch_net::discovery::poller::EndpointListStore;
+use valehatch_net::discovery::EndpointListStore;
 use valehatch_net::{Clock, lock};
 use valehatch_policy::{PrimaryEvidence, Settings, Span, Time};
 use valehatch_recovery::service::{RequestResult, ServiceRecovery};
@@ -140,7 +140,7 @@
         let endpoint_list = self
             .endpoint_list
             .as_ref()
-            .map(|store| lock(store).held().0.clone())
+            .map(|store| lock(store).cache().clone())
             .unwrap_or_default();
         let board = self.board.load_full();
         let view = board.as_ref().map(|board| &board.live);
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -15,13 +15,13 @@
 use siphasher::sip::SipHasher13;
 use valehatch_config::peers::PeerSettings;
 use valehatch_core::Event;
-use valehatch_membership::view::{ChangeReason, ViewChange};
+use valehatch_membership::view_changes::{ChangeReason, ViewChange};
 use valehatch_membership::wire::Phase;
-use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
+use valehatch_membership::{Effect, Load, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::list_exchange as lists;
 
-use crate::discovery::poller::EndpointListStore;
+use crate::discovery::EndpointListStore;
 use crate::lock;
 
 /// Bytes of a datagram at the most.
@@ -107,15 +107,15 @@
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis());
         let set = Settings {
-            me: peers.advertise,
+            local_address: peers.advertise,
             seeds: peers.seeds.clone(),
             zone: 0,
             version: version(env!("CARGO_PKG_VERSION")),
-            period: Span::from_millis(peers.probe_ms),
-            most: peers.most,
-            bytes_s: peers.bytes_per_s,
-            configured,
-            settle: Span::from_millis(peers.settle_ms),
+            probe_interval: Span::from_millis(peers.probe_ms),
+            max_members: peers.most,
+            max_bytes_per_second: peers.bytes_per_s,
+            configured_fleet_size: configured,
+            shrink_delay: Span::from_millis(peers.settle_ms),
         };
         let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
         let heart = heart.map_err(|e| format!("peers: {e}"))?;
@@ -154,7 +154,7 @@
     /// Whether service is as good as before this start: all in the view hear of it.
     pub fn full(&self, full: bool) {
         let phase = if full { Phase::Full } else { Phase::Starting };
-        self.tend(|heart, out| heart.phase(phase, now(), out));
+        self.tend(|heart, out| heart.set_phase(phase, now(), out));
     }
 
     fn tend(&self, what: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
@@ -162,24 +162,25 @@
         let changes: Vec<ViewChange> = {
             let mut heart = lock(&self.heart);
             what(&mut heart, &mut out);
-            let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
+            let told = self
+                .told
+                .swap(heart.view_status().version, Ordering::Relaxed);
             // All else has a note of its own.
             heart
-                .changes(told)
-                .1
-                .filter(|c| c.why == ChangeReason::MetadataChanged)
+                .changes_since(told)
+                .filter(|c| c.reason == ChangeReason::MetadataChanged)
                 .copied()
                 .collect()
         };
         changes
             .iter()
-            .for_each(|c| tracing::info!("peers: {} is {}", c.about, named(c.card.phase)));
+            .for_each(|c| tracing::info!("peers: {} is {}", c.address, named(c.metadata.phase)));
         self.carry_out(out);
     }
 
     /// The other gateways that are taken to live.
     pub fn living(&self) -> Vec<SocketAddr> {
-        lock(&self.heart).living().collect()
+        lock(&self.heart).live_members().collect()
     }
 
     fn run(&self) {
@@ -222,7 +223,7 @@
                 }
             }
             self.ask_for_lists();
-            let share = lock(&self.heart).share(true);
+            let share = lock(&self.heart).quota_divisor(Load::Overloaded);
             if self.fleet.swap(share, Ordering::Relaxed) != share {
                 tracing::info!("peers: what is shared is divided by {share}");
                 self.cores
@@ -234,7 +235,7 @@
 
     /// Whoever holds no list asks others for theirs.
     fn ask_for_lists(&self) {
-        let wants = |n: usize| lock(&self.takers[n].1).held().0.version.is_none();
+        let wants = |n: usize| lock(&self.takers[n].1).cache().version.is_none();
         let mut out = vec![];
         lock(&self.asks).tick(now(), wants, || self.living(), &mut out);
         self.carry_out_lists(out);
@@ -244,10 +245,10 @@
         let mut out = vec![];
         let held: Vec<_> = self.takers.iter().map(|(_, taker)| lock(taker)).collect();
         let tells = |n: usize| {
-            let (book, confirmed) = held.get(n)?.held();
+            let store = held.get(n)?;
             Some(lists::ConfirmedList {
-                list: book,
-                age: held[n].age(confirmed?),
+                list: store.cache(),
+                age: store.confirmation_age()?,
             })
         };
         lock(&self.asks).receive(now(), from, said, tells, &mut out);
@@ -266,7 +267,7 @@
                 } => {
                     let (name, taker) = &self.takers[front];
                     let count = endpoints.len();
-                    if lock(taker).guess(endpoints, version) {
+                    if lock(taker).apply_unconfirmed(endpoints, version) {
                         tracing::info!(
                             "peers: front {name}: {count} servers at version {} from another gateway",
                             version.revision
@@ -317,7 +318,7 @@
                         // The clock by which lists are dated may have stood still too.
                         self.takers
                             .iter()
-                            .for_each(|(_, taker)| lock(taker).doubt());
+                            .for_each(|(_, taker)| lock(taker).forget_confirmation());
                     }
                     say(note);
                 }
@@ -367,7 +368,7 @@
             "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
             view.members,
             view.digest,
-            view.settled.map_or(0, |at| (at - view.held).0 / 1000)
+            view.converged_at.map_or(0, |at| (at - view.since).0 / 1000)
         ),
         MembershipEvent::ViewDiverged => tracing::info!("peers: the view is not settled"),
         MembershipEvent::Synced => {
@@ -401,7 +402,7 @@
         );
         const {
             assert!(
-                FRONT + valehatch_membership::wire::MOST <= MOST
+                FRONT + valehatch_membership::wire::MAX_DATAGRAM_BYTES <= MOST
                     && FRONT + lists::MAX_DATAGRAM_BYTES <= MOST
             )
         };
