--- a/crates/hot-restart/src/limits.rs
+++ b/crates/hot-restart/src/limits.rs
@@ -7,10 +7,13 @@
 //! | step | old process | new process |
 //! | --- | --- | --- |
 //! | one process | everything | - |
-//! | state handed over, new process not serving yet | everything but [`MIN_PROCESS_LIMITS`] | [`MIN_PROCESS_LIMITS`] |
-//! | both serve | half; usage above it is released as connections become idle | the rest: at most half, less if the old process uses more than half |
-//! | old process drains | a quarter; usage above it only falls | everything the old process does not use |
-//! | old process has not reported | unknown, assumed to be half | half |
+//! | new process does not serve yet | everything but the minimum | the minimum |
+//! | both serve | half | at most half, less if the old one uses more |
+//! | old process drains | a quarter | everything the old one does not use |
+//! | old process has not reported | counts as half | half |
+//!
+//! The minimum is [`MIN_PROCESS_LIMITS`]. Usage above a limit is released as connections become
+//! idle.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/hot-restart/src/state_machine.rs
+++ b/crates/hot-restart/src/state_machine.rs
@@ -6,28 +6,49 @@
 //! handoff is rejected. No step waits for the other process, and every step ends when that process
 //! dies (its socket closes).
 //!
-//! | stage | who holds what | event | next stage | actions |
-//! | --- | --- | --- | --- | --- |
-//! | `Sole` | this process: listening socket, all resources | `HandoffRequested` | `HandingOver` | `HandOver`, `ApplyLimits` |
-//! | `HandingOver` | both: the listening socket, if it was open; this process: nearly all resources | `NewProcessReady` | `Superseded` | `ApplyLimits`, and `StopAccepting` after a shutdown request |
-//! | | | `NewProcessGone` | `Sole` | `ApplyLimits`, `ListenForSuccessor` |
-//! | | | `HandoffRequested` | the same | `RejectBusy` |
-//! | `Superseded` | both: the listening socket; this process: half, a quarter once it drains | `ShutdownRequested` | the same | `StopAccepting`, `ApplyLimits` |
-//! | | | `NewProcessGone` | `Sole` | `ApplyLimits`, `ListenForSuccessor` |
-//! | | | `HandoffRequested` | the same | `RejectBusy` |
-//! | `Successor` | both: the listening socket; this process: what the old one leaves | `OldProcessReported` | the same | `ApplyLimits` |
-//! | | | `OldProcessGone` | `Sole` | `ApplyLimits` |
-//! | | | `HandoffRequested` | the same | `RejectBusy` |
+//! Who holds what:
 //!
-//! `ApplyLimits` is left out if a change of stage leaves the limits as they were. `UsageSampled`
-//! leads to `ReportUsage` in `HandingOver` and `Superseded`, whenever the report differs from the
-//! last one. Events that are not listed for a stage are ignored; `ShutdownRequested` is remembered
-//! in every stage.
+//! | stage | this process | the other process |
+//! | --- | --- | --- |
+//! | `Sole` | listening socket, all resources | - |
+//! | `HandingOver` | listening socket, nearly all resources | new: socket, minimum resources |
+//! | `Superseded` | listening socket, half of the resources | new: socket, the rest |
+//! | `Superseded`, draining | a quarter of the resources | new: socket, the rest |
+//! | `Successor` | listening socket, what the old process leaves | old: see above |
+//!
+//! The socket is not handed over if a shutdown request has closed it before.
+//!
+//! Which events lead where:
+//!
+//! | stage | event | next stage | actions |
+//! | --- | --- | --- | --- |
+//! | `Sole` | `HandoffRequested` | `HandingOver` | `HandOver`, `ApplyLimits` |
+//! | `HandingOver` | `NewProcessReady` | `Superseded` | `ApplyLimits`, `StopAccepting` [^1] |
+//! | `HandingOver` | `NewProcessGone` | `Sole` | `ApplyLimits`, `ListenForSuccessor` |
+//! | `Superseded` | `ShutdownRequested` | `Superseded` | `StopAccepting`, `ApplyLimits` |
+//! | `Superseded` | `NewProcessGone` | `Sole` | `ApplyLimits`, `ListenForSuccessor` |
+//! | `Successor` | `OldProcessReported` | `Successor` | `ApplyLimits` |
+//! | `Successor` | `OldProcessGone` | `Sole` | `ApplyLimits` |
+//! | all but `Sole` | `HandoffRequested` | the same | `RejectBusy` |
+//! | `HandingOver`, `Superseded` | `UsageSampled` | the same | `ReportUsage` [^2] |
+//! | all but `Superseded` | `ShutdownRequested` | the same | none; it is remembered |
+//!
+//! [^1]: only after a shutdown request.
+//!
+//! [^2]: unless the last report was the same.
+//!
+//! `ApplyLimits` is left out if a change of stage leaves the limits as they were. Events that are
+//! not listed for a stage are ignored.
+//!
+//! What a death means:
 //!
 //! | death of | in stage | means |
 //! | --- | --- | --- |
-//! | the new process | `HandingOver`, `Superseded` | this process is the whole gateway again and accepts the next handoff request |
-//! | the old process | `Successor` | this process is the whole gateway |
+//! | new process | `HandingOver`, `Superseded` | this process is the only one again |
+//! | old process | `Successor` | this process is the only one |
+//!
+//! After the death of a new process this one accepts the next handoff request, also while it
+//! drains.
 
 use crate::limits::{
     OldProcessPhase, OldProcessStep, ProcessLimits, new_process_limits, old_process_limits,
@@ -93,7 +114,7 @@
     /// Send the snapshot and the listening socket to the peer; without the socket if a shutdown has
     /// closed it.
     HandOver(PeerId),
-    /// Tell the peer to request again later.
+    /// Answer the peer that it must request again later.
     RejectBusy(PeerId),
     /// Send this process's usage to the new process.
     ReportUsage {
--- a/crates/hot-restart/tests/state_machine.rs
+++ b/crates/hot-restart/tests/state_machine.rs
@@ -59,8 +59,8 @@
 }
 
 /// The old process hands its state to a new one. A shutdown request may come at any step, and the
-/// new process may die at any step: then the old one is the whole gateway again. A third process is
-/// told to ask later.
+/// new process may die at any step: then the old one is the only process again. A third process is
+/// rejected.
 #[rstest]
 #[case::usual_order(
     vec![HandoffEvent::HandoffRequested(1), HandoffEvent::NewProcessReady(1), HandoffEvent::ShutdownRequested],
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,4 +1,7 @@
-//! How long a suspected gateway has to say that it lives, and how far one's own word is to be trusted.
+//! Suspicion timeouts and the local health multiplier, as in Lifeguard.
+//!
+//! Inputs are suspicions, probe results and time; times are whole microseconds. A suspicion
+//! remembers at most [`CONFIRMATIONS`] + 1 reporters.
 
 use std::collections::BTreeSet;
 
@@ -6,114 +9,114 @@
 
 use crate::wire::Incarnation;
 
-/// Others who have to suspect the same before the shortest time holds.
+/// Independent confirmations after which the shortest timeout applies.
 pub const CONFIRMATIONS: usize = 3;
-/// The longest time in shortest ones, where only one suspects.
-pub const LONGEST: f64 = 6.0;
-/// The worst mark for oneself: times and patience are up to this much and once longer.
-pub const WORST: u32 = 8;
-
-/// A suspicion under way (Lifeguard): it begins with the longest time, and each further one that suspects the same
-/// shortens it towards the shortest. One whose own messages are lost is thus not believed for long.
+/// Longest timeout, without confirmations, as a multiple of the shortest.
+pub const MAX_TIMEOUT_FACTOR: f64 = 6.0;
+/// Greatest health score: intervals and timeouts are multiplied by at most this plus one.
+pub const MAX_HEALTH_SCORE: u32 = 8;
+
+/// A suspicion of a member. It begins with the longest timeout, and each further gateway that
+/// suspects the same shortens it towards the shortest. So a gateway whose own messages get lost
+/// cannot have others declared dead quickly.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// Of which life.
+    /// The suspected incarnation.
     pub incarnation: Incarnation,
-    began: Time,
-    accusers: BTreeSet<u16>,
-    wanted: usize,
-    least: Span,
-    /// From `began` until it is over.
-    lasts: Span,
+    started_at: Time,
+    reporters: BTreeSet<u16>,
+    wanted_confirmations: usize,
+    min_timeout: Span,
+    timeout: Span,
 }
 
 impl Suspicion {
-    /// `others` is how many gateways there are that could confirm it; with none the shortest time holds.
+    /// `others` is the number of gateways that could confirm it; with none the shortest timeout
+    /// applies.
     #[must_use]
     pub fn new(
         incarnation: Incarnation,
-        accuser: u16,
+        reporter: u16,
         others: usize,
-        least: Span,
+        min_timeout: Span,
         now: Time,
     ) -> Self {
-        let wanted = CONFIRMATIONS.min(others);
-        let accusers = BTreeSet::from([accuser]);
-        let mut new = Self {
+        let mut suspicion = Self {
             incarnation,
-            began: now,
-            accusers,
-            wanted,
-            least,
-            lasts: least,
+            started_at: now,
+            reporters: BTreeSet::from([reporter]),
+            wanted_confirmations: CONFIRMATIONS.min(others),
+            min_timeout,
+            timeout: min_timeout,
         };
-        new.lasts = new.time();
-        new
+        suspicion.timeout = suspicion.current_timeout();
+        suspicion
     }
 
-    /// Somebody suspects the same; whether that is news. More than are wanted are not remembered.
-    pub fn confirm(&mut self, accuser: u16) -> bool {
-        let news = self.accusers.len() <= self.wanted && self.accusers.insert(accuser);
-        self.lasts = self.time();
-        news
+    /// Adds a gateway that suspects the same; whether it is a new one. More reporters than are
+    /// wanted are not remembered.
+    pub fn confirm(&mut self, reporter: u16) -> bool {
+        let is_new =
+            self.reporters.len() <= self.wanted_confirmations && self.reporters.insert(reporter);
+        self.timeout = self.current_timeout();
+        is_new
     }
 
-    /// When the time is over.
+    /// When the member counts as dead.
     #[must_use]
-    pub fn over(&self) -> Time {
-        self.began + self.lasts
+    pub fn deadline(&self) -> Time {
+        self.started_at + self.timeout
+    }
+
+    /// Moves the deadline by a time in which this process did not run, and so could not receive a
+    /// refutation.
+    pub fn postpone(&mut self, by: Span) {
+        self.started_at = self.started_at + by;
     }
 
-    #[allow(clippy::cast_precision_loss)]
-    fn time(&self) -> Span {
-        let (heard, wanted) = (
-            (self.accusers.len() - 1).min(self.wanted) as f64,
-            self.wanted as f64,
-        );
-        let part = if self.wanted == 0 {
+    fn current_timeout(&self) -> Span {
+        let confirmations = (self.reporters.len() - 1).min(self.wanted_confirmations) as f64;
+        let wanted = self.wanted_confirmations as f64;
+        let progress = if self.wanted_confirmations == 0 {
             1.0
         } else {
-            (heard + 1.0).ln() / (wanted + 1.0).ln()
+            (confirmations + 1.0).ln() / (wanted + 1.0).ln()
         };
-        self.least.times(LONGEST - (LONGEST - 1.0) * part)
-    }
-
-    /// Time passed in which nobody could be heard: it does not count.
-    pub fn postpone(&mut self, by: Span) {
-        self.began = self.began + by;
+        self.min_timeout
+            .times(MAX_TIMEOUT_FACTOR - (MAX_TIMEOUT_FACTOR - 1.0) * progress)
     }
 }
 
-/// How well one hears oneself (Lifeguard's local health multiplier): who gets no answers from many is slow itself, asks
-/// less often and waits longer.
+/// Lifeguard's local health multiplier. A gateway that gets few answers is probably slow itself: it
+/// probes less often and waits longer. The score is 0 for healthy, at most [`MAX_HEALTH_SCORE`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalHealth(u32);
 
 impl LocalHealth {
-    /// So many signs that it is oneself who is slow.
-    pub fn worse(&mut self, by: u32) {
-        self.0 = (self.0 + by).min(WORST);
+    /// Raises the score by this many signs of being slow.
+    pub fn degrade(&mut self, by: u32) {
+        self.0 = (self.0 + by).min(MAX_HEALTH_SCORE);
     }
 
-    /// A question was answered in time.
-    pub fn better(&mut self) {
+    /// Lowers the score by one: a ping was answered in time.
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// As bad as it gets: nothing was heard for long.
-    pub fn worst(&mut self) {
-        self.0 = WORST;
+    /// Sets the greatest score: this process did not run for long.
+    pub fn degrade_fully(&mut self) {
+        self.0 = MAX_HEALTH_SCORE;
     }
 
-    /// The mark, 0 for well.
+    /// The score.
     #[must_use]
-    pub const fn mark(self) -> u32 {
+    pub const fn score(self) -> u32 {
         self.0
     }
 
-    /// A time, made longer by it.
+    /// A span multiplied by the score plus one.
     #[must_use]
-    pub fn stretch(self, time: Span) -> Span {
-        time.times(f64::from(1 + self.0))
+    pub fn scale(self, span: Span) -> Span {
+        span.times(f64::from(1 + self.0))
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,385 +1,389 @@
-//! The view: who is in the fleet, as what, and whether all that are in it hold the same.
+//! The view: who is in the fleet, in which phase, and whether all members agree on that.
 //!
-//! Each gateway's view has a digest, which is told with every datagram. Beside it goes who else has said that they hold the
-//! same: a set, joined by union over cells that the digest names (each member's address, life and epoch), so that loss,
-//! doubling, order and former lives change when all are heard of, not what is said. Once all are, the view is *settled*.
+//! Inputs are the digest of the live members, agreement messages of others, and time in whole
+//! microseconds. The state holds one bit per member, disagreements of members, and a bounded log of
+//! changes.
 //!
-//! A digest never comes back: whoever was given up and lives takes a later epoch. So what was said of a view is never
-//! taken for a word on a later one. The one exception is a gateway that gave another up by itself and heard at once that it
-//! lives: the others may count its earlier word for that moment. It tells its own digest meanwhile, and whoever hears that
-//! does not call the view settled.
+//! Every datagram carries the digest of its sender's view and the set of members that are known to
+//! have the same view. The set is joined by union, over members that the digest identifies by
+//! address, process and epoch. So loss, duplication, order and earlier processes change when
+//! agreement is known, not what is known. Once all members agree, the view has converged.
+//!
+//! A digest never comes back: a member that was declared gone and is alive takes a later epoch. So
+//! agreement with one view is never counted for a later one. There is one exception: a gateway
+//! declares another gone by itself and learns at once that it is alive. Others may count its
+//! earlier agreement for that moment. It sends its own digest meanwhile, and a member that receives
+//! that does not call the view converged.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use valehatch_policy::{Span, Time};
 
-use crate::wire::{
-    AgreeingMembers, BLOCK, Incarnation, MemberMetadata, MemberState, Phase, ViewAgreement,
-};
-
-/// Changes that are kept for those that stand on the view; one that reads too late is told how many it has missed.
-pub const CHANGES: usize = 512;
-
-/// How a gateway counts in the view.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MemberStatus {
-    /// It answers, and says itself how far it is.
-    Active(Phase),
-    /// It does not answer, and may still say that it lives.
-    Suspected,
-    /// It has ended, or has not said in time that it lives.
-    Gone,
-}
-
-impl MemberStatus {
-    /// Of a state that is believed, with what the gateway says of itself.
-    #[must_use]
-    pub const fn of(state: MemberState, card: MemberMetadata) -> Self {
-        match state {
-            MemberState::Alive => Self::Active(card.phase),
-            MemberState::Suspect => Self::Suspected,
-            MemberState::Dead | MemberState::Left => Self::Gone,
-        }
-    }
-}
+use crate::view_changes::ViewChange;
+use crate::wire::{AgreeingMembers, MEMBERS_PER_BLOCK, ViewAgreement};
 
-/// Why the view changed.
+/// Whether this gateway knows all that the others know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangeReason {
-    /// It was not known, or counted as gone.
-    Joined,
-    /// Another start of it: what its former self held or had promised is gone.
-    Restarted,
-    /// It says so of itself: its phase, zone or version.
-    MetadataChanged,
-    /// It did not answer somebody.
-    Suspected,
-    /// It answers after all.
-    SuspicionCleared,
-    /// It did not say in time that it lives.
-    Failed,
-    /// It has said that it ends.
-    Left,
+pub enum LocalKnowledge {
+    /// It has synced, and takes part in the fleet.
+    Complete,
+    /// It has not synced yet, or it is leaving.
+    Incomplete,
 }
 
-/// One change of the view, told once and in this order.
+/// Whether all members agree on the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ViewChange {
-    /// The version of the view that it led to: one more than that of the change before.
-    pub version: u64,
-    pub at: Time,
-    pub about: SocketAddr,
-    pub life: Incarnation,
-    pub card: MemberMetadata,
-    /// `None` where it was not in the view.
-    pub was: Option<MemberStatus>,
-    pub is: MemberStatus,
-    pub why: ChangeReason,
+pub enum Convergence {
+    /// All members of the view are known to agree on it.
+    Converged,
+    /// Some member is not known to agree, or disagrees.
+    Diverged,
 }
 
-/// Whether the view is shared.
+/// The view as it is known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewStatus {
-    /// The same at all that hold the same view.
+    /// The digest: the same at all gateways that have the same view.
     pub digest: u64,
-    /// Changes since this gateway's start: its own count, not comparable between gateways.
+    /// Changes since this process started; cannot be compared between gateways.
     pub version: u64,
-    /// Since when this digest is held here.
-    pub held: Time,
-    /// Those in the view, this gateway included, and how many of them are known to hold the same.
+    /// Since when the view has this digest here.
+    pub since: Time,
+    /// Members of the view, this gateway included.
     pub members: usize,
-    pub holders: usize,
-    /// Since when it is settled: all in it have said that they hold the same, and none has said otherwise since.
-    pub settled: Option<Time>,
+    /// Members that are known to agree, this gateway included.
+    pub agreeing_members: usize,
+    /// Since when all members agree; `None` while they do not.
+    pub converged_at: Option<Time>,
 }
 
-/// What this gateway holds, and what it has heard of the others' views.
+/// The view of this gateway, and what it knows about the others' views. The methods that take
+/// `live` need the other live members, in order of their addresses, as they were at the last
+/// [`View::set_digest`].
 #[derive(Debug)]
 pub struct View {
-    me: SocketAddr,
+    local_address: SocketAddr,
     digest: u64,
-    held: Time,
+    since: Time,
     version: u64,
-    /// Who has said that they hold the same, by rank of address, and how many that are.
-    said: Vec<u64>,
-    holders: usize,
+    /// Bit sets of the agreeing members, by rank of their addresses.
+    agreeing_blocks: Vec<u64>,
+    agreeing_members: usize,
     members: usize,
-    settled: Option<Time>,
-    /// The digest of which it was told last that it is settled.
-    told: Option<u64>,
-    /// Members that have said otherwise since they said the same, and when.
-    dissent: BTreeMap<SocketAddr, Time>,
-    /// A member that was heard last to hold another view, whatever it said before.
-    differs: Option<SocketAddr>,
-    /// How long a word of dissent counts: by then its sender's change is known here, or it has said otherwise again.
-    patience: Span,
+    converged_at: Option<Time>,
+    /// The digest for which convergence was reported last.
+    reported: Option<u64>,
+    /// Members that have disagreed since they agreed, and when.
+    disagreements: BTreeMap<SocketAddr, Time>,
+    /// The member that last sent another digest.
+    disagreeing_member: Option<SocketAddr>,
+    /// How long a disagreement counts: until then the member's change has arrived here, or it
+    /// disagrees again.
+    disagreement_timeout: Span,
     changes: VecDeque<ViewChange>,
-    most: usize,
+    max_changes: usize,
     #[cfg(feature = "mutants")]
-    pub(crate) mutant: Option<InjectedFault>,
+    pub(crate) fault: Option<InjectedFault>,
 }
 
-/// Faults that can be put into the join, to see that whoever judges it sees them.
+/// Faults that tests inject to see that checkers detect them.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A holder counts each time that it is told of.
+    /// An agreeing member counts each time that it is reported.
     DoubleCount,
-    /// The last word holds, though it is of an earlier life or incarnation.
+    /// The last update wins, even if it is of an earlier incarnation.
     AcceptStale,
-    /// Those that were given up are not asked any more.
+    /// Members that were declared gone are never contacted again.
     ForgetPartition,
 }
 
 impl View {
-    /// Of a gateway that knows nobody. `most` changes are kept: beyond, the oldest is let go and its readers are told that
-    /// they missed it.
+    /// The view of a gateway that knows no other. At most `max_changes` changes are kept; beyond
+    /// that the oldest is dropped, and its readers learn how many they have missed.
     #[must_use]
-    pub const fn new(me: SocketAddr, most: usize, patience: Span, now: Time) -> Self {
+    pub const fn new(
+        local_address: SocketAddr,
+        max_changes: usize,
+        disagreement_timeout: Span,
+        now: Time,
+    ) -> Self {
         Self {
-            me,
+            local_address,
             digest: 0,
-            held: now,
+            since: now,
             version: 0,
-            said: vec![],
-            holders: 0,
+            agreeing_blocks: vec![],
+            agreeing_members: 0,
             members: 0,
-            settled: None,
-            told: None,
-            dissent: BTreeMap::new(),
-            differs: None,
-            patience,
+            converged_at: None,
+            reported: None,
+            disagreements: BTreeMap::new(),
+            disagreeing_member: None,
+            disagreement_timeout,
             changes: VecDeque::new(),
-            most,
+            max_changes,
             #[cfg(feature = "mutants")]
-            mutant: None,
+            fault: None,
         }
     }
 
-    /// The digest that is held.
+    /// The digest of the view.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Since when.
+    /// Since when the view has this digest.
     #[must_use]
     pub const fn since(&self) -> Time {
-        self.held
+        self.since
     }
 
-    /// What is believed now is this; `living` are all others in it, by address. Whether that is another view than before.
-    pub fn turn(&mut self, digest: u64, living: &[SocketAddr], now: Time) -> bool {
-        if digest == self.digest && self.members == living.len() + 1 {
+    /// Sets the digest of the current members; whether the view has changed.
+    pub fn set_digest(&mut self, digest: u64, live: &[SocketAddr], now: Time) -> bool {
+        if digest == self.digest && self.members == live.len() + 1 {
             return false;
         }
-        (self.digest, self.held) = (digest, now);
-        self.doubt(living);
+        self.digest = digest;
+        self.since = now;
+        self.reset_agreement(live);
         true
     }
 
-    /// Whatever was said of the view is to be heard again: this gateway stood still, or its view has changed.
-    pub fn doubt(&mut self, living: &[SocketAddr]) {
-        self.members = living.len() + 1;
-        self.said.clear();
-        self.said.resize(self.members.div_ceil(BLOCK), 0);
-        (self.holders, self.settled) = (0, None);
-        self.dissent.clear();
-        self.differs = None;
-        let me = self.me;
-        self.mark(&me, living);
+    /// Forgets who agrees: the view has changed, or this process has paused.
+    pub fn reset_agreement(&mut self, live: &[SocketAddr]) {
+        self.members = live.len() + 1;
+        self.agreeing_blocks.clear();
+        self.agreeing_blocks
+            .resize(self.members.div_ceil(MEMBERS_PER_BLOCK), 0);
+        self.agreeing_members = 0;
+        self.converged_at = None;
+        self.disagreements.clear();
+        self.disagreeing_member = None;
+        let local_address = self.local_address;
+        self.add_agreeing_member(&local_address, live);
     }
 
-    fn rank(&self, who: &SocketAddr, living: &[SocketAddr]) -> Option<usize> {
-        if *who == self.me {
-            return Some(living.partition_point(|a| a < who));
+    /// Position of a member among all members of the view, by address.
+    fn rank(&self, address: &SocketAddr, live: &[SocketAddr]) -> Option<usize> {
+        if *address == self.local_address {
+            return Some(live.partition_point(|a| a < address));
         }
-        living
-            .binary_search(who)
-            .ok()
-            .map(|at| at + usize::from(self.me < *who))
+        let index = live.binary_search(address).ok()?;
+        Some(index + usize::from(self.local_address < *address))
     }
 
-    fn mark(&mut self, who: &SocketAddr, living: &[SocketAddr]) {
-        if let Some(rank) = self.rank(who, living) {
-            self.join(rank / BLOCK, 1 << (rank % BLOCK));
+    fn add_agreeing_member(&mut self, address: &SocketAddr, live: &[SocketAddr]) {
+        if let Some(rank) = self.rank(address, live) {
+            self.add_agreeing(rank / MEMBERS_PER_BLOCK, 1 << (rank % MEMBERS_PER_BLOCK));
         }
     }
 
-    /// Union: saying it twice, late or in another order comes to the same.
-    fn join(&mut self, block: usize, bits: u64) {
-        let whole = self.whole(block);
-        if let Some(said) = self.said.get_mut(block) {
-            let new = bits & whole & !*said;
-            *said |= new;
-            #[cfg(feature = "mutants")]
-            let new = if self.mutant == Some(InjectedFault::DoubleCount) {
-                bits & whole
-            } else {
-                new
-            };
-            self.holders += new.count_ones() as usize;
-            #[cfg(feature = "mutants")]
-            (self.holders = self.holders.min(self.members));
-        }
+    /// Joins a block by union, so that repeated, late and reordered messages have no further
+    /// effect.
+    fn add_agreeing(&mut self, block: usize, bits: u64) {
+        let all_bits = self.all_bits(block);
+        let Some(agreeing) = self.agreeing_blocks.get_mut(block) else {
+            return;
+        };
+        let added = bits & all_bits & !*agreeing;
+        *agreeing |= added;
+        #[cfg(feature = "mutants")]
+        let added = if self.fault == Some(InjectedFault::DoubleCount) {
+            bits & all_bits
+        } else {
+            added
+        };
+        self.agreeing_members += added.count_ones() as usize;
+        #[cfg(feature = "mutants")]
+        (self.agreeing_members = self.agreeing_members.min(self.members));
     }
 
     /// The bits of all members of a block.
-    fn whole(&self, block: usize) -> u64 {
-        match self.members.saturating_sub(block * BLOCK) {
+    fn all_bits(&self, block: usize) -> u64 {
+        match self.members.saturating_sub(block * MEMBERS_PER_BLOCK) {
             0 => 0,
-            left if left >= BLOCK => u64::MAX,
+            left if left >= MEMBERS_PER_BLOCK => u64::MAX,
             left => (1 << left) - 1,
         }
     }
 
-    fn full(&self, block: usize) -> bool {
-        self.said
+    fn is_complete(&self, block: usize) -> bool {
+        self.agreeing_blocks
             .get(block)
-            .is_some_and(|said| *said == self.whole(block))
+            .is_some_and(|agreeing| *agreeing == self.all_bits(block))
     }
 
-    /// A member has told which view it holds. Whether it is the same one.
-    pub fn hear(
+    fn agrees(&self, rank: usize) -> bool {
+        self.agreeing_blocks
+            .get(rank / MEMBERS_PER_BLOCK)
+            .is_some_and(|agreeing| agreeing >> (rank % MEMBERS_PER_BLOCK) & 1 == 1)
+    }
+
+    /// Handles the agreement that came with a datagram; whether the sender has the same view.
+    pub fn on_agreement(
         &mut self,
         from: &SocketAddr,
-        held: &ViewAgreement,
-        living: &[SocketAddr],
+        agreement: &ViewAgreement,
+        live: &[SocketAddr],
         now: Time,
     ) -> bool {
-        if u64::from_be_bytes(held.digest) != self.digest {
-            // One that has not come to this view yet is missing among its holders anyway.
-            if let Some(rank) = self.rank(from, living) {
-                self.differs = Some(*from);
-                if self
-                    .said
-                    .get(rank / BLOCK)
-                    .is_some_and(|said| said >> (rank % BLOCK) & 1 == 1)
-                {
-                    self.dissent.insert(*from, now);
-                }
-            }
+        if u64::from_be_bytes(agreement.digest) != self.digest {
+            self.on_disagreement(from, live, now);
             return false;
         }
-        self.dissent.remove(from);
-        self.mark(from, living);
-        match &held.holders {
+        self.disagreements.remove(from);
+        self.add_agreeing_member(from, live);
+        match &agreement.members {
             AgreeingMembers::Unknown => {}
             AgreeingMembers::Some {
-                blocks,
+                complete_blocks,
                 block,
                 bits,
             } => {
-                for n in (0..self.said.len())
-                    .filter(|n| blocks.get(n / 8).is_some_and(|b| b >> (n % 8) & 1 == 1))
-                {
-                    self.join(n, u64::MAX);
+                for index in 0..self.agreeing_blocks.len() {
+                    if bit(complete_blocks, index) {
+                        self.add_agreeing(index, u64::MAX);
+                    }
+                }
+                self.add_agreeing(usize::from(*block), *bits);
+            }
+            AgreeingMembers::All => {
+                for index in 0..self.agreeing_blocks.len() {
+                    self.add_agreeing(index, u64::MAX);
                 }
-                self.join(usize::from(*block), *bits);
             }
-            AgreeingMembers::All => (0..self.said.len()).for_each(|n| self.join(n, u64::MAX)),
         }
         true
     }
 
-    /// Looks at the time. `known`: whether this gateway knows that it knows all. Whether the view has become settled, or
-    /// is not any more.
-    pub fn look(&mut self, known: bool, now: Time) -> Option<bool> {
-        self.dissent.retain(|_, at| now - *at < self.patience);
-        let settled = known && self.holders == self.members && self.dissent.is_empty();
-        if settled {
-            self.settled.get_or_insert(now);
-        } else {
-            self.settled = None;
+    /// A member that has not reached this view yet is missing among the agreeing members anyway.
+    /// Only one that agreed before has to be remembered.
+    fn on_disagreement(&mut self, from: &SocketAddr, live: &[SocketAddr], now: Time) {
+        let Some(rank) = self.rank(from, live) else {
+            return;
+        };
+        self.disagreeing_member = Some(*from);
+        if self.agrees(rank) {
+            self.disagreements.insert(*from, now);
         }
-        let tell = settled.then_some(self.digest);
-        (std::mem::replace(&mut self.told, tell) != tell).then_some(settled)
     }
 
-    /// Whether all in the view have said that they hold it.
+    /// Updates whether the view has converged; `Some` if that is to be reported.
+    pub fn update_convergence(
+        &mut self,
+        knowledge: LocalKnowledge,
+        now: Time,
+    ) -> Option<Convergence> {
+        let timeout = self.disagreement_timeout;
+        self.disagreements.retain(|_, at| now - *at < timeout);
+        let converged = knowledge == LocalKnowledge::Complete
+            && self.all_agree()
+            && self.disagreements.is_empty();
+        let convergence = if converged {
+            self.converged_at.get_or_insert(now);
+            Convergence::Converged
+        } else {
+            self.converged_at = None;
+            Convergence::Diverged
+        };
+        let digest = converged.then_some(self.digest);
+        let before = std::mem::replace(&mut self.reported, digest);
+        (before != digest).then_some(convergence)
+    }
+
+    /// Whether all members are known to agree.
     #[must_use]
-    pub const fn all(&self) -> bool {
-        self.holders == self.members
+    pub const fn all_agree(&self) -> bool {
+        self.agreeing_members == self.members
     }
 
-    /// A member that holds another view, if one was heard to since this one was held.
+    /// The member that last sent another digest, if any has since the view changed or
+    /// [`Self::clear_disagreeing_member`].
     #[must_use]
-    pub const fn dissenting(&self) -> Option<SocketAddr> {
-        self.differs
+    pub const fn disagreeing_member(&self) -> Option<SocketAddr> {
+        self.disagreeing_member
     }
 
-    /// That one is compared with now.
-    pub fn compared(&mut self) {
-        self.differs = None;
+    /// Anti-entropy with the disagreeing member has begun.
+    pub fn clear_disagreeing_member(&mut self) {
+        self.disagreeing_member = None;
     }
 
-    /// What is told with a datagram. Of the blocks that are not whole the own one comes first, then each in turn.
+    /// The agreement to send. Of the incomplete blocks the one of this gateway comes first,
+    /// otherwise `rotation` selects one.
     #[must_use]
-    pub fn held(&self, living: &[SocketAddr], turn: u32) -> ViewAgreement {
-        let digest = self.digest.to_be_bytes();
-        let holders = match self.holders {
+    pub fn agreement(&self, live: &[SocketAddr], rotation: u32) -> ViewAgreement {
+        let members = match self.agreeing_members {
             all if all == self.members => AgreeingMembers::All,
             0 | 1 => AgreeingMembers::Unknown,
-            _ => {
-                let open: Vec<usize> = (0..self.said.len()).filter(|n| !self.full(*n)).collect();
-                let own = self.rank(&self.me, living).map(|r| r / BLOCK);
-                let other = open.get(turn as usize % open.len().max(1)).copied();
-                let block = own.filter(|o| open.contains(o)).or(other).unwrap_or(0);
-                let mut blocks = vec![0_u8; self.said.len().div_ceil(8)];
-                (0..self.said.len())
-                    .filter(|n| self.full(*n))
-                    .for_each(|n| blocks[n / 8] |= 1 << (n % 8));
-                if blocks.iter().all(|b| *b == 0) {
-                    blocks.clear();
-                }
-                let bits = self.said.get(block).copied().unwrap_or(0);
-                AgreeingMembers::Some {
-                    blocks,
-                    block: u8::try_from(block).unwrap_or(u8::MAX),
-                    bits,
-                }
-            }
+            _ => self.agreeing_blocks_to_send(live, rotation),
         };
-        ViewAgreement { digest, holders }
+        ViewAgreement {
+            digest: self.digest.to_be_bytes(),
+            members,
+        }
     }
 
-    /// Those of the own block, by place among the living, while it is not whole: they are told first.
+    fn agreeing_blocks_to_send(&self, live: &[SocketAddr], rotation: u32) -> AgreeingMembers {
+        let count = self.agreeing_blocks.len();
+        let incomplete: Vec<usize> = (0..count).filter(|n| !self.is_complete(*n)).collect();
+        let own = self
+            .rank(&self.local_address, live)
+            .map(|rank| rank / MEMBERS_PER_BLOCK)
+            .filter(|block| incomplete.contains(block));
+        let other = incomplete
+            .get(rotation as usize % incomplete.len().max(1))
+            .copied();
+        let block = own.or(other).unwrap_or(0);
+        let mut complete_blocks = vec![0_u8; count.div_ceil(8)];
+        for index in 0..count {
+            if self.is_complete(index) {
+                complete_blocks[index / 8] |= 1 << (index % 8);
+            }
+        }
+        if complete_blocks.iter().all(|byte| *byte == 0) {
+            complete_blocks.clear();
+        }
+        AgreeingMembers::Some {
+            complete_blocks,
+            block: u8::try_from(block).unwrap_or(u8::MAX),
+            bits: self.agreeing_blocks.get(block).copied().unwrap_or(0),
+        }
+    }
+
+    /// The members of this gateway's block, as indexes into `live`, while the block is incomplete.
     #[must_use]
-    pub fn block(&self, living: &[SocketAddr]) -> Option<std::ops::Range<usize>> {
-        let rank = self.rank(&self.me, living)?;
-        let block = rank / BLOCK;
-        // Ranks count this gateway, places among the others do not.
-        let place = |rank_of: usize| (rank_of - usize::from(rank_of > rank)).min(living.len());
-        (!self.full(block)).then(|| place(block * BLOCK)..place((block + 1) * BLOCK))
+    pub fn own_incomplete_block(&self, live: &[SocketAddr]) -> Option<std::ops::Range<usize>> {
+        let own_rank = self.rank(&self.local_address, live)?;
+        let block = own_rank / MEMBERS_PER_BLOCK;
+        if self.is_complete(block) {
+            return None;
+        }
+        // Ranks count this gateway, indexes into `live` do not.
+        let index = |rank: usize| (rank - usize::from(rank > own_rank)).min(live.len());
+        Some(index(block * MEMBERS_PER_BLOCK)..index((block + 1) * MEMBERS_PER_BLOCK))
     }
 
-    /// How it is shared.
+    /// The view as it is known here.
     #[must_use]
-    pub const fn shared(&self) -> ViewStatus {
-        let Self {
-            digest,
-            version,
-            held,
-            members,
-            holders,
-            settled,
-            ..
-        } = *self;
+    pub const fn status(&self) -> ViewStatus {
         ViewStatus {
-            digest,
-            version,
-            held,
-            members,
-            holders,
-            settled,
+            digest: self.digest,
+            version: self.version,
+            since: self.since,
+            members: self.members,
+            agreeing_members: self.agreeing_members,
+            converged_at: self.converged_at,
         }
     }
 
-    /// Something changed.
-    pub(crate) fn change(&mut self, change: ViewChange) {
+    /// Appends a change; its version is set here.
+    pub(crate) fn record_change(&mut self, change: ViewChange) {
         self.version += 1;
-        if self.changes.len() >= self.most {
+        if self.changes.len() >= self.max_changes {
             self.changes.pop_front();
         }
         self.changes.push_back(ViewChange {
@@ -388,11 +392,27 @@
         });
     }
 
-    /// The changes after a version, in order, and how many of them are not kept any more: who has missed any takes the whole
-    /// view anew.
-    pub fn changes(&self, after: u64) -> (u64, impl Iterator<Item = &ViewChange>) {
-        let kept = self.version - self.changes.len() as u64;
-        let known = usize::try_from(after.saturating_sub(kept)).unwrap_or(usize::MAX);
-        (kept.saturating_sub(after), self.changes.iter().skip(known))
+    /// The kept changes after a version, in order.
+    pub fn changes_since(&self, version: u64) -> impl Iterator<Item = &ViewChange> {
+        let known = version.saturating_sub(self.dropped_changes());
+        let known = usize::try_from(known).unwrap_or(usize::MAX);
+        self.changes.iter().skip(known)
     }
+
+    /// How many changes after a version are no longer kept. A reader that has missed any must read
+    /// the whole view again.
+    #[must_use]
+    pub fn missed_changes(&self, version: u64) -> u64 {
+        self.dropped_changes().saturating_sub(version)
+    }
+
+    fn dropped_changes(&self) -> u64 {
+        self.version - self.changes.len() as u64
+    }
+}
+
+/// Whether a bit is set in a bit set; bits beyond its end are not.
+fn bit(set: &[u8], index: usize) -> bool {
+    set.get(index / 8)
+        .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,208 +1,269 @@
-//! What gateways say to each other about who there is, and its form in a datagram.
+//! Messages between gateways, and their form in a datagram.
+//!
+//! A datagram is one [`Datagram`] in postcard, at most [`MAX_DATAGRAM_BYTES`] bytes. The order of
+//! fields and variants is the byte form; their names are free. Pure functions, no state.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// One life of one gateway: which start, and how often it has contradicted what was said of it since.
+/// Longest datagram in bytes: the transport's 256 less its own header.
+pub const MAX_DATAGRAM_BYTES: usize = 248;
+/// Members per block of [`AgreeingMembers::Some`].
+pub const MEMBERS_PER_BLOCK: usize = 64;
+
+/// Which process of a gateway a statement is about, and how often that process has refuted
+/// statements about itself.
 ///
-/// The higher one is the later one. The number begins with the wall clock in milliseconds, so that a restarted gateway
-/// outbids its former self; where that clock was set back, it is told of its former self's number and takes the next.
-/// The nonce is drawn at each start: two starts are told apart by it whatever their numbers.
+/// A greater incarnation is a later one. The number begins with the wall clock in milliseconds, so
+/// that a restarted gateway supersedes its earlier process. If the clock was set back, others tell
+/// it the earlier number and it takes the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// Grows with each start and each refutation.
     pub number: u64,
-    /// Drawn at the start.
+    /// Drawn at each start: distinguishes two processes whatever their numbers are.
     pub nonce: u32,
 }
 
 impl Incarnation {
-    /// Numbers above are no incarnation: nobody could ever outbid the last one.
-    pub const MOST: u64 = 1 << 62;
+    /// Numbers from here on are rejected: nobody could refute the last one.
+    pub const MAX_NUMBER: u64 = 1 << 62;
 }
 
-/// How a gateway is, in the order in which one word about the same life outweighs another.
+/// State of a member. For one incarnation, a greater state overrides a lesser one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// It did not answer somebody, and may still say that it lives.
+    /// It did not answer some gateway, and may still refute.
     Suspect,
-    /// It did not say so in time.
+    /// It did not refute the suspicion in time.
     Dead,
-    /// It has said that it ends.
+    /// It has announced its graceful shutdown.
     Left,
 }
 
-/// How far a gateway is, by its own word.
+impl MemberState {
+    /// Whether a member in this state counts as live; suspects do.
+    #[must_use]
+    pub const fn is_live(self) -> bool {
+        matches!(self, Self::Alive | Self::Suspect)
+    }
+}
+
+/// Lifecycle phase that a gateway announces.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+    Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
 pub enum Phase {
-    /// It has started and is not yet as good as before.
+    /// It has started and still recovers.
     #[default]
     Starting,
-    /// Nothing is wanting.
+    /// It serves completely.
     Full,
-    /// It takes nothing new and is about to end.
+    /// It takes no new work and is about to leave.
     Draining,
 }
 
-/// What a gateway says of itself. A change takes the next incarnation, so that the later word holds everywhere.
+/// What a gateway announces about itself. Each change takes the next incarnation, so that the later
+/// one wins everywhere.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+    Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
 pub struct MemberMetadata {
-    /// Grows whenever the fleet's view has to tell before from after within one life: each time that others had given it
-    /// up, and with each change of what is below. A view that once held is thus never held again.
+    /// Grows within one process each time that others had declared it gone, and with each change of
+    /// the fields below, so that the digest of an earlier view never comes back.
     pub epoch: u32,
-    /// Its zone, by number; 0 where there are none.
+    /// Number of its zone; 0 if there are none.
     pub zone: u16,
-    /// The version of its program, by number.
+    /// Number of its program version.
     pub version: u16,
-    /// How far it is.
+    /// Its lifecycle phase.
     pub phase: Phase,
 }
 
-/// A word about a gateway. The greater of two, by incarnation, then state, then card, holds: so all who have heard the same
-/// words believe the same, in whatever order and however often these came.
+/// What is claimed about a member. Of two claims the greater holds, by incarnation, then state,
+/// then metadata: gateways that got the same claims end with the same result, whatever their order
+/// and number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Claim {
+    /// The incarnation.
+    pub incarnation: Incarnation,
+    /// The state in that incarnation.
+    pub state: MemberState,
+    /// The metadata in that incarnation.
+    pub metadata: MemberMetadata,
+}
+
+/// A statement about one member, as gossip carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Whom it is about.
-    pub about: SocketAddr,
-    /// Which life of it.
+    /// The member's address.
+    pub address: SocketAddr,
+    /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// How it is.
+    /// Its state.
     pub state: MemberState,
-    /// Of a suspicion: a mark of who suspects. Those of several count for more.
-    pub accuser: u16,
-    /// What it says of itself in that life.
-    pub card: MemberMetadata,
+    /// For a suspicion, a hash of the suspecting gateway: independent suspicions shorten the
+    /// timeout. Otherwise 0.
+    pub reporter: u16,
+    /// Its metadata in that incarnation.
+    pub metadata: MemberMetadata,
 }
 
 impl MemberUpdate {
-    /// What of two words about the same gateway holds.
+    /// The claim that this update makes.
     #[must_use]
-    pub const fn weight(&self) -> (Incarnation, MemberState, MemberMetadata) {
-        (self.incarnation, self.state, self.card)
+    pub const fn claim(&self) -> Claim {
+        Claim {
+            incarnation: self.incarnation,
+            state: self.state,
+            metadata: self.metadata,
+        }
     }
 }
 
-/// What a datagram is for.
+/// A position in another gateway's member table, for anti-entropy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SyncCursor {
+    /// The bucket of members.
+    pub bucket: u8,
+    /// Number of buckets into which the table is divided, a power of two.
+    pub bucket_count: u8,
+    /// The last address that was already received of this bucket.
+    pub after: Option<SocketAddr>,
+}
+
+/// Purpose of a datagram. Numbers of pings are chosen by the sender of the ping.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there?
+    /// Asks for an ack with the same number.
     Ping(u32),
-    /// Yes; or, from one that was asked to look: yes, it is.
+    /// Answers a ping; from a helper, that the target of the indirect ping answered.
     Ack(u32),
-    /// Ask that one whether it is there.
+    /// Asks the receiver to ping the target.
     IndirectPing(u32, SocketAddr),
-    /// From one that was asked to look: it has not answered me yet, but I am there.
+    /// From a helper: the target has not answered, but the helper itself is alive.
     Nack(u32),
-    /// Do we know the same, by this digest?
+    /// Starts anti-entropy with the digest of the sender's member table (big-endian).
     SyncDigest([u8; 8]),
-    /// No: these are the digests of the parts into which what I know falls, a power of two of them.
+    /// The tables differ: digests of the sender's buckets, a power of two of them.
     BucketDigests(Vec<u32>),
-    /// Whom do you know of that part of so many, beyond this address, but for those whose words have one of these hashes
-    /// with this salt?
+    /// Asks for the members after a cursor.
     Pull {
-        part: u8,
-        of: u8,
-        after: Option<SocketAddr>,
+        /// Where to go on.
+        cursor: SyncCursor,
+        /// Salt of the hashes.
         salt: u16,
+        /// Salted hashes of updates that the sender has already.
         known: Vec<u16>,
     },
-    /// Those of that part beyond this address; behind the last of them there are more unless it is the end.
+    /// Members after a cursor, in the datagram's updates.
     PullPage {
-        part: u8,
-        of: u8,
-        after: Option<SocketAddr>,
-        end: bool,
+        /// The cursor of the request.
+        cursor: SyncCursor,
+        /// Whether the bucket ends with this page.
+        last: bool,
     },
-    /// We know the same.
+    /// Answers a digest: the tables are the same.
     InSync,
-    /// Nothing: only what comes along.
+    /// Carries only updates.
     Gossip,
 }
 
-/// Members of a block, of which a view's holders are told together.
-pub const BLOCK: usize = 64;
-
-/// Who has said that they hold the same view, of those that are in it: blocks of [`BLOCK`] by rank of address.
+/// Members known to agree with the sender's view, by rank of their addresses in it, in blocks of
+/// [`MEMBERS_PER_BLOCK`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgreeingMembers {
-    /// Nothing is said of others.
+    /// Nothing is said about others.
     #[default]
     Unknown,
-    /// Of these blocks all, a bit each; of one more block those whose bits are set.
+    /// All members of some blocks, and some members of one more block.
     Some {
-        blocks: Vec<u8>,
+        /// Bit set of the blocks of which all members agree; empty if there are none.
+        complete_blocks: Vec<u8>,
+        /// Index of one more block.
         block: u8,
+        /// Bit set of the agreeing members of that block.
         bits: u64,
     },
-    /// All.
+    /// All members.
     All,
 }
 
-/// Which view the sender holds, and who else has said so.
+/// The sender's view, and which members agree with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewAgreement {
-    /// The view's digest.
+    /// Digest of the view (big-endian).
     pub digest: [u8; 8],
-    /// Who has said that they hold it.
-    pub holders: AgreeingMembers,
+    /// Members known to have the same view.
+    pub members: AgreeingMembers,
 }
 
-/// A datagram: which life of its sender speaks, what for, and what it passes on.
+/// A datagram of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Which life of its sender speaks.
-    pub from: Incarnation,
-    /// What it says of itself.
-    pub card: MemberMetadata,
-    /// The view that it holds.
-    pub held: ViewAgreement,
-    /// What for.
+    /// The sender's incarnation.
+    pub incarnation: Incarnation,
+    /// The sender's metadata.
+    pub metadata: MemberMetadata,
+    /// The sender's view.
+    pub agreement: ViewAgreement,
+    /// The purpose.
     pub message: Message,
-    /// What it passes on.
-    pub rumors: Vec<MemberUpdate>,
+    /// Updates that come along.
+    pub updates: Vec<MemberUpdate>,
 }
 
-/// Bytes that a datagram may have: the link's 256 less what the link puts in front.
-pub const MOST: usize = 248;
+/// A datagram in its byte form.
+pub(crate) struct EncodedDatagram {
+    pub(crate) bytes: Vec<u8>,
+    /// How many of the offered updates fit.
+    pub(crate) updates: usize,
+}
 
 impl Datagram {
-    /// Reads bytes from the network; `None` for anything that is not exactly one datagram.
+    /// Decodes bytes from the network; `None` for anything that is not exactly one datagram.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        if bytes.len() > MOST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
-        let (read, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
-        let sane = |i: &Incarnation| i.number < Incarnation::MOST;
-        let fits =
-            rest.is_empty() && sane(&read.from) && read.rumors.iter().all(|r| sane(&r.incarnation));
-        fits.then_some(read)
+        let (datagram, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
+        let is_valid = |incarnation: &Incarnation| incarnation.number < Incarnation::MAX_NUMBER;
+        let all_valid = is_valid(&datagram.incarnation)
+            && datagram.updates.iter().all(|u| is_valid(&u.incarnation));
+        (rest.is_empty() && all_valid).then_some(datagram)
     }
 
-    /// The bytes, with as many of `rumors` as fit; how many that were.
-    pub(crate) fn encode(bare: Self, rumors: &[MemberUpdate]) -> (Vec<u8>, usize) {
-        let mut room = MOST.saturating_sub(size(&bare));
-        let fits = |r: &&MemberUpdate| {
-            let wanted = size(*r);
-            let fits = wanted <= room;
-            room = room.saturating_sub(wanted);
-            fits
+    /// The byte form of a datagram without updates, plus as many of `updates` as fit.
+    pub(crate) fn encode_with(self, updates: &[MemberUpdate]) -> EncodedDatagram {
+        let mut free = MAX_DATAGRAM_BYTES.saturating_sub(encoded_bytes(&self));
+        let mut fitting = vec![];
+        for update in updates {
+            let bytes = encoded_bytes(update);
+            if bytes > free {
+                break;
+            }
+            free -= bytes;
+            fitting.push(*update);
+        }
+        let count = fitting.len();
+        let datagram = Self {
+            updates: fitting,
+            ..self
         };
-        let rumors: Vec<MemberUpdate> = rumors.iter().take_while(fits).copied().collect();
-        let count = rumors.len();
-        // Only memory could fail it, and a datagram that is not sent is one that was lost.
-        let bytes = postcard::to_extend(&Self { rumors, ..bare }, Vec::with_capacity(MOST));
-        (bytes.unwrap_or_default(), count)
+        // Encoding fails only without memory; an empty datagram is dropped by the receiver like a
+        // lost one.
+        let bytes = postcard::to_extend(&datagram, Vec::with_capacity(MAX_DATAGRAM_BYTES));
+        EncodedDatagram {
+            bytes: bytes.unwrap_or_default(),
+            updates: count,
+        }
     }
 }
 
-fn size(what: &impl Serialize) -> usize {
-    postcard::experimental::serialized_size(what).unwrap_or(MOST)
+fn encoded_bytes(value: &impl Serialize) -> usize {
+    postcard::experimental::serialized_size(value).unwrap_or(MAX_DATAGRAM_BYTES)
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,12 +1,14 @@
-//! The view: who is said to hold it, whatever the order; what stands on it is told once; a settled one is what all hold.
+//! The view: agreement is a union in any order; changes are reported once; a converged view is the
+//! one that all have.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
 use rstest::rstest;
-use valehatch_membership::table::{MemberTable, MergeOutcome};
-use valehatch_membership::view::{ChangeReason, MemberStatus, View, ViewChange};
+use valehatch_membership::member_table::{MemberTable, MergeOutcome};
+use valehatch_membership::view::{Convergence, LocalKnowledge, View};
+use valehatch_membership::view_changes::{ChangeReason, MemberStatus, ViewChange};
 use valehatch_membership::wire::Message::Gossip;
 use valehatch_membership::wire::{
     AgreeingMembers, Datagram, Incarnation, MemberMetadata, MemberState, MemberUpdate, Message,
@@ -29,290 +31,321 @@
 
 const DIGEST: u64 = 77;
 
-/// A view of so many, this gateway being one of them.
+/// A view of this many members, one of which is this gateway.
 fn view(me: usize, size: usize) -> (View, Vec<SocketAddr>) {
     let living: Vec<SocketAddr> = (0..size).filter(|n| *n != me).map(address).collect();
     let mut view = View::new(address(me), 4, Span(1_000), Time(0));
-    assert!(view.turn(DIGEST, &living, Time(0)));
+    assert!(view.set_digest(DIGEST, &living, Time(0)));
     (view, living)
 }
 
-fn held(digest: u64, holders: AgreeingMembers) -> ViewAgreement {
+fn agreement(digest: u64, members: AgreeingMembers) -> ViewAgreement {
     ViewAgreement {
         digest: digest.to_be_bytes(),
-        holders,
+        members,
     }
 }
 
 proptest! {
-    /// Words go around among all in any order, lost and doubled as drawn: who is said to hold the view is exactly those
-    /// whose word came by some way, and never one that has said nothing.
+    /// Agreement messages go among all members in any order, lost and duplicated as drawn: a member
+    /// counts as agreeing only if its own message has arrived in some way.
     #[test]
-    fn who_holds_the_view_is_the_union_of_what_was_said(
+    fn agreeing_members_are_union_of_messages(
         size in 2..200_usize,
         silent in proptest::collection::btree_set(0..200_usize, 0..4),
         sends in proptest::collection::vec((any::<usize>(), any::<usize>(), any::<u32>(), 1..3_usize), 0..600),
     ) {
         let mut views: Vec<_> = (0..size).map(|n| view(n, size)).collect();
-        // The truth beside it: who has come to know of whom, by those that passed it on.
+        // The exact answer: who can know of whom, by those that passed it on.
         let mut knows: Vec<BTreeSet<usize>> = (0..size).map(|n| BTreeSet::from([n])).collect();
         for (from, to, turn, times) in sends {
             let (from, to) = (from % size, to % size);
             if from == to || silent.contains(&from) {
                 continue;
             }
-            let told = views[from].0.held(&views[from].1, turn);
+            let message = views[from].0.agreement(&views[from].1, turn);
             for _ in 0..times {
                 let (view, living) = &mut views[to];
-                prop_assert!(view.hear(&address(from), &told, living, Time(1)));
+                prop_assert!(view.on_agreement(&address(from), &message, living, Time(1)));
             }
             let more = knows[from].clone();
             knows[to].extend(more);
         }
         for (n, (view, _)) in views.iter().enumerate() {
-            let holders = view.shared().holders;
-            prop_assert!(holders <= knows[n].len(), "{holders} counted, {:?} could be known", knows[n]);
-            // One that said nothing is counted by itself alone.
+            let agreeing = view.status().agreeing_members;
+            prop_assert!(agreeing <= knows[n].len(), "{agreeing} counted, {:?} could be known", knows[n]);
+            // A silent member is counted by itself alone.
             let never = silent.iter().filter(|s| **s < size && **s != n).count();
-            prop_assert!(holders <= size - never);
+            prop_assert!(agreeing <= size - never);
         }
     }
 
-    /// Tables that heard the same words hold the same view, and another where any life, card or end differs.
+    /// Tables that merged the same updates have the same view digest, and another one where any
+    /// process or metadata differs.
     #[test]
-    fn the_digest_is_that_of_the_lives_and_cards(
-        words in proptest::collection::vec((1..6_usize, 1..4_u64, 0..2_u32, 0..2_u32, 0..4_usize), 0..24),
+    fn view_digest_follows_from_live_processes_and_metadata(
+        drawn in proptest::collection::vec((1..6_usize, 1..4_u64, 0..2_u32, 0..2_u32, 0..4_usize), 0..24),
         order in proptest::collection::vec(any::<usize>(), 48),
     ) {
-        let rumors: Vec<MemberUpdate> = words.iter().map(|(about, number, nonce, epoch, state)| MemberUpdate {
-            about: address(*about),
+        let updates: Vec<MemberUpdate> = drawn.iter().map(|(n, number, nonce, epoch, state)| MemberUpdate {
+            address: address(*n),
             incarnation: Incarnation { number: *number, nonce: *nonce },
             state: [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left][*state],
-            accuser: 0,
-            card: MemberMetadata { epoch: *epoch, zone: 1, version: 2, phase: Phase::Full },
+            reporter: 0,
+            metadata: MemberMetadata { epoch: *epoch, zone: 1, version: 2, phase: Phase::Full },
         }).collect();
-        let mut other = rumors.clone();
-        other.extend(order.iter().take(8).filter_map(|n| rumors.get(n % rumors.len().max(1))).copied());
-        for (n, with) in order.iter().enumerate().filter(|_| !rumors.is_empty()) {
+        let mut other = updates.clone();
+        other.extend(order.iter().take(8).filter_map(|n| updates.get(n % updates.len().max(1))).copied());
+        for (n, with) in order.iter().enumerate().filter(|_| !updates.is_empty()) {
             let (a, b) = (n % other.len(), with % other.len());
             other.swap(a, b);
         }
-        let take = |rumors: &[MemberUpdate]| {
+        let take = |updates: &[MemberUpdate]| {
             let mut table = MemberTable::new(8, Span(1_000_000));
-            rumors.iter().for_each(|r| assert_ne!(table.merge(r, Time(0)), MergeOutcome::TableFull));
+            for update in updates {
+                assert_ne!(table.merge(update, Time(0)), MergeOutcome::TableFull);
+            }
             table
         };
-        let lives = |t: &MemberTable| {
+        let live = |t: &MemberTable| {
             let living = t.iter().filter(|(_, p)| matches!(p.state, MemberState::Alive | MemberState::Suspect));
-            living.map(|(a, p)| (*a, p.incarnation.nonce, p.card)).collect::<Vec<_>>()
+            living.map(|(a, p)| (*a, p.incarnation.nonce, p.metadata)).collect::<Vec<_>>()
         };
-        let (one, two) = (take(&rumors), take(&other));
-        prop_assert_eq!((one.view(), one.digest(), lives(&one)), (two.view(), two.digest(), lives(&two)));
-        prop_assert_eq!(one.living(), lives(&one).iter().map(|l| l.0).collect::<Vec<_>>());
-        // Any fewer words: another view unless the lives are the same.
-        for n in 0..rumors.len() {
-            let less = take(&rumors[..n]);
-            prop_assert_eq!(less.view() == one.view(), lives(&less) == lives(&one));
+        let (one, two) = (take(&updates), take(&other));
+        prop_assert_eq!((one.view_digest(), one.digest(), live(&one)), (two.view_digest(), two.digest(), live(&two)));
+        prop_assert_eq!(one.live(), live(&one).iter().map(|l| l.0).collect::<Vec<_>>());
+        // Fewer updates: another view unless the live processes are the same.
+        for n in 0..updates.len() {
+            let less = take(&updates[..n]);
+            prop_assert_eq!(less.view_digest() == one.view_digest(), live(&less) == live(&one));
         }
     }
 }
 
+/// All members agree, then one of them has another view: the view must not count as converged until
+/// it agrees again, or until its change would have arrived here.
 #[rstest]
 #[case::two(2)]
-#[case::a_block_and_one(65)]
+#[case::one_more_than_a_block(65)]
 #[case::many(700)]
-fn a_view_is_settled_when_all_have_said_so_and_no_longer_when_one_says_otherwise(
-    #[case] size: usize,
-) {
+fn view_converges_when_all_agree_and_diverges_on_disagreement(#[case] size: usize) {
     let (mut view, living) = view(0, size);
-    assert_eq!(view.look(true, Time(1)), None);
+    assert_eq!(
+        view.update_convergence(LocalKnowledge::Complete, Time(1)),
+        None
+    );
     for one in &living[1..] {
-        view.hear(
+        view.on_agreement(
             one,
-            &held(DIGEST, AgreeingMembers::Unknown),
+            &agreement(DIGEST, AgreeingMembers::Unknown),
             &living,
             Time(2),
         );
     }
     assert_eq!(
-        (view.shared().holders, view.look(true, Time(2))),
+        (
+            view.status().agreeing_members,
+            view.update_convergence(LocalKnowledge::Complete, Time(2))
+        ),
         (size - 1, None)
     );
-    view.hear(
+    view.on_agreement(
         &living[0],
-        &held(DIGEST, AgreeingMembers::Unknown),
+        &agreement(DIGEST, AgreeingMembers::Unknown),
         &living,
         Time(3),
     );
     assert_eq!(
-        view.look(false, Time(3)),
+        view.update_convergence(LocalKnowledge::Incomplete, Time(3)),
         None,
-        "not while it does not know that it knows all"
+        "not before this gateway has synced"
     );
     assert_eq!(
-        (view.look(true, Time(4)), view.shared().settled),
-        (Some(true), Some(Time(4)))
+        (
+            view.update_convergence(LocalKnowledge::Complete, Time(4)),
+            view.status().converged_at
+        ),
+        (Some(Convergence::Converged), Some(Time(4)))
     );
-    view.hear(
+    view.on_agreement(
         &living[0],
-        &held(DIGEST + 1, AgreeingMembers::All),
+        &agreement(DIGEST + 1, AgreeingMembers::All),
         &living,
         Time(5),
     );
     assert_eq!(
-        (view.look(true, Time(5)), view.shared().settled),
-        (Some(false), None)
+        (
+            view.update_convergence(LocalKnowledge::Complete, Time(5)),
+            view.status().converged_at
+        ),
+        (Some(Convergence::Diverged), None)
     );
-    // Its change has not come here in all that time, and it has not said so again.
+    // Its change has not arrived in all that time, and it has not disagreed again.
     assert_eq!(
-        (view.look(true, Time(1_005)), view.shared().settled),
-        (Some(true), Some(Time(1_005)))
+        (
+            view.update_convergence(LocalKnowledge::Complete, Time(1_005)),
+            view.status().converged_at
+        ),
+        (Some(Convergence::Converged), Some(Time(1_005)))
     );
-    // Another view, and what is said of the old one counts for nothing.
-    assert!(view.turn(DIGEST + 2, &living, Time(1_006)));
-    assert_eq!(view.look(true, Time(1_006)), Some(false));
-    view.hear(
+    // With another view, agreement with the old one no longer counts.
+    assert!(view.set_digest(DIGEST + 2, &living, Time(1_006)));
+    assert_eq!(
+        view.update_convergence(LocalKnowledge::Complete, Time(1_006)),
+        Some(Convergence::Diverged)
+    );
+    view.on_agreement(
         &living[0],
-        &held(DIGEST, AgreeingMembers::All),
+        &agreement(DIGEST, AgreeingMembers::All),
         &living,
         Time(1_007),
     );
-    assert_eq!(view.shared().holders, 1);
-    // A word that all hold it is passed on by one that has it from others.
-    view.hear(
+    assert_eq!(view.status().agreeing_members, 1);
+    // That all agree is passed on by a member that learned it from others.
+    view.on_agreement(
         &living[0],
-        &held(DIGEST + 2, AgreeingMembers::All),
+        &agreement(DIGEST + 2, AgreeingMembers::All),
         &living,
         Time(1_008),
     );
-    assert_eq!(view.look(true, Time(1_008)), Some(true));
+    assert_eq!(
+        view.update_convergence(LocalKnowledge::Complete, Time(1_008)),
+        Some(Convergence::Converged)
+    );
 }
 
-fn heart() -> Membership {
+fn membership() -> Membership {
     let set = Settings {
-        me: address(1),
+        local_address: address(1),
         seeds: vec![address(2)],
         zone: 3,
         version: 4,
-        period: Span::from_millis(500),
-        most: 1_200,
-        bytes_s: 8192,
-        configured: 12,
-        settle: Span::from_millis(30_000),
+        probe_interval: Span::from_millis(500),
+        max_members: 1_200,
+        max_bytes_per_second: 8192,
+        configured_fleet_size: 12,
+        shrink_delay: Span::from_millis(30_000),
     };
     Membership::new(set, 1, 1, Time(0)).unwrap()
 }
 
-/// A datagram of another that says nothing of others, or these words.
-fn said(
-    from: (u64, u32),
-    card: MemberMetadata,
+/// A datagram of another gateway with these updates.
+fn datagram(
+    number: u64,
+    nonce: u32,
+    metadata: MemberMetadata,
     message: Message,
-    rumors: Vec<MemberUpdate>,
+    updates: Vec<MemberUpdate>,
 ) -> Vec<u8> {
-    let from = Incarnation {
-        number: from.0,
-        nonce: from.1,
-    };
-    let held = ViewAgreement::default();
+    let incarnation = Incarnation { number, nonce };
+    let agreement = ViewAgreement::default();
     postcard::to_stdvec(&Datagram {
-        from,
-        card,
-        held,
+        incarnation,
+        metadata,
+        agreement,
         message,
-        rumors,
+        updates,
     })
     .unwrap()
 }
 
-#[test]
-fn each_change_is_told_once_in_order_and_with_its_reason() {
-    let (mut heart, mut out) = (heart(), vec![]);
-    let card = |epoch, phase| MemberMetadata {
+/// A gateway that has learned from another one how a third joins, changes its phase, is suspected,
+/// clears itself, fails, restarts twice and leaves. It got each update twice: a known one is no
+/// change.
+fn membership_after_changes() -> Membership {
+    let (mut membership, mut out) = (membership(), vec![]);
+    let metadata = |epoch, phase| MemberMetadata {
         epoch,
         zone: 1,
         version: 1,
         phase,
     };
-    let (starting, full) = (card(0, Phase::Starting), card(1, Phase::Full));
-    let two = |number, nonce, state, card| MemberUpdate {
-        about: address(2),
-        incarnation: Incarnation { number, nonce },
-        state,
-        accuser: 9,
-        card,
-    };
+    let (starting, full) = (metadata(0, Phase::Starting), metadata(1, Phase::Full));
+    let steps = [
+        (10, 1, MemberState::Alive, starting),
+        (11, 1, MemberState::Alive, full),
+        (11, 1, MemberState::Suspect, full),
+        (12, 1, MemberState::Alive, full),
+        (12, 1, MemberState::Dead, full),
+        (20, 2, MemberState::Alive, starting),
+        (21, 7, MemberState::Alive, starting),
+        (21, 7, MemberState::Left, starting),
+    ];
     let mut at = 0;
-    let mut hear = |heart: &mut Membership, rumors: Vec<MemberUpdate>| {
-        // Each word twice: what is known is no change.
+    for (number, nonce, state, metadata) in steps {
+        let update = MemberUpdate {
+            address: address(2),
+            incarnation: Incarnation { number, nonce },
+            state,
+            reporter: 9,
+            metadata,
+        };
+        let bytes = datagram(5, 3, starting, Gossip, vec![update]);
         for _ in 0..2 {
             at += 1;
-            heart.receive(
-                Time(at),
-                address(3),
-                &said((5, 3), starting, Gossip, rumors.clone()),
-                &mut out,
-            );
+            membership.receive(Time(at), address(3), &bytes, &mut out);
         }
-    };
-    hear(&mut heart, vec![two(10, 1, MemberState::Alive, starting)]);
-    hear(&mut heart, vec![two(11, 1, MemberState::Alive, full)]);
-    hear(&mut heart, vec![two(11, 1, MemberState::Suspect, full)]);
-    hear(&mut heart, vec![two(12, 1, MemberState::Alive, full)]);
-    hear(&mut heart, vec![two(12, 1, MemberState::Dead, full)]);
-    hear(&mut heart, vec![two(20, 2, MemberState::Alive, starting)]);
-    hear(&mut heart, vec![two(21, 7, MemberState::Alive, starting)]);
-    hear(&mut heart, vec![two(21, 7, MemberState::Left, starting)]);
-    let (missed, changes) = heart.changes(0);
-    let changes: Vec<ViewChange> = changes.copied().collect();
-    let is = MemberStatus::Active;
-    let of = |c: &ViewChange| (c.about, c.was, c.is, c.why);
-    let about = address(2);
-    assert_eq!(missed, 0);
+    }
+    membership
+}
+
+#[test]
+fn changes_are_reported_once_in_order_with_reason() {
+    let membership = membership_after_changes();
+    let changes: Vec<ViewChange> = membership.changes_since(0).copied().collect();
+    let active = MemberStatus::Active;
+    let of = |c: &ViewChange| (c.address, c.before, c.after, c.reason);
+    let member = address(2);
+    assert_eq!(membership.missed_changes(0), 0);
     assert_eq!(
         changes.iter().map(of).collect::<Vec<_>>(),
         [
-            (address(3), None, is(Phase::Starting), ChangeReason::Joined),
-            (about, None, is(Phase::Starting), ChangeReason::Joined),
             (
-                about,
-                Some(is(Phase::Starting)),
-                is(Phase::Full),
+                address(3),
+                None,
+                active(Phase::Starting),
+                ChangeReason::Joined
+            ),
+            (member, None, active(Phase::Starting), ChangeReason::Joined),
+            (
+                member,
+                Some(active(Phase::Starting)),
+                active(Phase::Full),
                 ChangeReason::MetadataChanged
             ),
             (
-                about,
-                Some(is(Phase::Full)),
+                member,
+                Some(active(Phase::Full)),
                 MemberStatus::Suspected,
                 ChangeReason::Suspected
             ),
             (
-                about,
+                member,
                 Some(MemberStatus::Suspected),
-                is(Phase::Full),
+                active(Phase::Full),
                 ChangeReason::SuspicionCleared
             ),
             (
-                about,
-                Some(is(Phase::Full)),
+                member,
+                Some(active(Phase::Full)),
                 MemberStatus::Gone,
                 ChangeReason::Failed
             ),
             (
-                about,
+                member,
                 Some(MemberStatus::Gone),
-                is(Phase::Starting),
+                active(Phase::Starting),
                 ChangeReason::Restarted
             ),
             (
-                about,
-                Some(is(Phase::Starting)),
-                is(Phase::Starting),
+                member,
+                Some(active(Phase::Starting)),
+                active(Phase::Starting),
                 ChangeReason::Restarted
             ),
             (
-                about,
-                Some(is(Phase::Starting)),
+                member,
+                Some(active(Phase::Starting)),
                 MemberStatus::Gone,
                 ChangeReason::Left
             ),
@@ -320,57 +353,74 @@
     );
     assert!(changes.iter().map(|c| c.version).eq(1..=9));
     assert_eq!(
-        heart.changes(7).1.count(),
+        membership.changes_since(7).count(),
         2,
-        "a reader goes on where it stopped"
+        "a reader continues where it stopped"
     );
 }
 
 #[test]
-fn a_reader_that_comes_too_late_is_told_how_many_it_has_missed() {
-    let (mut heart, mut out) = (heart(), vec![]);
+fn late_reader_learns_number_of_missed_changes() {
+    let (mut membership, mut out) = (membership(), vec![]);
     for n in 2..902 {
-        let bytes = said((1, 1), MemberMetadata::default(), Gossip, vec![]);
-        heart.receive(Time(1), address(n), &bytes, &mut out);
+        let bytes = datagram(1, 1, MemberMetadata::default(), Gossip, vec![]);
+        membership.receive(Time(1), address(n), &bytes, &mut out);
     }
-    let (missed, kept) = heart.changes(100);
-    let kept: Vec<u64> = kept.map(|c| c.version).collect();
+    let missed = membership.missed_changes(100);
+    let kept: Vec<u64> = membership.changes_since(100).map(|c| c.version).collect();
     assert_eq!((missed, kept.len(), kept.last()), (288, 512, Some(&900)));
 }
 
+/// Two gateways are configured with the same address. Each refutes what the other says, for ever.
+/// The one that sees its refutations answered reports that and gives in. An earlier process of the
+/// same gateway cannot answer.
 #[test]
-fn a_life_that_answers_this_ones_contradictions_is_another_gateway_under_the_same_name() {
-    let (mut heart, mut out) = (heart(), vec![]);
-    let me = |number| MemberUpdate {
-        about: address(1),
+fn answered_refutations_reveal_duplicate_identity() {
+    let (mut membership, mut out) = (membership(), vec![]);
+    let about_self = |number| MemberUpdate {
+        address: address(1),
         incarnation: Incarnation { number, nonce: 99 },
         state: MemberState::Alive,
-        accuser: 0,
-        card: MemberMetadata::default(),
+        reporter: 0,
+        metadata: MemberMetadata::default(),
     };
-    let mut hear = |heart: &mut Membership, number| {
+    let mut receive = |membership: &mut Membership, number| {
         out.clear();
-        let bytes = said((5, 3), MemberMetadata::default(), Gossip, vec![me(number)]);
-        heart.receive(Time(1), address(2), &bytes, &mut out);
+        let bytes = datagram(
+            5,
+            3,
+            MemberMetadata::default(),
+            Gossip,
+            vec![about_self(number)],
+        );
+        membership.receive(Time(1), address(2), &bytes, &mut out);
         out.iter()
             .any(|e| matches!(e, Effect::Event(MembershipEvent::DuplicateIdentity(_))))
     };
-    // A former self whose clock stood later: outbid once, whatever else of it is still said.
+    // An earlier process whose clock was ahead: superseded once, whatever other gateways still
+    // repeat of it.
+    assert!(
+        !receive(&mut membership, 100)
+            && !receive(&mut membership, 100)
+            && !receive(&mut membership, 90)
+            && !receive(&mut membership, 105)
+    );
+    assert_eq!(membership.incarnation().number, 106);
+    // A gateway that answers each time.
+    assert!(!receive(&mut membership, 107));
+    assert!(receive(&mut membership, 109), "reported");
     assert!(
-        !hear(&mut heart, 100)
-            && !hear(&mut heart, 100)
-            && !hear(&mut heart, 90)
-            && !hear(&mut heart, 105)
+        !receive(&mut membership, 111) && !receive(&mut membership, 113),
+        "once"
+    );
+    assert_eq!(
+        membership.incarnation().number,
+        110,
+        "and no longer superseded"
     );
-    assert_eq!(heart.incarnation().number, 106);
-    // One that answers each time.
-    assert!(!hear(&mut heart, 107));
-    assert!(hear(&mut heart, 109), "told");
-    assert!(!hear(&mut heart, 111) && !hear(&mut heart, 113), "once");
-    assert_eq!(heart.incarnation().number, 110, "and not outbid any more");
     assert!(
-        heart
+        membership
             .members()
-            .any(|m| m.0 == address(1) && m.1.number == 113)
+            .any(|m| m.address == address(1) && m.incarnation.number == 113)
     );
 }
--- a/crates/membership/tests/wire_forms.rs
+++ b/crates/membership/tests/wire_forms.rs
@@ -1,12 +1,13 @@
-//! Byte forms of membership datagrams and the digests they carry. The file in `fixtures/` holds one datagram of each kind as
-//! version 0.4.0 wrote them, one after the other; later versions must read them and write the same bytes.
+//! Byte forms of membership datagrams and the digests they carry. The file in `fixtures/` holds one
+//! datagram of each kind as version 0.4.0 wrote them, one after the other; later versions must read
+//! them and write the same bytes.
 
 use std::net::SocketAddr;
 
-use valehatch_membership::table::MemberTable;
+use valehatch_membership::member_table::MemberTable;
 use valehatch_membership::wire::{
     AgreeingMembers, Datagram, Incarnation, MemberMetadata, MemberState, MemberUpdate, Message,
-    Phase, ViewAgreement,
+    Phase, SyncCursor, ViewAgreement,
 };
 use valehatch_membership::{Effect, Membership, Settings};
 use valehatch_policy::{Span, Time};
@@ -17,16 +18,16 @@
     text.parse().unwrap()
 }
 
-fn rumors() -> Vec<MemberUpdate> {
-    let rumor = |(about, number, state, phase): (&str, u64, MemberState, Phase)| MemberUpdate {
-        about: address(about),
+fn updates() -> Vec<MemberUpdate> {
+    let update = |(text, number, state, phase): (&str, u64, MemberState, Phase)| MemberUpdate {
+        address: address(text),
         incarnation: Incarnation {
             number,
             nonce: 0x89ab_cdef,
         },
         state,
-        accuser: 513,
-        card: MemberMetadata {
+        reporter: 513,
+        metadata: MemberMetadata {
             epoch: 300,
             zone: 7,
             version: 4,
@@ -44,13 +45,13 @@
         ("[2001:db8::4]:7946", 2, MemberState::Dead, Phase::Draining),
         ("10.0.0.5:7946", 3, MemberState::Left, Phase::Full),
     ];
-    all.into_iter().map(rumor).collect()
+    all.into_iter().map(update).collect()
 }
 
 fn datagrams() -> Vec<Datagram> {
     let (four, six) = (address("10.0.0.9:7946"), address("[2001:db8::9]:7946"));
     let some = AgreeingMembers::Some {
-        blocks: vec![0x81, 2],
+        complete_blocks: vec![0x81, 2],
         block: 3,
         bits: 0x8000_0000_0000_0001,
     };
@@ -58,7 +59,7 @@
         (
             Message::Ping(0x0102_0304),
             AgreeingMembers::Unknown,
-            rumors(),
+            updates(),
         ),
         (Message::Ack(1), some, vec![]),
         (Message::IndirectPing(2, four), AgreeingMembers::All, vec![]),
@@ -75,9 +76,11 @@
         ),
         (
             Message::Pull {
-                part: 5,
-                of: 32,
-                after: Some(six),
+                cursor: SyncCursor {
+                    bucket: 5,
+                    bucket_count: 32,
+                    after: Some(six),
+                },
                 salt: 500,
                 known: vec![1, 65_535],
             },
@@ -86,34 +89,36 @@
         ),
         (
             Message::PullPage {
-                part: 5,
-                of: 32,
-                after: None,
-                end: true,
+                cursor: SyncCursor {
+                    bucket: 5,
+                    bucket_count: 32,
+                    after: None,
+                },
+                last: true,
             },
             AgreeingMembers::All,
-            rumors(),
+            updates(),
         ),
         (Message::InSync, AgreeingMembers::All, vec![]),
-        (Message::Gossip, AgreeingMembers::All, rumors()),
+        (Message::Gossip, AgreeingMembers::All, updates()),
     ];
-    let one = |(message, holders, rumors)| Datagram {
-        from: Incarnation {
+    let one = |(message, members, updates)| Datagram {
+        incarnation: Incarnation {
             number: 1_700_000_000_001,
             nonce: 0x0123_4567,
         },
-        card: MemberMetadata {
+        metadata: MemberMetadata {
             epoch: 2,
             zone: 1,
             version: 4,
             phase: Phase::Full,
         },
-        held: ViewAgreement {
+        agreement: ViewAgreement {
             digest: [0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10],
-            holders,
+            members,
         },
         message,
-        rumors,
+        updates,
     };
     all.into_iter().map(one).collect()
 }
@@ -138,15 +143,15 @@
 #[test]
 fn received_ping_is_answered_in_the_pinned_form() {
     let set = Settings {
-        me: address("10.0.0.1:7946"),
+        local_address: address("10.0.0.1:7946"),
         seeds: vec![],
         zone: 1,
         version: 4,
-        period: Span::from_millis(500),
-        most: 8,
-        bytes_s: 8192,
-        configured: 12,
-        settle: Span::from_millis(30_000),
+        probe_interval: Span::from_millis(500),
+        max_members: 8,
+        max_bytes_per_second: 8192,
+        configured_fleet_size: 12,
+        shrink_delay: Span::from_millis(30_000),
     };
     let (mut membership, mut out) = (Membership::new(set, 1_000, 1, Time(0)).unwrap(), vec![]);
     let ping = postcard::to_stdvec(&datagrams()[0]).unwrap();
@@ -166,11 +171,11 @@
 #[test]
 fn digests_of_equal_tables_stay_equal_across_versions() {
     let mut table = MemberTable::new(8, Span::from_millis(1_000_000));
-    for rumor in rumors() {
-        table.merge(&rumor, Time(0));
+    for update in updates() {
+        table.merge(&update, Time(0));
     }
     assert_eq!(
-        (table.alive(), table.digest(), table.view()),
+        (table.live_count(), table.digest(), table.view_digest()),
         (2, 0x9e5b_4927_205e_d954, 0x78f7_9a0f_bfbb_15b8)
     );
 }
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -15,9 +15,9 @@
 use siphasher::sip::SipHasher13;
 use valehatch_config::peers::Peers;
 use valehatch_core::Event;
-use valehatch_membership::view::{ChangeReason, ViewChange};
+use valehatch_membership::view_changes::{ChangeReason, ViewChange};
 use valehatch_membership::wire::Phase;
-use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
+use valehatch_membership::{Effect, Load, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::list_exchange as lists;
 
@@ -107,15 +107,15 @@
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis());
         let set = Settings {
-            me: peers.advertise,
+            local_address: peers.advertise,
             seeds: peers.seeds.clone(),
             zone: 0,
             version: version(env!("CARGO_PKG_VERSION")),
-            period: Span::from_millis(peers.probe_ms),
-            most: peers.most,
-            bytes_s: peers.bytes_per_s,
-            configured,
-            settle: Span::from_millis(peers.settle_ms),
+            probe_interval: Span::from_millis(peers.probe_ms),
+            max_members: peers.most,
+            max_bytes_per_second: peers.bytes_per_s,
+            configured_fleet_size: configured,
+            shrink_delay: Span::from_millis(peers.settle_ms),
         };
         let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
         let heart = heart.map_err(|e| format!("peers: {e}"))?;
@@ -154,7 +154,7 @@
     /// Whether service is as good as before this start: all in the view hear of it.
     pub fn full(&self, full: bool) {
         let phase = if full { Phase::Full } else { Phase::Starting };
-        self.tend(|heart, out| heart.phase(phase, now(), out));
+        self.tend(|heart, out| heart.set_phase(phase, now(), out));
     }
 
     fn tend(&self, what: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
@@ -162,24 +162,25 @@
         let changes: Vec<ViewChange> = {
             let mut heart = lock(&self.heart);
             what(&mut heart, &mut out);
-            let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
+            let told = self
+                .told
+                .swap(heart.view_status().version, Ordering::Relaxed);
             // All else has a note of its own.
             heart
-                .changes(told)
-                .1
-                .filter(|c| c.why == ChangeReason::MetadataChanged)
+                .changes_since(told)
+                .filter(|c| c.reason == ChangeReason::MetadataChanged)
                 .copied()
                 .collect()
         };
         changes
             .iter()
-            .for_each(|c| tracing::info!("peers: {} is {}", c.about, named(c.card.phase)));
+            .for_each(|c| tracing::info!("peers: {} is {}", c.address, named(c.metadata.phase)));
         self.carry_out(out);
     }
 
     /// The other gateways that are taken to live.
     pub fn living(&self) -> Vec<SocketAddr> {
-        lock(&self.heart).living().collect()
+        lock(&self.heart).live_members().collect()
     }
 
     fn run(&self) {
@@ -222,7 +223,7 @@
                 }
             }
             self.ask_for_lists();
-            let share = lock(&self.heart).share(true);
+            let share = lock(&self.heart).quota_divisor(Load::Overloaded);
             if self.fleet.swap(share, Ordering::Relaxed) != share {
                 tracing::info!("peers: what is shared is divided by {share}");
                 self.cores
@@ -367,7 +368,7 @@
             "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
             view.members,
             view.digest,
-            view.settled.map_or(0, |at| (at - view.held).0 / 1000)
+            view.converged_at.map_or(0, |at| (at - view.since).0 / 1000)
         ),
         MembershipEvent::ViewDiverged => tracing::info!("peers: the view is not settled"),
         MembershipEvent::Synced => {
@@ -401,7 +402,7 @@
         );
         const {
             assert!(
-                FRONT + valehatch_membership::wire::MOST <= MOST
+                FRONT + valehatch_membership::wire::MAX_DATAGRAM_BYTES <= MOST
                     && FRONT + lists::MAX_DATAGRAM_BYTES <= MOST
             )
         };
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -7,8 +7,8 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use valehatch_membership::view::MemberStatus;
-use valehatch_membership::wire::{Incarnation, MOST, Phase};
+use valehatch_membership::view_changes::MemberStatus;
+use valehatch_membership::wire::{Incarnation, MAX_DATAGRAM_BYTES, Phase};
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 
@@ -155,15 +155,15 @@
             .saturating_add(1_700_000_000_000)
             .saturating_add(clock_off_ms);
         let set = Settings {
-            me: self.name(n),
+            local_address: self.name(n),
             seeds: (0..self.seeds).map(address).collect(),
             zone: 0,
             version: 1,
-            period: self.period,
-            most: size + 8,
-            bytes_s: self.bytes_s,
-            configured: u32::try_from(size).unwrap_or(u32::MAX),
-            settle: self.period.times(60.0),
+            probe_interval: self.period,
+            max_members: size + 8,
+            max_bytes_per_second: self.bytes_s,
+            configured_fleet_size: u32::try_from(size).unwrap_or(u32::MAX),
+            shrink_delay: self.period.times(60.0),
         };
         let heart = Membership::new(set, wall.max(0).unsigned_abs(), self.rng.random(), self.now);
         let gateway = &mut self.gateways[n];
@@ -232,7 +232,7 @@
     pub fn phase(&mut self, n: usize, phase: Phase) -> Result<(), Broken> {
         let (now, mut out) = (self.now, vec![]);
         if let Some(heart) = &mut self.gateways[n].heart {
-            heart.phase(phase, now, &mut out);
+            heart.set_phase(phase, now, &mut out);
         }
         self.carry_out(n, out)
     }
@@ -248,15 +248,15 @@
             let Some(heart) = self.heart(*n) else {
                 return true;
             };
-            let shared = heart.shared();
-            if shared.settled.is_none() {
+            let shared = heart.view_status();
+            if shared.converged_at.is_none() {
                 return false;
             }
             let both = |o: &&usize| self.reaches(*n, **o) && self.reaches(**o, *n);
             let near = || all.iter().filter(both);
             let same = |o: &usize| {
                 self.heart(*o)
-                    .is_some_and(|h| h.shared().digest == shared.digest)
+                    .is_some_and(|h| h.view_status().digest == shared.digest)
             };
             if self.reach.is_some() && !near().all(same) {
                 return false;
@@ -273,13 +273,13 @@
             };
             let there: Vec<_> = heart
                 .members()
-                .filter(|m| m.3 != MemberStatus::Gone)
+                .filter(|m| m.status != MemberStatus::Gone)
                 .collect();
             looked.push((shared.digest, *n));
             there.len() == names.len()
                 && there
                     .iter()
-                    .all(|m| names.contains(&m.0) && lives(&m.0, &m.1))
+                    .all(|m| names.contains(&m.address) && lives(&m.address, &m.incarnation))
         }) && (self.reach.is_some() || looked.len() <= 1)
     }
 
@@ -314,7 +314,7 @@
             .filter(|(n, _)| self.gateways[*n].still.is_none());
         moving.into_iter().all(|(n, h)| {
             let others = all.iter().filter(|a| **a != address(n));
-            h.living().eq(others.copied())
+            h.live_members().eq(others.copied())
         })
     }
 
@@ -443,7 +443,7 @@
                     note,
                 }),
                 Effect::Send { to, bytes } => {
-                    if bytes.len() > MOST {
+                    if bytes.len() > MAX_DATAGRAM_BYTES {
                         return broken(format!("a datagram of {} bytes", bytes.len()));
                     }
                     let gateway = &mut self.gateways[n];
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use valehatch_membership::Membership;
-use valehatch_membership::view::MemberStatus;
+use valehatch_membership::view_changes::MemberStatus;
 
 /// What each process has held, by its number.
 #[derive(Debug, Default)]
@@ -44,13 +44,13 @@
         heart: &Membership,
         named: impl Fn(&SocketAddr) -> Vec<usize>,
     ) -> Result<(), String> {
-        let shared = heart.shared();
+        let shared = heart.view_status();
         if self.last[n] != shared.digest {
             self.last[n] = shared.digest;
             self.held[n].insert(shared.digest);
         }
         self.follow(n, heart)?;
-        let claim = shared.settled.map(|at| (shared.digest, at.0));
+        let claim = shared.converged_at.map(|at| (shared.digest, at.0));
         if claim.is_none() || claim == self.judged[n] {
             return Ok(());
         }
@@ -58,11 +58,11 @@
         self.claims += 1;
         let living: Vec<SocketAddr> = heart
             .members()
-            .filter(|m| m.3 != MemberStatus::Gone)
-            .map(|m| m.0)
+            .filter(|m| m.status != MemberStatus::Gone)
+            .map(|m| m.address)
             .collect();
-        if living.len() != shared.members || shared.holders != shared.members {
-            let said = (shared.members, shared.holders);
+        if living.len() != shared.members || shared.agreeing_members != shared.members {
+            let said = (shared.members, shared.agreeing_members);
             return Err(format!(
                 "settled with {said:?} members and holders, its view has {}",
                 living.len()
@@ -85,14 +85,14 @@
     /// Changes come once, in order, each from where the one before has led.
     fn follow(&mut self, n: usize, heart: &Membership) -> Result<(), String> {
         let (version, standing) = &mut self.told[n];
-        let (missed, changes) = heart.changes(*version);
+        let missed = heart.missed_changes(*version);
         if missed > 0 {
             return Err(format!("{missed} changes were let go of in one step"));
         }
-        for change in changes {
+        for change in heart.changes_since(*version) {
             *version += 1;
-            let before = standing.insert(change.about, change.is);
-            let was = change.was.filter(|was| *was != MemberStatus::Gone);
+            let before = standing.insert(change.address, change.after);
+            let was = change.before.filter(|was| *was != MemberStatus::Gone);
             let before = before.filter(|was| *was != MemberStatus::Gone);
             if change.version != *version || was != before {
                 return Err(format!(
@@ -114,8 +114,8 @@
             .collect();
         let view: BTreeMap<_, _> = heart
             .members()
-            .filter(|m| m.0 != me && there(&m.3))
-            .map(|m| (m.0, m.3))
+            .filter(|m| m.address != me && there(&m.status))
+            .map(|m| (m.address, m.status))
             .collect();
         if told == view {
             Ok(())
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -134,7 +134,7 @@
             fleet.kill(n);
             let knows = |f: &Fleet| {
                 f.running()
-                    .all(|(_, h)| h.living().all(|a| a != address(n)))
+                    .all(|(_, h)| h.live_members().all(|a| a != address(n)))
             };
             let known = fleet.run(Span::from_millis(self.kill_s * 1000), knows)?;
             let first = |what: MembershipEvent| {
--- a/crates/testbed/src/view.rs
+++ b/crates/testbed/src/view.rs
@@ -174,8 +174,8 @@
         if self.fleet.run(within, Fleet::settled)? {
             return Ok((self.fleet.now - began).as_f64() / 1e6);
         }
-        let mut said: Vec<_> = self.fleet.running().map(|(_, h)| h.shared()).collect();
-        said.sort_by_key(|s| (s.digest, s.holders));
+        let mut said: Vec<_> = self.fleet.running().map(|(_, h)| h.view_status()).collect();
+        said.sort_by_key(|s| (s.digest, s.agreeing_members));
         said.dedup_by_key(|s| s.digest);
         said.truncate(8);
         Err(Broken(format!(
--- a/crates/testbed/tests/cold.rs
+++ b/crates/testbed/tests/cold.rs
@@ -141,10 +141,12 @@
     fleet.run(Span::from_millis(120_000), |_| false).unwrap();
     let told: Vec<u32> = fleet
         .running()
-        .map(|(_, heart)| heart.share(true))
+        .map(|(_, heart)| heart.quota_divisor(valehatch_membership::Load::Overloaded))
         .collect();
     assert!(
-        fleet.running().all(|(_, heart)| heart.numbers().mine == 1),
+        fleet
+            .running()
+            .all(|(_, heart)| heart.member_counts().live == 1),
         "each hears itself alone"
     );
     assert_eq!(told, vec![u32::try_from(gateways).unwrap(); gateways]);
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Memberships of a fleet in virtual time under faults: what each believes, and how soon.
 
 use rstest::rstest;
-use valehatch_membership::MembershipEvent;
 use valehatch_membership::wire::MemberState;
+use valehatch_membership::{Load, MembershipEvent};
 use valehatch_policy::Span;
 use valehatch_testbed::fleet::{Fleet, Network, address};
 
@@ -31,7 +31,10 @@
     let agreed = fleet
         .run(within, Fleet::agreed)
         .unwrap_or_else(|b| panic!("{what}: {}", b.0));
-    let alive: Vec<usize> = fleet.running().map(|(_, h)| h.living().count()).collect();
+    let alive: Vec<usize> = fleet
+        .running()
+        .map(|(_, h)| h.live_members().count())
+        .collect();
     assert!(
         agreed,
         "{what}: not agreed after {} s: {alive:?}",
@@ -55,7 +58,7 @@
     agree(&mut fleet, s(60), "a start of all");
     let synced = |f: &Fleet| {
         f.running()
-            .all(|(_, h)| h.synced() && h.share(false) as usize == size)
+            .all(|(_, h)| h.synced() && h.quota_divisor(Load::Normal) as usize == size)
     };
     assert!(
         fleet.run(s(60), synced).unwrap(),
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -110,7 +110,7 @@
         let within = Span::from_millis(30_000);
         let mut play = Play::new(&plan(), size, seed);
         if let Some(mutant) = mutant {
-            play.fleet.prepare = Some(Box::new(move |heart| heart.mutate(mutant)));
+            play.fleet.prepare = Some(Box::new(move |heart| heart.inject_fault(mutant)));
         }
         play.begin(within)
             .and_then(|_| play.happens(case))
