--- a/crates/hot-restart/tests/state_machine.rs
+++ b/crates/hot-restart/tests/state_machine.rs
@@ -207,7 +207,6 @@
     #[test]
     fn two_processes_stay_under_one_limit(total in 64_usize..2_000, part in 0.0_f64..1.0, grows: bool) {
         let total = ProcessLimits { descriptors: total, bytes: total << 18 };
-        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
         let fraction = |n: usize| (n as f64 * part) as usize;
         let old_usage = ProcessLimits { descriptors: fraction(total.descriptors), bytes: fraction(total.bytes) };
         let phase = if grows { OldProcessPhase::Serving } else { OldProcessPhase::Draining };
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -7,9 +7,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use rand_core::RngCore;
 use valehatch_policy::Time;
 
 use crate::events::{Effect, MembershipEvent};
+use crate::local_member::OwnUpdateOutcome;
 use crate::member_table::{Member, Merge, MergeOutcome, hash_with};
 use crate::suspicion::Suspicion;
 use crate::view_changes::ViewChange;
@@ -250,7 +252,6 @@
     }
 
     fn apply_own_update(&mut self, update: &MemberUpdate, effects: &mut Vec<Effect>) {
-        use crate::local_member::OwnUpdateOutcome;
         let own = self.local.on_update(update);
         if own.duplicate_detected {
             let event = MembershipEvent::DuplicateIdentity(update.incarnation);
@@ -318,7 +319,7 @@
 
     /// A datagram without updates.
     pub(crate) fn datagram(&mut self, message: Message) -> Datagram {
-        let rotation = rand_core::RngCore::next_u32(&mut self.rng);
+        let rotation = self.rng.next_u32();
         Datagram {
             incarnation: self.local.incarnation,
             metadata: self.local.metadata,
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -42,19 +42,27 @@
     })
 }
 
-fn merged(updates: &[MemberUpdate]) -> (Vec<(SocketAddr, Incarnation, MemberState)>, usize, u64) {
+/// What a table contains, as far as all gateways must agree on it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct TableContents {
+    members: Vec<(SocketAddr, Incarnation, MemberState)>,
+    live: usize,
+    digest: u64,
+}
+
+fn merged(updates: &[MemberUpdate]) -> TableContents {
     let mut table = MemberTable::new(8, Span::from_millis(1_000_000));
     for update in updates {
         table.merge(update, Time(0));
     }
-    (
-        table
+    TableContents {
+        members: table
             .iter()
-            .map(|(a, p)| (*a, p.incarnation, p.state))
+            .map(|(address, member)| (*address, member.incarnation, member.state))
             .collect(),
-        table.live_count(),
-        table.digest(),
-    )
+        live: table.live_count(),
+        digest: table.digest(),
+    }
 }
 
 proptest! {
@@ -63,7 +71,7 @@
         updates in proptest::collection::vec(update(), 0..20),
         order in proptest::collection::vec(any::<usize>(), 40),
     ) {
-        let first = merged(&updates);
+        let expected = merged(&updates);
         // In another order, and some of them twice.
         let mut other = updates.clone();
         if !updates.is_empty() {
@@ -73,7 +81,7 @@
                 other.swap(a, b);
             }
         }
-        prop_assert_eq!(merged(&other), first);
+        prop_assert_eq!(merged(&other), expected);
     }
 
     #[test]
@@ -120,9 +128,9 @@
 #[case::no_members(|s: &mut Settings| s.max_members = 0)]
 #[case::no_bytes(|s: &mut Settings| s.max_bytes_per_second = 100)]
 fn unusable_settings_are_rejected(#[case] edit: fn(&mut Settings)) {
-    let mut set = settings();
-    edit(&mut set);
-    let error: InvalidSettings = Membership::new(set, 1, 1, Time(0)).unwrap_err();
+    let mut settings = settings();
+    edit(&mut settings);
+    let error: InvalidSettings = Membership::new(settings, 1, 1, Time(0)).unwrap_err();
     assert!(!error.to_string().is_empty());
 }
 
@@ -186,19 +194,21 @@
     );
 }
 
+/// More gateways announce themselves than the table has room for. The last one is not taken in
+/// until another one has left.
 #[test]
 fn full_table_replaces_only_gone_members() {
     let mut membership = Membership::new(settings(), 1, 1, Time(0)).unwrap();
     let mut out = vec![];
     let gossip = |n: u8, state| {
-        let inc = Incarnation {
+        let incarnation = Incarnation {
             number: 3,
             nonce: u32::from(n),
         };
         let updates = if state == MemberState::Left {
             vec![MemberUpdate {
                 address: address(n),
-                incarnation: inc,
+                incarnation,
                 state,
                 reporter: 0,
                 metadata: MemberMetadata::default(),
@@ -206,7 +216,7 @@
         } else {
             vec![]
         };
-        datagram(inc, Message::Gossip, updates)
+        datagram(incarnation, Message::Gossip, updates)
     };
     for n in 2..11 {
         membership.receive(
@@ -235,17 +245,15 @@
 
 #[test]
 fn confirmations_shorten_suspicion_timeout() {
-    let (incarnation, min_timeout) = (
-        Incarnation {
-            number: 1,
-            nonce: 1,
-        },
-        Span::from_millis(1000),
-    );
+    let incarnation = Incarnation {
+        number: 1,
+        nonce: 1,
+    };
+    let min_timeout = Span::from_millis(1000);
     let mut suspicion = Suspicion::new(incarnation, 0, 10, min_timeout, Time(0));
     let mut times = vec![suspicion.deadline()];
-    for accuser in 1..6 {
-        suspicion.confirm(accuser);
+    for reporter in 1..6 {
+        suspicion.confirm(reporter);
         times.push(suspicion.deadline());
     }
     assert_eq!(times[0], Time(0) + min_timeout.times(MAX_TIMEOUT_FACTOR));
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -33,10 +33,10 @@
 
 /// A view of this many members, one of which is this gateway.
 fn view(me: usize, size: usize) -> (View, Vec<SocketAddr>) {
-    let living: Vec<SocketAddr> = (0..size).filter(|n| *n != me).map(address).collect();
+    let live: Vec<SocketAddr> = (0..size).filter(|n| *n != me).map(address).collect();
     let mut view = View::new(address(me), 4, Span(1_000), Time(0));
-    assert!(view.set_digest(DIGEST, &living, Time(0)));
-    (view, living)
+    assert!(view.set_digest(DIGEST, &live, Time(0)));
+    (view, live)
 }
 
 fn agreement(digest: u64, members: AgreeingMembers) -> ViewAgreement {
@@ -58,15 +58,15 @@
         let mut views: Vec<_> = (0..size).map(|n| view(n, size)).collect();
         // The exact answer: who can know of whom, by those that passed it on.
         let mut knows: Vec<BTreeSet<usize>> = (0..size).map(|n| BTreeSet::from([n])).collect();
-        for (from, to, turn, times) in sends {
+        for (from, to, rotation, times) in sends {
             let (from, to) = (from % size, to % size);
             if from == to || silent.contains(&from) {
                 continue;
             }
-            let message = views[from].0.agreement(&views[from].1, turn);
+            let message = views[from].0.agreement(&views[from].1, rotation);
             for _ in 0..times {
-                let (view, living) = &mut views[to];
-                prop_assert!(view.on_agreement(&address(from), &message, living, Time(1)));
+                let (view, live) = &mut views[to];
+                prop_assert!(view.on_agreement(&address(from), &message, live, Time(1)));
             }
             let more = knows[from].clone();
             knows[to].extend(more);
@@ -100,7 +100,7 @@
             let (a, b) = (n % other.len(), with % other.len());
             other.swap(a, b);
         }
-        let take = |updates: &[MemberUpdate]| {
+        let merge = |updates: &[MemberUpdate]| {
             let mut table = MemberTable::new(8, Span(1_000_000));
             for update in updates {
                 assert_ne!(table.merge(update, Time(0)), MergeOutcome::TableFull);
@@ -108,15 +108,15 @@
             table
         };
         let live = |t: &MemberTable| {
-            let living = t.iter().filter(|(_, p)| matches!(p.state, MemberState::Alive | MemberState::Suspect));
-            living.map(|(a, p)| (*a, p.incarnation.nonce, p.metadata)).collect::<Vec<_>>()
+            let members = t.iter().filter(|(_, p)| matches!(p.state, MemberState::Alive | MemberState::Suspect));
+            members.map(|(a, p)| (*a, p.incarnation.nonce, p.metadata)).collect::<Vec<_>>()
         };
-        let (one, two) = (take(&updates), take(&other));
+        let (one, two) = (merge(&updates), merge(&other));
         prop_assert_eq!((one.view_digest(), one.digest(), live(&one)), (two.view_digest(), two.digest(), live(&two)));
         prop_assert_eq!(one.live(), live(&one).iter().map(|l| l.0).collect::<Vec<_>>());
         // Fewer updates: another view unless the live processes are the same.
         for n in 0..updates.len() {
-            let less = take(&updates[..n]);
+            let less = merge(&updates[..n]);
             prop_assert_eq!(less.view_digest() == one.view_digest(), live(&less) == live(&one));
         }
     }
@@ -129,16 +129,16 @@
 #[case::one_more_than_a_block(65)]
 #[case::many(700)]
 fn view_converges_when_all_agree_and_diverges_on_disagreement(#[case] size: usize) {
-    let (mut view, living) = view(0, size);
+    let (mut view, live) = view(0, size);
     assert_eq!(
         view.update_convergence(LocalKnowledge::Complete, Time(1)),
         None
     );
-    for one in &living[1..] {
+    for one in &live[1..] {
         view.on_agreement(
             one,
             &agreement(DIGEST, AgreeingMembers::Unknown),
-            &living,
+            &live,
             Time(2),
         );
     }
@@ -150,9 +150,9 @@
         (size - 1, None)
     );
     view.on_agreement(
-        &living[0],
+        &live[0],
         &agreement(DIGEST, AgreeingMembers::Unknown),
-        &living,
+        &live,
         Time(3),
     );
     assert_eq!(
@@ -168,9 +168,9 @@
         (Some(Convergence::Converged), Some(Time(4)))
     );
     view.on_agreement(
-        &living[0],
+        &live[0],
         &agreement(DIGEST + 1, AgreeingMembers::All),
-        &living,
+        &live,
         Time(5),
     );
     assert_eq!(
@@ -189,23 +189,23 @@
         (Some(Convergence::Converged), Some(Time(1_005)))
     );
     // With another view, agreement with the old one no longer counts.
-    assert!(view.set_digest(DIGEST + 2, &living, Time(1_006)));
+    assert!(view.set_digest(DIGEST + 2, &live, Time(1_006)));
     assert_eq!(
         view.update_convergence(LocalKnowledge::Complete, Time(1_006)),
         Some(Convergence::Diverged)
     );
     view.on_agreement(
-        &living[0],
+        &live[0],
         &agreement(DIGEST, AgreeingMembers::All),
-        &living,
+        &live,
         Time(1_007),
     );
     assert_eq!(view.status().agreeing_members, 1);
     // That all agree is passed on by a member that learned it from others.
     view.on_agreement(
-        &living[0],
+        &live[0],
         &agreement(DIGEST + 2, AgreeingMembers::All),
-        &living,
+        &live,
         Time(1_008),
     );
     assert_eq!(
@@ -215,7 +215,7 @@
 }
 
 fn membership() -> Membership {
-    let set = Settings {
+    let settings = Settings {
         local_address: address(1),
         seeds: vec![address(2)],
         zone: 3,
@@ -226,7 +226,7 @@
         configured_fleet_size: 12,
         shrink_delay: Span::from_millis(30_000),
     };
-    Membership::new(set, 1, 1, Time(0)).unwrap()
+    Membership::new(settings, 1, 1, Time(0)).unwrap()
 }
 
 /// A datagram of another gateway with these updates.
--- a/crates/membership/tests/wire_forms.rs
+++ b/crates/membership/tests/wire_forms.rs
@@ -142,7 +142,7 @@
 
 #[test]
 fn received_ping_is_answered_in_the_pinned_form() {
-    let set = Settings {
+    let settings = Settings {
         local_address: address("10.0.0.1:7946"),
         seeds: vec![],
         zone: 1,
@@ -153,7 +153,10 @@
         configured_fleet_size: 12,
         shrink_delay: Span::from_millis(30_000),
     };
-    let (mut membership, mut out) = (Membership::new(set, 1_000, 1, Time(0)).unwrap(), vec![]);
+    let (mut membership, mut out) = (
+        Membership::new(settings, 1_000, 1, Time(0)).unwrap(),
+        vec![],
+    );
     let ping = postcard::to_stdvec(&datagrams()[0]).unwrap();
     membership.receive(Time(1), address("10.0.0.9:7946"), &ping, &mut out);
     let sent = out.iter().find_map(|e| {
--- a/crates/recovery/tests/endpoint_list.rs
+++ b/crates/recovery/tests/endpoint_list.rs
@@ -42,6 +42,9 @@
     assert_eq!(EndpointListCache::decode(b"torn"), None);
 }
 
+/// The other process of this gateway forwards a list, then discovery answers with an older one. It
+/// would undo the newer changes, so it is skipped; but not for ever, since discovery may start to
+/// count anew.
 #[test]
 fn forwarded_list_covers_older_revisions_until_deadline() {
     let (now, end) = (Time(1_000_000), Time(7_000_000));
--- a/crates/recovery/tests/list_exchange.rs
+++ b/crates/recovery/tests/list_exchange.rs
@@ -174,6 +174,7 @@
     );
 }
 
+/// Most gateways have no list either. The requester must not wait for them, nor flood them.
 #[test]
 fn gateways_without_list_are_skipped_at_once() {
     let mut simulation = Simulation::new(vec![None, aged(20, 3, Span(0)), None], 0.0);
@@ -189,6 +190,7 @@
     );
 }
 
+/// The only list in the fleet is old: its addresses may belong to other machines by now.
 #[test]
 fn list_confirmed_too_long_ago_is_ignored() {
     let mut simulation =
@@ -212,6 +214,7 @@
     assert_eq!((endpoints.len(), at.revision), (40, 2));
 }
 
+/// Forty gateways lose their lists and all ask the same one. Its answers stay within its budget.
 #[test]
 fn answers_to_many_requesters_stay_within_budget() {
     let mut answerer = ListExchange::new(&[9], 1, Time(0));
@@ -263,6 +266,7 @@
     );
 }
 
+/// A chunk comes from a gateway that was not asked, truncated, or twice.
 #[test]
 fn unrequested_and_truncated_chunks_are_ignored() {
     let mut simulation = Simulation::new(vec![aged(30, 1, Span(0))], 0.0);
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -156,6 +156,8 @@
     }
 }
 
+/// A gateway restarts within a second. It begins with the list as it was, and endpoints that
+/// drained or warmed up go on doing so.
 #[test]
 fn restored_list_keeps_draining_primaries_and_slow_start() {
     let list = restore(&snapshot(), "f", NOW + 1000).list.unwrap();
@@ -244,6 +246,8 @@
     );
 }
 
+/// The file of the last run is damaged, of another version, of another gateway, or from the future
+/// because the clock was set back. The start must see that and go on without it.
 #[test]
 fn damaged_foreign_or_future_snapshot_is_rejected() {
     let bytes = snapshot().encode().unwrap();
@@ -279,6 +283,7 @@
 }
 
 proptest! {
+    /// A disk returns a snapshot with one wrong bit. Wherever it is, the snapshot must be rejected.
     #[test]
     fn snapshot_with_flipped_bit_is_rejected(at in any::<usize>(), bit in 0..8_u8) {
         let mut bytes = snapshot().encode().unwrap();
