--- a/crates/hot-restart/tests/state_machine.rs
+++ b/crates/hot-restart/tests/state_machine.rs
@@ -59,8 +59,8 @@
 }
 
 /// The old process hands its state to a new one. A shutdown request may come at any step, and the
-/// new process may die at any step: then the old one is the whole gateway again. A third process is
-/// told to ask later.
+/// new process may die at any step: then the old one is the only process again. A third process is
+/// rejected.
 #[rstest]
 #[case::usual_order(
     vec![HandoffEvent::HandoffRequested(1), HandoffEvent::NewProcessReady(1), HandoffEvent::ShutdownRequested],
@@ -207,7 +207,6 @@
     #[test]
     fn two_processes_stay_under_one_limit(total in 64_usize..2_000, part in 0.0_f64..1.0, grows: bool) {
         let total = ProcessLimits { descriptors: total, bytes: total << 18 };
-        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
         let fraction = |n: usize| (n as f64 * part) as usize;
         let old_usage = ProcessLimits { descriptors: fraction(total.descriptors), bytes: fraction(total.bytes) };
         let phase = if grows { OldProcessPhase::Serving } else { OldProcessPhase::Draining };
