--- a/crates/admission/src/codel.rs
+++ b/crates/admission/src/codel.rs
@@ -1,63 +1,74 @@
-//! When a queue has stood for too long. After CoDel (RFC 8289): what counts is the shortest wait of an interval, and from
-//! when it has been too long, one is cut off the front after ever shorter pauses, until it no longer is. What differs: the
-//! target is a part of what a request may wait at all, and the last one in the queue is never cut.
+//! When a queue has stood for too long, after CoDel (RFC 8289): once the shortest wait of an
+//! interval is above the target, requests are dropped from the head at ever shorter intervals until
+//! it no longer is.
+//!
+//! Unlike CoDel, the last request in the queue is never dropped. Times are whole microseconds; the
+//! state has a fixed size.
 
 use valehatch_policy::{Span, Time};
 
 /// A wait that may stand.
 const TARGET: Span = Span::from_millis(100);
-/// For so long it may be exceeded.
+/// How long the wait may stay above the target.
 const INTERVAL: Span = Span::from_millis(500);
+/// Dropping that starts again within so many intervals goes on near its former rate.
+const MEMORY_INTERVALS: i64 = 16;
 
-/// The state of a lane's queue.
+/// The CoDel controller of a lane's queue.
 #[derive(Debug, Default)]
-pub struct StandingQueue {
-    /// When the wait will have been too long for an interval.
+pub struct CodelController {
+    /// When the wait will have been above the target for an interval.
     above_until: Option<Time>,
-    dropping: bool,
-    next: Time,
-    count: u32,
+    is_dropping: bool,
+    next_drop: Time,
+    /// Drops since dropping began.
+    drops: u32,
 }
 
-impl StandingQueue {
-    /// One leaves the queue after a wait, and so many are behind it: whether it is cut.
-    pub fn drops(&mut self, now: Time, waited: Span, behind: usize) -> bool {
-        let long = waited >= TARGET && behind > 0;
-        let ripe = if long {
-            let until = *self.above_until.get_or_insert(now + INTERVAL);
-            now >= until
-        } else {
-            self.above_until = None;
-            false
-        };
-        if self.dropping {
-            if !ripe {
-                self.dropping = false;
-                return false;
-            }
-            if now < self.next {
-                return false;
-            }
-            self.count += 1;
-            self.next = self.next + Self::pause(self.count);
+impl CodelController {
+    /// A request leaves the queue after a wait, with so many behind it. Returns whether it is to be
+    /// dropped.
+    pub fn should_drop(&mut self, now: Time, waited: Span, behind: usize) -> bool {
+        let is_standing = self.has_stood_for_interval(now, waited, behind);
+        if !is_standing {
+            self.is_dropping = false;
+            return false;
+        }
+        if !self.is_dropping {
+            self.begin_dropping(now);
             return true;
         }
-        if !ripe {
+        if now < self.next_drop {
+            return false;
+        }
+        self.drops += 1;
+        self.next_drop = self.next_drop + Self::drop_interval(self.drops);
+        true
+    }
+
+    fn has_stood_for_interval(&mut self, now: Time, waited: Span, behind: usize) -> bool {
+        let is_above_target = waited >= TARGET && behind > 0;
+        if !is_above_target {
+            self.above_until = None;
             return false;
         }
-        self.dropping = true;
-        // Soon after it has dropped before, it goes on about where it was.
-        let recent = now - self.next < Span(INTERVAL.0 * 16);
-        self.count = if recent && self.count > 2 {
-            self.count - 2
+        let above_until = *self.above_until.get_or_insert(now + INTERVAL);
+        now >= above_until
+    }
+
+    fn begin_dropping(&mut self, now: Time) {
+        self.is_dropping = true;
+        let is_recent = now - self.next_drop < Span(INTERVAL.0 * MEMORY_INTERVALS);
+        self.drops = if is_recent && self.drops > 2 {
+            self.drops - 2
         } else {
             1
         };
-        self.next = now + Self::pause(self.count);
-        true
+        self.next_drop = now + Self::drop_interval(self.drops);
     }
 
-    fn pause(count: u32) -> Span {
-        Span(1).times(INTERVAL.as_f64() / f64::from(count).sqrt())
+    /// Falls with the root of the drops, as CoDel's control law has it.
+    fn drop_interval(drops: u32) -> Span {
+        Span(1).times(INTERVAL.as_f64() / f64::from(drops).sqrt())
     }
 }
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -1,112 +1,72 @@
-//! What a class costs, learned from how long its requests take inside, and how fast a lane drains.
+//! What a request of a class costs, learned from how long its requests take. Costs are whole
+//! microseconds of work; the state has one mean a class.
 
-use valehatch_policy::{Span, Time};
+use valehatch_policy::Span;
 
-/// Smoothing: the last twenty or so count.
+/// Weight of the newest latency in a class's mean.
 const GAIN: f64 = 0.05;
-/// A class costs at least and at most so many times the cheapest class's mean: one slow day of a class must not make it
-/// cost the world.
-const BOUNDS: (f64, f64) = (0.25, 64.0);
-/// The drain is measured over about so long.
-const OVER: f64 = 2_000_000.0;
+/// Bounds of a class's cost, as multiples of the cheapest class's: a class that is slow for a while
+/// keeps a usable share.
+const MIN_COST_RATIO: f64 = 0.25;
+const MAX_COST_RATIO: f64 = 64.0;
+/// Until a class is measured, its mean is its latency objective over this.
+const OBJECTIVE_DIVISOR: f64 = 4.0;
 
-/// Mean times by class.
+/// The costs of all classes.
 #[derive(Debug)]
-pub struct Costs {
-    means: Vec<f64>,
-    learned: Vec<bool>,
+pub struct ClassCosts {
+    classes: Vec<MeanLatency>,
 }
 
-impl Costs {
-    /// Before anything was measured a class costs a quarter of its aim.
+/// A class's mean latency, in microseconds.
+#[derive(Clone, Copy, Debug)]
+struct MeanLatency {
+    mean: f64,
+    /// Whether it was measured, and not only assumed.
+    is_measured: bool,
+}
+
+impl ClassCosts {
+    /// Costs before anything was measured, by the classes' latency objectives.
     #[must_use]
-    pub fn new(aims: impl Iterator<Item = Span>) -> Self {
-        let means: Vec<f64> = aims.map(|aim| (aim.as_f64() / 4.0).max(1.0)).collect();
+    pub fn new(latency_objectives: impl Iterator<Item = Span>) -> Self {
+        let classes = latency_objectives.map(|objective| MeanLatency {
+            mean: (objective.as_f64() / OBJECTIVE_DIVISOR).max(1.0),
+            is_measured: false,
+        });
         Self {
-            learned: vec![false; means.len()],
-            means,
+            classes: classes.collect(),
         }
     }
 
     /// A request of a class was served in this time.
-    pub fn learn(&mut self, class: usize, time: Span) {
-        let time = time.as_f64().max(1.0);
-        let mean = &mut self.means[class];
-        *mean = if std::mem::replace(&mut self.learned[class], true) {
-            *mean + GAIN * (time - *mean)
+    pub fn record_latency(&mut self, class: usize, latency: Span) {
+        let latency = latency.as_f64().max(1.0);
+        let class = &mut self.classes[class];
+        if class.is_measured {
+            class.mean += GAIN * (latency - class.mean);
         } else {
-            time
-        };
+            class.mean = latency;
+            class.is_measured = true;
+        }
     }
 
-    /// How long a request of a class takes inside.
+    /// Mean latency of a class.
     #[must_use]
-    #[allow(clippy::cast_possible_truncation)]
     pub fn latency(&self, class: usize) -> Span {
-        Span(self.means[class] as i64)
-    }
-
-    /// What it costs, within the bounds.
-    #[must_use]
-    #[allow(clippy::cast_possible_truncation)]
-    pub fn of(&self, class: usize) -> Span {
-        let learned = self
-            .means
-            .iter()
-            .zip(&self.learned)
-            .filter(|(_, l)| **l)
-            .map(|(m, _)| *m);
-        let cheapest = learned.reduce(f64::min).unwrap_or(self.means[class]);
-        Span(
-            self.means[class]
-                .clamp(cheapest * BOUNDS.0, cheapest * BOUNDS.1)
-                .max(1.0) as i64,
-        )
-    }
-}
-
-/// How much cost a lane gets done in a microsecond, while something waits: an idle lane tells nothing of what it could do.
-#[derive(Debug)]
-pub struct Drain {
-    rate: f64,
-    done: f64,
-    since: Time,
-}
-
-impl Drain {
-    /// Nothing is known: whatever waits is taken to be served soon.
-    #[must_use]
-    pub const fn new(now: Time) -> Self {
-        Self {
-            rate: 0.0,
-            done: 0.0,
-            since: now,
-        }
-    }
-
-    /// So much was done; `busy` if more waits.
-    pub fn done(&mut self, now: Time, cost: Span, busy: bool) {
-        if !busy {
-            (self.done, self.since) = (0.0, now);
-            return;
-        }
-        self.done += cost.as_f64();
-        let passed = (now - self.since).as_f64();
-        if passed >= OVER / 20.0 {
-            let sample = self.done / passed;
-            let gain = if self.rate > 0.0 {
-                (passed / OVER).min(1.0)
-            } else {
-                1.0
-            };
-            self.rate += gain * (sample - self.rate);
-            (self.done, self.since) = (0.0, now);
-        }
+        Span(self.classes[class].mean as i64)
     }
 
-    /// Cost a microsecond; 0 while it is not known.
+    /// What a request of a class costs, within the bounds.
     #[must_use]
-    pub const fn rate(&self) -> f64 {
-        self.rate
+    pub fn cost(&self, class: usize) -> Span {
+        let mean = self.classes[class].mean;
+        let measured = self.classes.iter().filter(|class| class.is_measured);
+        let cheapest = measured
+            .map(|class| class.mean)
+            .reduce(f64::min)
+            .unwrap_or(mean);
+        let bounded = mean.clamp(cheapest * MIN_COST_RATIO, cheapest * MAX_COST_RATIO);
+        Span(bounded.max(1.0) as i64)
     }
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,104 +1,185 @@
-//! What waits in a lane. Tenants by start-time fair queueing: the one whose virtual time is the least goes next, and what
-//! it is served moves that on by cost over weight; one that was idle begins at the lane's virtual time, so nothing is saved
-//! up. The clients of a tenant by deficit round robin over buckets: a client's name is hashed twice with a seed, and the
-//! less filled of its two buckets takes it (shuffle sharding), so that one that floods blocks nobody who shares only one
-//! bucket with it. In a bucket the most worth for its cost goes first, then the nearest deadline.
+//! The fair queue of a lane.
+//!
+//! Between tenants: start-time fair queueing. The tenant with the least virtual time is served
+//! next, and what it is served advances its virtual time by cost over weight. A tenant that was
+//! idle starts near the lane's virtual time, so idle time earns no credit.
+//!
+//! Between the clients of a tenant: deficit round robin over buckets. A client is hashed twice with
+//! a seed and takes the bucket with less in it (shuffle sharding), so that a flooding client blocks
+//! only clients that share both buckets with it. In a bucket, requests go by priority weight for
+//! their cost, then by expiry.
+//!
+//! Costs are microseconds of work. Memory grows with the requests that wait; the admission queue
+//! bounds those.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
+use std::error::Error;
+use std::fmt;
 use std::hash::Hasher;
 
 use siphasher::sip::SipHasher13;
 use valehatch_policy::{RequestId, Span, Time};
 
+/// Requests by which a tenant below its quota may be ahead of the others: random arrivals then
+/// rarely wait in a queue of their own tenant, and the others hardly notice.
+const BURST_REQUESTS: f64 = 10.0;
+/// The bucket of requests with a reservation. It is served before the tenant's other buckets.
+const RESERVED_BUCKET: u32 = u32::MAX;
+
 /// A request that waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct QueuedRequest {
     /// The request.
     pub id: RequestId,
-    /// Its tenant's place.
+    /// Its tenant, by number.
     pub tenant: usize,
     /// Its client.
     pub client: u64,
-    /// Its class.
+    /// Its class, by number.
     pub class: usize,
-    /// When it came.
+    /// When it came in.
     pub arrived: Time,
-    /// After this it is given up.
-    pub until: Time,
-    /// Its cost.
+    /// When it is rejected if it still waits.
+    pub expires_at: Time,
+    /// Its cost, in microseconds of work.
     pub cost: Span,
-    /// Worth for its cost.
-    pub value: f64,
-    /// Its client came back when it was told to: it goes before those that were not told anything.
-    pub reserved: bool,
+    /// Its class's priority weight over its cost.
+    pub weight_per_cost: f64,
+    /// Whether its client came back at the time of its Retry-After hint, for which capacity was
+    /// reserved.
+    pub has_reservation: bool,
 }
 
-/// The bucket of those that came back when they were told to. It is served before the tenant's others: room was reserved.
-const RESERVED: u32 = u32::MAX;
+/// The order in a bucket: reservations first, then weight for cost, then expiry, then number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Priority {
+    has_reservation: Reverse<bool>,
+    weight_per_cost_bits: Reverse<u64>,
+    expires_at: Time,
+    id: RequestId,
+}
 
-/// Those with a reservation first, then worth for cost, then the deadline, then the number.
-type Rank = (Reverse<bool>, Reverse<u64>, Time, RequestId);
+impl Priority {
+    fn of(request: &QueuedRequest) -> Self {
+        Self {
+            has_reservation: Reverse(request.has_reservation),
+            // Non-negative floats have the order of their bits.
+            weight_per_cost_bits: Reverse(request.weight_per_cost.max(0.0).to_bits()),
+            expires_at: request.expires_at,
+            id: request.id,
+        }
+    }
+}
 
-fn rank(entry: &Entry) -> Rank {
-    // Positive floats are ordered as their bits are.
-    (
-        Reverse(entry.reserved),
-        Reverse(entry.value.max(0.0).to_bits()),
-        entry.until,
-        entry.id,
-    )
+/// Where a request waits.
+#[derive(Clone, Copy, Debug)]
+struct Position {
+    tenant: usize,
+    bucket: u32,
+    priority: Priority,
 }
 
 #[derive(Debug, Default)]
 struct Bucket {
-    entries: BTreeMap<Rank, Entry>,
+    requests: BTreeMap<Priority, QueuedRequest>,
+    /// Cost of what waits, in microseconds.
     backlog: i64,
+    /// Deficit counter of the round robin, in microseconds.
     deficit: i64,
 }
 
 #[derive(Debug, Default)]
 struct Tenant {
     buckets: BTreeMap<u32, Bucket>,
-    /// Buckets with something in them, in their turn.
-    ring: VecDeque<u32>,
+    /// Buckets that are not empty, in the order in which they are served.
+    round_robin: VecDeque<u32>,
+    /// Cost of what waits, in microseconds.
     backlog: i64,
+    /// Requests that wait.
     len: usize,
     /// Virtual time at which its next request starts.
-    start: f64,
-    /// The dearest that it has: a round of this much lets everyone have one.
+    virtual_start: f64,
+    /// What a round adds to each bucket's deficit: the highest cost that waits, so that each bucket
+    /// is served within two rounds.
     quantum: i64,
 }
 
-/// So many requests a tenant that has used less than its share may be ahead of the others: enough that what comes at random
-/// need not wait its turn in a queue of its own, too little to crush anyone.
-const AHEAD: f64 = 10.0;
+/// A tenant and how long its queue is for its weight.
+#[derive(Clone, Copy, Debug)]
+pub struct LongestTenant {
+    /// The tenant, by number.
+    pub tenant: usize,
+    /// Its requests that wait, over its weight.
+    pub weighted_len: f64,
+}
 
-/// The same in virtual time.
-fn allowance(entry: &Entry, weights: &[f64]) -> f64 {
-    AHEAD * entry.cost.as_f64() / weights[entry.tenant]
+/// An invariant of a fair queue that does not hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FairQueueViolation {
+    /// A tenant's counters differ from what its buckets hold.
+    TenantCounters {
+        /// The tenant, by number.
+        tenant: usize,
+        /// Requests in its buckets.
+        queued: usize,
+        /// Requests by its counter.
+        counted: usize,
+        /// Cost in its buckets, in microseconds.
+        queued_cost: i64,
+        /// Cost by its counter, in microseconds.
+        counted_cost: i64,
+    },
+    /// The index of positions differs from the buckets.
+    Index {
+        /// Requests in the buckets.
+        queued: usize,
+        /// Requests in the index.
+        indexed: usize,
+    },
 }
 
+impl fmt::Display for FairQueueViolation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::TenantCounters {
+                tenant,
+                queued,
+                counted,
+                queued_cost,
+                counted_cost,
+            } => write!(
+                f,
+                "tenant {tenant}: {queued} of {counted} requests, {queued_cost} of {counted_cost} us"
+            ),
+            Self::Index { queued, indexed } => {
+                write!(f, "{queued} requests are queued, {indexed} indexed")
+            }
+        }
+    }
+}
+
+impl Error for FairQueueViolation {}
+
 /// A lane's queue.
 #[derive(Debug)]
-pub struct Queue {
+pub struct FairQueue {
     tenants: Vec<Tenant>,
-    places: BTreeMap<RequestId, (usize, u32, Rank)>,
+    positions: BTreeMap<RequestId, Position>,
     virtual_time: f64,
-    buckets: u32,
+    client_buckets: u32,
     seed: u64,
 }
 
-impl Queue {
-    /// Nobody waits. What it takes grows with what waits, and with nothing else.
+impl FairQueue {
+    /// An empty queue for so many tenants; the seed decides which clients share a bucket.
     #[must_use]
-    pub fn new(tenants: usize, buckets: u32, seed: u64) -> Self {
-        let tenants = (0..tenants).map(|_| Tenant::default()).collect();
+    pub fn new(tenants: usize, client_buckets: u32, seed: u64) -> Self {
         Self {
-            tenants,
-            places: BTreeMap::new(),
+            tenants: (0..tenants).map(|_| Tenant::default()).collect(),
+            positions: BTreeMap::new(),
             virtual_time: 0.0,
-            buckets: buckets.max(1),
+            client_buckets: client_buckets.max(1),
             seed,
         }
     }
@@ -106,229 +187,267 @@
     /// Requests that wait.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether none does.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
+    }
+
+    /// Requests of a tenant that wait.
+    #[must_use]
+    pub fn tenant_len(&self, tenant: usize) -> usize {
+        self.tenants[tenant].len
     }
 
-    /// A tenant's requests, and when the oldest came.
+    /// When a tenant's oldest waiting request came in.
     #[must_use]
-    pub fn of(&self, tenant: usize) -> (usize, Option<Time>) {
-        let tenant = &self.tenants[tenant];
-        let oldest = tenant
-            .buckets
-            .values()
-            .flat_map(|b| b.entries.values())
-            .map(|e| e.arrived)
-            .min();
-        (tenant.len, oldest)
+    pub fn oldest_arrival(&self, tenant: usize) -> Option<Time> {
+        let buckets = self.tenants[tenant].buckets.values();
+        let requests = buckets.flat_map(|bucket| bucket.requests.values());
+        requests.map(|request| request.arrived).min()
     }
 
-    /// A tenant's cost that waits.
+    /// Cost of a tenant's waiting requests.
     #[must_use]
     pub fn backlog(&self, tenant: usize) -> Span {
         Span(self.tenants[tenant].backlog)
     }
 
-    /// The part of the lane that a tenant gets while those who wait now do.
+    /// The fraction of the lane that a tenant gets beside the tenants that wait now.
     #[must_use]
-    pub fn part_of(&self, tenant: usize, weights: &[f64]) -> f64 {
-        let waits = |(n, t): &(usize, &Tenant)| t.len > 0 || *n == tenant;
-        let all: f64 = self
+    pub fn tenant_fraction(&self, tenant: usize, weights: &[f64]) -> f64 {
+        let competing = self
             .tenants
             .iter()
             .enumerate()
-            .filter(waits)
-            .map(|(n, _)| weights[n])
-            .sum();
-        weights[tenant] / all
+            .filter(|(n, other)| other.len > 0 || *n == tenant);
+        let total: f64 = competing.map(|(n, _)| weights[n]).sum();
+        weights[tenant] / total
     }
 
-    fn bucket_of(&self, entry: &Entry) -> u32 {
-        if entry.reserved {
-            return RESERVED;
+    fn bucket_of(&self, request: &QueuedRequest) -> u32 {
+        if request.has_reservation {
+            return RESERVED_BUCKET;
         }
-        let hash = |salt: u64| {
-            let mut hasher = SipHasher13::new_with_keys(self.seed, salt);
-            hasher.write_u64(entry.client);
-            u32::try_from(hasher.finish() % u64::from(self.buckets)).unwrap_or(0)
-        };
-        let (first, second) = (hash(1), hash(2));
-        let held = |n| {
-            self.tenants[entry.tenant]
-                .buckets
-                .get(&n)
-                .map_or(0, |b: &Bucket| b.backlog)
-        };
-        if held(second) < held(first) {
+        let first = self.hashed_bucket(request.client, 1);
+        let second = self.hashed_bucket(request.client, 2);
+        if self.bucket_backlog(request.tenant, second) < self.bucket_backlog(request.tenant, first)
+        {
             second
         } else {
             first
         }
     }
 
-    /// Cost that is served before one that would come now: rounds of its tenant as long as its bucket, all else that its
-    /// tenant has at the most.
+    fn hashed_bucket(&self, client: u64, salt: u64) -> u32 {
+        let mut hasher = SipHasher13::new_with_keys(self.seed, salt);
+        hasher.write_u64(client);
+        u32::try_from(hasher.finish() % u64::from(self.client_buckets)).unwrap_or(0)
+    }
+
+    fn bucket_backlog(&self, tenant: usize, bucket: u32) -> i64 {
+        let bucket = self.tenants[tenant].buckets.get(&bucket);
+        bucket.map_or(0, |bucket| bucket.backlog)
+    }
+
+    /// Upper estimate of the cost that is served before a request that would come in now: its
+    /// bucket's backlog once for each bucket of its tenant, and one more round; at most all that
+    /// its tenant has waiting.
     #[must_use]
-    pub fn before(&self, entry: &Entry) -> Span {
-        let tenant = &self.tenants[entry.tenant];
-        let own = tenant
-            .buckets
-            .get(&self.bucket_of(entry))
-            .map_or(0, |b| b.backlog);
-        if entry.reserved {
+    pub fn cost_before(&self, request: &QueuedRequest) -> Span {
+        let tenant = &self.tenants[request.tenant];
+        let own = self.bucket_backlog(request.tenant, self.bucket_of(request));
+        if request.has_reservation {
             return Span(own);
         }
-        let others = i64::try_from(tenant.ring.len()).unwrap_or(i64::MAX);
-        let round = others.saturating_mul(tenant.quantum.max(entry.cost.0));
-        Span(
-            own.saturating_mul(others.max(1))
-                .saturating_add(round)
-                .min(tenant.backlog),
-        )
+        let buckets = i64::try_from(tenant.round_robin.len()).unwrap_or(i64::MAX);
+        let round = buckets.saturating_mul(tenant.quantum.max(request.cost.0));
+        let rounds = own.saturating_mul(buckets.max(1)).saturating_add(round);
+        Span(rounds.min(tenant.backlog))
+    }
+
+    /// The earliest virtual start of a tenant that was idle.
+    fn earliest_start(&self, request: &QueuedRequest, weights: &[f64]) -> f64 {
+        let burst = BURST_REQUESTS * request.cost.as_f64() / weights[request.tenant];
+        self.virtual_time - burst
     }
 
-    /// Adds one.
-    pub fn push(&mut self, entry: Entry, weights: &[f64]) {
-        let at = self.bucket_of(&entry);
-        let tenant = &mut self.tenants[entry.tenant];
+    /// Adds a request.
+    pub fn push(&mut self, request: QueuedRequest, weights: &[f64]) {
+        let bucket_number = self.bucket_of(&request);
+        let earliest_start = self.earliest_start(&request, weights);
+        let tenant = &mut self.tenants[request.tenant];
         if tenant.len == 0 {
-            tenant.start = tenant
-                .start
-                .max(self.virtual_time - allowance(&entry, weights));
+            tenant.virtual_start = tenant.virtual_start.max(earliest_start);
         }
-        let bucket = tenant.buckets.entry(at).or_default();
-        if bucket.entries.is_empty() {
-            tenant.ring.push_back(at);
+        let bucket = tenant.buckets.entry(bucket_number).or_default();
+        if bucket.requests.is_empty() {
+            tenant.round_robin.push_back(bucket_number);
             bucket.deficit = 0;
         }
-        let rank = rank(&entry);
-        bucket.entries.insert(rank, entry);
-        bucket.backlog += entry.cost.0;
-        tenant.backlog += entry.cost.0;
-        tenant.quantum = tenant.quantum.max(entry.cost.0);
+        let priority = Priority::of(&request);
+        bucket.requests.insert(priority, request);
+        bucket.backlog += request.cost.0;
+        tenant.backlog += request.cost.0;
+        tenant.quantum = tenant.quantum.max(request.cost.0);
         tenant.len += 1;
-        self.places.insert(entry.id, (entry.tenant, at, rank));
+        let position = Position {
+            tenant: request.tenant,
+            bucket: bucket_number,
+            priority,
+        };
+        self.positions.insert(request.id, position);
     }
 
-    /// Takes the next one out.
-    pub fn pop(&mut self) -> Option<Entry> {
+    /// Takes out the request that is served next.
+    pub fn pop(&mut self) -> Option<QueuedRequest> {
         let waiting = self.tenants.iter().enumerate().filter(|(_, t)| t.len > 0);
-        let (n, start) = waiting
-            .map(|(n, t)| (n, t.start))
+        let (number, start) = waiting
+            .map(|(number, tenant)| (number, tenant.virtual_start))
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
         self.virtual_time = self.virtual_time.max(start);
-        let tenant = &mut self.tenants[n];
-        if let Some(bucket) = tenant.buckets.get(&RESERVED) {
-            let rank = *bucket.entries.first_key_value()?.0;
-            return self.take(n, RESERVED, rank);
-        }
-        // A round gives each bucket the dearest's cost: each finds something within two.
-        for _ in 0..=2 * tenant.ring.len() {
-            let at = *tenant.ring.front()?;
-            let bucket = tenant.buckets.get_mut(&at)?;
-            let (rank, entry) = bucket.entries.first_key_value().map(|(r, e)| (*r, *e))?;
-            if bucket.deficit < entry.cost.0 {
-                bucket.deficit += tenant.quantum;
-                tenant.ring.rotate_left(1);
-                continue;
+        let position = match self.tenants[number].first_reserved() {
+            Some(priority) => Position {
+                tenant: number,
+                bucket: RESERVED_BUCKET,
+                priority,
+            },
+            None => self.next_by_deficit(number)?,
+        };
+        self.take(position)
+    }
+
+    /// The next request of a tenant by deficit round robin.
+    fn next_by_deficit(&mut self, number: usize) -> Option<Position> {
+        let tenant = &mut self.tenants[number];
+        // Each round adds the highest cost to each deficit, so two rounds serve some bucket.
+        for _ in 0..=2 * tenant.round_robin.len() {
+            let bucket_number = *tenant.round_robin.front()?;
+            let bucket = tenant.buckets.get_mut(&bucket_number)?;
+            let (priority, request) = bucket.requests.first_key_value()?;
+            let (priority, cost) = (*priority, request.cost.0);
+            if bucket.deficit >= cost {
+                bucket.deficit -= cost;
+                return Some(Position {
+                    tenant: number,
+                    bucket: bucket_number,
+                    priority,
+                });
             }
-            bucket.deficit -= entry.cost.0;
-            self.take(n, at, rank);
-            return Some(entry);
+            bucket.deficit += tenant.quantum;
+            tenant.round_robin.rotate_left(1);
         }
         None
     }
 
-    /// What a tenant was served counts, whether it had waited or not.
-    pub fn served(&mut self, entry: &Entry, weights: &[f64]) {
-        let tenant = &mut self.tenants[entry.tenant];
-        let start = tenant
-            .start
-            .max(self.virtual_time - allowance(entry, weights));
-        tenant.start = start + entry.cost.as_f64() / weights[entry.tenant];
-        if self.places.is_empty() {
-            // Nobody waits: what is served now takes nothing from anyone.
+    /// Charges a tenant for a request that is admitted, whether it waited or not.
+    pub fn charge(&mut self, request: &QueuedRequest, weights: &[f64]) {
+        let earliest_start = self.earliest_start(request, weights);
+        let tenant = &mut self.tenants[request.tenant];
+        let start = tenant.virtual_start.max(earliest_start);
+        tenant.virtual_start = start + request.cost.as_f64() / weights[request.tenant];
+        if self.positions.is_empty() {
+            // Nobody waits, so this takes nothing from other tenants.
             self.virtual_time = self.virtual_time.max(start);
         }
     }
 
-    /// Takes one out, wherever it stands.
-    pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
-        let (tenant, at, rank) = self.places.get(&id).copied()?;
-        self.take(tenant, at, rank)
+    /// Takes out a request, wherever it waits.
+    pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
+        let position = *self.positions.get(&id)?;
+        self.take(position)
     }
 
-    fn take(&mut self, n: usize, at: u32, rank: Rank) -> Option<Entry> {
-        let tenant = &mut self.tenants[n];
-        let bucket = tenant.buckets.get_mut(&at)?;
-        let entry = bucket.entries.remove(&rank)?;
-        bucket.backlog -= entry.cost.0;
-        tenant.backlog -= entry.cost.0;
+    fn take(&mut self, position: Position) -> Option<QueuedRequest> {
+        let tenant = &mut self.tenants[position.tenant];
+        let bucket = tenant.buckets.get_mut(&position.bucket)?;
+        let request = bucket.requests.remove(&position.priority)?;
+        bucket.backlog -= request.cost.0;
+        tenant.backlog -= request.cost.0;
         tenant.len -= 1;
-        if bucket.entries.is_empty() {
-            tenant.buckets.remove(&at);
-            tenant.ring.retain(|b| *b != at);
+        if bucket.requests.is_empty() {
+            tenant.buckets.remove(&position.bucket);
+            tenant
+                .round_robin
+                .retain(|bucket| *bucket != position.bucket);
         }
         if tenant.len == 0 {
             tenant.quantum = 0;
         }
-        self.places.remove(&entry.id);
-        Some(entry)
+        self.positions.remove(&request.id);
+        Some(request)
     }
 
-    /// The tenant that has the most waiting for its weight.
+    /// The tenant that has most requests waiting for its weight.
     #[must_use]
-    pub fn fullest(&self, weights: &[f64]) -> Option<(usize, f64)> {
+    pub fn longest_tenant(&self, weights: &[f64]) -> Option<LongestTenant> {
         let waiting = self.tenants.iter().enumerate().filter(|(_, t)| t.len > 0);
-        #[allow(clippy::cast_precision_loss)]
-        let rated = waiting.map(|(n, t)| (n, t.len as f64 / weights[n]));
-        rated.max_by(|a, b| a.1.total_cmp(&b.1))
+        waiting
+            .map(|(number, tenant)| LongestTenant {
+                tenant: number,
+                weighted_len: tenant.len as f64 / weights[number],
+            })
+            .max_by(|a, b| a.weighted_len.total_cmp(&b.weighted_len))
     }
 
-    /// Takes out the least of a tenant's fullest bucket.
-    pub fn pop_last(&mut self, tenant: usize) -> Option<Entry> {
-        let fullest = self.tenants[tenant]
-            .buckets
-            .iter()
-            .max_by_key(|(n, b)| (b.entries.len(), **n))?;
-        let (at, rank) = (*fullest.0, *fullest.1.entries.last_key_value()?.0);
-        self.take(tenant, at, rank)
+    /// Takes out the request that would be served last in a tenant's longest bucket.
+    pub fn pop_last(&mut self, tenant: usize) -> Option<QueuedRequest> {
+        let buckets = self.tenants[tenant].buckets.iter();
+        let (number, bucket) =
+            buckets.max_by_key(|(number, bucket)| (bucket.requests.len(), **number))?;
+        let (priority, _) = bucket.requests.last_key_value()?;
+        let position = Position {
+            tenant,
+            bucket: *number,
+            priority: *priority,
+        };
+        self.take(position)
     }
 
-    /// What must hold after every step.
+    /// Checks what must hold after every step. The cost grows with the requests that wait.
     ///
     /// # Errors
-    /// What does not hold.
-    pub fn check(&self) -> Result<(), String> {
-        let mut all = 0;
-        for (n, tenant) in self.tenants.iter().enumerate() {
-            let len: usize = tenant.buckets.values().map(|b| b.entries.len()).sum();
-            let backlog: i64 = tenant
-                .buckets
-                .values()
-                .flat_map(|b| b.entries.values())
-                .map(|e| e.cost.0)
-                .sum();
-            if len != tenant.len
-                || backlog != tenant.backlog
-                || tenant.ring.len() != tenant.buckets.len()
-            {
-                return Err(format!(
-                    "tenant {n}: {len} of {}, {backlog} of {}",
-                    tenant.len, tenant.backlog
-                ));
-            }
-            all += len;
+    /// The first invariant that does not hold.
+    pub fn check_invariants(&self) -> Result<(), FairQueueViolation> {
+        let mut queued = 0;
+        for (number, tenant) in self.tenants.iter().enumerate() {
+            tenant.check_counters(number)?;
+            queued += tenant.len;
         }
-        if all == self.places.len() {
-            Ok(())
-        } else {
-            Err(format!("{all} of {} wait", self.places.len()))
+        let indexed = self.positions.len();
+        if queued != indexed {
+            return Err(FairQueueViolation::Index { queued, indexed });
+        }
+        Ok(())
+    }
+}
+
+impl Tenant {
+    /// The first request with a reservation.
+    fn first_reserved(&self) -> Option<Priority> {
+        let bucket = self.buckets.get(&RESERVED_BUCKET)?;
+        bucket.requests.first_key_value().map(|(first, _)| *first)
+    }
+
+    fn check_counters(&self, number: usize) -> Result<(), FairQueueViolation> {
+        let requests = || self.buckets.values().flat_map(|b| b.requests.values());
+        let queued = requests().count();
+        let queued_cost: i64 = requests().map(|request| request.cost.0).sum();
+        let is_consistent = queued == self.len
+            && queued_cost == self.backlog
+            && self.round_robin.len() == self.buckets.len();
+        if is_consistent {
+            return Ok(());
         }
+        Err(FairQueueViolation::TenantCounters {
+            tenant: number,
+            queued,
+            counted: self.len,
+            queued_cost,
+            counted_cost: self.backlog,
+        })
     }
 }
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -10,6 +10,24 @@
     Span::from_millis(n)
 }
 
+const fn lane(group: u16, kind: LaneKind) -> LaneId {
+    LaneId {
+        group: GroupId(group),
+        kind,
+    }
+}
+
+/// A check's cost, behind a backlog, where 400 checks a second are served.
+const fn reservation(client: u64, backlog: Span) -> retry_after::Reservation {
+    retry_after::Reservation {
+        client,
+        cost: ms(50),
+        backlog,
+        cost_per_microsecond: 20.0,
+        max_retry_after: ms(2000),
+    }
+}
+
 /// A check, a report that costs twenty of them, and a write.
 fn classes() -> Vec<Class> {
     let class = |aim, write| Class {
@@ -125,16 +143,17 @@
             let mut out = vec![];
             while let Some((_, id)) = self.busy.first().copied().filter(|(at, _)| *at <= self.now) {
                 self.busy.pop_first();
-                self.door.on_finished(self.now, id, true, &mut out);
+                self.door
+                    .on_finished(self.now, id, Completion::Served, &mut out);
             }
             let room = Capacity {
                 limit: self.places,
                 waiting: 0,
                 searching: false,
             };
-            for write in [false, true] {
+            for kind in [LaneKind::Reads, LaneKind::Writes] {
                 self.door
-                    .set_capacity(self.now, GroupId(0), write, room, &mut out);
+                    .set_capacity(self.now, lane(0, kind), room, &mut out);
             }
             self.door.tick(self.now, &mut out);
             self.take(out);
@@ -369,10 +388,10 @@
 
 #[test]
 fn hints_spread_a_crowd_and_say_when_they_cannot_be_honest() {
-    let mut calendar = calendar::RetryAfterCalendar::new(Time(0));
+    let mut calendar = retry_after::RetryAfterCalendar::new(Time(0));
     // Twenty checks at once, 400 a second; a crowd of 1,000 refused in one moment.
     let hints: Vec<Option<Span>> = (0..1000)
-        .map(|n| calendar.reserve(Time(0), n, ms(50), ms(1000), 20.0, ms(2000)))
+        .map(|n| calendar.reserve(Time(0), &reservation(n, ms(1000))))
         .collect();
     let honest: Vec<i64> = hints.iter().flatten().map(|h| h.0).collect();
     assert!((350..550).contains(&honest.len()), "{}", honest.len());
@@ -392,23 +411,23 @@
     );
     // What is not used is given back by time passing.
     let later = calendar
-        .reserve(Time(2_100_000), 5000, ms(50), Span(0), 20.0, ms(2000))
+        .reserve(Time(2_100_000), &reservation(5000, Span(0)))
         .unwrap();
     assert!(later <= ms(400), "the least hint: {later:?}");
 }
 
 #[test]
 fn a_client_that_comes_early_all_the_time_gains_nothing() {
-    let mut calendar = calendar::RetryAfterCalendar::new(Time(0));
+    let mut calendar = retry_after::RetryAfterCalendar::new(Time(0));
     let hint = calendar
-        .reserve(Time(0), 1, ms(50), ms(20_000), 20.0, ms(2000))
+        .reserve(Time(0), &reservation(1, ms(20_000)))
         .unwrap();
-    assert_eq!(calendar.take(Time(0) + hint - ms(51), 1), None);
+    assert_eq!(calendar.use_reservation(Time(0) + hint - ms(51), 1), None);
     assert_eq!(
-        calendar.take(Time(0) + hint - ms(50), 1),
+        calendar.use_reservation(Time(0) + hint - ms(50), 1),
         Some(Time(0) + hint)
     );
-    assert_eq!(calendar.take(Time(0) + hint, 1), None, "once");
+    assert_eq!(calendar.use_reservation(Time(0) + hint, 1), None, "once");
 }
 
 #[test]
@@ -425,7 +444,7 @@
     };
     world
         .door
-        .set_capacity(world.now, GroupId(0), true, searching, &mut out);
+        .set_capacity(world.now, lane(0, LaneKind::Writes), searching, &mut out);
     world.take(out);
     assert!(world.door.len() >= 30, "they keep their places");
     let reads: Vec<_> = (0..8).map(|n| world.ask(1, n, 0, ms(1200))).collect();
@@ -505,7 +524,7 @@
     }
     assert_eq!(out.len(), 50);
     assert!(out.iter().all(|v| matches!(v, AdmissionDecision::Admit(_))));
-    (1..=50).for_each(|n| door.on_finished(Time(1), RequestId(n), true, &mut out));
+    (1..=50).for_each(|n| door.on_finished(Time(1), RequestId(n), Completion::Served, &mut out));
     assert!(door.is_empty());
 }
 
--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -4,7 +4,10 @@
 use std::collections::VecDeque;
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
-use valehatch_admission::{AdmissionDecision, AdmissionQueue, Arrival, Capacity, Class, Settings};
+use valehatch_admission::{
+    AdmissionDecision, AdmissionQueue, Arrival, Capacity, Class, Completion, LaneId, LaneKind,
+    Settings,
+};
 use valehatch_policy::{GroupId, RequestId, Span, Time};
 
 #[global_allocator]
@@ -23,6 +26,13 @@
         .saturating_sub(change.bytes_deallocated)
 }
 
+const fn lane(group: u16, kind: LaneKind) -> LaneId {
+    LaneId {
+        group: GroupId(group),
+        kind,
+    }
+}
+
 #[test]
 fn a_hundred_thousand_clients_a_second_take_no_more_after_ten_seconds_than_after_six() {
     let class = |write| Class {
@@ -64,8 +74,8 @@
                     waiting: 0,
                     searching: false,
                 };
-                door.set_capacity(now, GroupId(group), false, room, &mut out);
-                door.set_capacity(now, GroupId(group), true, room, &mut out);
+                door.set_capacity(now, lane(group, LaneKind::Reads), room, &mut out);
+                door.set_capacity(now, lane(group, LaneKind::Writes), room, &mut out);
             }
             door.tick(now, &mut out);
             peak = peak.max(held(&region));
@@ -74,7 +84,7 @@
             let Some((_, id)) = inside.pop_front() else {
                 break;
             };
-            door.on_finished(now, id, true, &mut out);
+            door.on_finished(now, id, Completion::Served, &mut out);
         }
         for verdict in out.drain(..) {
             if let AdmissionDecision::Admit(id) = verdict {
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,108 +1,164 @@
-//! How the admission queue is wired to the decision module.
+//! How the admission queue is wired between accepted requests and the policy.
+//!
+//! An accepted request waits in the queue until the queue admits or rejects it. The queue learns
+//! from here how much the usable endpoints of each group can take. Where the configuration names no
+//! queue, requests go to the policy at once. Times are whole microseconds of the process's
+//! monotonic clock.
 
-use crate::prelude::*;
+use valehatch_admission::{
+    AdmissionDecision, Arrival, Capacity, LaneId, LaneKind, QueueRejection, RetryAfterHint,
+};
+use valehatch_policy::{
+    EndpointHealth, EndpointState, EndpointView, GroupView, PolicyEvent, Request, RequestId, Role,
+    Span, Time,
+};
+use valehatch_request_log::{FinalOutcome, RejectionReason};
 
-/// How often the door is told what the module has room for, while something waits.
-pub(crate) const LOOK_FOR_ROOM: Span = Span::from_millis(5);
+use crate::messages::{Effect, FinalAnswer};
+use crate::reducer::State;
+use crate::timers::Timer;
+
+/// Interval at which the queue learns the endpoints' capacity and expires requests, while it is not
+/// empty.
+const QUEUE_INTERVAL: Span = Span::from_millis(5);
 
 impl State {
-    /// Lets in what the door says, and refuses what it does not let in.
-    pub(crate) fn act_on_verdicts(
+    /// Puts an accepted request into the queue.
+    pub(crate) fn enqueue(&mut self, now: Time, arrival: Arrival, request: Request) {
+        let Some(admission) = &mut self.admission else {
+            return;
+        };
+        let Some(pending) = self.requests.get_mut(&arrival.id) else {
+            return;
+        };
+        pending.queued = Some(Box::new(request));
+        admission.on_arrival(now, arrival, &mut self.admission_decisions);
+        self.set_admission_timer(now);
+    }
+
+    /// Passes admitted requests on to the policy and answers rejected ones, until the queue has
+    /// decided nothing new.
+    pub(crate) fn apply_admission_decisions(
         &mut self,
         now: Time,
-        told: &mut Vec<PolicyEvent>,
+        policy_events: &mut Vec<PolicyEvent>,
         effects: &mut Vec<Effect>,
     ) {
-        while !self.verdicts.is_empty() {
-            for verdict in std::mem::take(&mut self.verdicts) {
-                match verdict {
-                    AdmissionDecision::Admit(id) => {
-                        let Some(held) = self.requests.get_mut(&id) else {
-                            continue;
-                        };
-                        let deadline = held.deadline;
-                        told.extend(held.queued.take().map(|request| {
-                            let waited = Span((now - held.arrived).0.max(0));
-                            let since_last_write = request.since_last_write.map(|ago| ago + waited);
-                            let time_left = Span((deadline - now).0.max(1));
-                            PolicyEvent::Request(Request {
-                                time_left,
-                                since_last_write,
-                                ..*request
-                            })
-                        }));
-                    }
+        while !self.admission_decisions.is_empty() {
+            for decision in std::mem::take(&mut self.admission_decisions) {
+                match decision {
+                    AdmissionDecision::Admit(id) => policy_events.extend(self.on_admitted(now, id)),
                     AdmissionDecision::Reject(id, reason, hint) => {
-                        let why = match reason {
-                            QueueRejection::WaitTooLong => RejectionReason::QueueWait,
-                            QueueRejection::QueueFull => RejectionReason::QueueFull,
-                            QueueRejection::ExpiredInQueue => RejectionReason::QueueWaited,
-                            QueueRejection::StandingQueue => RejectionReason::QueueStanding,
-                        };
-                        let answer = FinalAnswer::Rejected {
-                            retry_after: hint.retry_after,
-                            overloaded: !hint.reserved,
-                        };
-                        self.answer(now, id, answer, FinalOutcome::Refused(why), effects);
+                        self.on_queue_rejection(now, id, reason, hint, effects);
                     }
                 }
             }
         }
     }
 
-    /// While something waits the door is looked after.
-    pub(crate) fn wake_door(&mut self, now: Time) {
-        if !self.door_due && self.door.as_ref().is_some_and(|door| !door.is_empty()) {
-            self.door_due = true;
-            self.due.insert((now + LOOK_FOR_ROOM, Due::Admission));
+    fn on_admitted(&mut self, now: Time, id: RequestId) -> Option<PolicyEvent> {
+        let pending = self.requests.get_mut(&id)?;
+        let request = pending.queued.take()?;
+        let waited = Span((now - pending.arrived).0.max(0));
+        Some(PolicyEvent::Request(Request {
+            time_left: Span((pending.deadline - now).0.max(1)),
+            since_last_write: request.since_last_write.map(|ago| ago + waited),
+            ..*request
+        }))
+    }
+
+    fn on_queue_rejection(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        reason: QueueRejection,
+        hint: RetryAfterHint,
+        effects: &mut Vec<Effect>,
+    ) {
+        let reason = match reason {
+            QueueRejection::WaitTooLong => RejectionReason::QueueWait,
+            QueueRejection::QueueFull => RejectionReason::QueueFull,
+            QueueRejection::ExpiredInQueue => RejectionReason::QueueWaited,
+            QueueRejection::StandingQueue => RejectionReason::QueueStanding,
+        };
+        let answer = FinalAnswer::Rejected {
+            retry_after: hint.retry_after,
+            overloaded: !hint.reserved,
+        };
+        self.answer(now, id, answer, FinalOutcome::Refused(reason), effects);
+    }
+
+    /// Sets the queue's timer if a request waits and the timer is not set.
+    fn set_admission_timer(&mut self, now: Time) {
+        let is_waiting = self.admission.as_ref().is_some_and(|a| !a.is_empty());
+        if self.admission_timer_set || !is_waiting {
+            return;
+        }
+        self.admission_timer_set = true;
+        self.set_timer(now + QUEUE_INTERVAL, Timer::Admission);
+    }
+
+    /// Lets the queue expire requests that have waited too long.
+    pub(crate) fn on_admission_timer(&mut self, now: Time) {
+        self.admission_timer_set = false;
+        if let Some(admission) = &mut self.admission {
+            admission.tick(now, &mut self.admission_decisions);
         }
+        self.set_admission_timer(now);
     }
 
-    /// Tells the door what the module has room for: the limits of the members that it can use, and what waits in it.
-    #[allow(clippy::cast_precision_loss)]
-    pub(crate) fn look_for_room(&mut self, now: Time) {
-        let Some(door) = self
-            .door
-            .as_mut()
-            .filter(|d| !d.is_empty() && now - self.looked >= LOOK_FOR_ROOM)
-        else {
+    /// Reports to the queue what the usable endpoints of each group can take, and how much waits in
+    /// the policy.
+    pub(crate) fn report_capacity(&mut self, now: Time) {
+        let Some(admission) = &mut self.admission else {
             return;
         };
-        self.looked = now;
+        if admission.is_empty() || now - self.capacity_reported_at < QUEUE_INTERVAL {
+            return;
+        }
+        self.capacity_reported_at = now;
         let view = self.router.view();
         for group in &view.groups {
-            let usable = |n: &&valehatch_policy::EndpointView| {
-                n.group == group.group
-                    && n.state == EndpointState::Ready
-                    && n.health == valehatch_policy::EndpointHealth::Healthy
-            };
-            let room = |primary: bool| -> f64 {
-                let own = view
-                    .endpoints
-                    .iter()
-                    .filter(usable)
-                    .filter(|n| (group.primary == Some(n.endpoint)) == primary);
-                own.map(|n| (n.limit * n.warm.unwrap_or(1.0)).max(1.0).ceil())
-                    .sum()
-            };
-            let (writes, mut reads) = (room(true), room(false));
-            if reads == 0.0 {
-                reads = writes;
-            }
-            let searching = group.searching.is_some();
-            let write = Capacity {
-                limit: writes,
+            let write_limit = attempt_limit(&view.endpoints, group, Role::Primary);
+            let replica_limit = attempt_limit(&view.endpoints, group, Role::Replica);
+            let writes = Capacity {
+                limit: write_limit,
                 waiting: group.queued_writes,
-                searching,
+                searching: group.searching.is_some(),
             };
-            let waiting = group.waiting.saturating_sub(group.queued_writes);
-            let read = Capacity {
-                limit: reads,
-                waiting,
+            let reads = Capacity {
+                limit: if replica_limit == 0.0 {
+                    write_limit
+                } else {
+                    replica_limit
+                },
+                waiting: group.waiting.saturating_sub(group.queued_writes),
                 searching: false,
             };
-            door.set_capacity(now, group.group, true, write, &mut self.verdicts);
-            door.set_capacity(now, group.group, false, read, &mut self.verdicts);
+            for (kind, capacity) in [(LaneKind::Writes, writes), (LaneKind::Reads, reads)] {
+                let lane = LaneId {
+                    group: group.group,
+                    kind,
+                };
+                admission.set_capacity(now, lane, capacity, &mut self.admission_decisions);
+            }
+        }
+    }
+}
+
+/// Attempts that the usable endpoints of a group may have in flight together, in this role.
+fn attempt_limit(endpoints: &[EndpointView], group: &GroupView, role: Role) -> f64 {
+    let mut limit = 0.0;
+    for endpoint in endpoints {
+        let is_usable = endpoint.group == group.group
+            && endpoint.state == EndpointState::Ready
+            && endpoint.health == EndpointHealth::Healthy;
+        let is_primary = group.primary == Some(endpoint.endpoint);
+        if is_usable && is_primary == (role == Role::Primary) {
+            limit += (endpoint.limit * endpoint.warm.unwrap_or(1.0))
+                .max(1.0)
+                .ceil();
         }
     }
+    limit
 }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,340 +1,477 @@
-//! Attempts: sent, ended, cancelled.
+//! Attempts: sent to an endpoint, streamed back, ended, cancelled.
+//!
+//! Inputs are the policy's orders to send or cancel, and what upstream connections report. A
+//! request has at most one attempt in flight ([`may_send`] checks it), and each attempt in flight
+//! occupies one upstream connection. Times are whole microseconds of the process's monotonic clock.
 
-use crate::prelude::*;
+use std::sync::Arc;
+
+use valehatch_admission::Completion;
+use valehatch_policy::{AttemptEnd, EndpointId, Outcome, PolicyEvent, RequestId, Span, Time};
+use valehatch_request_log::{FailureReason, FinalOutcome};
+
+use crate::messages::{
+    ConnectionId, Effect, Failure, FinalAnswer, LogEvent, Payload, RequestStep, UpstreamJob,
+    UpstreamReply,
+};
+use crate::permission::{Denial, SendCheck, SendPermit, may_send};
+use crate::reducer::State;
+use crate::requests::LoggedAttempt;
+use crate::timers::Timer;
+use crate::upstream_connections::ConnectionUse;
+
+/// One attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    /// The request.
+    pub(crate) request: RequestId,
+    /// Which of its attempts, counted from 0.
+    pub(crate) attempt: u32,
+}
+
+/// An attempt that occupies a connection.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptInFlight {
+    /// Which one.
+    pub(crate) id: AttemptId,
+    /// When it was handed to the connection.
+    pub(crate) sent_at: Time,
+}
+
+/// What becomes of an upstream connection once what it carried has ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum AfterReply {
+    /// It may carry something else.
+    Reuse,
+    /// It is closed.
+    Close,
+}
+
+impl AfterReply {
+    /// From the flag of the event that ends what a connection carried.
+    pub(crate) const fn from_reusable(reusable: bool) -> Self {
+        if reusable { Self::Reuse } else { Self::Close }
+    }
+}
+
+/// The policy's order to send an attempt.
+pub(crate) struct SendOrder {
+    /// The request.
+    pub(crate) request: RequestId,
+    /// Where to.
+    pub(crate) endpoint: EndpointId,
+    /// How long its answer is waited for; `None`: until the request's deadline.
+    pub(crate) timeout: Option<Span>,
+    /// Its first byte must not be written after this.
+    pub(crate) send_before: Option<Time>,
+}
+
+/// An attempt that was not handed to a connection, and why not.
+struct NotSent {
+    id: AttemptId,
+    endpoint: EndpointId,
+    outcome: Outcome,
+}
 
 impl State {
-    /// An answer has begun that is passed on as it comes. From here on it belongs to its client: no deadline strikes it,
-    /// nothing is sent again, and its member has done its work.
-    pub(crate) fn on_began(
+    /// The connections that carry attempts of a request.
+    pub(crate) fn connections_of(&self, request: RequestId) -> Vec<ConnectionId> {
+        let first = AttemptId {
+            request,
+            attempt: 0,
+        };
+        let last = AttemptId {
+            request,
+            attempt: u32::MAX,
+        };
+        self.attempts
+            .range(first..=last)
+            .map(|(_, connection)| *connection)
+            .collect()
+    }
+
+    /// The connection whose response is being streamed to a request's client, if there is one.
+    pub(crate) fn streaming_connection(&self, id: RequestId) -> Option<ConnectionId> {
+        self.requests.get(&id)?.response_started_at?;
+        self.connections_of(id).first().copied()
+    }
+
+    /// A response that is streamed has started. From here on the request is bound to this attempt:
+    /// it has no deadline and is not sent again, and its endpoint has done its work.
+    pub(crate) fn on_response_started(
         &mut self,
         now: Time,
         connection: ConnectionId,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        let slot = self.conns.get_mut(&connection)?;
-        let Use::Attempt(request, ..) = slot.used else {
+        let slot = self.connections.get_mut(&connection)?;
+        let ConnectionUse::Attempt(attempt) = slot.usage else {
             return None;
         };
-        let Some(held) = self
+        let id = attempt.id.request;
+        let waiting = self
             .requests
-            .get_mut(&request)
-            .filter(|held| held.began.is_none())
-        else {
-            return self.on_reply(
-                now,
-                connection,
-                UpstreamReply::without_details(Outcome::Cancelled),
-                false,
-                effects,
-            );
+            .get_mut(&id)
+            .filter(|request| request.response_started_at.is_none());
+        let Some(request) = waiting else {
+            let reply = UpstreamReply::without_details(Outcome::Cancelled);
+            return self.on_reply(now, connection, reply, AfterReply::Close, effects);
         };
-        held.began = Some(now);
-        let due = std::mem::replace(&mut slot.until, Time(i64::MAX));
-        self.due.remove(&(due, Due::Attempt(connection)));
-        self.due
-            .remove(&(held.deadline + HEADSTART + HEADSTART, Due::Overdue(request)));
+        request.response_started_at = Some(now);
+        let overdue_at = request.overdue_at();
         effects.push(Effect::ForwardBody {
             connection,
-            client: held.client,
-            ticket: held.ticket,
+            client: request.client,
+            ticket: request.ticket,
         });
-        if let Some(door) = &mut self.door {
-            door.on_finished(now, request, true, &mut self.verdicts);
+        let timeout_at = std::mem::replace(&mut slot.timeout_at, Time(i64::MAX));
+        self.cancel_timer(timeout_at, Timer::AttemptTimeout(connection));
+        self.cancel_timer(overdue_at, Timer::RequestOverdue(id));
+        if let Some(admission) = &mut self.admission {
+            admission.on_finished(now, id, Completion::Served, &mut self.admission_decisions);
         }
-        Some(PolicyEvent::ResponseStarted(request))
+        Some(PolicyEvent::ResponseStarted(id))
     }
 
-    /// The connection whose answer is passed on to a request's client, if one is.
-    pub(crate) fn passing(&self, id: RequestId) -> Option<ConnectionId> {
-        self.requests.get(&id)?.began?;
-        self.attempts
-            .range((id, 0)..=(id, u32::MAX))
-            .next()
-            .map(|(_, connection)| *connection)
-    }
-
-    /// What a connection brought back for what it carried.
+    /// Ends what an upstream connection carried.
     pub(crate) fn on_reply(
         &mut self,
         now: Time,
         connection: ConnectionId,
         mut reply: UpstreamReply,
-        reusable: bool,
+        after_reply: AfterReply,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        let slot = self.conns.get_mut(&connection)?;
-        let (endpoint, used) = (slot.endpoint, slot.used);
-        // What is given up before anything of it was written has not run.
-        let given_up = matches!(reply.outcome, Outcome::Timeout | Outcome::Cancelled);
-        if slot
-            .permit
-            .take()
-            .is_some_and(|permit| given_up && permit.revoke())
-        {
+        let slot = self.connections.get_mut(&connection)?;
+        let endpoint = slot.endpoint;
+        if slot.revoke_permit(reply.outcome) {
             reply.outcome = Outcome::NotSent;
         }
-        if !matches!(used, Use::Idle(_)) {
-            slot.used = Use::Idle(now);
-            self.idle
-                .entry(endpoint)
-                .or_default()
-                .insert((now, connection));
-        }
-        // A deadline left by what it carried must not strike what it carries next.
-        self.due.remove(&(slot.until, Due::Attempt(connection)));
-        let kept = reusable && self.members.contains_key(&endpoint);
-        if !kept {
-            self.close(connection, effects);
+        let usage = self.release_connection(now, connection)?;
+        if after_reply == AfterReply::Close || !self.endpoints.contains_key(&endpoint) {
+            self.close_connection(connection, effects);
         }
-        match used {
-            Use::Idle(_) => None,
-            Use::Probe(sent) => Some(PolicyEvent::HealthCheckEnded {
+        match usage {
+            ConnectionUse::Idle { .. } => None,
+            ConnectionUse::HealthCheck { sent_at } => Some(PolicyEvent::HealthCheckEnded {
                 endpoint,
                 outcome: reply.outcome,
-                latency: now - sent,
+                latency: now - sent_at,
                 report: reply.report,
             }),
-            Use::Attempt(request, attempt, sent) => {
-                self.attempts.remove(&(request, attempt));
-                if self.facts.trace_requests {
-                    self.trace(
-                        request,
-                        RequestStep::AttemptEnded {
-                            attempt,
-                            outcome: reply.outcome,
-                        },
-                        effects,
-                    );
-                }
-                // Of an answer that was passed on the beginning is timed: its client had the rest as it could take it.
-                let began = self.requests.get(&request).and_then(|held| held.began);
-                let at = began.unwrap_or(now);
-                if let Some(held) = self.requests.get_mut(&request) {
-                    held.note_try(reply.outcome, at);
-                    let may_have_run = !reply.outcome.never_ran();
-                    held.may_have_run_since =
-                        held.may_have_run_since.or(may_have_run.then_some(sent));
-                }
-                let closed = match self.requests.get_mut(&request) {
-                    None => true,
-                    Some(held) if began.is_some() => {
-                        let how = match reply.outcome {
-                            Outcome::Ok => self.facts.ending(held, at),
-                            Outcome::Cancelled => FinalOutcome::Aborted,
-                            _ => FinalOutcome::Failed(FailureReason::ConnectionLost),
-                        };
-                        let served = reply.outcome == Outcome::Ok;
-                        if let Some(held) = self.conclude(now, request, served, effects) {
-                            self.record(at, held, how, effects);
-                        }
-                        true
-                    }
-                    Some(held) => {
-                        held.last = Some(reply.outcome);
-                        match reply.body {
-                            Some(body) if reply.outcome == Outcome::Ok => {
-                                let how = self.facts.ending(held, now);
-                                self.answer(now, request, FinalAnswer::Served(body), how, effects);
-                                true
-                            }
-                            Some(body) if reply.is_final_error => {
-                                let answer = FinalAnswer::Failed(Failure::UpstreamError(body));
-                                self.answer(
-                                    now,
-                                    request,
-                                    answer,
-                                    FinalOutcome::Failed(FailureReason::Statement),
-                                    effects,
-                                );
-                                true
-                            }
-                            word => {
-                                held.word = word;
-                                false
-                            }
-                        }
-                    }
-                };
-                Some(PolicyEvent::AttemptEnded(AttemptEnd {
-                    request,
-                    attempt,
-                    endpoint,
-                    outcome: reply.outcome,
-                    closed,
-                    latency: at - sent,
-                    role: reply.role,
-                    position: reply.position,
-                    report: reply.report,
-                }))
+            ConnectionUse::Attempt(attempt) => {
+                Some(self.on_attempt_ended(now, endpoint, attempt, reply, effects))
             }
         }
     }
 
-    pub(crate) fn send(
+    fn on_attempt_ended(
         &mut self,
         now: Time,
-        request: RequestId,
         endpoint: EndpointId,
-        timeout: Option<Span>,
-        send_before: Option<Time>,
+        attempt: AttemptInFlight,
+        reply: UpstreamReply,
+        effects: &mut Vec<Effect>,
+    ) -> PolicyEvent {
+        let AttemptId {
+            request: id,
+            attempt: number,
+        } = attempt.id;
+        self.attempts.remove(&attempt.id);
+        let outcome = reply.outcome;
+        let step = RequestStep::AttemptEnded {
+            attempt: number,
+            outcome,
+        };
+        self.trace(id, step, effects);
+        // A streamed response is timed by its start: the rest arrives as fast as its client reads.
+        let response_started_at = self.requests.get(&id).and_then(|r| r.response_started_at);
+        let ended_at = response_started_at.unwrap_or(now);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.record_attempt(outcome, ended_at);
+            if !outcome.never_ran() {
+                request.may_have_run_since.get_or_insert(attempt.sent_at);
+            }
+        }
+        let (role, position, report) = (reply.role, reply.position, reply.report);
+        let closed = if response_started_at.is_some() {
+            self.finish_streamed_request(now, ended_at, id, outcome, effects);
+            true
+        } else {
+            self.apply_reply(now, id, reply, effects)
+        };
+        PolicyEvent::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt: number,
+            endpoint,
+            outcome,
+            closed,
+            latency: ended_at - attempt.sent_at,
+            role,
+            position,
+            report,
+        })
+    }
+
+    /// Ends a request whose response was streamed to its client, as a whole or in part.
+    fn finish_streamed_request(
+        &mut self,
+        now: Time,
+        started_at: Time,
+        id: RequestId,
+        outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.requests.get(&request) else {
-            return self.facts.decisions.on_denied(Denial::RequestOver);
+        let Some(request) = self.requests.get(&id) else {
+            return;
         };
-        let until = timeout.map_or(held.deadline, |t| held.deadline.min(now + t));
-        let asked = SendCheck {
-            now,
-            deadline: until,
-            response_started: held.began.is_some(),
-            attempts_in_flight: self
-                .attempts
-                .range((request, 0)..=(request, u32::MAX))
-                .count(),
-            attempts: held.attempts,
-            max_attempts: self.facts.settings.limits.max_attempts,
-            idempotency: self.facts.settings.classes[held.class].idempotency,
-            may_have_run_since: held.may_have_run_since,
-            endpoint_is_ready: self.ready.contains(&endpoint) || self.may_use_unlisted(endpoint),
+        let final_outcome = match outcome {
+            Outcome::Ok => self.config.served_outcome(request, started_at),
+            Outcome::Cancelled => FinalOutcome::Aborted,
+            _ => FinalOutcome::Failed(FailureReason::ConnectionLost),
         };
-        let permitted = may_send(&asked);
-        if permitted.is_ok() && asked.attempts > 0 {
-            self.facts.decisions.on_retry();
+        let completion = if outcome == Outcome::Ok {
+            Completion::Served
+        } else {
+            Completion::NotServed
+        };
+        if let Some(request) = self.close_request(now, id, completion, effects) {
+            self.record(started_at, request, final_outcome, effects);
         }
-        if let Err(why) = permitted {
-            self.on_send_denied(request, endpoint, why, effects);
+    }
+
+    /// Answers a request with what an attempt brought back, if that is final. Returns whether the
+    /// request is over.
+    fn apply_reply(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        reply: UpstreamReply,
+        effects: &mut Vec<Effect>,
+    ) -> bool {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return true;
+        };
+        request.last_outcome = Some(reply.outcome);
+        match reply.body {
+            Some(body) if reply.outcome == Outcome::Ok => {
+                let outcome = self.config.served_outcome(request, now);
+                self.answer(now, id, FinalAnswer::Served(body), outcome, effects);
+                true
+            }
+            Some(body) if reply.is_final_error => {
+                let answer = FinalAnswer::Failed(Failure::UpstreamError(body));
+                let outcome = FinalOutcome::Failed(FailureReason::Statement);
+                self.answer(now, id, answer, outcome, effects);
+                true
+            }
+            error => {
+                request.last_error = error;
+                false
+            }
         }
-        let Some(held) = self.requests.get_mut(&request) else {
+    }
+
+    /// Sends an attempt, or reports to the policy that it was not sent.
+    pub(crate) fn send(&mut self, now: Time, order: &SendOrder, effects: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get(&order.request) else {
+            return self.config.decisions.on_denied(Denial::RequestOver);
+        };
+        let deadline = order
+            .timeout
+            .map_or(request.deadline, |t| request.deadline.min(now + t));
+        let permitted = self.check_send(now, order, deadline, effects);
+        let Some(request) = self.requests.get_mut(&order.request) else {
             return;
         };
-        let attempt = held.attempts;
-        held.attempts += 1;
-        let payload = Arc::clone(&held.payload);
-        let used = Use::Attempt(request, attempt, now);
-        let took = if permitted.is_err() {
-            None
-        } else {
-            self.take_conn(now, endpoint, used, effects)
+        let id = AttemptId {
+            request: order.request,
+            attempt: request.attempts,
         };
-        if let Some(held) = self
-            .requests
-            .get_mut(&request)
-            .filter(|_| self.facts.observability.is_some())
-        {
-            held.first = held.first.or(Some(now));
-            held.out = self
-                .members
-                .get(&endpoint)
-                .map(|(name, _)| (Arc::clone(name), now));
+        request.attempts += 1;
+        let payload = Arc::clone(&request.payload);
+        let connection = match permitted {
+            Ok(()) => {
+                let in_flight = AttemptInFlight { id, sent_at: now };
+                let usage = ConnectionUse::Attempt(in_flight);
+                self.acquire_connection(now, order.endpoint, usage, effects)
+                    .ok_or_else(|| self.no_connection_outcome(order.endpoint))
+            }
+            Err(_) => Err(Outcome::NotSent),
+        };
+        self.record_attempt_start(now, order);
+        match connection {
+            Ok(connection) => self.submit(id, connection, payload, deadline, order, effects),
+            Err(outcome) => {
+                let not_sent = NotSent {
+                    id,
+                    endpoint: order.endpoint,
+                    outcome,
+                };
+                self.report_not_sent(now, &not_sent);
+            }
         }
-        let Some(connection) = took else {
-            let outcome = if permitted.is_err() {
-                Outcome::NotSent
-            } else {
-                self.no_connection(endpoint)
-            };
-            self.requests
-                .get_mut(&request)
-                .into_iter()
-                .for_each(|held| held.note_try(outcome, now));
-            return self.pending.push(PolicyEvent::AttemptEnded(AttemptEnd {
-                request,
-                attempt,
-                endpoint,
-                outcome,
+    }
+
+    /// Whether an attempt may be sent; a denial is counted and logged.
+    fn check_send(
+        &self,
+        now: Time,
+        order: &SendOrder,
+        deadline: Time,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Denial> {
+        let Some(request) = self.requests.get(&order.request) else {
+            return Err(Denial::RequestOver);
+        };
+        let check = SendCheck {
+            now,
+            deadline,
+            response_started: request.response_started_at.is_some(),
+            attempts_in_flight: self.connections_of(order.request).len(),
+            attempts: request.attempts,
+            max_attempts: self.config.settings.limits.max_attempts,
+            idempotency: self.config.settings.classes[request.class].idempotency,
+            may_have_run_since: request.may_have_run_since,
+            endpoint_is_ready: self.ready_endpoints.contains(&order.endpoint)
+                || self.may_use_unlisted(order.endpoint),
+        };
+        let permitted = may_send(&check);
+        match permitted {
+            Ok(()) if check.attempts > 0 => self.config.decisions.on_retry(),
+            Ok(()) => {}
+            Err(denial) => self.on_send_denied(order.request, order.endpoint, denial, effects),
+        }
+        permitted
+    }
+
+    /// Notes for the request log when and where an attempt went.
+    fn record_attempt_start(&mut self, now: Time, order: &SendOrder) {
+        if self.config.observability.is_none() {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&order.request) else {
+            return;
+        };
+        request.first_sent_at.get_or_insert(now);
+        let endpoint = self.endpoints.get(&order.endpoint);
+        request.in_flight = endpoint.map(|endpoint| LoggedAttempt {
+            endpoint: Arc::clone(&endpoint.name),
+            sent_at: now,
+        });
+    }
+
+    fn report_not_sent(&mut self, now: Time, not_sent: &NotSent) {
+        if let Some(request) = self.requests.get_mut(&not_sent.id.request) {
+            request.record_attempt(not_sent.outcome, now);
+        }
+        self.pending_events
+            .push(PolicyEvent::AttemptEnded(AttemptEnd {
+                request: not_sent.id.request,
+                attempt: not_sent.id.attempt,
+                endpoint: not_sent.endpoint,
+                outcome: not_sent.outcome,
                 closed: false,
                 latency: Span(0),
                 role: None,
                 position: None,
                 report: None,
             }));
+    }
+
+    /// Hands an attempt to its connection.
+    fn submit(
+        &mut self,
+        id: AttemptId,
+        connection: ConnectionId,
+        payload: Arc<Payload>,
+        deadline: Time,
+        order: &SendOrder,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.attempts.insert(id, connection);
+        let step = RequestStep::AttemptSent {
+            attempt: id.attempt,
+            endpoint: self.endpoint_name(order.endpoint),
+            connection,
         };
-        self.attempts.insert((request, attempt), connection);
-        if self.facts.trace_requests {
-            let endpoint = self.endpoint_name(endpoint);
-            self.trace(
-                request,
-                RequestStep::AttemptSent {
-                    attempt,
-                    endpoint,
-                    connection,
-                },
-                effects,
-            );
+        self.trace(id.request, step, effects);
+        self.set_timeout(connection, deadline);
+        let send_before = order.send_before.map_or(deadline, |at| at.min(deadline));
+        let permit = SendPermit::new(send_before);
+        if let Some(slot) = self.connections.get_mut(&connection) {
+            slot.permit = Some(permit.clone());
         }
-        self.wait_until(connection, until);
-        let permit = SendPermit::new(send_before.map_or(until, |at| at.min(until)));
-        self.conns
-            .get_mut(&connection)
-            .into_iter()
-            .for_each(|c| c.permit = Some(permit.clone()));
         effects.push(Effect::Submit {
             connection,
             job: UpstreamJob::Request {
                 payload,
-                deadline: until,
+                deadline,
                 permit,
             },
         });
     }
 
-    /// Where a removal does not bind, the module may go on with an endpoint that is no longer listed; never with one that
-    /// drains.
-    pub(crate) fn may_use_unlisted(&self, endpoint: EndpointId) -> bool {
-        self.facts.settings.rules.removal_is_advisory && !self.members.contains_key(&endpoint)
+    /// Whether the policy may use an endpoint that is not listed: only where the settings make
+    /// removal advisory. A draining endpoint is listed, and never used.
+    fn may_use_unlisted(&self, endpoint: EndpointId) -> bool {
+        self.config.settings.rules.removal_is_advisory && !self.endpoints.contains_key(&endpoint)
     }
 
-    /// An attempt is not sent; that the module asked for it may be a fault of its own.
-    pub(crate) fn on_send_denied(
+    /// Counts and logs that an attempt is not sent. That the policy asked for it may be a defect of
+    /// the policy.
+    fn on_send_denied(
         &self,
         request: RequestId,
         endpoint: EndpointId,
-        why: Denial,
+        denial: Denial,
         effects: &mut Vec<Effect>,
     ) {
-        self.facts.decisions.on_denied(why);
-        if self.facts.trace_requests {
-            self.trace(request, RequestStep::Denied(why), effects);
-        }
-        if why.is_violation() {
-            self.facts.decisions.on_violated(why);
-            let (request, endpoint) = (self.request_name(request), self.endpoint_name(endpoint));
-            debug_assert!(
-                false,
-                "invariant violated: {}: {request} to {endpoint}",
-                why.name()
-            );
-            effects.push(Effect::Log(LogEvent::InvariantViolated {
-                denial: why,
-                request,
-                endpoint,
-            }));
+        self.config.decisions.on_denied(denial);
+        self.trace(request, RequestStep::Denied(denial), effects);
+        if !denial.is_violation() {
+            return;
         }
+        self.config.decisions.on_violated(denial);
+        let request = self.request_name(request);
+        let endpoint = self.endpoint_name(endpoint);
+        debug_assert!(
+            false,
+            "invariant violated: {}: {request} to {endpoint}",
+            denial.name()
+        );
+        effects.push(Effect::Log(LogEvent::InvariantViolated {
+            denial,
+            request,
+            endpoint,
+        }));
+    }
+
+    /// Cancels an attempt that the policy no longer wants.
+    pub(crate) fn cancel_attempt(&mut self, now: Time, id: AttemptId, effects: &mut Vec<Effect>) {
+        let Some(connection) = self.attempts.get(&id).copied() else {
+            return;
+        };
+        let reply = UpstreamReply::without_details(Outcome::Cancelled);
+        let ended = self.on_reply(now, connection, reply, AfterReply::Close, effects);
+        self.pending_events.extend(ended);
     }
 
-    /// Ends the attempt that a connection carries if nothing of it was written yet; one that has begun goes on.
-    pub(crate) fn cancel_pending_attempt(
+    /// Ends the attempt on a connection if nothing of it was written yet; an attempt that has begun
+    /// goes on.
+    pub(crate) fn cancel_unsent_attempt(
         &mut self,
         now: Time,
         connection: ConnectionId,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        let unwritten = self
-            .conns
-            .get(&connection)?
-            .permit
-            .as_ref()
-            .is_some_and(SendPermit::revoke);
-        if !unwritten {
+        let slot = self.connections.get(&connection)?;
+        let was_unsent = slot.permit.as_ref().is_some_and(SendPermit::revoke);
+        if !was_unsent {
             return None;
         }
-        self.facts.decisions.on_cancelled_unsent();
-        self.on_reply(
-            now,
-            connection,
-            UpstreamReply::without_details(Outcome::NotSent),
-            false,
-            effects,
-        )
+        self.config.decisions.on_cancelled_unsent();
+        let reply = UpstreamReply::without_details(Outcome::NotSent);
+        self.on_reply(now, connection, reply, AfterReply::Close, effects)
     }
 }
--- a/crates/core/src/client_connections.rs
+++ b/crates/core/src/client_connections.rs
@@ -1,8 +1,55 @@
-//! Connections from clients.
+//! Connections from clients and the requests that are open on them.
+//!
+//! Bounded by the connections that the fronts accept and by the limit on open requests.
 
-use crate::prelude::*;
+use std::collections::BTreeSet;
 
+use valehatch_policy::{Outcome, PolicyEvent, RequestId, Time};
+use valehatch_request_log::FinalOutcome;
+
+use crate::attempts::AfterReply;
+use crate::messages::{ClientId, Effect, UpstreamReply};
+use crate::reducer::State;
+
+/// A connection from a client.
 #[derive(Default)]
-pub(crate) struct Client {
-    pub(crate) open: BTreeSet<RequestId>,
+pub(crate) struct ClientConnection {
+    /// Requests that came in on it and have had no final answer.
+    pub(crate) open_requests: BTreeSet<RequestId>,
+}
+
+impl State {
+    /// Aborts each request of a client whose connection has closed.
+    pub(crate) fn on_client_disconnected(
+        &mut self,
+        now: Time,
+        client: ClientId,
+        policy_events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let closed = self.clients.remove(&client).unwrap_or_default();
+        for id in closed.open_requests {
+            policy_events.extend(self.abort_request(now, id, effects));
+        }
+    }
+
+    fn abort_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        effects: &mut Vec<Effect>,
+    ) -> Option<PolicyEvent> {
+        // A response that is being streamed has no reader any more.
+        if let Some(connection) = self.streaming_connection(id) {
+            let reply = UpstreamReply::without_details(Outcome::Cancelled);
+            return self.on_reply(now, connection, reply, AfterReply::Close, effects);
+        }
+        if let Some(admission) = &mut self.admission {
+            admission.on_client_disconnected(now, id, &mut self.admission_decisions);
+        }
+        let request = self.remove_request(now, id, effects)?;
+        let was_admitted = request.queued.is_none();
+        self.record(now, request, FinalOutcome::Aborted, effects);
+        was_admitted.then_some(PolicyEvent::ClientDisconnected(id))
+    }
 }
--- a/crates/core/src/cluster_clock.rs
+++ b/crates/core/src/cluster_clock.rs
@@ -1,9 +1,9 @@
 //! Where the Unix clock of the cluster stands on this process's monotonic clock.
 //!
-//! Positions, commits and starts of endpoints are Unix times of one clock that all endpoints read. The wall clock of
-//! this machine says where that clock stands, but may be off by any amount. What endpoints tell corrects it: a time
-//! that was told lies at or before the moment in which it came in, and a primary's position lies at or behind the
-//! moment in which it was asked.
+//! Positions, commits and starts of endpoints are Unix times of one clock that all endpoints read.
+//! The wall clock of this machine says where that clock stands, but may be off by any amount. What
+//! endpoints tell corrects it: a time that was told lies at or before the moment in which it came
+//! in, and a primary's position lies at or behind the moment in which it was asked.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,8 @@
 
 /// Lower bounds that are remembered to corroborate others.
 const REMEMBERED: usize = 8;
-/// Two observations agree if the clocks that they imply lie within this: a single spoilt answer moves nothing.
+/// Two observations agree if the clocks that they imply lie within this: a single spoilt answer
+/// moves nothing.
 const AGREEMENT: Span = Span::from_millis(500);
 /// Positions are told in whole milliseconds, commits rounded up.
 const ROUNDING: Span = Span::from_millis(2);
@@ -19,24 +20,26 @@
 const REPORT_AGE: Span = Span::from_millis(1_000);
 /// What a report is taken to be old where the wall clock is ahead by more than any report is old.
 const REPORT_MARGIN: Span = Span::from_millis(250);
-/// By less than this the wall clock may be behind: as much as passes between reading it and the monotonic clock on a busy
-/// machine, and well below the slack on the age of data.
+/// By less than this the wall clock may be behind: as much as passes between reading it and the
+/// monotonic clock on a busy machine, and well below the slack on the age of data.
 const BEHIND: Span = Span::from_millis(20);
 /// By less than this the wall clock may be ahead: data is taken to be a little older than it is.
 const SMALL: Span = Span::from_millis(50);
 /// Observations of primaries that are kept, and how far they are apart.
 const SAMPLES: usize = 16;
 const SAMPLE_EACH: Span = Span::from_millis(200);
-/// Primaries show that the wall clock is ahead only by observations that agree over this time: those of a group that has no
-/// primary stand still, and so drift away from each other.
+/// Primaries show that the wall clock is ahead only by observations that agree over this time:
+/// those of a group that has no primary stand still, and so drift away from each other.
 const STEADY: Span = Span::from_millis(1_000);
 
 /// What a time that an endpoint told shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClockSample {
-    /// A position of the primary, or a commit, in the answer to a request: from between asking and answering.
+    /// A position of the primary, or a commit, in the answer to a request: from between asking and
+    /// answering.
     PrimaryAnswer,
-    /// The position in a primary's report, which may have been drawn up some time before it was asked for.
+    /// The position in a primary's report, which may have been drawn up some time before it was
+    /// asked for.
     PrimaryReport,
     /// A position of a replica, which may be behind by any time.
     Replica,
@@ -56,7 +59,8 @@
 }
 
 impl ClusterClock {
-    /// Begins with what the wall clock says: Unix time in microseconds at which the monotonic clock read 0.
+    /// Begins with what the wall clock says: Unix time in microseconds at which the monotonic clock
+    /// read 0.
     #[must_use]
     pub fn new(offset: i64) -> Self {
         let (lower_bounds, samples) = (
@@ -84,8 +88,8 @@
         self.verified
     }
 
-    /// Takes in a Unix time in microseconds that was asked for and came in at these times of the monotonic clock. Says by
-    /// how much the offset grew, if it was corrected.
+    /// Takes in a Unix time in microseconds that was asked for and came in at these times of the
+    /// monotonic clock. Says by how much the offset grew, if it was corrected.
     pub fn observe(
         &mut self,
         unix: i64,
@@ -135,7 +139,8 @@
         agrees
     }
 
-    /// Whether a primary's lower bound agrees with one from some time before; keeps it for those that follow.
+    /// Whether a primary's lower bound agrees with one from some time before; keeps it for those
+    /// that follow.
     fn is_steady(&mut self, lower: i64, came: Time) -> bool {
         let steady = self
             .samples
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,29 @@
-//! The reducer: requests, attempts and outcomes, and no wire. `State::reduce` alone changes state; what is to
-//! be read, written, opened or closed leaves it as effects.
+//! The core of a gateway: a reducer without I/O that decides what is sent, retried, answered,
+//! opened and closed.
+//!
+//! [`State::reduce`] takes events and a time and returns effects; the same events give the same
+//! effects. It reads no clock, draws its randomness from a seed, and iterates in a defined order
+//! only.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `reducer` | the state, and the table of events to handlers |
+//! | `messages` | events in, effects out, configuration |
+//! | `requests` | requests in flight, from arrival to final answer |
+//! | `admission` | the admission queue between arrival and policy |
+//! | `attempts` | attempts: sent, streamed, ended, cancelled |
+//! | `upstream_connections` | connections to endpoints |
+//! | `client_connections` | connections from clients |
+//! | `endpoints` | the endpoint list |
+//! | [`permission`] | whether something may be accepted, sent, repeated or closed now |
+//! | [`shutdown`] | shutdown: state, schedule, steps |
+//! | `timers` | what is due when |
+//! | `outcomes` | where the end of a request is counted |
+//! | `live_view` | the published view |
+//! | `invariants` | what must hold after every step |
+//! | [`cluster_clock`] | the cluster's Unix clock on this process's monotonic clock |
 
 #![forbid(unsafe_code)]
-#![expect(
-    missing_docs,
-    clippy::too_many_lines,
-    reason = "not yet split and documented"
-)]
 
 mod admission;
 mod attempts;
@@ -17,43 +34,13 @@
 mod live_view;
 mod messages;
 mod outcomes;
+pub mod permission;
 mod reducer;
 mod requests;
-mod shutdown;
+pub mod shutdown;
 mod timers;
 mod upstream_connections;
 
-pub mod permission;
-
+pub use invariants::InvariantViolation;
 pub use messages::*;
 pub use reducer::State;
-
-/// What the modules share.
-mod prelude {
-    pub(crate) use std::collections::{BTreeMap, BTreeSet};
-    pub(crate) use std::sync::Arc;
-
-    pub(crate) use valehatch_admission::{
-        AdmissionDecision, AdmissionQueue, Arrival, Capacity, QueueRejection,
-    };
-    pub(crate) use valehatch_policy::{
-        Action, AttemptEnd, EndpointId, EndpointRecord, EndpointState, GiveUpReason, GroupId,
-        Outcome, PolicyEvent, Request, RequestId, Router, SettingsError, Span, Time,
-    };
-    pub(crate) use valehatch_request_log::{
-        AttemptOutcome, AttemptRecord, FailureReason, FinalOutcome, RejectionReason, RequestRecord,
-    };
-
-    pub(crate) use crate::client_connections::*;
-    pub(crate) use crate::live_view::*;
-    pub(crate) use crate::messages::*;
-    pub(crate) use crate::permission::{
-        AcceptCheck, Denial, ProcessStage, SendCheck, SendPermit, may_accept, may_check_health,
-        may_close, may_send,
-    };
-    pub(crate) use crate::reducer::*;
-    pub(crate) use crate::requests::*;
-    pub(crate) use crate::shutdown::*;
-    pub(crate) use crate::timers::*;
-    pub(crate) use crate::upstream_connections::*;
-}
--- a/crates/core/src/live_view.rs
+++ b/crates/core/src/live_view.rs
@@ -1,58 +1,92 @@
-//! What is published of the state.
+//! The view of the state that is published, and the request rates in it.
+//!
+//! Rates are requests per whole second of the process's monotonic clock, one counter pair a tenant.
 
-use crate::prelude::*;
+use std::sync::Arc;
 
-/// What is believed is published no more often than this for each member: it takes a microsecond or so.
-pub(crate) const PUBLISH_EACH: Span = Span(50);
+use valehatch_policy::Time;
 
-impl State {
-    pub(crate) fn count_asked(&mut self, tenant: Option<usize>, now: Time) {
-        self.turn_second(now);
-        tenant
-            .and_then(|t| self.rates.get_mut(t))
-            .into_iter()
-            .for_each(|r| r[0] += 1);
+use crate::messages::{LiveEndpoint, LiveView, OpenCounts};
+use crate::reducer::State;
+
+/// Requests of each tenant, by whole seconds.
+pub(crate) struct RequestRates {
+    /// The second that runs.
+    second: i64,
+    tenants: Vec<TenantRate>,
+}
+
+#[derive(Clone, Copy, Default)]
+struct TenantRate {
+    /// Requests in the second that runs.
+    current: u64,
+    /// Requests in the second before.
+    previous: u64,
+}
+
+impl RequestRates {
+    /// No requests yet, of so many tenants.
+    pub(crate) fn new(tenants: usize) -> Self {
+        Self {
+            second: 0,
+            tenants: vec![TenantRate::default(); tenants],
+        }
     }
 
-    pub(crate) fn turn_second(&mut self, now: Time) {
+    fn advance(&mut self, now: Time) {
         let second = now.0 / 1_000_000;
         let passed = second - self.second;
-        if passed != 0 {
-            self.second = second;
-            self.rates
-                .iter_mut()
-                .for_each(|r| *r = [0, if passed == 1 { r[0] } else { 0 }]);
+        if passed == 0 {
+            return;
+        }
+        self.second = second;
+        for rate in &mut self.tenants {
+            let previous = if passed == 1 { rate.current } else { 0 };
+            *rate = TenantRate {
+                current: 0,
+                previous,
+            };
         }
     }
+}
 
-    /// What is believed and carried now.
-    pub(crate) fn live(&mut self, now: Time) -> LiveView {
-        self.turn_second(now);
+impl State {
+    /// Counts a request that has come in.
+    pub(crate) fn count_request(&mut self, tenant: Option<usize>, now: Time) {
+        self.rates.advance(now);
+        if let Some(rate) = tenant.and_then(|tenant| self.rates.tenants.get_mut(tenant)) {
+            rate.current += 1;
+        }
+    }
+
+    /// What is known and in flight now.
+    pub(crate) fn live_view(&mut self, now: Time) -> LiveView {
+        self.rates.advance(now);
         let view = self.router.view();
-        let members = view.endpoints.into_iter().filter_map(|view| {
-            let (name, address) = self.members.get(&view.endpoint)?.clone();
-            Some(LiveEndpoint {
-                name,
-                address,
-                view,
-            })
-        });
+        let mut endpoints = vec![];
+        for view in view.endpoints {
+            if let Some(endpoint) = self.endpoints.get(&view.endpoint) {
+                endpoints.push(LiveEndpoint {
+                    name: Arc::clone(&endpoint.name),
+                    address: Arc::clone(&endpoint.address),
+                    view,
+                });
+            }
+        }
+        let admission = self.admission.as_ref();
         LiveView {
             taken_at: now,
             groups: view.groups,
-            endpoints: members.collect(),
-            request_rates: self.rates.iter().map(|r| r[1]).collect(),
+            endpoints,
+            request_rates: self.rates.tenants.iter().map(|r| r.previous).collect(),
             open: OpenCounts {
                 requests: self.requests.len(),
-                upstream_connections: self.conns.len(),
+                upstream_connections: self.connections.len(),
                 client_connections: self.clients.len(),
             },
             turns: self.turns,
-            shutting_down: self.stopping,
-            tenant_queues: self
-                .door
-                .as_ref()
-                .map_or(vec![], |door| door.tenant_views(now)),
+            shutting_down: self.shutdown.is_requested(),
+            tenant_queues: admission.map_or(vec![], |queue| queue.tenant_views(now)),
         }
     }
 }
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,29 +1,30 @@
-//! What the core is told and what it asks for.
+//! What goes into the reducer and what comes out: events, effects, configuration, and the published
+//! view.
+//!
+//! Times are whole microseconds of the process's monotonic clock. Numbers of classes and tenants
+//! are their places in the settings.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use valehatch_admission::{Settings as AdmissionSettings, TenantQueueView};
+use valehatch_admission::{QuotaCountMismatch, Settings as AdmissionSettings, TenantQueueView};
 use valehatch_policy::{
     EndpointRecord, EndpointView, GroupId, GroupView, LoadReport, Outcome, Role, SessionKey,
     Settings, Span, Time,
 };
-use valehatch_request_log::{OutcomeMetrics, RejectionReason, RequestRecord};
+use valehatch_request_log::{FinalOutcome, OutcomeMetrics, RejectionReason, RequestRecord};
 
 use crate::permission::{Decisions, Denial, SendPermit};
 
-macro_rules! id {
-    ($(#[$doc:meta])* $name:ident) => {
-        $(#[$doc])*
-        #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub struct $name(pub u64);
-    };
-}
+/// A connection from a client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClientId(pub u64);
 
-id!(/** A connection from a client. */ ClientId);
-id!(/** A connection to a server. */ ConnectionId);
+/// A connection to an upstream endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
 
-/// Room taken for the bytes of a request; it is given back when they are let go of.
+/// Memory reserved for the bytes of a request; given back as it is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     used: Arc<AtomicUsize>,
@@ -31,13 +32,15 @@
 }
 
 impl MemoryReservation {
-    /// Takes room for so many bytes, if that leaves no more than `most` in use.
-    pub fn try_acquire(used: &Arc<AtomicUsize>, bytes: usize, most: usize) -> Option<Self> {
-        let room = Self {
+    /// Reserves memory if no more than `limit` bytes are then in use by all that share the counter.
+    pub fn try_acquire(used: &Arc<AtomicUsize>, bytes: usize, limit: usize) -> Option<Self> {
+        // Dropping the reservation gives its bytes back, so it is made before the check.
+        let reservation = Self {
             used: Arc::clone(used),
             bytes,
         };
-        (used.fetch_add(bytes, Ordering::Relaxed) + bytes <= most).then_some(room)
+        let in_use = used.fetch_add(bytes, Ordering::Relaxed) + bytes;
+        (in_use <= limit).then_some(reservation)
     }
 }
 
@@ -47,7 +50,7 @@
     }
 }
 
-/// What is passed to a server; only the fronts know its form.
+/// What is forwarded to an endpoint; only the fronts know its form.
 #[derive(Debug)]
 pub struct Payload {
     /// The bytes.
@@ -58,26 +61,33 @@
     pub class: usize,
 }
 
-/// A request as a front understood it.
+/// A request as a front has decoded it.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// What the client calls it, where clients name their requests: no two that are open share a name.
+    /// The client's name for it, where clients name requests: no two open requests share a name.
     pub name: Option<Arc<str>>,
+    /// Its class, by number.
     pub class: usize,
+    /// Its tenant, by number; `None` if it is not known.
     pub tenant: Option<usize>,
+    /// The group that it is for.
     pub group: GroupId,
+    /// Its session, where clients name one.
     pub session: Option<SessionKey>,
     /// When its last byte was read.
     pub received: Time,
-    /// How long the client will wait, from then on.
+    /// How long its client waits from then on.
     pub client_timeout: Span,
+    /// Whether the client marked it as a retry of its own.
     pub is_client_retry: bool,
-    /// When the session's last write was committed, if it brought that.
+    /// When the session's last write was committed, if the client sent that.
     pub last_write_at: Option<Time>,
+    /// What is forwarded to an endpoint.
     pub payload: Arc<Payload>,
-    /// The room that its bytes take for as long as it is open.
+    /// The memory that its bytes occupy while it is open.
     pub memory: MemoryReservation,
-    /// Who asks, as far as the front can tell clients apart: they share evenly at the door.
+    /// Its client, as far as the front can tell clients apart: clients share evenly in the
+    /// admission queue.
     pub client: u64,
 }
 
@@ -86,43 +96,50 @@
 pub enum Failure {
     /// No answer came in time; it may have run.
     Timeout,
-    /// An error or a break; it may have run.
+    /// An error or a lost connection; it may have run.
     ConnectionLost,
-    /// The same, in the words of the server that tried last.
+    /// The same, with the message of the last endpoint.
     UpstreamError(Vec<u8>),
-    /// Its name is that of a request that is open.
+    /// A request of the same name is open.
     DuplicateName,
 }
 
 /// The final answer of a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// As a server gave it.
+    /// An endpoint's response.
     Served(Vec<u8>),
-    /// Trying again is harmless, after this time; `crowded` if more wait than can be served by then, so that the longest
-    /// time that clients heed is too short to be honest.
+    /// It has not run and may be retried.
     Rejected {
+        /// After this time.
         retry_after: Span,
+        /// Whether more requests wait than can be served by then.
         overloaded: bool,
     },
+    /// It failed.
     Failed(Failure),
 }
 
 /// What came back for a job.
 #[derive(Debug)]
 pub struct UpstreamReply {
+    /// How the job ended.
     pub outcome: Outcome,
+    /// The endpoint's role, if it reported one.
     pub role: Option<Role>,
+    /// The endpoint's replication position, if it reported one.
     pub position: Option<Time>,
+    /// The endpoint's load report, if it sent one.
     pub report: Option<LoadReport>,
-    /// The whole answer, where there is one; of an error, where the server's words are to be passed on.
+    /// The whole response; of an error, the endpoint's message if it is to be forwarded.
     pub body: Option<Vec<u8>>,
-    /// An error that every server would answer with: it is passed on, and the request is not sent again.
+    /// Whether every endpoint would answer with this error: it is forwarded, and the request is not
+    /// retried.
     pub is_final_error: bool,
 }
 
 impl UpstreamReply {
-    /// An outcome that nothing came along with.
+    /// An outcome without anything else.
     pub const fn without_details(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -135,138 +152,182 @@
     }
 }
 
-/// A line of the list, with where the server listens.
+/// An endpoint as the list names it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
+    /// What the policy needs of it.
     pub record: EndpointRecord,
+    /// Its name in logs and figures.
     pub name: Arc<str>,
+    /// Host and port.
     pub address: Arc<str>,
 }
 
 /// What happened.
 #[derive(Debug)]
 pub enum Event {
+    /// The endpoint list, or changes of it.
     EndpointList {
+        /// Whether it names every endpoint, so that the others were removed.
         complete: bool,
+        /// The endpoints.
         endpoints: Vec<ListedEndpoint>,
     },
+    /// A client has connected.
     ClientConnected(ClientId),
-    /// A request; the ticket comes back with its answer.
+    /// A request came in.
     RequestReceived {
+        /// On this connection.
         client: ClientId,
+        /// Comes back with its answer.
         ticket: u64,
+        /// The request.
         request: IncomingRequest,
     },
-    /// A request that was whole when its client had left: it is counted, and does not run.
+    /// A request came in completely after its client had left: it is counted and does not run.
     RequestAbandoned {
+        /// Its class, by number.
         class: usize,
+        /// Its tenant, by number.
         tenant: Option<usize>,
+        /// The group that it was for.
         group: GroupId,
     },
-    /// A request that a front refused itself, for want of room or of places.
+    /// A front rejected a request itself, for lack of memory or connections.
     RequestRejected {
+        /// Its class, by number.
         class: usize,
+        /// Its tenant, by number.
         tenant: Option<usize>,
+        /// The group that it was for.
         group: GroupId,
+        /// Why.
         reason: RejectionReason,
     },
+    /// A client has closed its connection.
     ClientDisconnected(ClientId),
-    /// An answer that is too long to be held has begun on a connection: it waits for its way to the client.
+    /// A response that is too long to be buffered has started on a connection and waits to be
+    /// forwarded.
     ResponseStarted(ConnectionId),
-    /// What a connection carried has ended; an answer that was passed on has been taken up whole, or was cut.
+    /// What a connection carried has ended; a streamed response was read by the client completely,
+    /// or was cut off.
     AttemptEnded {
+        /// The connection.
         connection: ConnectionId,
+        /// What came back.
         reply: UpstreamReply,
+        /// Whether the connection may carry something else.
         reusable: bool,
     },
-    /// Unix times that were placed on this process's clock before lie so much later than was taken (earlier if negative).
+    /// Unix times that were mapped to this process's clock before lie this much later than assumed;
+    /// earlier if negative.
     ClockCorrected(Span),
-    /// So many gateways share the members now.
+    /// Gateways that share the endpoints now.
     GatewayCount(u32),
-    /// Other shares of the tenants, where requests wait at a door.
+    /// New quotas of the tenants, where there is an admission queue.
     TenantQuotas(Vec<f64>),
-    /// A planned stop.
+    /// A planned shutdown was requested.
     ShutdownRequested,
-    /// Another process takes the connections from now on, from the same queue: those that are open end as they rest.
+    /// Another process accepts new connections from now on; existing ones are closed as they become
+    /// idle.
     HandoffStarted,
-    /// So many connections to servers at the most, from now on.
+    /// Upstream connections may be this many from now on.
     UpstreamConnectionLimit(usize),
-    /// What is believed is to be published.
+    /// The live view is to be published.
     PublishView,
 }
 
 /// What a connection is to carry.
 #[derive(Clone, Debug)]
 pub enum UpstreamJob {
-    /// A request, when the gateway stops waiting for its answer, and the leave to write it.
+    /// An attempt of a request.
     Request {
+        /// What is sent.
         payload: Arc<Payload>,
+        /// When the gateway stops waiting for the response.
         deadline: Time,
+        /// Must be acquired just before the first byte is written.
         permit: SendPermit,
     },
-    /// The server is asked how it is.
+    /// A health check.
     HealthCheck,
 }
 
 /// What is to be done.
 #[derive(Debug)]
 pub enum Effect {
+    /// Open a connection.
     Connect {
+        /// Its number.
         connection: ConnectionId,
+        /// Where to.
         address: Arc<str>,
     },
+    /// Send a job on a connection.
     Submit {
+        /// The connection.
         connection: ConnectionId,
+        /// The job.
         job: UpstreamJob,
     },
+    /// Close a connection to an endpoint.
     CloseUpstream(ConnectionId),
-    /// The answer that has begun on a connection goes to the client as it comes, in its turn.
+    /// Forward the response that has started on a connection, as it comes.
     ForwardBody {
+        /// The connection.
         connection: ConnectionId,
+        /// The client.
         client: ClientId,
+        /// The ticket of its request.
         ticket: u64,
     },
+    /// Send a client the final answer of its request.
     Answer {
+        /// The client.
         client: ClientId,
+        /// The ticket of its request.
         ticket: u64,
+        /// The answer.
         answer: FinalAnswer,
     },
+    /// Close a client's connection.
     CloseClient(ClientId),
-    /// The program is about to end: all connections of clients on which nothing is open end, however short a time ago they were
-    /// answered.
+    /// Close every client connection without an open request, however recently it was used: the
+    /// program is about to end.
     CloseIdleClients,
+    /// Accept no new client connections.
     StopListening,
-    /// Something that whoever reads the log should know.
+    /// Write to the log.
     Log(LogEvent),
-    /// A request had its final answer.
+    /// Record a request that had its final answer.
     RecordOutcome(Box<RequestRecord>),
-    /// What is to be shown to whoever watches.
+    /// Publish the live view.
     PublishView(Box<LiveView>),
-    /// The program is to end, once nothing is half read or half written: it is asked for again until then.
+    /// End the program once no message is partly read or written; asked for again until it ends.
     Exit,
 }
 
-/// What the log is told.
+/// What the log receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// All connections to servers are in use, so many.
+    /// All upstream connections are in use: so many.
     UpstreamConnectionsExhausted(usize),
-    /// Shares that cannot be taken over, and why.
-    InvalidQuotas(String),
-    /// The decision module asked for what must never be done; it was not done.
+    /// New quotas were not taken over.
+    InvalidQuotas(QuotaCountMismatch),
+    /// The policy asked for what must never be done; it was not done.
     InvariantViolated {
         /// What forbids it.
         denial: Denial,
-        /// The request, by its client's name for it or by its number here.
+        /// The request, by its client's name for it or by its number.
         request: Arc<str>,
         /// The endpoint.
         endpoint: Arc<str>,
     },
-    /// A step of a request, where steps are traced.
+    /// A step of a request, where requests are traced.
     RequestStep {
-        /// The request, by its client's name for it or by its number here.
+        /// The request, by its client's name for it or by its number.
         request: Arc<str>,
-        /// What became of it.
+        /// The step.
         step: RequestStep,
     },
 }
@@ -287,33 +348,34 @@
     AttemptEnded {
         /// Counted from 0.
         attempt: u32,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
-    /// It had its final answer, or its client left.
-    RequestEnded(valehatch_request_log::FinalOutcome),
-    /// Something was not done for it.
+    /// The request had its final answer, or its client left.
+    RequestEnded(FinalOutcome),
+    /// An attempt was not sent.
     Denied(Denial),
 }
 
-/// What a gateway believes and carries at a moment, for those who watch it.
+/// What a gateway knows and has open at a moment.
 #[derive(Clone, Debug)]
 pub struct LiveView {
-    /// When it was so.
+    /// The moment.
     pub taken_at: Time,
-    /// What is believed of the groups, by number.
+    /// The groups, by number.
     pub groups: Vec<GroupView>,
-    /// The members, by number.
+    /// The endpoints, by number.
     pub endpoints: Vec<LiveEndpoint>,
     /// Requests of each tenant in the last whole second.
     pub request_rates: Vec<u64>,
     /// What is open at the moment.
     pub open: OpenCounts,
-    /// Turns that the loop has taken.
+    /// Turns of the event loop so far.
     pub turns: u64,
-    /// A planned stop was asked for.
+    /// Whether a planned shutdown was requested.
     pub shutting_down: bool,
-    /// What waits at the door of each tenant, where there is a door; the last for those that are not known.
+    /// The admission queue of each tenant, the last for requests without a known tenant; empty
+    /// without a queue.
     pub tenant_queues: Vec<TenantQueueView>,
 }
 
@@ -328,45 +390,47 @@
     pub client_connections: usize,
 }
 
-/// A member, as it is believed to be.
+/// An endpoint in the live view.
 #[derive(Clone, Debug)]
 pub struct LiveEndpoint {
     /// Its name.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Host and port.
     pub address: Arc<str>,
-    /// What is believed of it.
+    /// What the policy knows of it.
     pub view: EndpointView,
 }
 
-/// For those who watch: names of what is counted, and how often what is believed is published.
+/// Names of what is counted, and how often the live view is published.
 #[derive(Clone, Debug)]
 pub struct Observability {
     /// The front's name.
     pub front: Arc<str>,
-    /// The classes' names, in the settings' order.
+    /// The classes' names, by number.
     pub classes: Vec<Arc<str>>,
-    /// The tenants' names, in the settings' order.
+    /// The tenants' names, by number.
     pub tenants: Vec<Arc<str>>,
-    /// How often, at the most; a deployment of many members publishes less often.
+    /// Shortest interval between two views; it grows with the number of endpoints.
     pub publish_interval: Span,
 }
 
-/// What the core needs to know of the deployment.
+/// The configuration of the core.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// Set where requests wait at a door.
+    /// Set where requests wait in an admission queue.
     pub admission: Option<AdmissionSettings>,
-    /// Set where somebody watches: final answers are recorded and beliefs published.
+    /// Set where final answers are recorded and views are published.
     pub observability: Option<Arc<Observability>>,
-    /// Set where operators read figures.
+    /// Set where metrics are kept.
     pub metrics: Option<Arc<OutcomeMetrics>>,
+    /// The policy's settings.
     pub settings: Settings,
-    /// What was denied, and why.
+    /// Counters of what was denied, and why.
     pub decisions: Arc<Decisions>,
-    /// Steps of requests are traced.
+    /// Whether the steps of each request are logged.
     pub trace_requests: bool,
-    /// Connections to servers at the most.
+    /// Upstream connections at most.
     pub upstream_connection_limit: usize,
+    /// How long the answer to a health check is waited for.
     pub health_check_timeout: Span,
 }
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -1,101 +1,143 @@
-//! Where the end of a request is counted.
+//! Where the end of a request is counted: in the metrics at once, and in the request log by the
+//! record that leaves here.
+//!
+//! Durations in records are whole microseconds. Nothing is kept here.
 
-use crate::prelude::*;
+use std::sync::Arc;
 
-/// A length of time in whole microseconds, none below 0.
-pub(crate) fn micros(span: Span) -> u64 {
-    u64::try_from(span.0).unwrap_or(0)
+use valehatch_policy::{GroupId, Outcome, Span, Time};
+use valehatch_request_log::{
+    AttemptOutcome, AttemptRecord, FinalOutcome, RejectionReason, RequestRecord,
+};
+
+use crate::messages::{Effect, LogEvent, RequestStep};
+use crate::reducer::State;
+use crate::requests::{LoggedAttempt, PendingRequest};
+
+/// How a request ended.
+pub(crate) struct RequestEnd {
+    class: usize,
+    tenant: Option<usize>,
+    group: GroupId,
+    outcome: FinalOutcome,
+    attempts: Vec<AttemptRecord>,
+    /// From its arrival to its first attempt.
+    waited: Span,
+    /// From its arrival to its final answer.
+    total: Span,
+}
+
+impl RequestEnd {
+    /// The end of a request that was answered as it came in.
+    pub(crate) const fn on_arrival(
+        class: usize,
+        tenant: Option<usize>,
+        group: GroupId,
+        outcome: FinalOutcome,
+    ) -> Self {
+        Self {
+            class,
+            tenant,
+            group,
+            outcome,
+            attempts: vec![],
+            waited: Span(0),
+            total: Span(0),
+        }
+    }
+}
+
+impl PendingRequest {
+    /// Notes how the attempt in flight ended, where attempts are recorded.
+    pub(crate) fn record_attempt(&mut self, outcome: Outcome, now: Time) {
+        if let Some(attempt) = self.in_flight.take() {
+            let record = attempt.ended(outcome.into(), now);
+            self.attempt_records.push(record);
+        }
+    }
+}
+
+impl LoggedAttempt {
+    fn ended(self, outcome: AttemptOutcome, now: Time) -> AttemptRecord {
+        AttemptRecord {
+            member: self.endpoint,
+            outcome,
+            took_us: micros(now - self.sent_at),
+        }
+    }
 }
 
 impl State {
-    /// What is counted and written down of a request that is over.
+    /// Counts a request that has ended.
     pub(crate) fn record(
         &self,
         now: Time,
-        mut held: Held,
-        ending: FinalOutcome,
+        mut request: PendingRequest,
+        outcome: FinalOutcome,
         effects: &mut Vec<Effect>,
     ) {
-        if self.facts.trace_requests {
-            let request = held.name.clone().unwrap_or_else(|| Arc::from("unnamed"));
+        if self.config.trace_requests {
+            let name = request.name.clone();
             effects.push(Effect::Log(LogEvent::RequestStep {
-                request,
-                step: RequestStep::RequestEnded(ending),
+                request: name.unwrap_or_else(|| Arc::from("unnamed")),
+                step: RequestStep::RequestEnded(outcome),
             }));
         }
-        if let Some((member, sent)) = held.out.take() {
-            held.tries.push(AttemptRecord {
-                member,
-                outcome: AttemptOutcome::Unfinished,
-                took_us: micros(now - sent),
-            });
+        if let Some(attempt) = request.in_flight.take() {
+            let record = attempt.ended(AttemptOutcome::Unfinished, now);
+            request.attempt_records.push(record);
         }
-        let waited = held.first.unwrap_or(now) - held.arrived;
-        let (attempts, times) = (held.tries, [waited, now - held.arrived]);
-        self.account(
-            held.class,
-            held.tenant,
-            held.group,
-            ending,
-            attempts,
-            times,
-            effects,
-        );
+        let end = RequestEnd {
+            class: request.class,
+            tenant: request.tenant,
+            group: request.group,
+            outcome,
+            attempts: request.attempt_records,
+            waited: request.first_sent_at.unwrap_or(now) - request.arrived,
+            total: now - request.arrived,
+        };
+        self.record_end(end, effects);
     }
 
-    /// The same for one that was answered on arrival.
-    pub(crate) fn record_unheld(
-        &self,
+    /// Counts a request that a front rejected, or whose client left before it was accepted.
+    pub(crate) fn on_unaccepted(
+        &mut self,
+        now: Time,
         class: usize,
         tenant: Option<usize>,
         group: GroupId,
-        ending: FinalOutcome,
+        rejected: Option<RejectionReason>,
         effects: &mut Vec<Effect>,
     ) {
-        self.account(class, tenant, group, ending, vec![], [Span(0); 2], effects);
+        self.count_request(tenant, now);
+        let outcome = rejected.map_or(FinalOutcome::Aborted, FinalOutcome::Refused);
+        let end = RequestEnd::on_arrival(class, tenant, group, outcome);
+        self.record_end(end, effects);
     }
 
-    /// The one place where the end of a request is counted: in the figures at once, and by the ledger, which the agent
-    /// shows, from the record that leaves here.
-    #[allow(clippy::too_many_arguments)]
-    pub(crate) fn account(
-        &self,
-        class: usize,
-        tenant: Option<usize>,
-        group: GroupId,
-        ending: FinalOutcome,
-        attempts: Vec<AttemptRecord>,
-        [waited, total]: [Span; 2],
-        effects: &mut Vec<Effect>,
-    ) {
-        if let Some(figures) = &self.facts.metrics {
-            figures.ended(class, &ending);
+    /// The one place where the end of a request is counted.
+    pub(crate) fn record_end(&self, end: RequestEnd, effects: &mut Vec<Effect>) {
+        if let Some(metrics) = &self.config.metrics {
+            metrics.ended(end.class, &end.outcome);
         }
-        let Some(watched) = &self.facts.observability else {
+        let Some(observability) = &self.config.observability else {
             return;
         };
+        let tenants = &observability.tenants;
         effects.push(Effect::RecordOutcome(Box::new(RequestRecord {
-            front: Arc::clone(&watched.front),
-            class: Arc::clone(&watched.classes[class]),
-            tenant: tenant.and_then(|t| watched.tenants.get(t).cloned()),
-            group: group.0,
-            ending,
-            attempts,
-            waited_us: micros(waited),
-            total_us: micros(total),
+            front: Arc::clone(&observability.front),
+            class: Arc::clone(&observability.classes[end.class]),
+            tenant: end.tenant.and_then(|tenant| tenants.get(tenant).cloned()),
+            group: end.group.0,
+            ending: end.outcome,
+            attempts: end.attempts,
+            waited_us: micros(end.waited),
+            total_us: micros(end.total),
         })));
     }
 }
 
-impl Held {
-    pub(crate) fn note_try(&mut self, outcome: Outcome, now: Time) {
-        let Some((member, sent)) = self.out.take() else {
-            return;
-        };
-        self.tries.push(AttemptRecord {
-            member,
-            outcome: outcome.into(),
-            took_us: micros(now - sent),
-        });
-    }
+/// A duration in whole microseconds; a negative one is 0.
+fn micros(span: Span) -> u64 {
+    u64::try_from(span.0).unwrap_or(0)
 }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -1,33 +1,34 @@
-//! The one place that decides whether something may be accepted, sent, repeated, closed or probed now.
+//! The one place that decides whether something may be accepted, sent, retried or closed now.
 //!
-//! Each question is a pure function of what the asker knows; a "no" says why. [`Decisions`] counts each "no" by its
-//! reason. What the decision module should never have asked for is an invariant that was violated: it is not done, it is
-//! counted apart, logged as an error with its ids, and panics in debug builds.
+//! Each question is a pure function of what the caller knows; a denial says why. [`Decisions`]
+//! counts denials by reason. Some denials show a defect of the policy, which knows as much as the
+//! reducer does: then nothing is sent, the violation is counted apart and logged as an error, and
+//! debug builds panic. Times are whole microseconds of the process's monotonic clock.
 //!
 //! | question | asked by |
 //! | --- | --- |
 //! | [`may_accept`] | the reducer, for each request that comes in |
-//! | [`may_send`] | the reducer, for each attempt that the decision module asks for |
-//! | [`SendPermit::try_acquire`] | whoever carries an attempt, as its first byte is about to leave |
-//! | [`may_check_health`] | the reducer, for each probe |
-//! | [`may_close`] | the reducer, for each client connection at a planned stop |
+//! | [`may_send`] | the reducer, for each attempt that the policy orders |
+//! | [`SendPermit::try_acquire`] | the connection that carries an attempt, just before its first byte is written |
+//! | [`may_check_health`] | the reducer, for each health check |
+//! | [`may_close`] | the reducer, for each client connection during shutdown |
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 
 use valehatch_policy::{DedupScope, Idempotency, Time};
 
-/// Where the process stands between its start and its end.
+/// How far the process has come between its start and its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessStage {
-    /// It takes connections and requests.
+    /// It accepts connections and requests.
     #[default]
     Serving,
-    /// A planned stop was asked for; it still serves.
+    /// It shuts down, and still serves.
     Draining,
-    /// Connections are closed as they come to rest.
+    /// It still serves; connections are closed as they become idle.
     Closing,
-    /// What is asked now is refused at once.
+    /// New requests are rejected at once.
     Stopping,
 }
 
@@ -37,36 +38,36 @@
 pub enum Denial {
     /// The request has had its final answer, or its client has left.
     RequestOver,
-    /// Its answer has begun to reach its client.
+    /// Its response is being streamed to its client.
     StreamBegan,
-    /// An attempt is out.
+    /// An attempt is in flight.
     AttemptOut,
-    /// It has had as many attempts as are allowed.
+    /// It has had as many attempts as the settings allow.
     AttemptsSpent,
-    /// Its time is over.
+    /// Its deadline has passed.
     DeadlineOver,
-    /// It may have run and must not be repeated.
+    /// It may have run, and is not idempotent.
     RepeatForbidden,
-    /// It may have run, and the window in which a repeat is dropped is over.
+    /// It may have run, and the time in which its idempotency key is remembered is over.
     RepeatWindowOver,
-    /// The endpoint drains, is gone or was never listed.
+    /// The endpoint is draining, was removed or was never listed.
     EndpointNotReady,
-    /// Leave to send was taken back: the client has left, or the endpoint drains.
+    /// The permit was revoked: the client has left, or the endpoint is draining.
     PermitRevoked,
-    /// Leave to send was used before.
+    /// The permit was used before.
     PermitUsed,
-    /// A request of this name is open.
+    /// A request of the same name is open.
     DuplicateName,
-    /// As many requests are open as are allowed.
+    /// As many requests are open as the settings allow.
     TooManyOpen,
-    /// The process is about to end.
+    /// The process is about to end and rejects new requests.
     Stopping,
-    /// Requests are open on the connection.
+    /// The connection has open requests.
     RequestsOpen,
 }
 
 impl Denial {
-    /// All of them, in their order.
+    /// All reasons, in the order of their numbers.
     pub const ALL: [Self; 14] = [
         Self::RequestOver,
         Self::StreamBegan,
@@ -84,7 +85,7 @@
         Self::RequestsOpen,
     ];
 
-    /// Its name in figures and logs.
+    /// Its name in metrics and logs, which must not change.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Whether the decision module must never ask for what this forbids: it knows as much as the reducer does.
+    /// Whether an order that this denies shows a defect of the policy.
     #[must_use]
     pub const fn is_violation(self) -> bool {
         matches!(
@@ -118,76 +119,87 @@
     }
 }
 
-/// What is known of a request as it comes in.
+/// What decides whether a request is accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptCheck {
+    /// How far the process has come.
     pub stage: ProcessStage,
+    /// Whether an open request has the same name.
     pub name_is_open: bool,
+    /// Open requests, without this one.
     pub open_requests: usize,
+    /// Open requests at most.
     pub max_open_requests: usize,
 }
 
 /// Whether a request that has come in may be accepted.
 ///
 /// # Errors
-/// Why not.
-pub fn may_accept(asked: &AcceptCheck) -> Result<(), Denial> {
-    if asked.name_is_open {
+/// The reason for the denial.
+pub fn may_accept(check: &AcceptCheck) -> Result<(), Denial> {
+    if check.name_is_open {
         return Err(Denial::DuplicateName);
     }
-    if asked.open_requests >= asked.max_open_requests {
+    if check.open_requests >= check.max_open_requests {
         return Err(Denial::TooManyOpen);
     }
-    if asked.stage == ProcessStage::Stopping {
+    if check.stage == ProcessStage::Stopping {
         return Err(Denial::Stopping);
     }
     Ok(())
 }
 
-/// What is known of a request and an endpoint as an attempt is asked for.
+/// What decides whether an attempt is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck {
+    /// The present time.
     pub now: Time,
-    /// The attempt is given up then.
+    /// When the attempt is given up.
     pub deadline: Time,
+    /// Whether a response is being streamed to the client.
     pub response_started: bool,
+    /// Attempts of the request that are in flight.
     pub attempts_in_flight: usize,
+    /// Attempts that the request has had.
     pub attempts: u32,
+    /// Attempts at most.
     pub max_attempts: u32,
+    /// Whether the request may run twice.
     pub idempotency: Idempotency,
     /// When the first attempt was sent that may have run.
     pub may_have_run_since: Option<Time>,
+    /// Whether the endpoint takes new requests.
     pub endpoint_is_ready: bool,
 }
 
 /// Whether an attempt may be sent to an endpoint.
 ///
 /// # Errors
-/// Why not.
-pub fn may_send(asked: &SendCheck) -> Result<(), Denial> {
-    if asked.response_started {
+/// The reason for the denial.
+pub fn may_send(check: &SendCheck) -> Result<(), Denial> {
+    if check.response_started {
         return Err(Denial::StreamBegan);
     }
-    if asked.attempts_in_flight > 0 {
+    if check.attempts_in_flight > 0 {
         return Err(Denial::AttemptOut);
     }
-    if asked.attempts >= asked.max_attempts {
+    if check.attempts >= check.max_attempts {
         return Err(Denial::AttemptsSpent);
     }
-    if asked.deadline <= asked.now {
+    if check.deadline <= check.now {
         return Err(Denial::DeadlineOver);
     }
-    if !asked.endpoint_is_ready {
+    if !check.endpoint_is_ready {
         return Err(Denial::EndpointNotReady);
     }
-    may_repeat(asked.idempotency, asked.may_have_run_since, asked.now)
+    may_retry(check.idempotency, check.may_have_run_since, check.now)
 }
 
-/// Whether a request that may have run since a time may be sent again.
+/// Whether a request may be sent again, given since when it may have run.
 ///
 /// # Errors
-/// Why not.
-pub fn may_repeat(
+/// The reason for the denial.
+pub fn may_retry(
     idempotency: Idempotency,
     may_have_run_since: Option<Time>,
     now: Time,
@@ -207,10 +219,10 @@
     }
 }
 
-/// Whether an endpoint may be probed.
+/// Whether an endpoint may get a health check.
 ///
 /// # Errors
-/// Why not.
+/// The reason for the denial.
 pub const fn may_check_health(endpoint_is_ready: bool) -> Result<(), Denial> {
     if endpoint_is_ready {
         Ok(())
@@ -219,10 +231,10 @@
     }
 }
 
-/// Whether a client's connection may be closed by this side, which is at a planned stop.
+/// Whether this side may close a client's connection during shutdown.
 ///
 /// # Errors
-/// Why not.
+/// The reason for the denial.
 pub const fn may_close(requests_open: usize) -> Result<(), Denial> {
     if requests_open == 0 {
         Ok(())
@@ -231,35 +243,41 @@
     }
 }
 
-const OPEN: u8 = 0;
+/// States of a permit.
+const AVAILABLE: u8 = 0;
 const USED: u8 = 1;
 const REVOKED: u8 = 2;
 
-/// Leave to write an attempt, held by the core and by whoever carries it. One uses it as the first byte is about to leave,
-/// the other takes it back when the attempt has lost its reason: its client has left, its endpoint drains. Whoever comes
-/// first settles it, so that what was cancelled never begins, and what has begun is never taken for unsent.
+/// The permit to write an attempt, shared by the core and the connection that carries it.
+///
+/// A client may leave, or an endpoint begin to drain, while another thread is about to write the
+/// attempt. Without the permit the attempt would begin after it was cancelled, or count as unsent
+/// although it runs. One atomic exchange decides: the connection acquires the permit just before
+/// the first byte, the core revokes it, and the first of the two wins.
 #[derive(Clone, Debug)]
 pub struct SendPermit {
     state: Arc<AtomicU8>,
-    until: Time,
+    /// The last moment at which the first byte may be written.
+    send_before: Time,
 }
 
 impl SendPermit {
-    /// Good up to this moment, that included: a dial may come up long after the attempt was decided on.
+    /// A permit that is valid up to and including this time: a dial may succeed long after the
+    /// attempt was ordered.
     #[must_use]
-    pub fn new(until: Time) -> Self {
+    pub fn new(send_before: Time) -> Self {
         Self {
-            state: Arc::new(AtomicU8::new(OPEN)),
-            until,
+            state: Arc::new(AtomicU8::new(AVAILABLE)),
+            send_before,
         }
     }
 
-    /// Uses it: the attempt may be written now, once.
+    /// Uses the permit: the attempt may be written now, once.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Why the attempt may not be written.
     pub fn try_acquire(&self, now: Time) -> Result<(), Denial> {
-        if now > self.until {
+        if now > self.send_before {
             return Err(Denial::DeadlineOver);
         }
         self.settle(USED).map_err(|was| {
@@ -271,7 +289,7 @@
         })
     }
 
-    /// Takes it back: true if nothing was written, and nothing will be.
+    /// Revokes the permit. Returns true if nothing was written and nothing will be.
     #[must_use]
     pub fn revoke(&self) -> bool {
         self.settle(REVOKED).is_ok()
@@ -279,12 +297,13 @@
 
     fn settle(&self, state: u8) -> Result<(), u8> {
         self.state
-            .compare_exchange(OPEN, state, Ordering::AcqRel, Ordering::Acquire)
+            .compare_exchange(AVAILABLE, state, Ordering::AcqRel, Ordering::Acquire)
             .map(drop)
     }
 }
 
-/// How often something was denied and why, how often an invariant was violated, and what was sent again.
+/// Counters of denials and violations by reason, of retries, and of attempts that were cancelled
+/// before they were sent.
 #[derive(Debug, Default)]
 pub struct Decisions {
     denied: [AtomicU64; Denial::ALL.len()],
@@ -294,27 +313,27 @@
 }
 
 impl Decisions {
-    /// Something was denied.
-    pub fn on_denied(&self, why: Denial) {
-        self.denied[why as usize].fetch_add(1, Ordering::Relaxed);
+    /// Counts a denial.
+    pub fn on_denied(&self, denial: Denial) {
+        self.denied[denial as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// An invariant was violated.
-    pub fn on_violated(&self, why: Denial) {
-        self.violated[why as usize].fetch_add(1, Ordering::Relaxed);
+    /// Counts a violation.
+    pub fn on_violated(&self, denial: Denial) {
+        self.violated[denial as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A request was sent again.
+    /// Counts a retry.
     pub fn on_retry(&self) {
         self.retried.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// An attempt was cancelled before anything of it was written.
+    /// Counts an attempt that was cancelled before anything of it was written.
     pub fn on_cancelled_unsent(&self) {
         self.cancelled_unsent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Invariants that were violated, in all.
+    /// Violations for all reasons together.
     #[must_use]
     pub fn violations(&self) -> u64 {
         self.violated
@@ -323,32 +342,25 @@
             .sum()
     }
 
-    /// One a line: `denied.REASON:N|c`, `violated.REASON:N|c`, `retried:N|c`, `cancelled_unsent:N|c`.
+    /// All counters as statsd lines: `denied.REASON:N|c`, `violated.REASON:N|c`, `retried:N|c`,
+    /// `cancelled_unsent:N|c`, each prefixed with `balancer.decisions.`. The lines are scraped and
+    /// must not change.
     #[must_use]
     pub fn text(&self) -> String {
-        let line = |what: &str, count: &AtomicU64| {
-            format!(
-                "balancer.decisions.{what}:{}|c\n",
-                count.load(Ordering::Relaxed)
-            )
-        };
-        let each = |kind: &str, counts: &[AtomicU64]| -> String {
-            Denial::ALL
-                .iter()
-                .zip(counts)
-                .map(|(why, count)| line(&format!("{kind}.{}", why.name()), count))
-                .collect()
-        };
-        let (retried, cancelled) = (
-            line("retried", &self.retried),
-            line("cancelled_unsent", &self.cancelled_unsent),
-        );
-        [
-            each("denied", &self.denied),
-            each("violated", &self.violated),
-            retried,
-            cancelled,
-        ]
-        .concat()
+        let mut text = String::new();
+        for (denial, count) in Denial::ALL.iter().zip(&self.denied) {
+            text.push_str(&counter_line(&format!("denied.{}", denial.name()), count));
+        }
+        for (denial, count) in Denial::ALL.iter().zip(&self.violated) {
+            text.push_str(&counter_line(&format!("violated.{}", denial.name()), count));
+        }
+        text.push_str(&counter_line("retried", &self.retried));
+        text.push_str(&counter_line("cancelled_unsent", &self.cancelled_unsent));
+        text
     }
 }
+
+fn counter_line(name: &str, counter: &AtomicU64) -> String {
+    let count = counter.load(Ordering::Relaxed);
+    format!("balancer.decisions.{name}:{count}|c\n")
+}
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -1,379 +1,248 @@
-//! The reducer: events in, effects out.
+//! The reducer: [`State::reduce`] takes events and returns effects, and alone changes the state.
+//!
+//! | event | handler |
+//! | --- | --- |
+//! | `EndpointList` | `endpoints.rs`, `on_endpoint_list` |
+//! | `ClientConnected`, `ClientDisconnected` | `client_connections.rs` |
+//! | `RequestReceived` | `requests.rs`, `on_request` |
+//! | `RequestRejected`, `RequestAbandoned` | `outcomes.rs`, `on_unaccepted` |
+//! | `ResponseStarted`, `AttemptEnded` | `attempts.rs` |
+//! | `UpstreamConnectionLimit` | `upstream_connections.rs` |
+//! | `TenantQuotas` | the admission queue |
+//! | `GatewayCount`, `ClockCorrected` | the policy |
+//! | `ShutdownRequested`, `HandoffStarted` | `shutdown.rs` |
+//! | `PublishView` | `live_view.rs` |
+//!
+//! Times are whole microseconds of the process's monotonic clock. Bounds: open requests by the
+//! settings' `max_open_requests`, upstream connections by `upstream_connection_limit`, endpoints by
+//! the endpoint list.
 
-use crate::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
-/// All that a gateway knows.
+use valehatch_admission::{AdmissionDecision, AdmissionQueue};
+use valehatch_policy::{Action, EndpointId, PolicyEvent, RequestId, Router, SettingsError, Time};
+
+use crate::attempts::{AfterReply, AttemptId, SendOrder};
+use crate::client_connections::ClientConnection;
+use crate::endpoints::{EndpointAddress, ListCoverage};
+use crate::live_view::RequestRates;
+use crate::messages::{ClientId, ConnectionId, CoreConfig, Effect, Event, LogEvent};
+use crate::requests::{PendingRequest, ReplyTo};
+use crate::shutdown::ShutdownState;
+use crate::timers::{ScheduledTimer, Timer};
+use crate::upstream_connections::{IdleConnection, UpstreamConnection};
+
+/// The state of one gateway front: requests, attempts, connections, endpoints, timers.
 pub struct State {
     pub(crate) router: Router,
-    pub(crate) facts: CoreConfig,
-    pub(crate) requests: BTreeMap<RequestId, Held>,
-    /// The names of the requests that are open.
-    pub(crate) names: BTreeSet<Arc<str>>,
-    pub(crate) attempts: BTreeMap<(RequestId, u32), ConnectionId>,
-    pub(crate) conns: BTreeMap<ConnectionId, Conn>,
-    /// Those of each member that carry nothing, by when they last did.
-    pub(crate) idle: BTreeMap<EndpointId, BTreeSet<(Time, ConnectionId)>>,
-    /// Names and addresses.
-    pub(crate) members: BTreeMap<EndpointId, (Arc<str>, Arc<str>)>,
-    /// Those of them that take new work.
-    pub(crate) ready: BTreeSet<EndpointId>,
-    pub(crate) clients: BTreeMap<ClientId, Client>,
-    pub(crate) due: BTreeSet<(Time, Due)>,
-    /// What the router is told on the next turn: a turn steps it once.
-    pub(crate) pending: Vec<PolicyEvent>,
+    pub(crate) config: CoreConfig,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    /// The clients' names of open requests.
+    pub(crate) open_names: BTreeSet<Arc<str>>,
+    /// The connection of each attempt in flight.
+    pub(crate) attempts: BTreeMap<AttemptId, ConnectionId>,
+    pub(crate) connections: BTreeMap<ConnectionId, UpstreamConnection>,
+    /// The idle ones of `connections`, by endpoint.
+    pub(crate) idle_connections: BTreeMap<EndpointId, BTreeSet<IdleConnection>>,
+    pub(crate) endpoints: BTreeMap<EndpointId, EndpointAddress>,
+    /// Endpoints that take new requests.
+    pub(crate) ready_endpoints: BTreeSet<EndpointId>,
+    pub(crate) clients: BTreeMap<ClientId, ClientConnection>,
+    pub(crate) timers: BTreeSet<ScheduledTimer>,
+    /// What the policy receives in the next turn: each turn steps it once.
+    pub(crate) pending_events: Vec<PolicyEvent>,
     pub(crate) next_request: u64,
-    pub(crate) next_conn: u64,
-    /// Where requests wait before the module hears of them; what it said that was not acted on yet.
-    pub(crate) door: Option<AdmissionQueue>,
-    pub(crate) verdicts: Vec<AdmissionDecision>,
-    pub(crate) looked: Time,
-    pub(crate) door_due: bool,
-    pub(crate) stopping: bool,
-    pub(crate) stopped: bool,
-    /// Another process takes the connections.
-    pub(crate) left: bool,
-    /// What is asked now is refused at once: the program is about to end.
-    pub(crate) ended: bool,
+    pub(crate) next_connection: u64,
+    /// Where accepted requests wait before the policy learns of them.
+    pub(crate) admission: Option<AdmissionQueue>,
+    /// What the queue has decided and was not applied yet.
+    pub(crate) admission_decisions: Vec<AdmissionDecision>,
+    pub(crate) capacity_reported_at: Time,
+    pub(crate) admission_timer_set: bool,
+    pub(crate) shutdown: ShutdownState,
     pub(crate) turns: u64,
-    /// The second that runs, and the requests of each tenant in it and in the one before.
-    pub(crate) second: i64,
-    pub(crate) rates: Vec<[u64; 2]>,
+    pub(crate) rates: RequestRates,
 }
 
 impl State {
-    /// A gateway that knows no members yet.
-    pub fn new(facts: CoreConfig, seed: u64) -> Result<Self, SettingsError> {
-        let rates = vec![[0; 2]; facts.settings.tenants.len()];
-        let mut due = BTreeSet::from([(Time(0), Due::Sweep)]);
-        due.extend(facts.observability.iter().map(|_| (Time(0), Due::Publish)));
-        let door = facts
-            .admission
-            .clone()
-            .map(|settings| AdmissionQueue::new(settings, seed));
+    /// A state that knows no endpoints yet. The seed decides the random choices of the policy and
+    /// the queue.
+    ///
+    /// # Errors
+    /// Settings that the policy cannot work with.
+    pub fn new(config: CoreConfig, seed: u64) -> Result<Self, SettingsError> {
+        let mut timers = BTreeSet::from([ScheduledTimer {
+            at: Time(0),
+            timer: Timer::SweepIdleConnections,
+        }]);
+        if config.observability.is_some() {
+            timers.insert(ScheduledTimer {
+                at: Time(0),
+                timer: Timer::PublishView,
+            });
+        }
+        let admission = config.admission.clone();
         Ok(Self {
-            door,
-            verdicts: vec![],
-            looked: Time(0),
-            door_due: false,
-            router: Router::new(facts.settings.clone(), seed)?,
-            facts,
+            router: Router::new(config.settings.clone(), seed)?,
+            admission: admission.map(|settings| AdmissionQueue::new(settings, seed)),
+            rates: RequestRates::new(config.settings.tenants.len()),
+            config,
             requests: BTreeMap::new(),
-            names: BTreeSet::new(),
+            open_names: BTreeSet::new(),
             attempts: BTreeMap::new(),
-            conns: BTreeMap::new(),
-            idle: BTreeMap::new(),
-            members: BTreeMap::new(),
-            ready: BTreeSet::new(),
+            connections: BTreeMap::new(),
+            idle_connections: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            ready_endpoints: BTreeSet::new(),
             clients: BTreeMap::new(),
-            due,
-            pending: vec![],
+            timers,
+            pending_events: vec![],
             next_request: 0,
-            next_conn: 0,
-            stopping: false,
-            stopped: false,
-            left: false,
-            ended: false,
+            next_connection: 0,
+            admission_decisions: vec![],
+            capacity_reported_at: Time(0),
+            admission_timer_set: false,
+            shutdown: ShutdownState::Serving,
             turns: 0,
-            second: 0,
-            rates,
         })
     }
 
-    /// When the next turn is due, whatever comes in.
+    /// When the next turn is due even if nothing comes in; a time in the past means at once.
     pub fn next_due(&self) -> Option<Time> {
-        if self.pending.is_empty() {
-            self.due.first().map(|(at, _)| *at)
-        } else {
-            Some(Time(0))
+        if !self.pending_events.is_empty() {
+            return Some(Time(0));
         }
+        self.timers.first().map(|timer| timer.at)
     }
 
-    /// One turn: takes what happened up to `now`, steps the router once, asks for effects.
+    /// One turn: handles the events up to `now` and the timers that are due, steps the policy once,
+    /// and adds what is to be done to `effects`, in order.
     pub fn reduce(&mut self, now: Time, events: Vec<Event>, effects: &mut Vec<Effect>) {
         self.turns += 1;
-        let mut told = std::mem::take(&mut self.pending);
-        // An attempt may have ended its request since its end was noted.
-        for event in &mut told {
-            if let PolicyEvent::AttemptEnded(end) = event {
-                end.closed |= !self.requests.contains_key(&end.request);
-            }
+        let mut policy_events = self.take_pending_events();
+        for event in events {
+            self.on_event(now, event, &mut policy_events, effects);
         }
-        events
-            .into_iter()
-            .for_each(|event| self.on_event(now, event, &mut told, effects));
-        while let Some((_, due)) = self.due.first().filter(|(at, _)| *at <= now).copied() {
-            self.due.pop_first();
-            self.on_due(now, due, &mut told, effects);
+        while let Some(timer) = self.pop_due_timer(now) {
+            self.on_timer(now, timer, &mut policy_events, effects);
         }
-        self.act_on_verdicts(now, &mut told, effects);
+        self.apply_admission_decisions(now, &mut policy_events, effects);
         let mut actions = vec![];
-        self.router.step(now, &told, &mut actions);
-        actions
-            .into_iter()
-            .for_each(|action| self.carry_out(now, action, effects));
-        self.look_for_room(now);
-        // What answers made room for is let in with the next turn, which comes at once.
-        let mut let_in = vec![];
-        self.act_on_verdicts(now, &mut let_in, effects);
-        self.pending.extend(let_in);
-        if let Some(figures) = &self.facts.metrics {
-            figures.gauges(
+        self.router.step(now, &policy_events, &mut actions);
+        for action in actions {
+            self.apply_action(now, action, effects);
+        }
+        self.report_capacity(now);
+        // Requests admitted into capacity that this turn's answers freed reach the policy with the
+        // next turn, which comes at once.
+        let mut admitted = vec![];
+        self.apply_admission_decisions(now, &mut admitted, effects);
+        self.pending_events.extend(admitted);
+        if let Some(metrics) = &self.config.metrics {
+            metrics.gauges(
                 self.requests.len(),
-                self.members.len(),
+                self.endpoints.len(),
                 self.router.avoided(),
             );
         }
-        if self.stopped && self.clients.is_empty() {
+        if self.shutdown.is_closing() && self.clients.is_empty() {
             effects.push(Effect::Exit);
         }
     }
 
-    pub(crate) fn on_event(
+    /// What the last turn left for the policy. A request may have ended since an end of its attempt
+    /// was noted.
+    fn take_pending_events(&mut self) -> Vec<PolicyEvent> {
+        let mut events = std::mem::take(&mut self.pending_events);
+        for event in &mut events {
+            if let PolicyEvent::AttemptEnded(end) = event {
+                end.closed |= !self.requests.contains_key(&end.request);
+            }
+        }
+        events
+    }
+
+    fn on_event(
         &mut self,
         now: Time,
         event: Event,
-        told: &mut Vec<PolicyEvent>,
+        policy_events: &mut Vec<PolicyEvent>,
         effects: &mut Vec<Effect>,
     ) {
         match event {
             Event::EndpointList {
                 complete,
-                endpoints: members,
+                endpoints,
             } => {
-                told.push(self.on_list(complete, members, effects));
-                // What was decided on before this and is still being dialled must not begin any more.
-                let barred = |(id, c): (&ConnectionId, &Conn)| {
-                    (!self.ready.contains(&c.endpoint)).then_some(*id)
-                };
-                for connection in self.conns.iter().filter_map(barred).collect::<Vec<_>>() {
-                    told.extend(self.cancel_pending_attempt(now, connection, effects));
-                }
+                let coverage = ListCoverage::from_complete(complete);
+                self.on_endpoint_list(now, coverage, endpoints, policy_events, effects);
             }
             Event::ClientConnected(client) => {
                 self.clients.entry(client).or_default();
             }
+            Event::ClientDisconnected(client) => {
+                self.on_client_disconnected(now, client, policy_events, effects);
+            }
             Event::RequestReceived {
                 client,
                 ticket,
-                request: ask,
+                request,
             } => {
-                told.extend(self.on_asked(now, client, ticket, ask, effects));
-            }
-            Event::ClientDisconnected(client) => {
-                for id in self.clients.remove(&client).unwrap_or_default().open {
-                    // Nobody takes what is passed on to it any more.
-                    if let Some(connection) = self.passing(id) {
-                        let end = UpstreamReply::without_details(Outcome::Cancelled);
-                        told.extend(self.on_reply(now, connection, end, false, effects));
-                        continue;
-                    }
-                    if let Some(door) = &mut self.door {
-                        door.on_client_disconnected(now, id, &mut self.verdicts);
-                    }
-                    if let Some(held) = self.drop_request(now, id, effects) {
-                        let known = held.queued.is_none();
-                        self.record(now, held, FinalOutcome::Aborted, effects);
-                        told.extend(known.then_some(PolicyEvent::ClientDisconnected(id)));
-                    }
-                }
+                let reply_to = ReplyTo { client, ticket };
+                policy_events.extend(self.on_request(now, reply_to, request, effects));
             }
             Event::RequestRejected {
                 class,
                 tenant,
                 group,
-                reason: why,
-            } => {
-                self.count_asked(tenant, now);
-                self.record_unheld(class, tenant, group, FinalOutcome::Refused(why), effects);
-            }
+                reason,
+            } => self.on_unaccepted(now, class, tenant, group, Some(reason), effects),
             Event::RequestAbandoned {
                 class,
                 tenant,
                 group,
-            } => {
-                self.count_asked(tenant, now);
-                self.record_unheld(class, tenant, group, FinalOutcome::Aborted, effects);
-            }
+            } => self.on_unaccepted(now, class, tenant, group, None, effects),
             Event::ResponseStarted(connection) => {
-                told.extend(self.on_began(now, connection, effects))
+                policy_events.extend(self.on_response_started(now, connection, effects));
             }
             Event::AttemptEnded {
                 connection,
                 reply,
                 reusable,
             } => {
-                told.extend(self.on_reply(now, connection, reply, reusable, effects));
-            }
-            Event::GatewayCount(count) => told.push(PolicyEvent::RouterCount(count)),
-            Event::ClockCorrected(by) => told.push(PolicyEvent::ClockCorrected(by)),
-            Event::TenantQuotas(shares) => {
-                if let Some(Err(what)) = self.door.as_mut().map(|door| door.set_quotas(&shares)) {
-                    effects.push(Effect::Log(LogEvent::InvalidQuotas(what)));
-                }
+                let after_reply = AfterReply::from_reusable(reusable);
+                policy_events.extend(self.on_reply(now, connection, reply, after_reply, effects));
             }
-            // The thread that accepts ends before anything is closed: what it took last is served too.
-            Event::HandoffStarted => {
-                self.left = true;
-                self.due
-                    .extend([(now, Due::Unlisten), (now + LEAVES, Due::Stop)]);
-            }
-            Event::UpstreamConnectionLimit(most) => {
-                while self.conns.len() > most
-                    && let Some((_, spare)) = self
-                        .idle
-                        .values()
-                        .filter_map(BTreeSet::first)
-                        .min()
-                        .copied()
-                {
-                    self.close(spare, effects);
-                }
-                // Those that carry something are used until they are idle.
-                self.facts.upstream_connection_limit = most.max(self.conns.len());
-            }
-            Event::PublishView => effects.push(Effect::PublishView(Box::new(self.live(now)))),
-            Event::ShutdownRequested => {
-                self.stopping = true;
-                let longest = self.facts.settings.classes.iter().map(|c| c.deadline).max();
-                let end = longest.unwrap_or(LONGEST).min(LONGEST) + MORE;
-                let served = Span(end.0 / 10 * SERVED_TENTHS).max(STILL_TAKEN);
-                let all = [
-                    (STILL_TAKEN, Due::Unlisten),
-                    (served, Due::Stop),
-                    (end - LAST_WORD - LAST_ASKED, Due::LastAsked),
-                    (end - LAST_WORD, Due::End),
-                    (end - GONE, Due::Exit),
-                ];
-                self.due
-                    .extend(all.map(|(after, what)| (now + after, what)));
+            Event::GatewayCount(count) => policy_events.push(PolicyEvent::RouterCount(count)),
+            Event::ClockCorrected(by) => policy_events.push(PolicyEvent::ClockCorrected(by)),
+            Event::TenantQuotas(quotas) => self.on_tenant_quotas(&quotas, effects),
+            Event::UpstreamConnectionLimit(limit) => self.on_connection_limit(limit, effects),
+            Event::PublishView => {
+                effects.push(Effect::PublishView(Box::new(self.live_view(now))));
             }
+            Event::ShutdownRequested => self.on_shutdown_requested(now),
+            Event::HandoffStarted => self.on_handoff_started(now),
         }
     }
 
-    pub(crate) fn on_due(
-        &mut self,
-        now: Time,
-        due: Due,
-        told: &mut Vec<PolicyEvent>,
-        effects: &mut Vec<Effect>,
-    ) {
-        match due {
-            Due::Router(token) => told.push(PolicyEvent::Timer(token)),
-            // An attempt or a probe that is out for too long: the connection goes with it, so that what comes
-            // late can never reach another request.
-            Due::Attempt(connection) => {
-                told.extend(self.on_reply(
-                    now,
-                    connection,
-                    UpstreamReply::without_details(Outcome::Timeout),
-                    false,
-                    effects,
-                ));
-            }
-            Due::Overdue(id) => {
-                if self.requests.contains_key(&id) {
-                    let how = FinalOutcome::Failed(FailureReason::Timeout);
-                    self.answer(now, id, FinalAnswer::Failed(Failure::Timeout), how, effects);
-                    told.push(PolicyEvent::ClientDisconnected(id));
-                }
-            }
-            Due::Publish => {
-                let Some(watched) = self.facts.observability.clone() else {
-                    return;
-                };
-                let each =
-                    Span(PUBLISH_EACH.0 * i64::try_from(self.members.len()).unwrap_or(i64::MAX));
-                self.due
-                    .insert((now + watched.publish_interval.max(each), Due::Publish));
-                effects.push(Effect::PublishView(Box::new(self.live(now))));
-            }
-            Due::Sweep => {
-                let oldest = now - self.facts.idle();
-                let old = |s: &BTreeSet<(Time, ConnectionId)>| -> Vec<ConnectionId> {
-                    s.range(..(oldest, ConnectionId(0)))
-                        .map(|(_, id)| *id)
-                        .collect()
-                };
-                for connection in self.idle.values().flat_map(old).collect::<Vec<_>>() {
-                    self.close(connection, effects);
-                }
-                self.due.insert((now + SWEEP, Due::Sweep));
-            }
-            Due::Admission => {
-                self.door_due = false;
-                if let Some(door) = &mut self.door {
-                    door.tick(now, &mut self.verdicts);
-                }
-                self.wake_door(now);
-            }
-            Due::Unlisten => effects.push(Effect::StopListening),
-            Due::Stop => {
-                self.stopped = true;
-                if self.ended {
-                    effects.push(Effect::CloseIdleClients);
-                } else {
-                    let idle = self
-                        .clients
-                        .iter()
-                        .filter(|(_, c)| may_close(c.open.len()).is_ok());
-                    effects.extend(idle.map(|(id, _)| Effect::CloseClient(*id)));
-                }
-                self.due.insert((now + CLOSE_EACH, Due::Stop));
-            }
-            Due::LastAsked => self.ended |= self.left,
-            Due::Exit => {
-                effects.push(Effect::Exit);
-                self.due.insert((now + EXIT_EACH, Due::Exit));
-            }
-            Due::End => {
-                self.ended = true;
-                // What is passed on goes on until the program ends.
-                let waits = |(id, held): (&RequestId, &Held)| held.began.is_none().then_some(*id);
-                for id in self.requests.iter().filter_map(waits).collect::<Vec<_>>() {
-                    let held = &self.requests[&id];
-                    let after = self.facts.come_back(held.class);
-                    let (answer, how) = if held.attempts == 0 {
-                        (
-                            FinalAnswer::Rejected {
-                                retry_after: after,
-                                overloaded: false,
-                            },
-                            FinalOutcome::Refused(RejectionReason::Stopping),
-                        )
-                    } else {
-                        (
-                            FinalAnswer::Failed(Failure::Timeout),
-                            FinalOutcome::Failed(FailureReason::Stopping),
-                        )
-                    };
-                    // Nobody waits any more for what is out: it must not be out still when its client asks elsewhere.
-                    let out = self
-                        .attempts
-                        .range((id, 0)..=(id, u32::MAX))
-                        .map(|(_, connection)| *connection);
-                    let out: Vec<ConnectionId> = out.collect();
-                    self.answer(now, id, answer, how, effects);
-                    told.push(PolicyEvent::ClientDisconnected(id));
-                    for connection in out {
-                        told.extend(self.on_reply(
-                            now,
-                            connection,
-                            UpstreamReply::without_details(Outcome::Cancelled),
-                            false,
-                            effects,
-                        ));
-                    }
-                }
-            }
+    fn on_tenant_quotas(&mut self, quotas: &[f64], effects: &mut Vec<Effect>) {
+        let Some(admission) = &mut self.admission else {
+            return;
+        };
+        if let Err(mismatch) = admission.set_quotas(quotas) {
+            effects.push(Effect::Log(LogEvent::InvalidQuotas(mismatch)));
         }
     }
 
-    pub(crate) fn carry_out(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
+    /// Does what the policy asks for. A request whose response is being streamed is out of its
+    /// hands.
+    fn apply_action(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
         if let Action::Send { request, .. }
         | Action::Cancel { request, .. }
         | Action::Reject { request, .. }
         | Action::Fail { request, .. } = &action
-            && self.passing(*request).is_some()
+            && self.streaming_connection(*request).is_some()
         {
             return;
         }
@@ -384,93 +253,27 @@
                 timeout,
                 send_before,
             } => {
-                self.send(now, request, endpoint, timeout, send_before, effects);
+                let order = SendOrder {
+                    request,
+                    endpoint,
+                    timeout,
+                    send_before,
+                };
+                self.send(now, &order, effects);
             }
             Action::Cancel { request, attempt } => {
-                let Some(connection) = self.attempts.get(&(request, attempt)).copied() else {
-                    return;
-                };
-                let end = self.on_reply(
-                    now,
-                    connection,
-                    UpstreamReply::without_details(Outcome::Cancelled),
-                    false,
-                    effects,
-                );
-                self.pending.extend(end);
+                self.cancel_attempt(now, AttemptId { request, attempt }, effects);
             }
             Action::Reject {
                 request,
                 retry_after,
                 why,
-            } => {
-                if let Some(held) = self.requests.get(&request) {
-                    let after = retry_after.unwrap_or_else(|| self.facts.come_back(held.class));
-                    let how = FinalOutcome::Refused(refusal(why));
-                    self.answer(
-                        now,
-                        request,
-                        FinalAnswer::Rejected {
-                            retry_after: after,
-                            overloaded: false,
-                        },
-                        how,
-                        effects,
-                    );
-                }
-            }
-            Action::Fail { request, .. } => {
-                if let Some(held) = self.requests.get_mut(&request) {
-                    let (failure, how) = match (held.last, held.word.take()) {
-                        (Some(Outcome::Timeout | Outcome::Cancelled), _) => {
-                            (Failure::Timeout, FailureReason::Timeout)
-                        }
-                        (Some(Outcome::Error), Some(word)) => {
-                            (Failure::UpstreamError(word), FailureReason::UpstreamError)
-                        }
-                        _ => (Failure::ConnectionLost, FailureReason::ConnectionLost),
-                    };
-                    self.answer(
-                        now,
-                        request,
-                        FinalAnswer::Failed(failure),
-                        FinalOutcome::Failed(how),
-                        effects,
-                    );
-                }
-            }
-            Action::HealthCheck { endpoint } => {
-                if let Err(why) = may_check_health(self.ready.contains(&endpoint)) {
-                    self.facts.decisions.on_denied(why);
-                    let (outcome, latency) = (Outcome::NotSent, Span(0));
-                    return self.pending.push(PolicyEvent::HealthCheckEnded {
-                        endpoint,
-                        outcome,
-                        latency,
-                        report: None,
-                    });
-                }
-                let took = self.take_conn(now, endpoint, Use::Probe(now), effects);
-                let Some(connection) = took else {
-                    let latency = Span(0);
-                    let outcome = self.no_connection(endpoint);
-                    return self.pending.push(PolicyEvent::HealthCheckEnded {
-                        endpoint,
-                        outcome,
-                        latency,
-                        report: None,
-                    });
-                };
-                self.wait_until(connection, now + self.facts.health_check_timeout);
-                effects.push(Effect::Submit {
-                    connection,
-                    job: UpstreamJob::HealthCheck,
-                });
-            }
-            Action::RefreshEndpointList => {} // The list is watched all the time.
-            Action::SetTimer { at, token } => {
-                self.due.insert((at, Due::Router(token)));
-            }
+            } => self.reject_request(now, request, retry_after, why, effects),
+            Action::Fail { request, .. } => self.fail_request(now, request, effects),
+            Action::HealthCheck { endpoint } => self.check_health(now, endpoint, effects),
+            // The fronts watch the endpoint list all the time.
+            Action::RefreshEndpointList => {}
+            Action::SetTimer { at, token } => self.set_timer(at, Timer::Policy(token)),
         }
     }
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,145 +1,211 @@
-//! Requests in flight: accepted or rejected as they come in, answered once.
+//! Requests in flight: accepted or rejected as they come in, given one final answer, then removed.
+//!
+//! Inputs are requests from the fronts and the policy's decisions to reject or fail them. Bounded
+//! by the settings' `max_open_requests`: beyond it a request is rejected. Times are whole
+//! microseconds of the process's monotonic clock.
 
-use crate::prelude::*;
+use std::sync::Arc;
 
-/// A final answer leaves this long before the client stops waiting.
-pub(crate) const HEADSTART: Span = Span::from_millis(5);
+use valehatch_admission::{Arrival, Completion};
+use valehatch_policy::{
+    ClassId, GiveUpReason, GroupId, Outcome, PolicyEvent, Request, RequestId, Span, TenantId, Time,
+};
+use valehatch_request_log::{AttemptRecord, FailureReason, FinalOutcome, RejectionReason};
 
-pub(crate) struct Held {
+use crate::messages::{
+    ClientId, CoreConfig, Effect, Failure, FinalAnswer, IncomingRequest, LogEvent,
+    MemoryReservation, Payload, RequestStep,
+};
+use crate::outcomes::RequestEnd;
+use crate::permission::{AcceptCheck, Denial, may_accept};
+use crate::reducer::State;
+use crate::shutdown::RETRY_AFTER_HANDOFF;
+use crate::timers::Timer;
+
+/// A final answer is sent this long before the client's own timeout.
+const CLIENT_TIMEOUT_MARGIN: Span = Span::from_millis(5);
+
+/// A request in flight.
+pub(crate) struct PendingRequest {
+    /// What its client calls it.
     pub(crate) name: Option<Arc<str>>,
+    /// The connection that it came in on.
     pub(crate) client: ClientId,
+    /// What the front matches its answer by.
     pub(crate) ticket: u64,
+    /// Its class, by number.
     pub(crate) class: usize,
+    /// Its tenant, by number.
     pub(crate) tenant: Option<usize>,
+    /// Its group.
     pub(crate) group: GroupId,
+    /// When its last byte was read.
     pub(crate) arrived: Time,
+    /// When its final answer must have been sent.
     pub(crate) deadline: Time,
+    /// What is sent to an endpoint.
     pub(crate) payload: Arc<Payload>,
+    /// The memory that its bytes occupy, given back as the request is dropped.
     pub(crate) _memory: MemoryReservation,
+    /// How many attempts it has had.
     pub(crate) attempts: u32,
-    /// When the first attempt was sent, and what came of those that are over.
-    pub(crate) first: Option<Time>,
-    pub(crate) tries: Vec<AttemptRecord>,
-    /// What the module is told once the door lets it in.
+    /// When the first attempt was sent; for the request log.
+    pub(crate) first_sent_at: Option<Time>,
+    /// The attempts that are over; for the request log.
+    pub(crate) attempt_records: Vec<AttemptRecord>,
+    /// What the policy receives once the request is admitted; `None` after that.
     pub(crate) queued: Option<Box<Request>>,
-    /// The member that has the attempt which is out, and since when.
-    pub(crate) out: Option<(Arc<str>, Time)>,
-    pub(crate) last: Option<Outcome>,
-    /// What the server said of the last error.
-    pub(crate) word: Option<Vec<u8>>,
+    /// The attempt in flight; for the request log.
+    pub(crate) in_flight: Option<LoggedAttempt>,
+    /// How the last attempt ended.
+    pub(crate) last_outcome: Option<Outcome>,
+    /// The endpoint's message about the last error.
+    pub(crate) last_error: Option<Vec<u8>>,
     /// When the first attempt was sent that may have run.
     pub(crate) may_have_run_since: Option<Time>,
-    /// When its answer began, if that is passed on as it comes: from then on it is bound to that attempt.
-    pub(crate) began: Option<Time>,
+    /// When its response started, if it is streamed: from then on the request is bound to that
+    /// attempt.
+    pub(crate) response_started_at: Option<Time>,
 }
 
-pub(crate) const fn refusal(why: GiveUpReason) -> RejectionReason {
-    match why {
-        GiveUpReason::DeadlineExceeded => RejectionReason::DeadlineExceeded,
-        GiveUpReason::Overloaded => RejectionReason::Overloaded,
-        GiveUpReason::NeverSent => RejectionReason::NeverSent,
-        GiveUpReason::TooLate => RejectionReason::TooLate,
-        GiveUpReason::AttemptsExhausted => RejectionReason::AttemptsExhausted,
-        GiveUpReason::RetryWindowClosed => RejectionReason::RetryWindowClosed,
+/// An attempt in flight, as the request log names it.
+pub(crate) struct LoggedAttempt {
+    /// The endpoint's name.
+    pub(crate) endpoint: Arc<str>,
+    /// When it was sent.
+    pub(crate) sent_at: Time,
+}
+
+/// Where a request came in and where its answer goes.
+#[derive(Clone, Copy)]
+pub(crate) struct ReplyTo {
+    /// The connection that it came in on.
+    pub(crate) client: ClientId,
+    /// What the front matches its answer by.
+    pub(crate) ticket: u64,
+}
+
+impl PendingRequest {
+    fn new(reply_to: ReplyTo, incoming: IncomingRequest, now: Time) -> Self {
+        // It may have waited for this turn of the event loop.
+        let arrived = incoming.received.min(now);
+        let time_allowed = Span((incoming.client_timeout - CLIENT_TIMEOUT_MARGIN).0.max(1));
+        Self {
+            name: incoming.name,
+            client: reply_to.client,
+            ticket: reply_to.ticket,
+            class: incoming.class,
+            tenant: incoming.tenant,
+            group: incoming.group,
+            arrived,
+            deadline: arrived + time_allowed,
+            payload: incoming.payload,
+            _memory: incoming.memory,
+            attempts: 0,
+            first_sent_at: None,
+            attempt_records: vec![],
+            queued: None,
+            in_flight: None,
+            last_outcome: None,
+            last_error: None,
+            may_have_run_since: None,
+            response_started_at: None,
+        }
+    }
+
+    /// When a request that the policy has left without an answer is failed: after its client's own
+    /// timeout.
+    pub(crate) fn overdue_at(&self) -> Time {
+        self.deadline + CLIENT_TIMEOUT_MARGIN + CLIENT_TIMEOUT_MARGIN
     }
 }
 
 impl State {
-    pub(crate) fn on_asked(
+    /// Accepts a request, or answers it at once. Returns what the policy is to learn of it, unless
+    /// it is queued first.
+    pub(crate) fn on_request(
         &mut self,
         now: Time,
-        client: ClientId,
-        ticket: u64,
-        ask: IncomingRequest,
+        reply_to: ReplyTo,
+        incoming: IncomingRequest,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        self.count_asked(ask.tenant, now);
-        let asked = AcceptCheck {
-            stage: self.stage(),
-            name_is_open: ask
-                .name
-                .as_ref()
-                .is_some_and(|name| self.names.contains(name)),
-            open_requests: self.requests.len(),
-            max_open_requests: self.facts.settings.limits.max_open_requests,
-        };
-        if let Err(why) = may_accept(&asked) {
-            self.facts.decisions.on_denied(why);
-            let (how, answer) = self.turned_away(why, ask.class);
-            self.record_unheld(ask.class, ask.tenant, ask.group, how, effects);
-            effects.push(Effect::Answer {
-                client,
-                ticket,
-                answer,
-            });
+        self.count_request(incoming.tenant, now);
+        if let Err(denial) = self.check_accept(&incoming) {
+            self.config.decisions.on_denied(denial);
+            self.answer_denied(reply_to, &incoming, denial, effects);
             return None;
         }
         self.next_request += 1;
         let id = RequestId(self.next_request);
-        self.clients.entry(client).or_default().open.insert(id);
-        self.names.extend(ask.name.clone());
-        // It may have waited for this turn.
-        let arrived = ask.received.min(now);
-        let deadline = arrived + Span((ask.client_timeout - HEADSTART).0.max(1));
-        let time_left = Span((deadline - now).0.max(1));
-        self.due
-            .insert((deadline + HEADSTART + HEADSTART, Due::Overdue(id)));
-        self.requests.insert(
-            id,
-            Held {
-                name: ask.name,
-                client,
-                ticket,
-                class: ask.class,
-                tenant: ask.tenant,
-                group: ask.group,
-                arrived,
-                deadline,
-                payload: ask.payload,
-                _memory: ask.memory,
-                attempts: 0,
-                first: None,
-                tries: vec![],
-                queued: None,
-                out: None,
-                last: None,
-                word: None,
-                may_have_run_since: None,
-                began: None,
-            },
-        );
+        let client = self.clients.entry(reply_to.client).or_default();
+        client.open_requests.insert(id);
+        self.open_names.extend(incoming.name.clone());
+        let client_key = incoming.client;
+        let session = incoming.session;
+        let repeat = incoming.is_client_retry;
+        let last_write_at = incoming.last_write_at;
+        let pending = PendingRequest::new(reply_to, incoming, now);
         let request = Request {
             id,
-            session: ask.session,
-            time_left,
-            group: ask.group,
-            class: valehatch_policy::ClassId(ask.class),
-            tenant: ask.tenant.map(valehatch_policy::TenantId),
+            session,
+            time_left: Span((pending.deadline - now).0.max(1)),
+            group: pending.group,
+            class: ClassId(pending.class),
+            tenant: pending.tenant.map(TenantId),
             work: None,
-            repeat: ask.is_client_retry,
-            since_last_write: ask.last_write_at.map(|at| Span((now - at).0.max(0))),
-        };
-        let Some(door) = &mut self.door else {
-            return Some(PolicyEvent::Request(request));
+            repeat,
+            since_last_write: last_write_at.map(|at| Span((now - at).0.max(0))),
         };
-        let (tenant, class, group) = (ask.tenant, ask.class, ask.group);
-        self.requests.get_mut(&id)?.queued = Some(Box::new(request));
         let arrival = Arrival {
             id,
-            tenant,
-            client: ask.client,
-            class,
-            group,
-            deadline,
+            tenant: pending.tenant,
+            client: client_key,
+            class: pending.class,
+            group: pending.group,
+            deadline: pending.deadline,
         };
-        door.on_arrival(now, arrival, &mut self.verdicts);
-        self.wake_door(now);
+        self.set_timer(pending.overdue_at(), Timer::RequestOverdue(id));
+        self.requests.insert(id, pending);
+        if self.admission.is_none() {
+            return Some(PolicyEvent::Request(request));
+        }
+        self.enqueue(now, arrival, request);
         None
     }
 
+    fn check_accept(&self, incoming: &IncomingRequest) -> Result<(), Denial> {
+        let name = incoming.name.as_ref();
+        may_accept(&AcceptCheck {
+            stage: self.shutdown.process_stage(),
+            name_is_open: name.is_some_and(|name| self.open_names.contains(name)),
+            open_requests: self.requests.len(),
+            max_open_requests: self.config.settings.limits.max_open_requests,
+        })
+    }
+
+    fn answer_denied(
+        &self,
+        reply_to: ReplyTo,
+        incoming: &IncomingRequest,
+        denial: Denial,
+        effects: &mut Vec<Effect>,
+    ) {
+        let (outcome, answer) = self.denied_answer(denial, incoming.class);
+        self.record_end(
+            RequestEnd::on_arrival(incoming.class, incoming.tenant, incoming.group, outcome),
+            effects,
+        );
+        effects.push(Effect::Answer {
+            client: reply_to.client,
+            ticket: reply_to.ticket,
+            answer,
+        });
+    }
+
     /// The final answer of a request that is not accepted.
-    pub(crate) fn turned_away(&self, why: Denial, class: usize) -> (FinalOutcome, FinalAnswer) {
-        let refused = match why {
+    fn denied_answer(&self, denial: Denial, class: usize) -> (FinalOutcome, FinalAnswer) {
+        let reason = match denial {
             Denial::DuplicateName => {
                 return (
                     FinalOutcome::Failed(FailureReason::DuplicateName),
@@ -149,123 +215,189 @@
             Denial::TooManyOpen => RejectionReason::TooManyOpen,
             _ => RejectionReason::Stopping,
         };
-        let after = if self.left {
-            AT_ONCE
+        let retry_after = if self.shutdown.is_handoff() {
+            RETRY_AFTER_HANDOFF
         } else {
-            self.facts.come_back(class)
+            self.config.default_retry_after(class)
+        };
+        let answer = FinalAnswer::Rejected {
+            retry_after,
+            overloaded: false,
+        };
+        (FinalOutcome::Refused(reason), answer)
+    }
+
+    /// Fails a request that the policy has left without an answer.
+    pub(crate) fn on_request_overdue(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        policy_events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !self.requests.contains_key(&id) {
+            return;
+        }
+        let answer = FinalAnswer::Failed(Failure::Timeout);
+        let outcome = FinalOutcome::Failed(FailureReason::Timeout);
+        self.answer(now, id, answer, outcome, effects);
+        policy_events.push(PolicyEvent::ClientDisconnected(id));
+    }
+
+    /// Rejects a request for the policy.
+    pub(crate) fn reject_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        retry_after: Option<Span>,
+        reason: GiveUpReason,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let answer = FinalAnswer::Rejected {
+            retry_after: retry_after
+                .unwrap_or_else(|| self.config.default_retry_after(request.class)),
+            overloaded: false,
+        };
+        let outcome = FinalOutcome::Refused(rejection_reason(reason));
+        self.answer(now, id, answer, outcome, effects);
+    }
+
+    /// Fails a request for the policy, by what its last attempt brought back.
+    pub(crate) fn fail_request(&mut self, now: Time, id: RequestId, effects: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
         };
-        (
-            FinalOutcome::Refused(refused),
-            FinalAnswer::Rejected {
-                retry_after: after,
-                overloaded: false,
-            },
-        )
+        let (failure, reason) = match (request.last_outcome, request.last_error.take()) {
+            (Some(Outcome::Timeout | Outcome::Cancelled), _) => {
+                (Failure::Timeout, FailureReason::Timeout)
+            }
+            (Some(Outcome::Error), Some(error)) => {
+                (Failure::UpstreamError(error), FailureReason::UpstreamError)
+            }
+            _ => (Failure::ConnectionLost, FailureReason::ConnectionLost),
+        };
+        let answer = FinalAnswer::Failed(failure);
+        self.answer(now, id, answer, FinalOutcome::Failed(reason), effects);
     }
 
-    /// A request as the log names it.
+    /// A request as the log names it: by its client's name for it, or by its number.
     pub(crate) fn request_name(&self, id: RequestId) -> Arc<str> {
-        let name = self.requests.get(&id).and_then(|held| held.name.clone());
+        let name = self.requests.get(&id).and_then(|r| r.name.clone());
         name.unwrap_or_else(|| Arc::from(format!("#{}", id.0)))
     }
 
-    pub(crate) fn trace(&self, request: RequestId, what: RequestStep, effects: &mut Vec<Effect>) {
+    /// Logs a step of a request, where requests are traced.
+    pub(crate) fn trace(&self, id: RequestId, step: RequestStep, effects: &mut Vec<Effect>) {
+        if !self.config.trace_requests {
+            return;
+        }
         effects.push(Effect::Log(LogEvent::RequestStep {
-            request: self.request_name(request),
-            step: what,
+            request: self.request_name(id),
+            step,
         }));
     }
 
-    /// Forgets a request, with all that is kept for it: nothing begins for it from here on.
-    pub(crate) fn drop_request(
+    /// Removes a request with all that is kept for it; an attempt of which nothing was written is
+    /// cancelled.
+    pub(crate) fn remove_request(
         &mut self,
         now: Time,
         id: RequestId,
         effects: &mut Vec<Effect>,
-    ) -> Option<Held> {
-        let held = self.requests.remove(&id)?;
-        self.due
-            .remove(&(held.deadline + HEADSTART + HEADSTART, Due::Overdue(id)));
-        held.name
-            .iter()
-            .for_each(|name| drop(self.names.take(name)));
-        let out = self
-            .attempts
-            .range((id, 0)..=(id, u32::MAX))
-            .map(|(_, connection)| *connection);
-        for connection in out.collect::<Vec<_>>() {
-            let end = self.cancel_pending_attempt(now, connection, effects);
-            self.pending.extend(end);
+    ) -> Option<PendingRequest> {
+        let request = self.requests.remove(&id)?;
+        self.cancel_timer(request.overdue_at(), Timer::RequestOverdue(id));
+        if let Some(name) = &request.name {
+            self.open_names.remove(name);
         }
-        Some(held)
+        for connection in self.connections_of(id) {
+            let ended = self.cancel_unsent_attempt(now, connection, effects);
+            self.pending_events.extend(ended);
+        }
+        Some(request)
     }
 
-    /// The one final answer of a request.
+    /// Gives a request its one final answer.
     pub(crate) fn answer(
         &mut self,
         now: Time,
         id: RequestId,
         answer: FinalAnswer,
-        how: FinalOutcome,
+        outcome: FinalOutcome,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.conclude(now, id, matches!(answer, FinalAnswer::Served(_)), effects)
-        else {
+        let completion = if matches!(answer, FinalAnswer::Served(_)) {
+            Completion::Served
+        } else {
+            Completion::NotServed
+        };
+        let Some(request) = self.close_request(now, id, completion, effects) else {
             return;
         };
         effects.push(Effect::Answer {
-            client: held.client,
-            ticket: held.ticket,
+            client: request.client,
+            ticket: request.ticket,
             answer,
         });
-        self.record(now, held, how, effects);
+        self.record(now, request, outcome, effects);
     }
 
-    /// Forgets a request that has had its final answer, wherever it is known.
-    pub(crate) fn conclude(
+    /// Removes a request that has its final answer, here and from the admission queue.
+    pub(crate) fn close_request(
         &mut self,
         now: Time,
         id: RequestId,
-        served: bool,
+        completion: Completion,
         effects: &mut Vec<Effect>,
-    ) -> Option<Held> {
-        let held = self.drop_request(now, id, effects)?;
-        if let Some(client) = self.clients.get_mut(&held.client) {
-            client.open.remove(&id);
+    ) -> Option<PendingRequest> {
+        let request = self.remove_request(now, id, effects)?;
+        if let Some(client) = self.clients.get_mut(&request.client) {
+            client.open_requests.remove(&id);
         }
-        if let Some(door) = &mut self.door {
-            if held.queued.is_some() {
-                door.on_client_disconnected(now, id, &mut self.verdicts);
-            } else {
-                door.on_finished(now, id, served, &mut self.verdicts);
-            }
+        let Some(admission) = &mut self.admission else {
+            return Some(request);
+        };
+        if request.queued.is_some() {
+            admission.on_client_disconnected(now, id, &mut self.admission_decisions);
+        } else {
+            admission.on_finished(now, id, completion, &mut self.admission_decisions);
         }
-        Some(held)
+        Some(request)
+    }
+}
+
+const fn rejection_reason(reason: GiveUpReason) -> RejectionReason {
+    match reason {
+        GiveUpReason::DeadlineExceeded => RejectionReason::DeadlineExceeded,
+        GiveUpReason::Overloaded => RejectionReason::Overloaded,
+        GiveUpReason::NeverSent => RejectionReason::NeverSent,
+        GiveUpReason::TooLate => RejectionReason::TooLate,
+        GiveUpReason::AttemptsExhausted => RejectionReason::AttemptsExhausted,
+        GiveUpReason::RetryWindowClosed => RejectionReason::RetryWindowClosed,
     }
 }
 
 impl CoreConfig {
-    /// How a request ends whose answer comes now.
-    pub(crate) fn ending(&self, held: &Held, now: Time) -> FinalOutcome {
-        let latency_objective = self.settings.classes[held.class].latency_objective;
-        if now - held.arrived <= latency_objective {
+    /// The outcome of a request that is answered now, by its latency objective.
+    pub(crate) fn served_outcome(&self, request: &PendingRequest, now: Time) -> FinalOutcome {
+        let latency_objective = self.settings.classes[request.class].latency_objective;
+        if now - request.arrived <= latency_objective {
             FinalOutcome::InTime
         } else {
             FinalOutcome::Late
         }
     }
 
-    /// When a refused client should come back, where the module leaves that open. What it met, too much work or
-    /// no member that could serve it, takes a while to pass; where a late answer is worth nothing, coming back
-    /// early would only add to the load.
-    pub(crate) fn come_back(&self, class: usize) -> Span {
+    /// Retry-After where the policy names none. Overload or a group without a usable endpoint takes
+    /// a while to pass; where a late answer has no value, an early retry would only add load.
+    pub(crate) fn default_retry_after(&self, class: usize) -> Span {
         let longest = self.settings.limits.max_retry_after;
-        let late_counts = self
-            .settings
-            .classes
-            .get(class)
-            .is_some_and(|c| c.late_priority_weight > 0.0);
-        if late_counts {
+        let class = self.settings.classes.get(class);
+        let late_answer_counts = class.is_some_and(|c| c.late_priority_weight > 0.0);
+        if late_answer_counts {
             Span(longest.0 / 4)
         } else {
             longest
