--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -1,42 +1,353 @@
-//! Shutdown and its stages.
-
-use crate::prelude::*;
-
-/// After a planned stop was asked for, connections are still taken for so long: they keep coming for 0.4 s.
-pub(crate) const STILL_TAKEN: Span = Span::from_millis(450);
-/// The platform kills a program that has not ended by its longest deadline, cut to this, and so much more.
-pub(crate) const LONGEST: Span = Span::from_millis(3_000);
-pub(crate) const MORE: Span = Span::from_millis(700);
-/// The part of that time, in tenths, in which connections that clients have are still served: they use them
-/// for as long as these stay open, and the other gateways may be down as well.
-pub(crate) const SERVED_TENTHS: i64 = 9;
-/// Where another process takes the connections, those that are open are served for so long before they end as they rest.
-pub(crate) const LEAVES: Span = Span::from_millis(100);
-/// What is still open so long before the end is given up.
-pub(crate) const LAST_WORD: Span = Span::from_millis(250);
-/// Where another process takes the connections, what comes in so long before that is refused: it would be cut off, and its
-/// client is served there. Answers that are on their way have so long to come.
-pub(crate) const LAST_ASKED: Span = Span::from_millis(250);
-/// When clients that are refused for that should come back.
-pub(crate) const AT_ONCE: Span = Span::from_millis(1);
-/// How often, from when no more is to be served, connections are looked over for those that have come to rest.
-pub(crate) const CLOSE_EACH: Span = Span::from_millis(25);
-/// So long before it the program ends, whatever clients still hold open: they have been told, and are not waited for.
-pub(crate) const GONE: Span = Span::from_millis(100);
-/// How often, from then on, it is asked to end: it does once nothing is half read or half written.
-pub(crate) const EXIT_EACH: Span = Span::from_millis(5);
+//! Shutdown: its state, its schedule, and what happens at each step.
+//!
+//! Inputs are a planned shutdown, a handoff (another process takes new connections over), and
+//! timers that they set. Times are whole microseconds of the process's monotonic clock. The state
+//! has a fixed size.
+//!
+//! | state | `Requested` | `HandoffStarted` | `CloseClients` | `RejectRequests` |
+//! | --- | --- | --- | --- | --- |
+//! | `Serving` | `Draining`, cause `Requested` | `Draining`, cause `Handoff` | stays | stays |
+//! | `Draining` | adds the cause | adds the cause | `Closing` | `Rejecting` |
+//! | `Closing` | adds the cause | adds the cause | stays | `RejectingAndClosing` |
+//! | `Rejecting` | adds the cause | adds the cause | `RejectingAndClosing` | stays |
+//! | `RejectingAndClosing` | adds the cause | adds the cause | stays | stays |
+//!
+//! `Rejecting` may come before `Closing`: where the longest deadline of a class is short, open
+//! requests get their final answer before client connections would begin to close.
+
+use valehatch_policy::{Outcome, PolicyEvent, RequestId, Span, Time};
+use valehatch_request_log::{FailureReason, FinalOutcome, RejectionReason};
+
+use crate::messages::{Effect, Failure, FinalAnswer, UpstreamReply};
+use crate::permission::{ProcessStage, may_close};
+use crate::reducer::State;
+use crate::timers::Timer;
+use crate::{attempts::AfterReply, requests::PendingRequest};
+
+/// New connections are accepted for this long after a shutdown request: clients go on connecting
+/// for 0.4 s.
+const ACCEPT_AFTER_REQUEST: Span = Span::from_millis(450);
+/// The platform kills the program after its longest class deadline, cut to this, plus
+/// [`KILL_GRACE`].
+const LONGEST_DEADLINE: Span = Span::from_millis(3_000);
+const KILL_GRACE: Span = Span::from_millis(700);
+/// Tenths of the time until the kill in which existing connections are served: clients use a
+/// connection for as long as it is open, and the other gateways may be down as well.
+const SERVE_TENTHS: i64 = 9;
+/// After a handoff, existing connections are served for this long before idle ones are closed.
+const SERVE_AFTER_HANDOFF: Span = Span::from_millis(100);
+/// Open requests get their final answer this long before the kill.
+const FAIL_REQUESTS_LEAD: Span = Span::from_millis(250);
+/// After a handoff, new requests are rejected this much earlier still: they would be cut off here,
+/// and the other process can serve them.
+const REJECT_AFTER_HANDOFF_LEAD: Span = Span::from_millis(250);
+/// Retry-After for requests that are rejected after a handoff: the other process takes them at
+/// once.
+pub(crate) const RETRY_AFTER_HANDOFF: Span = Span::from_millis(1);
+/// Interval at which client connections that have become idle are closed.
+const CLOSE_INTERVAL: Span = Span::from_millis(25);
+/// The program ends this long before the kill, even if clients keep connections open.
+const EXIT_LEAD: Span = Span::from_millis(100);
+/// Interval at which the program is asked to end; it does once no message is partly read or
+/// written.
+const EXIT_INTERVAL: Span = Span::from_millis(5);
+
+/// Why the process shuts down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ShutdownCause {
+    /// A planned shutdown was requested.
+    Requested,
+    /// Another process takes new connections.
+    Handoff,
+    /// Both.
+    RequestedAndHandoff,
+}
+
+/// How far a shutdown has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ShutdownPhase {
+    /// Requests are served as before.
+    Draining,
+    /// Requests are served; client connections without an open request are closed.
+    Closing,
+    /// New requests are rejected; client connections stay open.
+    Rejecting,
+    /// New requests are rejected and all idle client connections are closed.
+    RejectingAndClosing,
+}
+
+/// What advances a shutdown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ShutdownEvent {
+    /// A planned shutdown was requested.
+    Requested,
+    /// Another process takes new connections from now on.
+    HandoffStarted,
+    /// Client connections begin to close.
+    CloseClients,
+    /// New requests begin to be rejected.
+    RejectRequests,
+}
+
+/// Whether and how far the process is shutting down. It never goes back to an earlier state.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ShutdownState {
+    /// No shutdown.
+    #[default]
+    Serving,
+    /// A shutdown is under way.
+    ShuttingDown {
+        /// Why.
+        cause: ShutdownCause,
+        /// How far it has come.
+        phase: ShutdownPhase,
+    },
+}
+
+impl ShutdownState {
+    /// The state after an event: the table in the module's documentation.
+    #[must_use]
+    pub const fn after(self, event: ShutdownEvent) -> Self {
+        let Self::ShuttingDown { cause, phase } = self else {
+            return Self::first_after(event);
+        };
+        match event {
+            ShutdownEvent::Requested => Self::ShuttingDown {
+                cause: cause.with_request(),
+                phase,
+            },
+            ShutdownEvent::HandoffStarted => Self::ShuttingDown {
+                cause: cause.with_handoff(),
+                phase,
+            },
+            ShutdownEvent::CloseClients => Self::ShuttingDown {
+                cause,
+                phase: phase.with_closing(),
+            },
+            ShutdownEvent::RejectRequests => Self::ShuttingDown {
+                cause,
+                phase: phase.with_rejecting(),
+            },
+        }
+    }
+
+    const fn first_after(event: ShutdownEvent) -> Self {
+        let cause = match event {
+            ShutdownEvent::Requested => ShutdownCause::Requested,
+            ShutdownEvent::HandoffStarted => ShutdownCause::Handoff,
+            ShutdownEvent::CloseClients | ShutdownEvent::RejectRequests => return Self::Serving,
+        };
+        Self::ShuttingDown {
+            cause,
+            phase: ShutdownPhase::Draining,
+        }
+    }
+
+    /// Whether a planned shutdown was requested.
+    #[must_use]
+    pub const fn is_requested(self) -> bool {
+        matches!(
+            self,
+            Self::ShuttingDown {
+                cause: ShutdownCause::Requested | ShutdownCause::RequestedAndHandoff,
+                ..
+            }
+        )
+    }
+
+    /// Whether another process takes new connections.
+    #[must_use]
+    pub const fn is_handoff(self) -> bool {
+        matches!(
+            self,
+            Self::ShuttingDown {
+                cause: ShutdownCause::Handoff | ShutdownCause::RequestedAndHandoff,
+                ..
+            }
+        )
+    }
+
+    /// Whether client connections are being closed.
+    #[must_use]
+    pub const fn is_closing(self) -> bool {
+        matches!(
+            self,
+            Self::ShuttingDown {
+                phase: ShutdownPhase::Closing | ShutdownPhase::RejectingAndClosing,
+                ..
+            }
+        )
+    }
+
+    /// Whether new requests are rejected.
+    #[must_use]
+    pub const fn is_rejecting(self) -> bool {
+        matches!(
+            self,
+            Self::ShuttingDown {
+                phase: ShutdownPhase::Rejecting | ShutdownPhase::RejectingAndClosing,
+                ..
+            }
+        )
+    }
+
+    /// The stage that decides which requests are accepted.
+    #[must_use]
+    pub const fn process_stage(self) -> ProcessStage {
+        match self {
+            Self::Serving => ProcessStage::Serving,
+            Self::ShuttingDown { phase, .. } => match phase {
+                ShutdownPhase::Draining => ProcessStage::Draining,
+                ShutdownPhase::Closing => ProcessStage::Closing,
+                ShutdownPhase::Rejecting | ShutdownPhase::RejectingAndClosing => {
+                    ProcessStage::Stopping
+                }
+            },
+        }
+    }
+}
+
+impl ShutdownCause {
+    const fn with_request(self) -> Self {
+        match self {
+            Self::Requested => Self::Requested,
+            Self::Handoff | Self::RequestedAndHandoff => Self::RequestedAndHandoff,
+        }
+    }
+
+    const fn with_handoff(self) -> Self {
+        match self {
+            Self::Handoff => Self::Handoff,
+            Self::Requested | Self::RequestedAndHandoff => Self::RequestedAndHandoff,
+        }
+    }
+}
+
+impl ShutdownPhase {
+    const fn with_closing(self) -> Self {
+        match self {
+            Self::Draining | Self::Closing => Self::Closing,
+            Self::Rejecting | Self::RejectingAndClosing => Self::RejectingAndClosing,
+        }
+    }
+
+    const fn with_rejecting(self) -> Self {
+        match self {
+            Self::Draining | Self::Rejecting => Self::Rejecting,
+            Self::Closing | Self::RejectingAndClosing => Self::RejectingAndClosing,
+        }
+    }
+}
 
 impl State {
-    /// Where the process stands.
-    pub(crate) const fn stage(&self) -> ProcessStage {
-        if self.ended {
-            ProcessStage::Stopping
-        } else if self.stopped {
-            ProcessStage::Closing
-        } else if self.stopping || self.left {
-            ProcessStage::Draining
+    /// Schedules the steps of a planned shutdown, so that the program ends before the platform
+    /// kills it.
+    pub(crate) fn on_shutdown_requested(&mut self, now: Time) {
+        self.shutdown = self.shutdown.after(ShutdownEvent::Requested);
+        let classes = &self.config.settings.classes;
+        let longest = classes.iter().map(|class| class.deadline).max();
+        let kill = longest.unwrap_or(LONGEST_DEADLINE).min(LONGEST_DEADLINE) + KILL_GRACE;
+        let serve = Span(kill.0 / 10 * SERVE_TENTHS).max(ACCEPT_AFTER_REQUEST);
+        let fail = kill - FAIL_REQUESTS_LEAD;
+        self.set_timer(now + ACCEPT_AFTER_REQUEST, Timer::StopListening);
+        self.set_timer(now + serve, Timer::CloseClients);
+        self.set_timer(
+            now + (fail - REJECT_AFTER_HANDOFF_LEAD),
+            Timer::RejectAfterHandoff,
+        );
+        self.set_timer(now + fail, Timer::FailOpenRequests);
+        self.set_timer(now + (kill - EXIT_LEAD), Timer::Exit);
+    }
+
+    /// Stops accepting, and closes client connections as they become idle. Accepting ends first, so
+    /// that a connection that was accepted last is still served.
+    pub(crate) fn on_handoff_started(&mut self, now: Time) {
+        self.shutdown = self.shutdown.after(ShutdownEvent::HandoffStarted);
+        self.set_timer(now, Timer::StopListening);
+        self.set_timer(now + SERVE_AFTER_HANDOFF, Timer::CloseClients);
+    }
+
+    /// Closes client connections that have no open request, and comes back for those that become
+    /// idle later.
+    pub(crate) fn on_close_clients_timer(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        self.shutdown = self.shutdown.after(ShutdownEvent::CloseClients);
+        if self.shutdown.is_rejecting() {
+            effects.push(Effect::CloseIdleClients);
+        } else {
+            self.close_idle_clients(effects);
+        }
+        self.set_timer(now + CLOSE_INTERVAL, Timer::CloseClients);
+    }
+
+    fn close_idle_clients(&self, effects: &mut Vec<Effect>) {
+        for (id, client) in &self.clients {
+            if may_close(client.open_requests.len()).is_ok() {
+                effects.push(Effect::CloseClient(*id));
+            }
+        }
+    }
+
+    /// Rejects new requests from now on if another process can serve them.
+    pub(crate) fn on_reject_after_handoff_timer(&mut self) {
+        if self.shutdown.is_handoff() {
+            self.shutdown = self.shutdown.after(ShutdownEvent::RejectRequests);
+        }
+    }
+
+    /// Asks the program to end, and asks again later if it could not.
+    pub(crate) fn on_exit_timer(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        effects.push(Effect::Exit);
+        self.set_timer(now + EXIT_INTERVAL, Timer::Exit);
+    }
+
+    /// Gives each open request its final answer; responses that are being streamed go on until the
+    /// program ends.
+    pub(crate) fn fail_open_requests(
+        &mut self,
+        now: Time,
+        policy_events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.shutdown = self.shutdown.after(ShutdownEvent::RejectRequests);
+        let not_streaming = |(id, request): (&RequestId, &PendingRequest)| {
+            request.response_started_at.is_none().then_some(*id)
+        };
+        let open: Vec<RequestId> = self.requests.iter().filter_map(not_streaming).collect();
+        for id in open {
+            self.fail_open_request(now, id, policy_events, effects);
+        }
+    }
+
+    fn fail_open_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        policy_events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let (answer, outcome) = if request.attempts == 0 {
+            let answer = FinalAnswer::Rejected {
+                retry_after: self.config.default_retry_after(request.class),
+                overloaded: false,
+            };
+            (answer, FinalOutcome::Refused(RejectionReason::Stopping))
         } else {
-            ProcessStage::Serving
+            let outcome = FinalOutcome::Failed(FailureReason::Stopping);
+            (FinalAnswer::Failed(Failure::Timeout), outcome)
+        };
+        // An attempt that is still in flight could run here while its client, which has its answer,
+        // repeats the request elsewhere. Cancelling it closes its connection, so the request runs
+        // in one place at most.
+        let in_flight = self.connections_of(id);
+        self.answer(now, id, answer, outcome, effects);
+        policy_events.push(PolicyEvent::ClientDisconnected(id));
+        for connection in in_flight {
+            let reply = UpstreamReply::without_details(Outcome::Cancelled);
+            let ended = self.on_reply(now, connection, reply, AfterReply::Close, effects);
+            policy_events.extend(ended);
         }
     }
 }
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use valehatch_core::permission::{
     AcceptCheck, Decisions, Denial, ProcessStage, SendCheck, SendPermit, may_accept,
-    may_check_health, may_close, may_repeat, may_send,
+    may_check_health, may_close, may_retry, may_send,
 };
 use valehatch_policy::{DedupScope, Idempotency, Span, Time};
 
@@ -54,11 +54,11 @@
 fn repeat(#[case] idempotency: Idempotency, #[case] after: i64, #[case] want: Result<(), Denial>) {
     let first = Time(5_000_000);
     assert_eq!(
-        may_repeat(idempotency, Some(first), first + Span(after)),
+        may_retry(idempotency, Some(first), first + Span(after)),
         want
     );
     assert_eq!(
-        may_repeat(idempotency, None, first + Span(after)),
+        may_retry(idempotency, None, first + Span(after)),
         Ok(()),
         "it never ran"
     );
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -592,7 +592,8 @@
         }
         // It looks at all that is held: not after each turn of a crowd of thousands.
         if self.outcome.steps.is_multiple_of(16) {
-            self.gateways[n].state.check_invariants()?;
+            let checked = self.gateways[n].state.check_invariants();
+            checked.map_err(|violation| violation.to_string())?;
         }
         if let Some(due) = self.gateways[n].state.next_due() {
             // The loop itself takes a moment.
