--- a/crates/core/src/client_connections.rs
+++ b/crates/core/src/client_connections.rs
@@ -19,6 +19,11 @@
 }
 
 impl State {
+    /// Notes a client that has connected.
+    pub(crate) fn on_client_connected(&mut self, client: ClientId) {
+        self.clients.entry(client).or_default();
+    }
+
     /// Aborts each request of a client whose connection has closed.
     pub(crate) fn on_client_disconnected(
         &mut self,
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 use valehatch_admission::InvariantViolation as QueueViolation;
-use valehatch_policy::EndpointId;
+use valehatch_policy::{EndpointId, Time};
 
 use crate::messages::ConnectionId;
 use crate::reducer::State;
@@ -140,11 +140,7 @@
     }
 }
 
-const fn indexed(
-    endpoint: EndpointId,
-    since: valehatch_policy::Time,
-    id: ConnectionId,
-) -> IndexedConnection {
+const fn indexed(endpoint: EndpointId, since: Time, id: ConnectionId) -> IndexedConnection {
     IndexedConnection {
         endpoint,
         idle: IdleConnection { since, id },
--- a/crates/core/src/live_view.rs
+++ b/crates/core/src/live_view.rs
@@ -6,7 +6,7 @@
 
 use valehatch_policy::Time;
 
-use crate::messages::{LiveEndpoint, LiveView, OpenCounts};
+use crate::messages::{Effect, LiveEndpoint, LiveView, OpenCounts};
 use crate::reducer::State;
 
 /// Requests of each tenant, by whole seconds.
@@ -59,8 +59,13 @@
         }
     }
 
+    /// Publishes the live view.
+    pub(crate) fn publish_view(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        effects.push(Effect::PublishView(Box::new(self.live_view(now))));
+    }
+
     /// What is known and in flight now.
-    pub(crate) fn live_view(&mut self, now: Time) -> LiveView {
+    fn live_view(&mut self, now: Time) -> LiveView {
         self.rates.advance(now);
         let view = self.router.view();
         let mut endpoints = vec![];
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -9,7 +9,7 @@
 //! | --- | --- |
 //! | [`may_accept`] | the reducer, for each request that comes in |
 //! | [`may_send`] | the reducer, for each attempt that the policy orders |
-//! | [`SendPermit::try_acquire`] | the connection that carries an attempt, just before its first byte is written |
+//! | [`SendPermit::try_acquire`] | the connection, just before the first byte of an attempt |
 //! | [`may_check_health`] | the reducer, for each health check |
 //! | [`may_close`] | the reducer, for each client connection during shutdown |
 
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -178,9 +178,7 @@
                 let coverage = ListCoverage::from_complete(complete);
                 self.on_endpoint_list(now, coverage, endpoints, policy_events, effects);
             }
-            Event::ClientConnected(client) => {
-                self.clients.entry(client).or_default();
-            }
+            Event::ClientConnected(client) => self.on_client_connected(client),
             Event::ClientDisconnected(client) => {
                 self.on_client_disconnected(now, client, policy_events, effects);
             }
@@ -218,9 +216,7 @@
             Event::ClockCorrected(by) => policy_events.push(PolicyEvent::ClockCorrected(by)),
             Event::TenantQuotas(quotas) => self.on_tenant_quotas(&quotas, effects),
             Event::UpstreamConnectionLimit(limit) => self.on_connection_limit(limit, effects),
-            Event::PublishView => {
-                effects.push(Effect::PublishView(Box::new(self.live_view(now))));
-            }
+            Event::PublishView => self.publish_view(now, effects),
             Event::ShutdownRequested => self.on_shutdown_requested(now),
             Event::HandoffStarted => self.on_handoff_started(now),
         }
@@ -235,7 +231,7 @@
         }
     }
 
-    /// Does what the policy asks for. A request whose response is being streamed is out of its
+    /// Carries out what the policy orders. A request whose response is being streamed is out of its
     /// hands.
     fn apply_action(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
         if let Action::Send { request, .. }
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -18,11 +18,12 @@
 use valehatch_policy::{Outcome, PolicyEvent, RequestId, Span, Time};
 use valehatch_request_log::{FailureReason, FinalOutcome, RejectionReason};
 
+use crate::attempts::AfterReply;
 use crate::messages::{Effect, Failure, FinalAnswer, UpstreamReply};
 use crate::permission::{ProcessStage, may_close};
 use crate::reducer::State;
+use crate::requests::PendingRequest;
 use crate::timers::Timer;
-use crate::{attempts::AfterReply, requests::PendingRequest};
 
 /// New connections are accepted for this long after a shutdown request: clients go on connecting
 /// for 0.4 s.
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use valehatch_policy::{PolicyEvent, RequestId, Span, Time};
+use valehatch_policy::{Outcome, PolicyEvent, RequestId, Span, Time};
 
 use crate::attempts::AfterReply;
 use crate::messages::{ConnectionId, Effect, Observability, UpstreamReply};
@@ -87,7 +87,7 @@
             Timer::AttemptTimeout(connection) => {
                 // A late answer on this connection would be taken for the answer to the next
                 // request that it carries, so the connection is closed together with the attempt.
-                let reply = UpstreamReply::without_details(valehatch_policy::Outcome::Timeout);
+                let reply = UpstreamReply::without_details(Outcome::Timeout);
                 let ended = self.on_reply(now, connection, reply, AfterReply::Close, effects);
                 policy_events.extend(ended);
             }
@@ -109,7 +109,7 @@
         };
         let interval = self.publish_interval(&observability);
         self.set_timer(now + interval, Timer::PublishView);
-        effects.push(Effect::PublishView(Box::new(self.live_view(now))));
+        self.publish_view(now, effects);
     }
 
     fn publish_interval(&self, observability: &Arc<Observability>) -> Span {
