--- a/crates/core/tests/begin.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! What may begin: leave to write an attempt is used once or taken back once, and the reducer takes it back at the moment at
-//! which the attempt loses its reason.
+//! When an attempt may be written: its permit is acquired or revoked once, and the reducer revokes
+//! it as soon as the request is cancelled or its endpoint drains.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,12 +12,12 @@
 };
 use valehatch_policy::{
     Consistency, DedupScope, DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId,
-    Idempotency as Rerun, KindId, Limits, ListedRole, Outcome, RequestClass, Rules,
-    SessionTracking, Settings, Span, StaleReadPolicy, Time, ZoneId,
+    Idempotency, KindId, Limits, ListedRole, Outcome, RequestClass, Rules, SessionTracking,
+    Settings, Span, StaleReadPolicy, Time, ZoneId,
 };
 
-const WRITE: usize = 0;
-const UNSAFE: usize = 1;
+const IDEMPOTENCY_KEY: usize = 0;
+const NON_IDEMPOTENT: usize = 1;
 
 fn ms(n: i64) -> Span {
     Span::from_millis(n)
@@ -35,11 +35,11 @@
     };
     Settings {
         classes: vec![
-            class(Rerun::IdempotencyKey {
+            class(Idempotency::IdempotencyKey {
                 scope: DedupScope::Group,
                 window: ms(2_000),
             }),
-            class(Rerun::NonIdempotent),
+            class(Idempotency::NonIdempotent),
         ],
         tenants: vec![],
         over_quota_priority_weight: None,
@@ -71,19 +71,19 @@
     }
 }
 
-/// A reducer with one request that its member was asked to take.
-struct Scene {
+/// A reducer with one request whose attempt was handed to a connection.
+struct Fixture {
     state: State,
     now: Time,
-    room: Arc<AtomicUsize>,
+    memory: Arc<AtomicUsize>,
     permit: SendPermit,
     connection: ConnectionId,
-    /// When its attempt is given up.
-    until: Time,
+    /// When the attempt is given up.
+    deadline: Time,
 }
 
-fn member(id: u32, state: EndpointState, primary: bool) -> ListedEndpoint {
-    let entry = EndpointRecord {
+fn listed_endpoint(id: u32, state: EndpointState, primary: bool) -> ListedEndpoint {
+    let record = EndpointRecord {
         endpoint: EndpointId(id),
         group: GroupId(0),
         zone: ZoneId(0),
@@ -94,14 +94,14 @@
         state,
     };
     ListedEndpoint {
-        record: entry,
+        record,
         name: format!("s-{id}").into(),
         address: format!("127.0.0.1:{}", 9000 + id).into(),
     }
 }
 
 /// A request of a class that was read at a time.
-fn ask(room: &Arc<AtomicUsize>, class: usize, received: Time) -> IncomingRequest {
+fn incoming_request(memory: &Arc<AtomicUsize>, class: usize, received: Time) -> IncomingRequest {
     IncomingRequest {
         name: Some("one".into()),
         class,
@@ -117,30 +117,28 @@
             write: true,
             class,
         }),
-        memory: MemoryReservation::try_acquire(room, 10, 100).unwrap(),
+        memory: MemoryReservation::try_acquire(memory, 10, 100).unwrap(),
         client: 1,
     }
 }
 
 /// When the attempt that was submitted is given up.
-fn until(effects: &[Effect]) -> Time {
-    let until = |idempotency: &Effect| match idempotency {
+fn submitted_deadline(effects: &[Effect]) -> Time {
+    let deadline = |effect: &Effect| match effect {
         Effect::Submit {
-            job: UpstreamJob::Request {
-                deadline: until, ..
-            },
+            job: UpstreamJob::Request { deadline, .. },
             ..
-        } => Some(*until),
+        } => Some(*deadline),
         _ => None,
     };
     effects
         .iter()
-        .find_map(until)
+        .find_map(deadline)
         .expect("an attempt was submitted")
 }
 
 fn submitted(effects: &[Effect]) -> Option<(ConnectionId, SendPermit)> {
-    effects.iter().find_map(|idempotency| match idempotency {
+    effects.iter().find_map(|effect| match effect {
         Effect::Submit {
             connection,
             job: UpstreamJob::Request { permit, .. },
@@ -155,45 +153,45 @@
         .any(|e| matches!(e, Effect::CloseUpstream(closed) if *closed == connection))
 }
 
-impl Scene {
+impl Fixture {
     fn new(class: usize) -> Self {
-        Self::asked_after(class, vec![], ms(0))
+        Self::after_events(class, vec![], ms(0))
     }
 
-    /// One whose request was read this long before the turn that took it.
-    fn read_before(waited: Span) -> Self {
-        let mut scene = Self::new(UNSAFE);
+    /// A fixture whose request was read this long before the turn that handled it.
+    fn with_wait_before_reducer(waited: Span) -> Self {
+        let mut fixture = Self::new(NON_IDEMPOTENT);
         let end = UpstreamReply {
             body: Some(b"done".to_vec()),
             ..UpstreamReply::without_details(Outcome::Ok)
         };
-        scene.turn(
+        fixture.turn(
             1,
             vec![Event::AttemptEnded {
-                connection: scene.connection,
+                connection: fixture.connection,
                 reply: end,
                 reusable: true,
             }],
         );
-        let (room, now) = (Arc::clone(&scene.room), scene.now + ms(1));
-        let asked = ask(&room, UNSAFE, now - waited);
-        let effects = scene.turn(
+        let (memory, now) = (Arc::clone(&fixture.memory), fixture.now + ms(1));
+        let request = incoming_request(&memory, NON_IDEMPOTENT, now - waited);
+        let effects = fixture.turn(
             1,
             vec![Event::RequestReceived {
                 client: ClientId(1),
                 ticket: 1,
-                request: asked,
+                request,
             }],
         );
-        (scene.connection, scene.permit) =
+        (fixture.connection, fixture.permit) =
             submitted(&effects).expect("it goes to the primary at once");
-        scene.until = until(&effects);
-        scene
+        fixture.deadline = submitted_deadline(&effects);
+        fixture
     }
 
-    /// The same where so much happened, and so much time went by, before it was asked for.
-    fn asked_after(class: usize, before: Vec<Event>, time: Span) -> Self {
-        let facts = CoreConfig {
+    /// A fixture in which these events were handled and this time passed before the request.
+    fn after_events(class: usize, before: Vec<Event>, time: Span) -> Self {
+        let config = CoreConfig {
             admission: None,
             observability: None,
             metrics: None,
@@ -203,34 +201,34 @@
             upstream_connection_limit: 8,
             health_check_timeout: ms(250),
         };
-        let mut state = State::new(facts, 1).unwrap();
-        let (began, room) = (Time(100_000_000), Arc::new(AtomicUsize::new(0)));
-        state.reduce(began, before, &mut vec![]);
-        let now = began + time;
-        let ask = ask(&room, class, now);
+        let mut state = State::new(config, 1).unwrap();
+        let (start, memory) = (Time(100_000_000), Arc::new(AtomicUsize::new(0)));
+        state.reduce(start, before, &mut vec![]);
+        let now = start + time;
+        let request = incoming_request(&memory, class, now);
         let list = Event::EndpointList {
             complete: true,
-            endpoints: vec![member(1, EndpointState::Ready, true)],
+            endpoints: vec![listed_endpoint(1, EndpointState::Ready, true)],
         };
-        let asked = Event::RequestReceived {
+        let received = Event::RequestReceived {
             client: ClientId(1),
             ticket: 0,
-            request: ask,
+            request,
         };
         let mut effects = vec![];
         state.reduce(
             now,
-            vec![list, Event::ClientConnected(ClientId(1)), asked],
+            vec![list, Event::ClientConnected(ClientId(1)), received],
             &mut effects,
         );
         let (connection, permit) = submitted(&effects).expect("it goes to the primary at once");
         Self {
             state,
             now,
-            room,
+            memory,
             permit,
             connection,
-            until: until(&effects),
+            deadline: submitted_deadline(&effects),
         }
     }
 
@@ -238,7 +236,7 @@
         self.now = self.now + ms(after);
         let mut effects = vec![];
         self.state.reduce(self.now, events, &mut effects);
-        // What an end left for the next turn, which comes at once.
+        // The next turn comes at once and passes on what the policy has not seen yet.
         self.state.reduce(self.now, vec![], &mut effects);
         self.state.check_invariants().unwrap();
         effects
@@ -246,7 +244,7 @@
 }
 
 #[test]
-fn leave_is_used_or_taken_back_once_whoever_comes_first() {
+fn permit_is_acquired_or_revoked_once() {
     let (now, end) = (Time(1), Time(10));
     let permit = SendPermit::new(end);
     assert!(permit.clone().try_acquire(now).is_ok());
@@ -268,8 +266,10 @@
     assert!(late.revoke(), "nothing was written");
 }
 
+// One thread is about to write an attempt while another cancels it. If both succeeded, the attempt
+// would run although it counts as unsent.
 #[test]
-fn of_two_threads_one_has_its_way() {
+fn permit_race_between_threads_has_one_winner() {
     for _ in 0..2_000 {
         let permit = SendPermit::new(Time(10));
         let other = permit.clone();
@@ -279,82 +279,94 @@
     }
 }
 
+// A client leaves while its attempt is still being dialled. The attempt must not begin later, and
+// its memory is returned once, also if the connection reports the same end again.
 #[test]
-fn what_was_not_written_when_its_client_left_is_called_off_and_all_it_held_is_given_back_once() {
-    for class in [WRITE, UNSAFE] {
-        let mut scene = Scene::new(class);
-        let effects = scene.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
+fn client_leaves_before_write_cancels_attempt_and_returns_memory() {
+    for class in [IDEMPOTENCY_KEY, NON_IDEMPOTENT] {
+        let mut fixture = Fixture::new(class);
+        let effects = fixture.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
         assert!(
-            scene.permit.try_acquire(scene.now).is_err(),
+            fixture.permit.try_acquire(fixture.now).is_err(),
             "it must not begin any more"
         );
-        assert!(closed(&effects, scene.connection));
-        assert_eq!(scene.room.load(Ordering::Relaxed), 0, "its room is free");
-        // Whoever carried it says so as well, late.
+        assert!(closed(&effects, fixture.connection));
+        assert_eq!(
+            fixture.memory.load(Ordering::Relaxed),
+            0,
+            "its memory is returned"
+        );
+        // The connection reports the same end, late.
         let reply = UpstreamReply::without_details(Outcome::NotSent);
         let ended = Event::AttemptEnded {
-            connection: scene.connection,
+            connection: fixture.connection,
             reply,
             reusable: true,
         };
-        let effects = scene.turn(200, vec![ended, Event::ClientDisconnected(ClientId(1))]);
+        let effects = fixture.turn(200, vec![ended, Event::ClientDisconnected(ClientId(1))]);
         assert!(effects.is_empty(), "{effects:?}");
     }
 }
 
+// A client leaves after its attempt was written. The endpoint has begun the work, so its connection
+// stays open.
 #[test]
-fn what_was_written_goes_on_when_its_client_leaves() {
-    let mut scene = Scene::new(UNSAFE);
-    assert!(scene.permit.try_acquire(scene.now).is_ok());
-    let effects = scene.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
+fn client_leaves_after_write_keeps_attempt() {
+    let mut fixture = Fixture::new(NON_IDEMPOTENT);
+    assert!(fixture.permit.try_acquire(fixture.now).is_ok());
+    let effects = fixture.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
     assert!(
-        !closed(&effects, scene.connection),
-        "it runs, and its member is not disturbed"
+        !closed(&effects, fixture.connection),
+        "it runs, and its endpoint is not disturbed"
     );
-    assert_eq!(scene.room.load(Ordering::Relaxed), 0);
+    assert_eq!(fixture.memory.load(Ordering::Relaxed), 0);
 }
 
+// An endpoint begins to drain or is removed while an attempt to it is being dialled. Nothing may
+// begin there any more, and the request goes to the other endpoint at once.
 #[test]
-fn what_was_not_written_when_its_member_drains_goes_elsewhere_at_once() {
+fn endpoint_drains_before_write_moves_request_at_once() {
     for (state, complete) in [
         (EndpointState::Draining, false),
         (EndpointState::Removed, false),
         (EndpointState::Removed, true),
     ] {
-        let mut scene = Scene::new(UNSAFE);
-        let mut members = vec![member(2, EndpointState::Ready, true)];
+        let mut fixture = Fixture::new(NON_IDEMPOTENT);
+        let mut endpoints = vec![listed_endpoint(2, EndpointState::Ready, true)];
         if !complete {
-            members.push(member(1, state, false));
+            endpoints.push(listed_endpoint(1, state, false));
         }
-        let effects = scene.turn(
+        let effects = fixture.turn(
             50,
             vec![Event::EndpointList {
                 complete,
-                endpoints: members,
+                endpoints,
             }],
         );
         assert!(
-            scene.permit.try_acquire(scene.now).is_err(),
+            fixture.permit.try_acquire(fixture.now).is_err(),
             "{state:?}: it must not begin there any more"
         );
         let (connection, _) = submitted(&effects).expect("the other one has it at once");
-        assert_ne!(connection, scene.connection);
+        assert_ne!(connection, fixture.connection);
     }
 }
 
+// An endpoint begins to drain after an attempt was written. The attempt may have run, so its answer
+// is awaited and nothing is sent elsewhere.
 #[test]
-fn what_was_written_to_a_member_that_drains_is_waited_for() {
-    let mut scene = Scene::new(UNSAFE);
-    assert!(scene.permit.try_acquire(scene.now).is_ok());
-    let members = vec![
-        member(1, EndpointState::Draining, false),
-        member(2, EndpointState::Ready, true),
+fn endpoint_drains_after_write_keeps_attempt() {
+    let mut fixture = Fixture::new(NON_IDEMPOTENT);
+    assert!(fixture.permit.try_acquire(fixture.now).is_ok());
+    let endpoints = vec![
+        listed_endpoint(1, EndpointState::Draining, false),
+        listed_endpoint(2, EndpointState::Ready, true),
     ];
-    let effects = scene.turn(
+    let effects = fixture.turn(
         50,
         vec![Event::EndpointList {
             complete: false,
-            endpoints: members,
+            endpoints,
         }],
     );
     assert!(submitted(&effects).is_none(), "it may have run");
@@ -362,10 +374,10 @@
         body: Some(b"done".to_vec()),
         ..UpstreamReply::without_details(Outcome::Ok)
     };
-    let effects = scene.turn(
+    let effects = fixture.turn(
         50,
         vec![Event::AttemptEnded {
-            connection: scene.connection,
+            connection: fixture.connection,
             reply,
             reusable: true,
         }],
@@ -379,11 +391,12 @@
     )));
 }
 
+// A dial never succeeds. Nothing was written, so the request is rejected and may be retried safely.
 #[test]
-fn a_dial_that_never_came_up_in_time_has_not_run() {
-    let mut scene = Scene::new(UNSAFE);
-    // Half of its time is over: what was never written is refused, which is harmless, and not failed.
-    let effects: Vec<Effect> = (0..50).flat_map(|_| scene.turn(50, vec![])).collect();
+fn dial_times_out_rejects_request() {
+    let mut fixture = Fixture::new(NON_IDEMPOTENT);
+    // After half of its time a request that was never written is rejected, not failed.
+    let effects: Vec<Effect> = (0..50).flat_map(|_| fixture.turn(50, vec![])).collect();
     let answers: Vec<_> = effects
         .iter()
         .filter(|e| matches!(e, Effect::Answer { .. }))
@@ -398,17 +411,24 @@
         ),
         "{answers:?}"
     );
-    assert!(scene.permit.try_acquire(scene.now).is_err());
+    assert!(fixture.permit.try_acquire(fixture.now).is_err());
 }
 
+// The program is about to end with an attempt in flight. Its client gets an answer and retries
+// elsewhere; were the attempt still in flight, the request could run twice.
 #[test]
-fn what_is_out_as_the_program_is_about_to_end_is_given_up_with_its_answer() {
-    // A planned stop was asked for 3 s ago; what is open 0.45 s later is answered, whatever its client would wait.
-    let mut scene = Scene::asked_after(UNSAFE, vec![Event::ShutdownRequested], ms(3_000));
-    assert!(scene.permit.try_acquire(scene.now).is_ok());
-    let early = scene.turn(400, vec![]);
-    assert!(!closed(&early, scene.connection), "it may be answered yet");
-    let effects = scene.turn(60, vec![]);
+fn shutdown_end_cancels_attempt_with_its_answer() {
+    // Shutdown was requested 3 s ago; 0.45 s later each open request is answered, however long its
+    // client would wait.
+    let mut fixture =
+        Fixture::after_events(NON_IDEMPOTENT, vec![Event::ShutdownRequested], ms(3_000));
+    assert!(fixture.permit.try_acquire(fixture.now).is_ok());
+    let early = fixture.turn(400, vec![]);
+    assert!(
+        !closed(&early, fixture.connection),
+        "it may be answered yet"
+    );
+    let effects = fixture.turn(60, vec![]);
     let failed = |e: &Effect| {
         matches!(
             e,
@@ -420,14 +440,18 @@
     };
     assert!(effects.iter().any(failed), "it may have run: {effects:?}");
     assert!(
-        closed(&effects, scene.connection),
+        closed(&effects, fixture.connection),
         "it is not out any more when its client asks elsewhere"
     );
 }
 
-/// Its client's time runs from when it was read, however long it waited for the reducer.
+// A request may wait for the reducer while an earlier turn runs. Were its deadline counted from the
+// turn, the endpoint would receive a deadline later than its client's own.
 #[test]
-fn time_in_the_queue_is_off_the_deadline() {
-    let (prompt, late) = (Scene::read_before(ms(0)), Scene::read_before(ms(140)));
-    assert_eq!(late.until + ms(140), prompt.until);
+fn wait_before_reducer_shortens_deadline() {
+    let (prompt, late) = (
+        Fixture::with_wait_before_reducer(ms(0)),
+        Fixture::with_wait_before_reducer(ms(140)),
+    );
+    assert_eq!(late.deadline + ms(140), prompt.deadline);
 }
--- a/crates/core/tests/cluster_clock.rs
+++ b/crates/core/tests/cluster_clock.rs
@@ -1,10 +1,11 @@
-//! The offset between the cluster's clock and this process's: corrected by what endpoints tell, and by nothing else.
+//! The offset between the cluster's clock and this process's is corrected by what endpoints report,
+//! and by nothing else.
 
 use rstest::rstest;
 use valehatch_core::cluster_clock::{ClockSample, ClusterClock};
 use valehatch_policy::{Span, Time};
 
-/// Where the cluster's clock really stands.
+/// The true offset of the cluster's clock.
 const TRUE_OFFSET: i64 = 1_767_225_600_000_000;
 const HOUR: i64 = 3_600_000_000;
 
@@ -12,25 +13,25 @@
     Span::from_millis(n).0
 }
 
-/// Observations of a kind, each `age_ms` old when it is told, over exchanges of 4 ms.
-fn observe(clock: &mut ClusterClock, told: ClockSample, age_ms: i64, times: i64) {
+/// Observations of a kind, each `age_ms` old when it is sent, over exchanges of 4 ms.
+fn observe(clock: &mut ClusterClock, sample: ClockSample, age_ms: i64, times: i64) {
     for n in 0..times {
-        let asked = Time(ms(1_000 + 400 * n));
-        let came = asked + Span(ms(4));
+        let requested_at = Time(ms(1_000 + 400 * n));
+        let received_at = requested_at + Span(ms(4));
         clock.observe(
-            TRUE_OFFSET + asked.0 + ms(2) - ms(age_ms),
-            asked,
-            came,
-            told,
+            TRUE_OFFSET + requested_at.0 + ms(2) - ms(age_ms),
+            requested_at,
+            received_at,
+            sample,
         );
     }
 }
 
 #[rstest]
 fn primary_answers_correct_any_error(
-    #[values(-HOUR, -2_000_000, -700_000, 0, 700_000, 2_000_000, HOUR)] off: i64,
+    #[values(-HOUR, -2_000_000, -700_000, 0, 700_000, 2_000_000, HOUR)] error: i64,
 ) {
-    let mut clock = ClusterClock::new(TRUE_OFFSET + off);
+    let mut clock = ClusterClock::new(TRUE_OFFSET + error);
     observe(&mut clock, ClockSample::PrimaryAnswer, 0, 6);
     assert!(clock.is_verified());
     assert!(
@@ -40,24 +41,24 @@
     );
 }
 
-/// Data is never taken to be newer than it is by more than a report's age.
+// A report may be some time old. Data must never count as newer than it is by more than that age.
 #[rstest]
 fn primary_reports_correct_errors_beyond_their_age(
-    #[values(-HOUR, -2_000_000, 2_000_000, HOUR)] off: i64,
+    #[values(-HOUR, -2_000_000, 2_000_000, HOUR)] error: i64,
     #[values(0, 100, 250)] age_ms: i64,
 ) {
-    let mut clock = ClusterClock::new(TRUE_OFFSET + off);
+    let mut clock = ClusterClock::new(TRUE_OFFSET + error);
     observe(&mut clock, ClockSample::PrimaryReport, age_ms, 6);
     assert!(clock.is_verified());
-    let left = clock.offset() - TRUE_OFFSET;
+    let remaining = clock.offset() - TRUE_OFFSET;
     assert!(
-        (-ms(age_ms + 3)..=ms(255)).contains(&left),
-        "off by {left} us"
+        (-ms(age_ms + 3)..=ms(255)).contains(&remaining),
+        "off by {remaining} us"
     );
 }
 
 #[test]
-fn a_right_wall_clock_stays_as_it_is() {
+fn correct_wall_clock_keeps_offset() {
     let mut clock = ClusterClock::new(TRUE_OFFSET);
     observe(&mut clock, ClockSample::PrimaryReport, 250, 4);
     observe(&mut clock, ClockSample::PrimaryAnswer, 0, 4);
@@ -66,19 +67,22 @@
 }
 
 #[rstest]
-fn a_wall_clock_that_is_nearly_right_is_not_corrected(#[values(-18_000, -2_500, 40_000)] off: i64) {
-    let mut clock = ClusterClock::new(TRUE_OFFSET + off);
+fn small_wall_clock_error_is_tolerated(#[values(-18_000, -2_500, 40_000)] error: i64) {
+    let mut clock = ClusterClock::new(TRUE_OFFSET + error);
     observe(&mut clock, ClockSample::PrimaryAnswer, 0, 8);
-    assert_eq!(clock.offset(), TRUE_OFFSET + off);
+    assert_eq!(clock.offset(), TRUE_OFFSET + error);
     assert!(clock.is_verified());
 }
 
+// One endpoint reports a corrupt time. No other observation agrees with it, so nothing changes.
 #[rstest]
-fn one_spoilt_time_moves_nothing(#[values(-HOUR, HOUR, i64::MIN / 2, i64::MAX / 2)] off: i64) {
+fn single_corrupt_time_changes_nothing(
+    #[values(-HOUR, HOUR, i64::MIN / 2, i64::MAX / 2)] error: i64,
+) {
     let mut clock = ClusterClock::new(TRUE_OFFSET);
     observe(&mut clock, ClockSample::PrimaryAnswer, 0, 3);
     let moved = clock.observe(
-        TRUE_OFFSET + off,
+        TRUE_OFFSET + error,
         Time(ms(5_000)),
         Time(ms(5_004)),
         ClockSample::PrimaryAnswer,
@@ -86,9 +90,10 @@
     assert_eq!((moved, clock.offset()), (None, TRUE_OFFSET));
 }
 
-/// A replica's position is behind by any time: it can show that this clock is behind, never that it is ahead.
+// A replica may lag by any time. Its position can show that this clock is behind, never that it is
+// ahead.
 #[test]
-fn replicas_that_lag_do_not_set_the_clock_back() {
+fn lagging_replica_does_not_set_clock_back() {
     let mut clock = ClusterClock::new(TRUE_OFFSET);
     observe(&mut clock, ClockSample::Replica, 60_000, 8);
     assert_eq!(clock.offset(), TRUE_OFFSET);
@@ -98,21 +103,27 @@
     assert!(clock.offset() > TRUE_OFFSET - ms(110));
 }
 
-/// A group that has no primary stands still: its old primary's position grows older, and must not pass for the present.
+// The position of a group without a primary stands still. Its old primary still reports it, and it
+// must not count as the present.
 #[rstest]
 #[case::after_a_healthy_time(true)]
 #[case::from_the_start(false)]
-fn primaries_that_stand_still_do_not_set_the_clock_back(#[case] healthy_before: bool) {
+fn stalled_primary_does_not_set_clock_back(#[case] healthy_before: bool) {
     let mut clock = ClusterClock::new(TRUE_OFFSET);
     if healthy_before {
         observe(&mut clock, ClockSample::PrimaryAnswer, 0, 3);
     }
-    let stands = Time(ms(10_000));
+    let stalled_at = Time(ms(10_000));
     for n in 1..=50 {
-        let asked = stands + Span(ms(100 * n));
-        let told = [ClockSample::PrimaryAnswer, ClockSample::PrimaryReport]
+        let requested_at = stalled_at + Span(ms(100 * n));
+        let sample = [ClockSample::PrimaryAnswer, ClockSample::PrimaryReport]
             [usize::try_from(n % 2).unwrap()];
-        clock.observe(TRUE_OFFSET + stands.0, asked, asked + Span(ms(4)), told);
+        clock.observe(
+            TRUE_OFFSET + stalled_at.0,
+            requested_at,
+            requested_at + Span(ms(4)),
+            sample,
+        );
     }
     assert_eq!(clock.offset(), TRUE_OFFSET);
 }
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -1,4 +1,4 @@
-//! The one place that decides what may be done: each reason to deny, alone, and the edge beside it.
+//! The permission checks: each reason for a denial alone, and the boundary beside it.
 
 use rstest::rstest;
 use valehatch_core::permission::{
@@ -8,12 +8,12 @@
 use valehatch_policy::{DedupScope, Idempotency, Span, Time};
 
 const WINDOW: Span = Span::from_millis(2_000);
-const KEYED: Idempotency = Idempotency::IdempotencyKey {
+const WITH_KEY: Idempotency = Idempotency::IdempotencyKey {
     scope: DedupScope::Group,
     window: WINDOW,
 };
 
-fn sending() -> SendCheck {
+fn allowed_send() -> SendCheck {
     SendCheck {
         now: Time(1_000),
         deadline: Time(1_001),
@@ -28,34 +28,41 @@
 }
 
 #[rstest]
-#[case::all_well(|_: &mut SendCheck| {}, Ok(()))]
+#[case::allowed(|_: &mut SendCheck| {}, Ok(()))]
 #[case::streaming(|s: &mut SendCheck| s.response_started = true, Err(Denial::StreamBegan))]
 #[case::attempt_out(|s: &mut SendCheck| s.attempts_in_flight = 1, Err(Denial::AttemptOut))]
 #[case::attempts_spent(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsSpent))]
 #[case::deadline_over(|s: &mut SendCheck| s.deadline = s.now, Err(Denial::DeadlineOver))]
 #[case::endpoint_drains(|s: &mut SendCheck| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
 #[case::may_have_run(|s: &mut SendCheck| s.may_have_run_since = Some(Time(1)), Err(Denial::RepeatForbidden))]
-fn send(#[case] change: fn(&mut SendCheck), #[case] want: Result<(), Denial>) {
-    let mut asked = sending();
-    change(&mut asked);
-    assert_eq!(may_send(&asked), want);
+fn send_check_denies_by_reason(
+    #[case] change: fn(&mut SendCheck),
+    #[case] expected: Result<(), Denial>,
+) {
+    let mut check = allowed_send();
+    change(&mut check);
+    assert_eq!(may_send(&check), expected);
 }
 
 #[rstest]
-#[case::safe(Idempotency::Idempotent, i64::MAX / 2, Ok(()))]
-#[case::inside_its_window(KEYED, WINDOW.0 - 1, Ok(()))]
-#[case::at_its_end(KEYED, WINDOW.0, Err(Denial::RepeatWindowOver))]
-#[case::keys_of_a_zone_hold_in_that_zone_only(
+#[case::idempotent(Idempotency::Idempotent, i64::MAX / 2, Ok(()))]
+#[case::key_inside_window(WITH_KEY, WINDOW.0 - 1, Ok(()))]
+#[case::key_at_window_end(WITH_KEY, WINDOW.0, Err(Denial::RepeatWindowOver))]
+#[case::key_of_zone(
     Idempotency::IdempotencyKey { scope: DedupScope::Zone, window: WINDOW },
     1,
     Err(Denial::RepeatForbidden)
 )]
-#[case::not_to_be_repeated(Idempotency::NonIdempotent, 0, Err(Denial::RepeatForbidden))]
-fn repeat(#[case] idempotency: Idempotency, #[case] after: i64, #[case] want: Result<(), Denial>) {
+#[case::non_idempotent(Idempotency::NonIdempotent, 0, Err(Denial::RepeatForbidden))]
+fn retry_check_follows_idempotency(
+    #[case] idempotency: Idempotency,
+    #[case] after: i64,
+    #[case] expected: Result<(), Denial>,
+) {
     let first = Time(5_000_000);
     assert_eq!(
         may_retry(idempotency, Some(first), first + Span(after)),
-        want
+        expected
     );
     assert_eq!(
         may_retry(idempotency, None, first + Span(after)),
@@ -71,11 +78,11 @@
 #[case(ProcessStage::Stopping, false, 9, Err(Denial::Stopping))]
 #[case(ProcessStage::Serving, true, 9, Err(Denial::DuplicateName))]
 #[case(ProcessStage::Serving, false, 10, Err(Denial::TooManyOpen))]
-fn accept(
+fn accept_check_denies_by_reason(
     #[case] stage: ProcessStage,
     #[case] name_is_open: bool,
     #[case] open: usize,
-    #[case] want: Result<(), Denial>,
+    #[case] expected: Result<(), Denial>,
 ) {
     assert_eq!(
         may_accept(&AcceptCheck {
@@ -84,12 +91,12 @@
             open_requests: open,
             max_open_requests: 10
         }),
-        want
+        expected
     );
 }
 
 #[test]
-fn probe_and_close() {
+fn health_check_needs_ready_endpoint_and_close_needs_idle_connection() {
     assert_eq!(
         (may_check_health(true), may_check_health(false)),
         (Ok(()), Err(Denial::EndpointNotReady))
@@ -101,7 +108,7 @@
 }
 
 #[test]
-fn a_permit_says_why_it_is_denied() {
+fn denied_permit_returns_reason() {
     let permit = SendPermit::new(Time(10));
     assert_eq!(permit.try_acquire(Time(11)), Err(Denial::DeadlineOver));
     assert_eq!(permit.try_acquire(Time(10)), Ok(()));
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn decisions_are_counted_by_reason() {
+fn decisions_count_by_reason() {
     let decisions = Decisions::default();
     decisions.on_denied(Denial::Stopping);
     decisions.on_denied(Denial::Stopping);
@@ -134,11 +141,10 @@
         (decisions.violations(), text.lines().count()),
         (1, 2 * Denial::ALL.len() + 2)
     );
-    // Each reason has its own place.
-    Denial::ALL
-        .iter()
-        .enumerate()
-        .for_each(|(at, why)| assert_eq!(*why as usize, at));
+    // The counters are indexed by the reason's number.
+    for (index, denial) in Denial::ALL.iter().enumerate() {
+        assert_eq!(*denial as usize, index);
+    }
 }
 
 #[test]
@@ -153,11 +159,11 @@
             .map(|why| line(format!("{kind}.{why}")))
             .collect()
     };
-    let want = [
+    let expected = [
         each("denied"),
         each("violated"),
         line("retried".into()),
         line("cancelled_unsent".into()),
     ];
-    assert_eq!(Decisions::default().text(), want.concat());
+    assert_eq!(Decisions::default().text(), expected.concat());
 }
