--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -186,7 +186,7 @@
         };
         valehatch_net::run(&mut state, clock, &inbox, |step| match step {
             TurnStep::Effect(effect) => effects.run(effect),
-            TurnStep::End => {
+            TurnStep::EndOfTurn => {
                 effects.upstream.flush();
                 LoopControl::Continue
             }
--- a/crates/net/src/discovery/endpoint_list.rs
+++ b/crates/net/src/discovery/endpoint_list.rs
@@ -143,7 +143,7 @@
             revision: list.version,
         };
         let scope = if list.complete {
-            ListScope::Complete
+            ListScope::Full
         } else {
             ListScope::Changes
         };
@@ -208,7 +208,7 @@
         if let Some(id) = self.ids.get(&uid) {
             return *id;
         }
-        let mut id = valehatch_config::endpoint_id(&uid);
+        let mut id = endpoint_id(&uid);
         while self.ids.values().any(|known| *known == id) {
             id = EndpointId(id.0.wrapping_add(1));
         }
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -15,7 +15,10 @@
 use valehatch_config::Site;
 use valehatch_core::Event;
 use valehatch_policy::{DiscoveryMode, Span};
-use valehatch_recovery::endpoint_list::{DiscoveredEndpoint, EndpointListCache, ListVersion, PROPAGATION_DEADLINE, PROPAGATION_DEADLINE_AFTER_WAIT};
+use valehatch_recovery::endpoint_list::{
+    DiscoveredEndpoint, EndpointListCache, ListVersion, PROPAGATION_DEADLINE,
+    PROPAGATION_DEADLINE_AFTER_WAIT,
+};
 
 use super::endpoint_list::{EndpointListStore, ListResponse, complete_list};
 use super::error::PollError;
@@ -80,7 +83,8 @@
         let max_poll_interval = site.settings.rules.max_poll_interval;
         // Whatever failed before, a change has to arrive within `PROPAGATION_DEADLINE`: the next call begins earlier by as much as its
         // response may take.
-        let max_call_interval = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT).min(max_poll_interval.times(0.4));
+        let max_call_interval = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT)
+            .min(max_poll_interval.times(0.4));
         let total = duration(PROPAGATION_DEADLINE_AFTER_WAIT);
         match source {
             DiscoverySource::Agent => {
@@ -123,9 +127,11 @@
                     stalled: STALLED_AFTER.min(turn),
                     ..complete_list
                 };
-                let fleet_round =
-                    valehatch_backoff::fleet_call_interval(site.settings.routers, FLEET_CALLS_PER_SECOND)
-                        .min(max_call_interval);
+                let fleet_round = valehatch_backoff::fleet_call_interval(
+                    site.settings.routers,
+                    FLEET_CALLS_PER_SECOND,
+                )
+                .min(max_call_interval);
                 Self {
                     complete_list,
                     changes,
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -211,7 +211,8 @@
     fn on_successor(&mut self, successor: Successor, actions: &mut Vec<HandoffAction>) {
         let peer = successor.peer;
         let current = self.successor.replace(successor);
-        self.state_machine.handle(HandoffEvent::HandoffRequested(peer), actions);
+        self.state_machine
+            .handle(HandoffEvent::HandoffRequested(peer), actions);
         if !actions.contains(&HandoffAction::RejectBusy(peer)) {
             return;
         }
@@ -372,7 +373,9 @@
     connection.set_read_timeout(Some(HANDOFF_TIMEOUT))?;
     match receive(connection)? {
         HandoffMessage::Request(name) if name == gateway => {}
-        HandoffMessage::Request(name) => return Err(invalid_data(format!("it is gateway {name:?}"))),
+        HandoffMessage::Request(name) => {
+            return Err(invalid_data(format!("it is gateway {name:?}")));
+        }
         other => return Err(invalid_data(format!("{other:?} instead of a request"))),
     }
     connection.set_read_timeout(None)?;
@@ -388,7 +391,9 @@
     loop {
         match receive(connection)? {
             HandoffMessage::Ready => {
-                send_event(ExporterEvent::StateMachine(HandoffEvent::NewProcessReady(peer)))?;
+                send_event(ExporterEvent::StateMachine(HandoffEvent::NewProcessReady(
+                    peer,
+                )))?;
             }
             HandoffMessage::EndpointList(list) => send_event(ExporterEvent::ListForwarded(list))?,
             other => return Err(invalid_data(format!("unexpected {other:?}"))),
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -201,9 +201,7 @@
         let job_timeout = match job {
             UpstreamJob::Request {
                 deadline: until, ..
-            } => {
-                Duration::from_micros((*until - began_at).0.max(1_000).unsigned_abs())
-            }
+            } => Duration::from_micros((*until - began_at).0.max(1_000).unsigned_abs()),
             UpstreamJob::HealthCheck => self.context.connect_timeout,
         };
         let timeout = job_timeout.min(self.context.connect_timeout);
