--- a/crates/policy/tests/clock_correction.rs
+++ b/crates/policy/tests/clock_correction.rs
@@ -9,7 +9,7 @@
 /// A clock that was a little behind makes positions a little older, and nothing has to be asked again at once: a gateway
 /// that forgot them would open a connection to each endpoint at the same moment.
 #[test]
-fn positions_outlive_a_correction_that_makes_them_older() {
+fn correction_to_older_keeps_positions() {
     let mut s = Script::group(settings(), 3, 1);
     s.step(&[PolicyEvent::ClockCorrected(ms(-30))]);
     let before = s.probes.len();
@@ -26,7 +26,7 @@
 
 /// Positions that the correction makes newer may have been told after it: they count for nothing.
 #[rstest]
-fn positions_do_not_get_newer_by_a_correction(#[values(30, 3_600_000)] by_ms: i64) {
+fn correction_to_newer_drops_positions(#[values(30, 3_600_000)] by_ms: i64) {
     let mut s = Script::group(settings(), 3, 1);
     s.run(1_000);
     s.step(&[PolicyEvent::ClockCorrected(ms(by_ms))]);
@@ -38,7 +38,7 @@
 /// A primary whose probes come to nothing at once, as where no connection is left, is not asked without a pause: each such
 /// end begins another turn.
 #[test]
-fn primaries_are_asked_for_the_clock_with_a_pause() {
+fn failing_clock_checks_are_paced() {
     let mut s = Script::new(settings());
     s.list(
         true,
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -5,8 +5,10 @@
 use support::*;
 use valehatch_policy::*;
 
+const PRIMARY: Option<Role> = Some(Role::Primary);
+
 /// Requests that a member answers at once, one after another; how many of them were refused.
-fn refused_of(s: &mut Script, class: ClassId, first: u64, count: u64) -> usize {
+fn rejected_of(s: &mut Script, class: ClassId, first: u64, count: u64) -> usize {
     for id in first..first + count {
         s.request(id, class);
         if s.at(id).is_some() {
@@ -18,18 +20,18 @@
 }
 
 #[test]
-fn a_class_of_no_worth_is_served_while_nothing_is_strained() {
+fn zero_priority_class_is_served() {
     let mut cfg = settings();
     cfg.classes[ANY.0].priority_weight = 0.0;
     let mut s = Script::group(cfg, 3, 1);
     assert_eq!(
-        refused_of(&mut s, ANY, 1, 100),
+        rejected_of(&mut s, ANY, 1, 100),
         0,
         "of a hundred of no worth"
     );
-    assert_eq!(refused_of(&mut s, BOUNDED, 101, 20), 0, "of those of some");
+    assert_eq!(rejected_of(&mut s, BOUNDED, 101, 20), 0, "of those of some");
     assert_eq!(
-        refused_of(&mut s, ANY, 201, 100),
+        rejected_of(&mut s, ANY, 201, 100),
         0,
         "of a hundred of no worth after those"
     );
@@ -37,7 +39,7 @@
 }
 
 #[test]
-fn classes_of_all_worths_are_served_while_nothing_is_strained() {
+fn mixed_priority_classes_are_served() {
     let mut cfg = settings();
     (
         cfg.classes[ANY.0].priority_weight,
@@ -45,13 +47,13 @@
     ) = (0.0, 1e9);
     let mut s = Script::group(cfg, 3, 1);
     for n in 0..20 {
-        assert_eq!(refused_of(&mut s, BOUNDED, 1 + 100 * n, 5), 0);
-        assert_eq!(refused_of(&mut s, ANY, 50 + 100 * n, 5), 0);
+        assert_eq!(rejected_of(&mut s, BOUNDED, 1 + 100 * n, 5), 0);
+        assert_eq!(rejected_of(&mut s, ANY, 50 + 100 * n, 5), 0);
     }
 }
 
 #[test]
-fn what_zones_deduplicate_is_never_repeated() {
+fn zone_dedup_write_is_never_retried() {
     let mut cfg = settings();
     cfg.classes[KEYED.0].idempotency = Idempotency::IdempotencyKey {
         scope: DedupScope::Zone,
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn one_attempt_is_enough_to_look_for_a_primary() {
+fn single_attempt_write_searches() {
     let mut cfg = settings();
     cfg.limits.max_attempts = 1;
     cfg.limits.health_checks = false;
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_class_that_waits_for_a_few_turns_only_is_served() {
+fn deadline_of_few_ticks_is_served() {
     let mut cfg = settings();
     (
         cfg.classes[ANY.0].deadline,
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn turns_as_long_as_a_class_waits_refuse_nothing_unseen() {
+fn tick_above_deadline_is_served() {
     let mut cfg = settings();
     cfg.tick = ms(1000);
     let mut s = Script::group(cfg, 3, 1);
@@ -114,7 +116,7 @@
 }
 
 #[test]
-fn members_that_never_are_cold_are_warm_at_once() {
+fn zero_slow_start_duration_is_warm_at_once() {
     let mut cfg = settings();
     cfg.rules.slow_start_duration = Span(0);
     let mut s = Script::group(cfg, 3, 1);
@@ -141,7 +143,7 @@
 }
 
 #[test]
-fn the_shortest_aim_makes_no_number_none() {
+fn zero_latency_objective_keeps_numbers_finite() {
     let mut cfg = settings();
     cfg.classes
         .iter_mut()
@@ -158,7 +160,7 @@
 
 /// What answers of warm members tell is remembered for longer than these members take to get warm, and counts for as long.
 #[test]
-fn members_that_get_warm_soon_keep_their_budget_until_then() {
+fn short_slow_start_keeps_its_budget() {
     let mut cfg = settings();
     (
         cfg.rules.slow_start_duration,
@@ -195,7 +197,7 @@
 }
 
 #[test]
-fn answers_that_take_no_time_refuse_nothing() {
+fn zero_latency_responses_shed_nothing() {
     let mut s = Script::group(settings(), 3, 1);
     for id in 1..=8000 {
         s.request(id, ANY);
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn a_session_that_wrote_before_all_time_is_a_session() {
+fn overflowing_last_write_age_is_accepted() {
     let mut cfg = settings();
     cfg.stale_read_policy = StaleReadPolicy::Reject;
     let mut s = Script::group(cfg, 3, 1);
@@ -215,3 +217,47 @@
     s.run(50);
     assert!(s.sends.len() > 1, "another member is tried");
 }
+
+#[test]
+fn unknown_ids_are_ignored() {
+    let mut s = Script::group(settings(), 2, 1);
+    s.list(
+        true,
+        vec![
+            entry(1, true, EndpointState::Ready),
+            entry(1, false, EndpointState::Ready),
+        ],
+    );
+    s.probed(77, Outcome::Ok, None);
+    s.step(&[
+        PolicyEvent::ClientDisconnected(RequestId(4)),
+        PolicyEvent::ResponseStarted(RequestId(4)),
+        PolicyEvent::Timer(9),
+    ]);
+    let end = AttemptEnd {
+        request: RequestId(12),
+        attempt: 3,
+        endpoint: EndpointId(88),
+        outcome: Outcome::Ok,
+        closed: true,
+        latency: ms(1),
+        role: PRIMARY,
+        position: None,
+        report: None,
+    };
+    s.step(&[PolicyEvent::AttemptEnded(end)]);
+    s.request(1, WRITE);
+    assert_eq!(s.at(1), Some(1));
+}
+
+#[test]
+fn no_class_is_a_settings_error() {
+    let mut cfg = settings();
+    cfg.classes.clear();
+    assert!(
+        Router::new(cfg, 1)
+            .unwrap_err()
+            .to_string()
+            .contains("classes")
+    );
+}
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_rules_hold_and_every_request_ends() {
+fn random_events_keep_the_rules_and_end_every_request() {
     let stale_read_policy = prop_oneof![
         Just(StaleReadPolicy::Serve),
         Just(StaleReadPolicy::Reject),
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     runner()
         .run(&moves(), |moves| {
             let one = play(
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -138,9 +138,7 @@
 #[rstest]
 #[case::one_replica_restarts(&[4])]
 #[case::the_whole_group_restarts(&[1, 2, 3, 4])]
-fn long_queries_count_by_their_work_in_the_budget_of_a_restarted_endpoint(
-    #[case] restarted: &[u32],
-) {
+fn long_queries_are_charged_by_their_work(#[case] restarted: &[u32]) {
     for (one_report_in, seed) in [(25, 1), (25, 2), (25, 3), (50, 1), (50, 2), (50, 3)] {
         let all =
             (0..GATEWAYS).flat_map(|gateway| sent_by_one(gateway, seed, one_report_in, restarted));
