--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! Takes in the endpoint list, and polls it where that is needed.
 //!
 //! Inputs: [`crate::PolicyEvent::EndpointList`], [`crate::PolicyEvent::DiscoveryFailed`]. State:
-//! the endpoints and the members of groups, and [`ListPolling`]. Bounds: an endpoint that left the
-//! list is dropped as soon as it has no attempt in flight. Units: microseconds.
+//! all endpoints, those of each group, and [`ListPolling`]. Bounds: an endpoint that left the list
+//! is dropped as soon as it has no attempt in flight. Units: microseconds.
 
 use std::collections::BTreeSet;
 
@@ -99,7 +99,7 @@
         self.groups
             .entry(endpoint.group)
             .or_default()
-            .members
+            .endpoints
             .insert(entry.endpoint);
     }
 
@@ -131,7 +131,7 @@
         self.groups
             .entry(endpoint.group)
             .or_default()
-            .members
+            .endpoints
             .remove(&id);
         if endpoint.in_flight.is_empty() {
             self.endpoints.remove(&id);
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -1,7 +1,7 @@
 //! What one router knows of one replication group: a primary and its replicas.
 //!
 //! Inputs: none of its own; the module that owns a concern updates its part. State: [`Group`], one
-//! for each group that has endpoints or waiting requests. Bounds: `members` by the endpoint list,
+//! for each group that has endpoints or waiting requests. Bounds: `endpoints` by the endpoint list,
 //! `waiting` by the open requests. Units: microseconds.
 
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 /// What one router knows of one replication group.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
-    pub(crate) members: BTreeSet<EndpointId>,
+    pub(crate) endpoints: BTreeSet<EndpointId>,
     /// The endpoint that is taken for the primary.
     pub(crate) primary: Option<EndpointId>,
     /// How it is known.
@@ -62,6 +62,6 @@
 
     /// Whether nothing would be lost if it were forgotten.
     pub(crate) fn is_empty(&self) -> bool {
-        self.members.is_empty() && self.waiting.is_empty()
+        self.endpoints.is_empty() && self.waiting.is_empty()
     }
 }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -202,15 +202,15 @@
     /// request waits that they could serve.
     pub(crate) fn check_unreachable_endpoints(
         &mut self,
-        members: &BTreeSet<EndpointId>,
+        candidates: &BTreeSet<EndpointId>,
         actions: &mut Vec<Action>,
     ) {
-        for member in members {
-            let Some(endpoint) = self.endpoints.get_mut(member) else {
+        for id in candidates {
+            let Some(endpoint) = self.endpoints.get_mut(id) else {
                 continue;
             };
             if endpoint.outlier.try_start_trial_check(self.now) {
-                self.start_health_check(*member, actions);
+                self.start_health_check(*id, actions);
             }
         }
     }
--- a/crates/policy/src/primary_search.rs
+++ b/crates/policy/src/primary_search.rs
@@ -1,8 +1,8 @@
 //! Finds the primary of a group, and selects the endpoint of a write.
 //!
 //! The primary is known from the endpoint list, from roles in answers and from load reports. While
-//! it is not known, one write at a time searches: it is sent to each member in order, while the
-//! group's other writes wait. At the same time health checks ask the members for their role, so
+//! it is not known, one write at a time searches: it is sent to each endpoint in order, while the
+//! group's other writes wait. At the same time health checks ask the endpoints for their role, so
 //! that a new primary may be found without using up a write's attempts.
 //!
 //! Inputs: reported roles, ejections, writes. State: [`PrimarySearch`] of a group whose primary was
@@ -19,7 +19,7 @@
 use crate::time::{Span, Time};
 use crate::view::PrimaryEvidence;
 
-/// Pause after every member was tried, and first interval between two rounds of health checks.
+/// Pause after every endpoint was tried, and first interval between two rounds of health checks.
 const SEARCH_PAUSE: Span = Span::from_millis(500);
 /// From the start of a search to its first round of health checks.
 const FIRST_CHECKS_AFTER: Span = Span::from_millis(125);
@@ -97,8 +97,8 @@
 
 impl Router {
     /// Sets the primary of a group that has no evidence for one: the one that the list names, or,
-    /// before a search, the lowest ready member. The list is the weakest evidence, and none for a
-    /// member that has reported its own role.
+    /// before a search, the lowest ready endpoint. The list is the weakest evidence, and none for
+    /// an endpoint that has reported its own role.
     pub(crate) fn seed_primary(&mut self, id: GroupId) {
         let trusts_list = self.settings.listed_role != ListedRole::Ignored;
         let endpoints = &self.endpoints;
@@ -111,7 +111,7 @@
         let is_ready = |id: &&EndpointId| endpoints[id].state == EndpointState::Ready;
         let is_listed =
             |id: &&EndpointId| endpoints[id].listed_primary && endpoints[id].role.is_none();
-        let mut ready = group.members.iter().filter(is_ready).copied();
+        let mut ready = group.endpoints.iter().filter(is_ready).copied();
         let listed = ready.clone().find(|id| trusts_list && is_listed(&id));
         let lowest = ready.next();
         if listed.is_some() {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Asks the members of a group for their role by health checks, with exponential backoff and
+    /// Asks the endpoints of a group for their role by health checks, with exponential backoff and
     /// jitter, as many routers search at once.
     fn check_roles(&mut self, id: GroupId, actions: &mut Vec<Action>) {
         let now = self.now;
@@ -247,13 +247,13 @@
         };
         search.next_checks_at = now + search.check_interval.times(jitter);
         search.check_interval = (search.check_interval * 2).min(longest);
-        for member in group.members.clone() {
-            self.start_health_check(member, actions);
+        for endpoint in group.endpoints.clone() {
+            self.start_health_check(endpoint, actions);
         }
     }
 
-    /// The endpoint of a write: the primary, or for the one write that searches the next member to
-    /// try.
+    /// The endpoint of a write: the primary, or for the one write that searches the next endpoint
+    /// to try.
     pub(crate) fn select_write_target(&mut self, id: RequestId) -> Result<EndpointId, NoTarget> {
         let Some(request) = self.pending.get(&id) else {
             return Err(NoTarget::RequestEnded);
@@ -274,7 +274,7 @@
         self.lead_search(id, group_id, class)
     }
 
-    /// Lets a write search, if no other does and a member is left to try.
+    /// Lets a write search, if no other does and an endpoint is left to try.
     fn lead_search(
         &mut self,
         request: RequestId,
@@ -302,7 +302,7 @@
         let candidates: Vec<EndpointId> = self
             .groups
             .get(&group)?
-            .members
+            .endpoints
             .iter()
             .filter(|id| self.accepts_attempts(**id))
             .copied()
@@ -310,7 +310,7 @@
         self.search_mut(group)?.next_untried(&candidates, now)
     }
 
-    /// The leading write's attempt ended: another member is tried, or another write searches.
+    /// The leading write's attempt ended: another endpoint is tried, or another write searches.
     pub(crate) fn release_search(
         &mut self,
         group: GroupId,
--- a/crates/policy/src/replica_selection.rs
+++ b/crates/policy/src/replica_selection.rs
@@ -8,7 +8,7 @@
 //! stay fresh.
 //!
 //! Inputs: reads, positions and lags, load. State: none of its own. Bounds: one pass over the
-//! members of a group for each read. Units: microseconds; positions are times.
+//! endpoints of a group for each read. Units: microseconds; positions are times.
 
 use crate::endpoint::Endpoint;
 use crate::events::Action;
@@ -134,7 +134,7 @@
     /// `None` with less than two replicas.
     fn long_query_replica(&self, group: &Group) -> Option<EndpointId> {
         let replicas: Vec<EndpointId> = group
-            .members
+            .endpoints
             .iter()
             .filter(|id| group.primary != Some(**id) && self.accepts_attempts(**id))
             .copied()
@@ -154,7 +154,7 @@
                 && self.endpoints[id].has_capacity(0.0)
         };
         group
-            .members
+            .endpoints
             .iter()
             .filter(|id| is_usable(id))
             .copied()
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -132,8 +132,8 @@
             return;
         };
         let mut waiting = std::mem::take(&mut group.waiting);
-        let members = group.members.clone();
-        self.check_unreachable_endpoints(&members, actions);
+        let endpoints = group.endpoints.clone();
+        self.check_unreachable_endpoints(&endpoints, actions);
         waiting.sort_by_cached_key(|request| self.schedule_order(*request));
         for request in waiting {
             if self.schedule(request, actions) == Disposition::Waiting {
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -16,7 +16,7 @@
 /// How a group's primary is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum PrimaryEvidence {
-    /// It is not known: the lowest member stands in, or none.
+    /// It is not known: the lowest endpoint stands in, or none.
     #[default]
     Unknown,
     /// The endpoint list names it.
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -7,17 +7,17 @@
 
 #[test]
 fn draining_and_removed_endpoints_get_nothing() {
-    let mut s = Script::group(settings(), 3, 1);
-    s.list(
+    let mut script = Script::group(settings(), 3, 1);
+    script.list(
         false,
         vec![
-            entry(1, true, EndpointState::Draining),
-            entry(2, false, EndpointState::Removed),
+            record(1, true, EndpointState::Draining),
+            record(2, false, EndpointState::Removed),
         ],
     );
-    s.request(1, WRITE);
-    s.request(2, ANY);
-    assert_eq!((s.at(1), s.at(2)), (Some(3), Some(3)));
+    script.request(1, WRITE);
+    script.request(2, EVENTUAL);
+    assert_eq!((script.sent_to(1), script.sent_to(2)), (Some(3), Some(3)));
 }
 
 #[test]
@@ -25,10 +25,10 @@
     for binds in [true, false] {
         let mut cfg = settings();
         cfg.rules.removal_is_advisory = !binds;
-        let mut s = Script::group(cfg, 2, 1);
-        s.list(true, vec![entry(1, true, EndpointState::Ready)]);
-        s.request(1, ANY);
-        assert_eq!(s.at(1), Some(if binds { 1 } else { 2 }));
+        let mut script = Script::group(cfg, 2, 1);
+        script.list(true, vec![record(1, true, EndpointState::Ready)]);
+        script.request(1, EVENTUAL);
+        assert_eq!(script.sent_to(1), Some(if binds { 1 } else { 2 }));
     }
 }
 
@@ -36,36 +36,40 @@
 fn failed_poll_is_repeated_with_backoff() {
     let mut cfg = settings();
     cfg.discovery_mode = DiscoveryMode::Poll;
-    let mut s = Script::new(cfg);
-    s.list(true, vec![entry(1, true, EndpointState::Ready)]);
-    assert_eq!(s.subscribes.len(), 1);
+    let mut script = Script::new(cfg);
+    script.list(true, vec![record(1, true, EndpointState::Ready)]);
+    assert_eq!(script.polls.len(), 1);
     for n in 2..8 {
-        s.step(&[PolicyEvent::DiscoveryFailed]);
-        s.run(4100);
-        assert_eq!(s.subscribes.len(), n, "asked again within rules.ask_within");
+        script.step(&[PolicyEvent::DiscoveryFailed]);
+        script.advance(4100);
+        assert_eq!(
+            script.polls.len(),
+            n,
+            "polled again within rules.max_poll_interval"
+        );
     }
 }
 
 #[test]
 fn removed_endpoint_that_returns_is_used_again() {
-    let mut s = Script::group(settings(), 2, 1);
-    s.request(1, ANY);
-    assert_eq!(s.at(1), Some(2));
-    s.list(
+    let mut script = Script::group(settings(), 2, 1);
+    script.request(1, EVENTUAL);
+    assert_eq!(script.sent_to(1), Some(2));
+    script.list(
         false,
         vec![
-            entry(2, false, EndpointState::Removed),
-            entry(9, false, EndpointState::Removed),
+            record(2, false, EndpointState::Removed),
+            record(9, false, EndpointState::Removed),
         ],
     );
-    s.end(1, Outcome::Reset, None);
-    s.run(20);
-    assert_eq!(s.at(1), Some(1));
-    s.list(false, vec![entry(2, false, EndpointState::Ready)]);
-    s.request(2, ANY);
-    assert_eq!(s.at(2), Some(2));
-    s.list(true, vec![]);
-    s.request(3, ANY);
-    s.run(700);
-    assert!(s.at(3).is_none() && s.refused(3));
+    script.end(1, Outcome::Reset, None);
+    script.advance(20);
+    assert_eq!(script.sent_to(1), Some(1));
+    script.list(false, vec![record(2, false, EndpointState::Ready)]);
+    script.request(2, EVENTUAL);
+    assert_eq!(script.sent_to(2), Some(2));
+    script.list(true, vec![]);
+    script.request(3, EVENTUAL);
+    script.advance(700);
+    assert!(script.sent_to(3).is_none() && script.rejected(3));
 }
--- a/crates/policy/tests/health_checks.rs
+++ b/crates/policy/tests/health_checks.rs
@@ -9,33 +9,33 @@
 
 #[test]
 fn lagging_replica_is_checked_again_before_its_lag_passes() {
-    // A replica that catches up was left out for as long as it had once lagged.
-    let mut s = Script::group(settings(), 2, 1);
-    s.run(400);
-    s.request(50, BOUNDED);
-    s.report(2, 4000, false);
-    s.probes.clear();
+    // A replica that has caught up must not be left out for as long as it once lagged.
+    let mut script = Script::group(settings(), 2, 1);
+    script.advance(400);
+    script.request(50, BOUNDED);
+    script.report(2, 4000, false);
+    script.health_checks.clear();
     for id in 1..=20 {
-        s.request(id, BOUNDED);
-        s.run(100);
-        assert_eq!(s.at(id), Some(1));
-        s.end(id, Outcome::Ok, PRIMARY);
+        script.request(id, BOUNDED);
+        script.advance(100);
+        assert_eq!(script.sent_to(id), Some(1));
+        script.end(id, Outcome::Ok, PRIMARY);
     }
-    assert!(s.probes.contains(&EndpointId(2)), "within 2 s");
+    assert!(script.health_checks.contains(&EndpointId(2)), "within 2 s");
 }
 
 #[test]
 fn nothing_waiting_sends_no_checks() {
-    let mut s = Script::group(settings(), 4, 1);
-    s.probed(1, Outcome::ConnectFailed, None);
-    s.request(1, KEYED);
-    s.run(900);
-    s.abort(1);
-    s.probes.clear();
-    s.run(5000);
+    let mut script = Script::group(settings(), 4, 1);
+    script.health_check_ended(1, Outcome::ConnectFailed, None);
+    script.request(1, KEYED);
+    script.advance(900);
+    script.disconnect(1);
+    script.health_checks.clear();
+    script.advance(5000);
     assert!(
-        s.probes.is_empty(),
-        "the primary is lost, but nobody waits for one: {:?}",
-        s.probes
+        script.health_checks.is_empty(),
+        "the primary is lost, but no request waits for one: {:?}",
+        script.health_checks
     );
 }
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -1,5 +1,5 @@
-//! Seeded random worlds: the checks of the script hold whatever outcomes come, and the same events give the
-//! same actions.
+//! Seeded random events: the checks of the script hold whatever the outcomes, and the same events
+//! give the same actions.
 
 mod support;
 
@@ -9,57 +9,57 @@
 use valehatch_policy::*;
 
 #[derive(Clone, Debug)]
-enum Move {
+enum Step {
     Request(usize, i64, Option<i64>),
     End(u8, u8),
     LoadReport(u32, i64, bool),
-    ProbeFails(u32, bool),
+    HealthCheckFails(u32, bool),
     List(u32, u8),
     Abort(u8),
     Run(i64),
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
+fn steps() -> impl Strategy<Value = Vec<Step>> {
     let one = prop_oneof![
-        5 => (0..7_usize, 100..3000_i64, prop::option::of(1..900_i64)).prop_map(|(c, l, w)| Move::Request(c, l, w)),
-        5 => (any::<u8>(), 0..9_u8).prop_map(|(r, o)| Move::End(r, o)),
-        3 => (1..6_u32, 0..800_i64, any::<bool>()).prop_map(|(n, a, p)| Move::LoadReport(n, a, p)),
-        1 => (1..6_u32, any::<bool>()).prop_map(|(n, c)| Move::ProbeFails(n, c)),
-        1 => (1..6_u32, 0..3_u8).prop_map(|(n, s)| Move::List(n, s)),
-        1 => any::<u8>().prop_map(Move::Abort),
-        5 => (5..400_i64).prop_map(Move::Run),
+        5 => (0..7_usize, 100..3000_i64, prop::option::of(1..900_i64)).prop_map(|(c, l, w)| Step::Request(c, l, w)),
+        5 => (any::<u8>(), 0..9_u8).prop_map(|(r, o)| Step::End(r, o)),
+        3 => (1..6_u32, 0..800_i64, any::<bool>()).prop_map(|(n, a, p)| Step::LoadReport(n, a, p)),
+        1 => (1..6_u32, any::<bool>()).prop_map(|(n, c)| Step::HealthCheckFails(n, c)),
+        1 => (1..6_u32, 0..3_u8).prop_map(|(n, script)| Step::List(n, script)),
+        1 => any::<u8>().prop_map(Step::Abort),
+        5 => (5..400_i64).prop_map(Step::Run),
     ];
     prop::collection::vec(one, 1..120)
 }
 
 fn play(
-    moves: &[Move],
+    steps: &[Step],
     stale_read_policy: StaleReadPolicy,
     sessions: SessionTracking,
-    asked: bool,
+    polled_by_router: bool,
 ) -> Script {
     let mut cfg = settings();
     cfg.stale_read_policy = stale_read_policy;
     cfg.sessions = sessions;
-    cfg.discovery_mode = if asked {
+    cfg.discovery_mode = if polled_by_router {
         DiscoveryMode::Poll
     } else {
         DiscoveryMode::Watch
     };
-    let mut s = Script::group(cfg, 5, 2);
+    let mut script = Script::group(cfg, 5, 2);
     let mut next = 0;
-    for m in moves {
+    for m in steps {
         match *m {
-            Move::Request(class, left, wrote) => {
+            Step::Request(class, left, wrote) => {
                 next += 1;
-                s.request_with(
+                script.request_with(
                     next,
                     ClassId(class),
                     left,
                     wrote.filter(|_| sessions == SessionTracking::ClientProvided),
                 );
             }
-            Move::End(which, how) if next > 0 => {
+            Step::End(which, how) if next > 0 => {
                 let id = u64::from(which) % next + 1;
                 let (outcome, role) = match how {
                     0 | 1 => (Outcome::Ok, Some(Role::Primary)),
@@ -71,14 +71,14 @@
                     7 => (Outcome::Cancelled, None),
                     _ => (Outcome::NotSent, None),
                 };
-                if let Some(event) = s.ended(id, outcome, role, None) {
-                    s.step(&[event]);
+                if let Some(event) = script.end_event(id, outcome, role, None) {
+                    script.step(&[event]);
                 }
             }
-            Move::End(..) => {}
-            Move::LoadReport(endpoint, age, primary) => s.report(endpoint, age, primary),
-            Move::ProbeFails(endpoint, connect) => {
-                s.probed(
+            Step::End(..) => {}
+            Step::LoadReport(endpoint, age, primary) => script.report(endpoint, age, primary),
+            Step::HealthCheckFails(endpoint, connect) => {
+                script.health_check_ended(
                     endpoint,
                     if connect {
                         Outcome::ConnectFailed
@@ -88,21 +88,21 @@
                     None,
                 );
             }
-            Move::List(endpoint, state) => {
+            Step::List(endpoint, state) => {
                 let state = [
                     EndpointState::Ready,
                     EndpointState::Draining,
                     EndpointState::Removed,
                 ][usize::from(state)];
-                s.list(false, vec![entry(endpoint, false, state)]);
+                script.list(false, vec![record(endpoint, false, state)]);
             }
-            Move::Abort(which) if next > 0 => s.abort(u64::from(which) % next + 1),
-            Move::Abort(_) => s.step(&[PolicyEvent::DiscoveryFailed]),
-            Move::Run(span) => s.run(span),
+            Step::Abort(which) if next > 0 => script.disconnect(u64::from(which) % next + 1),
+            Step::Abort(_) => script.step(&[PolicyEvent::DiscoveryFailed]),
+            Step::Run(span) => script.advance(span),
         }
     }
-    s.run(3100);
-    s
+    script.advance(3100);
+    script
 }
 
 fn runner() -> TestRunner {
@@ -127,10 +127,14 @@
     ];
     runner()
         .run(
-            &(moves(), stale_read_policy, sessions, any::<bool>()),
-            |(moves, stale_read_policy, sessions, asked)| {
-                let s = play(&moves, stale_read_policy, sessions, asked);
-                prop_assert!(s.unfinished().is_empty(), "no end for {:?}", s.unfinished());
+            &(steps(), stale_read_policy, sessions, any::<bool>()),
+            |(steps, stale_read_policy, sessions, polled_by_router)| {
+                let script = play(&steps, stale_read_policy, sessions, polled_by_router);
+                prop_assert!(
+                    script.unfinished().is_empty(),
+                    "no end for {:?}",
+                    script.unfinished()
+                );
                 Ok(())
             },
         )
@@ -140,16 +144,16 @@
 #[test]
 fn same_events_give_same_actions() {
     runner()
-        .run(&moves(), |moves| {
+        .run(&steps(), |steps| {
             let one = play(
-                &moves,
+                &steps,
                 StaleReadPolicy::Serve,
                 SessionTracking::ClientProvided,
                 true,
             )
             .all;
             let two = play(
-                &moves,
+                &steps,
                 StaleReadPolicy::Serve,
                 SessionTracking::ClientProvided,
                 true,
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! The slow-start budget of an endpoint that has just started, over the sum of all gateways, where some queries are
-//! far longer than the mean.
+//! The slow-start budget of an endpoint that has just started, over the sum of all gateways, where
+//! some queries are far longer than the mean.
 
 mod support;
 
@@ -10,7 +10,7 @@
 /// Gateways that share the group, each with its part of the traffic.
 const GATEWAYS: u64 = 32;
 /// Endpoints of the group. The first is its primary, the last one restarts.
-const MEMBERS: u32 = 4;
+const ENDPOINTS: u32 = 4;
 /// Requests of mean work that tenants may send in a second, and what they do send.
 const ALLOWANCE: f64 = 240.0;
 const GAP_MS: i64 = 160;
@@ -18,10 +18,11 @@
 const SHORT_MS: i64 = 60;
 const REPORT_MS: i64 = 1_100;
 /// Time before the restart, and after it.
-const WARM_MS: i64 = 10_000;
-const COLD_MS: i64 = 8_000;
+const BEFORE_RESTART_MS: i64 = 10_000;
+const AFTER_RESTART_MS: i64 = 8_000;
 
-/// The settings of [`support::settings`] and one class more: reports, which any member may answer.
+/// The settings of [`support::settings`] and one class more: reports, which any endpoint may
+/// answer.
 fn with_reports() -> (Settings, ClassId) {
     let mut settings = settings();
     let report = RequestClass {
@@ -44,27 +45,27 @@
 /// What one gateway sends to the restarted endpoint: when, and how much work.
 fn sent_by_one(gateway: u64, seed: u64, one_report_in: u64, restarted: &[u32]) -> Vec<(Time, f64)> {
     let (cfg, report) = with_reports();
-    let mut script = Script::group_seeded(cfg, MEMBERS, 1, seed * GATEWAYS + gateway);
+    let mut script = Script::group_seeded(cfg, ENDPOINTS, 1, seed * GATEWAYS + gateway);
     let mut ends: Vec<(Time, u64)> = vec![];
     let mut sends_seen = 0;
     let mut sent = vec![];
     let began = script.now;
-    script.run(gateway as i64 * GAP_MS / GATEWAYS as i64);
+    script.advance(gateway as i64 * GAP_MS / GATEWAYS as i64);
     let mut id = 0;
-    while script.now < began + ms(WARM_MS + COLD_MS) {
+    while script.now < began + ms(BEFORE_RESTART_MS + AFTER_RESTART_MS) {
         id += 1;
         // Reports are spread over the gateways, so that none sends its own in step with another.
         let class = if (id + gateway * 7).is_multiple_of(one_report_in) {
             report
         } else {
-            ANY
+            EVENTUAL
         };
-        if id == (WARM_MS / GAP_MS) as u64 {
+        if id == (BEFORE_RESTART_MS / GAP_MS) as u64 {
             let now = script.now;
             let entries = restarted.iter().map(|endpoint| {
-                let mut entry = entry(*endpoint, *endpoint == 1, EndpointState::Ready);
-                entry.started = Some(now);
-                entry
+                let mut record = record(*endpoint, *endpoint == 1, EndpointState::Ready);
+                record.started = Some(now);
+                record
             });
             script.list(false, entries.collect());
         }
@@ -76,12 +77,12 @@
         );
         let next = script.now + ms(GAP_MS);
         while script.now < next {
-            script.run(5);
+            script.advance(5);
             for (request, endpoint) in &script.sends[sends_seen..] {
                 let is_report = (request.0 + gateway * 7).is_multiple_of(one_report_in);
                 let work = if is_report { REPORT_MS } else { SHORT_MS };
                 ends.push((script.now + ms(work), request.0));
-                if *endpoint == EndpointId(MEMBERS) && id >= (WARM_MS / GAP_MS) as u64 {
+                if *endpoint == EndpointId(ENDPOINTS) && id >= (BEFORE_RESTART_MS / GAP_MS) as u64 {
                     sent.push((script.now, work as f64));
                 }
             }
@@ -94,12 +95,12 @@
                 .collect();
             ends.retain(|(at, _)| *at > now);
             for id in due {
-                let role = if script.at(id) == Some(1) {
+                let role = if script.sent_to(id) == Some(1) {
                     Role::Primary
                 } else {
                     Role::Replica
                 };
-                let end = script.ended(id, Outcome::Ok, Some(role), None);
+                let end = script.end_event(id, Outcome::Ok, Some(role), None);
                 script.step(&end.into_iter().collect::<Vec<_>>());
             }
         }
@@ -107,13 +108,14 @@
     sent
 }
 
-/// The most work that reached the endpoint within the window that counts, as a part of what pushes it over.
+/// The most work that reached the endpoint within one window, as a fraction of what overloads it,
+/// and that bound.
 fn worst_window(mut sent: Vec<(Time, f64)>, one_report_in: u64) -> (f64, f64) {
     sent.sort_by_key(|(at, _)| *at);
     let rules = settings().rules;
     let reports = 1.0 / one_report_in as f64;
     let mean = reports * REPORT_MS as f64 + (1.0 - reports) * SHORT_MS as f64;
-    let started = Time(100_000_000) + ms(WARM_MS / GAP_MS * GAP_MS);
+    let started = Time(100_000_000) + ms(BEFORE_RESTART_MS / GAP_MS * GAP_MS);
     let mut worst = (0.0, 0.0);
     for (last, (at, _)) in sent.iter().enumerate() {
         let window = sent[..=last]
@@ -125,7 +127,7 @@
         let part =
             rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown;
         let capacity =
-            ALLOWANCE / f64::from(MEMBERS) * part * rules.overload_duration.as_f64() / 1e6;
+            ALLOWANCE / f64::from(ENDPOINTS) * part * rules.overload_duration.as_f64() / 1e6;
         let n = rules.overload_multiple * capacity;
         let bound = n + 2.0 * n.sqrt() + 2.0;
         if units / bound > worst.0 {
@@ -148,10 +150,10 @@
         println!(
             "one report in {one_report_in}, seed {seed}: {count} sent, at the worst {part:.2} of {bound:.0} requests of mean work"
         );
-        assert!(count > 10, "{count} sent: nothing is shown by that");
+        assert!(count > 10, "{count} sent: too few to show anything");
         assert!(
             part <= 1.0,
-            "{part:.2} times what pushes it over ({bound:.0} requests of mean work)"
+            "{part:.2} times what overloads it ({bound:.0} requests of mean work)"
         );
     }
 }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A scripted world for module tests: it hands events to a router and checks the five rules on what comes back.
+//! A scripted environment: it hands events to a router and checks the five rules on the actions
+//! that come back.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,10 +8,10 @@
 
 pub(crate) const WRITE: ClassId = ClassId(0);
 pub(crate) const KEYED: ClassId = ClassId(1);
-pub(crate) const FRESH: ClassId = ClassId(2);
+pub(crate) const STRONG: ClassId = ClassId(2);
 pub(crate) const SESSION: ClassId = ClassId(3);
 pub(crate) const BOUNDED: ClassId = ClassId(4);
-pub(crate) const ANY: ClassId = ClassId(5);
+pub(crate) const EVENTUAL: ClassId = ClassId(5);
 pub(crate) const ALL_KEYED: ClassId = ClassId(6);
 
 pub(crate) fn ms(n: i64) -> Span {
@@ -83,15 +84,15 @@
 }
 
 #[derive(Default)]
-struct Held {
+struct TrackedRequest {
     class: usize,
     deadline: i64,
-    floor: Option<Time>,
+    session_position: Option<Time>,
     attempts: u32,
-    out: BTreeMap<u32, EndpointId>,
-    first_maybe: Option<i64>,
+    in_flight: BTreeMap<u32, EndpointId>,
+    may_have_run_since: Option<i64>,
     last_sent: i64,
-    done: bool,
+    finished: bool,
 }
 
 pub(crate) struct Script {
@@ -99,19 +100,19 @@
     router: Router,
     pub now: Time,
     timer: Option<Time>,
-    held: BTreeMap<RequestId, Held>,
-    barred: BTreeSet<EndpointId>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    unusable: BTreeSet<EndpointId>,
     primaries: BTreeSet<EndpointId>,
-    told: BTreeMap<EndpointId, Time>,
+    reported_positions: BTreeMap<EndpointId, Time>,
     pub answers: BTreeMap<RequestId, Action>,
     pub sends: Vec<(RequestId, EndpointId)>,
-    pub probes: Vec<EndpointId>,
+    pub health_checks: Vec<EndpointId>,
     pub cancels: Vec<(RequestId, u32)>,
-    pub subscribes: Vec<Time>,
+    pub polls: Vec<Time>,
     pub all: Vec<(Time, Action)>,
 }
 
-pub(crate) fn entry(id: u32, primary: bool, state: EndpointState) -> EndpointRecord {
+pub(crate) fn record(id: u32, primary: bool, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         endpoint: EndpointId(id),
         group: GroupId(0),
@@ -130,50 +131,51 @@
     }
 
     pub(crate) fn seeded(cfg: Settings, seed: u64) -> Self {
-        let router = Router::new(cfg.clone(), seed).expect("sound settings");
+        let router = Router::new(cfg.clone(), seed).expect("valid settings");
         Self {
             cfg,
             router,
             now: Time(100_000_000),
             timer: None,
-            held: BTreeMap::new(),
-            barred: BTreeSet::new(),
+            requests: BTreeMap::new(),
+            unusable: BTreeSet::new(),
             primaries: BTreeSet::new(),
-            told: BTreeMap::new(),
+            reported_positions: BTreeMap::new(),
             answers: BTreeMap::new(),
             sends: vec![],
-            probes: vec![],
+            health_checks: vec![],
             cancels: vec![],
-            subscribes: vec![],
+            polls: vec![],
             all: vec![],
         }
     }
 
-    /// Members 1 to `n`, of which `primary` is listed as such; every member has told its present position.
+    /// Endpoints 1 to `n`, of which `primary` is listed as such; every endpoint has reported its
+    /// present position.
     pub(crate) fn group(cfg: Settings, n: u32, primary: u32) -> Self {
         Self::group_seeded(cfg, n, primary, 7)
     }
 
     pub(crate) fn group_seeded(cfg: Settings, n: u32, primary: u32, seed: u64) -> Self {
-        let mut s = Self::seeded(cfg, seed);
-        s.list(
+        let mut script = Self::seeded(cfg, seed);
+        script.list(
             true,
             (1..=n)
-                .map(|i| entry(i, i == primary, EndpointState::Ready))
+                .map(|i| record(i, i == primary, EndpointState::Ready))
                 .collect(),
         );
         for i in 1..=n {
-            s.report(i, 10, i == primary);
+            script.report(i, 10, i == primary);
         }
-        s
+        script
     }
 
     pub(crate) fn list(&mut self, complete: bool, entries: Vec<EndpointRecord>) {
         for e in &entries {
             if e.state == EndpointState::Ready {
-                self.barred.remove(&e.endpoint);
+                self.unusable.remove(&e.endpoint);
             } else {
-                self.barred.insert(e.endpoint);
+                self.unusable.insert(e.endpoint);
             }
             if e.primary {
                 self.primaries.insert(e.endpoint);
@@ -196,8 +198,8 @@
         self.request_to(id, GroupId(0), class, left, since_last_write);
     }
 
-    /// Whether the router holds something that reads so.
-    pub(crate) fn shows(&self, what: &str) -> bool {
+    /// Whether the debug output of the router's state contains this.
+    pub(crate) fn debug_contains(&self, what: &str) -> bool {
         format!("{:?}", self.router).contains(what)
     }
 
@@ -220,26 +222,26 @@
             repeat: false,
             since_last_write: since_last_write.map(ms),
         };
-        let floor = request.since_last_write.map(|ago| self.now - ago);
+        let session_position = request.since_last_write.map(|ago| self.now - ago);
         let deadline = self.now.0 + left * 1000;
-        self.held.insert(
+        self.requests.insert(
             request.id,
-            Held {
+            TrackedRequest {
                 class: class.0,
                 deadline,
-                floor,
-                ..Held::default()
+                session_position,
+                ..TrackedRequest::default()
             },
         );
         self.step(&[PolicyEvent::Request(request)]);
     }
 
-    /// Ends the attempt that is out for a request; a served one closes it.
+    /// Ends the attempt in flight for a request; a served one ends the request.
     pub(crate) fn end(&mut self, id: u64, outcome: Outcome, role: Option<Role>) {
-        self.end_at(id, outcome, role, None);
+        self.end_with_position(id, outcome, role, None);
     }
 
-    pub(crate) fn end_at(
+    pub(crate) fn end_with_position(
         &mut self,
         id: u64,
         outcome: Outcome,
@@ -247,35 +249,35 @@
         position: Option<Time>,
     ) {
         let event = self
-            .ended(id, outcome, role, position)
-            .expect("an attempt is out");
+            .end_event(id, outcome, role, position)
+            .expect("an attempt is in flight");
         self.step(&[event]);
     }
 
-    pub(crate) fn ended(
+    pub(crate) fn end_event(
         &mut self,
         id: u64,
         outcome: Outcome,
         role: Option<Role>,
         position: Option<Time>,
     ) -> Option<PolicyEvent> {
-        let held = self.held.get_mut(&RequestId(id))?;
-        let (attempt, endpoint) = held.out.pop_first()?;
+        let tracked = self.requests.get_mut(&RequestId(id))?;
+        let (attempt, endpoint) = tracked.in_flight.pop_first()?;
         if !outcome.never_ran() {
-            held.first_maybe.get_or_insert(held.last_sent);
+            tracked.may_have_run_since.get_or_insert(tracked.last_sent);
         }
-        let closed = outcome == Outcome::Ok || held.done;
-        held.done |= closed;
+        let closed = outcome == Outcome::Ok || tracked.finished;
+        tracked.finished |= closed;
         if role == Some(Role::Replica) {
             self.primaries.remove(&endpoint);
         } else if role == Some(Role::Primary) {
             self.primaries.insert(endpoint);
-            // It stood at the present when it answered.
-            let sent = Time(held.last_sent);
-            let known = self.told.entry(endpoint).or_insert(sent);
+            // A primary is never behind, so it had every commit when the attempt was sent.
+            let sent = Time(tracked.last_sent);
+            let known = self.reported_positions.entry(endpoint).or_insert(sent);
             *known = sent.max(*known);
         }
-        let latency = Span(self.now.0 - held.last_sent);
+        let latency = Span(self.now.0 - tracked.last_sent);
         let request = RequestId(id);
         let end = AttemptEnd {
             request,
@@ -293,7 +295,10 @@
 
     pub(crate) fn report(&mut self, endpoint: u32, age_ms: i64, primary: bool) {
         let position = self.now - ms(age_ms);
-        let known = self.told.entry(EndpointId(endpoint)).or_insert(position);
+        let known = self
+            .reported_positions
+            .entry(EndpointId(endpoint))
+            .or_insert(position);
         *known = position.max(*known);
         if primary {
             self.primaries.insert(EndpointId(endpoint));
@@ -303,10 +308,15 @@
             primary: Some(primary),
             busy: None,
         };
-        self.probed(endpoint, Outcome::Ok, Some(report));
+        self.health_check_ended(endpoint, Outcome::Ok, Some(report));
     }
 
-    pub(crate) fn probed(&mut self, endpoint: u32, outcome: Outcome, report: Option<LoadReport>) {
+    pub(crate) fn health_check_ended(
+        &mut self,
+        endpoint: u32,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         self.step(&[PolicyEvent::HealthCheckEnded {
             endpoint: EndpointId(endpoint),
             outcome,
@@ -315,8 +325,8 @@
         }]);
     }
 
-    /// Lets time pass in ticks: timers fire, and attempts out at their deadline time out.
-    pub(crate) fn run(&mut self, span_ms: i64) {
+    /// Lets time pass in ticks: timers expire, and attempts in flight at their deadline time out.
+    pub(crate) fn advance(&mut self, span_ms: i64) {
         let end = self.now + ms(span_ms);
         while self.now < end {
             self.now = self.now + self.cfg.tick;
@@ -326,20 +336,20 @@
                 events.push(PolicyEvent::Timer(0));
             }
             let over: Vec<u64> = self
-                .held
+                .requests
                 .iter()
-                .filter(|(_, h)| !h.done && self.now.0 >= h.deadline)
+                .filter(|(_, tracked)| !tracked.finished && self.now.0 >= tracked.deadline)
                 .map(|(id, _)| id.0)
                 .collect();
             for id in over {
-                events.extend(self.ended(id, Outcome::Timeout, None, None));
+                events.extend(self.end_event(id, Outcome::Timeout, None, None));
             }
             if !events.is_empty() {
                 self.step(&events);
             }
-            for (id, held) in &self.held {
+            for (id, tracked) in &self.requests {
                 assert!(
-                    held.done || self.now.0 <= held.deadline + 20_000,
+                    tracked.finished || self.now.0 <= tracked.deadline + 20_000,
                     "rule 1: {id:?} has no answer in time"
                 );
             }
@@ -363,107 +373,120 @@
                 send_before,
                 ..
             } => {
-                let h = self.held.get_mut(request).expect("a request of ours");
-                let class = &self.cfg.classes[h.class];
-                assert!(!h.done, "rule 1: {request:?} sent after its end");
-                assert!(h.out.is_empty(), "rule 2: two attempts of {request:?} out");
+                let tracked = self
+                    .requests
+                    .get_mut(request)
+                    .expect("a request of this script");
+                let class = &self.cfg.classes[tracked.class];
+                assert!(!tracked.finished, "rule 1: {request:?} sent after its end");
+                assert!(
+                    tracked.in_flight.is_empty(),
+                    "rule 2: two attempts of {request:?} in flight"
+                );
                 assert!(
-                    !self.barred.contains(endpoint),
-                    "rule 3: {endpoint:?} drains or is gone"
+                    !self.unusable.contains(endpoint),
+                    "rule 3: {endpoint:?} is draining or removed"
                 );
-                match (class.idempotency, h.first_maybe) {
+                match (class.idempotency, tracked.may_have_run_since) {
                     (Idempotency::NonIdempotent, Some(_)) => {
-                        panic!("rule 2: {request:?} may have run and was resent")
+                        panic!("rule 2: {request:?} may have run and was retried")
                     }
                     (Idempotency::IdempotencyKey { window, .. }, Some(from)) => {
                         assert!(
                             self.now.0 < from + window.0,
-                            "rule 2: {request:?} resent after its window"
+                            "rule 2: {request:?} retried after its window"
                         );
                         let ends = send_before.is_some_and(|at| at.0 < from + window.0);
                         assert!(
                             ends,
-                            "rule 2: {request:?} may begin behind its window if its dial is late"
+                            "rule 2: {request:?} may begin after its window if its connection is late"
                         );
                     }
                     _ => {}
                 }
-                let consistency = match class.consistency {
+                let required = match class.consistency {
                     Consistency::BoundedStaleness(bound) => Some(self.now - bound),
-                    Consistency::Session => h.floor,
+                    Consistency::Session => tracked.session_position,
                     Consistency::Strong => Some(self.now),
                     _ => None,
                 };
                 if self.cfg.stale_read_policy == StaleReadPolicy::Serve
-                    && consistency.is_some()
+                    && required.is_some()
                     && !self.primaries.contains(endpoint)
                 {
-                    let told = self.told.get(endpoint).copied();
+                    let reported = self.reported_positions.get(endpoint).copied();
                     assert!(
-                        told >= consistency,
+                        reported >= required,
                         "rule 5: {request:?} to {endpoint:?} is stale"
                     );
-                    if let (Consistency::BoundedStaleness(bound), Some(told)) =
-                        (class.consistency, told)
+                    if let (Consistency::BoundedStaleness(bound), Some(reported)) =
+                        (class.consistency, reported)
                     {
-                        let ends = send_before.is_some_and(|at| at <= told + bound);
+                        let ends = send_before.is_some_and(|at| at <= reported + bound);
                         assert!(
                             ends,
-                            "rule 5: {request:?} to {endpoint:?} may be stale if its dial is late"
+                            "rule 5: {request:?} to {endpoint:?} may be stale if its connection is late"
                         );
                     }
                 }
                 assert!(
-                    h.attempts < self.cfg.limits.max_attempts,
+                    tracked.attempts < self.cfg.limits.max_attempts,
                     "more attempts than allowed"
                 );
-                h.out.insert(h.attempts, *endpoint);
-                h.attempts += 1;
-                h.last_sent = self.now.0;
+                tracked.in_flight.insert(tracked.attempts, *endpoint);
+                tracked.attempts += 1;
+                tracked.last_sent = self.now.0;
                 self.sends.push((*request, *endpoint));
             }
             Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                let h = self.held.get_mut(request).expect("a request of ours");
-                assert!(!h.done, "rule 1: two answers for {request:?}");
-                let refused = matches!(action, Action::Reject { .. });
-                let safe = self.cfg.classes[h.class].idempotency == Idempotency::Idempotent;
-                let ran = h.first_maybe.is_some() || !h.out.is_empty();
+                let tracked = self
+                    .requests
+                    .get_mut(request)
+                    .expect("a request of this script");
+                assert!(!tracked.finished, "rule 1: two answers for {request:?}");
+                let rejected = matches!(action, Action::Reject { .. });
+                let safe = self.cfg.classes[tracked.class].idempotency == Idempotency::Idempotent;
+                let ran = tracked.may_have_run_since.is_some() || !tracked.in_flight.is_empty();
                 assert!(
-                    !refused || safe || !ran,
-                    "rule 2: {request:?} may have run and was refused"
+                    !rejected || safe || !ran,
+                    "rule 2: {request:?} may have run and was rejected"
                 );
-                h.done = true;
+                tracked.finished = true;
                 self.answers.insert(*request, action.clone());
             }
             Action::Cancel { request, attempt } => self.cancels.push((*request, *attempt)),
-            Action::HealthCheck { endpoint } => self.probes.push(*endpoint),
-            Action::RefreshEndpointList => self.subscribes.push(self.now),
+            Action::HealthCheck { endpoint } => self.health_checks.push(*endpoint),
+            Action::RefreshEndpointList => self.polls.push(self.now),
             Action::SetTimer { at, .. } => {
                 self.timer = Some(self.timer.map_or(*at, |t| t.min(*at)))
             }
         }
     }
 
-    /// The client leaves; attempts that are out still end.
-    pub(crate) fn abort(&mut self, id: u64) {
-        let Some(held) = self.held.get_mut(&RequestId(id)).filter(|h| !h.done) else {
+    /// The client disconnects; attempts in flight still end.
+    pub(crate) fn disconnect(&mut self, id: u64) {
+        let Some(tracked) = self
+            .requests
+            .get_mut(&RequestId(id))
+            .filter(|tracked| !tracked.finished)
+        else {
             return;
         };
-        held.done = true;
+        tracked.finished = true;
         self.step(&[PolicyEvent::ClientDisconnected(RequestId(id))]);
     }
 
     /// Requests without a final answer.
     pub(crate) fn unfinished(&self) -> Vec<RequestId> {
-        self.held
+        self.requests
             .iter()
-            .filter(|(_, h)| !h.done)
+            .filter(|(_, tracked)| !tracked.finished)
             .map(|(id, _)| *id)
             .collect()
     }
 
     /// Where the last attempt of a request went.
-    pub(crate) fn at(&self, id: u64) -> Option<u32> {
+    pub(crate) fn sent_to(&self, id: u64) -> Option<u32> {
         self.sends
             .iter()
             .rev()
@@ -471,7 +494,7 @@
             .map(|(_, n)| n.0)
     }
 
-    pub(crate) fn refused(&self, id: u64) -> bool {
+    pub(crate) fn rejected(&self, id: u64) -> bool {
         matches!(
             self.answers.get(&RequestId(id)),
             Some(Action::Reject { .. })
