--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`error`] | what can be wrong with settings |
 //! | [`names`] | names of classes, tenants, zones and machine kinds |
 //! | [`site`] | the settings and names of one deployment |
-//! | [`flatten`] | nested JSON to settings text |
+//! | [`mod@flatten`] | nested JSON to settings text |
 //! | [`platform`] | the platform's JSON |
 //! | [`reader`] | reads TOML key by key and keeps every fault with its line |
 //! | [`operators`] | the operators' file |
--- a/crates/config/src/operators/contracts.rs
+++ b/crates/config/src/operators/contracts.rs
@@ -36,34 +36,34 @@
 impl Contracts {
     /// The contract of a statement: the first of the file with a prefix of it, or else the one for unknown statements.
     #[must_use]
-    pub fn of(&self, statement: &str) -> &Contract {
+    pub fn for_statement(&self, statement: &str) -> &Contract {
         let prefixes = self.0.iter().flat_map(|contract| &contract.prefixes);
         let longest = prefixes.map(String::len).max().unwrap_or(0);
         let statement = normalize(statement, longest);
         for contract in &self.0 {
-            let matches = |prefix: &String| begins_with_words(&statement, prefix);
+            let matches = |prefix: &String| has_statement_prefix(&statement, prefix);
             if contract.prefixes.iter().any(matches) {
                 return contract;
             }
         }
-        self.unknown()
+        self.for_unknown()
     }
 
     /// The contract of unknown statements: writes that must not be repeated.
     #[must_use]
-    pub fn unknown(&self) -> &Contract {
+    pub fn for_unknown(&self) -> &Contract {
         &self.0[self.0.len() - 2]
     }
 
     /// The contract of PREPARE, which has no effect and which any endpoint can serve.
     #[must_use]
-    pub fn preparing(&self) -> &Contract {
+    pub fn for_prepare(&self) -> &Contract {
         &self.0[self.0.len() - 1]
     }
 }
 
 /// Whether a statement begins with a prefix that does not end within a word of it.
-fn begins_with_words(statement: &str, prefix: &str) -> bool {
+fn has_statement_prefix(statement: &str, prefix: &str) -> bool {
     let is_word = |c: char| c.is_alphanumeric() || c == '_';
     let Some(rest) = statement.strip_prefix(prefix) else {
         return false;
--- a/crates/config/src/operators/endpoints.rs
+++ b/crates/config/src/operators/endpoints.rs
@@ -16,7 +16,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Its record, as an endpoint list would have it.
-    pub entry: EndpointRecord,
+    pub record: EndpointRecord,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -46,8 +46,8 @@
         let mut completed = vec![];
         for section in front.list("member") {
             let endpoint = read_endpoint(&section);
-            let id = endpoint.entry.endpoint;
-            if endpoints.iter().any(|other| other.entry.endpoint == id) {
+            let id = endpoint.record.endpoint;
+            if endpoints.iter().any(|other| other.record.endpoint == id) {
                 section.fault(
                     "name",
                     format!(
@@ -69,7 +69,7 @@
     /// The groups that have an endpoint; `None` if only discovery knows them.
     pub(super) fn groups(&self) -> Option<Vec<u16>> {
         match self {
-            Self::Static(endpoints) => Some(endpoints.iter().map(|e| e.entry.group.0).collect()),
+            Self::Static(endpoints) => Some(endpoints.iter().map(|e| e.record.group.0).collect()),
             Self::Discovery(_) => None,
         }
     }
@@ -81,7 +81,7 @@
         ("active", EndpointState::Ready),
         ("leaving", EndpointState::Draining),
     ];
-    let entry = EndpointRecord {
+    let record = EndpointRecord {
         // From the name, so that it stays the same when other endpoints are removed from the file.
         endpoint: endpoint_id(&name),
         group: GroupId(read_group(section)),
@@ -94,13 +94,13 @@
     };
     StaticEndpoint {
         name: name.into(),
-        entry,
+        record,
         address: section.address("address"),
     }
 }
 
 /// `group`: an endpoint group, 0 to 65,535, default 0.
 pub(super) fn read_group(section: &Section<'_>) -> u16 {
-    let group = section.whole("group", Some(0), 0..=i64::from(u16::MAX));
+    let group = section.integer("group", Some(0), 0..=i64::from(u16::MAX));
     u16::try_from(group).unwrap_or(0)
 }
--- a/crates/config/src/operators/front_settings.rs
+++ b/crates/config/src/operators/front_settings.rs
@@ -82,11 +82,11 @@
     let max_attempts = i64::from(MAX_ATTEMPTS);
     text.put(
         "limits.max-attempts",
-        limits.whole("max-attempts", Some(max_attempts), 1..=max_attempts),
+        limits.integer("max-attempts", Some(max_attempts), 1..=max_attempts),
     );
     text.put(
         "limits.most-held",
-        limits.whole("most-held", Some(20_000), 1..=10_000_000),
+        limits.integer("most-held", Some(20_000), 1..=10_000_000),
     );
     text.put(
         "limits.max-retry-after-ms",
--- a/crates/config/src/operators/fronts.rs
+++ b/crates/config/src/operators/fronts.rs
@@ -26,7 +26,7 @@
     /// Most memory, in megabytes, 16 to 1,048,576; default that of `[gateway]`.
     pub memory_mb: usize,
     /// Where its endpoints are known from.
-    pub members: EndpointSource,
+    pub endpoints: EndpointSource,
     /// Settings and names.
     pub site: Site,
     /// The contracts of its statements.
@@ -50,8 +50,8 @@
     let listen = section.address("listen");
     let sockets = section.size("sockets", shared.gateway.sockets, SOCKETS);
     let memory_mb = section.size("memory-mb", shared.gateway.memory_mb, MEMORY_MB);
-    let members = EndpointSource::read(section);
-    let groups = members.groups();
+    let endpoints = EndpointSource::read(section);
+    let groups = endpoints.groups();
     let mut contracts = contracts::read_contracts(
         section,
         protocol,
@@ -69,7 +69,7 @@
         listen,
         sockets,
         memory_mb,
-        members,
+        endpoints,
         site,
         contracts: contracts::contracts(&contracts, shared.budgets),
     })
--- a/crates/config/src/operators/mod.rs
+++ b/crates/config/src/operators/mod.rs
@@ -74,13 +74,13 @@
     /// `[peers]`; without it this gateway knows of no other.
     pub peers: Option<PeerSettings>,
     /// `gateway.routers`: gateways that share the endpoints, 1 to 100,000, default 1.
-    pub routers: u32,
+    pub gateways: u32,
     /// `mgmt.listen`: where operators reach health and metrics; without it nowhere.
-    pub mgmt: Option<SocketAddr>,
+    pub management: Option<SocketAddr>,
     /// `[door]`: admission control; without it requests reach the decision module as they come.
-    pub door: Option<AdmissionSettings>,
+    pub admission: Option<AdmissionSettings>,
     /// The tenants' quotas as shares of the capacity, in the settings' order.
-    pub shares: Vec<f64>,
+    pub quota_shares: Vec<f64>,
     /// The fronts, in the file's order.
     pub fronts: Vec<FrontSettings>,
     /// `[snmp]`; without it there is no agent.
@@ -165,7 +165,7 @@
             root.put("peers", section.finish());
             peers
         });
-        let door = AdmissionSettings::read(root);
+        let admission = AdmissionSettings::read(root);
         let management = ManagementSection::read(root);
         let budgets = sections::read_budgets(root);
         let shared = SharedSettings {
@@ -177,7 +177,7 @@
             },
         };
         let fronts = read_fronts(root, &shared, management.as_ref());
-        let mgmt = management.map(|management| management.finish(root));
+        let management = management.map(|management| management.finish(root));
         let snmp = root.optional_section("snmp").map(|section| {
             let boots = match state {
                 Some(_) => EngineBoots::Kept,
@@ -192,10 +192,10 @@
             log,
             state,
             peers,
-            routers: gateway.gateways,
-            mgmt,
-            door,
-            shares: budgets.iter().map(|budget| budget.share).collect(),
+            gateways: gateway.gateways,
+            management,
+            admission,
+            quota_shares: budgets.iter().map(|budget| budget.share).collect(),
             fronts,
             snmp,
         }
--- a/crates/config/src/operators/sections.rs
+++ b/crates/config/src/operators/sections.rs
@@ -30,7 +30,7 @@
     pub(super) fn read(root: &Section<'_>) -> Self {
         let section = root.section("gateway");
         let name = section.name("name", Some("valehatch")).into();
-        let gateways = section.whole("routers", Some(1), 1..=MAX_GATEWAYS);
+        let gateways = section.integer("routers", Some(1), 1..=MAX_GATEWAYS);
         let read = Self {
             name,
             gateways: u32::try_from(gateways).unwrap_or(1),
@@ -86,7 +86,7 @@
             ("debug", LogLevel::Debug),
         ];
         let formats = [("text", false), ("json", true)];
-        let lines_per_s = section.whole("lines-per-s", Some(50), 1..=1_000_000);
+        let lines_per_s = section.integer("lines-per-s", Some(50), 1..=1_000_000);
         let read = Self {
             level: section.choice("level", Some("info"), &levels),
             json: section.choice("format", Some("text"), &formats),
@@ -112,7 +112,7 @@
     /// `segments`: segments that are kept, 2 to 10,000, default 8.
     pub segments: usize,
     /// `queue`: records that may wait to be written, 16 to 1,048,576, default 16,384.
-    pub queue: usize,
+    pub max_queued: usize,
     /// `snapshot-ms`: how often the snapshot for the next start is written, in milliseconds, 1 to 3,600,000, default
     /// 1,000.
     pub snapshot_ms: u64,
@@ -126,18 +126,18 @@
             section.fault("dir", "is empty");
         }
         let ms = |key: &str, default: i64, max: i64| {
-            section.whole(key, Some(default), 1..=max).unsigned_abs()
+            section.integer(key, Some(default), 1..=max).unsigned_abs()
         };
         let sync_ms = ms("sync-ms", 200, 10_000);
         let checkpoint_ms = ms("checkpoint-ms", 10_000, HOUR_MS);
-        let segment_kb = section.whole("segment-kb", Some(65_536), 4..=4_194_304);
+        let segment_kb = section.integer("segment-kb", Some(65_536), 4..=4_194_304);
         let read = Self {
             dir: dir.into(),
             sync_ms,
             checkpoint_ms,
             segment_bytes: segment_kb.unsigned_abs() * BYTES_PER_KB,
             segments: section.size("segments", 8, 2..=10_000),
-            queue: section.size("queue", 16_384, 16..=1_048_576),
+            max_queued: section.size("queue", 16_384, 16..=1_048_576),
             snapshot_ms: ms("snapshot-ms", 1_000, HOUR_MS),
         };
         root.put("state", section.finish());
@@ -149,22 +149,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
     /// `most`: requests of each front that may wait, 1 to 1,000,000, default 10,000.
-    pub most: usize,
+    pub max_waiting: usize,
     /// `buckets`: buckets that the clients of a tenant are hashed into, 1 to 65,536, default 4,096.
-    pub buckets: u32,
+    pub client_buckets: u32,
     /// `lanes`: endpoint groups that may have waiting requests at once, for writes and for reads each, 1 to 100,000,
     /// default 64.
-    pub lanes: usize,
+    pub max_active_groups: usize,
 }
 
 impl AdmissionSettings {
     pub(super) fn read(root: &Section<'_>) -> Option<Self> {
         let section = root.optional_section("door")?;
-        let buckets = section.whole("buckets", Some(4096), 1..=65_536);
+        let client_buckets = section.integer("buckets", Some(4096), 1..=65_536);
         let read = Self {
-            most: section.size("most", 10_000, 1..=1_000_000),
-            buckets: u32::try_from(buckets).unwrap_or(1),
-            lanes: section.size("lanes", 64, 1..=100_000),
+            max_waiting: section.size("most", 10_000, 1..=1_000_000),
+            client_buckets: u32::try_from(client_buckets).unwrap_or(1),
+            max_active_groups: section.size("lanes", 64, 1..=100_000),
         };
         root.put("door", section.finish());
         Some(read)
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -22,16 +22,16 @@
     /// `seeds`: gateways that are contacted first; default none.
     pub seeds: Vec<SocketAddr>,
     /// `from`: networks that gateways may be in; nothing is received from or sent to other addresses but the seeds.
-    pub from: Vec<IpNet>,
+    pub allowed_networks: Vec<IpNet>,
     /// `probe-ms`: time between two probes, in milliseconds, 50 to 60,000, default 500.
-    pub probe_ms: i64,
+    pub probe_interval_ms: i64,
     /// `most`: gateways that are known at most, 1 to 10,000, default 1,024.
-    pub most: usize,
+    pub max_gateways: usize,
     /// `bytes-per-s`: bytes sent in a second on average, 1,024 to 1,048,576, default 8,192.
     pub bytes_per_s: u32,
     /// `settle-ms`: how long the fleet must have been smaller before its size is lowered, in milliseconds, 0 to
     /// 86,400,000, default 30,000.
-    pub settle_ms: i64,
+    pub shrink_delay_ms: i64,
 }
 
 impl PeerSettings {
@@ -39,31 +39,31 @@
     #[must_use]
     pub fn allows(&self, address: &SocketAddr) -> bool {
         let in_network = |network: &IpNet| network.contains(&address.ip());
-        self.seeds.contains(address) || self.from.iter().any(in_network)
+        self.seeds.contains(address) || self.allowed_networks.iter().any(in_network)
     }
 
     pub(crate) fn read(section: &Section<'_>) -> Self {
         let listen = read_listen(section);
         let advertise = read_advertise(section, listen);
         let seeds = read_seeds(section, listen);
-        let from = read_networks(section);
-        if from.is_empty() && seeds.iter().all(|seed| *seed == advertise) {
+        let allowed_networks = read_networks(section);
+        if allowed_networks.is_empty() && seeds.iter().all(|seed| *seed == advertise) {
             section.fault(
                 "seeds",
                 "names nobody else, and from allows nobody: there would be no peers",
             );
         }
-        let bytes_per_s = section.whole("bytes-per-s", Some(8192), 1024..=1_048_576);
+        let bytes_per_s = section.integer("bytes-per-s", Some(8192), 1024..=1_048_576);
         Self {
             listen,
             advertise,
             fleet: section.name("fleet", None),
             seeds,
-            from,
-            probe_ms: section.whole("probe-ms", Some(500), 50..=MINUTE_MS),
-            most: section.size("most", 1024, 1..=10_000),
+            allowed_networks,
+            probe_interval_ms: section.integer("probe-ms", Some(500), 50..=MINUTE_MS),
+            max_gateways: section.size("most", 1024, 1..=10_000),
             bytes_per_s: u32::try_from(bytes_per_s).unwrap_or(u32::MAX),
-            settle_ms: section.whole("settle-ms", Some(30_000), 0..=DAY_MS),
+            shrink_delay_ms: section.integer("settle-ms", Some(30_000), 0..=DAY_MS),
         }
     }
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -31,7 +31,7 @@
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// Where operators reach health and metrics, if they may.
-    pub mgmt: Option<SocketAddr>,
+    pub management: Option<SocketAddr>,
     /// Seed of random numbers.
     pub seed: u64,
     /// Most descriptors: 64 to 1,048,576, default 1,024.
@@ -39,7 +39,7 @@
     /// Most memory, in megabytes: 16 to 1,048,576, default 192.
     pub memory_mb: usize,
     /// The endpoint list as last cached, in discovery's form; null if there is none.
-    pub known: Value,
+    pub cached_endpoints: Value,
     /// Settings and names.
     pub site: Site,
 }
@@ -139,7 +139,7 @@
             name: text(&config, "name")?.to_owned(),
             listen: address(&config, "listen")?,
             discovery: address(&config, "discovery")?,
-            mgmt: match config.get("mgmt") {
+            management: match config.get("mgmt") {
                 None | Some(Value::Null) => None,
                 Some(_) => Some(address(&config, "mgmt")?),
             },
@@ -150,7 +150,7 @@
             })?,
             sockets,
             memory_mb,
-            known: config.get("known").cloned().unwrap_or(Value::Null),
+            cached_endpoints: config.get("known").cloned().unwrap_or(Value::Null),
             site: Site::from_json(settings).map_err(PlatformConfigError::Settings)?,
         })
     }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -101,10 +101,10 @@
 /// A number; a whole number will do.
 #[allow(clippy::cast_precision_loss)]
 fn as_number(value: &Value) -> Result<f64, InvalidValue> {
-    let whole = value.as_integer().map(|n| n as f64);
+    let integer = value.as_integer().map(|n| n as f64);
     value
         .as_float()
-        .or(whole)
+        .or(integer)
         .ok_or_else(|| wrong_type(value, "a number"))
 }
 
@@ -303,7 +303,7 @@
 
     /// A whole number within bounds; the lower bound stands in for an invalid value.
     #[must_use]
-    pub fn whole(&self, key: &str, default: Option<i64>, bounds: RangeInclusive<i64>) -> i64 {
+    pub fn integer(&self, key: &str, default: Option<i64>, bounds: RangeInclusive<i64>) -> i64 {
         let read = |value: &Value| {
             let n = value
                 .as_integer()
@@ -321,7 +321,7 @@
     #[must_use]
     pub fn size(&self, key: &str, default: usize, bounds: RangeInclusive<i64>) -> usize {
         let default = i64::try_from(default).unwrap_or(i64::MAX);
-        usize::try_from(self.whole(key, Some(default), bounds)).unwrap_or(0)
+        usize::try_from(self.integer(key, Some(default), bounds)).unwrap_or(0)
     }
 
     /// A number within bounds; a whole number will do, and the lower bound stands in for an invalid value.
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -121,7 +121,7 @@
 /// The first key that is missing or out of bounds.
 pub fn parse(source: &str) -> Result<(Settings, WireSettings), SettingsError> {
     let text = SettingsText::parse(source)?;
-    let class_count = text.whole("classes.count", 1.0..=MAX_ITEMS)? as usize;
+    let class_count = text.integer("classes.count", 1.0..=MAX_ITEMS)? as usize;
     let tenants = parse_tenants(&text)?;
     let tenant_count = tenants.len();
     let discovery_mode = text.choice(
@@ -144,8 +144,8 @@
         listed_role: parse_listed_role(&text)?,
         stale_read_policy: parse_stale_read_policy(&text)?,
         sessions: parse_sessions(&text)?,
-        routers: text.whole("fleet-size", 1.0..=MAX_GATEWAYS)?,
-        zone: ZoneId(u8::try_from(text.whole("zone", 0.0..=MAX_ZONE)?).unwrap_or(u8::MAX)),
+        routers: text.integer("fleet-size", 1.0..=MAX_GATEWAYS)?,
+        zone: ZoneId(u8::try_from(text.integer("zone", 0.0..=MAX_ZONE)?).unwrap_or(u8::MAX)),
         tick: Span(ms_to_micros(
             text.number("tick-ms", MIN_TICK_MS..=MAX_TICK_MS)?,
         )),
@@ -159,7 +159,7 @@
 /// Tenants, of which there may be none. A value that is not a list is an error, not an empty list.
 fn parse_tenants(text: &SettingsText<'_>) -> Result<Vec<Tenant>, SettingsError> {
     let count = if text.find("tenants.count").is_some() {
-        text.whole("tenants.count", 0.0..=MAX_ITEMS)?
+        text.integer("tenants.count", 0.0..=MAX_ITEMS)?
     } else if let Some(value) = text.find("tenants") {
         let problem = KeyProblem::NotAListOfTenants(value.to_owned());
         return Err(SettingsError::key("tenants", problem));
@@ -213,10 +213,10 @@
         hedged_requests: text.flag("limits.second-copies")?,
         retry_after: text.flag("limits.retry-after")?,
         max_attempts: text
-            .whole("limits.max-attempts", 1.0..=MAX_ATTEMPTS_SETTING)?
+            .integer("limits.max-attempts", 1.0..=MAX_ATTEMPTS_SETTING)?
             .min(MAX_ATTEMPTS),
         max_retry_after: text.span("limits.max-retry-after-ms", 0.0)?,
-        max_open_requests: text.whole("limits.most-held", 1.0..=MAX_OPEN_REQUESTS)? as usize,
+        max_open_requests: text.integer("limits.most-held", 1.0..=MAX_OPEN_REQUESTS)? as usize,
         idle_connection_timeout: text.span("limits.conn-idle-ms", 0.0)?,
     })
 }
--- a/crates/config/src/settings/text.rs
+++ b/crates/config/src/settings/text.rs
@@ -70,7 +70,7 @@
 
     /// A whole number. JSON may write it as `3.0`.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub(super) fn whole(
+    pub(super) fn integer(
         &self,
         key: &str,
         bounds: RangeInclusive<f64>,
--- a/crates/config/src/settings/wire.rs
+++ b/crates/config/src/settings/wire.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct WireSettings {
     /// The values of a load report, in their order; empty if there are no reports.
-    pub fields: Vec<LoadReportField>,
+    pub report_fields: Vec<LoadReportField>,
     /// The time at which positions begin to count.
     pub position_zero: Time,
     /// Session reads carry the age of their last write.
@@ -60,7 +60,7 @@
             return None;
         }
         let mut report = LoadReport::default();
-        for (field, value) in self.fields.iter().zip(values) {
+        for (field, value) in self.report_fields.iter().zip(values) {
             match field {
                 LoadReportField::Position => report.position = Some(position_time(*value)),
                 LoadReportField::Primary => report.primary = Some(*value > 0.0),
@@ -85,13 +85,13 @@
     classes: usize,
     tenants: usize,
 ) -> Result<WireSettings, SettingsError> {
-    let fields = parse_fields(text)?;
+    let report_fields = parse_fields(text)?;
     let zero_ms = text.number(
         "family-info.position-zero-ms",
         -MAX_POSITION_ZERO_MS..=MAX_POSITION_ZERO_MS,
     )?;
     Ok(WireSettings {
-        fields,
+        report_fields,
         position_zero: Time(ms_to_micros(zero_ms)),
         client_provided_sessions: sessions == SessionTracking::ClientProvided,
         classes,
@@ -109,15 +109,15 @@
         return Ok(vec![]);
     }
     let key = "telemetry.fields";
-    let mut fields = vec![];
+    let mut report_fields = vec![];
     for name in text.get(key)?.split(',') {
         if !is_value_name(name) {
             let problem = KeyProblem::NotAValueName(name.to_owned());
             return Err(SettingsError::key(key, problem));
         }
-        fields.push(LoadReportField::from_name(name));
+        report_fields.push(LoadReportField::from_name(name));
     }
-    Ok(fields)
+    Ok(report_fields)
 }
 
 fn is_value_name(name: &str) -> bool {
--- a/crates/config/src/snmp/access.rs
+++ b/crates/config/src/snmp/access.rs
@@ -74,11 +74,11 @@
     /// The user's name.
     pub name: String,
     /// The localized key for HMAC-SHA-256.
-    pub auth: [u8; AUTH_KEY],
+    pub auth_key: [u8; AUTH_KEY],
     /// The localized key for AES-128, if the user may encrypt.
-    pub privacy: Option<[u8; PRIV_KEY]>,
+    pub privacy_key: Option<[u8; PRIV_KEY]>,
     /// Whether requests that are not encrypted are answered too.
-    pub plain: bool,
+    pub allow_unencrypted: bool,
     /// What the user may read.
     pub view: SnmpView,
     /// From where.
@@ -191,22 +191,22 @@
 
 fn read_user(section: &Section<'_>, views: &[SnmpView]) -> SnmpUser {
     let name = section.name("name", None);
-    let auth = read_key(section, "auth-key");
-    let privacy = read_privacy_key(section);
+    let auth_key = read_key(section, "auth-key");
+    let privacy_key = read_privacy_key(section);
     let levels = [("auth-no-priv", true), ("auth-priv", false)];
-    let default_level = match privacy {
+    let default_level = match privacy_key {
         Some(_) => "auth-priv",
         None => "auth-no-priv",
     };
-    let plain = section.choice("level", Some(default_level), &levels);
-    if !plain && privacy.is_none() {
+    let allow_unencrypted = section.choice("level", Some(default_level), &levels);
+    if !allow_unencrypted && privacy_key.is_none() {
         section.fault("level", "is auth-priv, but there is no priv-key");
     }
     SnmpUser {
         name,
-        auth,
-        privacy,
-        plain,
+        auth_key,
+        privacy_key,
+        allow_unencrypted,
         view: read_view_name(section, views),
         from: read_networks(section),
     }
--- a/crates/config/src/snmp/mod.rs
+++ b/crates/config/src/snmp/mod.rs
@@ -53,7 +53,7 @@
     fn read(snmp: &Section<'_>) -> Self {
         let section = snmp.section("limits");
         let rate = |key: &str, default| {
-            let per_s = section.whole(key, Some(default), 1..=1_000_000);
+            let per_s = section.integer(key, Some(default), 1..=1_000_000);
             u32::try_from(per_s).unwrap_or(1)
         };
         let read = Self {
--- a/crates/config/src/snmp/notifications.rs
+++ b/crates/config/src/snmp/notifications.rs
@@ -38,10 +38,14 @@
 impl NotificationSettings {
     pub(super) fn read(snmp: &Section<'_>) -> Self {
         let section = snmp.section("notify");
-        let ms = |key: &str, default| section.whole(key, Some(default), 1..=DAY_MS).unsigned_abs();
+        let ms = |key: &str, default| {
+            section
+                .integer(key, Some(default), 1..=DAY_MS)
+                .unsigned_abs()
+        };
         let permille = |key: &str, default| {
             section
-                .whole(key, Some(default), 1..=MAX_PERMILLE)
+                .integer(key, Some(default), 1..=MAX_PERMILLE)
                 .unsigned_abs()
         };
         let read = Self {
--- a/crates/config/src/snmp/receivers.rs
+++ b/crates/config/src/snmp/receivers.rs
@@ -23,7 +23,7 @@
     /// `kind`: whether it acknowledges notifications (inform) or not (trap, the default).
     pub inform: bool,
     /// `community` or `user`.
-    pub with: Credentials,
+    pub credentials: Credentials,
     /// `timeout-ms`: time until the first retransmission of an inform, in milliseconds, 10 to 600,000, default 1,000;
     /// twice as long before each further one.
     pub timeout_ms: u64,
@@ -49,7 +49,7 @@
     let kinds = [("trap", false), ("inform", true)];
     let inform = section.choice("kind", Some("trap"), &kinds);
     let community = section.optional_text("community");
-    let with = match (community, section.has("user")) {
+    let credentials = match (community, section.has("user")) {
         (Some(community), false) => Credentials::Community(community),
         (None, true) if inform => read_inform_user(section),
         (None, true) => find_trap_user(section, users),
@@ -58,12 +58,12 @@
             Credentials::Community(String::new())
         }
     };
-    let timeout_ms = section.whole("timeout-ms", Some(1000), 10..=600_000);
-    let retries = section.whole("retries", Some(5), 0..=100);
+    let timeout_ms = section.integer("timeout-ms", Some(1000), 10..=600_000);
+    let retries = section.integer("retries", Some(5), 0..=100);
     NotificationReceiver {
         address,
         inform,
-        with,
+        credentials,
         timeout_ms: timeout_ms.unsigned_abs(),
         retries: u32::try_from(retries).unwrap_or(0),
         queue: section.size("queue", 256, 1..=100_000),
@@ -78,13 +78,13 @@
     if engine.is_none() && section.has("engine-id") {
         section.fault("engine-id", "is not 5 to 32 bytes in hexadecimal digits");
     }
-    let auth = read_key(section, "auth-key");
-    let privacy = read_privacy_key(section);
+    let auth_key = read_key(section, "auth-key");
+    let privacy_key = read_privacy_key(section);
     let user = SnmpUser {
         name,
-        auth,
-        privacy,
-        plain: privacy.is_none(),
+        auth_key,
+        privacy_key,
+        allow_unencrypted: privacy_key.is_none(),
         view: SnmpView::default(),
         from: AllowedNetworks::default(),
     };
--- a/crates/config/tests/operators.rs
+++ b/crates/config/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what its settings' rules leave to its own keys.
+//! The operators' file: rules of its own keys.
 
 use std::path::PathBuf;
 
@@ -52,29 +52,29 @@
         .map_or(String::new(), |faults| faults.to_string())
 }
 
-/// A request to a PostgreSQL front says names in its comment; a Cassandra front's are known by their statements.
+/// A request to a PostgreSQL front names its contract in a comment; a Cassandra front knows contracts by statements.
 #[rstest]
 #[case("postgresql", "read", "acme", "")]
 #[case("postgresql", "read,all", "acme", "front.0.contract.0.name")]
 #[case("postgresql", "read*/", "acme", "front.0.contract.0.name")]
 #[case("postgresql", "read", "ac,me", "front.0.protocol")]
 #[case("cassandra", "read,all", "ac,me", "")]
-fn a_name_that_no_request_can_say_is_named(
+fn unusable_request_name_is_reported(
     #[case] protocol: &str,
     #[case] contract: &str,
     #[case] budget: &str,
     #[case] key: &str,
 ) {
-    let said = faults(protocol, contract, budget, "100");
-    assert_eq!(said.is_empty(), key.is_empty(), "{said}");
-    assert!(said.contains(key), "{said}");
+    let message = faults(protocol, contract, budget, "100");
+    assert_eq!(message.is_empty(), key.is_empty(), "{message}");
+    assert!(message.contains(key), "{message}");
 }
 
 #[rstest]
 #[case("10", "")]
 #[case("9", "front.0.contract.0.deadline-ms")]
-fn a_deadline_that_leaves_no_time_is_named(#[case] deadline: &str, #[case] key: &str) {
-    let said = faults("postgresql", "read", "acme", deadline);
-    assert_eq!(said.is_empty(), key.is_empty(), "{said}");
-    assert!(said.contains(key), "{said}");
+fn too_short_deadline_is_reported(#[case] deadline: &str, #[case] key: &str) {
+    let message = faults("postgresql", "read", "acme", deadline);
+    assert_eq!(message.is_empty(), key.is_empty(), "{message}");
+    assert!(message.contains(key), "{message}");
 }
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -1,5 +1,5 @@
-//! Whatever settings are accepted, the module made from them works: no panic, no number that is none, and every request
-//! ends.
+//! Whatever settings are accepted, a router made from them works: it does not panic, has no NaN or infinity in its state,
+//! and every request ends.
 
 mod site;
 
@@ -85,7 +85,7 @@
             Change::Brought => ("family-info.token-mode", json!("brought")),
             Change::NoTenants => ("tenants", json!([])),
         };
-        // A change before may have taken the tenants away.
+        // An earlier change may have removed the tenants.
         if let Some(place) = all.pointer_mut(&pointer(key)) {
             *place = value;
         }
@@ -93,7 +93,7 @@
     all
 }
 
-/// What a client and the members do, by numbers that are drawn.
+/// A client and the endpoints, driven by random numbers.
 struct World {
     router: Router,
     now: Time,
@@ -256,7 +256,7 @@
             }
         }
     }
-    // What is out ends, whatever is tried again after it, and time passes until nobody waits any more.
+    // Attempts in flight end, whatever is retried, and time passes until no request is open.
     while !world.open.is_empty() {
         let deadlines = world.open.values().copied().min().expect("one is open");
         let soon = world.timer.take().unwrap_or(deadlines).min(deadlines);
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn accepted_settings_work() {
+fn accepted_settings_give_working_router() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -294,10 +294,10 @@
                     play(&site, &moves);
                 }
                 Err(error) => {
-                    let said = error.to_string();
-                    let names = |c: &Change| matches!(c, Change::Number(key, _) if named(&said, KEYS[*key]));
-                    let time = said.contains("rules.ask-within-ms");
-                    prop_assert!(time || changes.iter().any(names), "{said} names none of {changes:?}");
+                    let message = error.to_string();
+                    let names = |c: &Change| matches!(c, Change::Number(key, _) if named(&message, KEYS[*key]));
+                    let poll_interval = message.contains("rules.ask-within-ms");
+                    prop_assert!(poll_interval || changes.iter().any(names), "{message} names none of {changes:?}");
                 }
             }
             Ok(())
@@ -310,7 +310,7 @@
     );
 }
 
-fn named(said: &str, key: &str) -> bool {
+fn named(message: &str, key: &str) -> bool {
     let list = key.strip_suffix(".0").map(|list| format!("{list} item 0"));
-    said.contains(&list.unwrap_or_else(|| key.to_owned()))
+    message.contains(&list.unwrap_or_else(|| key.to_owned()))
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Every key of the platform's settings, with values that are missing, null, nought, negative, huge or of another type:
-//! a stated default, or an error that names the key.
+//! Every key of the platform's settings, with values that are missing, null, 0, negative, huge or of another type: a
+//! stated default, or an error that names the key.
 
 mod site;
 
@@ -17,8 +17,8 @@
     format!("{:?}", read(settings).expect("settings that can be served"))
 }
 
-/// What is tried with each key, in the order of the letters of a row.
-fn tries(key: &str) -> [(&'static str, Value); 9] {
+/// The variants of a key, in the order of the letters of a row.
+fn variants(key: &str) -> [(&'static str, Value); 9] {
     [
         ("missing", without(key)),
         ("null", with(key, Value::Null)),
@@ -32,7 +32,7 @@
     ]
 }
 
-/// E: an error that names the key. A: taken as given. D: as with the default.
+/// E: an error that names the key. A: accepted as given. D: the same as with the default.
 #[rstest]
 #[case("areas", "DDEEEEEEE", json!([]))]
 #[case("skus", "DDEEEEEEE", json!([]))]
@@ -78,17 +78,13 @@
 #[case("tenants.0.name", "EEEEEAEEE", Value::Null)]
 #[case("tenants.0.allowance-per-s", "EEAEEEEEE", Value::Null)]
 #[case("over-share-worth", "EEAEEEEEE", Value::Null)]
-fn a_key_has_a_stated_default_or_an_error_that_names_it(
-    #[case] key: &str,
-    #[case] row: &str,
-    #[case] default: Value,
-) {
-    for ((what, tried), expected) in tries(key).into_iter().zip(row.chars()) {
+fn key_has_default_or_error_names_it(#[case] key: &str, #[case] row: &str, #[case] default: Value) {
+    for ((what, tried), expected) in variants(key).into_iter().zip(row.chars()) {
         let got = read(&tried);
         match expected {
             'E' => {
-                let said = got.expect_err(&format!("{key}, {what}, is refused"));
-                assert!(said.contains(key), "{key}, {what}: {said}");
+                let message = got.expect_err(&format!("{key}, {what}, is refused"));
+                assert!(message.contains(key), "{key}, {what}: {message}");
             }
             'A' => assert!(got.is_ok(), "{key}, {what}: {got:?}"),
             _ => assert_eq!(
@@ -100,7 +96,7 @@
     }
 }
 
-/// What is given where it is taken as given, at both ends of its bounds and beyond them.
+/// Values at both ends of the bounds, and beyond them.
 #[rstest]
 #[case("classes.0.slo-ms", &[0.001, 2.592e9], &[0.0001, 2.6e9])]
 #[case("classes.0.deadline-ms", &[10.0, 172_800_000.0], &[9.9, 2.6e9])]
@@ -116,19 +112,19 @@
 #[case("rules.tip-multiple", &[0.001, 1e6], &[0.0, 1.1e6])]
 #[case("tenants.0.allowance-per-s", &[0.0, 1e9], &[1.1e9])]
 #[case("over-share-worth", &[0.0, 1.0], &[1.01])]
-fn bounds_are_where_they_are_stated(#[case] key: &str, #[case] good: &[f64], #[case] bad: &[f64]) {
+fn stated_bounds_hold(#[case] key: &str, #[case] good: &[f64], #[case] bad: &[f64]) {
     for value in good {
         let got = read(&with(key, json!(value)));
         assert!(got.is_ok(), "{key}={value}: {got:?}");
     }
     for value in bad {
-        let said = read(&with(key, json!(value))).expect_err(&format!("{key}={value}"));
-        assert!(said.contains(key), "{key}={value}: {said}");
+        let message = read(&with(key, json!(value))).expect_err(&format!("{key}={value}"));
+        assert!(message.contains(key), "{key}={value}: {message}");
     }
 }
 
 #[test]
-fn names_are_those_of_the_json() {
+fn names_are_taken_from_json() {
     let site = read(&settings()).unwrap();
     assert_eq!(site.classes, ["plads check", "køb", "én gang", "42"]);
     assert_eq!(site.tenants, ["strand lejren", "skovbakken"]);
@@ -136,12 +132,12 @@
     assert_eq!(site.kinds, ["std 4"]);
 }
 
-/// The flat form cannot hold them apart; the names that clients and discovery use are not read from it.
+/// Settings text cannot hold these names apart; names are read from the JSON.
 #[rstest]
 #[case("areas", json!(["hal a", "hal_a"]))]
 #[case("areas", json!(["a,b", "c"]))]
 #[case("areas", json!(["a=b", "c\nd"]))]
-fn names_of_zones_are_any_texts(#[case] key: &str, #[case] names: Value) {
+fn zone_names_may_be_any_text(#[case] key: &str, #[case] names: Value) {
     let site = read(&with(key, names.clone())).unwrap();
     assert_eq!(json!(site.zones), names);
 }
@@ -160,51 +156,51 @@
 #[case("tenants.1.name", json!("a,b"), "a,b")]
 #[case("areas", json!(["hal a", "hal a"]), "hal a")]
 #[case("areas", json!(["hal a", 7]), "7")]
-fn a_name_that_cannot_be_told_is_named(#[case] key: &str, #[case] name: Value, #[case] what: &str) {
-    let said = read(&with(key, name)).expect_err("refused");
-    assert!(said.contains(key) && said.contains(what), "{said}");
+fn unusable_name_is_reported(#[case] key: &str, #[case] name: Value, #[case] what: &str) {
+    let message = read(&with(key, name)).expect_err("refused");
+    assert!(message.contains(key) && message.contains(what), "{message}");
 }
 
 #[test]
-fn a_name_that_figures_cannot_tell_is_named() {
+fn name_unusable_in_metrics_is_reported() {
     assert_eq!(read(&settings()).unwrap().validate_metric_names(), Ok(()));
     for name in ["plads:check", "plads|check"] {
         let site = read(&with("classes.1.name", json!(name))).unwrap();
-        let said = site
+        let message = site
             .validate_metric_names()
             .expect_err("refused")
             .to_string();
         assert!(
-            said.contains("classes.1.name") && said.contains(name),
-            "{said}"
+            message.contains("classes.1.name") && message.contains(name),
+            "{message}"
         );
     }
 }
 
 #[test]
-fn a_class_without_a_name_moves_no_other() {
-    let said = read(&without("classes.1.name")).expect_err("refused");
-    assert!(said.contains("classes.1.name"), "{said}");
+fn class_without_name_is_reported() {
+    let message = read(&without("classes.1.name")).expect_err("refused");
+    assert!(message.contains("classes.1.name"), "{message}");
 }
 
-/// Whatever the settings allow, a request is not tried more than six times.
+/// Whatever the settings allow, a request has at most six attempts.
 #[rstest]
 #[case(1, 1)]
 #[case(6, 6)]
 #[case(7, 6)]
 #[case(100, 6)]
-fn attempts_are_six_at_the_most(#[case] allowed: u32, #[case] made: u32) {
+fn attempts_are_capped_at_six(#[case] allowed: u32, #[case] made: u32) {
     let site = read(&with("limits.max-attempts", json!(allowed))).unwrap();
     assert_eq!(site.settings.limits.max_attempts, made);
 }
 
-/// A key that has moved or is named otherwise is missed by its own name.
+/// A key at another place of the JSON is missing at its own.
 #[rstest]
 #[case("limits.max-attempts")]
 #[case("family-info.needs-by-class")]
 #[case("rules.cold-ms")]
 #[case("tick-ms")]
-fn a_key_that_has_moved_is_missed_by_its_name(#[case] key: &str) {
+fn moved_key_is_reported_missing(#[case] key: &str) {
     let mut moved = without(key);
     let value = settings().pointer(&site::pointer(key)).unwrap().clone();
     moved["elsewhere"] = json!({ "moved": value });
@@ -216,7 +212,7 @@
 }
 
 #[test]
-fn where_the_list_is_asked_for_the_time_must_be_there() {
+fn polling_requires_poll_interval() {
     for value in [json!(null), json!(0), json!(99)] {
         let mut asked = with("rules.ask-within-ms", value);
         asked["membership-mode"] = json!("ask");
@@ -229,7 +225,7 @@
 }
 
 #[test]
-fn what_is_off_needs_no_more() {
+fn disabled_features_need_no_keys() {
     let mut bare = without("telemetry.fields");
     bare["telemetry"]["source"] = json!("off");
     bare["family-info"]["server-checks"] = json!("off");
@@ -240,7 +236,7 @@
     bare["tenants"] = json!([]);
     bare.as_object_mut().unwrap().remove("over-share-worth");
     let site = read(&bare).unwrap();
-    assert!(site.wire.fields.is_empty() && site.tenants.is_empty());
+    assert!(site.wire.report_fields.is_empty() && site.tenants.is_empty());
     assert_eq!(
         (
             site.settings.stale_read_policy,
@@ -251,7 +247,7 @@
 }
 
 #[test]
-fn two_sites_are_each_as_they_say() {
+fn sites_do_not_share_settings() {
     let first = read(&settings()).unwrap();
     let mut other = with("classes.0.effect", json!("unsafe"));
     other["classes"][1]["group"] = json!("zone");
@@ -296,14 +292,14 @@
 #[case(json!([]))]
 #[case(Value::Null)]
 #[case(json!({}))]
-fn settings_that_are_none_are_named(#[case] none: Value) {
-    let said = read(&none).expect_err("refused");
-    assert!(said.contains("settings"), "{said}");
+fn settings_that_are_no_object_are_reported(#[case] none: Value) {
+    let message = read(&none).expect_err("refused");
+    assert!(message.contains("settings"), "{message}");
 }
 
-/// A key of the JSON can be any text; none may stand in for another.
+/// A key of the JSON may hold a line break or `=`. If it were copied as it is, it would set another key.
 #[test]
-fn a_key_cannot_write_other_keys() {
+fn json_key_cannot_forge_another() {
     let mut forged = without("limits.cancel");
     forged["x\nlimits.cancel"] = json!(true);
     assert!(
--- a/crates/cql/src/clients.rs
+++ b/crates/cql/src/clients.rs
@@ -82,12 +82,12 @@
 
     /// The contract that all the statements stand under; statements of several make an unknown one.
     fn contract(&self, statements: &[Arc<str>]) -> &Contract {
-        let mut all = statements.iter().map(|s| self.contracts.of(s));
-        let first = all.next().unwrap_or_else(|| self.contracts.unknown());
+        let mut all = statements.iter().map(|s| self.contracts.for_statement(s));
+        let first = all.next().unwrap_or_else(|| self.contracts.for_unknown());
         if all.all(|c| c.class == first.class) {
             first
         } else {
-            self.contracts.unknown()
+            self.contracts.for_unknown()
         }
     }
 
@@ -117,7 +117,7 @@
         }
         let prepare = frame.opcode() == op::PREPARE;
         let contract = if prepare {
-            self.contracts.preparing()
+            self.contracts.for_prepare()
         } else {
             self.contract(&asked.statements)
         };
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -111,10 +111,10 @@
     valehatch_admission::Settings {
         shares,
         classes: site.settings.classes.iter().map(class).collect(),
-        most: door.most.min(site.settings.limits.max_open_requests),
-        buckets: door.buckets,
+        most: door.max_waiting.min(site.settings.limits.max_open_requests),
+        buckets: door.client_buckets,
         max_hint: site.settings.limits.max_retry_after,
-        lanes: door.lanes,
+        lanes: door.max_active_groups,
     }
 }
 
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -149,7 +149,7 @@
         })
         .collect();
     let mgmt = Told::new(read.fronts.iter().map(|f| (Arc::clone(&f.name), &f.site)));
-    if let Some(listen) = read.mgmt {
+    if let Some(listen) = read.management {
         mgmt.serve(listen)
             .map_err(|e| format!("mgmt.listen: {e}"))?;
     }
@@ -166,7 +166,7 @@
         .and_then(|state| recovery::read(&state.dir, &read.name));
     let service = recovery::service(&read, clock);
     let agent = agent(&read, &made, writer.as_ref(), clock, began)?;
-    let fleet = Arc::new(AtomicU32::new(read.routers));
+    let fleet = Arc::new(AtomicU32::new(read.gateways));
     let mut fronts = vec![];
     let mut asking = 0;
     let mut takers = vec![None; made.len()];
@@ -176,14 +176,14 @@
             recorder: w.recorder(),
             service: Arc::clone(&service),
         });
-        let figures = read.mgmt.map(|_| mgmt.outcome_metrics(n));
+        let figures = read.management.map(|_| mgmt.outcome_metrics(n));
         let speakers = speakers(front, clock, made.inbox.0.clone(), figures.clone());
         let speakers = speakers.map_err(|e| format!("front.{n}: {e}"))?;
         let seed = clock.now().0.unsigned_abs() ^ u64::from(std::process::id()) << 32 ^ n as u64;
-        if let EndpointSource::Static(_) = front.members {
+        if let EndpointSource::Static(_) = front.endpoints {
             mgmt.listed(n);
         }
-        if let EndpointSource::Discovery(address) = front.members {
+        if let EndpointSource::Discovery(address) = front.endpoints {
             let place = Arc::new(list::Place::new(address));
             let (site, events) = (front.site.clone(), made.inbox.0.clone());
             let watch =
@@ -230,8 +230,8 @@
             decisions: mgmt.decisions(n),
             board: Arc::clone(&made.board),
             door: read
-                .door
-                .map(|door| crate::front::door(door, &front.site, read.shares.clone())),
+                .admission
+                .map(|door| crate::front::door(door, &front.site, read.quota_shares.clone())),
         };
         fronts.push((
             Arc::clone(&front.name),
@@ -248,12 +248,12 @@
     let agent = Arc::new(agent);
     let told = Arc::downgrade(&agent);
     let doors: Vec<Sender<Event>> = made.iter().map(|m| m.inbox.0.clone()).collect();
-    let with_door = read.door.is_some();
+    let with_door = read.admission.is_some();
     let reread = move |read: OperatorConfig| {
         if with_door {
             doors
                 .iter()
-                .for_each(|core| drop(core.send(Event::TenantQuotas(read.shares.clone()))));
+                .for_each(|core| drop(core.send(Event::TenantQuotas(read.quota_shares.clone()))));
         }
         if let (Some(agent), Some(snmp)) = (told.upgrade(), read.snmp) {
             agent.iter().for_each(|agent| agent.reread(snmp.clone()));
@@ -275,7 +275,7 @@
                 lists.filter_map(|((name, _), taker)| Some((Arc::clone(name), taker.clone()?)));
             Some(GossipTransport::start(
                 peers,
-                read.routers,
+                read.gateways,
                 seed,
                 events.clone(),
                 fleet,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -53,9 +53,9 @@
 
 /// The door's sizes on the platform, within its memory.
 const DOOR: AdmissionSettings = AdmissionSettings {
-    most: 4_000,
-    buckets: 1024,
-    lanes: 64,
+    max_waiting: 4_000,
+    client_buckets: 1024,
+    max_active_groups: 64,
 };
 
 pub(crate) fn serve(door: bool) -> Result<(), String> {
@@ -66,11 +66,11 @@
         name,
         listen,
         discovery,
-        mgmt,
+        management: mgmt,
         seed,
         sockets,
         memory_mb,
-        known,
+        cached_endpoints: known,
         site,
     } = load(&path)?;
     let mgmt = management(mgmt)?;
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -154,7 +154,7 @@
     let asks = read
         .fronts
         .iter()
-        .filter(|f| matches!(f.members, EndpointSource::Discovery(_)))
+        .filter(|f| matches!(f.endpoints, EndpointSource::Discovery(_)))
         .count();
     Arc::new(Mutex::new(Service::new(asks, clock.now())))
 }
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -505,7 +505,7 @@
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gateway.toml");
     let read = OperatorConfig::load(path.as_ref()).unwrap();
     let front = read.fronts.iter().find(|f| &*f.name == "stays").unwrap();
-    let class = |text: &str| front.site.classes[front.contracts.of(text).class].clone();
+    let class = |text: &str| front.site.classes[front.contracts.for_statement(text).class].clone();
     assert_eq!(class("  select *\n FROM stays.guest;"), "stay-read");
     assert_eq!(
         class("INSERT INTO stays.guest (id) VALUES (1)"),
@@ -525,7 +525,7 @@
     let text = file(free_address(), &members, None);
     let load = |text: &str| {
         std::fs::write(&path, text).unwrap();
-        match &OperatorConfig::load(&path).unwrap().fronts[0].members {
+        match &OperatorConfig::load(&path).unwrap().fronts[0].endpoints {
             EndpointSource::Static(members) => members.clone(),
             other => panic!("{other:?}"),
         }
@@ -536,8 +536,8 @@
     let one = load(&(text[..first].to_owned() + &text[second..]));
     assert_eq!(one.len(), 1);
     assert_eq!(
-        (one[0].entry.endpoint, one[0].address),
-        (both[1].entry.endpoint, members[1])
+        (one[0].record.endpoint, one[0].address),
+        (both[1].record.endpoint, members[1])
     );
 }
 
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -111,11 +111,11 @@
             seeds: peers.seeds.clone(),
             zone: 0,
             version: version(env!("CARGO_PKG_VERSION")),
-            period: Span::from_millis(peers.probe_ms),
-            most: peers.most,
+            period: Span::from_millis(peers.probe_interval_ms),
+            most: peers.max_gateways,
             bytes_s: peers.bytes_per_s,
             configured,
-            settle: Span::from_millis(peers.settle_ms),
+            settle: Span::from_millis(peers.shrink_delay_ms),
         };
         let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
         let heart = heart.map_err(|e| format!("peers: {e}"))?;
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -16,7 +16,7 @@
 
 fn list(members: &[StaticEndpoint]) -> Event {
     let member = |m: &StaticEndpoint| ListedEndpoint {
-        entry: m.entry.clone(),
+        entry: m.record.clone(),
         name: Arc::clone(&m.name),
         address: Arc::from(m.address.to_string()),
     };
@@ -46,7 +46,7 @@
     let tell = move |read: &OperatorConfig| {
         for named in &fronts {
             let found = read.fronts.iter().find(|f| f.name == named.front);
-            match found.map(|f| &f.members) {
+            match found.map(|f| &f.endpoints) {
                 Some(EndpointSource::Static(members)) => drop(named.events.send(list(members))),
                 Some(EndpointSource::Discovery(_)) => {}
                 None => {
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/link_frame.rs
@@ -22,11 +22,11 @@
         advertise: own,
         fleet: "test".into(),
         seeds: vec![seed.local_addr().unwrap()],
-        from: vec![],
-        probe_ms: 100,
-        most: 8,
+        allowed_networks: vec![],
+        probe_interval_ms: 100,
+        max_gateways: 8,
         bytes_per_s: 8192,
-        settle_ms: 30_000,
+        shrink_delay_ms: 30_000,
     };
     let _link = GossipTransport::start(peers, 1, 1, vec![], Default::default(), vec![]).unwrap();
     let mut bytes = [0; 512];
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -283,13 +283,13 @@
         };
         let supported = match level {
             0 => false,
-            AUTH => user.plain,
-            _ => user.privacy.is_some(),
+            AUTH => user.allow_unencrypted,
+            _ => user.privacy_key.is_some(),
         };
         if !supported {
             return self.report(&access, secured, Stat::UnsupportedSecLevels, None);
         }
-        if !message::authentic(datagram, &secured.digest, &user.auth) {
+        if !message::authentic(datagram, &secured.digest, &user.auth_key) {
             return self.report(&access, secured, Stat::WrongDigests, None);
         }
         if !shared.window().holds(secured.window.0, secured.window.1) {
@@ -297,7 +297,7 @@
             return self.report(&access, secured, Stat::NotInTimeWindows, Some(user));
         }
         let key = if level & PRIV != 0 {
-            user.privacy.as_ref()
+            user.privacy_key.as_ref()
         } else {
             None
         };
@@ -356,7 +356,7 @@
             engine: &access.engine,
             window: (window.boots, window.time),
             user: &secured.user,
-            auth: signed.map(|u| &u.auth),
+            auth: signed.map(|u| &u.auth_key),
             privacy: None,
         };
         message::write_v3(&sealing, &access.engine, b"", pdus)
@@ -410,9 +410,9 @@
                     engine: &access.engine,
                     window: (window.boots, window.time),
                     user: user.name.as_bytes(),
-                    auth: Some(&user.auth),
+                    auth: Some(&user.auth_key),
                     privacy: user
-                        .privacy
+                        .privacy_key
                         .as_ref()
                         .filter(|_| level & PRIV != 0)
                         .map(|key| (key, salt)),
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -179,7 +179,7 @@
     ) -> Option<Vec<u8>> {
         let pdus = message::notification(self.receiver.inform, id, list.to_vec());
         let access = shared.access.load();
-        match &self.receiver.with {
+        match &self.receiver.credentials {
             Credentials::Community(community) => message::write_v2c(community.as_bytes(), pdus),
             Credentials::User(user, engine) => {
                 // A trap's sender is its own authority; over an inform the receiver's engine is.
@@ -194,8 +194,8 @@
                     engine,
                     window: (window.boots, window.time),
                     user: user.name.as_bytes(),
-                    auth: Some(&user.auth),
-                    privacy: user.privacy.as_ref().map(|key| (key, salt.draw())),
+                    auth: Some(&user.auth_key),
+                    privacy: user.privacy_key.as_ref().map(|key| (key, salt.draw())),
                 };
                 message::write_v3(&sealing, &access.engine, b"", pdus)
             }
@@ -216,7 +216,7 @@
 
     /// Takes what came from the receiver's address: an acknowledgement, or the time of its engine.
     fn take(&mut self, now: Time, datagram: &[u8]) {
-        match (message::read(datagram), &self.receiver.with) {
+        match (message::read(datagram), &self.receiver.credentials) {
             (Some(Incoming::V2c(community, pdus)), Credentials::Community(own)) => {
                 if let (Said::Response(id, _), true) =
                     (message::said(pdus), community == own.as_bytes())
@@ -244,7 +244,7 @@
             secured.model == 3 && secured.engine == engine && secured.user == user.name.as_bytes();
         if !ours
             || secured.flags & AUTH == 0
-            || !message::authentic(datagram, &secured.digest, &user.auth)
+            || !message::authentic(datagram, &secured.digest, &user.auth_key)
         {
             return;
         }
@@ -261,7 +261,7 @@
             .learn(boots, time);
         self.engine = Some((learned, now));
         let key = if secured.flags & PRIV != 0 {
-            user.privacy.as_ref()
+            user.privacy_key.as_ref()
         } else {
             None
         };
--- a/crates/state/src/writer.rs
+++ b/crates/state/src/writer.rs
@@ -90,7 +90,7 @@
         None => WriterThread::in_memory(),
         Some(settings) => WriterThread::open(settings)?,
     };
-    let (queue, entries) = bounded(settings.map_or(IN_MEMORY_QUEUE, |s| s.queue));
+    let (queue, entries) = bounded(settings.map_or(IN_MEMORY_QUEUE, |s| s.max_queued));
     let published = Arc::new(ArcSwap::from_pointee(writer.current()));
     let input = entries.clone();
     let output = Arc::clone(&published);
--- a/crates/state/tests/files.rs
+++ b/crates/state/tests/files.rs
@@ -23,7 +23,7 @@
         checkpoint_ms: 3_600_000,
         segment_bytes: 4096,
         segments: 8,
-        queue: 16,
+        max_queued: 16,
         snapshot_ms: 1_000,
     };
     let writer = start(Some(&state)).unwrap();
