--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -10,7 +10,7 @@
 use rasn_snmp::v2::{Pdus, VarBind};
 use valehatch_config::snmp::{ROOT, SnmpSettings, SnmpUser, SnmpView};
 use valehatch_notifications::Tally;
-use valehatch_rate_limit::{SnapshotCache, Window};
+use valehatch_rate_limit::{EngineTime, SnapshotCache};
 
 use crate::message::{
     self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb,
@@ -117,9 +117,9 @@
 impl Shared {
     /// The engine's boots and time now (RFC 3414, section 2.2.1).
     #[must_use]
-    pub fn window(&self) -> Window {
+    pub fn window(&self) -> EngineTime {
         let time = u32::try_from(self.world.began.elapsed().as_secs() % (1 << 31)).unwrap_or(0);
-        Window {
+        EngineTime {
             boots: self.boots,
             time,
         }
@@ -193,7 +193,7 @@
 
     /// Lets go of what ended walks held.
     pub fn sweep(&mut self, now: i64) {
-        self.pins.sweep(now);
+        self.pins.remove_ended(now);
         self.latest.take_if(|(at, _)| now - *at > SILENT);
     }
 
@@ -292,7 +292,10 @@
         if !message::authentic(datagram, &secured.digest, &user.auth_key) {
             return self.report(&access, secured, Stat::WrongDigests, None);
         }
-        if !shared.window().holds(secured.window.0, secured.window.1) {
+        if !shared
+            .window()
+            .is_timely(secured.window.0, secured.window.1)
+        {
             // This report is signed: it tells the sender the time that it needs.
             return self.report(&access, secured, Stat::NotInTimeWindows, Some(user));
         }
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -33,7 +33,7 @@
 use arc_swap::ArcSwap;
 use tracing::{error, info, warn};
 use valehatch_config::snmp::{Limits, SnmpSettings};
-use valehatch_rate_limit::{RateLimitDecision, SourceRateLimiter, TimeShare};
+use valehatch_rate_limit::{CpuShare, RateLimitDecision, SourceRateLimiter};
 
 use engine::{Engine, Shared, Stat};
 use notify::Notifier;
@@ -184,7 +184,7 @@
             engine.sweep(now);
             let spent = cpu_time();
             // What comes meanwhile waits in the socket or is lost there, which costs nobody anything.
-            let pause = door.share.used(now, spent - used).min(1_000_000);
+            let pause = door.share.record_used(now, spent - used).min(1_000_000);
             used = spent;
             if pause > 0 {
                 shared.stats.more(Stat::PausedMicros, pause.unsigned_abs());
@@ -198,7 +198,7 @@
 struct Door {
     limits: Limits,
     sources: SourceRateLimiter<IpAddr>,
-    share: TimeShare,
+    share: CpuShare,
     told: Option<i64>,
     untold: u64,
 }
@@ -207,7 +207,7 @@
     fn new(limits: &Limits, now: i64) -> Self {
         Self {
             sources: SourceRateLimiter::new(limits.per_source, limits.total, SOURCES, now),
-            share: TimeShare::new(limits.cpu_share, now),
+            share: CpuShare::new(limits.cpu_share, now),
             limits: limits.clone(),
             told: None,
             untold: 0,
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -17,7 +17,7 @@
     Thresholds,
 };
 use valehatch_policy::{Span, Time};
-use valehatch_rate_limit::Window;
+use valehatch_rate_limit::EngineTime;
 
 use crate::engine::{Salt, Shared, Stat};
 use crate::message::{self, AUTH, Incoming, PRIV, Said, Sealing};
@@ -152,7 +152,7 @@
     receiver: NotificationReceiver,
     outbox: Outbox<Arc<Vec<VarBind>>>,
     /// What is known of the receiver's engine, where it decides over informs, and when that was learned.
-    engine: Option<(Window, Time)>,
+    engine: Option<(EngineTime, Time)>,
     failing: bool,
 }
 
@@ -203,12 +203,12 @@
     }
 
     /// What the receiver's engine's time is by now. Nothing is known at first: the report that comes back tells.
-    fn receivers_window(&self, now: Time) -> Window {
+    fn receivers_window(&self, now: Time) -> EngineTime {
         let Some((window, at)) = self.engine else {
-            return Window { boots: 0, time: 0 };
+            return EngineTime { boots: 0, time: 0 };
         };
         let passed = u32::try_from((now - at).0 / 1_000_000).unwrap_or(0);
-        Window {
+        EngineTime {
             time: window.time.saturating_add(passed),
             ..window
         }
@@ -252,13 +252,14 @@
         let known = self.engine.map(|_| self.receivers_window(now));
         let (boots, time) = secured.window;
         if known.is_some_and(|k| {
-            boots < k.boots || boots == k.boots && time + valehatch_rate_limit::WINDOW < k.time
+            boots < k.boots
+                || boots == k.boots && time + valehatch_rate_limit::TIME_WINDOW_S < k.time
         }) {
             return;
         }
         let learned = known
-            .unwrap_or(Window { boots: 0, time: 0 })
-            .learn(boots, time);
+            .unwrap_or(EngineTime { boots: 0, time: 0 })
+            .updated_by(boots, time);
         self.engine = Some((learned, now));
         let key = if secured.flags & PRIV != 0 {
             user.privacy_key.as_ref()
