--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -46,10 +46,10 @@
     valehatch_admission::Settings {
         quotas,
         classes: site.settings.classes.iter().map(admission_class).collect(),
-        max_waiting: sizes.most.min(limits.max_open_requests),
-        client_buckets: sizes.buckets,
+        max_waiting: sizes.max_waiting.min(limits.max_open_requests),
+        client_buckets: sizes.client_buckets,
         max_retry_after: limits.max_retry_after,
-        max_lanes: sizes.lanes,
+        max_lanes: sizes.max_active_groups,
     }
 }
 
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -83,7 +83,7 @@
     let channels: Vec<FrontChannels> = file.fronts.iter().map(FrontChannels::new).collect();
     let sites = file.fronts.iter().map(|f| (Arc::clone(&f.name), &f.site));
     let status = ProcessStatus::new(sites);
-    if let Some(address) = file.mgmt {
+    if let Some(address) = file.management {
         status.serve("mgmt.listen", address)?;
     }
     let writer = start_record_writer(&file)?;
@@ -99,7 +99,7 @@
         writer: writer.as_ref(),
         snapshot: snapshot.as_ref(),
         service: &service,
-        gateway_count: Arc::new(AtomicU32::new(file.routers)),
+        gateway_count: Arc::new(AtomicU32::new(file.gateways)),
     };
     let mut fronts = vec![];
     for (index, channels) in channels.iter().enumerate() {
@@ -165,7 +165,7 @@
 impl FrontStarter<'_> {
     fn start(&self, index: usize, channels: &FrontChannels) -> Result<StartedFront, StartError> {
         let front = &self.file.fronts[index];
-        let metrics = self.file.mgmt.map(|_| self.status.metrics(index));
+        let metrics = self.file.management.map(|_| self.status.metrics(index));
         let events = channels.inbox.0.clone();
         let protocol = protocol_stack(front, self.clock, events, metrics.clone())
             .map_err(StartError::resource(format!("front.{index}")))?;
@@ -173,8 +173,8 @@
             self.clock.now().0.unsigned_abs() ^ u64::from(std::process::id()) << 32 ^ index as u64;
         let endpoint_list = self.start_endpoint_list(index, channels, seed)?;
         let key = format!("front.{index}.listen: {}", front.listen);
-        let quotas = self.file.shares.clone();
-        let admission = self.file.door;
+        let quotas = self.file.quota_shares.clone();
+        let admission = self.file.admission;
         let parts = FrontParts {
             site: front.site.clone(),
             descriptors: front.sockets,
@@ -215,7 +215,7 @@
         seed: u64,
     ) -> Result<Option<SharedEndpointList>, StartError> {
         let front = &self.file.fronts[index];
-        let EndpointSource::Discovery(address) = front.members else {
+        let EndpointSource::Discovery(address) = front.endpoints else {
             self.status.on_endpoint_list(index);
             return Ok(None);
         };
@@ -250,7 +250,7 @@
     fn discovery_index(&self, index: usize) -> usize {
         let before = self.file.fronts[..index].iter();
         before
-            .filter(|front| matches!(front.members, EndpointSource::Discovery(_)))
+            .filter(|front| matches!(front.endpoints, EndpointSource::Discovery(_)))
             .count()
     }
 
@@ -275,7 +275,7 @@
         });
         let gossip = GossipTransport::start(
             peers,
-            self.file.routers,
+            self.file.gateways,
             seed,
             events.to_vec(),
             Arc::clone(&self.gateway_count),
@@ -298,12 +298,12 @@
         events: front.inbox.0.clone(),
     });
     let cores: Vec<Sender<Event>> = channels.iter().map(|c| c.inbox.0.clone()).collect();
-    let has_admission = file.door.is_some();
+    let has_admission = file.admission.is_some();
     let agent = Arc::downgrade(agent);
     let on_change = move |file: OperatorConfig| {
         if has_admission {
             for core in &cores {
-                let _ = core.send(Event::TenantQuotas(file.shares.clone()));
+                let _ = core.send(Event::TenantQuotas(file.quota_shares.clone()));
             }
         }
         let Some(agent) = agent.upgrade() else { return };
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -36,9 +36,9 @@
 
 /// Sizes of the platform's admission queue, within the smallest memory that the platform gives.
 pub(crate) const ADMISSION_QUEUE: AdmissionSettings = AdmissionSettings {
-    most: 4_000,
-    buckets: 1024,
-    lanes: 64,
+    max_waiting: 4_000,
+    client_buckets: 1024,
+    max_active_groups: 64,
 };
 
 /// The handle to the other process of a hot restart, once it can be asked for; SIGHUP and discovery use it before that.
@@ -52,8 +52,8 @@
     let signals = signals::catch().map_err(StartError::resource("signals"))?;
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
     let mut config = load(&path)?;
-    config.mgmt = management_address(config.mgmt)?;
-    if config.mgmt.is_some() {
+    config.management = management_address(config.management)?;
+    if config.management.is_some() {
         let names = config.site.validate_metric_names();
         names.map_err(StartError::configuration)?;
     }
@@ -65,7 +65,7 @@
     let clock = Clock::start();
     let inbox = bounded(EVENT_QUEUE_LENGTH);
     let status = ProcessStatus::new([(Arc::from(config.name.as_str()), &config.site)]);
-    if let Some(address) = config.mgmt {
+    if let Some(address) = config.management {
         status.serve("mgmt", address)?;
     }
 
@@ -226,7 +226,7 @@
     let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
     let started = match restored.list {
         Some(list) => poller.resume(list.endpoints, list.version),
-        None => poller.start(&config.known),
+        None => poller.start(&config.cached_endpoints),
     };
     started.map_err(StartError::resource("list"))
 }
@@ -259,7 +259,7 @@
     ) -> Result<FrontParts, StartError> {
         let (config, clock) = (self.config, self.clock);
         let site = config.site.clone();
-        let metrics = config.mgmt.map(|_| self.status.metrics(FRONT));
+        let metrics = config.management.map(|_| self.status.metrics(FRONT));
         let listener = inheritance
             .listener()
             .map_err(StartError::resource(format!("listen: {}", config.listen)))?;
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -106,7 +106,7 @@
 /// Service since this start; it is complete once every front that uses discovery has a confirmed list and serves.
 pub(crate) fn service(file: &OperatorConfig, clock: Clock) -> SharedService {
     let uses_discovery = |front: &&valehatch_config::operators::FrontSettings| {
-        matches!(front.members, EndpointSource::Discovery(_))
+        matches!(front.endpoints, EndpointSource::Discovery(_))
     };
     let waiting_for = file.fronts.iter().filter(uses_discovery).count();
     Arc::new(Mutex::new(ServiceRecovery::new(waiting_for, clock.now())))
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -72,7 +72,7 @@
 fn send_endpoints(fronts: &[ConfiguredEndpoints], read: &OperatorConfig) {
     for configured in fronts {
         let front = read.fronts.iter().find(|f| f.name == configured.front);
-        match front.map(|front| &front.members) {
+        match front.map(|front| &front.endpoints) {
             Some(EndpointSource::Static(endpoints)) => {
                 let _ = configured.events.send(endpoint_list(endpoints));
             }
@@ -87,7 +87,7 @@
 
 fn endpoint_list(endpoints: &[StaticEndpoint]) -> Event {
     let listed = |endpoint: &StaticEndpoint| ListedEndpoint {
-        record: endpoint.entry.clone(),
+        record: endpoint.record.clone(),
         name: Arc::clone(&endpoint.name),
         address: Arc::from(endpoint.address.to_string()),
     };
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -111,11 +111,11 @@
             seeds: peers.seeds.clone(),
             zone: 0,
             version: version(env!("CARGO_PKG_VERSION")),
-            probe_interval: Span::from_millis(peers.probe_ms),
-            max_members: peers.most,
+            probe_interval: Span::from_millis(peers.probe_interval_ms),
+            max_members: peers.max_gateways,
             max_bytes_per_second: peers.bytes_per_s,
             configured_fleet_size: configured,
-            shrink_delay: Span::from_millis(peers.settle_ms),
+            shrink_delay: Span::from_millis(peers.shrink_delay_ms),
         };
         let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
         let heart = heart.map_err(|e| format!("peers: {e}"))?;
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -10,7 +10,7 @@
 use rasn_snmp::v2::{Pdus, VarBind};
 use valehatch_config::snmp::{ROOT, SnmpSettings, SnmpUser, SnmpView};
 use valehatch_notifications::Tally;
-use valehatch_rate_limit::{SnapshotCache, Window};
+use valehatch_rate_limit::{EngineTime, SnapshotCache};
 
 use crate::message::{
     self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb,
@@ -117,9 +117,9 @@
 impl Shared {
     /// The engine's boots and time now (RFC 3414, section 2.2.1).
     #[must_use]
-    pub fn window(&self) -> Window {
+    pub fn window(&self) -> EngineTime {
         let time = u32::try_from(self.world.began.elapsed().as_secs() % (1 << 31)).unwrap_or(0);
-        Window {
+        EngineTime {
             boots: self.boots,
             time,
         }
@@ -193,7 +193,7 @@
 
     /// Lets go of what ended walks held.
     pub fn sweep(&mut self, now: i64) {
-        self.pins.sweep(now);
+        self.pins.remove_ended(now);
         self.latest.take_if(|(at, _)| now - *at > SILENT);
     }
 
@@ -283,21 +283,24 @@
         };
         let supported = match level {
             0 => false,
-            AUTH => user.plain,
-            _ => user.privacy.is_some(),
+            AUTH => user.allow_unencrypted,
+            _ => user.privacy_key.is_some(),
         };
         if !supported {
             return self.report(&access, secured, Stat::UnsupportedSecLevels, None);
         }
-        if !message::authentic(datagram, &secured.digest, &user.auth) {
+        if !message::authentic(datagram, &secured.digest, &user.auth_key) {
             return self.report(&access, secured, Stat::WrongDigests, None);
         }
-        if !shared.window().holds(secured.window.0, secured.window.1) {
+        if !shared
+            .window()
+            .is_timely(secured.window.0, secured.window.1)
+        {
             // This report is signed: it tells the sender the time that it needs.
             return self.report(&access, secured, Stat::NotInTimeWindows, Some(user));
         }
         let key = if level & PRIV != 0 {
-            user.privacy.as_ref()
+            user.privacy_key.as_ref()
         } else {
             None
         };
@@ -356,7 +359,7 @@
             engine: &access.engine,
             window: (window.boots, window.time),
             user: &secured.user,
-            auth: signed.map(|u| &u.auth),
+            auth: signed.map(|u| &u.auth_key),
             privacy: None,
         };
         message::write_v3(&sealing, &access.engine, b"", pdus)
@@ -410,9 +413,9 @@
                     engine: &access.engine,
                     window: (window.boots, window.time),
                     user: user.name.as_bytes(),
-                    auth: Some(&user.auth),
+                    auth: Some(&user.auth_key),
                     privacy: user
-                        .privacy
+                        .privacy_key
                         .as_ref()
                         .filter(|_| level & PRIV != 0)
                         .map(|key| (key, salt)),
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -17,7 +17,7 @@
     Thresholds,
 };
 use valehatch_policy::{Span, Time};
-use valehatch_rate_limit::Window;
+use valehatch_rate_limit::EngineTime;
 
 use crate::engine::{Salt, Shared, Stat};
 use crate::message::{self, AUTH, Incoming, PRIV, Said, Sealing};
@@ -152,7 +152,7 @@
     receiver: NotificationReceiver,
     outbox: Outbox<Arc<Vec<VarBind>>>,
     /// What is known of the receiver's engine, where it decides over informs, and when that was learned.
-    engine: Option<(Window, Time)>,
+    engine: Option<(EngineTime, Time)>,
     failing: bool,
 }
 
@@ -179,7 +179,7 @@
     ) -> Option<Vec<u8>> {
         let pdus = message::notification(self.receiver.inform, id, list.to_vec());
         let access = shared.access.load();
-        match &self.receiver.with {
+        match &self.receiver.credentials {
             Credentials::Community(community) => message::write_v2c(community.as_bytes(), pdus),
             Credentials::User(user, engine) => {
                 // A trap's sender is its own authority; over an inform the receiver's engine is.
@@ -194,8 +194,8 @@
                     engine,
                     window: (window.boots, window.time),
                     user: user.name.as_bytes(),
-                    auth: Some(&user.auth),
-                    privacy: user.privacy.as_ref().map(|key| (key, salt.draw())),
+                    auth: Some(&user.auth_key),
+                    privacy: user.privacy_key.as_ref().map(|key| (key, salt.draw())),
                 };
                 message::write_v3(&sealing, &access.engine, b"", pdus)
             }
@@ -203,12 +203,12 @@
     }
 
     /// What the receiver's engine's time is by now. Nothing is known at first: the report that comes back tells.
-    fn receivers_window(&self, now: Time) -> Window {
+    fn receivers_window(&self, now: Time) -> EngineTime {
         let Some((window, at)) = self.engine else {
-            return Window { boots: 0, time: 0 };
+            return EngineTime { boots: 0, time: 0 };
         };
         let passed = u32::try_from((now - at).0 / 1_000_000).unwrap_or(0);
-        Window {
+        EngineTime {
             time: window.time.saturating_add(passed),
             ..window
         }
@@ -216,7 +216,7 @@
 
     /// Takes what came from the receiver's address: an acknowledgement, or the time of its engine.
     fn take(&mut self, now: Time, datagram: &[u8]) {
-        match (message::read(datagram), &self.receiver.with) {
+        match (message::read(datagram), &self.receiver.credentials) {
             (Some(Incoming::V2c(community, pdus)), Credentials::Community(own)) => {
                 if let (Said::Response(id, _), true) =
                     (message::said(pdus), community == own.as_bytes())
@@ -244,7 +244,7 @@
             secured.model == 3 && secured.engine == engine && secured.user == user.name.as_bytes();
         if !ours
             || secured.flags & AUTH == 0
-            || !message::authentic(datagram, &secured.digest, &user.auth)
+            || !message::authentic(datagram, &secured.digest, &user.auth_key)
         {
             return;
         }
@@ -252,16 +252,17 @@
         let known = self.engine.map(|_| self.receivers_window(now));
         let (boots, time) = secured.window;
         if known.is_some_and(|k| {
-            boots < k.boots || boots == k.boots && time + valehatch_rate_limit::WINDOW < k.time
+            boots < k.boots
+                || boots == k.boots && time + valehatch_rate_limit::TIME_WINDOW_S < k.time
         }) {
             return;
         }
         let learned = known
-            .unwrap_or(Window { boots: 0, time: 0 })
-            .learn(boots, time);
+            .unwrap_or(EngineTime { boots: 0, time: 0 })
+            .updated_by(boots, time);
         self.engine = Some((learned, now));
         let key = if secured.flags & PRIV != 0 {
-            user.privacy.as_ref()
+            user.privacy_key.as_ref()
         } else {
             None
         };
