--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -19,8 +19,8 @@
 
 impl Endpoint {
     /// Whether one more attempt fits, and `reserved` more after it.
-    pub(crate) fn has_capacity(&self, reserved: f64) -> bool {
-        self.in_flight.len() as f64 + reserved < self.concurrency_limit.max(1.0)
+    pub(crate) fn has_capacity(&self, reserved: usize) -> bool {
+        ((self.in_flight.len() + reserved) as f64) < self.concurrency_limit.max(1.0)
     }
 
     /// Leaves this fraction, at most 1, of the limit: the rest is for routers that have started.
@@ -55,7 +55,7 @@
 
     /// Whether an attempt of this class may be sent to an endpoint now: it is ready, has capacity
     /// for it and `reserved` more, and its slow-start budget allows it. Uses that budget.
-    pub(crate) fn try_acquire(&mut self, id: EndpointId, class: ClassId, reserved: f64) -> bool {
+    pub(crate) fn try_acquire(&mut self, id: EndpointId, class: ClassId, reserved: usize) -> bool {
         let admits = self
             .endpoints
             .get(&id)
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -143,6 +143,7 @@
         if self.settings.discovery_mode != DiscoveryMode::Poll {
             return;
         }
+        // Routers that failed together must not poll together: a random factor from 0.5 to 1.
         let jitter = 0.5 + self.random() * 0.5;
         let longest = self.settings.rules.max_poll_interval / MAX_BACKOFF_DIVISOR;
         let polling = &mut self.list_polling;
--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -1,8 +1,8 @@
 //! Health checks: when they are sent, and what load reports show.
 //!
 //! Inputs: reads and writes that need an endpoint's role or position, ends of health checks, load
-//! reports. State: [`HealthCheckState`] of each endpoint, and how many positions primaries have
-//! reported. Bounds: one check in flight at an endpoint. Units: microseconds.
+//! reports. State: [`HealthCheckState`] of each endpoint, and [`ClockComparison`]. Bounds: one
+//! check in flight at an endpoint. Units: microseconds.
 
 use crate::endpoint::{ReplicationLag, ReportedRole};
 use crate::events::{Action, EndpointState, LoadReport, Outcome, Role};
@@ -31,6 +31,23 @@
     }
 }
 
+/// Positions that primaries have reported since the start, by which clocks are compared.
+#[derive(Debug, Default)]
+pub(crate) struct ClockComparison {
+    positions: u32,
+}
+
+impl ClockComparison {
+    /// Counts a position that a primary reported.
+    pub(crate) fn add_position(&mut self) {
+        self.positions = self.positions.saturating_add(1);
+    }
+
+    fn is_complete(&self) -> bool {
+        self.positions >= CLOCK_COMPARISONS
+    }
+}
+
 impl Router {
     /// Sends a health check, unless one is in flight or the deployment allows none.
     pub(crate) fn start_health_check(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
@@ -78,7 +95,7 @@
     /// behind, so its position shows whether this machine's clock is right. The interval keeps
     /// checks that fail at once from following each other within one moment.
     pub(crate) fn check_clock(&mut self, primary: EndpointId, actions: &mut Vec<Action>) {
-        if self.primary_positions >= CLOCK_COMPARISONS {
+        if self.clock_comparison.is_complete() {
             return;
         }
         let is_due = self.endpoints.get(&primary).is_none_or(|endpoint| {
@@ -133,7 +150,7 @@
             return;
         };
         let role = if is_primary {
-            self.count_primary_position();
+            self.clock_comparison.add_position();
             Role::Primary
         } else {
             Role::Replica
@@ -141,9 +158,4 @@
         let reported = ReportedRole { role, at: position };
         self.on_role(id, reported, PrimaryEvidence::LoadReport);
     }
-
-    /// Counts a position that a primary reported.
-    pub(crate) fn count_primary_position(&mut self) {
-        self.primary_positions = self.primary_positions.saturating_add(1);
-    }
 }
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -6,9 +6,9 @@
 //! priority for their work are shed first.
 //!
 //! Inputs: the latency of each attempt, and each new request. State: [`LatencyUtilization`] of each
-//! group, and the priority per work of a typical request. Bounds: at most [`MAX_SHED_PROBABILITY`]
-//! of the new requests are shed, and a request only as it arrives. Units: fractions of the latency
-//! objective; priority weight per microsecond.
+//! group, and [`LoadShedding`]. Bounds: at most [`MAX_SHED_PROBABILITY`] of the new requests are
+//! shed, and a request only as it arrives. Units: fractions of the latency objective; priority
+//! weight per microsecond.
 
 use crate::events::{AttemptEnd, Outcome, Role};
 use crate::ids::{ClassId, RequestId};
@@ -56,6 +56,23 @@
     }
 }
 
+/// What load shedding knows of the requests.
+#[derive(Debug, Default)]
+pub(crate) struct LoadShedding {
+    /// Moving average of the requests' priority weight per microsecond of expected latency.
+    typical_priority: f64,
+}
+
+impl LoadShedding {
+    fn add_request(&mut self, priority: f64) {
+        if self.typical_priority > 0.0 {
+            self.typical_priority += GAIN * (priority - self.typical_priority);
+        } else {
+            self.typical_priority += priority;
+        }
+    }
+}
+
 impl Router {
     /// Priority weight of a request of this class for each microsecond of its expected latency.
     pub(crate) fn priority_per_work(&self, class: ClassId) -> f64 {
@@ -81,21 +98,13 @@
             .groups
             .get(&group)
             .map_or(0.0, |group| group.latency_utilization.get(role));
-        self.update_typical_priority(priority);
+        self.load_shedding.add_request(priority);
         let overload = ((utilization - SHED_FROM) / (SHED_ALL_AT - SHED_FROM)).clamp(0.0, 1.0);
         let over = self.unseen_load_fraction().powi(2) * overload;
-        let probability = over * (self.typical_priority / priority).powi(2);
+        let probability = over * (self.load_shedding.typical_priority / priority).powi(2);
         self.random() < probability.min(MAX_SHED_PROBABILITY)
     }
 
-    fn update_typical_priority(&mut self, priority: f64) {
-        if self.typical_priority > 0.0 {
-            self.typical_priority += GAIN * (priority - self.typical_priority);
-        } else {
-            self.typical_priority += priority;
-        }
-    }
-
     /// The fraction of the load that concurrency limits do not see: the fewer routers there are for
     /// each endpoint, the more of its queue each of them sees.
     fn unseen_load_fraction(&self) -> f64 {
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -14,7 +14,7 @@
 
 use crate::endpoint::{Endpoint, SentAttempt};
 use crate::events::{Action, EndpointState};
-use crate::ids::{EndpointId, RequestId};
+use crate::ids::{ClassId, EndpointId, RequestId};
 use crate::router::Router;
 use crate::settings::Idempotency;
 use crate::time::{Span, Time};
@@ -179,13 +179,15 @@
             let waits_since = endpoint
                 .unanswered_since
                 .map_or(attempt.sent_at, |since| since.max(attempt.sent_at));
-            waits_since + self.unresponsive_after(attempt, endpoint.in_flight.len())
+            waits_since + self.unresponsive_after(attempt.class, endpoint.in_flight.len())
         };
         endpoint.in_flight.values().map(overdue_at).min()
     }
 
-    fn unresponsive_after(&self, attempt: &SentAttempt, in_flight: usize) -> Span {
-        self.latencies.unresponsive_after(attempt.class, in_flight) + self.settings.tick
+    /// How long an attempt of this class may stay unanswered, among `in_flight` at its endpoint,
+    /// before that marks the endpoint unresponsive.
+    pub(crate) fn unresponsive_after(&self, class: ClassId, in_flight: usize) -> Span {
+        self.latencies.unresponsive_after(class, in_flight) + self.settings.tick
     }
 
     /// Whether an endpoint may get an attempt now: it is ready, or unresponsive and due for a
--- a/crates/policy/src/primary_search.rs
+++ b/crates/policy/src/primary_search.rs
@@ -25,6 +25,8 @@
 const FIRST_CHECKS_AFTER: Span = Span::from_millis(125);
 /// Most [`SEARCH_PAUSE`]s by which routers in large numbers extend that interval.
 const MAX_EXTRA_PAUSES: f64 = 8.0;
+/// The interval is multiplied by a random factor between this and 1 more.
+const MIN_JITTER: f64 = 0.5;
 
 /// The write that searches, and where it was sent.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct PrimarySearch {
     leading_write: Option<LeadingWrite>,
-    /// Members that were tried in this round.
+    /// Endpoints that were tried in this round.
     tried_endpoints: BTreeSet<EndpointId>,
     /// End of the pause after a round.
     paused_until: Option<Time>,
@@ -108,11 +110,14 @@
         if group.knows_primary() {
             return;
         }
-        let is_ready = |id: &&EndpointId| endpoints[id].state == EndpointState::Ready;
         let is_listed =
-            |id: &&EndpointId| endpoints[id].listed_primary && endpoints[id].role.is_none();
-        let mut ready = group.endpoints.iter().filter(is_ready).copied();
-        let listed = ready.clone().find(|id| trusts_list && is_listed(&id));
+            |id: &EndpointId| endpoints[id].listed_primary && endpoints[id].role.is_none();
+        let mut ready = group
+            .endpoints
+            .iter()
+            .copied()
+            .filter(|id| endpoints[id].state == EndpointState::Ready);
+        let listed = ready.clone().find(|id| trusts_list && is_listed(id));
         let lowest = ready.next();
         if listed.is_some() {
             group.set_primary(listed, PrimaryEvidence::EndpointList, self.now);
@@ -212,8 +217,7 @@
             return;
         };
         let is_overdue = self.pending.get(&leader.request).is_none_or(|request| {
-            let longest = self.latencies.unresponsive_after(request.class, 1) + self.settings.tick;
-            self.now - leader.sent_at > longest
+            self.now - leader.sent_at > self.unresponsive_after(request.class, 1)
         });
         if !is_overdue {
             return;
@@ -234,7 +238,7 @@
         if !is_due {
             return;
         }
-        let jitter = 0.5 + self.random();
+        let jitter = MIN_JITTER + self.random();
         // The more routers there are for each endpoint, the longer each waits.
         let routers_per_endpoint =
             f64::from(self.settings.routers) / self.endpoints.len().max(1) as f64;
@@ -264,7 +268,7 @@
         };
         if group.search.is_none() {
             let primary = group.primary.ok_or(NoTarget::NoPrimary)?;
-            return self.acquire_target(primary, class, 0.0);
+            return self.acquire_target(primary, class, 0);
         }
         // A searching write keeps one attempt for the primary that is found, if it has more than
         // one.
@@ -335,7 +339,7 @@
         &mut self,
         group: GroupId,
         class: ClassId,
-        reserved: f64,
+        reserved: usize,
     ) -> Result<EndpointId, NoTarget> {
         let primary = self
             .groups
--- a/crates/policy/src/replica_selection.rs
+++ b/crates/policy/src/replica_selection.rs
@@ -26,9 +26,16 @@
 /// bound.
 const LONG_QUERY_FRACTION: f64 = 0.7;
 /// Attempts that a read leaves free at the primary, for writes.
-const RESERVED_FOR_WRITES: f64 = 1.0;
+const RESERVED_FOR_WRITES: usize = 1;
 /// Replicas that are asked for their position if none is known to be fresh enough.
 const REPLICAS_CHECKED: usize = 2;
+/// A read waits this many times the mean latency of health checks for one that is in flight.
+const HEALTH_CHECK_WAIT: f64 = 2.0;
+/// Exponent of an endpoint's success rate in its selection weight.
+const RELIABILITY_EXPONENT: i32 = 4;
+/// Exponent of an endpoint's excess latency in its selection weight while this router has no
+/// responses; it falls to 0 as they come.
+const MAX_LATENCY_EXPONENT: f64 = 2.0;
 /// Smallest factor of an endpoint's selection weight for its failures: it must be tried again some
 /// time.
 const MIN_RELIABILITY: f64 = GAIN * GAIN;
@@ -68,7 +75,7 @@
             return Err(NoTarget::NoPrimary);
         };
         if let Some(replica) = self.select_long_query_replica(request, group) {
-            return self.acquire_target(replica, class, 0.0);
+            return self.acquire_target(replica, class, 0);
         }
         let primary = group.primary;
         let required = required_position(
@@ -151,7 +158,7 @@
             group.primary != Some(*id)
                 && !request.excluded_endpoints.contains(id)
                 && self.accepts_attempts(*id)
-                && self.endpoints[id].has_capacity(0.0)
+                && self.endpoints[id].has_capacity(0)
         };
         group
             .endpoints
@@ -236,7 +243,7 @@
         let in_flight = replicas
             .iter()
             .any(|replica| self.endpoints[replica].health_check.in_flight);
-        let usual_wait = Span::from_micros(2.0 * self.latencies.health_check());
+        let usual_wait = Span::from_micros(HEALTH_CHECK_WAIT * self.latencies.health_check());
         let until = self.now + usual_wait + self.settings.tick;
         let Some(request) = self.pending.get_mut(&id) else {
             return false;
@@ -245,7 +252,7 @@
         in_flight && self.now < until
     }
 
-    /// Every endpoint has failed to serve the read: all may be tried again.
+    /// No replica is left that could serve the read: all endpoints may be tried again.
     fn allow_all_endpoints(&mut self, id: RequestId) {
         if let Some(request) = self.pending.get_mut(&id) {
             request.excluded_endpoints.clear();
@@ -275,10 +282,10 @@
     /// Draws one by [`Router::selection_weight`]; takes one random number even if there is none to
     /// draw.
     fn weighted_random_choice(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
-        let few_measurements = 2.0 * (1.0 - self.measurement_confidence());
+        let latency_exponent = MAX_LATENCY_EXPONENT * (1.0 - self.measurement_confidence());
         let weights: Vec<f64> = candidates
             .iter()
-            .map(|id| self.selection_weight(&self.endpoints[id], few_measurements))
+            .map(|id| self.selection_weight(&self.endpoints[id], latency_exponent))
             .collect();
         let mut rest = self.random() * weights.iter().sum::<f64>();
         for (id, weight) in candidates.iter().zip(weights) {
@@ -294,18 +301,20 @@
     /// Failed attempts end quickly and leave little in flight, so that two random choices alone
     /// would prefer an endpoint that fails.
     ///
-    /// A router with few responses from each endpoint (`few_measurements`, from 0 to 2) has nothing
-    /// in flight by which to recognise a slow endpoint, so its last latencies count. It also
-    /// prefers an endpoint with an idle connection, as it would need a new one for nearly each
-    /// attempt elsewhere.
-    fn selection_weight(&self, endpoint: &Endpoint, few_measurements: f64) -> f64 {
+    /// A router with few responses from each endpoint (a high `latency_exponent`) has nothing in
+    /// flight by which to recognise a slow endpoint, so its last latencies count. It also prefers
+    /// an endpoint with an idle connection, as it would need a new one for nearly each attempt
+    /// elsewhere.
+    fn selection_weight(&self, endpoint: &Endpoint, latency_exponent: f64) -> f64 {
         let excess = endpoint
             .excess_latency
             .at(self.now, self.settings.rules.slow_start_duration);
-        let reliability = (1.0 - endpoint.failure_rate).powi(4).max(MIN_RELIABILITY);
-        let fitness = reliability / (1.0 + excess).powf(few_measurements);
+        let reliability = (1.0 - endpoint.failure_rate)
+            .powi(RELIABILITY_EXPONENT)
+            .max(MIN_RELIABILITY);
+        let fitness = reliability / (1.0 + excess).powf(latency_exponent);
         let connection_factor = if self.has_idle_connection(endpoint) {
-            (1.0 + MAX_EXCESS).powf(few_measurements)
+            (1.0 + MAX_EXCESS).powf(latency_exponent)
         } else {
             1.0
         };
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -185,7 +185,7 @@
         let reported = ReportedRole { role, at };
         self.on_role(end.endpoint, reported, PrimaryEvidence::Answer);
         if role == Role::Primary && end.position.is_some() {
-            self.count_primary_position();
+            self.clock_comparison.add_position();
         }
     }
 
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -13,8 +13,10 @@
 use crate::endpoint_list::ListPolling;
 use crate::events::{Action, PolicyEvent};
 use crate::group::Group;
+use crate::health_checks::ClockComparison;
 use crate::ids::{EndpointId, GroupId, RequestId};
 use crate::latency::{DecayingValue, LatencyEstimates};
+use crate::load_shedding::LoadShedding;
 use crate::scheduling::PendingRequest;
 use crate::sessions::SessionStore;
 use crate::settings::{Settings, SettingsError};
@@ -42,10 +44,8 @@
     pub(crate) latencies: LatencyEstimates,
     /// Recent responses of endpoints at full capacity, for a weight of 1.
     pub(crate) warm_responses: DecayingValue,
-    /// Moving average of the requests' priority weight per microsecond of their expected latency.
-    pub(crate) typical_priority: f64,
-    /// Positions that primaries have reported since the start.
-    pub(crate) primary_positions: u32,
+    pub(crate) load_shedding: LoadShedding,
+    pub(crate) clock_comparison: ClockComparison,
     pub(crate) list_polling: ListPolling,
     /// When the timer expires, if one is set.
     timer_at: Option<Time>,
@@ -73,8 +73,8 @@
                 value: 0.0,
                 set_at: Time(i64::MIN),
             },
-            typical_priority: 0.0,
-            primary_positions: 0,
+            load_shedding: LoadShedding::default(),
+            clock_comparison: ClockComparison::default(),
             list_polling: ListPolling::new(&settings),
             timer_at: None,
             settings,
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -87,6 +87,7 @@
 }
 
 impl Router {
+    /// Lets a new request wait; one of an unknown class is ignored.
     pub(crate) fn on_request(&mut self, request: &Request) {
         let Some(class) = self.settings.classes.get(request.class.0) else {
             return;
@@ -160,6 +161,7 @@
         }
     }
 
+    /// Sends a waiting request, gives it up, or leaves it waiting.
     fn schedule(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Disposition {
         let shed = self.should_shed(id);
         let Some(request) = self.pending.get(&id) else {
@@ -181,6 +183,7 @@
         }
     }
 
+    /// Why a waiting request gets no further attempt; `None` if it may have one.
     fn give_up_reason(&self, request: &PendingRequest, shed: bool) -> Option<GiveUpReason> {
         let now = self.now;
         if now >= request.deadline {
@@ -213,6 +216,7 @@
         (request.deadline - request.arrived) / 2 - margin.min(most)
     }
 
+    /// The endpoint of a request's next attempt, by what its class needs.
     fn select_target(
         &mut self,
         id: RequestId,
@@ -224,7 +228,7 @@
         let (group, class) = (request.group, request.class);
         match self.settings.class(class).consistency {
             Consistency::Write => self.select_write_target(id),
-            Consistency::Strong => self.select_known_primary(group, class, 0.0),
+            Consistency::Strong => self.select_known_primary(group, class, 0),
             _ => self.select_read_target(id, actions),
         }
     }
@@ -234,7 +238,7 @@
         &mut self,
         endpoint: EndpointId,
         class: ClassId,
-        reserved: f64,
+        reserved: usize,
     ) -> Result<EndpointId, NoTarget> {
         if self.try_acquire(endpoint, class, reserved) {
             Ok(endpoint)
@@ -243,6 +247,7 @@
         }
     }
 
+    /// Starts the next attempt of a request.
     fn send(&mut self, id: RequestId, to: EndpointId, actions: &mut Vec<Action>) -> Disposition {
         let now = self.now;
         let send_before = self
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -187,6 +187,8 @@
 }
 
 impl Settings {
+    /// Checks what a router relies on.
+    ///
     /// # Errors
     /// [`SettingsError`] if there is no class, or if a count or the tick is not above 0.
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
@@ -202,6 +204,7 @@
         ))
     }
 
+    /// The class with this id, which must be one of [`Settings::classes`].
     pub(crate) fn class(&self, id: ClassId) -> &RequestClass {
         &self.classes[id.0]
     }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -109,19 +109,27 @@
     fn cost(&self, class: ClassId) -> RequestCost {
         let work = self.work();
         let inverse: f64 = work.iter().map(|work| 1.0 / work).sum();
-        let weight = |class: usize| self.arrivals[class] + PRIOR_REQUESTS / work[class] / inverse;
-        let total = |classes: &dyn Fn(usize) -> bool| -> f64 {
-            (0..work.len())
-                .filter(|class| classes(*class))
-                .map(|class| weight(class) * work[class])
-                .sum()
-        };
-        let all = total(&|_| true);
-        let mean = all / (0..work.len()).map(weight).sum::<f64>();
-        let long = total(&|class| work[class] > LONG_COST * mean);
+        let weights: Vec<f64> = self
+            .arrivals
+            .iter()
+            .zip(&work)
+            .map(|(arrivals, work)| arrivals + PRIOR_REQUESTS / work / inverse)
+            .collect();
+        let all_work: f64 = weights
+            .iter()
+            .zip(&work)
+            .map(|(weight, work)| weight * work)
+            .sum();
+        let mean = all_work / weights.iter().sum::<f64>();
+        let long_work: f64 = weights
+            .iter()
+            .zip(&work)
+            .filter(|(_, work)| **work > LONG_COST * mean)
+            .map(|(weight, work)| weight * work)
+            .sum();
         RequestCost {
             cost: work[class.0] / mean,
-            long_fraction: long / all,
+            long_fraction: long_work / all_work,
         }
     }
 }
@@ -214,18 +222,15 @@
         let usual = self.usual_request_rate(endpoint);
         let rate = BUDGET_USED * rules.overload_multiple * fraction * usual;
         let window = rules.overload_duration;
-        let RequestCost {
-            cost,
-            long_fraction,
-        } = self.class_costs.cost(class);
+        let request = self.class_costs.cost(class);
         let chance = self.random();
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return false;
         };
         let budget = &mut endpoint.slow_start;
-        budget.refill(self.now, rate, window, long_fraction);
-        if cost > LONG_COST {
-            budget.take_long(cost.powf(COST_EXPONENT), chance)
+        budget.refill(self.now, rate, window, request.long_fraction);
+        if request.cost > LONG_COST {
+            budget.take_long(request.cost.powf(COST_EXPONENT), chance)
         } else {
             budget.take_short(chance)
         }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -372,72 +372,7 @@
                 endpoint,
                 send_before,
                 ..
-            } => {
-                let tracked = self
-                    .requests
-                    .get_mut(request)
-                    .expect("a request of this script");
-                let class = &self.cfg.classes[tracked.class];
-                assert!(!tracked.finished, "rule 1: {request:?} sent after its end");
-                assert!(
-                    tracked.in_flight.is_empty(),
-                    "rule 2: two attempts of {request:?} in flight"
-                );
-                assert!(
-                    !self.unusable.contains(endpoint),
-                    "rule 3: {endpoint:?} is draining or removed"
-                );
-                match (class.idempotency, tracked.may_have_run_since) {
-                    (Idempotency::NonIdempotent, Some(_)) => {
-                        panic!("rule 2: {request:?} may have run and was retried")
-                    }
-                    (Idempotency::IdempotencyKey { window, .. }, Some(from)) => {
-                        assert!(
-                            self.now.0 < from + window.0,
-                            "rule 2: {request:?} retried after its window"
-                        );
-                        let ends = send_before.is_some_and(|at| at.0 < from + window.0);
-                        assert!(
-                            ends,
-                            "rule 2: {request:?} may begin after its window if its connection is late"
-                        );
-                    }
-                    _ => {}
-                }
-                let required = match class.consistency {
-                    Consistency::BoundedStaleness(bound) => Some(self.now - bound),
-                    Consistency::Session => tracked.session_position,
-                    Consistency::Strong => Some(self.now),
-                    _ => None,
-                };
-                if self.cfg.stale_read_policy == StaleReadPolicy::Serve
-                    && required.is_some()
-                    && !self.primaries.contains(endpoint)
-                {
-                    let reported = self.reported_positions.get(endpoint).copied();
-                    assert!(
-                        reported >= required,
-                        "rule 5: {request:?} to {endpoint:?} is stale"
-                    );
-                    if let (Consistency::BoundedStaleness(bound), Some(reported)) =
-                        (class.consistency, reported)
-                    {
-                        let ends = send_before.is_some_and(|at| at <= reported + bound);
-                        assert!(
-                            ends,
-                            "rule 5: {request:?} to {endpoint:?} may be stale if its connection is late"
-                        );
-                    }
-                }
-                assert!(
-                    tracked.attempts < self.cfg.limits.max_attempts,
-                    "more attempts than allowed"
-                );
-                tracked.in_flight.insert(tracked.attempts, *endpoint);
-                tracked.attempts += 1;
-                tracked.last_sent = self.now.0;
-                self.sends.push((*request, *endpoint));
-            }
+            } => self.check_send(*request, *endpoint, *send_before),
             Action::Reject { request, .. } | Action::Fail { request, .. } => {
                 let tracked = self
                     .requests
@@ -463,6 +398,73 @@
         }
     }
 
+    fn check_send(&mut self, request: RequestId, endpoint: EndpointId, send_before: Option<Time>) {
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("a request of this script");
+        let class = &self.cfg.classes[tracked.class];
+        assert!(!tracked.finished, "rule 1: {request:?} sent after its end");
+        assert!(
+            tracked.in_flight.is_empty(),
+            "rule 2: two attempts of {request:?} in flight"
+        );
+        assert!(
+            !self.unusable.contains(&endpoint),
+            "rule 3: {endpoint:?} is draining or removed"
+        );
+        match (class.idempotency, tracked.may_have_run_since) {
+            (Idempotency::NonIdempotent, Some(_)) => {
+                panic!("rule 2: {request:?} may have run and was retried")
+            }
+            (Idempotency::IdempotencyKey { window, .. }, Some(from)) => {
+                assert!(
+                    self.now.0 < from + window.0,
+                    "rule 2: {request:?} retried after its window"
+                );
+                let ends = send_before.is_some_and(|at| at.0 < from + window.0);
+                assert!(
+                    ends,
+                    "rule 2: {request:?} may begin after its window if its connection is late"
+                );
+            }
+            _ => {}
+        }
+        let required = match class.consistency {
+            Consistency::BoundedStaleness(bound) => Some(self.now - bound),
+            Consistency::Session => tracked.session_position,
+            Consistency::Strong => Some(self.now),
+            _ => None,
+        };
+        if self.cfg.stale_read_policy == StaleReadPolicy::Serve
+            && required.is_some()
+            && !self.primaries.contains(&endpoint)
+        {
+            let reported = self.reported_positions.get(&endpoint).copied();
+            assert!(
+                reported >= required,
+                "rule 5: {request:?} to {endpoint:?} is stale"
+            );
+            if let (Consistency::BoundedStaleness(bound), Some(reported)) =
+                (class.consistency, reported)
+            {
+                let ends = send_before.is_some_and(|at| at <= reported + bound);
+                assert!(
+                    ends,
+                    "rule 5: {request:?} to {endpoint:?} may be stale if its connection is late"
+                );
+            }
+        }
+        assert!(
+            tracked.attempts < self.cfg.limits.max_attempts,
+            "more attempts than allowed"
+        );
+        tracked.in_flight.insert(tracked.attempts, endpoint);
+        tracked.attempts += 1;
+        tracked.last_sent = self.now.0;
+        self.sends.push((request, endpoint));
+    }
+
     /// The client disconnects; attempts in flight still end.
     pub(crate) fn disconnect(&mut self, id: u64) {
         let Some(tracked) = self
