--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -17,7 +17,7 @@
 /// Interval between two health checks of one primary for that.
 const CLOCK_CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// Health checks of one endpoint.
+/// Health checks of one endpoint. At most one is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct HealthCheckState {
     pub(crate) in_flight: bool,
@@ -108,6 +108,7 @@
         }
     }
 
+    /// A health check ended: a pass may readmit its endpoint, and no answer may eject it.
     pub(crate) fn on_health_check_ended(
         &mut self,
         id: EndpointId,
@@ -133,6 +134,7 @@
         }
     }
 
+    /// Takes in the position and the role that an endpoint reported.
     pub(crate) fn on_load_report(&mut self, id: EndpointId, report: &LoadReport) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// Whether an attempt took long enough to count as slow. That its client gave up is no evidence:
-/// the client's deadline may be short.
+/// Whether an attempt took long enough to count as slow. A timeout alone does not: the client's
+/// deadline may be short.
 fn is_slow(end: &AttemptEnd, class: &RequestClass) -> bool {
     end.latency > class.latency_objective.times(SLOW_FRACTION)
 }
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -26,7 +26,7 @@
 const UTILIZATION_GAIN: f64 = GAIN / 2.0;
 /// Largest fraction that a single attempt counts as.
 const MAX_UTILIZATION: f64 = 2.0;
-/// The rest shows when the overload ends.
+/// Largest probability with which a request is shed: those that remain show when the overload ends.
 const MAX_SHED_PROBABILITY: f64 = 1.0 - GAIN;
 /// Stands in for a priority weight of 0, by which nothing could be divided.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -21,8 +21,9 @@
 
 /// Failed attempts and health checks without an answer between them from which an endpoint is
 /// ejected.
-pub(crate) const FAILURES_BEFORE_EJECTION: u32 = 3;
-/// From an ejection, or the last attempt, to the next trial; later trials take twice as long each.
+const FAILURES_BEFORE_EJECTION: u32 = 3;
+/// From an ejection, or the last attempt, to the next trial. The interval between health checks of
+/// an unreachable endpoint doubles from here.
 const FIRST_TRIAL_AFTER: Span = Span::from_millis(500);
 /// Longest interval between two trials: every router tries the same dead endpoint.
 const MAX_TRIAL_INTERVAL: Span = Span::from_millis(4000);
--- a/crates/policy/src/primary_search.rs
+++ b/crates/policy/src/primary_search.rs
@@ -23,17 +23,17 @@
 const SEARCH_PAUSE: Span = Span::from_millis(500);
 /// From the start of a search to its first round of health checks.
 const FIRST_CHECKS_AFTER: Span = Span::from_millis(125);
-/// Most [`SEARCH_PAUSE`]s by which routers in large numbers extend that interval.
+/// Most pauses by which many routers extend the interval between two rounds of health checks.
 const MAX_EXTRA_PAUSES: f64 = 8.0;
-/// The interval is multiplied by a random factor between this and 1 more.
+/// That interval is multiplied by a random factor from this to 1 more.
 const MIN_JITTER: f64 = 0.5;
 
 /// The write that searches, and where it was sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LeadingWrite {
-    pub(crate) request: RequestId,
-    pub(crate) endpoint: EndpointId,
-    pub(crate) sent_at: Time,
+struct LeadingWrite {
+    request: RequestId,
+    endpoint: EndpointId,
+    sent_at: Time,
 }
 
 /// The search for the primary of one group.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -16,8 +16,8 @@
 
 /// Ticks before the end of a deduplication window at which retries stop.
 const WINDOW_MARGIN_TICKS: i64 = 2;
-/// Ticks between the end of an attempt that may have run and the next one: the endpoint must see
-/// the end of the connection first, or the retry would overtake it.
+/// Ticks between the end of an attempt that was given up and the next one. The endpoint must see
+/// the end of the first connection before the retry arrives, or both run.
 const RETRY_DELAY_TICKS: i64 = 2;
 /// How far a reported position may lie above the one that has surely been applied.
 const POSITION_RESOLUTION: Span = Span::from_millis(1);
@@ -101,6 +101,8 @@
         }
     }
 
+    /// An attempt ended: its endpoint's state is updated, and its request ends or waits for a
+    /// retry.
     pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let attempt = self.take_attempt(end);
         if let Some(sent) = &attempt.sent {
@@ -197,11 +199,12 @@
         if !end.outcome.never_ran() {
             request.may_have_run_since = request.may_have_run_since.or(sent_at);
         }
-        let may_still_run = matches!(
+        // Such an attempt ends with its connection.
+        let closes_connection = matches!(
             end.outcome,
             Outcome::Timeout | Outcome::Cancelled | Outcome::Error
         );
-        if may_still_run {
+        if closes_connection {
             request.not_before = self.now + self.settings.tick * RETRY_DELAY_TICKS;
         }
         let class = self.settings.class(request.class);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -23,6 +23,7 @@
 use crate::router::Router;
 use crate::time::{Span, Time};
 
+/// Quotas are in requests a second, times in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Fraction of the budget that is used; the rest is for estimation errors and for chance.
 const BUDGET_USED: f64 = 0.7;
