--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -14,15 +14,16 @@
 
 use crate::endpoint::{Endpoint, SentAttempt};
 use crate::events::{Action, EndpointState};
-use crate::ids::{EndpointId, RequestId};
+use crate::ids::{ClassId, EndpointId, RequestId};
 use crate::router::Router;
 use crate::settings::Idempotency;
 use crate::time::{Span, Time};
 
 /// Failed attempts and health checks without an answer between them from which an endpoint is
 /// ejected.
-pub(crate) const FAILURES_BEFORE_EJECTION: u32 = 3;
-/// From an ejection, or the last attempt, to the next trial; later trials take twice as long each.
+const FAILURES_BEFORE_EJECTION: u32 = 3;
+/// From an ejection, or the last attempt, to the next trial. The interval between health checks of
+/// an unreachable endpoint doubles from here.
 const FIRST_TRIAL_AFTER: Span = Span::from_millis(500);
 /// Longest interval between two trials: every router tries the same dead endpoint.
 const MAX_TRIAL_INTERVAL: Span = Span::from_millis(4000);
@@ -179,13 +180,15 @@
             let waits_since = endpoint
                 .unanswered_since
                 .map_or(attempt.sent_at, |since| since.max(attempt.sent_at));
-            waits_since + self.unresponsive_after(attempt, endpoint.in_flight.len())
+            waits_since + self.unresponsive_after(attempt.class, endpoint.in_flight.len())
         };
         endpoint.in_flight.values().map(overdue_at).min()
     }
 
-    fn unresponsive_after(&self, attempt: &SentAttempt, in_flight: usize) -> Span {
-        self.latencies.unresponsive_after(attempt.class, in_flight) + self.settings.tick
+    /// How long an attempt of this class may stay unanswered, among `in_flight` at its endpoint,
+    /// before that marks the endpoint unresponsive.
+    pub(crate) fn unresponsive_after(&self, class: ClassId, in_flight: usize) -> Span {
+        self.latencies.unresponsive_after(class, in_flight) + self.settings.tick
     }
 
     /// Whether an endpoint may get an attempt now: it is ready, or unresponsive and due for a
