--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -88,3 +88,22 @@
     assert_eq!(script.sends.len(), 61);
     assert!(script.cancels.is_empty());
 }
+
+/// An endpoint is removed from the list while it streams the response of a write that must not run twice, and then the
+/// connection breaks. The endpoint's state has been dropped with the time at which the attempt was sent, so the write
+/// counts as one that never ran, and is sent again.
+#[test]
+fn broken_stream_of_removed_endpoint_is_not_retried() {
+    let mut script = Script::group(settings(), 3, 1);
+    script.request(1, WRITE);
+    script.step(&[PolicyEvent::ResponseStarted(RequestId(1))]);
+    script.list(
+        false,
+        vec![
+            record(1, false, EndpointState::Removed),
+            record(2, true, EndpointState::Ready),
+        ],
+    );
+    script.end(1, Outcome::Reset, None);
+    assert!(script.failed(1), "it may have run: failed, not retried");
+}
