--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -53,9 +53,7 @@
 }
 
 /// Lifecycle phase that a gateway announces.
-#[derive(
-    Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
-)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
     /// It has started and still recovers.
     #[default]
@@ -68,9 +66,7 @@
 
 /// What a gateway announces about itself. Each change takes the next incarnation, so that the later
 /// one wins everywhere.
-#[derive(
-    Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash,
-)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberMetadata {
     /// Grows within one process each time that others had declared it gone, and with each change of
     /// the fields below, so that the digest of an earlier view never comes back.
