--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -111,27 +111,13 @@
     let events: Vec<Sender<Event>> = channels.iter().map(|c| c.inbox.0.clone()).collect();
     let reload_requested = watch_file(path, &file, &channels, &agent)?;
     let gossip = starter.start_gossip(&fronts, &events)?;
-    let recoverable = recoverable_fronts(&file, &channels, &fronts);
-    let snapshots = SnapshotWriter::start(
-        &file,
-        recoverable,
-        gossip.clone(),
-        Arc::clone(&service),
-        clock,
-    )
-    .map_err(StartError::resource("recovery"))?;
-    if let (None, Some(gossip)) = (&snapshots, &gossip) {
-        // Without a state folder nothing follows how complete service is: the other gateways take it as complete.
-        gossip.full(true);
-    }
+    let snapshots = starter.start_snapshots(&channels, &fronts, gossip.as_ref())?;
     drop(channels);
 
     let on_reload = move || reload_requested.store(true, Ordering::Relaxed);
     let on_shutdown = move || {
         status.on_shutdown();
-        if let Some(gossip) = &gossip {
-            gossip.leave();
-        }
+        gossip.iter().for_each(|gossip| gossip.leave());
     };
     signals::watch(signals, events, on_reload, on_shutdown)
         .map_err(StartError::resource("signals"))?;
@@ -254,6 +240,25 @@
             .count()
     }
 
+    /// Starts the snapshot writer, if there is a state folder.
+    fn start_snapshots(
+        &self,
+        channels: &[FrontChannels],
+        fronts: &[StartedFront],
+        gossip: Option<&Arc<GossipTransport>>,
+    ) -> Result<Option<SnapshotWriter>, StartError> {
+        let recoverable = recoverable_fronts(self.file, channels, fronts);
+        let service = Arc::clone(self.service);
+        let writer =
+            SnapshotWriter::start(self.file, recoverable, gossip.cloned(), service, self.clock)
+                .map_err(StartError::resource("recovery"))?;
+        if let (None, Some(gossip)) = (&writer, gossip) {
+            // Without a state folder nothing follows how complete service is: the other gateways take it as complete.
+            gossip.full(true);
+        }
+        Ok(writer)
+    }
+
     /// Starts membership among the gateways, if the file has a section for it.
     fn start_gossip(
         &self,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -51,94 +51,35 @@
 pub(crate) fn serve(admission: Option<AdmissionSettings>) -> Result<(), StartError> {
     let signals = signals::catch().map_err(StartError::resource("signals"))?;
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
-    let mut config = load(&path)?;
-    config.management = management_address(config.management)?;
-    if config.management.is_some() {
-        let names = config.site.validate_metric_names();
-        names.map_err(StartError::configuration)?;
-    }
+    let config = load_for_start(&path)?;
     valehatch_net::log::init(LogSettings {
         level: log_level()?,
         ..LogSettings::default()
     });
+    let platform = Platform::new(config, path)?;
+    let (inheritance, endpoint_list) = platform.start_discovery()?;
+    info!(gateway = %platform.config.name, "serving the platform");
+    let front = Front::listen(platform.front_parts(admission, &inheritance)?)?;
 
-    let clock = Clock::start();
-    let inbox = bounded(EVENT_QUEUE_LENGTH);
-    let status = ProcessStatus::new([(Arc::from(config.name.as_str()), &config.site)]);
-    if let Some(address) = config.management {
-        status.serve("mgmt", address)?;
-    }
-
-    let handoff = LateHandoffHandle::default();
-    let discovery_address = Arc::new(DiscoveryAddress::new(config.discovery));
-    let poller = discovery_poller(
-        &config,
-        clock,
-        &inbox.0,
-        &discovery_address,
-        &status,
-        &handoff,
-    );
-    let endpoint_list = poller.store();
-    let socket_path = hot_restart::socket_path(config.listen);
-    let inheritance = hot_restart::inherit(socket_path.as_ref(), &config.name, config.listen)?;
-    start_poller(poller, &inheritance, &config)?;
-    if has_endpoints(&endpoint_list) {
-        status.on_endpoint_list(FRONT);
-    }
-
-    let reloader = Arc::new(Reloader {
-        path,
-        discovery_address,
-        endpoint_list: Arc::clone(&endpoint_list),
-        handoff: Arc::clone(&handoff),
-    });
-    info!(gateway = %config.name, "serving the platform");
-    let board = Arc::<ArcSwapOption<Board>>::default();
-    let connections = SharedConnectionLimiter::new(clock, platform_limits(config.sockets));
-    let wiring = Wiring {
-        config: &config,
-        clock,
-        inbox: &inbox,
-        connections: &connections,
-        board: &board,
-        status: &status,
-    };
-    let front = Front::listen(wiring.front_parts(admission, &inheritance)?)?;
-
-    let shared = SharedProcess {
-        gateway: config.name,
-        limits: ProcessLimits {
-            descriptors: config.sockets,
-            bytes: config.memory_mb * 1024 * 1024,
-        },
-        gateway_count: config.site.settings.routers,
-        events: inbox.0.clone(),
-        clients: front.clients(),
-        connections,
-        front: RecoverableFront {
-            name: PLATFORM_FRONT.to_owned(),
-            endpoint_list: Some(Arc::clone(&endpoint_list)),
-            board,
-            settings: config.site.settings,
-        },
-        clock,
-        reload_discovery: reloader.reload_discovery_callback(),
-    };
+    let reloader = platform.reloader(&endpoint_list);
     let has_predecessor = inheritance.has_predecessor();
-    let handle = inheritance.announce(socket_path, shared);
+    let shared = platform.shared_process(&front, &endpoint_list, &reloader);
+    let handle = inheritance.announce(hot_restart::socket_path(platform.config.listen), shared);
     if let Some(handle) = &handle {
-        let _ = handoff.set(handle.clone());
+        let _ = platform.handoff.set(handle.clone());
         // A list that discovery sent before the handle existed has not been passed on; the other process may
         // poll the same list seconds later only.
-        handle.forward_list(encoded_list(&endpoint_list));
+        handle.forward_list(valehatch_net::lock(&endpoint_list).cache().encode());
     }
     // Only now: whoever reads "ready" may start the next process at once, and that one has to find this one.
-    status.on_listening();
+    platform.status.on_listening();
     if has_predecessor {
         // The predecessor may have been sent SIGHUP since this process read the configuration.
         reloader.reload("looked at with the other process");
     }
+    let (status, events) = (Arc::clone(&platform.status), platform.inbox.0.clone());
+    // The event loop has the queue now.
+    drop(platform);
     let on_shutdown = move || {
         status.on_shutdown();
         if let Some(handle) = &handle {
@@ -146,13 +87,23 @@
         }
     };
     let on_reload = move || reloader.on_sighup();
-    signals::watch(signals, vec![inbox.0], on_reload, on_shutdown)
+    signals::watch(signals, vec![events], on_reload, on_shutdown)
         .map_err(StartError::resource("signals"))?;
-    drop(inbox.1);
     front.run();
     Ok(())
 }
 
+/// Reads the configuration, and what the environment puts in its place.
+fn load_for_start(path: &str) -> Result<PlatformConfig, StartError> {
+    let mut config = load(path)?;
+    config.management = management_address(config.management)?;
+    if config.management.is_some() {
+        let names = config.site.validate_metric_names();
+        names.map_err(StartError::configuration)?;
+    }
+    Ok(config)
+}
+
 fn load(path: &str) -> Result<PlatformConfig, StartError> {
     let text =
         std::fs::read_to_string(path).map_err(StartError::resource(format!("config: {path}")))?;
@@ -188,76 +139,88 @@
     }
 }
 
-/// The poller of the endpoint list, not yet started. Each list also goes to the other process of a hot restart.
-fn discovery_poller(
-    config: &PlatformConfig,
-    clock: Clock,
-    events: &Sender<Event>,
-    address: &Arc<DiscoveryAddress>,
-    status: &Arc<ProcessStatus>,
-    handoff: &LateHandoffHandle,
-) -> DiscoveryPoller {
-    let gateway_count = Arc::new(AtomicU32::new(config.site.settings.routers));
-    let poller = DiscoveryPoller::new(PollerConfig {
-        address: Arc::clone(address),
-        agent: AgentLocation::ThisMachine,
-        site: config.site.clone(),
-        clock,
-        events: events.clone(),
-        gateway_count,
-        seed: config.seed,
-    });
-    let (status, handoff) = (Arc::clone(status), Arc::clone(handoff));
-    poller
-        .on_confirmed(move || status.on_endpoint_list(FRONT))
-        .on_changed(move |endpoint_list| {
-            if let Some(handle) = handoff.get() {
-                handle.forward_list(endpoint_list.encode());
-            }
-        })
-}
-
-/// Starts the poller from the predecessor's list, or else from the one in the configuration.
-fn start_poller(
-    poller: DiscoveryPoller,
-    inheritance: &Inheritance,
-    config: &PlatformConfig,
-) -> Result<(), StartError> {
-    let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
-    let started = match restored.list {
-        Some(list) => poller.resume(list.endpoints, list.version),
-        None => poller.start(&config.cached_endpoints),
-    };
-    started.map_err(StartError::resource("list"))
-}
-
 /// Whether an endpoint list names any endpoint.
 pub(crate) fn has_endpoints(endpoint_list: &SharedEndpointList) -> bool {
     let endpoint_list = valehatch_net::lock(endpoint_list);
     endpoint_list.cache().endpoints().next().is_some()
 }
 
-fn encoded_list(endpoint_list: &SharedEndpointList) -> Vec<u8> {
-    valehatch_net::lock(endpoint_list).cache().encode()
-}
-
-/// What the front and the hot restart share.
-struct Wiring<'a> {
-    config: &'a PlatformConfig,
+/// What the parts of the process are made of and share.
+struct Platform {
+    config: PlatformConfig,
+    path: String,
     clock: Clock,
-    inbox: &'a (Sender<Event>, Receiver<Event>),
-    connections: &'a Arc<SharedConnectionLimiter>,
-    board: &'a Arc<ArcSwapOption<Board>>,
-    status: &'a ProcessStatus,
+    inbox: (Sender<Event>, Receiver<Event>),
+    status: Arc<ProcessStatus>,
+    discovery_address: Arc<DiscoveryAddress>,
+    handoff: LateHandoffHandle,
+    connections: Arc<SharedConnectionLimiter>,
+    board: Arc<ArcSwapOption<Board>>,
 }
 
-impl Wiring<'_> {
+impl Platform {
+    /// Starts the clock and the management endpoint.
+    fn new(config: PlatformConfig, path: String) -> Result<Self, StartError> {
+        let clock = Clock::start();
+        let status = ProcessStatus::new([(Arc::from(config.name.as_str()), &config.site)]);
+        if let Some(address) = config.management {
+            status.serve("mgmt", address)?;
+        }
+        Ok(Self {
+            path,
+            clock,
+            inbox: bounded(EVENT_QUEUE_LENGTH),
+            status,
+            discovery_address: Arc::new(DiscoveryAddress::new(config.discovery)),
+            handoff: LateHandoffHandle::default(),
+            connections: SharedConnectionLimiter::new(clock, platform_limits(config.sockets)),
+            board: Arc::default(),
+            config,
+        })
+    }
+
+    /// Takes over from the predecessor, and polls discovery from its list, or else from the one in the configuration.
+    /// Each list that discovery changes also goes to the other process of a hot restart.
+    fn start_discovery(&self) -> Result<(Inheritance, SharedEndpointList), StartError> {
+        let config = &self.config;
+        let poller = DiscoveryPoller::new(PollerConfig {
+            address: Arc::clone(&self.discovery_address),
+            agent: AgentLocation::ThisMachine,
+            site: config.site.clone(),
+            clock: self.clock,
+            events: self.inbox.0.clone(),
+            gateway_count: Arc::new(AtomicU32::new(config.site.settings.routers)),
+            seed: config.seed,
+        });
+        let (status, handoff) = (Arc::clone(&self.status), Arc::clone(&self.handoff));
+        let poller = poller
+            .on_confirmed(move || status.on_endpoint_list(FRONT))
+            .on_changed(move |endpoint_list| {
+                if let Some(handle) = handoff.get() {
+                    handle.forward_list(endpoint_list.encode());
+                }
+            });
+        let endpoint_list = poller.store();
+        let socket_path = hot_restart::socket_path(config.listen);
+        let inheritance = hot_restart::inherit(socket_path.as_ref(), &config.name, config.listen)?;
+        let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
+        let started = match restored.list {
+            Some(list) => poller.resume(list.endpoints, list.version),
+            None => poller.start(&config.cached_endpoints),
+        };
+        started.map_err(StartError::resource("list"))?;
+        if has_endpoints(&endpoint_list) {
+            self.status.on_endpoint_list(FRONT);
+        }
+        Ok((inheritance, endpoint_list))
+    }
+
     fn front_parts(
         &self,
         admission: Option<AdmissionSettings>,
         inheritance: &Inheritance,
     ) -> Result<FrontParts, StartError> {
-        let (config, clock) = (self.config, self.clock);
+        let (config, clock) = (&self.config, self.clock);
         let site = config.site.clone();
         let metrics = config.management.map(|_| self.status.metrics(FRONT));
         let listener = inheritance
@@ -277,13 +240,13 @@
             clock,
             handler: Arc::new(handler),
             upstream: Box::new(self.endpoint_pools(metrics.clone())),
-            connections: Arc::clone(self.connections),
+            connections: Arc::clone(&self.connections),
             max_in_flight: None,
             inbox: self.inbox.clone(),
             observer: None,
             metrics,
             decisions: self.status.decisions(FRONT),
-            board: Arc::clone(self.board),
+            board: Arc::clone(&self.board),
             site,
         })
     }
@@ -297,12 +260,50 @@
             self.inbox.0.clone(),
             self.clock,
             Duration::from_millis(site.connect_timeout_ms),
-            Arc::clone(self.connections),
+            Arc::clone(&self.connections),
         );
         pools
             .count_attempts(metrics)
             .require_verified_clock(needs_verified_clock)
     }
+
+    fn reloader(&self, endpoint_list: &SharedEndpointList) -> Arc<Reloader> {
+        Arc::new(Reloader {
+            path: self.path.clone(),
+            discovery_address: Arc::clone(&self.discovery_address),
+            endpoint_list: Arc::clone(endpoint_list),
+            handoff: Arc::clone(&self.handoff),
+        })
+    }
+
+    /// This process as a hot restart sees it.
+    fn shared_process(
+        &self,
+        front: &Front,
+        endpoint_list: &SharedEndpointList,
+        reloader: &Arc<Reloader>,
+    ) -> SharedProcess {
+        let config = &self.config;
+        SharedProcess {
+            gateway: config.name.clone(),
+            limits: ProcessLimits {
+                descriptors: config.sockets,
+                bytes: config.memory_mb * 1024 * 1024,
+            },
+            gateway_count: config.site.settings.routers,
+            events: self.inbox.0.clone(),
+            clients: front.clients(),
+            connections: Arc::clone(&self.connections),
+            front: RecoverableFront {
+                name: PLATFORM_FRONT.to_owned(),
+                endpoint_list: Some(Arc::clone(endpoint_list)),
+                board: Arc::clone(&self.board),
+                settings: config.site.settings.clone(),
+            },
+            clock: self.clock,
+            reload_discovery: reloader.reload_discovery_callback(),
+        }
+    }
 }
 
 /// The tenants' weights in the admission queue: the platform gives rates, whose sum is the whole.
