--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -1,4 +1,5 @@
-//! What a door takes, counted by the allocator: a hundred thousand clients within a second, and ten seconds of it.
+//! Memory of an admission queue, counted by the allocator, under 100,000 new clients a second for
+//! 10 s.
 
 use std::alloc::System;
 use std::collections::VecDeque;
@@ -14,12 +15,13 @@
 static COUNTED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 /// Requests that may wait.
-const MOST: usize = 10_000;
-/// What a door of that size may take, in bytes: 1.5 KiB for each that waits, since each is of a client of its own, and 1 MiB.
-const BOUND: usize = MOST * 1536 + 1024 * 1024;
+const MAX_WAITING: usize = 10_000;
+/// Bytes that a queue of that size may take: 1.5 KiB for each request, since each is of a new
+/// client, and 1 MiB.
+const MAX_BYTES: usize = MAX_WAITING * 1536 + 1024 * 1024;
 
 /// Bytes that are in use beyond those at the region's beginning.
-fn held(region: &Region<'_, System>) -> usize {
+fn bytes_in_use(region: &Region<'_, System>) -> usize {
     let change = region.change();
     change
         .bytes_allocated
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_clients_a_second_take_no_more_after_ten_seconds_than_after_six() {
+fn sustained_new_clients_keep_memory_constant() {
     let class = |write| Class {
         priority_weight: 1.0,
         latency_objective: Span::from_millis(400),
@@ -44,17 +46,17 @@
     let settings = Settings {
         quotas: vec![0.48, 0.29, 0.23],
         classes: vec![class(false), class(true)],
-        max_waiting: MOST,
+        max_waiting: MAX_WAITING,
         client_buckets: 4096,
         max_retry_after: Span::from_millis(2_000),
         max_lanes: 64,
     };
-    let mut inside: VecDeque<(Time, RequestId)> = VecDeque::with_capacity(4 * MOST);
-    let mut out: Vec<AdmissionDecision> = Vec::with_capacity(4 * MOST);
+    let mut in_flight: VecDeque<(Time, RequestId)> = VecDeque::with_capacity(4 * MAX_WAITING);
+    let mut decisions: Vec<AdmissionDecision> = Vec::with_capacity(4 * MAX_WAITING);
     let region = Region::new(COUNTED);
-    let mut door = AdmissionQueue::new(settings, 7);
+    let mut queue = AdmissionQueue::new(settings, 7);
     let (mut seconds, mut most_waiting, mut peak) = (vec![], 0, 0);
-    // Each arrival is a client that was never seen before, in one of eight groups; a hundred a second are served of each.
+    // Each arrival is a new client, in one of eight groups; each group serves a hundred a second.
     for n in 0..1_000_000_u64 {
         let now = Time(1_000_000_000 + i64::try_from(n).unwrap() * 10);
         let id = RequestId(n + 1);
@@ -66,51 +68,51 @@
             group: GroupId(u16::try_from(n % 8).unwrap()),
             deadline: now + Span::from_millis(1_500),
         };
-        door.on_arrival(now, arrival, &mut out);
+        queue.on_arrival(now, arrival, &mut decisions);
         if n % 500 == 0 {
             for group in 0..8 {
-                let room = Capacity {
+                let capacity = Capacity {
                     limit: 5.0,
                     waiting: 0,
                     searching: false,
                 };
-                door.set_capacity(now, lane(group, LaneKind::Reads), room, &mut out);
-                door.set_capacity(now, lane(group, LaneKind::Writes), room, &mut out);
+                queue.set_capacity(now, lane(group, LaneKind::Reads), capacity, &mut decisions);
+                queue.set_capacity(now, lane(group, LaneKind::Writes), capacity, &mut decisions);
             }
-            door.tick(now, &mut out);
-            peak = peak.max(held(&region));
+            queue.tick(now, &mut decisions);
+            peak = peak.max(bytes_in_use(&region));
         }
-        while inside.front().is_some_and(|(until, _)| *until <= now) {
-            let Some((_, id)) = inside.pop_front() else {
+        while in_flight.front().is_some_and(|(until, _)| *until <= now) {
+            let Some((_, id)) = in_flight.pop_front() else {
                 break;
             };
-            door.on_finished(now, id, Completion::Served, &mut out);
+            queue.on_finished(now, id, Completion::Served, &mut decisions);
         }
-        for verdict in out.drain(..) {
-            if let AdmissionDecision::Admit(id) = verdict {
-                inside.push_back((now + Span::from_millis(50), id));
+        for decision in decisions.drain(..) {
+            if let AdmissionDecision::Admit(id) = decision {
+                in_flight.push_back((now + Span::from_millis(50), id));
             }
         }
-        most_waiting = most_waiting.max(door.len());
+        most_waiting = most_waiting.max(queue.len());
         if n % 100_000 == 99_999 {
-            door.check_invariants().unwrap();
-            seconds.push(held(&region));
+            queue.check_invariants().unwrap();
+            seconds.push(bytes_in_use(&region));
         }
     }
     assert!(
-        inside.capacity() == 4 * MOST && out.capacity() == 4 * MOST,
+        in_flight.capacity() == 4 * MAX_WAITING && decisions.capacity() == 4 * MAX_WAITING,
         "the test's own lists have not grown"
     );
     println!("bytes by second {seconds:?}, {peak} at the most; {most_waiting} waited at the most");
     assert!(most_waiting > 1_000, "there was something to hold");
-    // The clients that are remembered for their hints are as many as may be by then.
+    // By then as many clients are remembered for their hints as may be.
     let (early, late) = (seconds[5], *seconds.last().unwrap());
-    assert!(peak <= BOUND, "{peak}");
+    assert!(peak <= MAX_BYTES, "{peak}");
     assert!(late <= early + early / 10, "{seconds:?}");
-    drop(door);
+    drop(queue);
     assert!(
-        held(&region) < 64 * 1024,
+        bytes_in_use(&region) < 64 * 1024,
         "all of it is given back: {}",
-        held(&region)
+        bytes_in_use(&region)
     );
 }
