--- a/crates/admission/src/admission_queue.rs
+++ b/crates/admission/src/admission_queue.rs
@@ -354,7 +354,11 @@
         out: &mut Vec<AdmissionDecision>,
     ) {
         let hint = self.retry_after_hint(now, lane_id, request);
-        out.push(AdmissionDecision::Reject(request.id, reason, hint));
+        out.push(AdmissionDecision::Reject {
+            id: request.id,
+            reason,
+            hint,
+        });
     }
 
     /// When a rejected request should come back; reserves capacity for it.
--- a/crates/admission/src/messages.rs
+++ b/crates/admission/src/messages.rs
@@ -67,7 +67,14 @@
     /// It is admitted.
     Admit(RequestId),
     /// It is rejected.
-    Reject(RequestId, QueueRejection, RetryAfterHint),
+    Reject {
+        /// The request.
+        id: RequestId,
+        /// Why.
+        reason: QueueRejection,
+        /// When its client should come back.
+        hint: RetryAfterHint,
+    },
 }
 
 /// How an admitted request ended.
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -156,7 +156,7 @@
 
     fn apply(&mut self, decisions: Vec<AdmissionDecision>) {
         for decision in decisions {
-            let (AdmissionDecision::Admit(id) | AdmissionDecision::Reject(id, ..)) = decision;
+            let (AdmissionDecision::Admit(id) | AdmissionDecision::Reject { id, .. }) = decision;
             assert!(self.decided.insert(id), "one decision for each");
             let arrival = &self.arrivals[&id];
             match decision {
@@ -166,7 +166,7 @@
                     let ends = self.now + arrival.service_time;
                     self.running.insert(Running { ends, id });
                 }
-                AdmissionDecision::Reject(_, reason, hint) => {
+                AdmissionDecision::Reject { reason, hint, .. } => {
                     assert!(
                         hint.retry_after > Span(0) && hint.retry_after <= ms(2000),
                         "{hint:?}"
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -48,7 +48,7 @@
             for decision in std::mem::take(&mut self.admission_decisions) {
                 match decision {
                     AdmissionDecision::Admit(id) => policy_events.extend(self.on_admitted(now, id)),
-                    AdmissionDecision::Reject(id, reason, hint) => {
+                    AdmissionDecision::Reject { id, reason, hint } => {
                         self.on_queue_rejection(now, id, reason, hint, effects);
                     }
                 }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -67,7 +67,7 @@
 }
 
 /// An attempt that was not handed to a connection, and why not.
-struct NotSent {
+struct UnsentAttempt {
     id: AttemptId,
     endpoint: EndpointId,
     outcome: Outcome,
@@ -303,12 +303,12 @@
         match connection {
             Ok(connection) => self.submit(id, connection, payload, deadline, order, effects),
             Err(outcome) => {
-                let not_sent = NotSent {
+                let unsent = UnsentAttempt {
                     id,
                     endpoint: order.endpoint,
                     outcome,
                 };
-                self.report_not_sent(now, &not_sent);
+                self.report_not_sent(now, &unsent);
             }
         }
     }
@@ -361,16 +361,16 @@
         });
     }
 
-    fn report_not_sent(&mut self, now: Time, not_sent: &NotSent) {
-        if let Some(request) = self.requests.get_mut(&not_sent.id.request) {
-            request.record_attempt(not_sent.outcome, now);
+    fn report_not_sent(&mut self, now: Time, unsent: &UnsentAttempt) {
+        if let Some(request) = self.requests.get_mut(&unsent.id.request) {
+            request.record_attempt(unsent.outcome, now);
         }
         self.pending_events
             .push(PolicyEvent::AttemptEnded(AttemptEnd {
-                request: not_sent.id.request,
-                attempt: not_sent.id.attempt,
-                endpoint: not_sent.endpoint,
-                outcome: not_sent.outcome,
+                request: unsent.id.request,
+                attempt: unsent.id.attempt,
+                endpoint: unsent.endpoint,
+                outcome: unsent.outcome,
                 closed: false,
                 latency: Span(0),
                 role: None,
