--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,75 +1,23 @@
 //! When an attempt may be written: its permit is acquired or revoked once, and the reducer revokes
 //! it as soon as the request is cancelled or its endpoint drains.
 
+mod support;
+
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-use valehatch_core::permission::{Decisions, SendPermit};
+use support::{NON_IDEMPOTENT, config, incoming_request, ms};
+use valehatch_core::permission::SendPermit;
 use valehatch_core::{
-    ClientId, ConnectionId, CoreConfig, Effect, Event, FinalAnswer, IncomingRequest,
-    ListedEndpoint, MemoryReservation, Payload, State, UpstreamJob, UpstreamReply,
+    ClientId, ConnectionId, Effect, Event, FinalAnswer, ListedEndpoint, State, UpstreamJob,
+    UpstreamReply,
 };
 use valehatch_policy::{
-    Consistency, DedupScope, DiscoveryMode, EndpointId, EndpointRecord, EndpointState, GroupId,
-    Idempotency, KindId, Limits, ListedRole, Outcome, RequestClass, Rules, SessionTracking,
-    Settings, Span, StaleReadPolicy, Time, ZoneId,
+    EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Outcome, Span, Time, ZoneId,
 };
 
 const IDEMPOTENCY_KEY: usize = 0;
-const NON_IDEMPOTENT: usize = 1;
-
-fn ms(n: i64) -> Span {
-    Span::from_millis(n)
-}
-
-fn settings() -> Settings {
-    let class = |idempotency| RequestClass {
-        consistency: Consistency::Write,
-        idempotency,
-        latency_objective: ms(600),
-        latency_objective_stretch: 0.0,
-        deadline: ms(3_000),
-        priority_weight: 1.0,
-        late_priority_weight: 0.3,
-    };
-    Settings {
-        classes: vec![
-            class(Idempotency::IdempotencyKey {
-                scope: DedupScope::Group,
-                window: ms(2_000),
-            }),
-            class(Idempotency::NonIdempotent),
-        ],
-        tenants: vec![],
-        over_quota_priority_weight: None,
-        discovery_mode: DiscoveryMode::Watch,
-        listed_role: ListedRole::Trailing,
-        stale_read_policy: StaleReadPolicy::Serve,
-        sessions: SessionTracking::ClientProvided,
-        routers: 1,
-        zone: ZoneId(0),
-        tick: ms(5),
-        limits: Limits {
-            cancel: true,
-            health_checks: false,
-            hedged_requests: false,
-            retry_after: true,
-            max_attempts: 6,
-            max_retry_after: ms(500),
-            max_open_requests: 1_000,
-            idle_connection_timeout: ms(15_000),
-        },
-        rules: Rules {
-            max_poll_interval: ms(8_000),
-            slow_start_initial_capacity: 0.2,
-            slow_start_duration: ms(10_000),
-            overload_multiple: 2.0,
-            overload_duration: ms(1_500),
-            removal_is_advisory: false,
-        },
-    }
-}
 
 /// A reducer with one request whose attempt was handed to a connection.
 struct Fixture {
@@ -100,28 +48,6 @@
     }
 }
 
-/// A request of a class that was read at a time.
-fn incoming_request(memory: &Arc<AtomicUsize>, class: usize, received: Time) -> IncomingRequest {
-    IncomingRequest {
-        name: Some("one".into()),
-        class,
-        tenant: None,
-        group: GroupId(0),
-        session: None,
-        received,
-        client_timeout: ms(2_000),
-        is_client_retry: false,
-        last_write_at: None,
-        payload: Arc::new(Payload {
-            bytes: vec![0; 10],
-            write: true,
-            class,
-        }),
-        memory: MemoryReservation::try_acquire(memory, 10, 100).unwrap(),
-        client: 1,
-    }
-}
-
 /// When the attempt that was submitted is given up.
 fn submitted_deadline(effects: &[Effect]) -> Time {
     let deadline = |effect: &Effect| match effect {
@@ -191,17 +117,7 @@
 
     /// A fixture in which these events were handled and this time passed before the request.
     fn after_events(class: usize, before: Vec<Event>, time: Span) -> Self {
-        let config = CoreConfig {
-            admission: None,
-            observability: None,
-            metrics: None,
-            settings: settings(),
-            decisions: Arc::new(Decisions::default()),
-            trace_requests: false,
-            upstream_connection_limit: 8,
-            health_check_timeout: ms(250),
-        };
-        let mut state = State::new(config, 1).unwrap();
+        let mut state = State::new(config(ms(3_000)), 1).unwrap();
         let (start, memory) = (Time(100_000_000), Arc::new(AtomicUsize::new(0)));
         state.reduce(start, before, &mut vec![]);
         let now = start + time;
--- /dev/null
+++ b/crates/core/tests/shutdown_schedule.rs
@@ -0,0 +1,141 @@
+//! When each step of a shutdown happens, at the reducer.
+
+mod support;
+
+use std::sync::Arc;
+use std::sync::atomic::AtomicUsize;
+
+use rstest::rstest;
+use support::{NON_IDEMPOTENT, config, incoming_request, ms};
+use valehatch_core::{ClientId, Effect, Event, FinalAnswer, State};
+use valehatch_policy::{Span, Time};
+
+const START: Time = Time(100_000_000);
+const CLIENT: ClientId = ClientId(1);
+
+/// A reducer with one client that stays connected and sends nothing.
+struct Fixture {
+    state: State,
+    elapsed_ms: i64,
+}
+
+impl Fixture {
+    fn new(longest_deadline: Span, events: Vec<Event>) -> Self {
+        let mut state = State::new(config(longest_deadline), 1).unwrap();
+        let mut all = vec![Event::ClientConnected(CLIENT)];
+        all.extend(events);
+        state.reduce(START, all, &mut vec![]);
+        Self {
+            state,
+            elapsed_ms: 0,
+        }
+    }
+
+    fn turn(&mut self, events: Vec<Event>) -> Vec<Effect> {
+        let mut effects = vec![];
+        let now = START + ms(self.elapsed_ms);
+        self.state.reduce(now, events, &mut effects);
+        effects
+    }
+
+    /// Takes a turn each millisecond until a step happens; the milliseconds since the start.
+    fn wait_for(&mut self, step: fn(&Effect) -> bool) -> Option<i64> {
+        while self.elapsed_ms < 5_000 {
+            let effects = self.turn(vec![]);
+            if effects.iter().any(step) {
+                return Some(self.elapsed_ms);
+            }
+            self.elapsed_ms += 1;
+        }
+        None
+    }
+
+    /// The Retry-After of a request that comes in now; `None` if it is accepted.
+    fn retry_after(&mut self) -> Option<Span> {
+        let memory = Arc::new(AtomicUsize::new(0));
+        let received = START + ms(self.elapsed_ms);
+        let request = incoming_request(&memory, NON_IDEMPOTENT, received);
+        let effects = self.turn(vec![Event::RequestReceived {
+            client: CLIENT,
+            ticket: 1,
+            request,
+        }]);
+        effects.iter().find_map(|effect| match effect {
+            Effect::Answer {
+                answer: FinalAnswer::Rejected { retry_after, .. },
+                ..
+            } => Some(*retry_after),
+            _ => None,
+        })
+    }
+}
+
+const fn stops_listening(effect: &Effect) -> bool {
+    matches!(effect, Effect::StopListening)
+}
+
+const fn closes_client(effect: &Effect) -> bool {
+    matches!(effect, Effect::CloseClient(CLIENT))
+}
+
+const fn closes_idle_clients(effect: &Effect) -> bool {
+    matches!(effect, Effect::CloseIdleClients)
+}
+
+const fn exits(effect: &Effect) -> bool {
+    matches!(effect, Effect::Exit)
+}
+
+#[test]
+fn shutdown_request_runs_steps_before_the_kill() {
+    let mut fixture = Fixture::new(ms(3_000), vec![Event::ShutdownRequested]);
+    assert_eq!(fixture.wait_for(stops_listening), Some(450));
+    assert_eq!(fixture.wait_for(closes_client), Some(3_330));
+    assert_eq!(fixture.wait_for(closes_idle_clients), Some(3_455));
+    assert_eq!(fixture.wait_for(exits), Some(3_600));
+}
+
+// Where every deadline is short, open requests get their final answer before client connections
+// would begin to close. Connections then close all at once, and none earlier.
+#[test]
+fn short_deadlines_reject_requests_before_closing_clients() {
+    let mut fixture = Fixture::new(ms(1_000), vec![Event::ShutdownRequested]);
+    assert_eq!(fixture.wait_for(stops_listening), Some(450));
+    assert_eq!(fixture.wait_for(closes_idle_clients), Some(1_530));
+    assert_eq!(fixture.wait_for(exits), Some(1_600));
+}
+
+#[test]
+fn handoff_closes_clients_and_exits_after_the_last_one() {
+    let mut fixture = Fixture::new(ms(3_000), vec![]);
+    let effects = fixture.turn(vec![Event::HandoffStarted]);
+    assert!(effects.iter().any(stops_listening));
+    assert_eq!(fixture.wait_for(closes_client), Some(100));
+    assert!(
+        !fixture.turn(vec![]).iter().any(exits),
+        "a client is connected"
+    );
+    let effects = fixture.turn(vec![Event::ClientDisconnected(CLIENT)]);
+    assert!(effects.iter().any(exits));
+}
+
+// A request that comes in late in a shutdown could be cut off. After a handoff the other process
+// takes it at once, so it is rejected earlier and with the shortest Retry-After.
+#[rstest]
+#[case::request_before_the_end(vec![Event::ShutdownRequested], 3_449, None)]
+#[case::request_at_the_end(vec![Event::ShutdownRequested], 3_450, Some(ms(125)))]
+#[case::handoff_before_its_lead(vec![Event::ShutdownRequested, Event::HandoffStarted], 3_199, None)]
+#[case::handoff_at_its_lead(vec![Event::ShutdownRequested, Event::HandoffStarted], 3_200, Some(ms(1)))]
+#[case::handoff_alone(vec![Event::HandoffStarted], 3_600, None)]
+fn late_request_is_rejected_from_its_step_on(
+    #[case] events: Vec<Event>,
+    #[case] at_ms: i64,
+    #[case] expected: Option<Span>,
+) {
+    let mut fixture = Fixture::new(ms(3_000), events);
+    while fixture.elapsed_ms < at_ms {
+        fixture.elapsed_ms += 1;
+        fixture.turn(vec![]);
+    }
+    assert_eq!(fixture.retry_after(), expected);
+}
--- /dev/null
+++ b/crates/core/tests/support/mod.rs
@@ -0,0 +1,106 @@
+//! Settings, configuration and requests that the tests of the reducer share.
+
+use std::sync::Arc;
+use std::sync::atomic::AtomicUsize;
+
+use valehatch_core::permission::Decisions;
+use valehatch_core::{CoreConfig, IncomingRequest, MemoryReservation, Payload};
+use valehatch_policy::{
+    Consistency, DedupScope, DiscoveryMode, GroupId, Idempotency, Limits, ListedRole, RequestClass,
+    Rules, SessionTracking, Settings, Span, StaleReadPolicy, Time, ZoneId,
+};
+
+/// The class that must not run twice; class 0 has an idempotency key.
+pub(crate) const NON_IDEMPOTENT: usize = 1;
+
+pub(crate) fn ms(n: i64) -> Span {
+    Span::from_millis(n)
+}
+
+fn settings(longest_deadline: Span) -> Settings {
+    let class = |idempotency| RequestClass {
+        consistency: Consistency::Write,
+        idempotency,
+        latency_objective: ms(600),
+        latency_objective_stretch: 0.0,
+        deadline: longest_deadline,
+        priority_weight: 1.0,
+        late_priority_weight: 0.3,
+    };
+    Settings {
+        classes: vec![
+            class(Idempotency::IdempotencyKey {
+                scope: DedupScope::Group,
+                window: ms(2_000),
+            }),
+            class(Idempotency::NonIdempotent),
+        ],
+        tenants: vec![],
+        over_quota_priority_weight: None,
+        discovery_mode: DiscoveryMode::Watch,
+        listed_role: ListedRole::Trailing,
+        stale_read_policy: StaleReadPolicy::Serve,
+        sessions: SessionTracking::ClientProvided,
+        routers: 1,
+        zone: ZoneId(0),
+        tick: ms(5),
+        limits: Limits {
+            cancel: true,
+            health_checks: false,
+            hedged_requests: false,
+            retry_after: true,
+            max_attempts: 6,
+            max_retry_after: ms(500),
+            max_open_requests: 1_000,
+            idle_connection_timeout: ms(15_000),
+        },
+        rules: Rules {
+            max_poll_interval: ms(8_000),
+            slow_start_initial_capacity: 0.2,
+            slow_start_duration: ms(10_000),
+            overload_multiple: 2.0,
+            overload_duration: ms(1_500),
+            removal_is_advisory: false,
+        },
+    }
+}
+
+/// A core without admission queue and observability.
+pub(crate) fn config(longest_deadline: Span) -> CoreConfig {
+    CoreConfig {
+        admission: None,
+        observability: None,
+        metrics: None,
+        settings: settings(longest_deadline),
+        decisions: Arc::new(Decisions::default()),
+        trace_requests: false,
+        upstream_connection_limit: 8,
+        health_check_timeout: ms(250),
+    }
+}
+
+/// A request of a class that was read at a time.
+pub(crate) fn incoming_request(
+    memory: &Arc<AtomicUsize>,
+    class: usize,
+    received: Time,
+) -> IncomingRequest {
+    IncomingRequest {
+        name: Some("one".into()),
+        class,
+        tenant: None,
+        group: GroupId(0),
+        session: None,
+        received,
+        client_timeout: ms(2_000),
+        is_client_retry: false,
+        last_write_at: None,
+        payload: Arc::new(Payload {
+            bytes: vec![0; 10],
+            write: true,
+            class,
+        }),
+        memory: MemoryReservation::try_acquire(memory, 10, 100).unwrap(),
+        client: 1,
+    }
+}
