--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -339,9 +339,9 @@
             let outcome = FinalOutcome::Failed(FailureReason::Stopping);
             (FinalAnswer::Failed(Failure::Timeout), outcome)
         };
-        // An attempt that is still in flight could run here while its client, which has its answer,
-        // repeats the request elsewhere. Cancelling it closes its connection, so the request runs
-        // in one place at most.
+        // The client retries elsewhere once it has its answer, and an attempt still in flight would
+        // overlap with the retry. So the attempt is cancelled, and its connection closed, together
+        // with the answer.
         let in_flight = self.connections_of(id);
         self.answer(now, id, answer, outcome, effects);
         policy_events.push(PolicyEvent::ClientDisconnected(id));
--- a/crates/core/src/upstream_connections.rs
+++ b/crates/core/src/upstream_connections.rs
@@ -18,8 +18,9 @@
 
 /// Interval at which idle connections are checked for their age.
 const IDLE_SWEEP_INTERVAL: Span = Span::from_millis(250);
-/// Tenths of the endpoint's idle timeout after which a connection is no longer used: the endpoint
-/// must not close it just as a request is written.
+/// Tenths of the endpoint's idle timeout for which an idle connection may still be used. A new
+/// connection costs the endpoint work; but close to the timeout the endpoint may close one just as
+/// a request is written.
 const IDLE_TENTHS: i64 = 8;
 
 /// What an upstream connection carries.
