--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -1,4 +1,5 @@
-//! Each notice once, at its edge; storms told as one; informs repeated with growing pauses and never without end.
+//! Notifications are reported once, at their edges; storms as one; informs are sent again with growing pauses, and not
+//! for ever.
 
 use std::sync::Arc;
 
@@ -15,21 +16,45 @@
     Thresholds {
         no_primary: ms(5000),
         search_lasting: ms(2000),
-        refusals: (10_000, 2_000),
-        refusals_over: ms(5000),
-        budget: (1100, 1000),
-        queue: (400, 100),
-        storm: 5,
+        rejections: Hysteresis {
+            rising: 10_000,
+            falling: 2_000,
+        },
+        rejections_window: ms(5000),
+        quota: Hysteresis {
+            rising: 1100,
+            falling: 1000,
+        },
+        queue_wait: Hysteresis {
+            rising: 400,
+            falling: 100,
+        },
+        storm_limit: 5,
         storm_window: ms(10_000),
     }
 }
 
-/// A front with one group of three, looked at whenever the test says.
+fn wait(wait_ms: u64) -> TenantWait {
+    TenantWait {
+        front: "a".into(),
+        tenant: "acme".into(),
+        wait_ms,
+    }
+}
+
+const fn informs(retries: u32) -> Retransmission {
+    Retransmission {
+        first_pause: ms(1000),
+        retries,
+    }
+}
+
+/// A front with one group of three endpoints.
 struct World {
-    alarms: NotificationMonitor,
+    monitor: NotificationMonitor,
     live: LiveView,
     counters: Counters,
-    trouble: Option<&'static str>,
+    state_fault: Option<&'static str>,
     name: Arc<str>,
     tenants: Vec<(Arc<str>, f64)>,
 }
@@ -72,12 +97,12 @@
             door: vec![],
         };
         let tenants = vec![("acme".into(), 100.0)];
-        let alarms = NotificationMonitor::new(thresholds);
+        let monitor = NotificationMonitor::new(thresholds);
         Self {
-            alarms,
+            monitor,
             live,
             counters: Counters::default(),
-            trouble: None,
+            state_fault: None,
             name: "a".into(),
             tenants,
         }
@@ -85,16 +110,16 @@
 
     fn look(&mut self, at_ms: i64) -> Vec<Notification> {
         self.live.at = Time(at_ms * 1000);
-        let front = FrontNow {
+        let front = FrontStatus {
             name: &self.name,
             live: &self.live,
             tenants: &self.tenants,
         };
-        self.alarms
-            .look(self.live.at, &[front], &self.counters, self.trouble)
+        self.monitor
+            .look(self.live.at, &[front], &self.counters, self.state_fault)
     }
 
-    fn kinds(&mut self, at_ms: i64) -> Vec<Kind> {
+    fn kinds(&mut self, at_ms: i64) -> Vec<NotificationKind> {
         self.look(at_ms).iter().map(Notification::kind).collect()
     }
 
@@ -129,28 +154,38 @@
 }
 
 #[test]
-fn a_change_of_primary_is_told_from_its_begin_to_its_end() {
+fn primary_change_is_reported_from_begin_to_end() {
     let mut world = World::new(thresholds());
-    assert_eq!(world.kinds(0), [Kind::Started]);
+    assert_eq!(world.kinds(0), [NotificationKind::Started]);
     world.lose(100);
-    assert_eq!(world.kinds(200), [Kind::PrimaryChanged, Kind::SearchBegun]);
+    assert_eq!(
+        world.kinds(200),
+        [
+            NotificationKind::PrimaryChanged,
+            NotificationKind::SearchStarted
+        ]
+    );
     assert_eq!(world.kinds(2000), []);
-    assert_eq!(world.kinds(2100), [Kind::SearchLasting]);
+    assert_eq!(world.kinds(2100), [NotificationKind::SearchLasting]);
     assert_eq!(world.kinds(3000), []);
     assert_eq!(world.kinds(5199), []);
-    assert_eq!(world.kinds(5200), [Kind::NoPrimary]);
+    assert_eq!(world.kinds(5200), [NotificationKind::NoPrimary]);
     world.find(2);
-    let said = world.look(11_000);
+    let notifications = world.look(11_000);
     let [
         Notification::PrimaryChanged(changed),
         Notification::SearchEnded(ended),
-        Notification::PrimaryBack(back),
-    ] = &said[..]
+        Notification::PrimaryRestored(back),
+    ] = &notifications[..]
     else {
-        panic!("{said:?}")
+        panic!("{notifications:?}")
     };
     assert_eq!(
-        (&*changed.before, &*changed.primary, changed.known),
+        (
+            &*changed.previous_primary,
+            &*changed.primary,
+            changed.evidence
+        ),
         ("", "m2", PrimaryEvidence::Search)
     );
     assert_eq!((ended.lasted_ms, back.lasted_ms), (10_900, 10_800));
@@ -158,103 +193,115 @@
 }
 
 #[test]
-fn changes_between_two_looks_are_told_though_they_lead_back() {
+fn primary_changes_back_between_looks_are_reported() {
     let mut world = World::new(thresholds());
     world.look(0);
     world.lose(10);
     world.find(1);
-    assert_eq!(world.kinds(100), [Kind::PrimaryChanged]);
+    assert_eq!(world.kinds(100), [NotificationKind::PrimaryChanged]);
 }
 
 #[test]
-fn a_change_before_the_first_look_at_a_group_is_told() {
+fn primary_change_before_first_look_is_reported() {
     let mut world = World::new(thresholds());
     world.lose(0);
     world.find(2);
-    assert_eq!(world.kinds(0), [Kind::Started, Kind::PrimaryChanged]);
+    assert_eq!(
+        world.kinds(0),
+        [NotificationKind::Started, NotificationKind::PrimaryChanged]
+    );
     assert_eq!(world.kinds(100), []);
 }
 
 #[test]
-fn refusals_are_told_at_two_edges_and_nothing_between_them() {
+fn rejections_are_reported_at_both_edges_only() {
     let mut world = World::new(thresholds());
-    let mut told = vec![];
-    // Ten seconds of 12 a second, ten of 5 (between the edges), ten of none.
+    let mut reported = vec![];
+    // Ten seconds with 12 rejections each, ten with 5 (between the edges), ten with none.
     for second in 0..30 {
         world.refuse([12, 5, 0][second / 10]);
         let at = i64::try_from(second).unwrap() * 1000;
-        told.extend(world.kinds(at).into_iter().map(|k| (second, k)));
+        reported.extend(world.kinds(at).into_iter().map(|k| (second, k)));
     }
     assert_eq!(
-        told[1..],
-        [(5, Kind::RefusalsRising), (23, Kind::RefusalsFallen)],
-        "{told:?}"
+        reported[1..],
+        [
+            (5, NotificationKind::RejectionsRising),
+            (23, NotificationKind::RejectionsFallen)
+        ],
+        "{reported:?}"
     );
 }
 
 #[test]
-fn a_budget_that_trembles_on_its_edge_is_told_once() {
+fn quota_wavering_at_its_edge_is_reported_once() {
     let mut world = World::new(thresholds());
-    let mut told = vec![];
+    let mut reported = vec![];
     for (n, rate) in [90, 110, 109, 111, 100, 111, 99, 90]
         .into_iter()
         .enumerate()
     {
         world.live.rates = vec![rate];
-        told.extend(
+        reported.extend(
             world
                 .kinds(i64::try_from(n).unwrap() * 1000)
                 .into_iter()
                 .map(|k| (n, k)),
         );
     }
-    assert_eq!(told[1..], [(1, Kind::BudgetOverrun), (6, Kind::BudgetBack)]);
+    assert_eq!(
+        reported[1..],
+        [
+            (1, NotificationKind::QuotaExceeded),
+            (6, NotificationKind::QuotaRecovered)
+        ]
+    );
 }
 
 #[test]
-fn a_queue_that_stands_long_is_told_at_two_edges() {
+fn long_queue_wait_is_reported_at_both_edges() {
     let mut world = World::new(thresholds());
-    let mut told = vec![];
+    let mut reported = vec![];
     for (n, waited) in [0, 390, 410, 150, 399, 99, 0].into_iter().enumerate() {
         world.live.door = vec![valehatch_admission::TenantQueueView {
             oldest: ms(waited),
             ..Default::default()
         }];
-        told.extend(world.look(i64::try_from(n).unwrap() * 1000));
+        reported.extend(world.look(i64::try_from(n).unwrap() * 1000));
     }
     assert_eq!(
-        told[1..],
+        reported[1..],
         [
-            Notification::QueueLong("a".into(), "acme".into(), 410),
-            Notification::QueueShort("a".into(), "acme".into(), 99)
+            Notification::QueueLong(wait(410)),
+            Notification::QueueShort(wait(99))
         ]
     );
 }
 
 #[test]
-fn members_state_and_stop_are_told_and_a_member_that_left_is_not_waited_for() {
+fn endpoint_state_and_stop_are_reported() {
     let mut world = World::new(thresholds());
     world.look(0);
     world.live.members[1].view.health = EndpointHealth::Unreachable;
-    assert_eq!(world.kinds(100), [Kind::MemberOutOfReach]);
+    assert_eq!(world.kinds(100), [NotificationKind::EndpointUnavailable]);
     world.live.members[1].view.health = EndpointHealth::Unresponsive;
     assert_eq!(world.kinds(200), [], "it still cannot be used");
     world.live.members.remove(1);
-    assert_eq!(world.kinds(300), [Kind::MemberBack]);
-    world.trouble = Some("disk full");
+    assert_eq!(world.kinds(300), [NotificationKind::EndpointAvailable]);
+    world.state_fault = Some("disk full");
     assert_eq!(
         world.look(400),
-        [Notification::StateTrouble("disk full".into())]
+        [Notification::StateFault("disk full".into())]
     );
-    world.trouble = None;
-    assert_eq!(world.kinds(500), [Kind::StateWell]);
+    world.state_fault = None;
+    assert_eq!(world.kinds(500), [NotificationKind::StateRecovered]);
     world.live.stopping = true;
-    assert_eq!(world.kinds(600), [Kind::Stopping]);
+    assert_eq!(world.kinds(600), [NotificationKind::Stopping]);
     assert_eq!(world.kinds(700), []);
 }
 
 #[test]
-fn a_storm_is_told_as_one_and_what_comes_after_it_one_by_one() {
+fn storm_is_reported_as_one_notification() {
     let mut world = World::new(thresholds());
     let members: Vec<LiveEndpoint> = (10..210)
         .map(|n| {
@@ -265,21 +312,19 @@
         .collect();
     world.live.members = members;
     world.look(0);
-    let mut told = vec![];
+    let mut reported = vec![];
     for look in 1..100 {
         let health = if look % 2 == 1 {
             EndpointHealth::Unreachable
         } else {
             EndpointHealth::Healthy
         };
-        world
-            .live
-            .members
-            .iter_mut()
-            .for_each(|m| m.view.health = health);
-        told.extend(world.look(look * 100));
+        for member in &mut world.live.members {
+            member.view.health = health;
+        }
+        reported.extend(world.look(look * 100));
     }
-    assert_eq!(told.len(), 5, "200 members flap for ten seconds");
+    assert_eq!(reported.len(), 5, "200 endpoints flap for ten seconds");
     let mut after = world.look(10_000);
     assert_eq!(after.len(), 1);
     let Some(Notification::Storm(kinds)) = after.pop() else {
@@ -288,48 +333,50 @@
     let left_out: u64 = kinds.iter().map(|(_, n)| n).sum();
     assert_eq!(left_out, 99 * 200 - 5, "each is counted once: {kinds:?}");
     world.live.members[0].view.health = EndpointHealth::Healthy;
-    assert_eq!(world.kinds(10_100), [Kind::MemberBack]);
+    assert_eq!(world.kinds(10_100), [NotificationKind::EndpointAvailable]);
 }
 
 #[test]
-fn an_inform_is_repeated_with_growing_pauses_until_it_is_acknowledged_or_given_up() {
-    let mut outbox = Outbox::new(100, Some((ms(1000), 3)), 0);
-    outbox.push(Time(0), "x");
+fn inform_is_resent_with_doubling_pauses_until_given_up() {
+    let mut queue = DeliveryQueue::new(100, Some(informs(3)), 0);
+    queue.push(Time(0), "x");
     let mut sent = vec![];
     for at in 0..40 {
-        sent.extend(outbox.due(Time(at * 500_000)).iter().map(|p| (at, p.id)));
+        sent.extend(queue.due(Time(at * 500_000)).iter().map(|p| (at, p.id)));
     }
     assert_eq!(
         sent,
         [(0, 1), (2, 1), (6, 1), (14, 1)],
         "after 0, 1, 3 and 7 s, under one number"
     );
-    assert_eq!((outbox.tally().given_up, outbox.len()), (1, 0));
-    outbox.push(Time(0), "y");
-    let id = outbox.due(Time(0))[0].id;
-    assert!(!outbox.acknowledged(id + 7));
-    assert!(outbox.acknowledged(id) && outbox.is_empty() && !outbox.acknowledged(id));
+    assert_eq!((queue.counts().given_up, queue.len()), (1, 0));
+    queue.push(Time(0), "y");
+    let id = queue.due(Time(0))[0].id;
+    assert!(!queue.acknowledge(id + 7));
+    assert!(queue.acknowledge(id) && queue.is_empty() && !queue.acknowledge(id));
 }
 
 #[test]
-fn a_receiver_that_never_answers_holds_no_more_than_its_queue_and_few_are_out() {
-    let mut outbox = Outbox::new(20, Some((ms(1000), 5)), 0);
+fn dead_receiver_has_bounded_queue_and_few_informs_in_flight() {
+    let mut queue = DeliveryQueue::new(20, Some(informs(5)), 0);
     let mut most = 0;
     for n in 0..1000 {
-        outbox.push(Time(n * 1000), n);
-        most = most.max(outbox.due(Time(n * 1000)).len());
-        assert!(outbox.len() <= 20);
+        queue.push(Time(n * 1000), n);
+        most = most.max(queue.due(Time(n * 1000)).len());
+        assert!(queue.len() <= 20);
     }
     assert_eq!(most, 1);
-    assert_eq!(outbox.tally().sent, 8, "no more than a few are out at once");
-    assert_eq!(outbox.tally().dropped, 980);
-    let mut traps = Outbox::new(3, None, 0);
-    (0..5).for_each(|n| traps.push(Time(0), n));
+    assert_eq!(queue.counts().sent, 8, "few are in flight at once");
+    assert_eq!(queue.counts().dropped, 980);
+    let mut traps = DeliveryQueue::new(3, None, 0);
+    for n in 0..5 {
+        traps.push(Time(0), n);
+    }
     assert_eq!(
         traps
             .due(Time(0))
             .iter()
-            .map(|p| p.what)
+            .map(|delivery| delivery.content)
             .collect::<Vec<_>>(),
         [2, 3, 4]
     );
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwap;
 use rasn_snmp::v2::{Pdus, VarBind};
 use valehatch_config::snmp::{ROOT, SnmpSettings, SnmpUser, SnmpView};
-use valehatch_notifications::Tally;
+use valehatch_notifications::DeliveryCounts;
 use valehatch_rate_limit::{EngineTime, SnapshotCache};
 
 use crate::message::{
@@ -111,7 +111,7 @@
     /// snmpEngineBoots.
     pub boots: u32,
     /// How each receiver does.
-    pub receivers: ArcSwap<Vec<(String, usize, Tally)>>,
+    pub receivers: ArcSwap<Vec<(String, usize, DeliveryCounts)>>,
 }
 
 impl Shared {
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -13,8 +13,8 @@
     Credentials, NotificationReceiver, NotificationSettings, ROOT, SnmpUser,
 };
 use valehatch_notifications::{
-    EndpointNotification, FrontNow, GroupNotification, Notification, NotificationMonitor, Outbox,
-    Thresholds,
+    DeliveryQueue, EndpointNotification, FrontStatus, GroupNotification, Hysteresis, Notification,
+    NotificationMonitor, Retransmission, Thresholds,
 };
 use valehatch_policy::{Span, Time};
 use valehatch_rate_limit::EngineTime;
@@ -46,14 +46,20 @@
     Thresholds {
         no_primary: ms(notify.no_primary_ms),
         search_lasting: ms(notify.search_lasting_ms),
-        refusals: (
-            parts(notify.refusals_rising),
-            parts(notify.refusals_falling),
-        ),
-        refusals_over: ms(notify.refusals_over_ms),
-        budget: (notify.budget_rising, notify.budget_falling),
-        queue: (notify.queue_rising_ms, notify.queue_falling_ms),
-        storm: notify.storm,
+        rejections: Hysteresis {
+            rising: parts(notify.refusals_rising),
+            falling: parts(notify.refusals_falling),
+        },
+        rejections_window: ms(notify.refusals_over_ms),
+        quota: Hysteresis {
+            rising: notify.budget_rising,
+            falling: notify.budget_falling,
+        },
+        queue_wait: Hysteresis {
+            rising: notify.queue_rising_ms,
+            falling: notify.queue_falling_ms,
+        },
+        storm_limit: notify.storm,
         storm_window: ms(notify.storm_window_ms),
     }
 }
@@ -73,10 +79,10 @@
             (1, text(&g.front)),
             (2, gauge(g.group.0.into())),
             (3, text(&g.primary)),
-            (4, text(&g.before)),
-            (5, Value::Integer(known(g.known))),
+            (4, text(&g.previous_primary)),
+            (5, Value::Integer(known(g.evidence))),
             (6, Value::Counter64(g.changes)),
-            (7, gauge(g.held)),
+            (7, gauge(g.queued_writes)),
             (8, gauge(g.lasted_ms)),
         ]
     };
@@ -89,33 +95,36 @@
         ]
     };
     match notice {
-        Notification::Started | Notification::Stopping | Notification::StateWell => {
+        Notification::Started | Notification::Stopping | Notification::StateRecovered => {
             vec![(15, text(gateway))]
         }
         Notification::PrimaryChanged(g)
-        | Notification::SearchBegun(g)
+        | Notification::SearchStarted(g)
         | Notification::SearchLasting(g)
         | Notification::SearchEnded(g)
         | Notification::NoPrimary(g)
-        | Notification::PrimaryBack(g) => group(g),
-        Notification::MemberOutOfReach(m) | Notification::MemberBack(m) => member(m),
-        Notification::RefusalsRising(front, class, rate)
-        | Notification::RefusalsFallen(front, class, rate) => {
-            vec![(1, text(front)), (11, text(class)), (13, gauge(*rate))]
-        }
-        Notification::BudgetOverrun(front, tenant, used)
-        | Notification::BudgetBack(front, tenant, used) => {
-            vec![(1, text(front)), (12, text(tenant)), (14, gauge(*used))]
-        }
-        Notification::QueueLong(front, tenant, waited)
-        | Notification::QueueShort(front, tenant, waited) => {
-            vec![(1, text(front)), (12, text(tenant)), (8, gauge(*waited))]
-        }
-        Notification::StateTrouble(why) => vec![(15, text(why))],
+        | Notification::PrimaryRestored(g) => group(g),
+        Notification::EndpointUnavailable(m) | Notification::EndpointAvailable(m) => member(m),
+        Notification::RejectionsRising(rate) | Notification::RejectionsFallen(rate) => vec![
+            (1, text(&rate.front)),
+            (11, text(&rate.class)),
+            (13, gauge(rate.per_1000_s)),
+        ],
+        Notification::QuotaExceeded(quota) | Notification::QuotaRecovered(quota) => vec![
+            (1, text(&quota.front)),
+            (12, text(&quota.tenant)),
+            (14, gauge(quota.per_mille)),
+        ],
+        Notification::QueueLong(wait) | Notification::QueueShort(wait) => vec![
+            (1, text(&wait.front)),
+            (12, text(&wait.tenant)),
+            (8, gauge(wait.wait_ms)),
+        ],
+        Notification::StateFault(why) => vec![(15, text(why))],
         Notification::Storm(kinds) => {
             let words: Vec<String> = kinds
                 .iter()
-                .map(|(kind, n)| format!("{n} {kind:?}"))
+                .map(|(kind, n)| format!("{n} {kind}"))
                 .collect();
             vec![
                 (15, text(&words.join(", "))),
@@ -150,7 +159,7 @@
 /// One receiver, and what it has not taken yet.
 struct Line {
     receiver: NotificationReceiver,
-    outbox: Outbox<Arc<Vec<VarBind>>>,
+    queue: DeliveryQueue<Arc<Vec<VarBind>>>,
     /// What is known of the receiver's engine, where it decides over informs, and when that was learned.
     engine: Option<(EngineTime, Time)>,
     failing: bool,
@@ -159,9 +168,12 @@
 impl Line {
     fn new(receiver: NotificationReceiver, first: i32) -> Self {
         let pause = Span::from_millis(i64::try_from(receiver.timeout_ms).unwrap_or(1000));
-        let inform = receiver.inform.then_some((pause, receiver.retries));
+        let informs = receiver.inform.then_some(Retransmission {
+            first_pause: pause,
+            retries: receiver.retries,
+        });
         Self {
-            outbox: Outbox::new(receiver.queue, inform, first),
+            queue: DeliveryQueue::new(receiver.queue, informs, first),
             receiver,
             engine: None,
             failing: false,
@@ -221,7 +233,7 @@
                 if let (Said::Response(id, _), true) =
                     (message::said(pdus), community == own.as_bytes())
                 {
-                    self.outbox.acknowledged(id);
+                    self.queue.acknowledge(id);
                 }
             }
             (Some(Incoming::V3(secured)), Credentials::User(user, Some(engine))) => {
@@ -270,8 +282,8 @@
             return;
         };
         match message::said(scoped.data) {
-            Said::Response(id, _) => drop(self.outbox.acknowledged(id)),
-            Said::Report(Some(name)) if name == NOT_IN_WINDOW => self.outbox.again(now, secured.id),
+            Said::Response(id, _) => drop(self.queue.acknowledge(id)),
+            Said::Report(Some(name)) if name == NOT_IN_WINDOW => self.queue.resend(now, secured.id),
             _ => {}
         }
     }
@@ -312,7 +324,7 @@
     /// Takes over receivers and thresholds from what is set now; what waits for a receiver that stays goes on to.
     fn reread(&mut self) {
         let access = self.shared.access.load_full();
-        self.alarms.set(thresholds(&access.notify));
+        self.alarms.set_thresholds(thresholds(&access.notify));
         let mut old = std::mem::take(&mut self.lines);
         for receiver in &access.receivers {
             let same = old.iter().position(|line| line.receiver == *receiver);
@@ -363,12 +375,12 @@
         let shared = Arc::clone(&self.shared);
         let world = &shared.world;
         let boards: Vec<_> = world.fronts.iter().map(|f| f.board.load_full()).collect();
-        let fronts: Vec<FrontNow<'_>> = world
+        let fronts: Vec<FrontStatus<'_>> = world
             .fronts
             .iter()
             .zip(&boards)
             .filter_map(|(f, b)| {
-                Some(FrontNow {
+                Some(FrontStatus {
                     name: &f.name,
                     live: &b.as_ref()?.live,
                     tenants: &f.tenants,
@@ -384,21 +396,21 @@
             self.alarms
                 .look(now, &fronts, &shown.counters, shown.status.fault.as_deref());
         for notice in notices {
-            info!(notice = ?notice.kind(), "{}", told(&notice));
+            info!(notice = %notice.kind(), "{}", told(&notice));
             shared.stats.add(Stat::Notices);
             let list = Arc::new(bindings(&notice, &world.name, world.up_ticks()));
             self.lines
                 .iter_mut()
-                .for_each(|line| line.outbox.push(now, Arc::clone(&list)));
+                .for_each(|line| line.queue.push(now, Arc::clone(&list)));
         }
     }
 
     fn send(&mut self) {
         let now = self.shared.world.clock.now();
         for line in &mut self.lines {
-            for post in line.outbox.due(now) {
+            for post in line.queue.due(now) {
                 let Some(bytes) =
-                    line.message(now, &self.shared, &mut self.salt, post.id, &post.what)
+                    line.message(now, &self.shared, &mut self.salt, post.id, &post.content)
                 else {
                     warn!("snmp: a notification cannot be written down");
                     continue;
@@ -418,8 +430,8 @@
         let state = |l: &Line| {
             (
                 l.receiver.address.to_string(),
-                l.outbox.len(),
-                l.outbox.tally(),
+                l.queue.len(),
+                l.queue.counts(),
             )
         };
         self.shared
@@ -466,7 +478,7 @@
 
     fn last_word(&mut self) {
         let end = std::time::Instant::now() + LAST_WORD;
-        while self.lines.iter().any(|l| !l.outbox.is_empty()) && std::time::Instant::now() < end {
+        while self.lines.iter().any(|l| !l.queue.is_empty()) && std::time::Instant::now() < end {
             self.send();
             self.listen(Duration::from_millis(20));
         }
@@ -478,47 +490,71 @@
     let group = |g: &GroupNotification, what: &str| {
         format!(
             "front {}, group {}: {what} ({:?} -> {:?}, {:?})",
-            g.front, g.group.0, g.before, g.primary, g.known
+            g.front, g.group.0, g.previous_primary, g.primary, g.evidence
         )
     };
     match notice {
         Notification::Started => "the gateway serves".into(),
         Notification::Stopping => "the gateway stops".into(),
         Notification::PrimaryChanged(g) => group(g, "another primary is believed in"),
-        Notification::SearchBegun(g) => group(g, "the primary is searched for"),
+        Notification::SearchStarted(g) => group(g, "the primary is searched for"),
         Notification::SearchLasting(g) => group(g, "the search lasts"),
         Notification::SearchEnded(g) => group(g, "the search is over"),
         Notification::NoPrimary(g) => group(g, "there has been no primary for long"),
-        Notification::PrimaryBack(g) => group(g, "there is a primary again"),
-        Notification::MemberOutOfReach(m) => {
+        Notification::PrimaryRestored(g) => group(g, "there is a primary again"),
+        Notification::EndpointUnavailable(m) => {
             format!(
                 "front {}: {} cannot be used ({:?})",
                 m.front, m.name, m.health
             )
         }
-        Notification::MemberBack(m) => {
+        Notification::EndpointAvailable(m) => {
             format!("front {}: {} is back, or gone for good", m.front, m.name)
         }
-        Notification::RefusalsRising(f, c, n) => {
-            format!("front {f}, class {c}: {n} refusals in 1000 s")
+        Notification::RejectionsRising(r) => {
+            format!(
+                "front {}, class {}: {} refusals in 1000 s",
+                r.front, r.class, r.per_1000_s
+            )
         }
-        Notification::RefusalsFallen(f, c, n) => {
-            format!("front {f}, class {c}: down to {n} refusals in 1000 s")
+        Notification::RejectionsFallen(r) => {
+            format!(
+                "front {}, class {}: down to {} refusals in 1000 s",
+                r.front, r.class, r.per_1000_s
+            )
         }
-        Notification::BudgetOverrun(f, t, n) => {
-            format!("front {f}, tenant {t}: asks for {n} thousandths of its budget")
+        Notification::QuotaExceeded(q) => {
+            format!(
+                "front {}, tenant {}: asks for {} thousandths of its budget",
+                q.front, q.tenant, q.per_mille
+            )
         }
-        Notification::BudgetBack(f, t, n) => {
-            format!("front {f}, tenant {t}: back to {n} thousandths of its budget")
+        Notification::QuotaRecovered(q) => {
+            format!(
+                "front {}, tenant {}: back to {} thousandths of its budget",
+                q.front, q.tenant, q.per_mille
+            )
         }
-        Notification::QueueLong(f, t, ms) => {
-            format!("front {f}, tenant {t}: the oldest has waited {ms} ms at the door")
+        Notification::QueueLong(w) => {
+            format!(
+                "front {}, tenant {}: the oldest has waited {} ms at the door",
+                w.front, w.tenant, w.wait_ms
+            )
         }
-        Notification::QueueShort(f, t, ms) => {
-            format!("front {f}, tenant {t}: down to {ms} ms at the door")
+        Notification::QueueShort(w) => {
+            format!(
+                "front {}, tenant {}: down to {} ms at the door",
+                w.front, w.tenant, w.wait_ms
+            )
+        }
+        Notification::StateFault(why) => format!("state: {why}"),
+        Notification::StateRecovered => "state: all is written again".into(),
+        Notification::Storm(kinds) => {
+            let counts: Vec<String> = kinds
+                .iter()
+                .map(|(kind, n)| format!("({kind}, {n})"))
+                .collect();
+            format!("notifications left out: [{}]", counts.join(", "))
         }
-        Notification::StateTrouble(why) => format!("state: {why}"),
-        Notification::StateWell => "state: all is written again".into(),
-        Notification::Storm(kinds) => format!("notifications left out: {kinds:?}"),
     }
 }
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -209,7 +209,7 @@
     /// Values of the scalars that the engine itself knows, by group and number.
     pub scalars: Vec<(&'static str, u32, Value)>,
     /// Of each receiver: its address, what waits, and what became of the rest.
-    pub receivers: Vec<(String, usize, valehatch_notifications::Tally)>,
+    pub receivers: Vec<(String, usize, valehatch_notifications::DeliveryCounts)>,
     /// The process.
     pub process: Process,
 }
