--- a/crates/cql/src/nodes.rs
+++ b/crates/cql/src/nodes.rs
@@ -19,8 +19,8 @@
 use valehatch_policy::{Outcome, Span, Time};
 use valehatch_request_log::OutcomeMetrics;
 use valehatch_stream_multiplexing::{
-    AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction, Settings,
-    StreamMultiplexer,
+    AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction, MultiplexerSize,
+    Settings, StreamMultiplexer,
 };
 
 use super::Prepared;
@@ -117,7 +117,7 @@
 }
 
 fn bare(job: JobId, end: AttemptFailure) -> Event {
-    let outcome = if end == AttemptFailure::Unsent {
+    let outcome = if end == AttemptFailure::NotSent {
         Outcome::ConnectFailed
     } else {
         Outcome::Reset
@@ -152,7 +152,7 @@
         let request_timeout =
             Span(i64::try_from(connect_timeout.as_micros()).unwrap_or(250_000)).min(STANDS);
         let settings = Settings::new(request_timeout, idle);
-        StreamMultiplexer::new(settings)?;
+        StreamMultiplexer::new(settings).map_err(|e| e.to_string())?;
         let held = AtomicUsize::new(0);
         let context = Context {
             prepared,
@@ -188,7 +188,7 @@
         }
         if self.nodes.len() >= REMEMBERED {
             self.nodes
-                .retain(|_, node| lock(&node.inner).streams.size() != (0, 0));
+                .retain(|_, node| lock(&node.inner).streams.size() != MultiplexerSize::default());
         }
         let streams = StreamMultiplexer::new(self.context.settings).ok()?;
         let inner = Inner {
@@ -284,12 +284,18 @@
                     MultiplexerAction::Open(link) => {
                         if !self.open(inner, link) {
                             inner.links.remove(&link);
-                            inner
-                                .streams
-                                .lost(self.context.clock.now(), link, &mut todo);
+                            inner.streams.connection_lost(
+                                self.context.clock.now(),
+                                link,
+                                &mut todo,
+                            );
                         }
                     }
-                    MultiplexerAction::Send { link, stream, job } => {
+                    MultiplexerAction::Send {
+                        connection: link,
+                        stream,
+                        job,
+                    } => {
                         let now = self.context.clock.now();
                         if inner
                             .exchanges
@@ -308,12 +314,18 @@
                             line.queue.push_back(Queued::new(stream, frame, class));
                         }
                     }
-                    MultiplexerAction::Unqueue { link, stream } => {
+                    MultiplexerAction::Unqueue {
+                        connection: link,
+                        stream,
+                    } => {
                         if let Some(line) = inner.links.get_mut(&link) {
                             line.queue.retain(|queued| queued.stream != stream);
                         }
                     }
-                    MultiplexerAction::Beat { link, stream } => {
+                    MultiplexerAction::Heartbeat {
+                        connection: link,
+                        stream,
+                    } => {
                         if let Some(line) = inner.links.get_mut(&link) {
                             line.queue
                                 .push_back(Queued::new(stream, exchange::heartbeat(), None));
@@ -329,7 +341,10 @@
                         let exchange = inner.exchanges.remove(&job);
                         // While a statement is told again nothing of the request itself is out.
                         let unsent = exchange.is_some_and(|e| e.is_telling());
-                        told.push(bare(job, if unsent { AttemptFailure::Unsent } else { end }));
+                        told.push(bare(
+                            job,
+                            if unsent { AttemptFailure::NotSent } else { end },
+                        ));
                     }
                 }
             }
@@ -385,7 +400,7 @@
         let mut todo = vec![MultiplexerAction::Close(link)];
         inner
             .streams
-            .lost(self.context.clock.now(), link, &mut todo);
+            .connection_lost(self.context.clock.now(), link, &mut todo);
         self.carry_out(inner, todo, told);
     }
 
@@ -401,7 +416,7 @@
                 line.writing = false;
                 return;
             };
-            streams.begun(link, first.stream);
+            streams.write_started(link, first.stream);
             let (stream, attempt, rest) = (
                 first.stream,
                 first.attempt,
@@ -448,7 +463,9 @@
             let mut told = vec![];
             let mut wanted = false;
             self.with(&mut told, |inner, out| {
-                wanted = inner.streams.opened(self.context.clock.now(), link, out);
+                wanted = inner
+                    .streams
+                    .connection_opened(self.context.clock.now(), link, out);
             });
             self.flush(&mut told);
             self.tell(told);
@@ -542,7 +559,9 @@
     ) -> bool {
         let mut at = 0;
         let mut good = true;
-        self.with(told, |inner, out| inner.streams.heard(now, link, out));
+        self.with(told, |inner, out| {
+            inner.streams.bytes_received(now, link, out)
+        });
         while good {
             match Frame::split(buffer, at, codec::FROM_NODE) {
                 Ok(None) => break,
@@ -582,10 +601,10 @@
         }
         let number = frame.stream();
         let mut inner = lock(&self.inner);
-        let job = match inner.streams.answer(now, link, number) {
+        let job = match inner.streams.frame_received(now, link, number) {
             FrameOwner::Job(job) => job,
-            FrameOwner::Nobodys => return true,
-            FrameOwner::Unasked => {
+            FrameOwner::Abandoned => return true,
+            FrameOwner::Unexpected => {
                 tracing::warn!("a node answered on stream {number}, where nothing was asked");
                 return false;
             }
@@ -597,10 +616,10 @@
             .map(|e| e.take(now, frame, &self.context.prepared));
         let mut good = true;
         match next {
-            None => inner.streams.done(now, job, &mut todo),
+            None => inner.streams.finish(now, job, &mut todo),
             Some(Next::Over { reply, spoilt }) => {
                 inner.exchanges.remove(&job);
-                inner.streams.done(now, job, &mut todo);
+                inner.streams.finish(now, job, &mut todo);
                 let mut event = ended(job, reply);
                 if let Event::AttemptEnded { reusable, .. } = &mut event {
                     *reusable &= !spoilt;
@@ -610,10 +629,14 @@
             }
             Some(Next::Ask(frame)) => {
                 let mut sends = vec![];
-                if inner.streams.again(now, job, &mut sends) {
+                if inner.streams.resubmit(now, job, &mut sends) {
                     for send in sends {
                         match send {
-                            MultiplexerAction::Send { link, stream, .. } => {
+                            MultiplexerAction::Send {
+                                connection: link,
+                                stream,
+                                ..
+                            } => {
                                 if let Some(line) = inner.links.get_mut(&link) {
                                     line.queue
                                         .push_back(Queued::new(stream, frame.clone(), None));
@@ -624,7 +647,7 @@
                     }
                 } else {
                     inner.exchanges.remove(&job);
-                    told.push(bare(job, AttemptFailure::Unsent));
+                    told.push(bare(job, AttemptFailure::NotSent));
                 }
             }
         }
@@ -665,7 +688,7 @@
                 let Some(first) = self.queue.front() else {
                     break;
                 };
-                streams.begun(link, first.stream);
+                streams.write_started(link, first.stream);
                 let rest = first.bytes.len() - self.left;
                 if sent < rest {
                     self.left += sent;
--- /dev/null
+++ b/crates/stream-multiplexing/src/connection.rs
@@ -0,0 +1,88 @@
+//! Stream ids and heartbeat of one connection.
+
+use std::collections::BTreeMap;
+use std::collections::btree_map::Entry;
+
+use valehatch_policy::Time;
+
+use crate::actions::JobId;
+
+/// Whether a job's bytes have begun to leave.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum WriteState {
+    Queued,
+    Started,
+}
+
+/// What a stream id is used for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum StreamUse {
+    Job {
+        job: JobId,
+        sent: Time,
+        write: WriteState,
+    },
+    /// A cancelled job whose answer has not come.
+    Orphan,
+    Heartbeat,
+}
+
+/// One connection.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    /// It is open, and the handshake is done.
+    pub(crate) ready: bool,
+    pub(crate) streams: BTreeMap<i16, StreamUse>,
+    /// How many of the streams are orphans.
+    pub(crate) orphans: usize,
+    next_stream: u16,
+    /// When something was received last.
+    pub(crate) last_received: Time,
+    /// When a stream id was taken or answered last.
+    pub(crate) last_used: Time,
+    /// When the heartbeat in flight was sent.
+    pub(crate) heartbeat_sent: Option<Time>,
+    /// It may be dead: it gets no new jobs until something is received.
+    pub(crate) suspect: bool,
+}
+
+impl Connection {
+    /// A connection that is being opened.
+    pub(crate) const fn opening(now: Time) -> Self {
+        Self {
+            ready: false,
+            streams: BTreeMap::new(),
+            orphans: 0,
+            next_stream: 0,
+            last_received: now,
+            last_used: now,
+            heartbeat_sent: None,
+            suspect: false,
+        }
+    }
+
+    /// Whether it may get new jobs.
+    pub(crate) const fn accepts_jobs(&self) -> bool {
+        self.ready && !self.suspect
+    }
+
+    /// Takes the next free stream id.
+    pub(crate) fn take_stream(
+        &mut self,
+        now: Time,
+        stream_ids: u16,
+        stream_use: StreamUse,
+    ) -> Option<i16> {
+        for _ in 0..=stream_ids {
+            // Ids stay below 32,768, since the sign marks events.
+            let stream = i16::try_from(self.next_stream).unwrap_or(0);
+            self.next_stream = (self.next_stream + 1) % stream_ids;
+            if let Entry::Vacant(free) = self.streams.entry(stream) {
+                free.insert(stream_use);
+                self.last_used = now;
+                return Some(stream);
+            }
+        }
+        None
+    }
+}
--- /dev/null
+++ b/crates/stream-multiplexing/src/multiplexer.rs
@@ -0,0 +1,538 @@
+//! The state machine over all connections to one endpoint.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::error::Error;
+use std::fmt;
+
+use valehatch_policy::{Span, Time};
+
+use crate::actions::{
+    AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction,
+};
+use crate::connection::{Connection, StreamUse, WriteState};
+use crate::settings::{Settings, SettingsError};
+
+/// Ticks that follow each other faster than this part of the heartbeat timeout are skipped.
+const MIN_TICK_PART: i64 = 16;
+
+/// Where a job is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum JobState {
+    /// It waits for a connection.
+    Waiting,
+    InFlight {
+        connection: MultiplexedConnectionId,
+        stream: i16,
+    },
+    /// It was answered, and is neither finished nor resubmitted yet.
+    Answered { connection: MultiplexedConnectionId },
+}
+
+/// A job that waits for a connection.
+#[derive(Clone, Copy, Debug)]
+struct WaitingJob {
+    job: JobId,
+    until: Time,
+}
+
+/// A connection that may get a job.
+#[derive(Clone, Copy, Debug)]
+struct Candidate {
+    connection: MultiplexedConnectionId,
+    /// Stream ids in use.
+    load: usize,
+}
+
+/// What does not hold although it must.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InvariantViolation(pub String);
+
+impl fmt::Display for InvariantViolation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.0)
+    }
+}
+
+impl Error for InvariantViolation {}
+
+/// How much a multiplexer holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MultiplexerSize {
+    /// Jobs that have not ended.
+    pub jobs: usize,
+    /// Connections, those included that are being opened.
+    pub connections: usize,
+}
+
+/// The connections to one endpoint.
+#[derive(Debug)]
+pub struct StreamMultiplexer {
+    settings: Settings,
+    connections: BTreeMap<MultiplexedConnectionId, Connection>,
+    jobs: BTreeMap<JobId, JobState>,
+    /// Oldest first.
+    waiting: VecDeque<WaitingJob>,
+    last_connection: u64,
+    last_tick: Time,
+}
+
+impl StreamMultiplexer {
+    /// Without connections yet.
+    ///
+    /// # Errors
+    /// A setting that is out of its bounds.
+    pub fn new(settings: Settings) -> Result<Self, SettingsError> {
+        settings.check()?;
+        Ok(Self {
+            settings,
+            connections: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            waiting: VecDeque::new(),
+            last_connection: 0,
+            last_tick: Time(0),
+        })
+    }
+
+    /// How much it holds.
+    #[must_use]
+    pub fn size(&self) -> MultiplexerSize {
+        MultiplexerSize {
+            jobs: self.jobs.len(),
+            connections: self.connections.len(),
+        }
+    }
+
+    /// Submits a job.
+    pub fn submit(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
+        debug_assert!(!self.jobs.contains_key(&job));
+        let best = self.least_loaded();
+        let load = best.map_or(usize::MAX, |candidate| candidate.load);
+        let is_opening = self.connections.values().any(|c| !c.ready);
+        let may_open = !is_opening && self.connections.len() < self.settings.max_connections;
+        if load >= self.settings.open_another_at && may_open {
+            self.open(now, out);
+        }
+        match best {
+            Some(candidate) if candidate.load < self.settings.max_jobs => {
+                self.assign(now, candidate.connection, job, out);
+            }
+            _ if self.waiting.len() < self.settings.max_waiting => {
+                self.jobs.insert(job, JobState::Waiting);
+                let until = now + self.settings.max_write_delay;
+                self.waiting.push_back(WaitingJob { job, until });
+            }
+            _ => out.push(not_sent(job)),
+        }
+    }
+
+    /// The connection that carries the least, among those that accept jobs.
+    fn least_loaded(&self) -> Option<Candidate> {
+        let accepting = self.connections.iter().filter(|(_, c)| c.accepts_jobs());
+        let candidates = accepting.map(|(id, connection)| Candidate {
+            connection: *id,
+            load: connection.streams.len(),
+        });
+        candidates.min_by_key(|candidate| candidate.load)
+    }
+
+    fn open(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
+        self.last_connection += 1;
+        let id = MultiplexedConnectionId(self.last_connection);
+        self.connections.insert(id, Connection::opening(now));
+        out.push(MultiplexerAction::Open(id));
+    }
+
+    /// Sends a job on a connection; the job fails if that has no free stream id.
+    fn assign(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        job: JobId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let stream_use = StreamUse::Job {
+            job,
+            sent: now,
+            write: WriteState::Queued,
+        };
+        let Some(stream) = self.take_stream(now, connection, stream_use) else {
+            self.jobs.remove(&job);
+            out.push(not_sent(job));
+            return;
+        };
+        self.jobs
+            .insert(job, JobState::InFlight { connection, stream });
+        out.push(MultiplexerAction::Send {
+            connection,
+            stream,
+            job,
+        });
+    }
+
+    fn take_stream(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        stream_use: StreamUse,
+    ) -> Option<i16> {
+        let stream_ids = self.settings.stream_ids;
+        self.connections
+            .get_mut(&connection)?
+            .take_stream(now, stream_ids, stream_use)
+    }
+
+    /// Assigns waiting jobs to connections with capacity.
+    fn assign_waiting(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
+        while let Some(candidate) = self.least_loaded() {
+            if candidate.load >= self.settings.max_jobs {
+                return;
+            }
+            let Some(waiting) = self.waiting.pop_front() else {
+                return;
+            };
+            self.assign(now, candidate.connection, waiting.job, out);
+        }
+    }
+
+    /// A connection is open and its handshake done. Returns false if it is not wanted any more.
+    pub fn connection_opened(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) -> bool {
+        let Some(opened) = self.connections.get_mut(&connection) else {
+            return false;
+        };
+        opened.ready = true;
+        opened.last_received = now;
+        opened.last_used = now;
+        self.assign_waiting(now, out);
+        true
+    }
+
+    /// The bytes under a stream id begin to leave.
+    pub fn write_started(&mut self, connection: MultiplexedConnectionId, stream: i16) {
+        let Some(connection) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        if let Some(StreamUse::Job { write, .. }) = connection.streams.get_mut(&stream) {
+            *write = WriteState::Started;
+        }
+    }
+
+    /// Bytes were received on a connection.
+    pub fn bytes_received(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let Some(receiving) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        receiving.last_received = now;
+        receiving.heartbeat_sent = None;
+        receiving.suspect = false;
+        if !self.waiting.is_empty() {
+            self.assign_waiting(now, out);
+        }
+    }
+
+    /// An answer was received under a stream id. Its job stays until [`finish`](Self::finish) or
+    /// [`resubmit`](Self::resubmit).
+    pub fn frame_received(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        stream: i16,
+    ) -> FrameOwner {
+        let Some(receiving) = self.connections.get_mut(&connection) else {
+            return FrameOwner::Abandoned;
+        };
+        receiving.last_used = now;
+        match receiving.streams.remove(&stream) {
+            Some(StreamUse::Job { job, .. }) => {
+                self.jobs.insert(job, JobState::Answered { connection });
+                FrameOwner::Job(job)
+            }
+            Some(StreamUse::Orphan) => {
+                receiving.orphans -= 1;
+                FrameOwner::Abandoned
+            }
+            Some(StreamUse::Heartbeat) => FrameOwner::Abandoned,
+            None => FrameOwner::Unexpected,
+        }
+    }
+
+    /// An answered job has ended.
+    pub fn finish(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
+        self.jobs.remove(&job);
+        if !self.waiting.is_empty() {
+            self.assign_waiting(now, out);
+        }
+    }
+
+    /// An answered job sends more on the same connection. Returns false if that is lost; the job has then ended.
+    pub fn resubmit(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) -> bool {
+        let Some(JobState::Answered { connection }) = self.jobs.get(&job).copied() else {
+            return false;
+        };
+        if !self.connections.contains_key(&connection) {
+            self.jobs.remove(&job);
+            return false;
+        }
+        self.assign(now, connection, job, out);
+        self.jobs.contains_key(&job)
+    }
+
+    /// Cancels a job: nothing more is reported of it.
+    pub fn cancel(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
+        match self.jobs.remove(&job) {
+            None | Some(JobState::Answered { .. }) => {}
+            Some(JobState::Waiting) => self.waiting.retain(|waiting| waiting.job != job),
+            Some(JobState::InFlight { connection, stream }) => {
+                self.cancel_stream(now, connection, stream, out);
+            }
+        }
+    }
+
+    fn cancel_stream(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        stream: i16,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let Some(carrier) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        let Some(StreamUse::Job { sent, write, .. }) = carrier.streams.get(&stream).copied() else {
+            return;
+        };
+        if write == WriteState::Queued {
+            carrier.streams.remove(&stream);
+            out.push(MultiplexerAction::Unqueue { connection, stream });
+            return;
+        }
+        carrier.streams.insert(stream, StreamUse::Orphan);
+        carrier.orphans += 1;
+        if carrier.orphans > self.settings.max_orphans {
+            self.close(now, connection, out);
+            return;
+        }
+        if carrier.last_received <= sent && !carrier.suspect {
+            carrier.suspect = true;
+            self.send_heartbeat(now, connection, out);
+        }
+    }
+
+    /// Sends a heartbeat, unless one is in flight.
+    fn send_heartbeat(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let stream_ids = self.settings.stream_ids;
+        let Some(quiet) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        if quiet.heartbeat_sent.is_some() {
+            return;
+        }
+        if let Some(stream) = quiet.take_stream(now, stream_ids, StreamUse::Heartbeat) {
+            out.push(MultiplexerAction::Heartbeat { connection, stream });
+        }
+        quiet.heartbeat_sent = Some(now);
+    }
+
+    fn close(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        out.push(MultiplexerAction::Close(connection));
+        self.connection_lost(now, connection, out);
+    }
+
+    /// A connection broke, or could not be opened. Answered jobs on it go on: their answers are already there.
+    pub fn connection_lost(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let Some(lost) = self.connections.remove(&connection) else {
+            return;
+        };
+        for stream_use in lost.streams.into_values() {
+            if let StreamUse::Job { job, write, .. } = stream_use {
+                self.jobs.remove(&job);
+                let failure = match write {
+                    WriteState::Queued => AttemptFailure::NotSent,
+                    WriteState::Started => AttemptFailure::ConnectionLost,
+                };
+                out.push(MultiplexerAction::AttemptFailed(job, failure));
+            }
+        }
+        if self.connections.is_empty() && !lost.ready {
+            // The endpoint cannot be reached: waiting for another connection would only delay the retries elsewhere.
+            for waiting in std::mem::take(&mut self.waiting) {
+                self.jobs.remove(&waiting.job);
+                out.push(not_sent(waiting.job));
+            }
+            return;
+        }
+        // A connection that could not be opened is not opened again at once: that would repeat without a pause.
+        let all_ready = self.connections.values().all(|c| c.ready);
+        if lost.ready && !self.waiting.is_empty() && all_ready {
+            self.open(now, out);
+        }
+    }
+
+    /// Time has passed. To be called about every tenth of [`Settings::heartbeat_timeout`].
+    pub fn tick(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
+        let min_interval = Span(self.settings.heartbeat_timeout.0 / MIN_TICK_PART);
+        if now - self.last_tick < min_interval {
+            return;
+        }
+        self.last_tick = now;
+        while let Some(first) = self.waiting.front().copied() {
+            if first.until > now {
+                break;
+            }
+            self.waiting.pop_front();
+            self.jobs.remove(&first.job);
+            out.push(not_sent(first.job));
+        }
+        let connections: Vec<_> = self.connections.keys().copied().collect();
+        for connection in connections {
+            self.tick_connection(now, connection, out);
+        }
+    }
+
+    fn tick_connection(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let settings = self.settings;
+        if !self.connections.get(&connection).is_some_and(|c| c.ready) {
+            return;
+        }
+        self.fail_unwritten(now, connection, out);
+        let Some(ticked) = self.connections.get(&connection) else {
+            return;
+        };
+        let timed_out = |sent: Time| sent + settings.heartbeat_timeout <= now;
+        let is_dead = ticked.heartbeat_sent.is_some_and(timed_out);
+        let is_empty = ticked.streams.is_empty();
+        let is_idle = is_empty && ticked.last_used + settings.idle_timeout <= now;
+        if is_dead || is_idle {
+            self.close(now, connection, out);
+            return;
+        }
+        let last_activity = ticked.last_received.max(ticked.last_used);
+        let is_quiet = last_activity + settings.heartbeat_after <= now;
+        if !is_empty && is_quiet {
+            self.send_heartbeat(now, connection, out);
+        }
+    }
+
+    /// Fails jobs whose bytes have not begun to leave in time: they must not leave any more.
+    fn fail_unwritten(
+        &mut self,
+        now: Time,
+        connection: MultiplexedConnectionId,
+        out: &mut Vec<MultiplexerAction>,
+    ) {
+        let max_write_delay = self.settings.max_write_delay;
+        let Some(carrier) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        let is_late = |stream_use: &StreamUse| match stream_use {
+            StreamUse::Job { sent, write, .. } => {
+                *write == WriteState::Queued && *sent + max_write_delay <= now
+            }
+            StreamUse::Orphan | StreamUse::Heartbeat => false,
+        };
+        let late = carrier.streams.extract_if(.., |_, used| is_late(used));
+        for (stream, stream_use) in late {
+            if let StreamUse::Job { job, .. } = stream_use {
+                self.jobs.remove(&job);
+                out.push(MultiplexerAction::Unqueue { connection, stream });
+                out.push(not_sent(job));
+            }
+        }
+    }
+
+    /// Checks what must hold after every step.
+    ///
+    /// # Errors
+    /// What does not hold.
+    pub fn check(&self) -> Result<(), InvariantViolation> {
+        for (id, connection) in &self.connections {
+            self.check_connection(*id, connection)?;
+        }
+        let waiting = self.jobs.values().filter(|s| **s == JobState::Waiting);
+        let waiting = waiting.count();
+        if waiting != self.waiting.len() || waiting > self.settings.max_waiting {
+            let queued = self.waiting.len();
+            return Err(InvariantViolation(format!(
+                "{waiting} jobs wait, {queued} are queued"
+            )));
+        }
+        if self.connections.len() > self.settings.max_connections {
+            return Err(InvariantViolation(format!(
+                "{} connections",
+                self.connections.len()
+            )));
+        }
+        Ok(())
+    }
+
+    fn check_connection(
+        &self,
+        id: MultiplexedConnectionId,
+        connection: &Connection,
+    ) -> Result<(), InvariantViolation> {
+        let orphans = connection.streams.values();
+        let orphans = orphans.filter(|used| **used == StreamUse::Orphan).count();
+        if orphans != connection.orphans || orphans > self.settings.max_orphans {
+            let counted = connection.orphans;
+            return Err(InvariantViolation(format!(
+                "{id:?}: {orphans} orphans, {counted} counted"
+            )));
+        }
+        // Heartbeats and resubmitted jobs may come on top of `max_jobs`.
+        let used = connection.streams.len();
+        if used > usize::from(self.settings.stream_ids) {
+            return Err(InvariantViolation(format!(
+                "{id:?}: {used} stream ids in use"
+            )));
+        }
+        for (stream, stream_use) in &connection.streams {
+            let StreamUse::Job { job, .. } = stream_use else {
+                continue;
+            };
+            let expected = JobState::InFlight {
+                connection: id,
+                stream: *stream,
+            };
+            if self.jobs.get(job) != Some(&expected) {
+                return Err(InvariantViolation(format!(
+                    "{job:?} is not only on stream {stream} of {id:?}"
+                )));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The end of a job that never ran.
+const fn not_sent(job: JobId) -> MultiplexerAction {
+    MultiplexerAction::AttemptFailed(job, AttemptFailure::NotSent)
+}
--- a/crates/stream-multiplexing/tests/stream_multiplexing.rs
+++ b/crates/stream-multiplexing/tests/stream_multiplexing.rs
@@ -1,24 +1,24 @@
-//! Each rule of the streams by itself, and all of them under arbitrary happenings.
+//! Each rule of the multiplexer by itself, and all of them under random events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
 use valehatch_policy::{Span, Time};
 use valehatch_stream_multiplexing::{
-    AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction, Settings,
-    StreamMultiplexer,
+    AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction, MultiplexerSize,
+    Settings, StreamMultiplexer,
 };
 
 fn settings() -> Settings {
-    let whole = Settings::new(Span::from_millis(250), Span::from_millis(10_000));
+    let defaults = Settings::new(Span::from_millis(250), Span::from_millis(10_000));
     Settings {
-        ids: 8,
-        most: 4,
-        crowded: 2,
-        links: 2,
-        orphans: 2,
-        waiting: 3,
-        ..whole
+        stream_ids: 8,
+        max_jobs: 4,
+        open_another_at: 2,
+        max_connections: 2,
+        max_orphans: 2,
+        max_waiting: 3,
+        ..defaults
     }
 }
 
@@ -47,7 +47,7 @@
         );
         scene
             .streams
-            .opened(ms(1), MultiplexedConnectionId(1), &mut scene.out);
+            .connection_opened(ms(1), MultiplexedConnectionId(1), &mut scene.out);
         assert_eq!(scene.taken(), [send(1, 0, 1)]);
         scene
     }
@@ -69,7 +69,7 @@
 
 const fn send(link: u64, stream: i16, job: u64) -> MultiplexerAction {
     MultiplexerAction::Send {
-        link: MultiplexedConnectionId(link),
+        connection: MultiplexedConnectionId(link),
         stream,
         job: JobId(job),
     }
@@ -80,18 +80,18 @@
 }
 
 #[test]
-fn an_id_is_not_used_again_before_all_others_were() {
+fn stream_id_is_reused_after_all_others() {
     let mut scene = Scene::up();
     let mut used = vec![0];
     for n in 2..10 {
         let FrameOwner::Job(job) =
             scene
                 .streams
-                .answer(ms(2), MultiplexedConnectionId(1), *used.last().unwrap())
+                .frame_received(ms(2), MultiplexedConnectionId(1), *used.last().unwrap())
         else {
             panic!()
         };
-        scene.streams.done(ms(2), job, &mut scene.out);
+        scene.streams.finish(ms(2), job, &mut scene.out);
         scene.submit(2, n);
         let [MultiplexerAction::Send { stream, .. }] = scene.taken()[..] else {
             panic!()
@@ -102,12 +102,12 @@
 }
 
 #[test]
-fn an_orphans_id_waits_for_its_answer_and_too_many_end_the_link_with_all_on_it() {
+fn too_many_orphans_close_the_connection() {
     let mut scene = Scene::up();
     scene.submit(1, 2);
     scene.submit(1, 3);
     scene.submit(1, 4);
-    // Links that are crowded get company; this one has none yet.
+    // Another connection is opened beside a loaded one; it is not open yet.
     assert!(
         scene
             .taken()
@@ -115,77 +115,93 @@
     );
     scene
         .streams
-        .lost(ms(1), MultiplexedConnectionId(2), &mut scene.out);
+        .connection_lost(ms(1), MultiplexedConnectionId(2), &mut scene.out);
     assert_eq!(scene.taken(), []);
-    (0..3).for_each(|stream| scene.streams.begun(MultiplexedConnectionId(1), stream));
-    // Something was heard since: the node lives, it only is slow with this one.
+    for stream in 0..3 {
+        scene
+            .streams
+            .write_started(MultiplexedConnectionId(1), stream);
+    }
+    // Something was received since: the endpoint is alive, only slow with this job.
     scene
         .streams
-        .heard(ms(5), MultiplexedConnectionId(1), &mut scene.out);
+        .bytes_received(ms(5), MultiplexedConnectionId(1), &mut scene.out);
     scene.cancel(6, 1);
     scene.cancel(6, 2);
     assert_eq!(scene.taken(), []);
     assert_eq!(
-        scene.streams.answer(ms(7), MultiplexedConnectionId(1), 0),
-        FrameOwner::Nobodys
+        scene
+            .streams
+            .frame_received(ms(7), MultiplexedConnectionId(1), 0),
+        FrameOwner::Abandoned
     );
     assert_eq!(
-        scene.streams.answer(ms(7), MultiplexedConnectionId(1), 0),
-        FrameOwner::Unasked,
+        scene
+            .streams
+            .frame_received(ms(7), MultiplexedConnectionId(1), 0),
+        FrameOwner::Unexpected,
         "a second answer"
     );
     assert_eq!(
-        scene.streams.answer(ms(7), MultiplexedConnectionId(1), 7),
-        FrameOwner::Unasked,
+        scene
+            .streams
+            .frame_received(ms(7), MultiplexedConnectionId(1), 7),
+        FrameOwner::Unexpected,
         "never asked for"
     );
     scene.submit(8, 5);
-    scene.streams.begun(MultiplexedConnectionId(1), 4);
+    scene.streams.write_started(MultiplexedConnectionId(1), 4);
     scene.taken();
     scene
         .streams
-        .heard(ms(9), MultiplexedConnectionId(1), &mut scene.out);
+        .bytes_received(ms(9), MultiplexedConnectionId(1), &mut scene.out);
     scene.cancel(10, 5);
-    assert_eq!(scene.taken(), [], "two orphans are borne");
+    assert_eq!(scene.taken(), [], "two orphans are allowed");
     scene.cancel(10, 3);
     assert_eq!(
         scene.taken(),
         [
             MultiplexerAction::Close(MultiplexedConnectionId(1)),
-            end(4, AttemptFailure::Unsent)
+            end(4, AttemptFailure::NotSent)
         ]
     );
     assert_eq!(
         scene.streams.size(),
-        (0, 1),
+        MultiplexerSize {
+            jobs: 0,
+            connections: 1
+        },
         "the other one is still being opened"
     );
 }
 
 #[test]
-fn what_a_lost_link_means_depends_on_whether_bytes_had_begun_to_leave() {
+fn lost_connection_tells_sent_jobs_from_unsent() {
     let mut scene = Scene::up();
     scene.submit(1, 2);
     scene.taken();
-    scene.streams.begun(MultiplexedConnectionId(1), 0);
+    scene.streams.write_started(MultiplexedConnectionId(1), 0);
     scene
         .streams
-        .lost(ms(2), MultiplexedConnectionId(1), &mut scene.out);
+        .connection_lost(ms(2), MultiplexedConnectionId(1), &mut scene.out);
     assert_eq!(
         scene.taken(),
-        [end(1, AttemptFailure::Lost), end(2, AttemptFailure::Unsent)]
+        [
+            end(1, AttemptFailure::ConnectionLost),
+            end(2, AttemptFailure::NotSent)
+        ]
     );
 }
 
 #[test]
-fn a_silent_link_gets_a_heartbeat_and_nothing_new_and_is_given_up() {
+fn suspect_connection_gets_heartbeat_and_no_jobs() {
     let mut scene = Scene::up();
-    scene.streams.begun(MultiplexedConnectionId(1), 0);
+    scene.streams.write_started(MultiplexedConnectionId(1), 0);
     scene.cancel(100, 1);
     assert_eq!(
         scene.taken(),
-        [MultiplexerAction::Beat {
-            link: MultiplexedConnectionId(1),
+        [MultiplexerAction::Heartbeat {
+            connection: MultiplexedConnectionId(1),
             stream: 1
         }]
     );
@@ -197,45 +213,45 @@
     );
     scene
         .streams
-        .opened(ms(101), MultiplexedConnectionId(2), &mut scene.out);
+        .connection_opened(ms(101), MultiplexedConnectionId(2), &mut scene.out);
     assert_eq!(scene.taken(), [send(2, 0, 2)]);
-    scene.streams.begun(MultiplexedConnectionId(2), 0);
+    scene.streams.write_started(MultiplexedConnectionId(2), 0);
     assert_eq!(scene.tick(599), []);
     assert_eq!(
         scene.tick(640),
         [MultiplexerAction::Close(MultiplexedConnectionId(1))]
     );
-    // One that says something goes on.
+    // A connection that receives something goes on.
     let mut scene = Scene::up();
-    scene.streams.begun(MultiplexedConnectionId(1), 0);
+    scene.streams.write_started(MultiplexedConnectionId(1), 0);
     scene.cancel(100, 1);
     scene.submit(100, 2);
     scene.taken();
     scene
         .streams
-        .heard(ms(300), MultiplexedConnectionId(1), &mut scene.out);
+        .bytes_received(ms(300), MultiplexedConnectionId(1), &mut scene.out);
     assert_eq!(scene.taken(), [send(1, 2, 2)]);
     assert_eq!(
         scene.tick(700),
         [
             MultiplexerAction::Unqueue {
-                link: MultiplexedConnectionId(1),
+                connection: MultiplexedConnectionId(1),
                 stream: 2
             },
-            end(2, AttemptFailure::Unsent)
+            end(2, AttemptFailure::NotSent)
         ]
     );
 }
 
 #[test]
-fn a_quiet_link_with_something_on_it_is_asked_whether_it_lives() {
+fn quiet_connection_gets_heartbeat() {
     let mut scene = Scene::up();
-    scene.streams.begun(MultiplexedConnectionId(1), 0);
+    scene.streams.write_started(MultiplexedConnectionId(1), 0);
     assert_eq!(scene.tick(900), []);
     assert_eq!(
         scene.tick(1_001),
-        [MultiplexerAction::Beat {
-            link: MultiplexedConnectionId(1),
+        [MultiplexerAction::Heartbeat {
+            connection: MultiplexedConnectionId(1),
             stream: 1
         }]
     );
@@ -244,79 +260,90 @@
         scene.tick(1_501),
         [
             MultiplexerAction::Close(MultiplexedConnectionId(1)),
-            end(1, AttemptFailure::Lost)
+            end(1, AttemptFailure::ConnectionLost)
         ]
     );
 }
 
 #[test]
-fn nothing_waits_or_stands_unwritten_for_longer_than_patience() {
+fn unwritten_jobs_fail_after_max_write_delay() {
     let mut scene = Scene::new(settings());
-    (1..=4).for_each(|job| scene.submit(0, job));
+    for job in 1..=4 {
+        scene.submit(0, job);
+    }
     assert_eq!(
         scene.taken(),
         [
             MultiplexerAction::Open(MultiplexedConnectionId(1)),
-            end(4, AttemptFailure::Unsent)
+            end(4, AttemptFailure::NotSent)
         ],
         "three may wait"
     );
     assert_eq!(scene.tick(249), []);
     scene.submit(249, 5);
-    assert_eq!(scene.taken(), [end(5, AttemptFailure::Unsent)]);
-    let gone = [1, 2, 3].map(|job| end(job, AttemptFailure::Unsent));
-    // Ticks that come thick are passed over: none later than a thirty-second of a second.
+    assert_eq!(scene.taken(), [end(5, AttemptFailure::NotSent)]);
+    let gone = [1, 2, 3].map(|job| end(job, AttemptFailure::NotSent));
+    // Ticks within a thirty-second of a second are skipped.
     assert_eq!(scene.tick(282), gone);
-    // Written to the queue and never begun.
+    // Queued, and its bytes never begin to leave.
     let mut scene = Scene::up();
     assert_eq!(
         scene.tick(260),
         [
             MultiplexerAction::Unqueue {
-                link: MultiplexedConnectionId(1),
+                connection: MultiplexedConnectionId(1),
                 stream: 0
             },
-            end(1, AttemptFailure::Unsent)
+            end(1, AttemptFailure::NotSent)
         ]
     );
 }
 
 #[test]
-fn a_node_that_cannot_be_reached_ends_what_waits_at_once() {
+fn unreachable_endpoint_fails_waiting_jobs() {
     let mut scene = Scene::new(settings());
     scene.submit(0, 1);
     scene.taken();
     scene
         .streams
-        .lost(ms(1), MultiplexedConnectionId(1), &mut scene.out);
-    assert_eq!(scene.taken(), [end(1, AttemptFailure::Unsent)]);
+        .connection_lost(ms(1), MultiplexedConnectionId(1), &mut scene.out);
+    assert_eq!(scene.taken(), [end(1, AttemptFailure::NotSent)]);
 }
 
 #[test]
-fn what_was_answered_may_go_on_under_another_id_while_the_link_lasts() {
+fn answered_job_may_send_more_on_its_connection() {
     let mut scene = Scene::up();
     assert_eq!(
-        scene.streams.answer(ms(2), MultiplexedConnectionId(1), 0),
+        scene
+            .streams
+            .frame_received(ms(2), MultiplexedConnectionId(1), 0),
         FrameOwner::Job(JobId(1))
     );
-    assert!(scene.streams.again(ms(2), JobId(1), &mut scene.out));
+    assert!(scene.streams.resubmit(ms(2), JobId(1), &mut scene.out));
     assert_eq!(scene.taken(), [send(1, 1, 1)]);
     assert_eq!(
-        scene.streams.answer(ms(3), MultiplexedConnectionId(1), 1),
+        scene
+            .streams
+            .frame_received(ms(3), MultiplexedConnectionId(1), 1),
         FrameOwner::Job(JobId(1))
     );
     scene
         .streams
-        .lost(ms(3), MultiplexedConnectionId(1), &mut scene.out);
-    assert!(!scene.streams.again(ms(3), JobId(1), &mut scene.out));
-    assert_eq!((scene.taken(), scene.streams.size()), (vec![], (0, 0)));
+        .connection_lost(ms(3), MultiplexedConnectionId(1), &mut scene.out);
+    assert!(!scene.streams.resubmit(ms(3), JobId(1), &mut scene.out));
+    assert_eq!(
+        (scene.taken(), scene.streams.size()),
+        (vec![], MultiplexerSize::default())
+    );
 }
 
 #[test]
-fn an_idle_link_is_closed() {
+fn idle_connection_is_closed() {
     let mut scene = Scene::up();
-    scene.streams.answer(ms(2), MultiplexedConnectionId(1), 0);
-    scene.streams.done(ms(2), JobId(1), &mut scene.out);
+    scene
+        .streams
+        .frame_received(ms(2), MultiplexedConnectionId(1), 0);
+    scene.streams.finish(ms(2), JobId(1), &mut scene.out);
     assert_eq!(scene.tick(9_900), []);
     assert_eq!(
         scene.tick(10_010),
@@ -325,39 +352,39 @@
 }
 
 #[test]
-fn settings_out_of_bounds_are_named() {
-    let faulty = |settings: Settings| StreamMultiplexer::new(settings).err().unwrap();
+fn settings_out_of_bounds_are_reported() {
+    let faulty = |settings: Settings| StreamMultiplexer::new(settings).err().unwrap().to_string();
     assert!(
         faulty(Settings {
-            ids: 0,
+            stream_ids: 0,
             ..settings()
         })
         .contains("ids")
     );
     assert!(
         faulty(Settings {
-            ids: 40_000,
+            stream_ids: 40_000,
             ..settings()
         })
         .contains("ids")
     );
     assert!(
         faulty(Settings {
-            most: 9,
+            max_jobs: 9,
             ..settings()
         })
         .contains("most")
     );
     assert!(
         faulty(Settings {
-            links: 0,
+            max_connections: 0,
             ..settings()
         })
         .contains("links")
     );
     assert!(
         faulty(Settings {
-            quiet: Span(0),
+            heartbeat_after: Span(0),
             ..settings()
         })
         .contains("times")
@@ -392,13 +419,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Each job ends once, or is answered, or was called off; no id carries two; what was never begun is never `Lost`, and
-    /// what had begun is never `Unsent`; bounds hold after every step.
+    /// Each job ends once, or is answered, or was cancelled; no stream id carries two. A job whose bytes never left does
+    /// not end as `ConnectionLost`, one whose bytes began to leave not as `NotSent`. Bounds hold after every step.
     #[test]
-    fn every_job_has_one_end_and_no_id_carries_two(steps in prop::collection::vec(step(), 1..200)) {
+    fn jobs_end_once_and_stream_ids_are_unique(steps in prop::collection::vec(step(), 1..200)) {
         let mut streams = StreamMultiplexer::new(settings()).unwrap();
         let (mut now, mut next) = (0, 0);
-        // A model of the wire: what is queued, what has left, by link and id; what is over.
+        // A model of the wire: what is queued and what has left, by connection and stream id; which jobs are open.
         let mut opening = BTreeSet::new();
         let mut queued: BTreeMap<(MultiplexedConnectionId, i16), Option<JobId>> = BTreeMap::new();
         let mut left: BTreeMap<(MultiplexedConnectionId, i16), Option<JobId>> = BTreeMap::new();
@@ -413,25 +440,25 @@
                     streams.submit(ms(now), JobId(next), &mut out);
                 }
                 Step::Open(up) => if let Some(link) = opening.pop_first() {
-                    if up { streams.opened(ms(now), link, &mut out); } else { streams.lost(ms(now), link, &mut out); }
+                    if up { streams.connection_opened(ms(now), link, &mut out); } else { streams.connection_lost(ms(now), link, &mut out); }
                 },
                 Step::Begin => if let Some(((link, id), job)) = queued.pop_first() {
-                    streams.begun(link, id);
+                    streams.write_started(link, id);
                     left.insert((link, id), job);
                 },
                 Step::Answer | Step::Again => if let Some(((link, id), job)) = left.pop_first() {
-                    streams.heard(ms(now), link, &mut out);
-                    match streams.answer(ms(now), link, id) {
+                    streams.bytes_received(ms(now), link, &mut out);
+                    match streams.frame_received(ms(now), link, id) {
                         FrameOwner::Job(whose) => {
                             prop_assert_eq!(Some(whose), job, "the answer of another");
                             let goes_on = matches!(step, Step::Again);
-                            if !goes_on || !streams.again(ms(now), whose, &mut out) {
+                            if !goes_on || !streams.resubmit(ms(now), whose, &mut out) {
                                 open.remove(&whose);
-                                streams.done(ms(now), whose, &mut out);
+                                streams.finish(ms(now), whose, &mut out);
                             }
                         }
-                        FrameOwner::Nobodys => prop_assert!(job.is_none_or(|j| !open.contains(&j))),
-                        FrameOwner::Unasked => prop_assert!(false, "{:?} {} was asked", link, id),
+                        FrameOwner::Abandoned => prop_assert!(job.is_none_or(|j| !open.contains(&j))),
+                        FrameOwner::Unexpected => prop_assert!(false, "{:?} {} was asked", link, id),
                     }
                 },
                 Step::Cancel(n) => if let Some(job) = open.iter().nth(n % open.len().max(1)).copied() {
@@ -441,7 +468,7 @@
                 Step::Break => if let Some(link) = left.keys().chain(queued.keys()).map(|(l, _)| *l).next() {
                     left.retain(|(l, _), _| *l != link);
                     queued.retain(|(l, _), _| *l != link);
-                    streams.lost(ms(now), link, &mut out);
+                    streams.connection_lost(ms(now), link, &mut out);
                 },
                 Step::Pass(by) => {
                     now += by;
@@ -451,27 +478,27 @@
             for what in out {
                 match what {
                     MultiplexerAction::Open(link) => { opening.insert(link); }
-                    MultiplexerAction::Send { link, stream, job } => {
+                    MultiplexerAction::Send { connection: link, stream, job } => {
                         prop_assert!(!left.contains_key(&(link, stream)), "an id carries two");
                         prop_assert!(queued.insert((link, stream), Some(job)).is_none(), "an id carries two");
                     }
-                    MultiplexerAction::Beat { link, stream } => {
+                    MultiplexerAction::Heartbeat { connection: link, stream } => {
                         prop_assert!(!left.contains_key(&(link, stream)), "an id carries two");
                         prop_assert!(queued.insert((link, stream), None).is_none(), "an id carries two");
                     }
-                    MultiplexerAction::Unqueue { link, stream } => prop_assert!(queued.remove(&(link, stream)).is_some()),
+                    MultiplexerAction::Unqueue { connection: link, stream } => prop_assert!(queued.remove(&(link, stream)).is_some()),
                     MultiplexerAction::Close(link) => {
                         left.retain(|(l, _), _| *l != link);
                         queued.retain(|(l, _), _| *l != link);
                     }
                     MultiplexerAction::AttemptFailed(job, how) => {
                         prop_assert!(open.remove(&job), "{:?} ends twice", job);
-                        prop_assert_eq!(how == AttemptFailure::Lost, begun.contains(&job), "{:?}", job);
+                        prop_assert_eq!(how == AttemptFailure::ConnectionLost, begun.contains(&job), "{:?}", job);
                     }
                 }
             }
-            streams.check().map_err(TestCaseError::fail)?;
-            prop_assert_eq!(streams.size().0, open.len());
+            streams.check().map_err(|e| TestCaseError::fail(e.to_string()))?;
+            prop_assert_eq!(streams.size().jobs, open.len());
         }
     }
 }
