--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,6 +1,8 @@
 //! Reads a TOML document key by key. Every fault is kept with its key and line, so that one run reports all of them, and
 //! every value that was read or filled in is kept, so that the file can be printed with its defaults.
 
+mod invalid_value;
+
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -8,6 +10,7 @@
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
 
+use self::invalid_value::{InvalidValue, as_number, as_text, wrong_type};
 use strsim::levenshtein;
 use toml_edit::{Array, ArrayOfTables, Document, Item, Table, TableLike, Value};
 
@@ -35,79 +38,6 @@
 
 impl Error for ConfigError {}
 
-/// Why a value cannot be used.
-enum InvalidValue {
-    /// It is a table.
-    Table,
-    /// It has another type; the value as TOML.
-    WrongType {
-        value: String,
-        expected: &'static str,
-    },
-    NotAName(String),
-    WholeOutOfBounds(i64, RangeInclusive<i64>),
-    NumberOutOfBounds(f64, RangeInclusive<f64>),
-    NotAboveZero {
-        value: f64,
-        max: f64,
-    },
-    NotAnAddress(String),
-    NotAChoice {
-        text: String,
-        choices: Vec<String>,
-    },
-    /// It is a list with an item that is not a text.
-    ItemNotAText,
-}
-
-impl fmt::Display for InvalidValue {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Table => f.write_str("is a table, not a value"),
-            Self::WrongType { value, expected } => write!(f, "is {value}, not {expected}"),
-            Self::NotAName(text) => write!(
-                f,
-                "is {text:?}, not a name of 1 to 32 printable ASCII characters"
-            ),
-            Self::WholeOutOfBounds(n, bounds) => {
-                write!(f, "is {n}, not from {} to {}", bounds.start(), bounds.end())
-            }
-            Self::NumberOutOfBounds(n, bounds) => {
-                write!(f, "is {n}, not from {} to {}", bounds.start(), bounds.end())
-            }
-            Self::NotAboveZero { value, max } => {
-                write!(f, "is {value}, not above 0 and at most {max}")
-            }
-            Self::NotAnAddress(text) => write!(f, "is {text:?}, not an address with a port"),
-            Self::NotAChoice { text, choices } => {
-                write!(f, "is {text:?}, not one of {}", choices.join(", "))
-            }
-            Self::ItemNotAText => f.write_str("holds something that is no text"),
-        }
-    }
-}
-
-fn wrong_type(value: &Value, expected: &'static str) -> InvalidValue {
-    InvalidValue::WrongType {
-        value: value.to_string().trim().to_owned(),
-        expected,
-    }
-}
-
-fn as_text(value: &Value) -> Result<&str, InvalidValue> {
-    value.as_str().ok_or_else(|| wrong_type(value, "a text"))
-}
-
-/// A number; a whole number will do.
-#[allow(clippy::cast_precision_loss)]
-fn as_number(value: &Value) -> Result<f64, InvalidValue> {
-    let integer = value.as_integer().map(|n| n as f64);
-    value
-        .as_float()
-        .or(integer)
-        .ok_or_else(|| wrong_type(value, "a number"))
-}
-
 /// The text that is read, and the faults found in it.
 pub struct Source {
     text: String,
--- a/crates/config/src/snmp/notifications.rs
+++ b/crates/config/src/snmp/notifications.rs
@@ -15,22 +15,22 @@
     /// `search-lasting-ms`: time from which a primary search is reported, in milliseconds, default 2,000.
     pub search_lasting_ms: u64,
     /// `refusals-rising-per-s`: rejections of a class in a second, default 10.
-    pub refusals_rising: f64,
+    pub rejections_rising_per_s: f64,
     /// `refusals-falling-per-s`: rejections of a class in a second, default 2; below the rising threshold.
-    pub refusals_falling: f64,
+    pub rejections_falling_per_s: f64,
     /// `refusals-over-ms`: the time over which rejections are averaged, in milliseconds, default 5,000.
-    pub refusals_over_ms: u64,
+    pub rejections_window_ms: u64,
     /// `budget-rising-permille`: use of a tenant's quota in thousandths, 1 to 1,000,000, default 1,100.
-    pub budget_rising: u64,
+    pub quota_rising_permille: u64,
     /// `budget-falling-permille`: use of a tenant's quota in thousandths, default 1,000; at most the rising threshold.
-    pub budget_falling: u64,
+    pub quota_falling_permille: u64,
     /// `queue-rising-ms`: longest wait in a tenant's admission queue, in milliseconds, default 400.
-    pub queue_rising_ms: u64,
+    pub queue_wait_rising_ms: u64,
     /// `queue-falling-ms`: longest wait in a tenant's admission queue, in milliseconds, default 100; at most the rising
     /// threshold.
-    pub queue_falling_ms: u64,
+    pub queue_wait_falling_ms: u64,
     /// `storm`: notifications within the storm's window, 1 to 100,000, default 20; further ones are sent as one.
-    pub storm: usize,
+    pub storm_limit: usize,
     /// `storm-window-ms`: the window, in milliseconds, default 10,000.
     pub storm_window_ms: u64,
 }
@@ -51,14 +51,22 @@
         let read = Self {
             no_primary_ms: ms("no-primary-ms", 5000),
             search_lasting_ms: ms("search-lasting-ms", 2000),
-            refusals_rising: section.above_zero("refusals-rising-per-s", Some(10.0), MAX_PER_S),
-            refusals_falling: section.number("refusals-falling-per-s", Some(2.0), 0.0..=MAX_PER_S),
-            refusals_over_ms: ms("refusals-over-ms", 5000),
-            budget_rising: permille("budget-rising-permille", 1100),
-            budget_falling: permille("budget-falling-permille", 1000),
-            queue_rising_ms: ms("queue-rising-ms", 400),
-            queue_falling_ms: ms("queue-falling-ms", 100),
-            storm: section.size("storm", 20, 1..=100_000),
+            rejections_rising_per_s: section.above_zero(
+                "refusals-rising-per-s",
+                Some(10.0),
+                MAX_PER_S,
+            ),
+            rejections_falling_per_s: section.number(
+                "refusals-falling-per-s",
+                Some(2.0),
+                0.0..=MAX_PER_S,
+            ),
+            rejections_window_ms: ms("refusals-over-ms", 5000),
+            quota_rising_permille: permille("budget-rising-permille", 1100),
+            quota_falling_permille: permille("budget-falling-permille", 1000),
+            queue_wait_rising_ms: ms("queue-rising-ms", 400),
+            queue_wait_falling_ms: ms("queue-falling-ms", 100),
+            storm_limit: section.size("storm", 20, 1..=100_000),
             storm_window_ms: ms("storm-window-ms", 10_000),
         };
         read.check(&section);
@@ -68,16 +76,16 @@
 
     /// Checks that a condition ends below where it begins.
     fn check(&self, section: &Section<'_>) {
-        if self.refusals_falling >= self.refusals_rising {
+        if self.rejections_falling_per_s >= self.rejections_rising_per_s {
             section.fault(
                 "refusals-falling-per-s",
                 "must be below refusals-rising-per-s",
             );
         }
-        if self.queue_falling_ms > self.queue_rising_ms {
+        if self.queue_wait_falling_ms > self.queue_wait_rising_ms {
             section.fault("queue-falling-ms", "must not be above queue-rising-ms");
         }
-        if self.budget_falling > self.budget_rising {
+        if self.quota_falling_permille > self.quota_rising_permille {
             section.fault(
                 "budget-falling-permille",
                 "must not be above budget-rising-permille",
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -47,19 +47,19 @@
         no_primary: ms(notify.no_primary_ms),
         search_lasting: ms(notify.search_lasting_ms),
         rejections: Hysteresis {
-            rising: parts(notify.refusals_rising),
-            falling: parts(notify.refusals_falling),
+            rising: parts(notify.rejections_rising_per_s),
+            falling: parts(notify.rejections_falling_per_s),
         },
-        rejections_window: ms(notify.refusals_over_ms),
+        rejections_window: ms(notify.rejections_window_ms),
         quota: Hysteresis {
-            rising: notify.budget_rising,
-            falling: notify.budget_falling,
+            rising: notify.quota_rising_permille,
+            falling: notify.quota_falling_permille,
         },
         queue_wait: Hysteresis {
-            rising: notify.queue_rising_ms,
-            falling: notify.queue_falling_ms,
+            rising: notify.queue_wait_rising_ms,
+            falling: notify.queue_wait_falling_ms,
         },
-        storm_limit: notify.storm,
+        storm_limit: notify.storm_limit,
         storm_window: ms(notify.storm_window_ms),
     }
 }
--- a/crates/stream-multiplexing/src/lib.rs
+++ b/crates/stream-multiplexing/src/lib.rs
@@ -22,15 +22,18 @@
 //! | [`settings`] | bounds, and their check |
 //! | [`actions`] | ids, actions and outcomes |
 //! | `connection` | stream ids and heartbeat of one connection |
+//! | [`invariants`] | what must hold after every step |
 //! | [`multiplexer`] | the state machine over all connections |
 
 #![forbid(unsafe_code)]
 
 pub mod actions;
 mod connection;
+pub mod invariants;
 pub mod multiplexer;
 pub mod settings;
 
 pub use actions::{AttemptFailure, FrameOwner, JobId, MultiplexedConnectionId, MultiplexerAction};
-pub use multiplexer::{InvariantViolation, MultiplexerSize, StreamMultiplexer};
+pub use invariants::InvariantViolation;
+pub use multiplexer::{MultiplexerSize, StreamMultiplexer};
 pub use settings::{Settings, SettingsError};
--- a/crates/stream-multiplexing/src/multiplexer.rs
+++ b/crates/stream-multiplexing/src/multiplexer.rs
@@ -1,8 +1,6 @@
 //! The state machine over all connections to one endpoint.
 
 use std::collections::{BTreeMap, VecDeque};
-use std::error::Error;
-use std::fmt;
 
 use valehatch_policy::{Span, Time};
 
@@ -17,7 +15,7 @@
 
 /// Where a job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum JobState {
+pub(crate) enum JobState {
     /// It waits for a connection.
     Waiting,
     InFlight {
@@ -30,7 +28,7 @@
 
 /// A job that waits for a connection.
 #[derive(Clone, Copy, Debug)]
-struct WaitingJob {
+pub(crate) struct WaitingJob {
     job: JobId,
     until: Time,
 }
@@ -43,18 +41,6 @@
     load: usize,
 }
 
-/// What does not hold although it must.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InvariantViolation(pub String);
-
-impl fmt::Display for InvariantViolation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl Error for InvariantViolation {}
-
 /// How much a multiplexer holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MultiplexerSize {
@@ -67,11 +53,11 @@
 /// The connections to one endpoint.
 #[derive(Debug)]
 pub struct StreamMultiplexer {
-    settings: Settings,
-    connections: BTreeMap<MultiplexedConnectionId, Connection>,
-    jobs: BTreeMap<JobId, JobState>,
+    pub(crate) settings: Settings,
+    pub(crate) connections: BTreeMap<MultiplexedConnectionId, Connection>,
+    pub(crate) jobs: BTreeMap<JobId, JobState>,
     /// Oldest first.
-    waiting: VecDeque<WaitingJob>,
+    pub(crate) waiting: VecDeque<WaitingJob>,
     last_connection: u64,
     last_tick: Time,
 }
@@ -468,68 +454,6 @@
             }
         }
     }
-
-    /// Checks what must hold after every step.
-    ///
-    /// # Errors
-    /// What does not hold.
-    pub fn check(&self) -> Result<(), InvariantViolation> {
-        for (id, connection) in &self.connections {
-            self.check_connection(*id, connection)?;
-        }
-        let waiting = self.jobs.values().filter(|s| **s == JobState::Waiting);
-        let waiting = waiting.count();
-        if waiting != self.waiting.len() || waiting > self.settings.max_waiting {
-            let queued = self.waiting.len();
-            return Err(InvariantViolation(format!(
-                "{waiting} jobs wait, {queued} are queued"
-            )));
-        }
-        if self.connections.len() > self.settings.max_connections {
-            return Err(InvariantViolation(format!(
-                "{} connections",
-                self.connections.len()
-            )));
-        }
-        Ok(())
-    }
-
-    fn check_connection(
-        &self,
-        id: MultiplexedConnectionId,
-        connection: &Connection,
-    ) -> Result<(), InvariantViolation> {
-        let orphans = connection.streams.values();
-        let orphans = orphans.filter(|used| **used == StreamUse::Orphan).count();
-        if orphans != connection.orphans || orphans > self.settings.max_orphans {
-            let counted = connection.orphans;
-            return Err(InvariantViolation(format!(
-                "{id:?}: {orphans} orphans, {counted} counted"
-            )));
-        }
-        // Heartbeats and resubmitted jobs may come on top of `max_jobs`.
-        let used = connection.streams.len();
-        if used > usize::from(self.settings.stream_ids) {
-            return Err(InvariantViolation(format!(
-                "{id:?}: {used} stream ids in use"
-            )));
-        }
-        for (stream, stream_use) in &connection.streams {
-            let StreamUse::Job { job, .. } = stream_use else {
-                continue;
-            };
-            let expected = JobState::InFlight {
-                connection: id,
-                stream: *stream,
-            };
-            if self.jobs.get(job) != Some(&expected) {
-                return Err(InvariantViolation(format!(
-                    "{job:?} is not only on stream {stream} of {id:?}"
-                )));
-            }
-        }
-        Ok(())
-    }
 }
 
 /// The end of a job that never ran.
