--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -17,7 +17,7 @@
 use valehatch_net::discovery::{
     AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig, configured,
 };
-use valehatch_net::gossip_transport::GossipTransport;
+use valehatch_net::gossip_transport::{GossipConfig, GossipTransport, GossipedList, ServicePhase};
 use valehatch_net::upstream::{EndpointPools, Upstream};
 use valehatch_net::{Clock, signals};
 use valehatch_policy::Span;
@@ -278,16 +278,21 @@
             peers.seeds.extend(known);
             let seed = getrandom::u64().map_err(|e| format!("peers: no random number: {e}"))?;
             let lists = fronts.iter().zip(&takers);
-            let lists =
-                lists.filter_map(|((name, _), taker)| Some((Arc::clone(name), taker.clone()?)));
-            Some(GossipTransport::start(
+            let lists = lists.filter_map(|((name, _), taker)| {
+                Some(GossipedList {
+                    front: Arc::clone(name),
+                    store: taker.clone()?,
+                })
+            });
+            let transport = GossipTransport::start(GossipConfig {
                 peers,
-                read.routers,
+                configured_gateways: read.routers,
                 seed,
-                events.clone(),
-                fleet,
-                lists.collect(),
-            )?)
+                cores: events.clone(),
+                gateway_count: fleet,
+                lists: lists.collect(),
+            });
+            Some(transport.map_err(|e| e.to_string())?)
         }
         None => None,
     };
@@ -300,7 +305,8 @@
     let keeper = keeper.map_err(|e| format!("recovery: {e}"))?;
     if keeper.is_none() {
         // Nothing tells how service is: there is no state folder.
-        link.iter().for_each(|link| link.full(true));
+        link.iter()
+            .for_each(|link| link.set_service_phase(ServicePhase::Full));
     }
     drop(made);
     let leave = move || {
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -12,7 +12,7 @@
 use tracing::{info, warn};
 use valehatch_config::operators::{Members, Operators};
 use valehatch_net::discovery::EndpointListStore;
-use valehatch_net::gossip_transport::GossipTransport;
+use valehatch_net::gossip_transport::{GossipTransport, ServicePhase};
 use valehatch_net::{Clock, lock};
 use valehatch_policy::{PrimaryEvidence, Settings, Time};
 use valehatch_recovery::service::{Service, State};
@@ -259,9 +259,13 @@
                 serde_json::json!({ "state": "full", "took-ms": took, "started-ms": self.began_ms })
             }
         };
-        self.link
-            .iter()
-            .for_each(|link| link.full(matches!(state, State::Full { .. })));
+        let phase = match state {
+            State::Full { .. } => ServicePhase::Full,
+            _ => ServicePhase::Starting,
+        };
+        if let Some(link) = &self.link {
+            link.set_service_phase(phase);
+        }
         let done = snapshot::replace(
             &self.dir,
             "recovery.new",
@@ -281,7 +285,7 @@
         let fleet = self
             .link
             .as_ref()
-            .map(|link| link.living())
+            .map(|link| link.live_gateways())
             .unwrap_or_default();
         Snapshot {
             gateway: self.gateway.clone(),
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -85,18 +85,16 @@
     fn living(&self, n: usize) -> BTreeSet<SocketAddr> {
         let mut living = BTreeSet::new();
         for line in self.log(n).lines() {
-            let Some((_, told)) = line.split_once("peers: ") else {
+            let Some((_, told)) = line.split_once("gateway ") else {
                 continue;
             };
-            let Some((peer, what)) = told.split_once(' ') else {
+            let Some((what, peer)) = told.split_once(" peer=") else {
                 continue;
             };
             let Ok(peer) = peer.parse() else { continue };
             match what {
-                "is there" | "has started anew" | "answers after all" | "does not answer" => {
-                    living.insert(peer)
-                }
-                "counts as dead" | "has ended as planned" => living.remove(&peer),
+                "joined" | "restarted" | "responds again" | "suspected" => living.insert(peer),
+                "failed" | "left" => living.remove(&peer),
                 _ => false,
             };
         }
@@ -119,12 +117,12 @@
     /// What a gateway says last of its view, if it says that it is settled: members, and digest.
     fn view(&self, n: usize) -> Option<(usize, String)> {
         let log = self.log(n);
-        let last = log.lines().rfind(|l| l.contains("peers: the view is "))?;
+        let last = log.lines().rfind(|l| l.contains("membership view "))?;
         let (members, rest) = last
-            .split_once("is settled: ")?
+            .split_once("settled gateways=")?
             .1
-            .split_once(" gateways hold ")?;
-        Some((members.parse().ok()?, rest.split(',').next()?.to_owned()))
+            .split_once(" digest=")?;
+        Some((members.parse().ok()?, rest.split(' ').next()?.to_owned()))
     }
 
     /// Waits until each that runs says that its view is settled, with so many in it, and the same one.
@@ -169,13 +167,13 @@
     fleet.programs[3]
         .as_ref()
         .unwrap()
-        .says("what is shared is divided by 7");
+        .says("gateway count changed gateways=7");
     fleet.kill(&[0, 1, 2, 4, 5]);
     [0, 1, 2, 4, 5].into_iter().for_each(|n| fleet.start(n));
     fleet.agrees("all know all again, the seeds among them");
     fleet.settles(7, "all hold the same after the kill");
     fleet.serves();
-    let anew = format!("peers: {} has started anew", fleet.known(4));
+    let anew = format!("gateway restarted peer={}\n", fleet.known(4));
     until("it is told from its former self", || {
         fleet.log(3).contains(&anew) && fleet.log(6).contains(&anew)
     });
@@ -186,7 +184,7 @@
     let mut fleet = Fleet::new(4);
     fleet.agrees("all know all");
     fleet.programs[2].as_ref().unwrap().terminate();
-    let left = format!("peers: {} has ended as planned", fleet.known(2));
+    let left = format!("gateway left peer={}\n", fleet.known(2));
     until("they heard of its end", || {
         [0, 1, 3].iter().all(|n| fleet.log(*n).contains(&left))
     });
@@ -196,8 +194,16 @@
     fleet.agrees("they missed the other");
     let (planned, killed) = (fleet.known(2), fleet.known(3));
     for n in [0, 1] {
-        assert!(!fleet.log(n).contains(&format!("{planned} counts as dead")));
-        assert!(fleet.log(n).contains(&format!("{killed} counts as dead")));
+        assert!(
+            !fleet
+                .log(n)
+                .contains(&format!("gateway failed peer={planned}\n"))
+        );
+        assert!(
+            fleet
+                .log(n)
+                .contains(&format!("gateway failed peer={killed}\n"))
+        );
     }
 }
 
@@ -207,7 +213,7 @@
     fleet.agrees("all know all");
     let stopped = fleet.known(3);
     fleet.programs[3].as_ref().unwrap().signal("STOP");
-    let dead = format!("peers: {stopped} counts as dead");
+    let dead = format!("gateway failed peer={stopped}\n");
     until("the others miss it", || {
         (0..3).all(|n| fleet.log(n).contains(&dead))
     });
@@ -219,10 +225,13 @@
     let said = fleet.log(3)[before..].to_owned();
     let first = said
         .lines()
-        .find(|l| l.contains("peers: "))
+        .find(|l| l.contains("gateway") || l.contains("membership"))
         .unwrap_or_default();
-    assert!(first.contains("this gateway stood still for"), "{said}");
-    assert!(!said.contains("counts as dead"), "{said}");
+    assert!(
+        first.contains("this gateway was suspended suspended_ms="),
+        "{said}"
+    );
+    assert!(!said.contains("gateway failed"), "{said}");
     fleet.serves();
 }
 
@@ -267,7 +276,7 @@
         (0..5).filter(|o| *o != n).all(|o| {
             fleet
                 .log(n)
-                .contains(&format!("peers: {} is there", fleet.known(o)))
+                .contains(&format!("gateway joined peer={}\n", fleet.known(o)))
         })
     };
     until("each has met each", || (0..5).all(found));
@@ -312,7 +321,7 @@
     fleet.agrees("two of three");
     fleet.settles(2, "the other fleet's is not in the view");
     fleet.serves();
-    assert!(!other.log().contains(" is there"));
+    assert!(!other.log().contains("gateway joined"));
     let strangers = [listen, stranger.local_addr().unwrap()];
     assert!((0..2).all(|n| {
         strangers
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -343,9 +343,10 @@
     let program = second.start_with(20, &peers(b, a));
     // It asks ever less often, and a machine that stands still answers nothing.
     within(3 * WAIT, "it is told", || {
-        program
-            .log()
-            .contains("2 servers at version 0 from another gateway")
+        program.log().lines().any(|line| {
+            line.contains("took the endpoint list of another gateway")
+                && line.contains("endpoints=2 version=0")
+        })
     });
     (0..20).for_each(|_| assert_eq!(second.ask("read"), here()));
     assert_eq!(
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/stop.rs
@@ -41,7 +41,7 @@
         .collect();
     gateway.program.terminate();
     gateway.program.signal("CONT");
-    gateway.program.says("a planned stop was asked for");
+    gateway.program.says("planned shutdown requested");
     half.0.write_all(&whole[40..]).unwrap();
     go.store(true, Ordering::SeqCst);
     assert_eq!(flying.answer(), value(1));
@@ -97,7 +97,7 @@
         assert_eq!(client.ask(&read_of(id, 4_000)), value(id));
     }
     gateway.program.terminate();
-    gateway.program.says("a planned stop was asked for");
+    gateway.program.says("planned shutdown requested");
     gateway.program.pause();
     std::thread::sleep(Duration::from_millis(3_650));
     let whole = pipelined(100..101, 4_000);
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -961,7 +961,7 @@
 fn a_start_during_a_planned_stop_need_not_wait_for_its_end() {
     let mut scene = Scene::begin();
     scene.old.program.terminate();
-    scene.old.program.says("a planned stop was asked for");
+    scene.old.program.says("planned shutdown requested");
     let new = scene.place.start();
     new.program.says("is about to end, and handed");
     scene
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -1,13 +1,20 @@
-//! The link between gateways: datagrams of at most 256 bytes over UDP, each with a version, the fleet and a channel in front.
+//! Gossip between gateways over UDP: membership, and endpoint lists for gateways that have none.
 //!
-//! Nothing here knows what is said, and who speaks on a channel knows neither sockets nor what is in front. A datagram that
-//! is not of this version and fleet, or comes from nowhere that a gateway may be, is counted and dropped.
+//! A datagram has 256 bytes at most: a header with a version, a channel and the fleet, then a message. Messages are opaque
+//! here, and the packages that encode them know neither sockets nor the header. A datagram of another version or fleet, or from
+//! an address that no gateway may have, is counted and dropped.
+//!
+//! One thread receives and runs the timers; any thread may report something, and sends what follows from it. State: the
+//! membership and the requests for lists, each behind a mutex that is not held while a datagram is sent.
 
+use std::error::Error;
+use std::fmt;
 use std::hash::Hasher;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+use std::thread::sleep;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use crossbeam_channel::Sender;
@@ -17,256 +24,344 @@
 use valehatch_core::Event;
 use valehatch_membership::view::{Change, Reason};
 use valehatch_membership::wire::Phase;
-use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
+use valehatch_membership::{Effect, InvalidSettings, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::peers as lists;
 
 use crate::discovery::EndpointListStore;
-use crate::lock;
+use crate::{lock, spawn};
 
-/// Bytes of a datagram at the most.
-pub const MOST: usize = 256;
-/// The version that is spoken here; others are dropped.
+/// The longest datagram, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The version of the header; datagrams of others are dropped.
 const VERSION: u8 = 2;
-/// What is in front: version, channel, fleet.
-const FRONT: usize = 6;
-/// The channels: membership, and lists asked of others.
-const MEMBERSHIP: u8 = 1;
-const LISTS: u8 = 2;
-/// How long is waited for a datagram before the time is looked at again.
-const LOOK: Span = Span::from_millis(100);
-
-/// Why datagrams were dropped, by count.
+/// Version, channel, and four bytes for the fleet.
+const HEADER_BYTES: usize = 6;
+const MEMBERSHIP_CHANNEL: u8 = 1;
+const LISTS_CHANNEL: u8 = 2;
+/// The shortest wait for a datagram.
+const MIN_WAIT: Span = Span::from_millis(1);
+/// The longest wait for a datagram: other threads may have started an earlier timer.
+const MAX_WAIT: Span = Span::from_millis(100);
+/// Pause after a receive that failed.
+const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Datagrams that were dropped, by reason.
 #[derive(Debug, Default)]
-pub struct Dropped {
-    /// From nowhere that a gateway may be.
+pub struct DroppedDatagrams {
+    /// Received from an address that no gateway may have.
     pub foreign: AtomicU64,
-    /// Too long or too short.
+    /// Received with too many or too few bytes.
     pub size: AtomicU64,
-    /// Of another version, fleet, or an unknown channel.
+    /// Received with another version or fleet, or an unknown channel.
     pub other: AtomicU64,
-    /// Not sent: the machine would not take it.
+    /// Not sent: the kernel refused it, or no gateway may have the address.
     pub unsent: AtomicU64,
 }
 
-/// Time that goes on while the machine sleeps: whoever stood still has to see that it did.
+/// A front whose endpoint list is requested from other gateways, and given to them.
+pub struct GossipedList {
+    /// The front's name, by which gateways know it.
+    pub front: Arc<str>,
+    /// Its list.
+    pub store: Arc<Mutex<EndpointListStore>>,
+}
+
+/// What a gossip transport is made of.
+pub struct GossipConfig {
+    /// The operators' settings.
+    pub peers: Peers,
+    /// Gateways by the operators' settings: the least that shared budgets are divided by.
+    pub configured_gateways: u32,
+    /// Seeds all random choices.
+    pub seed: u64,
+    /// Cores that learn the number of gateways when it changes.
+    pub cores: Vec<Sender<Event>>,
+    /// The number of gateways that shared budgets are divided by; kept up to date.
+    pub gateway_count: Arc<AtomicU32>,
+    /// The fronts whose lists are gossiped.
+    pub lists: Vec<GossipedList>,
+}
+
+/// How good this gateway's service is, as it tells the others.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServicePhase {
+    /// It has been started and does not know all that it knew before.
+    Starting,
+    /// It serves as well as before the start.
+    Full,
+}
+
+/// Why gossip could not be started.
+#[derive(Debug)]
+pub enum GossipStartError {
+    /// The membership protocol cannot work with the settings.
+    Settings(InvalidSettings),
+    /// The address cannot be bound.
+    Bind {
+        /// The address by the settings.
+        address: SocketAddr,
+        /// Why not.
+        error: io::Error,
+    },
+    /// The machine has no thread for it.
+    Thread(io::Error),
+}
+
+impl fmt::Display for GossipStartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Settings(e) => write!(f, "peers: {e}"),
+            Self::Bind { address, error } => write!(f, "peers.listen: {address}: {error}"),
+            Self::Thread(e) => write!(f, "peers: {e}"),
+        }
+    }
+}
+
+impl Error for GossipStartError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::Settings(e) => Some(e),
+            Self::Bind { error, .. } | Self::Thread(error) => Some(error),
+        }
+    }
+}
+
+/// Time that goes on while the machine sleeps: a gateway that was suspended has to notice it.
 fn now() -> Time {
     let now = clock_gettime(ClockId::Boottime);
-    Time(
-        now.tv_sec
-            .saturating_mul(1_000_000)
-            .saturating_add(now.tv_nsec / 1000),
-    )
+    let micros = now.tv_sec.saturating_mul(1_000_000);
+    Time(micros.saturating_add(now.tv_nsec / 1000))
 }
 
-/// A number by which a name is known over gateways.
-fn mark(name: &str) -> u32 {
+/// A hash by which a name is known over gateways.
+fn name_hash(name: &str) -> u32 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
     u32::try_from(hasher.finish() >> 32).unwrap_or(0)
 }
 
-fn front(channel: u8, fleet: &str) -> [u8; FRONT] {
-    let [a, b, c, d] = mark(fleet).to_be_bytes();
+fn header(channel: u8, fleet: &str) -> [u8; HEADER_BYTES] {
+    let [a, b, c, d] = name_hash(fleet).to_be_bytes();
     [VERSION, channel, a, b, c, d]
 }
 
-/// The fronts whose lists are asked of others, and told to them: name, and what takes their lists in.
-pub type Lists = Vec<(Arc<str>, Arc<Mutex<EndpointListStore>>)>;
+/// A received message.
+#[derive(Clone, Copy, Debug)]
+struct Received<'a> {
+    channel: u8,
+    message: &'a [u8],
+}
 
-/// The link, and the membership that speaks on it.
+/// The gossip of one gateway.
 pub struct GossipTransport {
     socket: UdpSocket,
     peers: Peers,
-    heart: Mutex<Membership>,
-    /// The version of the view up to which its changes were told.
-    told: AtomicU64,
-    asks: Mutex<lists::Peers>,
-    takers: Lists,
+    membership: Mutex<Membership>,
+    /// The version of the membership view whose changes were logged last.
+    logged_view: AtomicU64,
+    list_requests: Mutex<lists::Peers>,
+    lists: Vec<GossipedList>,
     cores: Vec<Sender<Event>>,
-    /// Gateways by which what is shared is divided.
-    fleet: Arc<AtomicU32>,
-    pub dropped: Dropped,
+    gateway_count: Arc<AtomicU32>,
+    /// Datagrams that were dropped since the start.
+    pub dropped: DroppedDatagrams,
 }
 
 impl GossipTransport {
-    /// Listens, and speaks from then on until the program ends. Whenever the size of the fleet changes, `cores` and `fleet`
-    /// are told.
+    /// Binds the address and gossips until the program ends.
     ///
     /// # Errors
-    /// The address cannot be listened on, or the settings cannot be worked with.
-    pub fn start(
-        peers: Peers,
-        configured: u32,
-        seed: u64,
-        cores: Vec<Sender<Event>>,
-        fleet: Arc<AtomicU32>,
-        takers: Lists,
-    ) -> Result<Arc<Self>, String> {
-        let wall = SystemTime::now()
+    /// See [`GossipStartError`].
+    pub fn start(config: GossipConfig) -> Result<Arc<Self>, GossipStartError> {
+        let GossipConfig {
+            peers,
+            configured_gateways,
+            seed,
+            cores,
+            gateway_count,
+            lists,
+        } = config;
+        let wall_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_millis());
-        let set = Settings {
+            .map_or(0, |since_epoch| since_epoch.as_millis());
+        let settings = Settings {
             me: peers.advertise,
             seeds: peers.seeds.clone(),
             zone: 0,
-            version: version(env!("CARGO_PKG_VERSION")),
+            version: build_number(env!("CARGO_PKG_VERSION")),
             period: Span::from_millis(peers.probe_ms),
             most: peers.most,
             bytes_s: peers.bytes_per_s,
-            configured,
+            configured: configured_gateways,
             settle: Span::from_millis(peers.settle_ms),
         };
-        let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
-        let heart = heart.map_err(|e| format!("peers: {e}"))?;
-        let bound = UdpSocket::bind(peers.listen)
-            .map_err(|e| format!("peers.listen: {}: {e}", peers.listen))?;
-        let marks: Vec<u32> = takers.iter().map(|(name, _)| mark(name)).collect();
-        let asks = Mutex::new(lists::Peers::new(&marks, seed, now()));
-        let (heart, told, dropped) = (Mutex::new(heart), AtomicU64::new(0), Dropped::default());
-        let link = Self {
-            socket: bound,
+        let wall_ms = u64::try_from(wall_ms).unwrap_or(0);
+        let membership =
+            Membership::new(settings, wall_ms, seed, now()).map_err(GossipStartError::Settings)?;
+        let socket = UdpSocket::bind(peers.listen).map_err(|error| GossipStartError::Bind {
+            address: peers.listen,
+            error,
+        })?;
+        let hashes: Vec<u32> = lists.iter().map(|list| name_hash(&list.front)).collect();
+        let list_requests = lists::Peers::new(&hashes, seed, now());
+        let transport = Arc::new(Self {
+            socket,
             peers,
-            heart,
-            told,
-            asks,
-            takers,
+            membership: Mutex::new(membership),
+            logged_view: AtomicU64::new(0),
+            list_requests: Mutex::new(list_requests),
+            lists,
             cores,
-            fleet,
-            dropped,
-        };
-        let link = Arc::new(link);
-        let ours = Arc::clone(&link);
-        crate::spawn("peers", move || ours.run()).map_err(|e| format!("peers: {e}"))?;
-        tracing::info!(
-            "peers: listens on {}, known as {}",
-            link.peers.listen,
-            link.peers.advertise
-        );
-        Ok(link)
+            gateway_count,
+            dropped: DroppedDatagrams::default(),
+        });
+        let running = Arc::clone(&transport);
+        spawn("peers", move || running.run()).map_err(GossipStartError::Thread)?;
+        let address = transport.peers.listen;
+        let advertised = transport.peers.advertise;
+        tracing::info!(%address, %advertised, "gossiping with other gateways");
+        Ok(transport)
     }
 
-    /// This gateway is about to end: others are told.
+    /// Tells the others that this gateway is about to end.
     pub fn leave(&self) {
-        self.tend(|heart, out| heart.leave(now(), out));
+        self.with_membership(|membership, effects| membership.leave(now(), effects));
     }
 
-    /// Whether service is as good as before this start: all in the view hear of it.
-    pub fn full(&self, full: bool) {
-        let phase = if full { Phase::Full } else { Phase::Starting };
-        self.tend(|heart, out| heart.phase(phase, now(), out));
+    /// Tells the others how good this gateway's service is.
+    pub fn set_service_phase(&self, phase: ServicePhase) {
+        let phase = match phase {
+            ServicePhase::Starting => Phase::Starting,
+            ServicePhase::Full => Phase::Full,
+        };
+        self.with_membership(|membership, effects| membership.phase(phase, now(), effects));
     }
 
-    fn tend(&self, what: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
-        let mut out = vec![];
-        let changes: Vec<Change> = {
-            let mut heart = lock(&self.heart);
-            what(&mut heart, &mut out);
-            let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
-            // All else has a note of its own.
-            heart
-                .changes(told)
-                .1
-                .filter(|c| c.why == Reason::OwnWord)
-                .copied()
-                .collect()
-        };
-        changes
-            .iter()
-            .for_each(|c| tracing::info!("peers: {} is {}", c.about, named(c.card.phase)));
-        self.carry_out(out);
+    /// The other gateways that are taken to be alive.
+    pub fn live_gateways(&self) -> Vec<SocketAddr> {
+        lock(&self.membership).living().collect()
     }
 
-    /// The other gateways that are taken to live.
-    pub fn living(&self) -> Vec<SocketAddr> {
-        lock(&self.heart).living().collect()
+    /// Lets the membership do something, and carries out what follows from it.
+    fn with_membership(&self, action: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
+        let mut effects = vec![];
+        let mut membership = lock(&self.membership);
+        action(&mut membership, &mut effects);
+        let logged = self
+            .logged_view
+            .swap(membership.shared().version, Ordering::Relaxed);
+        // All other changes have an event of their own.
+        let phase_changes: Vec<Change> = membership
+            .changes(logged)
+            .1
+            .filter(|change| change.why == Reason::OwnWord)
+            .copied()
+            .collect();
+        drop(membership);
+        for change in phase_changes {
+            let phase = phase_name(change.card.phase);
+            tracing::info!(phase, peer = %change.about, "gateway changed its phase");
+        }
+        self.carry_out(effects);
     }
 
     fn run(&self) {
-        let mut bytes = [0; MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let asks = lock(&self.asks).next_due();
-            let due = asks
-                .into_iter()
-                .fold(lock(&self.heart).next_due(), Time::min);
-            let wait = (due - now()).clamp(Span(1_000), LOOK);
-            let wait = Duration::from_micros(wait.0.unsigned_abs());
-            let came = self
-                .socket
-                .set_read_timeout(Some(wait))
-                .and_then(|()| self.socket.recv_from(&mut bytes));
-            // Whether this gateway has stood still comes before all else.
-            self.tend(|heart, out| {
-                if heart.next_due() <= now() {
-                    heart.tick(now(), out);
+            let received = self.receive(&mut buffer);
+            // Before all else the membership checks whether this gateway was suspended.
+            self.with_membership(|membership, effects| {
+                if membership.next_due() <= now() {
+                    membership.tick(now(), effects);
                 }
             });
-            match came {
-                Ok((length, from)) => match self.open(&bytes[..length], from) {
-                    Some((MEMBERSHIP, said)) => {
-                        self.tend(|heart, out| heart.receive(now(), from, said, out))
-                    }
-                    Some((_, said)) => self.hear_of_lists(from, said),
-                    None => {}
-                },
-                // A port that nobody listens on any more is told of by an error: silence says the same.
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        ErrorKind::ConnectionRefused | ErrorKind::Interrupted
-                    ) => {}
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            match received {
+                Ok((length, from)) => self.on_datagram(&buffer[..length], from),
+                Err(e) if is_silence(&e) => {}
                 Err(e) => {
-                    tracing::warn!("peers: {}: {e}", self.peers.listen);
-                    std::thread::sleep(Duration::from_millis(100));
+                    tracing::warn!(error = %e, address = %self.peers.listen, "gateway gossip receive failed");
+                    sleep(RECEIVE_RETRY_INTERVAL);
                 }
             }
-            self.ask_for_lists();
-            let share = lock(&self.heart).share(true);
-            if self.fleet.swap(share, Ordering::Relaxed) != share {
-                tracing::info!("peers: what is shared is divided by {share}");
-                self.cores
-                    .iter()
-                    .for_each(|core| drop(core.send(Event::GatewayCount(share))));
-            }
+            self.request_lists();
+            self.update_gateway_count();
         }
     }
 
-    /// Whoever holds no list asks others for theirs.
-    fn ask_for_lists(&self) {
-        let wants = |n: usize| lock(&self.takers[n].1).cache().told.is_none();
-        let mut out = vec![];
-        lock(&self.asks).tick(now(), wants, || self.living(), &mut out);
-        self.carry_out_lists(out);
+    /// Waits for a datagram until the next timer is due.
+    fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
+        let lists_due = lock(&self.list_requests).next_due();
+        let membership_due = lock(&self.membership).next_due();
+        let due = lists_due.into_iter().fold(membership_due, Time::min);
+        let wait = (due - now()).clamp(MIN_WAIT, MAX_WAIT);
+        let timeout = Duration::from_micros(wait.0.unsigned_abs());
+        self.socket.set_read_timeout(Some(timeout))?;
+        self.socket.recv_from(buffer)
     }
 
-    fn hear_of_lists(&self, from: SocketAddr, said: &[u8]) {
-        let mut out = vec![];
-        let held: Vec<_> = self.takers.iter().map(|(_, taker)| lock(taker)).collect();
-        let tells = |n: usize| {
-            let store = held.get(n)?;
+    fn on_datagram(&self, datagram: &[u8], from: SocketAddr) {
+        let Some(received) = self.open(datagram, from) else {
+            return;
+        };
+        if received.channel == MEMBERSHIP_CHANNEL {
+            self.with_membership(|membership, effects| {
+                membership.receive(now(), from, received.message, effects);
+            });
+        } else {
+            self.on_list_message(from, received.message);
+        }
+    }
+
+    fn update_gateway_count(&self) {
+        let gateways = lock(&self.membership).share(true);
+        if self.gateway_count.swap(gateways, Ordering::Relaxed) == gateways {
+            return;
+        }
+        tracing::info!(gateways, "gateway count changed");
+        for core in &self.cores {
+            let _ = core.send(Event::GatewayCount(gateways));
+        }
+    }
+
+    /// Requests the lists that are not cached.
+    fn request_lists(&self) {
+        let is_missing = |front: usize| lock(&self.lists[front].store).cache().told.is_none();
+        let mut effects = vec![];
+        lock(&self.list_requests).tick(now(), is_missing, || self.live_gateways(), &mut effects);
+        self.carry_out_lists(effects);
+    }
+
+    fn on_list_message(&self, from: SocketAddr, message: &[u8]) {
+        let mut effects = vec![];
+        let stores: Vec<_> = self.lists.iter().map(|list| lock(&list.store)).collect();
+        let confirmed_list = |front: usize| {
+            let store = stores.get(front)?;
             Some((store.cache(), store.confirmation_age()?))
         };
-        lock(&self.asks).receive(now(), from, said, tells, &mut out);
-        drop(held);
-        self.carry_out_lists(out);
+        lock(&self.list_requests).receive(now(), from, message, confirmed_list, &mut effects);
+        drop(stores);
+        self.carry_out_lists(effects);
     }
 
-    fn carry_out_lists(&self, out: Vec<lists::Effect>) {
-        for effect in out {
+    fn carry_out_lists(&self, effects: Vec<lists::Effect>) {
+        for effect in effects {
             match effect {
-                lists::Effect::Send { to, bytes } => self.send(LISTS, to, &bytes),
+                lists::Effect::Send { to, bytes } => self.send(LISTS_CHANNEL, to, &bytes),
                 lists::Effect::Learned {
                     front,
                     listed,
                     told,
                 } => {
-                    let (name, taker) = &self.takers[front];
-                    let count = listed.len();
-                    if lock(taker).apply_unconfirmed(listed, told) {
+                    let list = &self.lists[front];
+                    let endpoints = listed.len();
+                    let version = told.1;
+                    if lock(&list.store).apply_unconfirmed(listed, told) {
                         tracing::info!(
-                            "peers: front {name}: {count} servers at version {} from another gateway",
-                            told.1
+                            front = &*list.front,
+                            endpoints,
+                            version,
+                            "took the endpoint list of another gateway"
                         );
                     }
                 }
@@ -274,56 +369,66 @@
         }
     }
 
-    /// What a datagram says, on which channel, if it may be heard.
-    fn open<'a>(&self, bytes: &'a [u8], from: SocketAddr) -> Option<(u8, &'a [u8])> {
-        let drop_for = |why: &AtomicU64| {
-            why.fetch_add(1, Ordering::Relaxed);
+    /// Checks a datagram's sender and header.
+    fn open<'a>(&self, datagram: &'a [u8], from: SocketAddr) -> Option<Received<'a>> {
+        let drop_as = |reason: &AtomicU64| {
+            reason.fetch_add(1, Ordering::Relaxed);
             None
         };
         if !self.peers.allows(&from) {
-            return drop_for(&self.dropped.foreign);
+            return drop_as(&self.dropped.foreign);
         }
-        if !(FRONT..=MOST).contains(&bytes.len()) {
-            return drop_for(&self.dropped.size);
+        if !(HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len()) {
+            return drop_as(&self.dropped.size);
         }
-        let channel = bytes[1];
-        match bytes.strip_prefix(&front(channel, &self.peers.fleet)) {
-            Some(said) if [MEMBERSHIP, LISTS].contains(&channel) => Some((channel, said)),
-            _ => drop_for(&self.dropped.other),
+        let channel = datagram[1];
+        let is_known = [MEMBERSHIP_CHANNEL, LISTS_CHANNEL].contains(&channel);
+        match datagram.strip_prefix(&header(channel, &self.peers.fleet)) {
+            Some(message) if is_known => Some(Received { channel, message }),
+            _ => drop_as(&self.dropped.other),
         }
     }
 
-    fn send(&self, channel: u8, to: SocketAddr, said: &[u8]) {
-        let sent = if self.peers.allows(&to) {
-            self.socket
-                .send_to(&[&front(channel, &self.peers.fleet)[..], said].concat(), to)
-        } else {
-            Err(io::Error::from(ErrorKind::PermissionDenied))
+    fn send(&self, channel: u8, to: SocketAddr, message: &[u8]) {
+        let is_sent = self.peers.allows(&to) && {
+            let datagram = [&header(channel, &self.peers.fleet)[..], message].concat();
+            self.socket.send_to(&datagram, to).is_ok()
         };
-        if sent.is_err() {
+        if !is_sent {
             self.dropped.unsent.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    fn carry_out(&self, out: Vec<Effect>) {
-        for effect in out {
+    fn carry_out(&self, effects: Vec<Effect>) {
+        for effect in effects {
             match effect {
-                Effect::Send { to, bytes } => self.send(MEMBERSHIP, to, &bytes),
-                Effect::Event(note) => {
-                    if matches!(note, MembershipEvent::Slept(_)) {
-                        // The clock by which lists are dated may have stood still too.
-                        self.takers
-                            .iter()
-                            .for_each(|(_, taker)| lock(taker).forget_confirmation());
+                Effect::Send { to, bytes } => self.send(MEMBERSHIP_CHANNEL, to, &bytes),
+                Effect::Event(event) => {
+                    if matches!(event, MembershipEvent::Slept(_)) {
+                        // The clock that dates the lists may have stood still too.
+                        for list in &self.lists {
+                            lock(&list.store).forget_confirmation();
+                        }
                     }
-                    say(note);
+                    log_event(event);
                 }
             }
         }
     }
 }
 
-const fn named(phase: Phase) -> &'static str {
+/// Whether a receive brought nothing. An unreachable peer shows as a refused connection, and is noticed by its silence anyway.
+fn is_silence(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::ConnectionRefused
+            | ErrorKind::Interrupted
+            | ErrorKind::WouldBlock
+            | ErrorKind::TimedOut
+    )
+}
+
+const fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Starting => "starting",
         Phase::Full => "full",
@@ -331,71 +436,42 @@
     }
 }
 
-/// A version such as 1.2.3 as a number: its last two parts, which tell the builds of one fleet apart.
-fn version(text: &str) -> u16 {
-    let mut parts = text
+/// The number of a build such as 1.2.3: its last two parts, which differ between the builds of one fleet.
+fn build_number(version: &str) -> u16 {
+    let mut parts = version
         .split('.')
         .skip(1)
         .map(|part| part.parse::<u16>().unwrap_or(0) & 0xff);
     parts.next().unwrap_or(0) << 8 | parts.next().unwrap_or(0)
 }
 
-fn say(note: MembershipEvent) {
-    match note {
-        MembershipEvent::Joined(peer) => tracing::info!("peers: {peer} is there"),
-        MembershipEvent::Restarted(peer) => tracing::info!("peers: {peer} has started anew"),
-        MembershipEvent::Suspected(peer) => tracing::info!("peers: {peer} does not answer"),
-        MembershipEvent::Cleared(peer) => tracing::info!("peers: {peer} answers after all"),
-        MembershipEvent::Failed(peer) => tracing::warn!("peers: {peer} counts as dead"),
-        MembershipEvent::Left(peer) => tracing::info!("peers: {peer} has ended as planned"),
+fn log_event(event: MembershipEvent) {
+    match event {
+        MembershipEvent::Joined(peer) => tracing::info!(%peer, "gateway joined"),
+        MembershipEvent::Restarted(peer) => tracing::info!(%peer, "gateway restarted"),
+        MembershipEvent::Suspected(peer) => tracing::info!(%peer, "gateway suspected"),
+        MembershipEvent::Cleared(peer) => tracing::info!(%peer, "gateway responds again"),
+        MembershipEvent::Failed(peer) => tracing::warn!(%peer, "gateway failed"),
+        MembershipEvent::Left(peer) => tracing::info!(%peer, "gateway left"),
         MembershipEvent::Slept(span) => {
-            tracing::warn!("peers: this gateway stood still for {} ms", span.0 / 1000)
-        }
-        MembershipEvent::Refuted => {
-            tracing::info!("peers: was taken for gone or for a former self, and says otherwise")
+            let suspended_ms = span.0 / 1000;
+            tracing::warn!(suspended_ms, "this gateway was suspended");
         }
+        MembershipEvent::Refuted => tracing::info!("this gateway refuted a suspicion"),
         MembershipEvent::Namesake(life) => tracing::warn!(
-            "peers: another gateway has this one's address (start {} of it): give each its own",
-            life.number
+            incarnation = life.number,
+            "another gateway has this one's address, give each its own"
         ),
         MembershipEvent::Settled(view) => tracing::info!(
-            "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
-            view.members,
-            view.digest,
-            view.settled.map_or(0, |at| (at - view.held).0 / 1000)
+            gateways = view.members,
+            digest = %format_args!("{:016x}", view.digest),
+            after_ms = view.settled.map_or(0, |at| (at - view.held).0 / 1000),
+            "membership view settled"
         ),
-        MembershipEvent::Unsettled => tracing::info!("peers: the view is not settled"),
-        MembershipEvent::Synced => {
-            tracing::info!("peers: all that another gateway knew is known here")
-        }
+        MembershipEvent::Unsettled => tracing::info!("membership view not settled"),
+        MembershipEvent::Synced => tracing::info!("membership synchronized with a gateway"),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn builds_are_told_apart_by_number() {
-        assert_eq!(
-            [
-                version("0.4.0"),
-                version("0.4.1"),
-                version("1"),
-                version("")
-            ],
-            [1024, 1025, 0, 0]
-        );
-    }
-
-    #[test]
-    fn fleets_are_told_apart_in_front_and_all_fits_a_datagram() {
-        assert_ne!(
-            front(MEMBERSHIP, "vestera"),
-            front(MEMBERSHIP, "vestera-test")
-        );
-        const {
-            assert!(FRONT + valehatch_membership::wire::MOST <= MOST && FRONT + lists::MOST <= MOST)
-        };
-    }
-}
+mod tests;
--- a/crates/net/src/log.rs
+++ b/crates/net/src/log.rs
@@ -1,4 +1,6 @@
-//! The log: structured, on standard error, with a limit on its rate that says how much it left out.
+//! The log: structured lines on standard error, limited in number.
+//!
+//! Any thread may log. State: the lines of the current second, and the number of suppressed lines, all atomic.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
@@ -10,78 +12,95 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use valehatch_config::operators::{Level, Log};
 
-/// What the limit itself says is not limited.
-const OWN: &str = "valehatch::log";
+/// The target of the limit's own lines, which are not limited.
+const LIMIT_TARGET: &str = "valehatch::log";
+/// The bits of [`LineLimit::window`] that count lines.
+const LINE_BITS: u32 = 24;
+const LINE_MASK: u64 = (1 << LINE_BITS) - 1;
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static SUPPRESSED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines left out since the start.
-pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+/// Lines that were suppressed since the start.
+pub fn suppressed_lines() -> u64 {
+    SUPPRESSED.load(Ordering::Relaxed)
 }
 
-/// Lets so many lines a second through, counts the rest, and says in the next second that does get a line how many
-/// those were.
-struct Limit {
-    per_s: u64,
-    began: Instant,
-    /// The second in the upper part, the lines asked for in it in the lower 24 bits.
+/// Lets a number of lines a second through and suppresses the rest; the first line of a later second says how many those were.
+struct LineLimit {
+    lines_per_s: u64,
+    started_at: Instant,
+    /// The second, and in the lower [`LINE_BITS`] the lines that were logged in it.
     window: AtomicU64,
-    /// Lines left out that were not told of yet.
-    untold: AtomicU64,
+    /// Suppressed lines that no line has mentioned yet.
+    unreported: AtomicU64,
 }
 
-const LINES: u64 = 0xff_ffff;
+/// What happens to a line.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum LineDecision {
+    /// It is written, as the first of its second.
+    WriteFirst,
+    Write,
+    Suppress,
+}
 
-impl Limit {
-    fn new(per_s: u32) -> Self {
-        let (window, untold) = (AtomicU64::new(0), AtomicU64::new(0));
+impl LineLimit {
+    fn new(lines_per_s: u32) -> Self {
         Self {
-            per_s: u64::from(per_s),
-            began: Instant::now(),
-            window,
-            untold,
+            lines_per_s: u64::from(lines_per_s),
+            started_at: Instant::now(),
+            window: AtomicU64::new(0),
+            unreported: AtomicU64::new(0),
         }
     }
 
-    /// Whether a line may be written in a second, counted from 1; `None` says the same and that it is the first.
-    fn allows(&self, second: u64) -> (bool, bool) {
-        let turn = |old: u64| {
-            if old >> 24 == second {
-                (old & LINES < LINES).then_some(old + 1)
+    /// Counts a line in a second, counted from 1.
+    fn decide(&self, second: u64) -> LineDecision {
+        let count_line = |window: u64| {
+            if window >> LINE_BITS == second {
+                (window & LINE_MASK < LINE_MASK).then_some(window + 1)
             } else {
-                Some((second << 24) + 1)
+                Some((second << LINE_BITS) + 1)
             }
         };
-        let last = self
+        let previous = self
             .window
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, turn)
-            .unwrap_or_else(|e| e);
-        let first = last >> 24 != second;
-        (first || last & LINES < self.per_s, first)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, count_line)
+            .unwrap_or_else(|full| full);
+        if previous >> LINE_BITS != second {
+            LineDecision::WriteFirst
+        } else if previous & LINE_MASK < self.lines_per_s {
+            LineDecision::Write
+        } else {
+            LineDecision::Suppress
+        }
     }
 }
 
-impl<S: Subscriber> Layer<S> for Limit {
+impl<S: Subscriber> Layer<S> for LineLimit {
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
-        if event.metadata().target() == OWN {
+        if event.metadata().target() == LIMIT_TARGET {
             return true;
         }
-        let (allowed, first) = self.allows(self.began.elapsed().as_secs() + 1);
-        if !allowed {
-            self.untold.fetch_add(1, Ordering::Relaxed);
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
-        } else if first {
-            let lines = self.untold.swap(0, Ordering::Relaxed);
-            if lines > 0 {
-                tracing::warn!(target: OWN, lines, "lines were left out of the log");
+        match self.decide(self.started_at.elapsed().as_secs() + 1) {
+            LineDecision::WriteFirst => {
+                let lines = self.unreported.swap(0, Ordering::Relaxed);
+                if lines > 0 {
+                    tracing::warn!(target: LIMIT_TARGET, lines, "log lines were suppressed");
+                }
+                true
+            }
+            LineDecision::Write => true,
+            LineDecision::Suppress => {
+                self.unreported.fetch_add(1, Ordering::Relaxed);
+                SUPPRESSED.fetch_add(1, Ordering::Relaxed);
+                false
             }
         }
-        allowed
     }
 }
 
-/// Sets the log up, once, for the whole program.
+/// Sets up the log of the whole program; further calls change nothing.
 pub fn init(log: Log) {
     let level = match log.level {
         Level::Error => LevelFilter::ERROR,
@@ -94,29 +113,17 @@
         .with_ansi(false)
         .with_target(false)
         .log_internal_errors(false);
-    let all = tracing_subscriber::registry()
+    let limited = tracing_subscriber::registry()
         .with(level)
-        .with(Limit::new(log.lines_per_s));
-    // Only a second call fails, and the first one goes on to hold.
+        .with(LineLimit::new(log.lines_per_s));
+    // Only a second call fails.
     let _ = if log.json {
-        all.with(lines.json().flatten_event(true)).try_init()
+        let json = lines.json().flatten_event(true);
+        limited.with(json).try_init()
     } else {
-        all.with(lines).try_init()
+        limited.with(lines).try_init()
     };
 }
 
 #[cfg(test)]
-mod tests {
-    use super::Limit;
-
-    #[test]
-    fn a_second_has_so_many_lines_and_the_next_begins_anew() {
-        let limit = Limit::new(2);
-        let said: Vec<_> = [1, 1, 1, 1, 2, 2, 2]
-            .into_iter()
-            .map(|s| limit.allows(s))
-            .collect();
-        let (first, more, none) = ((true, true), (true, false), (false, false));
-        assert_eq!(said, [first, more, none, none, first, more, none]);
-    }
-}
+mod tests;
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,8 @@
-//! The platform's signals: SIGTERM and SIGINT ask for a planned stop, SIGHUP for a look at the configuration.
+//! The process's signals: SIGTERM and SIGINT request a planned shutdown, SIGHUP a reload of the configuration.
+//!
+//! One thread, which waits for them.
+
+use std::io;
 
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -6,31 +10,39 @@
 
 use valehatch_core::Event;
 
-/// From here on no signal ends the program; what comes before `watch` is kept for it.
-pub fn catch() -> std::io::Result<Signals> {
+use crate::spawn;
+
+/// Catches the signals: they no longer end the program, and wait for [`watch`].
+///
+/// # Errors
+/// The handlers cannot be installed.
+pub fn catch() -> io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Tells the core of a planned stop, and others by `leave`; `reload` reads the configuration again, as often as that is
-/// asked for.
+/// Starts the thread. At SIGTERM and SIGINT it calls `on_shutdown` and then tells the cores, at SIGHUP it calls `on_reload`, each
+/// as often as the signal comes.
+///
+/// # Errors
+/// The machine has no thread for it.
 pub fn watch(
     mut signals: Signals,
-    events: Vec<Sender<Event>>,
-    reload: impl Fn() + Send + 'static,
-    leave: impl Fn() + Send + 'static,
-) -> std::io::Result<()> {
-    super::spawn("signals", move || {
+    cores: Vec<Sender<Event>>,
+    on_reload: impl Fn() + Send + 'static,
+    on_shutdown: impl Fn() + Send + 'static,
+) -> io::Result<()> {
+    spawn("signals", move || {
         for signal in signals.forever() {
             if signal == SIGHUP {
-                reload();
+                on_reload();
                 continue;
             }
-            tracing::info!("a planned stop was asked for");
-            leave();
-            // A core that has ended already takes no more events.
-            events
-                .iter()
-                .for_each(|to| drop(to.send(Event::ShutdownRequested)));
+            tracing::info!("planned shutdown requested");
+            on_shutdown();
+            for core in &cores {
+                // A core that has ended takes no more events.
+                let _ = core.send(Event::ShutdownRequested);
+            }
         }
     })
 }
--- /dev/null
+++ b/crates/net/src/threads.rs
@@ -0,0 +1,74 @@
+//! Threads with small stacks, which are reused when the next one is needed soon, and locks that outlive a panic.
+//!
+//! State: the idle threads, shared by the whole program.
+
+use std::io;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::Duration;
+
+use crossbeam_channel::{Receiver, Sender, bounded};
+
+/// Large data is on the heap, so threads need little stack.
+const STACK_BYTES: usize = 128 * 1024;
+/// How long an idle thread waits for its next job. Connections come and go by the hundreds, and starting a thread costs more than
+/// most of them do; each idle one keeps the allocator's memory for it.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+
+type Job = Box<dyn FnOnce() + Send>;
+
+/// Idle threads; the one that has waited for the shortest time is last.
+static IDLE: Mutex<Vec<Sender<Job>>> = Mutex::new(vec![]);
+
+/// Runs a job on a thread with a small stack: the one that became idle last, so that threads that are not needed end, or a new
+/// one, which gets this name.
+///
+/// # Errors
+/// The machine has no more threads.
+pub fn spawn(name: &str, job: impl FnOnce() + Send + 'static) -> io::Result<()> {
+    let mut job: Job = Box::new(job);
+    while let Some(idle) = lock(&IDLE).pop() {
+        match idle.try_send(job) {
+            Ok(()) => return Ok(()),
+            Err(not_sent) => job = not_sent.into_inner(),
+        }
+    }
+    thread::Builder::new()
+        .name(name.into())
+        .stack_size(STACK_BYTES)
+        .spawn(move || run_jobs(job))
+        .map(drop)
+}
+
+/// Runs this job, and then others until none comes for [`IDLE_TIMEOUT`].
+fn run_jobs(first: Job) {
+    let (sender, receiver) = bounded(1);
+    let mut job = first;
+    loop {
+        job();
+        lock(&IDLE).push(sender.clone());
+        let Some(next) = next_job(&sender, &receiver) else {
+            return;
+        };
+        job = next;
+    }
+}
+
+fn next_job(sender: &Sender<Job>, receiver: &Receiver<Job>) -> Option<Job> {
+    if let Ok(job) = receiver.recv_timeout(IDLE_TIMEOUT) {
+        return Some(job);
+    }
+    let mut idle = lock(&IDLE);
+    if let Some(index) = idle.iter().position(|other| other.same_channel(sender)) {
+        idle.remove(index);
+        return None;
+    }
+    drop(idle);
+    // A thread in `spawn` has taken this one off the list and is about to send it a job.
+    receiver.recv().ok()
+}
+
+/// Locks a mutex, also after a thread that held it has panicked.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/link_frame.rs
@@ -5,14 +5,14 @@
 
 use valehatch_config::peers::Peers;
 use valehatch_membership::wire::Datagram;
-use valehatch_net::gossip_transport::GossipTransport;
+use valehatch_net::gossip_transport::{GossipConfig, GossipTransport};
 
 #[test]
 fn sent_datagram_begins_with_version_channel_and_fleet() {
     let seed = UdpSocket::bind("127.0.0.1:0").unwrap();
     seed.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    // A port that was free a moment ago: the link has to know its own.
+    // A port that was free a moment ago: the transport has to know its own.
     let own = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -28,7 +28,15 @@
         bytes_per_s: 8192,
         settle_ms: 30_000,
     };
-    let _link = GossipTransport::start(peers, 1, 1, vec![], Default::default(), vec![]).unwrap();
+    let _transport = GossipTransport::start(GossipConfig {
+        peers,
+        configured_gateways: 1,
+        seed: 1,
+        cores: vec![],
+        gateway_count: Default::default(),
+        lists: vec![],
+    })
+    .unwrap();
     let mut bytes = [0; 512];
     let length = seed.recv(&mut bytes).unwrap();
     assert_eq!(bytes[..6], [2, 1, 0xe0, 0x96, 0x9d, 0xa9]);
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -563,7 +563,7 @@
             ("vhState", 9) => Value::Counter64(self.world.dropped()),
             ("vhState", 10) => Value::Counter64(self.shown.counters.missed),
             ("vhState", 11) => gauge((self.world.waiting)() as u64),
-            ("vhLog", _) => Value::Counter64(valehatch_net::log::left_out()),
+            ("vhLog", _) => Value::Counter64(valehatch_net::log::suppressed_lines()),
             ("vhProcess", 1) => gauge(self.own.process.memory_kb),
             ("vhProcess", 2) => gauge(self.own.process.descriptors),
             ("vhProcess", 3) => gauge(self.own.process.threads),
