--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,24 +1,29 @@
-//! The descriptor budget of one front: which client connections are admitted and which idle ones are evicted.
+//! The descriptor budget of one front: which client connections are admitted and which idle ones
+//! are evicted.
 //!
-//! A state machine without I/O, clock or threads; the caller passes the time in. Client and upstream connections share one
-//! budget, and no part of it is set aside for either. The rules:
+//! A state machine without I/O, clock or threads; the caller passes the time in. Client and
+//! upstream connections share one budget, and no part of it is set aside for either. The rules:
 //!
-//! - **Upstream connections follow the requests.** What requests in flight need, and a little more, counts as used; the rest is
-//!   for clients.
-//! - **Idle connections are evicted when descriptors run short**: first those that never sent a request, then those that sent
-//!   one, then those that were reused (a burst of one-off clients passes through the first two, as a scan does in 2Q). Within
-//!   each kind the longest idle goes first. Eviction starts before the budget is exhausted, so that new connections need not
-//!   wait for it: early for connections that never sent a request, late for the others.
-//! - **Connections idle after one request are evicted early where few clients may send requests at once**
-//!   ([`ConnectionLimits::active_clients`]), whether or not descriptors are free.
-//! - **A connection with a partial request is kept** until the I/O side times it out. Only when such connections hold more than
-//!   half of the budget, the one that has been incomplete for the longest is evicted.
-//! - **No connection is refused at once.** While the budget is exhausted, new connections wait in the listener's backlog. After
-//!   [`OVERFLOW_DELAY`] a few more are admitted, and their requests are rejected only if requests in flight hold the budget:
-//!   where partial requests hold it, upstream connections are idle and the request can be served.
+//! - **Upstream connections follow the requests.** What requests in flight need, and a little more,
+//!   counts as used; the rest is for clients.
+//! - **Idle connections are evicted when descriptors run short**: first those that never sent a
+//!   request, then those that sent one, then those that were reused (a burst of one-off clients
+//!   passes through the first two, as a scan does in 2Q). Within each kind the longest idle goes
+//!   first. Eviction starts before the budget is exhausted, so that new connections need not wait
+//!   for it: early for connections that never sent a request, late for the others.
+//! - **Connections idle after one request are evicted early where few clients may send requests at
+//!   once** ([`ConnectionLimits::active_clients`]), whether or not descriptors are free.
+//! - **A connection with a partial request is kept** until the I/O side times it out. Only when
+//!   such connections hold more than half of the budget, the one that has been incomplete for the
+//!   longest is evicted.
+//! - **No connection is refused at once.** While the budget is exhausted, new connections wait in
+//!   the listener's backlog. After [`OVERFLOW_DELAY`] a few more are admitted, and their requests
+//!   are rejected only if requests in flight hold the budget: where partial requests hold it,
+//!   upstream connections are idle and the request can be served.
 //!
-//! State is one entry a client connection, [`ConnectionLimits::total`] plus [`ConnectionLimits::overflow`] at most, and a count
-//! of upstream connections. Ties are broken by time, then by connection id.
+//! State is one entry a client connection, [`ConnectionLimits::total`] plus
+//! [`ConnectionLimits::overflow`] at most, and a count of upstream connections. Ties are broken by
+//! time, then by connection id.
 
 #![forbid(unsafe_code)]
 
@@ -33,15 +38,18 @@
 pub const ANSWER_SETTLE_TIME: Span = Span::from_millis(250);
 /// How long a new connection is not evicted: its first request may be on its way.
 pub const FIRST_REQUEST_GRACE: Span = Span::from_millis(50);
-/// How long new connections wait in the backlog of an exhausted budget before a few more are admitted.
+/// How long new connections wait in the backlog of an exhausted budget before a few more are
+/// admitted.
 pub const OVERFLOW_DELAY: Span = Span::from_millis(50);
 /// Unused connections are evicted while less than one in this many descriptors is free.
 const UNUSED_HEADROOM_DIVISOR: usize = 8;
-/// Connections idle after one request are evicted while less than one in this many of the active clients' share is free.
+/// Connections idle after one request are evicted while less than one in this many of the active
+/// clients' share is free.
 const ACTIVE_HEADROOM_DIVISOR: usize = 4;
 /// All other connections are evicted while less than one in this many descriptors is free.
 const HEADROOM_DIVISOR: usize = 32;
-/// One in this many descriptors is reserved for upstream connections that the next requests will need.
+/// One in this many descriptors is reserved for upstream connections that the next requests will
+/// need.
 const UPSTREAM_HEADROOM_DIVISOR: usize = 32;
 
 /// How many connections a front may have.
@@ -49,23 +57,25 @@
 pub struct ConnectionLimits {
     /// Client and upstream connections together.
     pub total: usize,
-    /// Upstream connections beyond `total` when many requests arrive at once; clients that waited for [`OVERFLOW_DELAY`] may
-    /// take half of it.
+    /// Upstream connections beyond `total` when many requests arrive at once; clients that waited
+    /// for [`OVERFLOW_DELAY`] may take half of it.
     pub overflow: usize,
     /// Upstream connections; 0 where they are counted elsewhere.
     pub upstream: usize,
-    /// Client connections that have sent a request, where clients can have only so many; `usize::MAX` where they are not
-    /// limited.
+    /// Client connections that have sent a request, where clients can have only so many;
+    /// `usize::MAX` where they are not limited.
     pub active_clients: usize,
-    /// How long after a response a connection is not evicted: at least [`ANSWER_SETTLE_TIME`] where the protocol has a closing
-    /// error, and otherwise until another request is unlikely to be on its way.
+    /// How long after a response a connection is not evicted: at least [`ANSWER_SETTLE_TIME`] where
+    /// the protocol has a closing error, and otherwise until another request is unlikely to be on
+    /// its way.
     pub settle_time: Span,
 }
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConnectionActivity {
-    /// Idle, and no request has been sent on it: nothing at all came, or only the protocol's handshake.
+    /// Idle, and no request has been sent on it: nothing at all came, or only the protocol's
+    /// handshake.
     Unused,
     /// Part of a request has been read, or the client sends in small writes and more is expected.
     PartialRequest,
@@ -95,7 +105,8 @@
 pub struct Eviction {
     /// The connection's id, as given to [`ConnectionLimiter::admit`].
     pub id: u64,
-    /// Its activity until now; the limiter counts it as [`ConnectionActivity::Closing`] from here on.
+    /// Its activity until now; the limiter counts it as [`ConnectionActivity::Closing`] from here
+    /// on.
     pub activity: ConnectionActivity,
 }
 
@@ -174,7 +185,8 @@
         self.upstream.max(expected.min(self.limits.upstream))
     }
 
-    /// Whether one more client connection may be accepted now. Call it before [`ConnectionLimiter::admit`].
+    /// Whether one more client connection may be accepted now. Call it before
+    /// [`ConnectionLimiter::admit`].
     pub fn can_admit(&mut self, now: Time) -> bool {
         let used = self.clients.len() + self.upstream_demand();
         if used < self.limits.total {
@@ -219,10 +231,11 @@
         self.by_activity[state.activity as usize].remove(&ActivityEntry { since, id });
     }
 
-    /// The next client connection to close, if descriptors run short; call it until it returns `None`.
+    /// The next client connection to close, if descriptors run short; call it until it returns
+    /// `None`.
     ///
-    /// The connection counts as closing from here on. A caller that cannot close it reports what it does by
-    /// [`ConnectionLimiter::set_activity`].
+    /// The connection counts as closing from here on. A caller that cannot close it reports what it
+    /// does by [`ConnectionLimiter::set_activity`].
     pub fn evict_idle(&mut self, now: Time) -> Option<Eviction> {
         let total = self.limits.total;
         let remaining = self.clients.len() - self.count(ConnectionActivity::Closing);
@@ -263,8 +276,9 @@
 
     /// Connections idle after one request are evicted while fewer descriptors than this are free.
     fn headroom_after_one(&self) -> usize {
-        // Clients that send one request and stay connected would use up the connections on which clients may send requests,
-        // until none could send any: they go whatever number of descriptors is free.
+        // Clients that send one request and stay connected would use up the connections on which
+        // clients may send requests, until none could send any: they go whatever number of
+        // descriptors is free.
         let active = self.count(ConnectionActivity::Active)
             + self.count(ConnectionActivity::IdleAfterOne)
             + self.count(ConnectionActivity::IdleReused);
@@ -298,7 +312,8 @@
         }
     }
 
-    /// Counts one more upstream connection, if the budget and its overflow allow it; says whether they do.
+    /// Counts one more upstream connection, if the budget and its overflow allow it; says whether
+    /// they do.
     pub fn try_acquire_upstream(&mut self) -> bool {
         let limit = self.limits.total + self.limits.overflow;
         let fits = self.clients.len() + self.upstream < limit;
@@ -320,7 +335,8 @@
         }
     }
 
-    /// Checks what must hold after each call: every connection is indexed once, under its own activity.
+    /// Checks what must hold after each call: every connection is indexed once, under its own
+    /// activity.
     ///
     /// # Errors
     /// The index disagrees with the connections.
--- a/crates/connection-limits/tests/connection_limiter.rs
+++ b/crates/connection-limits/tests/connection_limiter.rs
@@ -41,7 +41,8 @@
 }
 
 #[rstest]
-// Of 64 descriptors 8 are kept free of unused connections, 2 of others; 2 are for upstream connections.
+// Of 64 descriptors 8 are kept free of unused connections, 2 of others; 2 are for upstream
+// connections.
 #[case::unused_after_grace(ConnectionActivity::Unused, 57, 50, 3)]
 #[case::unused_within_grace(ConnectionActivity::Unused, 57, 49, 0)]
 #[case::unused_with_headroom(ConnectionActivity::Unused, 54, 9_000, 0)]
@@ -244,7 +245,10 @@
         6 => Just(Step::Accept),
         6 => (0..400_u64, activity).prop_map(|(id, activity)| Step::SetActivity(id, activity)),
         2 => (0..400_u64).prop_map(Step::Remove),
-        2 => any::<bool>().prop_map(|open| if open { Step::OpenUpstream } else { Step::CloseUpstream }),
+        2 => any::<bool>().prop_map(|opens| match opens {
+            true => Step::OpenUpstream,
+            false => Step::CloseUpstream,
+        }),
         3 => Just(Step::Evict),
         2 => (0..200_i64).prop_map(Step::Wait),
     ]
@@ -252,7 +256,9 @@
 
 proptest! {
     #[test]
-    fn random_steps_keep_the_limits_and_never_evict_active_connections(steps in prop::collection::vec(step(), 1..400)) {
+    fn random_steps_keep_the_limits_and_never_evict_active_connections(
+        steps in prop::collection::vec(step(), 1..400),
+    ) {
         let mut limiter = ConnectionLimiter::new(LIMITS);
         let (mut now, mut next, mut upstream) = (ms(0), 0, 0_usize);
         for step in steps {
@@ -263,18 +269,22 @@
                 },
                 Step::SetActivity(id, activity) => limiter.set_activity(id, activity, now),
                 Step::Remove(id) => limiter.remove(id),
-                Step::OpenUpstream => upstream += usize::from(upstream < LIMITS.upstream && limiter.try_acquire_upstream()),
+                Step::OpenUpstream => if upstream < LIMITS.upstream {
+                    upstream += usize::from(limiter.try_acquire_upstream());
+                },
                 Step::CloseUpstream => if upstream > 0 {
                     limiter.release_upstream();
                     upstream -= 1;
                 },
-                Step::Evict => while let Some(Eviction { id, activity }) = limiter.evict_idle(now) {
-                    prop_assert!(!matches!(activity, ConnectionActivity::Active | ConnectionActivity::Closing), "{id} {activity:?}");
+                Step::Evict => while let Some(evicted) = limiter.evict_idle(now) {
+                    let never = [ConnectionActivity::Active, ConnectionActivity::Closing];
+                    prop_assert!(!never.contains(&evicted.activity), "{:?}", evicted);
                 },
                 Step::Wait(n) => now = now + Span::from_millis(n),
             }
             let counts = limiter.counts();
-            prop_assert!(counts.clients + counts.upstream <= LIMITS.total + LIMITS.overflow && counts.upstream == upstream);
+            prop_assert!(counts.clients + counts.upstream <= LIMITS.total + LIMITS.overflow);
+            prop_assert!(counts.upstream == upstream);
             prop_assert_eq!(limiter.check(), Ok(()));
         }
     }
--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -1,9 +1,11 @@
-//! Downstream connections: accepts clients, reads their requests, writes their responses and closes idle connections.
+//! Downstream connections: accepts clients, reads their requests, writes their responses and closes
+//! idle connections.
 //!
-//! One thread accepts. A few threads wait for all idle connections at once; the one that a connection becomes readable on runs
-//! the protocol's [`RequestHandler`] until nothing more has come. Responses are written by the thread that has them; a client
-//! that cannot take a response at once gets a thread for the rest. State: one connection object a client, in the
-//! registry, bounded by the connection limiter.
+//! One thread accepts. A few threads wait for all idle connections at once; the one that a
+//! connection becomes readable on runs the protocol's [`RequestHandler`] until nothing more has
+//! come. Responses are written by the thread that has them; a client that cannot take a response at
+//! once gets a thread for the rest. State: one connection object a client, in the registry, bounded
+//! by the connection limiter.
 
 mod buffer_budget;
 mod connection;
@@ -40,10 +42,11 @@
 /// How long the exit waits for requests that are being read and responses that are being written.
 const EXIT_GRACE: Duration = Duration::from_millis(50);
 
-/// The client side of one protocol. One handler serves all connections of a front, from several threads at once.
+/// The client side of one protocol. One handler serves all connections of a front, from several
+/// threads at once.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Reads messages until nothing more has come. Called by one thread at a time for each connection, with the progress that
-    /// the last call left.
+    /// Reads messages until nothing more has come. Called by one thread at a time for each
+    /// connection, with the progress that the last call left.
     ///
     /// # Errors
     /// The connection failed; it is closed without a closing error.
@@ -59,8 +62,9 @@
     fn has_ordered_responses(&self) -> bool;
     /// How many responses a connection may be owed; further requests stay unread.
     fn pipeline_limit(&self) -> usize;
-    /// The error that closes an idle connection. A client that has sent a request meanwhile takes it for the response: nothing
-    /// ran, and it may retry after this time. Empty where the protocol has no such error.
+    /// The error that closes an idle connection. A client that has sent a request meanwhile takes
+    /// it for the response: nothing ran, and it may retry after this time. Empty where the protocol
+    /// has no such error.
     fn closing_error(&self, retry_after: Span) -> Vec<u8>;
 }
 
@@ -107,9 +111,11 @@
 /// Memory and reporting of a front's clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Bytes that requests in flight may take; responses that wait to be written may take as many again.
+    /// Bytes that requests in flight may take; responses that wait to be written may take as many
+    /// again.
     pub memory_bytes: usize,
-    /// Whether requests that are rejected or abandoned before they reach the core are reported to it.
+    /// Whether requests that are rejected or abandoned before they reach the core are reported to
+    /// it.
     pub reports_rejections: bool,
 }
 
@@ -172,8 +178,8 @@
         Some(ResponseBody::new(connection, ticket, events))
     }
 
-    /// Closes a connection gracefully if it is idle and [`ANSWER_SETTLE_TIME`] has passed: right after a response the client
-    /// would take the closing error for a second response.
+    /// Closes a connection gracefully if it is idle and [`ANSWER_SETTLE_TIME`] has passed: right
+    /// after a response the client would take the closing error for a second response.
     pub fn close_if_idle(&self, client: ClientId) {
         let Some(connection) = self.registry.get(client) else {
             return;
@@ -184,15 +190,16 @@
         });
     }
 
-    /// Closes all connections without a request in flight, however recently they were used: the program is about to exit.
+    /// Closes all connections without a request in flight, however recently they were used: the
+    /// program is about to exit.
     pub fn close_all_idle(&self) {
         for connection in self.registry.all() {
             connection.close_unless_active();
         }
     }
 
-    /// Whether the program may exit: every request is answered or rejected, and all responses are written. True after
-    /// 50 ms in any case, since the caller asks again and again.
+    /// Whether the program may exit: every request is answered or rejected, and all responses are
+    /// written. True after 50 ms in any case, since the caller asks again and again.
     pub fn can_exit(&self) -> bool {
         let requested_at = *lock(&self.exit_requested_at).get_or_insert_with(Instant::now);
         self.close_all_idle();
@@ -202,8 +209,8 @@
         if busy && requested_at.elapsed() < EXIT_GRACE {
             return false;
         }
-        // The exit closes the sockets. With unread bytes in a receive buffer the kernel would send a reset, and the client
-        // would lose the response or closing error that was written last.
+        // The exit closes the sockets. With unread bytes in a receive buffer the kernel would send
+        // a reset, and the client would lose the response or closing error that was written last.
         for connection in &connections {
             if connection.closing_since().is_some() {
                 connection.discard_received(&mut { LINGER_BYTES });
--- a/crates/net/src/clients/buffer_budget.rs
+++ b/crates/net/src/clients/buffer_budget.rs
@@ -44,8 +44,8 @@
         self.used.load(Ordering::Relaxed) >= self.limit.load(Ordering::Relaxed)
     }
 
-    /// Reserves one chunk of a streamed response. Beyond half of the limit only the smallest chunk is given, which leaves the
-    /// other half to complete responses.
+    /// Reserves one chunk of a streamed response. Beyond half of the limit only the smallest chunk
+    /// is given, which leaves the other half to complete responses.
     pub(super) fn reserve_chunk(self: &Arc<Self>) -> ChunkReservation {
         let used = self.used.load(Ordering::Relaxed);
         let fits = used + CHUNK_BYTES <= self.limit.load(Ordering::Relaxed) / 2;
--- a/crates/net/src/clients/connection/tests.rs
+++ b/crates/net/src/clients/connection/tests.rs
@@ -1,5 +1,6 @@
 //! Client connections without a protocol: closing, writing and noticing a disconnect.
 
+use std::io::Read;
 use std::net::TcpListener;
 use std::thread::sleep;
 
--- a/crates/net/src/clients/idle.rs
+++ b/crates/net/src/clients/idle.rs
@@ -1,7 +1,9 @@
-//! Connections that wait for their next message, and the few threads that wait for all of them at once.
+//! Connections that wait for their next message, and the few threads that wait for all of them at
+//! once.
 //!
-//! A connection that becomes readable belongs to the thread that took it, until it is idle again. State: the idle connections
-//! by id, an epoll instance that watches them, and the number of threads that wait.
+//! A connection that becomes readable belongs to the thread that took it, until it is idle again.
+//! State: the idle connections by id, an epoll instance that watches them, and the number of
+//! threads that wait.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,7 +29,8 @@
     tv_sec: 0,
     tv_nsec: 50_000_000,
 };
-/// Threads that wait while nothing happens: the second one serves the next connection while the first is blocked.
+/// Threads that wait while nothing happens: the second one serves the next connection while the
+/// first is blocked.
 const WAITING_THREADS: usize = 2;
 
 /// A connection between two messages.
@@ -115,7 +118,8 @@
             let Some(connection) = readable else {
                 continue;
             };
-            // The last waiting thread starts another one first: a client that is slow to send would hold up all others.
+            // The last waiting thread starts another one first: a client that is slow to send would
+            // hold up all others.
             let was_last = waiting.fetch_sub(1, Ordering::Relaxed) == 1;
             if was_last && self.start_waiting_thread().is_err() {
                 tracing::warn!("no thread left to wait for idle client connections");
@@ -165,7 +169,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and frees those whose lingering close is over.
+    /// Closes connections that have been idle for too long, and frees those whose lingering close
+    /// is over.
     fn check_timeouts(&self) {
         let now = self.registry.clock.now();
         let mut last_check = lock(&self.idle.last_check);
--- a/crates/net/src/clients/listener.rs
+++ b/crates/net/src/clients/listener.rs
@@ -20,7 +20,8 @@
 use super::{Clients, SessionProgress};
 use crate::{lock, spawn};
 
-/// Connections that the kernel queues until they are accepted; a burst beyond it is refused by the kernel.
+/// Connections that the kernel queues until they are accepted; a burst beyond it is refused by the
+/// kernel.
 const BACKLOG: i32 = 1024;
 /// How often the accepting thread checks whether it is to stop.
 const ACCEPT_POLL_INTERVAL: Timespec = Timespec {
@@ -29,8 +30,9 @@
 };
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How long connections that keep coming are still accepted once accepting was told to stop. Closing a listener resets what is
-/// in its backlog; waiting for longer would take connections from a process that waits for the same address.
+/// How long connections that keep coming are still accepted once accepting was told to stop.
+/// Closing a listener resets what is in its backlog; waiting for longer would take connections from
+/// a process that waits for the same address.
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Whether another process may listen on the same address.
@@ -56,7 +58,8 @@
 }
 
 impl Clients {
-    /// Starts the threads that accept connections and wait for requests; returns the address that is listened on.
+    /// Starts the threads that accept connections and wait for requests; returns the address that
+    /// is listened on.
     ///
     /// # Errors
     /// The machine has no thread for them.
@@ -79,8 +82,8 @@
         let mut stopping_since: Option<Instant> = None;
         loop {
             self.wait_until_admittable();
-            // Read before the next accept: connections that the kernel has completed by now are served, since closing the
-            // listener would reset them.
+            // Read before the next accept: connections that the kernel has completed by now are
+            // served, since closing the listener would reset them.
             if self.accepting_stopped.load(Ordering::Relaxed) {
                 stopping_since.get_or_insert_with(Instant::now);
                 if self.backlog_handed_over.load(Ordering::Relaxed) {
@@ -98,7 +101,8 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    // Another process may accept from the same socket, so a blocking accept could wait forever.
+                    // Another process may accept from the same socket, so a blocking accept could
+                    // wait forever.
                     let mut poll_listener = [PollFd::new(&listener, PollFlags::IN)];
                     let ready = poll(&mut poll_listener, Some(&ACCEPT_POLL_INTERVAL));
                     let backlog_empty = stopping_since.is_some() && ready == Ok(0);
--- a/crates/net/src/clients/registry.rs
+++ b/crates/net/src/clients/registry.rs
@@ -1,6 +1,8 @@
-//! What all client connections of a front share: the connections by id, the limiter and the memory budgets.
+//! What all client connections of a front share: the connections by id, the limiter and the memory
+//! budgets.
 //!
-//! Any thread may use it; the lock on the connections is taken for a moment only, but for the encoding of a final answer.
+//! Any thread may use it; the lock on the connections is taken for a moment only, but for the
+//! encoding of a final answer.
 
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Wraps an accepted socket. It counts against the limiter from here on, and until the last reference is dropped.
+    /// Wraps an accepted socket. It counts against the limiter from here on, and until the last
+    /// reference is dropped.
     pub(super) fn accept(&self, id: ClientId, stream: TcpStream) -> Arc<ClientConnection> {
         let now = self.clock.now();
         self.limiter.admit(id.0, now);
--- a/crates/net/src/clients/response_body.rs
+++ b/crates/net/src/clients/response_body.rs
@@ -1,4 +1,5 @@
-//! A streamed response: the body of one answer, written to its client while it is still read from the endpoint.
+//! A streamed response: the body of one answer, written to its client while it is still read from
+//! the endpoint.
 
 use std::io;
 use std::sync::Arc;
@@ -11,12 +12,12 @@
 use super::buffer_budget::ChunkReservation;
 use super::connection::ClientConnection;
 
-/// Socket buffers of a streamed response, in bytes, on either side: the kernel would let them grow to megabytes where a client
-/// is slow to read.
+/// Socket buffers of a streamed response, in bytes, on either side: the kernel would let them grow
+/// to megabytes where a client is slow to read.
 pub(crate) const STREAMING_SOCKET_BUFFER: usize = 64 * 1024;
 
-/// One streamed response. Dropping it before [`ResponseBody::finish`] closes the client's connection in the middle of the
-/// response, so that the client notices.
+/// One streamed response. Dropping it before [`ResponseBody::finish`] closes the client's
+/// connection in the middle of the response, so that the client notices.
 pub struct ResponseBody {
     connection: Arc<ClientConnection>,
     ticket: u64,
@@ -79,8 +80,8 @@
     fn drop(&mut self) {
         if !*self.complete.get_mut() {
             self.connection.truncate_response();
-            // Requests behind it on the connection can get no response: they need not be forwarded. The core's own thread may
-            // run this, and would wait for itself if the queue is full.
+            // Requests behind it on the connection can get no response: they need not be forwarded.
+            // The core's own thread may run this, and would wait for itself if the queue is full.
             let disconnected = Event::ClientDisconnected(self.connection.id);
             let _ = self.events.try_send(disconnected);
         }
--- a/crates/net/src/clients/session.rs
+++ b/crates/net/src/clients/session.rs
@@ -1,5 +1,5 @@
-//! What a protocol's [`RequestHandler`](super::RequestHandler) works with: a reader of messages, and the session that takes
-//! requests and responses.
+//! What a protocol's [`RequestHandler`](super::RequestHandler) works with: a reader of messages,
+//! and the session that takes requests and responses.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::sync::Arc;
@@ -17,8 +17,9 @@
 /// Bytes that are read from a client at once.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// What a client sends. [`Read::read`] blocks until bytes arrive or a timeout closes the connection, so a handler reads only
-/// after [`RequestReader::next_input`] has returned [`NextInput::Message`].
+/// What a client sends. [`Read::read`] blocks until bytes arrive or a timeout closes the
+/// connection, so a handler reads only after [`RequestReader::next_input`] has returned
+/// [`NextInput::Message`].
 pub struct RequestReader {
     buffered: BufReader<ConnectionReader>,
 }
@@ -35,8 +36,8 @@
         &self.buffered.get_ref().connection
     }
 
-    /// Whether a message has begun to arrive; takes nothing and does not block. Messages that a client had sent before it
-    /// disconnected are still read, and do not run.
+    /// Whether a message has begun to arrive; takes nothing and does not block. Messages that a
+    /// client had sent before it disconnected are still read, and do not run.
     ///
     /// # Errors
     /// The connection failed.
@@ -59,7 +60,8 @@
         }
     }
 
-    /// The message that was read has been handled. The next one may have been received along with it.
+    /// The message that was read has been handled. The next one may have been received along with
+    /// it.
     pub fn finish_message(&self) {
         let input = if self.buffered.buffer().is_empty() {
             RequestInput::None
@@ -69,8 +71,9 @@
         self.connection().update(|state| state.input = input);
     }
 
-    /// Closes the connection gracefully: waits until all responses are written, sends the closing error, and discards what the
-    /// client still sends. Returns [`SessionStatus::Closed`] if the client has closed the connection too.
+    /// Closes the connection gracefully: waits until all responses are written, sends the closing
+    /// error, and discards what the client still sends. Returns [`SessionStatus::Closed`] if the
+    /// client has closed the connection too.
     pub fn close_gracefully(&mut self, closing_error: Vec<u8>) -> SessionStatus {
         let connection = Arc::clone(self.connection());
         // Where nothing can be written any more, only the client's close is left to be read.
@@ -145,7 +148,8 @@
         self.client().0
     }
 
-    /// Hands a request to the core, unless its client has disconnected. Blocks while the client is owed too many responses.
+    /// Hands a request to the core, unless its client has disconnected. Blocks while the client is
+    /// owed too many responses.
     ///
     /// # Errors
     /// The connection is closed, or the core has ended.
@@ -175,7 +179,8 @@
             .map_err(|_| ErrorKind::BrokenPipe.into())
     }
 
-    /// The client has disconnected: this request does not run, and the core cancels those in flight.
+    /// The client has disconnected: this request does not run, and the core cancels those in
+    /// flight.
     fn abandon(&self, request: &IncomingRequest) {
         let before = self.connection.state().set_disconnect_reported();
         // A core that has ended counts nothing any more.
@@ -234,7 +239,8 @@
         Ok(())
     }
 
-    /// Sets how long the connection may be idle, where the protocol's clients keep theirs for longer.
+    /// Sets how long the connection may be idle, where the protocol's clients keep theirs for
+    /// longer.
     pub fn set_idle_timeout(&self, timeout: Span) {
         self.connection.state().idle_timeout = timeout;
     }
--- a/crates/net/src/clients/write_queue.rs
+++ b/crates/net/src/clients/write_queue.rs
@@ -1,7 +1,8 @@
 //! The responses that wait to be written to one client, in the order in which they leave.
 //!
-//! The queue writes to the socket that it is given, and says what came of it; the connection draws the consequences. One
-//! thread at a time writes. State, under one lock: bytes that are ready, and responses whose turn has not come.
+//! The queue writes to the socket that it is given, and says what came of it; the connection draws
+//! the consequences. One thread at a time writes. State, under one lock: bytes that are ready, and
+//! responses whose turn has not come.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Write};
@@ -22,7 +23,8 @@
 
 #[derive(Default)]
 struct QueueState {
-    /// Where responses are ordered: the ticket whose response leaves next, and the responses that wait for it.
+    /// Where responses are ordered: the ticket whose response leaves next, and the responses that
+    /// wait for it.
     next_ticket: u64,
     out_of_order: BTreeMap<u64, Vec<u8>>,
     /// Bytes that leave next, and how many responses they are.
@@ -43,7 +45,8 @@
     NothingToDo,
     /// All that was ready is written: so many responses.
     Written { responses: usize },
-    /// The client's receive buffer is full: the caller has to write the rest with [`WriteQueue::write_next`].
+    /// The client's receive buffer is full: the caller has to write the rest with
+    /// [`WriteQueue::write_next`].
     WouldBlock,
     /// The connection failed.
     Failed,
@@ -148,7 +151,8 @@
         WriteOutcome::Written { responses }
     }
 
-    /// Writes what is ready and waits until the client has taken it; for the thread that [`WriteOutcome::WouldBlock`] asks for.
+    /// Writes what is ready and waits until the client has taken it; for the thread that
+    /// [`WriteOutcome::WouldBlock`] asks for.
     ///
     /// # Errors
     /// The connection failed, or the client took nothing for the socket's write timeout.
@@ -183,8 +187,8 @@
         status
     }
 
-    /// Waits until it is the turn of the streamed response with this ticket and no other thread writes; the caller may then
-    /// write to the socket itself, until [`WriteQueue::end_streaming`].
+    /// Waits until it is the turn of the streamed response with this ticket and no other thread
+    /// writes; the caller may then write to the socket itself, until [`WriteQueue::end_streaming`].
     ///
     /// # Errors
     /// The queue is closed.
@@ -208,8 +212,9 @@
         self.stop_writing(stream, lock(&self.state))
     }
 
-    /// The streamed response whose turn it is has been written completely: writes those that waited for it. The caller reports
-    /// the outcome before [`WriteQueue::notify_progress`] wakes the next streamed response.
+    /// The streamed response whose turn it is has been written completely: writes those that waited
+    /// for it. The caller reports the outcome before [`WriteQueue::notify_progress`] wakes the next
+    /// streamed response.
     pub(super) fn finish_streamed_response(&self, stream: &TcpStream) -> WriteOutcome {
         let mut state = lock(&self.state);
         state.next_ticket += 1;
@@ -232,7 +237,8 @@
         self.progressed.notify_all();
     }
 
-    /// Takes no further responses; the caller shuts the socket down and then calls [`WriteQueue::notify_progress`].
+    /// Takes no further responses; the caller shuts the socket down and then calls
+    /// [`WriteQueue::notify_progress`].
     pub(super) fn mark_closed(&self) {
         lock(&self.state).closed = true;
     }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,6 +1,7 @@
 //! The gateway's clock: monotonic time for everything, and the cluster's Unix time beside it.
 //!
-//! Any thread may use it. State: the monotonic clock's start, and the cluster's clock behind a mutex that is held for moments.
+//! Any thread may use it. State: the monotonic clock's start, and the cluster's clock behind a
+//! mutex that is held for moments.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -10,10 +11,12 @@
 
 use crate::lock;
 
-/// Where the monotonic clock starts, in microseconds: above zero, so that times before the start can be expressed.
+/// Where the monotonic clock starts, in microseconds: above zero, so that times before the start
+/// can be expressed.
 const START_MICROS: i64 = 100_000_000_000;
 
-/// The monotonic clock in microseconds, and the offset of the cluster's Unix time. Copies share both.
+/// The monotonic clock in microseconds, and the offset of the cluster's Unix time. Copies share
+/// both.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -24,8 +27,8 @@
 }
 
 impl Clock {
-    /// Starts the clock. The only time that the wall clock is read: from then on the endpoints' times correct the offset.
-    #[allow(clippy::cast_possible_truncation)]
+    /// Starts the clock. The only time that the wall clock is read: from then on the endpoints'
+    /// times correct the offset.
     pub fn start() -> Self {
         let unix_micros = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -40,7 +43,6 @@
     }
 
     /// The time now.
-    #[allow(clippy::cast_possible_truncation)]
     pub fn now(&self) -> Time {
         Time(START_MICROS + self.started_at.elapsed().as_micros() as i64)
     }
@@ -50,14 +52,14 @@
         Time(unix_micros.saturating_sub(lock(self.cluster).offset()))
     }
 
-    /// A Unix time in milliseconds, such as a position or a start that an endpoint reports, on this clock.
-    #[allow(clippy::cast_possible_truncation)]
+    /// A Unix time in milliseconds, such as a position or a start that an endpoint reports, on this
+    /// clock.
     pub fn at_unix_ms(&self, unix_ms: f64) -> Time {
         self.at_unix_micros((unix_ms * 1000.0).floor() as i64)
     }
 
-    /// A Unix time in microseconds on this clock, by the offset at the start: for times on their way to a check, which a
-    /// correction meanwhile must not move.
+    /// A Unix time in microseconds on this clock, by the offset at the start: for times on their
+    /// way to a check, which a correction meanwhile must not move.
     pub const fn at_uncorrected_unix_micros(&self, unix_micros: i64) -> Time {
         Time(unix_micros.saturating_sub(self.wall_offset))
     }
--- a/crates/net/src/connection_limits.rs
+++ b/crates/net/src/connection_limits.rs
@@ -1,5 +1,5 @@
-//! The descriptor budget of a front, shared by its threads. [`valehatch_connection_limits`] decides; this adds the lock, the
-//! clock, and the waiting.
+//! The descriptor budget of a front, shared by its threads. [`valehatch_connection_limits`]
+//! decides; this adds the lock, the clock, and the waiting.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
@@ -81,7 +81,8 @@
         lock(&self.limiter).decide_request()
     }
 
-    /// Reserves the descriptor of an upstream connection; waits for one for up to [`UPSTREAM_TIMEOUT`].
+    /// Reserves the descriptor of an upstream connection; waits for one for up to
+    /// [`UPSTREAM_TIMEOUT`].
     pub(crate) fn acquire_upstream(self: &Arc<Self>) -> Option<UpstreamSlot> {
         let is_exhausted = |limiter: &mut ConnectionLimiter| !limiter.try_acquire_upstream();
         let (_limiter, waited) = self
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -1,4 +1,5 @@
-//! Endpoints that the operators' file names: reads the file again whenever it changes, and hands the endpoints to the cores.
+//! Endpoints that the operators' file names: reads the file again whenever it changes, and hands
+//! the endpoints to the cores.
 //!
 //! One thread. State: when the file was last modified as of the last read.
 
@@ -27,8 +28,9 @@
     pub events: Sender<Event>,
 }
 
-/// Hands the endpoints to the cores now, whenever the file changes, and when `reload_requested` is set; then calls `on_reload`
-/// with what was read. All other settings stay as at the start. A file that is not valid changes nothing.
+/// Hands the endpoints to the cores now, whenever the file changes, and when `reload_requested` is
+/// set; then calls `on_reload` with what was read. All other settings stay as at the start. A file
+/// that is not valid changes nothing.
 ///
 /// # Errors
 /// The machine has no thread for it.
@@ -41,7 +43,8 @@
 ) -> io::Result<()> {
     send_endpoints(&fronts, first);
     spawn("members", move || {
-        // The file may have changed since the caller has read it, so the first check reads it again.
+        // The file may have changed since the caller has read it, so the first check reads it
+        // again.
         let mut last_modified: Option<SystemTime> = None;
         loop {
             sleep(CHECK_INTERVAL);
--- a/crates/net/src/discovery/endpoint_list.rs
+++ b/crates/net/src/discovery/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list of one front: takes lists from discovery, from the gateway's other process and from gossip, caches them,
-//! and hands them to the core.
+//! The endpoint list of one front: takes lists from discovery, from the gateway's other process and
+//! from gossip, caches them, and hands them to the core.
 //!
-//! Shared by the poller's thread, the gossip transport and the hot restart, behind one mutex. State: the cached list and the
-//! numbers of its endpoints.
+//! Shared by the poller's thread, the gossip transport and the hot restart, behind one mutex.
+//! State: the cached list and the numbers of its endpoints.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -76,18 +76,20 @@
         &self.cache
     }
 
-    /// How long ago discovery has confirmed the list; `None` if it has not, or the time is not known any more.
+    /// How long ago discovery has confirmed the list; `None` if it has not, or the time is not
+    /// known any more.
     pub fn confirmation_age(&self) -> Option<Span> {
         Some(self.clock.now() - self.confirmed_at?)
     }
 
-    /// Forgets when discovery has confirmed the list, after the clock may have stood still: the list is not gossiped until
-    /// discovery confirms it again.
+    /// Forgets when discovery has confirmed the list, after the clock may have stood still: the
+    /// list is not gossiped until discovery confirms it again.
     pub const fn forget_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// Takes a list that the other process of this gateway has received from discovery, if it is ahead of the cached one.
+    /// Takes a list that the other process of this gateway has received from discovery, if it is
+    /// ahead of the cached one.
     pub fn apply_forwarded(&mut self, list: &EndpointListCache) {
         let Some((source, version)) = list.told else {
             return;
@@ -100,7 +102,8 @@
         self.apply(source, complete_list(version, endpoints));
     }
 
-    /// Takes a list from another gateway or a former process, unless one is cached already; says whether it did.
+    /// Takes a list from another gateway or a former process, unless one is cached already; says
+    /// whether it did.
     pub fn apply_unconfirmed(
         &mut self,
         endpoints: Vec<DiscoveredEndpoint>,
@@ -114,8 +117,9 @@
         true
     }
 
-    /// Takes a list from discovery, unless the other process has forwarded it already; returns the version that was reached.
-    /// `None` for changes that do not fit the cached list, because discovery has begun to count anew.
+    /// Takes a list from discovery, unless the other process has forwarded it already; returns the
+    /// version that was reached. `None` for changes that do not fit the cached list, because
+    /// discovery has begun to count anew.
     pub(super) fn apply_discovered(
         &mut self,
         source: SocketAddr,
@@ -145,7 +149,8 @@
         if !list.has_changes() {
             return list.version;
         }
-        // Endpoints come and go all day: the numbers of those that a complete list does not name are forgotten.
+        // Endpoints come and go all day: the numbers of those that a complete list does not name
+        // are forgotten.
         if list.complete {
             let named: HashSet<&str> = list.endpoints.iter().map(|e| e.uid.as_str()).collect();
             self.ids.retain(|uid, _| named.contains(uid.as_str()));
@@ -175,7 +180,7 @@
             "leaving" => EndpointState::Draining,
             "left" => EndpointState::Removed,
             state => {
-                tracing::warn!(endpoint = %discovered.uid, state, "unknown endpoint state, ignoring the endpoint");
+                tracing::warn!(endpoint = %discovered.uid, state, "unknown endpoint state, ignoring it");
                 return None;
             }
         };
@@ -223,7 +228,6 @@
 }
 
 /// The index of a name among those that the settings know; `u8::MAX` for an unknown one.
-#[allow(clippy::cast_possible_truncation)]
 fn index_of(known: &[String], name: &str) -> u8 {
     let index = known.iter().position(|other| other == name);
     index.map_or(u8::MAX, |index| index as u8)
--- a/crates/net/src/discovery/http.rs
+++ b/crates/net/src/discovery/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 responses (RFC 9112), as far as a client that reads short ones needs them. No I/O and no state: a response is
-//! parsed anew from its first byte whenever more bytes have arrived.
+//! HTTP/1.1 responses (RFC 9112), as far as a client that reads short ones needs them. No I/O and
+//! no state: a response is parsed anew from its first byte whenever more bytes have arrived.
 
 use std::error::Error;
 use std::fmt;
@@ -18,7 +18,8 @@
 pub struct Response {
     /// The body, with its chunks joined.
     pub body: Vec<u8>,
-    /// Whether the connection can carry another request: it stays open, and no bytes follow this response.
+    /// Whether the connection can carry another request: it stays open, and no bytes follow this
+    /// response.
     pub reusable: bool,
 }
 
@@ -201,7 +202,8 @@
     })
 }
 
-/// All values of a header field in lower case. A field may come more than once, and each may be a list.
+/// All values of a header field in lower case. A field may come more than once, and each may be a
+/// list.
 fn field_values(response: &httparse::Response, name: &str) -> Vec<String> {
     let mut values = vec![];
     for field in response.headers.iter() {
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -1,8 +1,9 @@
 //! Polls discovery for the endpoint list over HTTP.
 //!
-//! One thread, which drives all calls. A call without news waits at discovery for a change; the next one begins when it is
-//! answered, has failed or is late, so that a change arrives in time whatever becomes of single calls. State: the calls in
-//! flight, an idle connection, the version that was reached, and the backoff after failures.
+//! One thread, which drives all calls. A call without news waits at discovery for a change; the
+//! next one begins when it is answered, has failed or is late, so that a change arrives in time
+//! whatever becomes of single calls. State: the calls in flight, an idle connection, the version
+//! that was reached, and the backoff after failures.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -31,8 +32,8 @@
 const MIN_WATCH_WAIT: Span = Span::from_millis(2_000);
 /// The longest wait for news that a call asks a service for, in a large fleet.
 const MAX_WATCH_WAIT: Span = Span::from_millis(20_000);
-/// The same of an agent on this machine. Calls to it cost nothing, and short ones notice sooner that it has fallen silent and
-/// come back during a call.
+/// The same of an agent on this machine. Calls to it cost nothing, and short ones notice sooner
+/// that it has fallen silent and come back during a call.
 const AGENT_WATCH_WAIT: Duration = Duration::from_millis(100);
 /// When a call to an agent, which answers at once, is late.
 const AGENT_STALLED_AFTER: Duration = Duration::from_millis(100);
@@ -60,7 +61,8 @@
     Agent,
     /// A service that answers calls as soon as the list changes.
     PushService,
-    /// A service for all gateways, which answers a limited number of calls a second: a call waits for its turn.
+    /// A service for all gateways, which answers a limited number of calls a second: a call waits
+    /// for its turn.
     PollService,
 }
 
@@ -78,8 +80,8 @@
 impl PropagationDeadlines {
     fn new(source: DiscoverySource, site: &Site) -> Self {
         let max_poll_interval = site.settings.rules.max_poll_interval;
-        // Whatever failed before, a change has to arrive within `TOLD`: the next call begins earlier by as much as its
-        // response may take.
+        // Whatever failed before, a change has to arrive within `TOLD`: the next call begins
+        // earlier by as much as its response may take.
         let max_call_interval = (TOLD - TOLD_AFTER_WAIT).min(max_poll_interval.times(0.4));
         let total = duration(TOLD_AFTER_WAIT);
         match source {
@@ -203,7 +205,8 @@
 }
 
 impl Outage {
-    /// Logs each outage once: at once if discovery fails, and after [`STALLED_AFTER`] if it is silent.
+    /// Logs each outage once: at once if discovery fails, and after [`STALLED_AFTER`] if it is
+    /// silent.
     fn on_failure(&mut self, error: &PollError, address: SocketAddr) {
         let lasted = self.since.get_or_insert_with(Instant::now).elapsed();
         if !self.logged && (!error.is_timeout() || lasted >= STALLED_AFTER) {
@@ -262,8 +265,9 @@
         self
     }
 
-    /// Starts with the list of a former process, as it had it from this address at this version: polls for changes since then
-    /// if discovery is still there, and for the complete list otherwise.
+    /// Starts with the list of a former process, as it had it from this address at this version:
+    /// polls for changes since then if discovery is still there, and for the complete list
+    /// otherwise.
     ///
     /// # Errors
     /// The machine has no thread for the poller.
@@ -329,7 +333,8 @@
             let kind = self.next_call(&state, address, &outage);
             match self.poll(&mut state, address, kind) {
                 Ok(()) => {
-                    // Calls that are still in flight were begun earlier: their responses would be older.
+                    // Calls that are still in flight were begun earlier: their responses would be
+                    // older.
                     state.calls.clear();
                     outage.on_success(address);
                     self.backoff.answered();
@@ -344,8 +349,8 @@
         }
     }
 
-    /// What the next call asks for. Versions belong to the address that counted them: another one is asked for the complete
-    /// list first.
+    /// What the next call asks for. Versions belong to the address that counted them: another one
+    /// is asked for the complete list first.
     fn next_call(&self, state: &PollState, address: SocketAddr, outage: &Outage) -> CallKind {
         let max_wait = self.max_wait(outage);
         match state.reached {
@@ -357,7 +362,8 @@
         }
     }
 
-    /// How long a call may wait for news; short in an outage, so that the next call is not held up for long either.
+    /// How long a call may wait for news; short in an outage, so that the next call is not held up
+    /// for long either.
     fn max_wait(&self, outage: &Outage) -> Duration {
         if self.source == DiscoverySource::Agent {
             return AGENT_WATCH_WAIT;
@@ -383,8 +389,9 @@
         let connection = state.idle_connection.take();
         let response = self.call(&mut state.calls, connection, address, kind)?;
         state.idle_connection = response.connection;
-        // A version below the one that was asked from comes from a discovery that counts anew or lags behind. The complete
-        // list, which is asked for next, decides: it counts whatever its version.
+        // A version below the one that was asked from comes from a discovery that counts anew or
+        // lags behind. The complete list, which is asked for next, decides: it counts whatever its
+        // version.
         state.reached = None;
         let version = response.list.version;
         if let Some(since) = response.since.filter(|since| version < *since) {
@@ -455,7 +462,8 @@
         if self.source == DiscoverySource::Agent && error.is_timeout() {
             return;
         }
-        // The next call has to begin early enough for changes from before this call began, and from before it failed.
+        // The next call has to begin early enough for changes from before this call began, and from
+        // before it failed.
         let max_interval = duration(self.deadlines.max_call_interval);
         let after_wait = kind.max_wait() + duration(TOLD_AFTER_WAIT) / 2;
         let latest = began_at + max_interval.max(after_wait);
--- a/crates/net/src/discovery/watch.rs
+++ b/crates/net/src/discovery/watch.rs
@@ -1,6 +1,8 @@
-//! Calls to discovery. Several may be in flight at once, each on a connection of its own; the first response counts.
+//! Calls to discovery. Several may be in flight at once, each on a connection of its own; the first
+//! response counts.
 //!
-//! All calls of a poller are driven by its one thread. State: a call's unsent request, and what of its response has arrived.
+//! All calls of a poller are driven by its one thread. State: a call's unsent request, and what of
+//! its response has arrived.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -85,7 +87,8 @@
 }
 
 impl DiscoveryConnection {
-    /// Begins to connect and does not wait: a connect that hangs is abandoned like a call that does.
+    /// Begins to connect and does not wait: a connect that hangs is abandoned like a call that
+    /// does.
     pub(super) fn connect(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -295,8 +298,8 @@
     pub response: Response,
 }
 
-/// Waits until one of these calls is answered, or until the last of them has failed or is late. Calls that have failed or are
-/// abandoned are removed.
+/// Waits until one of these calls is answered, or until the last of them has failed or is late.
+/// Calls that have failed or are abandoned are removed.
 ///
 /// # Errors
 /// Why the last call failed, or that it is late.
@@ -336,8 +339,8 @@
     }
 }
 
-/// Waits until one of these calls can advance, the last is late, or one is to be abandoned; returns for each call whether it
-/// can advance.
+/// Waits until one of these calls can advance, the last is late, or one is to be abandoned; returns
+/// for each call whether it can advance.
 fn wait_until_ready(calls: &[DiscoveryCall]) -> io::Result<Vec<bool>> {
     let abandoned_at = calls.iter().map(DiscoveryCall::abandoned_at);
     let until = abandoned_at
@@ -354,7 +357,8 @@
                 let is_ready = |socket: &PollFd<'_>| !socket.revents().is_empty();
                 return Ok(sockets.iter().map(is_ready).collect());
             }
-            // Also after the process was stopped: what has arrived meanwhile is read before a call counts as late.
+            // Also after the process was stopped: what has arrived meanwhile is read before a call
+            // counts as late.
             Err(Errno::INTR) => {}
             Err(e) => return Err(e.into()),
         }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,6 +1,7 @@
 //! The event loop of a front's core, which runs on the caller's thread.
 //!
-//! Each turn takes the events that have arrived, reads the clock once, lets the core reduce them, and carries out the effects.
+//! Each turn takes the events that have arrived, reads the clock once, lets the core reduce them,
+//! and carries out the effects.
 
 use std::time::Duration;
 
@@ -31,14 +32,13 @@
     Exit,
 }
 
-/// Runs a core until `carry_out` says to exit, or no thread can send events any more. What `carry_out` returns at the end of a
-/// turn is of no account.
-#[allow(clippy::cast_sign_loss)]
+/// Runs a core until `execute` says to exit, or no thread can send events any more. What
+/// `execute` returns at the end of a turn is of no account.
 pub fn run(
     state: &mut State,
     clock: Clock,
     events: &Receiver<Event>,
-    mut carry_out: impl FnMut(TurnStep) -> LoopControl,
+    mut execute: impl FnMut(TurnStep) -> LoopControl,
 ) {
     let mut effects = vec![];
     let mut now = clock.now();
@@ -55,10 +55,10 @@
         now = clock.now();
         state.reduce(now, batch, &mut effects);
         for effect in effects.drain(..) {
-            if carry_out(TurnStep::Effect(effect)) == LoopControl::Exit {
+            if execute(TurnStep::Effect(effect)) == LoopControl::Exit {
                 return;
             }
         }
-        carry_out(TurnStep::EndOfTurn);
+        execute(TurnStep::EndOfTurn);
     }
 }
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -1,11 +1,13 @@
 //! Gossip between gateways over UDP: membership, and endpoint lists for gateways that have none.
 //!
-//! A datagram has 256 bytes at most: a header with a version, a channel and the fleet, then a message. Messages are opaque
-//! here, and the packages that encode them know neither sockets nor the header. A datagram of another version or fleet, or from
-//! an address that no gateway may have, is counted and dropped.
+//! A datagram has 256 bytes at most: a header with a version, a channel and the fleet, then a
+//! message. Messages are opaque here, and the packages that encode them know neither sockets nor
+//! the header. A datagram of another version or fleet, or from an address that no gateway may have,
+//! is counted and dropped.
 //!
-//! One thread receives and runs the timers; any thread may report something, and sends what follows from it. State: the
-//! membership and the requests for lists, each behind a mutex that is not held while a datagram is sent.
+//! One thread receives and runs the timers; any thread may report something, and sends what follows
+//! from it. State: the membership and the requests for lists, each behind a mutex that is not held
+//! while a datagram is sent.
 
 use std::error::Error;
 use std::fmt;
@@ -263,7 +265,7 @@
             let phase = phase_name(change.card.phase);
             tracing::info!(phase, peer = %change.about, "gateway changed its phase");
         }
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     fn run(&self) {
@@ -329,7 +331,7 @@
         let is_missing = |front: usize| lock(&self.lists[front].store).cache().told.is_none();
         let mut effects = vec![];
         lock(&self.list_requests).tick(now(), is_missing, || self.live_gateways(), &mut effects);
-        self.carry_out_lists(effects);
+        self.execute_list_effects(effects);
     }
 
     fn on_list_message(&self, from: SocketAddr, message: &[u8]) {
@@ -341,10 +343,10 @@
         };
         lock(&self.list_requests).receive(now(), from, message, confirmed_list, &mut effects);
         drop(stores);
-        self.carry_out_lists(effects);
+        self.execute_list_effects(effects);
     }
 
-    fn carry_out_lists(&self, effects: Vec<lists::Effect>) {
+    fn execute_list_effects(&self, effects: Vec<lists::Effect>) {
         for effect in effects {
             match effect {
                 lists::Effect::Send { to, bytes } => self.send(LISTS_CHANNEL, to, &bytes),
@@ -399,7 +401,7 @@
         }
     }
 
-    fn carry_out(&self, effects: Vec<Effect>) {
+    fn execute(&self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => self.send(MEMBERSHIP_CHANNEL, to, &bytes),
@@ -417,7 +419,8 @@
     }
 }
 
-/// Whether a receive brought nothing. An unreachable peer shows as a refused connection, and is noticed by its silence anyway.
+/// Whether a receive brought nothing. An unreachable peer shows as a refused connection, and is
+/// noticed by its silence anyway.
 fn is_silence(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -436,7 +439,8 @@
     }
 }
 
-/// The number of a build such as 1.2.3: its last two parts, which differ between the builds of one fleet.
+/// The number of a build such as 1.2.3: its last two parts, which differ between the builds of one
+/// fleet.
 fn build_number(version: &str) -> u16 {
     let mut parts = version
         .split('.')
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -1,8 +1,8 @@
-//! The side of a hot restart that a serving process has: hands over to its successor, and shares the gateway's limits with its
-//! predecessor and its successor while they live.
+//! The side of a hot restart that a serving process has: hands over to its successor, and shares
+//! the gateway's limits with its predecessor and its successor while they live.
 //!
-//! One thread carries out what the state machine says; it alone has the connections to both. Further threads read from the
-//! predecessor, accept successors, and read from each of them.
+//! One thread carries out what the state machine says; it alone has the connections to both.
+//! Further threads read from the predecessor, accept successors, and read from each of them.
 
 use std::fs;
 use std::io::{self, ErrorKind, Write};
@@ -69,7 +69,8 @@
         let _ = self.0.try_send(stop);
     }
 
-    /// Forwards an encoded endpoint list from discovery to the other process. Blocks while the queue is full.
+    /// Forwards an encoded endpoint list from discovery to the other process. Blocks while the
+    /// queue is full.
     pub fn forward_list(&self, list: Vec<u8>) {
         let _ = self.0.send(ExporterEvent::ListDiscovered(list));
     }
@@ -90,8 +91,9 @@
 }
 
 impl HotRestart {
-    /// Starts the threads. The process serves, and once this returns a successor finds it. `predecessor` is the connection to
-    /// the old process, if there is one; it is told that this one is ready.
+    /// Starts the threads. The process serves, and once this returns a successor finds it.
+    /// `predecessor` is the connection to the old process, if there is one; it is told that this
+    /// one is ready.
     ///
     /// # Errors
     /// The machine has no thread or descriptor.
@@ -123,7 +125,7 @@
         };
         let mut actions = vec![];
         exporter.state_machine.serves(&mut actions);
-        exporter.carry_out(&mut actions);
+        exporter.execute(&mut actions);
         spawn("handover", move || exporter.run(&inbox))?;
         Ok(handle)
     }
@@ -171,7 +173,7 @@
                 }
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.carry_out(&mut actions);
+            self.execute(&mut actions);
         }
     }
 
@@ -179,7 +181,8 @@
         match event {
             ExporterEvent::StateMachine(event) => {
                 match event {
-                    // Connections in its backlog would never be accepted if this process kept it open.
+                    // Connections in its backlog would never be accepted if this process kept it
+                    // open.
                     HandoffEvent::Stop => self.restart.listener = None,
                     HandoffEvent::Gone(peer) => {
                         drop(self.successor.take_if(|successor| successor.peer == peer));
@@ -217,7 +220,7 @@
         }
     }
 
-    fn carry_out(&mut self, actions: &mut Vec<HandoffAction>) {
+    fn execute(&mut self, actions: &mut Vec<HandoffAction>) {
         for action in std::mem::take(actions) {
             match action {
                 HandoffAction::Hand(peer) => self.hand_over_or_give_up(peer),
@@ -293,7 +296,8 @@
         Ok(())
     }
 
-    /// Listens under a name of its own, once, and links the path to it in place of the predecessor's.
+    /// Listens under a name of its own, once, and links the path to it in place of the
+    /// predecessor's.
     fn take_over_path(&mut self) -> io::Result<()> {
         let process = std::process::id();
         let own = self.path_with_suffix(&format!("{process}"));
--- a/crates/net/src/hot_restart/importer.rs
+++ b/crates/net/src/hot_restart/importer.rs
@@ -12,7 +12,8 @@
 use super::socket::{invalid_data, receive_with_listener, send};
 use super::{HANDOFF_TIMEOUT, RETRY_INTERVAL, WRITE_TIMEOUT};
 
-/// How long a handoff is requested again while another hot restart is under way, which ends within this time.
+/// How long a handoff is requested again while another hot restart is under way, which ends within
+/// this time.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What the old process has handed over.
@@ -50,8 +51,8 @@
     Busy,
 }
 
-/// Requests a handoff from the process that listens at this path for the gateway of this name. Blocks for 5 s at the most while
-/// another hot restart is under way, and 1.5 s for each answer.
+/// Requests a handoff from the process that listens at this path for the gateway of this name.
+/// Blocks for 5 s at the most while another hot restart is under way, and 1.5 s for each answer.
 pub fn request_handoff(path: &Path, gateway: &str) -> HandoffOutcome {
     let until = Instant::now() + BUSY_TIMEOUT;
     loop {
--- a/crates/net/src/hot_restart/socket.rs
+++ b/crates/net/src/hot_restart/socket.rs
@@ -1,4 +1,5 @@
-//! Messages over the Unix socket between two processes of a gateway, and the listening socket that goes along with one.
+//! Messages over the Unix socket between two processes of a gateway, and the listening socket that
+//! goes along with one.
 
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway's I/O: sockets, threads, signals and the log.
 //!
-//! Nothing here decides: threads tell the core what happened ([`valehatch_core::Event`]), the event loop lets it reduce the
-//! events, and the effects are carried out here.
+//! Nothing here decides: threads tell the core what happened ([`valehatch_core::Event`]), the event
+//! loop lets it reduce the events, and the effects are carried out here.
 //!
 //! - [`clients`]: downstream connections.
 //! - [`upstream`]: upstream connections.
--- a/crates/net/src/log.rs
+++ b/crates/net/src/log.rs
@@ -1,6 +1,7 @@
 //! The log: structured lines on standard error, limited in number.
 //!
-//! Any thread may log. State: the lines of the current second, and the number of suppressed lines, all atomic.
+//! Any thread may log. State: the lines of the current second, and the number of suppressed lines,
+//! all atomic.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
@@ -25,7 +26,8 @@
     SUPPRESSED.load(Ordering::Relaxed)
 }
 
-/// Lets a number of lines a second through and suppresses the rest; the first line of a later second says how many those were.
+/// Lets a number of lines a second through and suppresses the rest; the first line of a later
+/// second says how many those were.
 struct LineLimit {
     lines_per_s: u64,
     started_at: Instant,
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,5 @@
-//! The process's signals: SIGTERM and SIGINT request a planned shutdown, SIGHUP a reload of the configuration.
+//! The process's signals: SIGTERM and SIGINT request a planned shutdown, SIGHUP a reload of the
+//! configuration.
 //!
 //! One thread, which waits for them.
 
@@ -20,8 +21,8 @@
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Starts the thread. At SIGTERM and SIGINT it calls `on_shutdown` and then tells the cores, at SIGHUP it calls `on_reload`, each
-/// as often as the signal comes.
+/// Starts the thread. At SIGTERM and SIGINT it calls `on_shutdown` and then tells the cores, at
+/// SIGHUP it calls `on_reload`, each as often as the signal comes.
 ///
 /// # Errors
 /// The machine has no thread for it.
--- a/crates/net/src/threads.rs
+++ b/crates/net/src/threads.rs
@@ -1,4 +1,5 @@
-//! Threads with small stacks, which are reused when the next one is needed soon, and locks that outlive a panic.
+//! Threads with small stacks, which are reused when the next one is needed soon, and locks that
+//! outlive a panic.
 //!
 //! State: the idle threads, shared by the whole program.
 
@@ -11,8 +12,9 @@
 
 /// Large data is on the heap, so threads need little stack.
 const STACK_BYTES: usize = 128 * 1024;
-/// How long an idle thread waits for its next job. Connections come and go by the hundreds, and starting a thread costs more than
-/// most of them do; each idle one keeps the allocator's memory for it.
+/// How long an idle thread waits for its next job. Connections come and go by the hundreds, and
+/// starting a thread costs more than most of them do; each idle one keeps the allocator's memory
+/// for it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 type Job = Box<dyn FnOnce() + Send>;
@@ -20,8 +22,8 @@
 /// Idle threads; the one that has waited for the shortest time is last.
 static IDLE: Mutex<Vec<Sender<Job>>> = Mutex::new(vec![]);
 
-/// Runs a job on a thread with a small stack: the one that became idle last, so that threads that are not needed end, or a new
-/// one, which gets this name.
+/// Runs a job on a thread with a small stack: the one that became idle last, so that threads that
+/// are not needed end, or a new one, which gets this name.
 ///
 /// # Errors
 /// The machine has no more threads.
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -1,7 +1,8 @@
 //! Upstream connections: carries attempts to endpoints and their replies back to the core.
 //!
-//! The core's thread drives all connections of a front through [`Upstream`] and never waits for any of them. In
-//! [`EndpointPools`] a connection that carries a request has a thread, and an idle one has none.
+//! The core's thread drives all connections of a front through [`Upstream`] and never waits for any
+//! of them. In [`EndpointPools`] a connection that carries a request has a thread, and an idle one
+//! has none.
 
 mod body;
 mod clock_check;
@@ -18,8 +19,8 @@
 
 use crate::clients::ResponseBody;
 
-/// Opens the streamed response of the client that waits for a reply; `None` if no client does. What is not finished on it is
-/// truncated when its last reference is dropped.
+/// Opens the streamed response of the client that waits for a reply; `None` if no client does. What
+/// is not finished on it is truncated when its last reference is dropped.
 pub type BodyOpener<'a> = &'a dyn Fn() -> Option<Arc<ResponseBody>>;
 
 /// A reply, and whether its connection can carry another request.
@@ -30,8 +31,8 @@
     pub reusable: bool,
 }
 
-/// The server side of one protocol: one request at a time on each connection. One instance serves all connections, from several
-/// threads at once; each method may block.
+/// The server side of one protocol: one request at a time on each connection. One instance serves
+/// all connections, from several threads at once; each method may block.
 pub trait Protocol: Send + Sync + 'static {
     /// Makes a new connection ready for requests. The socket has a read timeout meanwhile.
     ///
@@ -40,9 +41,9 @@
     fn open(&self, stream: &TcpStream) -> Result<(), Outcome>;
     /// Encodes a job. The gateway waits this many milliseconds for the reply.
     fn request(&self, job: &UpstreamJob, left_ms: i64) -> Vec<u8>;
-    /// Reads the whole reply to the bytes that were sent. A body that is too long to be buffered is written to what `open_body`
-    /// opens, but for its last bytes: these are the reply's body, and are written once the core knows that the connection is
-    /// free.
+    /// Reads the whole reply to the bytes that were sent. A body that is too long to be buffered is
+    /// written to what `open_body` opens, but for its last bytes: these are the reply's body, and
+    /// are written once the core knows that the connection is free.
     fn answer(
         &self,
         stream: &TcpStream,
@@ -54,11 +55,13 @@
 
 /// All upstream connections of a front, as the core's thread uses them. No method blocks.
 pub trait Upstream: Send {
-    /// The core is about to use a connection to this address. It may be opened as late as the first job.
+    /// The core is about to use a connection to this address. It may be opened as late as the first
+    /// job.
     fn connect(&mut self, connection: ConnectionId, address: &Arc<str>);
     /// Carries out a job on an idle connection.
     fn submit(&mut self, connection: ConnectionId, job: UpstreamJob);
-    /// The streamed response that a connection has asked for; `None` if the client has disconnected.
+    /// The streamed response that a connection has asked for; `None` if the client has
+    /// disconnected.
     fn forward_body(&mut self, _connection: ConnectionId, _body: Option<ResponseBody>) {}
     /// Closes a connection, whatever it carries.
     fn close(&mut self, connection: ConnectionId);
--- a/crates/net/src/upstream/clock_check.rs
+++ b/crates/net/src/upstream/clock_check.rs
@@ -1,4 +1,5 @@
-//! Checks the times that endpoints report: corrects the cluster's clock by them, and drops those that cannot be true.
+//! Checks the times that endpoints report: corrects the cluster's clock by them, and drops those
+//! that cannot be true.
 //!
 //! Runs on the thread of the attempt, under the lock of the cluster's clock. No state of its own.
 
@@ -57,9 +58,9 @@
     Time(unix_micros.saturating_sub(cluster.offset()))
 }
 
-/// Corrects the cluster's clock by the times in a reply, and replaces these by times on this machine's clock. Positions that
-/// cannot be true are dropped, and all of a replica while the clock has to be verified and is not: otherwise data might be taken
-/// for newer than it is.
+/// Corrects the cluster's clock by the times in a reply, and replaces these by times on this
+/// machine's clock. Positions that cannot be true are dropped, and all of a replica while the clock
+/// has to be verified and is not: otherwise data might be taken for newer than it is.
 pub(super) fn check_times(
     cluster: &mut ClusterClock,
     reply: &mut UpstreamReply,
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -1,7 +1,8 @@
 //! One upstream connection, which carries one job at a time.
 //!
-//! A job runs on its own thread: it connects if need be, writes the request, reads the reply and tells the core. The core's
-//! thread may close the connection meanwhile. State: the connection itself, of which the idle one is kept for the next job.
+//! A job runs on its own thread: it connects if need be, writes the request, reads the reply and
+//! tells the core. The core's thread may close the connection meanwhile. State: the connection
+//! itself, of which the idle one is kept for the next job.
 
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Write};
@@ -41,7 +42,8 @@
     pub limiter: Arc<SharedConnectionLimiter>,
 }
 
-/// What the core's thread may do at any time: close the connection, and hand over a response to stream to.
+/// What the core's thread may do at any time: close the connection, and hand over a response to
+/// stream to.
 #[derive(Default)]
 pub(super) struct ConnectionControl {
     pub closed: bool,
@@ -50,7 +52,8 @@
     pub body_waiter: Option<Sender<ResponseBody>>,
 }
 
-/// An established connection. Its slot is given back after its descriptor: fields are dropped in order.
+/// An established connection. Its slot is given back after its descriptor: fields are dropped in
+/// order.
 pub(super) struct PooledConnection {
     stream: TcpStream,
     _slot: UpstreamSlot,
@@ -119,14 +122,16 @@
 
     /// Carries out a job and tells the core its outcome.
     pub(super) fn run(&self, job: &UpstreamJob) {
-        // An endpoint that has closed an idle connection, or was restarted, shows it before anything is written: the request
-        // then goes over a new connection and has not been sent yet.
+        // An endpoint that has closed an idle connection, or was restarted, shows it before
+        // anything is written: the request then goes over a new connection and has not been sent
+        // yet.
         let idle = lock(&self.idle).take();
         let connection = match idle.filter(|idle| is_quiet(idle)) {
             Some(connection) => Ok(connection),
             None => self.open(job),
         };
-        // A streamed response that was not finished is truncated when this function returns, after the core has learnt why.
+        // A streamed response that was not finished is truncated when this function returns, after
+        // the core has learnt why.
         let body = RefCell::new(None);
         let exchange = match connection {
             Err(outcome) => Exchange::not_sent(outcome, false),
@@ -148,8 +153,9 @@
         self.report(exchange, body.into_inner());
     }
 
-    /// Tells the core the outcome, and then writes the last bytes of a streamed response: the client may send its next request
-    /// as soon as it has them, and this connection has to be free by then.
+    /// Tells the core the outcome, and then writes the last bytes of a streamed response: the
+    /// client may send its next request as soon as it has them, and this connection has to be free
+    /// by then.
     fn report(&self, exchange: Exchange, body: Option<Arc<ResponseBody>>) {
         let ReceivedReply {
             mut reply,
@@ -159,8 +165,8 @@
         if body.is_some() && reply.outcome == Outcome::Ok {
             last_bytes = reply.body.take();
         }
-        // Held until the event is queued: the core learns a correction of the clock before or after all times of this reply,
-        // and not in between.
+        // Held until the event is queued: the core learns a correction of the clock before or after
+        // all times of this reply, and not in between.
         let mut cluster = self.context.clock.cluster();
         if let Some(sent_at) = exchange.sent_at {
             let window = ReplyWindow {
@@ -188,7 +194,8 @@
         }
     }
 
-    /// Connects and runs the protocol's handshake, both within the connect timeout and the job's deadline.
+    /// Connects and runs the protocol's handshake, both within the connect timeout and the job's
+    /// deadline.
     fn open(&self, job: &UpstreamJob) -> Result<Arc<PooledConnection>, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
         let address = self.address.ok_or(Outcome::ConnectFailed)?;
@@ -228,8 +235,8 @@
         Ok(connection)
     }
 
-    /// Connects. A failure for want of a local resource says nothing about the endpoint and is mostly over in a moment, so the
-    /// connect is retried.
+    /// Connects. A failure for want of a local resource says nothing about the endpoint and is
+    /// mostly over in a moment, so the connect is retried.
     fn connect(&self, address: &SocketAddr, timeout: Duration) -> Result<TcpStream, Outcome> {
         let began_at = Instant::now();
         let mut pause = LOCAL_RETRY_INTERVAL;
@@ -254,7 +261,8 @@
     fn exchange(&self, stream: &TcpStream, job: &UpstreamJob, open_body: BodyOpener) -> Exchange {
         let sent_at = self.context.clock.now();
         let left_ms = match job {
-            // The connect may have outlived the request, the endpoint's permit or the window for a retry.
+            // The connect may have outlived the request, the endpoint's permit or the window for a
+            // retry.
             UpstreamJob::Request { permit, .. } if permit.try_acquire(sent_at).is_err() => {
                 return Exchange::not_sent(Outcome::NotSent, true);
             }
@@ -264,7 +272,8 @@
             }
         };
         let request = self.context.protocol.request(job, left_ms.max(1));
-        // A failure before the last byte is written means that nothing ran; after it, the request may have run.
+        // A failure before the last byte is written means that nothing ran; after it, the request
+        // may have run.
         let mut writer = stream;
         if writer.write_all(&request).is_err() {
             return Exchange::not_sent(Outcome::ConnectFailed, false);
--- a/crates/net/src/upstream/pool.rs
+++ b/crates/net/src/upstream/pool.rs
@@ -1,7 +1,7 @@
 //! Upstream connections that carry one request at a time, by the core's ids.
 //!
-//! Used by the core's thread only; each job runs on a thread of its own. State: one [`UpstreamConnection`] for each connection
-//! that the core has.
+//! Used by the core's thread only; each job runs on a thread of its own. State: one
+//! [`UpstreamConnection`] for each connection that the core has.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,7 +25,8 @@
 }
 
 impl EndpointPools {
-    /// Pools without connections. `connect_timeout` is for connecting and the protocol's handshake together.
+    /// Pools without connections. `connect_timeout` is for connecting and the protocol's handshake
+    /// together.
     pub fn new(
         protocol: Arc<dyn Protocol>,
         events: Sender<Event>,
@@ -48,8 +49,9 @@
         }
     }
 
-    /// Whether positions count only once a primary has confirmed this machine's clock: where endpoints do not check the age of
-    /// their own data, nobody else would notice that it is taken for newer than it is.
+    /// Whether positions count only once a primary has confirmed this machine's clock: where
+    /// endpoints do not check the age of their own data, nobody else would notice that it is taken
+    /// for newer than it is.
     #[must_use]
     pub fn require_verified_clock(mut self, required: bool) -> Self {
         Arc::make_mut(&mut self.context).requires_verified_clock = required;
@@ -72,8 +74,8 @@
         self.connections.insert(connection, Arc::new(upstream));
     }
 
-    /// Runs the job on a thread of the shared ones. An idle connection has none, since a gateway of a large fleet has a
-    /// connection to nearly every endpoint and uses each seldom.
+    /// Runs the job on a thread of the shared ones. An idle connection has none, since a gateway of
+    /// a large fleet has a connection to nearly every endpoint and uses each seldom.
     fn submit(&mut self, connection: ConnectionId, job: UpstreamJob) {
         let Some(upstream) = self.connections.get(&connection).map(Arc::clone) else {
             return;
@@ -82,7 +84,8 @@
             return;
         };
         tracing::warn!(error = %e, "no thread for an upstream connection");
-        // Not `send`: this is the core's own thread, which would wait for itself if its queue is full.
+        // Not `send`: this is the core's own thread, which would wait for itself if its queue is
+        // full.
         let ended = self.context.events.try_send(Event::AttemptEnded {
             connection,
             reply: UpstreamReply::bare(Outcome::LocalFailure),
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/gossip_header.rs
@@ -1,4 +1,5 @@
-//! Bytes in front of each datagram between gateways: version, channel, and the hash of the fleet's name.
+//! Bytes in front of each datagram between gateways: version, channel, and the hash of the fleet's
+//! name.
 
 use std::net::UdpSocket;
 use std::time::Duration;
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -27,7 +27,8 @@
         true,
     ),
     (
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nContent-Length: 1\r\n\r\n0005 ;a=\"b\"\r\nhello\r\n0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nContent-Length: 1\r\n\r\n\
+         0005 ;a=\"b\"\r\nhello\r\n0\r\n\r\n",
         "hello",
         true,
     ),
@@ -37,7 +38,8 @@
         true,
     ),
     (
-        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n\
+         HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "hello",
         true,
     ),
