--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -20,7 +20,7 @@
 use valehatch_net::discovery::{
     AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig, configured,
 };
-use valehatch_net::gossip_transport::GossipTransport;
+use valehatch_net::gossip_transport::{GossipConfig, GossipTransport, GossipedList, ServicePhase};
 use valehatch_net::{Clock, signals};
 use valehatch_policy::Span;
 use valehatch_recovery::snapshot::Snapshot;
@@ -254,7 +254,7 @@
                 .map_err(StartError::resource("recovery"))?;
         if let (None, Some(gossip)) = (&writer, gossip) {
             // Without a state folder nothing follows how complete service is: the other gateways take it as complete.
-            gossip.full(true);
+            gossip.set_service_phase(ServicePhase::Full);
         }
         Ok(writer)
     }
@@ -275,17 +275,19 @@
         }
         let seed = getrandom::u64().map_err(StartError::resource("peers: no random number"))?;
         let lists = fronts.iter().filter_map(|front| {
-            let endpoint_list = front.endpoint_list.clone()?;
-            Some((Arc::clone(&front.name), endpoint_list))
+            Some(GossipedList {
+                front: Arc::clone(&front.name),
+                store: front.endpoint_list.clone()?,
+            })
         });
-        let gossip = GossipTransport::start(
+        let gossip = GossipTransport::start(GossipConfig {
             peers,
-            self.file.gateways,
+            configured_gateways: self.file.gateways,
             seed,
-            events.to_vec(),
-            Arc::clone(&self.gateway_count),
-            lists.collect(),
-        );
+            cores: events.to_vec(),
+            gateway_count: Arc::clone(&self.gateway_count),
+            lists: lists.collect(),
+        });
         gossip.map(Some).map_err(StartError::configuration)
     }
 }
--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -12,7 +12,7 @@
 
 use tracing::{info, warn};
 use valehatch_config::operators::OperatorConfig;
-use valehatch_net::gossip_transport::GossipTransport;
+use valehatch_net::gossip_transport::{GossipTransport, ServicePhase};
 use valehatch_net::{Clock, lock};
 use valehatch_recovery::service::ServiceState;
 use valehatch_recovery::snapshot::Snapshot;
@@ -157,7 +157,10 @@
             }
         };
         if let Some(gossip) = &self.gossip {
-            gossip.full(matches!(state, ServiceState::Full { .. }));
+            gossip.set_service_phase(match state {
+                ServiceState::Full { .. } => ServicePhase::Full,
+                ServiceState::Recovering(_) => ServicePhase::Starting,
+            });
         }
         let text = json.to_string();
         let result = snapshot::replace(
@@ -177,7 +180,7 @@
             gateway: self.gateway.clone(),
             at_ms,
             fronts: fronts.map(|front| front.snapshot(at_ms, now)).collect(),
-            gateways: gossip.map(|gossip| gossip.living()).unwrap_or_default(),
+            gateways: gossip.map(|gossip| gossip.live_gateways()).unwrap_or_default(),
         }
     }
 }
