--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -180,7 +180,9 @@
             gateway: self.gateway.clone(),
             at_ms,
             fronts: fronts.map(|front| front.snapshot(at_ms, now)).collect(),
-            gateways: gossip.map(|gossip| gossip.live_gateways()).unwrap_or_default(),
+            gateways: gossip
+                .map(|gossip| gossip.live_gateways())
+                .unwrap_or_default(),
         }
     }
 }
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -85,7 +85,8 @@
         let max_poll_interval = site.settings.rules.max_poll_interval;
         // Whatever failed before, a change has to arrive within `PROPAGATION_DEADLINE`: the next call begins
         // earlier by as much as its response may take.
-        let max_call_interval = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT).min(max_poll_interval.times(0.4));
+        let max_call_interval = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT)
+            .min(max_poll_interval.times(0.4));
         let total = duration(PROPAGATION_DEADLINE_AFTER_WAIT);
         match source {
             DiscoverySource::Agent => {
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -26,9 +26,7 @@
 use valehatch_core::Event;
 use valehatch_membership::view_changes::{ChangeReason, ViewChange};
 use valehatch_membership::wire::Phase;
-use valehatch_membership::{
-    Effect, InvalidSettings, Load, Membership, MembershipEvent, Settings,
-};
+use valehatch_membership::{Effect, InvalidSettings, Load, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 use valehatch_recovery::list_exchange::{self as lists, ConfirmedList, ListExchange};
 
--- a/crates/net/src/gossip_transport/tests.rs
+++ b/crates/net/src/gossip_transport/tests.rs
@@ -23,8 +23,8 @@
     );
     const {
         assert!(
-            HEADER_BYTES + valehatch_membership::wire::MOST <= MAX_DATAGRAM_BYTES
-                && HEADER_BYTES + lists::MOST <= MAX_DATAGRAM_BYTES
+            HEADER_BYTES + valehatch_membership::wire::MAX_DATAGRAM_BYTES <= MAX_DATAGRAM_BYTES
+                && HEADER_BYTES + lists::MAX_DATAGRAM_BYTES <= MAX_DATAGRAM_BYTES
         )
     };
 }
--- a/crates/notifications/src/groups.rs
+++ b/crates/notifications/src/groups.rs
@@ -78,7 +78,7 @@
 /// The name of an endpoint; its number if it is not on the list.
 fn endpoint_name(live: &LiveView, endpoint: EndpointId) -> Arc<str> {
     let listed = live
-        .members
+        .endpoints
         .iter()
         .find(|member| member.view.endpoint == endpoint);
     match listed {
--- a/crates/notifications/src/monitor.rs
+++ b/crates/notifications/src/monitor.rs
@@ -173,7 +173,9 @@
     }
 
     fn compare_quotas(&mut self, front: &FrontStatus<'_>) {
-        for ((tenant, quota_per_s), rate_per_s) in front.tenants.iter().zip(&front.live.request_rates) {
+        for ((tenant, quota_per_s), rate_per_s) in
+            front.tenants.iter().zip(&front.live.request_rates)
+        {
             #[allow(
                 clippy::cast_precision_loss,
                 clippy::cast_possible_truncation,
--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -115,8 +115,12 @@
             live: &self.live,
             tenants: &self.tenants,
         };
-        self.monitor
-            .look(self.live.taken_at, &[front], &self.counters, self.state_fault)
+        self.monitor.look(
+            self.live.taken_at,
+            &[front],
+            &self.counters,
+            self.state_fault,
+        )
     }
 
     fn kinds(&mut self, at_ms: i64) -> Vec<NotificationKind> {
