--- a/crates/net/src/discovery/endpoint_list.rs
+++ b/crates/net/src/discovery/endpoint_list.rs
@@ -107,12 +107,11 @@
     pub fn apply_unconfirmed(
         &mut self,
         endpoints: Vec<DiscoveredEndpoint>,
-        told: (SocketAddr, u64),
+        (source, version): (SocketAddr, u64),
     ) -> bool {
         if self.cache.told.is_some() {
             return false;
         }
-        let (source, version) = told;
         self.apply(source, complete_list(version, endpoints));
         true
     }
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -274,9 +274,8 @@
     pub fn resume(
         self,
         endpoints: Vec<DiscoveredEndpoint>,
-        told: (SocketAddr, u64),
+        (source, version): (SocketAddr, u64),
     ) -> std::io::Result<()> {
-        let (source, version) = told;
         let version = lock(&self.store).apply(source, complete_list(version, endpoints));
         let reached = ListVersion { source, version };
         let is_current = source == self.address.current();
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -84,11 +84,23 @@
 }
 
 impl Exchange {
-    const fn not_sent(outcome: Outcome, reusable: bool) -> Self {
+    /// No request was written, and the connection is of no further use.
+    const fn failed(outcome: Outcome) -> Self {
         Self {
             received: ReceivedReply {
                 reply: UpstreamReply::bare(outcome),
-                reusable,
+                reusable: false,
+            },
+            sent_at: None,
+        }
+    }
+
+    /// The request must not be sent any more; the connection is ready for the next one.
+    const fn not_sent() -> Self {
+        Self {
+            received: ReceivedReply {
+                reply: UpstreamReply::bare(Outcome::NotSent),
+                reusable: true,
             },
             sent_at: None,
         }
@@ -134,7 +146,7 @@
         // the core has learnt why.
         let body = RefCell::new(None);
         let exchange = match connection {
-            Err(outcome) => Exchange::not_sent(outcome, false),
+            Err(outcome) => Exchange::failed(outcome),
             Ok(connection) => {
                 let open_body = || {
                     let opened = self.open_body(&connection)?;
@@ -264,7 +276,7 @@
             // The connect may have outlived the request, the endpoint's permit or the window for a
             // retry.
             UpstreamJob::Request { permit, .. } if permit.try_acquire(sent_at).is_err() => {
-                return Exchange::not_sent(Outcome::NotSent, true);
+                return Exchange::not_sent();
             }
             UpstreamJob::Request { until, .. } => (*until - sent_at).0 / 1000,
             UpstreamJob::HealthCheck => {
@@ -276,7 +288,7 @@
         // may have run.
         let mut writer = stream;
         if writer.write_all(&request).is_err() {
-            return Exchange::not_sent(Outcome::ConnectFailed, false);
+            return Exchange::failed(Outcome::ConnectFailed);
         }
         if let (UpstreamJob::Request { payload, .. }, Some(metrics)) = (job, &self.context.metrics)
         {
