--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -76,16 +76,16 @@
         effects: &mut Vec<Effect>,
     ) {
         let reason = match reason {
-            QueueRejection::WaitTooLong => RejectionReason::QueueWait,
+            QueueRejection::WaitTooLong => RejectionReason::QueueWaitTooLong,
             QueueRejection::QueueFull => RejectionReason::QueueFull,
-            QueueRejection::ExpiredInQueue => RejectionReason::QueueWaited,
-            QueueRejection::StandingQueue => RejectionReason::QueueStanding,
+            QueueRejection::ExpiredInQueue => RejectionReason::QueueTimeout,
+            QueueRejection::StandingQueue => RejectionReason::QueueDelayPersistent,
         };
         let answer = FinalAnswer::Rejected {
             retry_after: hint.retry_after,
             overloaded: !hint.reserved,
         };
-        self.answer(now, id, answer, FinalOutcome::Refused(reason), effects);
+        self.answer(now, id, answer, FinalOutcome::Rejected(reason), effects);
     }
 
     /// Sets the queue's timer if a request waits and the timer is not set.
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -261,7 +261,7 @@
             }
             Some(body) if reply.is_final_error => {
                 let answer = FinalAnswer::Failed(Failure::UpstreamError(body));
-                let outcome = FinalOutcome::Failed(FailureReason::Statement);
+                let outcome = FinalOutcome::Failed(FailureReason::InvalidStatement);
                 self.answer(now, id, answer, outcome, effects);
                 true
             }
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -60,9 +60,9 @@
 impl LoggedAttempt {
     fn ended(self, outcome: AttemptOutcome, now: Time) -> AttemptRecord {
         AttemptRecord {
-            member: self.endpoint,
+            endpoint: self.endpoint,
             outcome,
-            took_us: micros(now - self.sent_at),
+            duration_us: micros(now - self.sent_at),
         }
     }
 }
@@ -110,7 +110,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.count_request(tenant, now);
-        let outcome = rejected.map_or(FinalOutcome::Aborted, FinalOutcome::Refused);
+        let outcome = rejected.map_or(FinalOutcome::Aborted, FinalOutcome::Rejected);
         let end = RequestEnd::on_arrival(class, tenant, group, outcome);
         self.record_end(end, effects);
     }
@@ -118,7 +118,7 @@
     /// The one place where the end of a request is counted.
     pub(crate) fn record_end(&self, end: RequestEnd, effects: &mut Vec<Effect>) {
         if let Some(metrics) = &self.config.metrics {
-            metrics.ended(end.class, &end.outcome);
+            metrics.count_final_answer(end.class, &end.outcome);
         }
         let Some(observability) = &self.config.observability else {
             return;
@@ -129,9 +129,9 @@
             class: Arc::clone(&observability.classes[end.class]),
             tenant: end.tenant.and_then(|tenant| tenants.get(tenant).cloned()),
             group: end.group.0,
-            ending: end.outcome,
+            outcome: end.outcome,
             attempts: end.attempts,
-            waited_us: micros(end.waited),
+            queued_us: micros(end.waited),
             total_us: micros(end.total),
         })));
     }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -140,7 +140,7 @@
         self.apply_admission_decisions(now, &mut admitted, effects);
         self.pending_events.extend(admitted);
         if let Some(metrics) = &self.config.metrics {
-            metrics.gauges(
+            metrics.set_gauges(
                 self.requests.len(),
                 self.endpoints.len(),
                 self.router.avoided(),
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -208,7 +208,7 @@
         let reason = match denial {
             Denial::DuplicateName => {
                 return (
-                    FinalOutcome::Failed(FailureReason::DuplicateName),
+                    FinalOutcome::Failed(FailureReason::DuplicateRequestId),
                     FinalAnswer::Failed(Failure::DuplicateName),
                 );
             }
@@ -224,7 +224,7 @@
             retry_after,
             overloaded: false,
         };
-        (FinalOutcome::Refused(reason), answer)
+        (FinalOutcome::Rejected(reason), answer)
     }
 
     /// Fails a request that the policy has left without an answer.
@@ -261,7 +261,7 @@
                 .unwrap_or_else(|| self.config.default_retry_after(request.class)),
             overloaded: false,
         };
-        let outcome = FinalOutcome::Refused(rejection_reason(reason));
+        let outcome = FinalOutcome::Rejected(rejection_reason(reason));
         self.answer(now, id, answer, outcome, effects);
     }
 
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -334,7 +334,7 @@
                 retry_after: self.config.default_retry_after(request.class),
                 overloaded: false,
             };
-            (answer, FinalOutcome::Refused(RejectionReason::Stopping))
+            (answer, FinalOutcome::Rejected(RejectionReason::Stopping))
         } else {
             let outcome = FinalOutcome::Failed(FailureReason::Stopping);
             (FinalAnswer::Failed(Failure::Timeout), outcome)
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,4 +1,6 @@
-//! The platform's front, told by the platform's JSON.
+//! `valehatch` without a command: the platform's front, as the JSON file says that `BALANCER_CONFIG` names.
+//!
+//! Everything is read at the start. SIGHUP reads the file again and takes over discovery's address alone.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -6,247 +8,357 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use crossbeam_channel::bounded;
+use crossbeam_channel::{Receiver, Sender, bounded};
 use tracing::{info, warn};
-use valehatch_config::Gateway;
-use valehatch_config::operators::{Door, Level, Log};
+use valehatch_config::operators::{AdmissionSettings, LogLevel, LogSettings};
+use valehatch_config::{PlatformConfig, Site};
+use valehatch_core::Event;
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_net::connection_limits::SharedConnectionLimiter;
+use valehatch_net::discovery::{AgentLocation, DiscoveryAddress, DiscoveryPoller, PollerConfig};
 use valehatch_net::hot_restart::HandoffHandle;
-use valehatch_net::servers::EndpointPools;
-use valehatch_net::{Clock, list, signals};
+use valehatch_net::upstream::EndpointPools;
+use valehatch_net::{Clock, signals};
+use valehatch_policy::StaleReadPolicy;
+use valehatch_recovery::endpoint_list::ListVersion;
+use valehatch_request_log::OutcomeMetrics;
 use valehatch_snmp::world::Board;
 
-use crate::front::{Front, Parts, QUEUE, platform_limits};
-use crate::management::Told;
-use crate::recovery::Kept;
-use crate::upgrade::{FRONT, Shares};
-
-/// Where operators call: the environment's word goes before the file's.
-fn management(file: Option<SocketAddr>) -> Result<Option<SocketAddr>, String> {
-    match std::env::var("BALANCER_MGMT") {
-        Ok(text) if !text.is_empty() => {
-            let wrong = |_| format!("BALANCER_MGMT is {text:?}, not an address with a port");
-            text.parse().map(Some).map_err(wrong)
+use crate::error::StartError;
+use crate::front::{Front, FrontParts, admission_settings};
+use crate::hot_restart::{self, Inheritance, PLATFORM_FRONT, SharedProcess};
+use crate::recovery::{RecoverableFront, SharedEndpointList, restore_front};
+use crate::resources::{EVENT_QUEUE_LENGTH, platform_limits};
+use crate::status::ProcessStatus;
+
+/// The platform has one front.
+const FRONT: usize = 0;
+
+/// Sizes of the platform's admission queue, within the smallest memory that the platform gives.
+pub(crate) const ADMISSION_QUEUE: AdmissionSettings = AdmissionSettings {
+    max_waiting: 4_000,
+    client_buckets: 1024,
+    max_active_groups: 64,
+};
+
+/// The handle to the other process of a hot restart, once it can be asked for; SIGHUP and discovery use it before that.
+type LateHandoffHandle = Arc<OnceLock<HandoffHandle>>;
+
+/// Serves the platform until it has stopped, with an admission queue of these sizes if one is given.
+///
+/// # Errors
+/// Why it cannot start.
+pub(crate) fn serve(admission: Option<AdmissionSettings>) -> Result<(), StartError> {
+    let signals = signals::catch().map_err(StartError::resource("signals"))?;
+    let path = std::env::var("BALANCER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
+    let config = load_for_start(&path)?;
+    valehatch_net::log::init(LogSettings {
+        level: log_level()?,
+        ..LogSettings::default()
+    });
+    let platform = Platform::new(config, path)?;
+    let (inheritance, endpoint_list) = platform.start_discovery()?;
+    info!(gateway = %platform.config.name, "serving the platform");
+    let front = Front::listen(platform.front_parts(admission, &inheritance)?)?;
+
+    let reloader = platform.reloader(&endpoint_list);
+    let has_predecessor = inheritance.has_predecessor();
+    let shared = platform.shared_process(&front, &endpoint_list, &reloader);
+    let handle = inheritance.announce(hot_restart::socket_path(platform.config.listen), shared);
+    if let Some(handle) = &handle {
+        let _ = platform.handoff.set(handle.clone());
+        // A list that discovery sent before the handle existed has not been passed on; the other process may
+        // poll the same list seconds later only.
+        handle.forward_list(valehatch_net::lock(&endpoint_list).cache().encode());
+    }
+    // Only now: whoever reads "ready" may start the next process at once, and that one has to find this one.
+    platform.status.on_listening();
+    if has_predecessor {
+        // The predecessor may have been sent SIGHUP since this process read the configuration.
+        reloader.reload("looked at with the other process");
+    }
+    let (status, events) = (Arc::clone(&platform.status), platform.inbox.0.clone());
+    // The event loop has the queue now.
+    drop(platform);
+    let on_shutdown = move || {
+        status.on_shutdown();
+        if let Some(handle) = &handle {
+            handle.stop();
         }
-        _ => Ok(file),
+    };
+    let on_reload = move || reloader.on_sighup();
+    signals::watch(signals, vec![events], on_reload, on_shutdown)
+        .map_err(StartError::resource("signals"))?;
+    front.run();
+    Ok(())
+}
+
+/// Reads the configuration, and what the environment puts in its place.
+fn load_for_start(path: &str) -> Result<PlatformConfig, StartError> {
+    let mut config = load(path)?;
+    config.management = management_address(config.management)?;
+    if config.management.is_some() {
+        let names = config.site.validate_metric_names();
+        names.map_err(StartError::configuration)?;
+    }
+    Ok(config)
+}
+
+fn load(path: &str) -> Result<PlatformConfig, StartError> {
+    let text =
+        std::fs::read_to_string(path).map_err(StartError::resource(format!("config: {path}")))?;
+    PlatformConfig::parse(&text).map_err(StartError::configuration)
+}
+
+/// The management address: `BALANCER_MGMT` goes before the file.
+fn management_address(file: Option<SocketAddr>) -> Result<Option<SocketAddr>, StartError> {
+    let value = std::env::var("BALANCER_MGMT").unwrap_or_default();
+    if value.is_empty() {
+        return Ok(file);
     }
+    let address = value.parse().map_err(|_| StartError::Environment {
+        variable: "BALANCER_MGMT",
+        value,
+        expected: "an address with a port",
+    })?;
+    Ok(Some(address))
 }
 
-/// How much is logged: the environment's word, or what is usual.
-fn level() -> Result<Level, String> {
+/// The least level that is logged: `VALEHATCH_LOG`, or info.
+fn log_level() -> Result<LogLevel, StartError> {
     match std::env::var("VALEHATCH_LOG").as_deref() {
-        Err(_) | Ok("" | "info") => Ok(Level::Info),
-        Ok("debug") => Ok(Level::Debug),
-        Ok("warn") => Ok(Level::Warn),
-        Ok("error") => Ok(Level::Error),
-        Ok(other) => Err(format!(
-            "VALEHATCH_LOG is {other:?}, not error, warn, info or debug"
-        )),
+        Err(_) | Ok("" | "info") => Ok(LogLevel::Info),
+        Ok("debug") => Ok(LogLevel::Debug),
+        Ok("warn") => Ok(LogLevel::Warn),
+        Ok("error") => Ok(LogLevel::Error),
+        Ok(other) => Err(StartError::Environment {
+            variable: "VALEHATCH_LOG",
+            value: other.to_owned(),
+            expected: "error, warn, info or debug",
+        }),
     }
 }
 
-fn load(path: &str) -> Result<Gateway, String> {
-    Gateway::parse(&std::fs::read_to_string(path).map_err(|e| format!("config: {path}: {e}"))?)
+/// Whether an endpoint list names any endpoint.
+pub(crate) fn has_endpoints(endpoint_list: &SharedEndpointList) -> bool {
+    let endpoint_list = valehatch_net::lock(endpoint_list);
+    endpoint_list.cache().endpoints().next().is_some()
 }
 
-/// The door's sizes on the platform, within its memory.
-const DOOR: Door = Door {
-    most: 4_000,
-    buckets: 1024,
-    lanes: 64,
-};
+/// What the parts of the process are made of and share.
+struct Platform {
+    config: PlatformConfig,
+    path: String,
+    clock: Clock,
+    inbox: (Sender<Event>, Receiver<Event>),
+    status: Arc<ProcessStatus>,
+    discovery_address: Arc<DiscoveryAddress>,
+    handoff: LateHandoffHandle,
+    connections: Arc<SharedConnectionLimiter>,
+    board: Arc<ArcSwapOption<Board>>,
+}
 
-pub(crate) fn serve(door: bool) -> Result<(), String> {
-    let signals = signals::catch().map_err(|e| format!("signals: {e}"))?;
-    let path =
-        std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG names no configuration")?;
-    let Gateway {
-        name,
-        listen,
-        discovery,
-        mgmt,
-        seed,
-        sockets,
-        memory_mb,
-        known,
-        site,
-    } = load(&path)?;
-    let mgmt = management(mgmt)?;
-    mgmt.map_or(Ok(()), |_| site.tellable())?;
-    valehatch_net::log::init(Log {
-        level: level()?,
-        ..Log::default()
-    });
-    let (clock, inbox) = (Clock::start(), bounded(QUEUE));
-    let place = Arc::new(list::Place::new(discovery));
-    let fleet = Arc::new(AtomicU32::new(site.settings.routers));
-    let told = Told::new([(Arc::from(name.as_str()), &site)]);
-    if let Some(listen) = mgmt {
-        told.serve(listen).map_err(|e| format!("mgmt: {e}"))?;
+impl Platform {
+    /// Starts the clock and the management endpoint.
+    fn new(config: PlatformConfig, path: String) -> Result<Self, StartError> {
+        let clock = Clock::start();
+        let status = ProcessStatus::new([(Arc::from(config.name.as_str()), &config.site)]);
+        if let Some(address) = config.management {
+            status.serve("mgmt", address)?;
+        }
+        Ok(Self {
+            path,
+            clock,
+            inbox: bounded(EVENT_QUEUE_LENGTH),
+            status,
+            discovery_address: Arc::new(DiscoveryAddress::new(config.discovery)),
+            handoff: LateHandoffHandle::default(),
+            connections: SharedConnectionLimiter::new(clock, platform_limits(config.sockets)),
+            board: Arc::default(),
+            config,
+        })
     }
-    let watch = list::Watch::new(
-        Arc::clone(&place),
-        true,
-        site.clone(),
-        clock,
-        inbox.0.clone(),
-        fleet,
-        seed,
-    );
-    let taker = watch.taker();
-    let confirms = Arc::clone(&told);
-    let both: Arc<OnceLock<HandoffHandle>> = Arc::default();
-    let other = Arc::clone(&both);
-    let watch = watch
-        .telling(move || confirms.listed(0))
-        .passing(move |book| {
-            other
-                .get()
-                .into_iter()
-                .for_each(|upgrade| upgrade.pass(book.encode()))
+
+    /// Takes over from the predecessor, and polls discovery from its list, or else from the one in the configuration.
+    /// Each list that discovery changes also goes to the other process of a hot restart.
+    fn start_discovery(&self) -> Result<(Inheritance, SharedEndpointList), StartError> {
+        let config = &self.config;
+        let poller = DiscoveryPoller::new(PollerConfig {
+            address: Arc::clone(&self.discovery_address),
+            agent: AgentLocation::ThisMachine,
+            site: config.site.clone(),
+            clock: self.clock,
+            events: self.inbox.0.clone(),
+            gateway_count: Arc::new(AtomicU32::new(config.site.settings.routers)),
+            seed: config.seed,
         });
-    let meets = crate::upgrade::path(listen);
-    let begin = crate::upgrade::begin(meets.as_ref(), &name, listen)?;
-    let restored = crate::recovery::restored(begin.known.as_ref(), FRONT);
-    let started = match restored.list {
-        Some((listed, told)) => watch.resume(listed, told),
-        None => watch.start(&known),
-    };
-    started.map_err(|e| format!("list: {e}"))?;
-    if valehatch_net::lock(&taker)
-        .held()
-        .0
-        .members()
-        .next()
-        .is_some()
-    {
-        told.listed(0);
+        let (status, handoff) = (Arc::clone(&self.status), Arc::clone(&self.handoff));
+        let poller = poller
+            .on_confirmed(move || status.on_endpoint_list(FRONT))
+            .on_changed(move |endpoint_list| {
+                if let Some(handle) = handoff.get() {
+                    handle.forward_list(endpoint_list.encode());
+                }
+            });
+        let endpoint_list = poller.store();
+        let socket_path = hot_restart::socket_path(config.listen);
+        let inheritance = hot_restart::inherit(socket_path.as_ref(), &config.name, config.listen)?;
+        let restored = restore_front(inheritance.snapshot.as_ref(), PLATFORM_FRONT);
+        let started = match restored.list {
+            Some(list) => poller.resume(list.endpoints, list.version),
+            None => poller.start(&config.cached_endpoints),
+        };
+        started.map_err(StartError::resource("list"))?;
+        if has_endpoints(&endpoint_list) {
+            self.status.on_endpoint_list(FRONT);
+        }
+        Ok((inheritance, endpoint_list))
+    }
+
+    fn front_parts(
+        &self,
+        admission: Option<AdmissionSettings>,
+        inheritance: &Inheritance,
+    ) -> Result<FrontParts, StartError> {
+        let (config, clock) = (&self.config, self.clock);
+        let site = config.site.clone();
+        let metrics = config.management.map(|_| self.status.metrics(FRONT));
+        let listener = inheritance
+            .listener()
+            .map_err(StartError::resource(format!("listen: {}", config.listen)))?;
+        let handler = valehatch_pg::clients::Front {
+            site: site.clone(),
+            clock,
+        };
+        Ok(FrontParts {
+            admission: admission
+                .map(|sizes| admission_settings(sizes, &site, tenant_weights(&site))),
+            descriptors: config.sockets,
+            memory_mb: config.memory_mb,
+            seed: config.seed,
+            listener,
+            clock,
+            handler: Arc::new(handler),
+            upstream: Box::new(self.endpoint_pools(metrics.clone())),
+            connections: Arc::clone(&self.connections),
+            max_in_flight: None,
+            inbox: self.inbox.clone(),
+            observer: None,
+            metrics,
+            decisions: self.status.decisions(FRONT),
+            board: Arc::clone(&self.board),
+            site,
+        })
     }
-    // Discovery may move under way; all else is read at the start. Where it is now.
-    let read = Arc::new(move |what: &str| match load(&path) {
-        Ok(new) => {
-            info!("config: {what}, discovery is at {}", new.discovery);
-            place.set(new.discovery);
-            Some(new.discovery)
+
+    fn endpoint_pools(&self, metrics: Option<Arc<OutcomeMetrics>>) -> EndpointPools {
+        let site = &self.config.site;
+        // Where replicas serve stale reads, only the position in an answer shows whether it was fresh enough.
+        let needs_verified_clock = site.settings.stale_read_policy == StaleReadPolicy::Serve;
+        let pools = EndpointPools::new(
+            Arc::new(valehatch_pg::servers::Databases { clock: self.clock }),
+            self.inbox.0.clone(),
+            self.clock,
+            Duration::from_millis(site.connect_timeout_ms),
+            Arc::clone(&self.connections),
+        );
+        pools
+            .count_attempts(metrics)
+            .require_verified_clock(needs_verified_clock)
+    }
+
+    fn reloader(&self, endpoint_list: &SharedEndpointList) -> Arc<Reloader> {
+        Arc::new(Reloader {
+            path: self.path.clone(),
+            discovery_address: Arc::clone(&self.discovery_address),
+            endpoint_list: Arc::clone(endpoint_list),
+            handoff: Arc::clone(&self.handoff),
+        })
+    }
+
+    /// This process as a hot restart sees it.
+    fn shared_process(
+        &self,
+        front: &Front,
+        endpoint_list: &SharedEndpointList,
+        reloader: &Arc<Reloader>,
+    ) -> SharedProcess {
+        let config = &self.config;
+        SharedProcess {
+            gateway: config.name.clone(),
+            limits: ProcessLimits {
+                descriptors: config.sockets,
+                bytes: config.memory_mb * 1024 * 1024,
+            },
+            gateway_count: config.site.settings.routers,
+            events: self.inbox.0.clone(),
+            clients: front.clients(),
+            connections: Arc::clone(&self.connections),
+            front: RecoverableFront {
+                name: PLATFORM_FRONT.to_owned(),
+                endpoint_list: Some(Arc::clone(endpoint_list)),
+                board: Arc::clone(&self.board),
+                settings: config.site.settings.clone(),
+            },
+            clock: self.clock,
+            reload_discovery: reloader.reload_discovery_callback(),
         }
-        Err(e) => {
-            warn!("{e}; what was read before goes on to hold");
-            None
+    }
+}
+
+/// The tenants' weights in the admission queue: the platform gives rates, whose sum is the whole.
+fn tenant_weights(site: &Site) -> Vec<f64> {
+    let rates: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance).collect();
+    let total: f64 = rates.iter().sum::<f64>().max(1e-9);
+    rates.into_iter().map(|rate| rate / total).collect()
+}
+
+/// Reads the configuration again, for discovery's address.
+struct Reloader {
+    path: String,
+    discovery_address: Arc<DiscoveryAddress>,
+    endpoint_list: SharedEndpointList,
+    handoff: LateHandoffHandle,
+}
+
+impl Reloader {
+    /// Moves discovery to the address in the file. A file at fault changes nothing.
+    fn reload(&self, cause: &str) -> Option<SocketAddr> {
+        match load(&self.path) {
+            Ok(config) => {
+                info!(discovery = %config.discovery, "configuration {cause}");
+                self.discovery_address.set(config.discovery);
+                Some(config.discovery)
+            }
+            Err(error) => {
+                warn!(%error, "configuration not usable, keeping the old one");
+                None
+            }
         }
-    });
-    let reads = Arc::clone(&read);
-    let look: Arc<dyn Fn() + Send + Sync> = Arc::new(move || {
-        let _ = reads("looked at with the other process");
-    });
-    let (holds, other) = (Arc::clone(&taker), Arc::clone(&both));
-    let reload = move || {
-        let (Some(at), Some(upgrade)) = (read("read again"), other.get()) else {
+    }
+
+    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is told at once, by the current
+    /// list under the new address. This process may end before that address answers.
+    fn on_sighup(&self) {
+        let Some(address) = self.reload("read again") else {
             return;
         };
-        // The other process is told at once, by what is held under the new address: this one may end before that answers.
-        let mut book = valehatch_net::lock(&holds).held().0.clone();
-        book.told = Some((at, 0));
-        upgrade.pass(book.encode());
-    };
-    let (events, terminate, board) = (
-        inbox.0.clone(),
-        inbox.0.clone(),
-        Arc::<ArcSwapOption<Board>>::default(),
-    );
-    let (settings, routers) = (site.settings.clone(), site.settings.routers);
-    info!("{name}: serves the platform");
-    let front = Arc::new(valehatch_pg::clients::Front {
-        site: site.clone(),
-        clock,
-    });
-    let timeout = Duration::from_millis(site.connect_timeout_ms);
-    let databases = Arc::new(valehatch_pg::servers::Databases { clock });
-    let places = SharedConnectionLimiter::new(clock, platform_limits(sockets));
-    let upstream = EndpointPools::new(
-        databases,
-        inbox.0.clone(),
-        clock,
-        timeout,
-        Arc::clone(&places),
-    );
-    let figures = mgmt.map(|_| told.figures(0));
-    let verifies = site.settings.stale_read_policy == valehatch_policy::StaleReadPolicy::Serve;
-    let upstream = Box::new(upstream.counting(figures.clone()).verifying(verifies));
-    // What a budget allows is its weight: the platform tells no shares.
-    let shares = site
-        .settings
-        .tenants
-        .iter()
-        .map(|t| t.allowance)
-        .collect::<Vec<_>>();
-    let all: f64 = shares.iter().sum::<f64>().max(1e-9);
-    let shares = shares.into_iter().map(|s| s / all).collect();
-    let door = door.then(|| crate::front::door(DOOR, &site, shares));
-    let parts = Parts {
-        site,
-        sockets,
-        memory_mb,
-        seed,
-        listener: begin
-            .split()
-            .map_err(|e| format!("listen: {listen}: {e}"))?,
-        board: Arc::clone(&board),
-        clock,
-        front,
-        upstream,
-        places: Arc::clone(&places),
-        streams: None,
-        inbox,
-        watcher: None,
-        door,
-        figures,
-        decisions: told.decisions(0),
-    };
-    let front = Front::listen(parts)?;
-    let clients = front.clients();
-    let kept = Kept {
-        name: FRONT.to_owned(),
-        taker: Some(Arc::clone(&taker)),
-        board,
-        settings,
-    };
-    let whole = ProcessLimits {
-        descriptors: sockets,
-        bytes: memory_mb * 1024 * 1024,
-    };
-    let second = begin.is_second();
-    let shares = Shares {
-        gateway: name,
-        whole,
-        routers,
-        events,
-        clients,
-        places,
-        kept,
-        clock,
-        look: Arc::clone(&look),
-    };
-    let stops = begin.serves(meets, shares);
-    if let Some(upgrade) = stops.clone() {
-        let _ = both.set(upgrade.clone());
-        // What discovery told this one before there was a line to pass it on: the other one may hear it seconds later.
-        let book = valehatch_net::lock(&taker).held().0.encode();
-        upgrade.pass(book);
+        let Some(handle) = self.handoff.get() else {
+            return;
+        };
+        let mut endpoint_list = valehatch_net::lock(&self.endpoint_list).cache().clone();
+        endpoint_list.version = Some(ListVersion {
+            source: address,
+            revision: 0,
+        });
+        handle.forward_list(endpoint_list.encode());
     }
-    // Only now: whoever was told yes may start the next process at once, and that has to find this one.
-    told.listens();
-    // The one before may have been told to read the configuration again since this one read it.
-    if second {
-        look();
+
+    /// [`Self::reload`] for the hot restart, which calls it when the other process polls another address.
+    fn reload_discovery_callback(self: &Arc<Self>) -> Arc<dyn Fn() + Send + Sync> {
+        let reloader = Arc::clone(self);
+        Arc::new(move || {
+            let _ = reloader.reload("looked at with the other process");
+        })
     }
-    let ending = Arc::clone(&told);
-    let leaves = move || {
-        ending.stops();
-        stops.iter().for_each(HandoffHandle::stop);
-    };
-    signals::watch(signals, vec![terminate], reload, leaves)
-        .map_err(|e| format!("signals: {e}"))?;
-    front.run();
-    Ok(())
 }
--- /dev/null
+++ b/crates/gateway/src/status.rs
@@ -0,0 +1,120 @@
+//! What operators read of this process at the management address: whether it is ready to serve, and its counters.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+use tracing::info;
+use valehatch_config::Site;
+use valehatch_core::permission::Decisions;
+use valehatch_management::{ManagementEndpoint, Source};
+use valehatch_request_log::{OutcomeMetrics, outcome_metrics};
+
+use crate::error::StartError;
+
+/// One front: its counters, and whether it has an endpoint list.
+struct FrontStatus {
+    name: Arc<str>,
+    metrics: Arc<OutcomeMetrics>,
+    decisions: Arc<Decisions>,
+    has_endpoint_list: AtomicBool,
+}
+
+/// The status of all fronts of this process. It is shared with the management thread; flags only ever become true.
+pub(crate) struct ProcessStatus {
+    fronts: Vec<FrontStatus>,
+    listening: AtomicBool,
+    shutting_down: AtomicBool,
+}
+
+impl ProcessStatus {
+    /// The status at the start, with the fronts in their order.
+    pub(crate) fn new<'a>(fronts: impl IntoIterator<Item = (Arc<str>, &'a Site)>) -> Arc<Self> {
+        let fronts = fronts
+            .into_iter()
+            .map(|(name, site)| FrontStatus {
+                name,
+                metrics: Arc::new(OutcomeMetrics::new(&site.classes)),
+                decisions: Arc::default(),
+                has_endpoint_list: AtomicBool::new(false),
+            })
+            .collect();
+        Arc::new(Self {
+            fronts,
+            listening: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
+        })
+    }
+
+    /// Answers at this address from now on.
+    ///
+    /// # Errors
+    /// The address cannot be listened on; `key` is the configuration's name for it.
+    pub(crate) fn serve(self: &Arc<Self>, key: &str, listen: SocketAddr) -> Result<(), StartError> {
+        let source: Arc<dyn Source> = Arc::clone(self) as _;
+        let bound = valehatch_management::start(ManagementEndpoint::new(listen), source)
+            .map_err(StartError::resource(format!("{key}: {listen}")))?;
+        info!(address = %bound, "management endpoint listening");
+        Ok(())
+    }
+
+    /// The counters of a front.
+    pub(crate) fn metrics(&self, front: usize) -> Arc<OutcomeMetrics> {
+        Arc::clone(&self.fronts[front].metrics)
+    }
+
+    /// What a front has denied, by reason.
+    pub(crate) fn decisions(&self, front: usize) -> Arc<Decisions> {
+        Arc::clone(&self.fronts[front].decisions)
+    }
+
+    /// A front has an endpoint list.
+    pub(crate) fn on_endpoint_list(&self, front: usize) {
+        let front = &self.fronts[front];
+        front.has_endpoint_list.store(true, Ordering::Relaxed);
+    }
+
+    /// All fronts listen.
+    pub(crate) fn on_listening(&self) {
+        self.listening.store(true, Ordering::Relaxed);
+    }
+
+    /// A graceful shutdown has begun.
+    pub(crate) fn on_shutdown(&self) {
+        self.shutting_down.store(true, Ordering::Relaxed);
+    }
+}
+
+impl Source for ProcessStatus {
+    fn health(&self) -> Result<String, String> {
+        let is_set = |flag: &AtomicBool| flag.load(Ordering::Relaxed);
+        if is_set(&self.shutting_down) {
+            return Err("stopping: a planned stop was asked for".into());
+        }
+        let without_list = |front: &&FrontStatus| !is_set(&front.has_endpoint_list);
+        if let Some(front) = self.fronts.iter().find(without_list) {
+            let whose = if self.fronts.len() > 1 {
+                format!(" by front {}", front.name)
+            } else {
+                String::new()
+            };
+            return Err(format!("starting: no list of databases is held{whose}"));
+        }
+        if !is_set(&self.listening) {
+            return Err("starting: does not listen yet".into());
+        }
+        Ok("ready".into())
+    }
+
+    fn decisions(&self) -> String {
+        let text = |front: &FrontStatus| match self.fronts.len() {
+            1 => front.decisions.text(),
+            _ => format!("front {}\n{}", front.name, front.decisions.text()),
+        };
+        self.fronts.iter().map(text).collect()
+    }
+
+    fn stats(&self) -> String {
+        outcome_metrics::text(self.fronts.iter().map(|front| &*front.metrics))
+    }
+}
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use support::cql::*;
 use support::{Program, folder, free_address, until};
-use valehatch_config::operators::{Members, Operators};
+use valehatch_config::operators::{EndpointSource, OperatorConfig};
 
 struct Gateway {
     address: SocketAddr,
@@ -503,9 +503,9 @@
 #[test]
 fn the_file_under_deploy_is_sound_and_its_contracts_know_their_statements() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gateway.toml");
-    let read = Operators::load(path.as_ref()).unwrap();
+    let read = OperatorConfig::load(path.as_ref()).unwrap();
     let front = read.fronts.iter().find(|f| &*f.name == "stays").unwrap();
-    let class = |text: &str| front.site.classes[front.contracts.of(text).class].clone();
+    let class = |text: &str| front.site.classes[front.contracts.for_statement(text).class].clone();
     assert_eq!(class("  select *\n FROM stays.guest;"), "stay-read");
     assert_eq!(
         class("INSERT INTO stays.guest (id) VALUES (1)"),
@@ -525,8 +525,8 @@
     let text = file(free_address(), &members, None);
     let load = |text: &str| {
         std::fs::write(&path, text).unwrap();
-        match &Operators::load(&path).unwrap().fronts[0].members {
-            Members::Fixed(members) => members.clone(),
+        match &OperatorConfig::load(&path).unwrap().fronts[0].endpoints {
+            EndpointSource::Static(members) => members.clone(),
             other => panic!("{other:?}"),
         }
     };
@@ -536,8 +536,8 @@
     let one = load(&(text[..first].to_owned() + &text[second..]));
     assert_eq!(one.len(), 1);
     assert_eq!(
-        (one[0].entry.endpoint, one[0].address),
-        (both[1].entry.endpoint, members[1])
+        (one[0].record.endpoint, one[0].address),
+        (both[1].record.endpoint, members[1])
     );
 }
 
@@ -553,7 +553,7 @@
             gateway
                 .program
                 .log()
-                .matches("members were read again")
+                .matches("reloaded the configured endpoints")
                 .count()
                 >= n
         });
--- a/crates/net/src/link.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -13,15 +13,15 @@
 use crossbeam_channel::Sender;
 use rustix::time::{ClockId, clock_gettime};
 use siphasher::sip::SipHasher13;
-use valehatch_config::peers::Peers;
+use valehatch_config::peers::PeerSettings;
 use valehatch_core::Event;
-use valehatch_membership::view::{Change, Reason};
+use valehatch_membership::view_changes::{ChangeReason, ViewChange};
 use valehatch_membership::wire::Phase;
-use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
+use valehatch_membership::{Effect, Load, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
-use valehatch_recovery::peers as lists;
+use valehatch_recovery::list_exchange as lists;
 
-use crate::list::EndpointListStore;
+use crate::discovery::EndpointListStore;
 use crate::lock;
 
 /// Bytes of a datagram at the most.
@@ -77,11 +77,11 @@
 /// The link, and the membership that speaks on it.
 pub struct GossipTransport {
     socket: UdpSocket,
-    peers: Peers,
+    peers: PeerSettings,
     heart: Mutex<Membership>,
     /// The version of the view up to which its changes were told.
     told: AtomicU64,
-    asks: Mutex<lists::Peers>,
+    asks: Mutex<lists::ListExchange>,
     takers: Lists,
     cores: Vec<Sender<Event>>,
     /// Gateways by which what is shared is divided.
@@ -96,7 +96,7 @@
     /// # Errors
     /// The address cannot be listened on, or the settings cannot be worked with.
     pub fn start(
-        peers: Peers,
+        peers: PeerSettings,
         configured: u32,
         seed: u64,
         cores: Vec<Sender<Event>>,
@@ -107,22 +107,22 @@
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis());
         let set = Settings {
-            me: peers.advertise,
+            local_address: peers.advertise,
             seeds: peers.seeds.clone(),
             zone: 0,
             version: version(env!("CARGO_PKG_VERSION")),
-            period: Span::from_millis(peers.probe_ms),
-            most: peers.most,
-            bytes_s: peers.bytes_per_s,
-            configured,
-            settle: Span::from_millis(peers.settle_ms),
+            probe_interval: Span::from_millis(peers.probe_interval_ms),
+            max_members: peers.max_gateways,
+            max_bytes_per_second: peers.bytes_per_s,
+            configured_fleet_size: configured,
+            shrink_delay: Span::from_millis(peers.shrink_delay_ms),
         };
         let heart = Membership::new(set, u64::try_from(wall).unwrap_or(0), seed, now());
         let heart = heart.map_err(|e| format!("peers: {e}"))?;
         let bound = UdpSocket::bind(peers.listen)
             .map_err(|e| format!("peers.listen: {}: {e}", peers.listen))?;
         let marks: Vec<u32> = takers.iter().map(|(name, _)| mark(name)).collect();
-        let asks = Mutex::new(lists::Peers::new(&marks, seed, now()));
+        let asks = Mutex::new(lists::ListExchange::new(&marks, seed, now()));
         let (heart, told, dropped) = (Mutex::new(heart), AtomicU64::new(0), Dropped::default());
         let link = Self {
             socket: bound,
@@ -154,32 +154,33 @@
     /// Whether service is as good as before this start: all in the view hear of it.
     pub fn full(&self, full: bool) {
         let phase = if full { Phase::Full } else { Phase::Starting };
-        self.tend(|heart, out| heart.phase(phase, now(), out));
+        self.tend(|heart, out| heart.set_phase(phase, now(), out));
     }
 
     fn tend(&self, what: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
         let mut out = vec![];
-        let changes: Vec<Change> = {
+        let changes: Vec<ViewChange> = {
             let mut heart = lock(&self.heart);
             what(&mut heart, &mut out);
-            let told = self.told.swap(heart.shared().version, Ordering::Relaxed);
+            let told = self
+                .told
+                .swap(heart.view_status().version, Ordering::Relaxed);
             // All else has a note of its own.
             heart
-                .changes(told)
-                .1
-                .filter(|c| c.why == Reason::OwnWord)
+                .changes_since(told)
+                .filter(|c| c.reason == ChangeReason::MetadataChanged)
                 .copied()
                 .collect()
         };
         changes
             .iter()
-            .for_each(|c| tracing::info!("peers: {} is {}", c.about, named(c.card.phase)));
+            .for_each(|c| tracing::info!("peers: {} is {}", c.address, named(c.metadata.phase)));
         self.carry_out(out);
     }
 
     /// The other gateways that are taken to live.
     pub fn living(&self) -> Vec<SocketAddr> {
-        lock(&self.heart).living().collect()
+        lock(&self.heart).live_members().collect()
     }
 
     fn run(&self) {
@@ -222,7 +223,7 @@
                 }
             }
             self.ask_for_lists();
-            let share = lock(&self.heart).share(true);
+            let share = lock(&self.heart).quota_divisor(Load::Overloaded);
             if self.fleet.swap(share, Ordering::Relaxed) != share {
                 tracing::info!("peers: what is shared is divided by {share}");
                 self.cores
@@ -234,7 +235,7 @@
 
     /// Whoever holds no list asks others for theirs.
     fn ask_for_lists(&self) {
-        let wants = |n: usize| lock(&self.takers[n].1).held().0.told.is_none();
+        let wants = |n: usize| lock(&self.takers[n].1).cache().version.is_none();
         let mut out = vec![];
         lock(&self.asks).tick(now(), wants, || self.living(), &mut out);
         self.carry_out_lists(out);
@@ -244,8 +245,11 @@
         let mut out = vec![];
         let held: Vec<_> = self.takers.iter().map(|(_, taker)| lock(taker)).collect();
         let tells = |n: usize| {
-            let (book, confirmed) = held.get(n)?.held();
-            Some((book, held[n].age(confirmed?)))
+            let store = held.get(n)?;
+            Some(lists::ConfirmedList {
+                list: store.cache(),
+                age: store.confirmation_age()?,
+            })
         };
         lock(&self.asks).receive(now(), from, said, tells, &mut out);
         drop(held);
@@ -256,17 +260,17 @@
         for effect in out {
             match effect {
                 lists::Effect::Send { to, bytes } => self.send(LISTS, to, &bytes),
-                lists::Effect::Learned {
+                lists::Effect::ListReceived {
                     front,
-                    listed,
-                    told,
+                    endpoints,
+                    version,
                 } => {
                     let (name, taker) = &self.takers[front];
-                    let count = listed.len();
-                    if lock(taker).guess(listed, told) {
+                    let count = endpoints.len();
+                    if lock(taker).apply_unconfirmed(endpoints, version) {
                         tracing::info!(
                             "peers: front {name}: {count} servers at version {} from another gateway",
-                            told.1
+                            version.revision
                         );
                     }
                 }
@@ -310,11 +314,11 @@
             match effect {
                 Effect::Send { to, bytes } => self.send(MEMBERSHIP, to, &bytes),
                 Effect::Event(note) => {
-                    if matches!(note, MembershipEvent::Slept(_)) {
+                    if matches!(note, MembershipEvent::ProcessPaused(_)) {
                         // The clock by which lists are dated may have stood still too.
                         self.takers
                             .iter()
-                            .for_each(|(_, taker)| lock(taker).doubt());
+                            .for_each(|(_, taker)| lock(taker).forget_confirmation());
                     }
                     say(note);
                 }
@@ -345,26 +349,28 @@
         MembershipEvent::Joined(peer) => tracing::info!("peers: {peer} is there"),
         MembershipEvent::Restarted(peer) => tracing::info!("peers: {peer} has started anew"),
         MembershipEvent::Suspected(peer) => tracing::info!("peers: {peer} does not answer"),
-        MembershipEvent::Cleared(peer) => tracing::info!("peers: {peer} answers after all"),
+        MembershipEvent::SuspicionCleared(peer) => {
+            tracing::info!("peers: {peer} answers after all")
+        }
         MembershipEvent::Failed(peer) => tracing::warn!("peers: {peer} counts as dead"),
         MembershipEvent::Left(peer) => tracing::info!("peers: {peer} has ended as planned"),
-        MembershipEvent::Slept(span) => {
+        MembershipEvent::ProcessPaused(span) => {
             tracing::warn!("peers: this gateway stood still for {} ms", span.0 / 1000)
         }
         MembershipEvent::Refuted => {
             tracing::info!("peers: was taken for gone or for a former self, and says otherwise")
         }
-        MembershipEvent::Namesake(life) => tracing::warn!(
+        MembershipEvent::DuplicateIdentity(life) => tracing::warn!(
             "peers: another gateway has this one's address (start {} of it): give each its own",
             life.number
         ),
-        MembershipEvent::Settled(view) => tracing::info!(
+        MembershipEvent::ViewConverged(view) => tracing::info!(
             "peers: the view is settled: {} gateways hold {:016x}, {} ms after it changed",
             view.members,
             view.digest,
-            view.settled.map_or(0, |at| (at - view.held).0 / 1000)
+            view.converged_at.map_or(0, |at| (at - view.since).0 / 1000)
         ),
-        MembershipEvent::Unsettled => tracing::info!("peers: the view is not settled"),
+        MembershipEvent::ViewDiverged => tracing::info!("peers: the view is not settled"),
         MembershipEvent::Synced => {
             tracing::info!("peers: all that another gateway knew is known here")
         }
@@ -395,7 +401,10 @@
             front(MEMBERSHIP, "vestera-test")
         );
         const {
-            assert!(FRONT + valehatch_membership::wire::MOST <= MOST && FRONT + lists::MOST <= MOST)
+            assert!(
+                FRONT + valehatch_membership::wire::MAX_DATAGRAM_BYTES <= MOST
+                    && FRONT + lists::MAX_DATAGRAM_BYTES <= MOST
+            )
         };
     }
 }
--- a/crates/net/tests/link_frame.rs
+++ b/crates/net/tests/link_frame.rs
@@ -3,9 +3,9 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use valehatch_config::peers::Peers;
+use valehatch_config::peers::PeerSettings;
 use valehatch_membership::wire::Datagram;
-use valehatch_net::link::GossipTransport;
+use valehatch_net::gossip_transport::GossipTransport;
 
 #[test]
 fn sent_datagram_begins_with_version_channel_and_fleet() {
@@ -17,16 +17,16 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let peers = Peers {
+    let peers = PeerSettings {
         listen: own,
         advertise: own,
         fleet: "test".into(),
         seeds: vec![seed.local_addr().unwrap()],
-        from: vec![],
-        probe_ms: 100,
-        most: 8,
+        allowed_networks: vec![],
+        probe_interval_ms: 100,
+        max_gateways: 8,
         bytes_per_s: 8192,
-        settle_ms: 30_000,
+        shrink_delay_ms: 30_000,
     };
     let _link = GossipTransport::start(peers, 1, 1, vec![], Default::default(), vec![]).unwrap();
     let mut bytes = [0; 512];
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -8,9 +8,9 @@
 
 use arc_swap::ArcSwap;
 use rasn_snmp::v2::{Pdus, VarBind};
-use valehatch_config::snmp::{ROOT, Snmp, User, View};
-use valehatch_notifications::Tally;
-use valehatch_rate_limit::{SnapshotCache, Window};
+use valehatch_config::snmp::{ROOT, SnmpSettings, SnmpUser, SnmpView};
+use valehatch_notifications::DeliveryCounts;
+use valehatch_rate_limit::{EngineTime, SnapshotCache};
 
 use crate::message::{
     self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb,
@@ -105,21 +105,21 @@
     /// What is looked at.
     pub world: Arc<World>,
     /// `[snmp]`, which SIGHUP may replace.
-    pub access: ArcSwap<Snmp>,
+    pub access: ArcSwap<SnmpSettings>,
     /// Counters.
     pub stats: Stats,
     /// snmpEngineBoots.
     pub boots: u32,
     /// How each receiver does.
-    pub receivers: ArcSwap<Vec<(String, usize, Tally)>>,
+    pub receivers: ArcSwap<Vec<(String, usize, DeliveryCounts)>>,
 }
 
 impl Shared {
     /// The engine's boots and time now (RFC 3414, section 2.2.1).
     #[must_use]
-    pub fn window(&self) -> Window {
+    pub fn window(&self) -> EngineTime {
         let time = u32::try_from(self.world.began.elapsed().as_secs() % (1 << 31)).unwrap_or(0);
-        Window {
+        EngineTime {
             boots: self.boots,
             time,
         }
@@ -155,7 +155,7 @@
 /// Who asks, once that is known.
 enum Asker<'a> {
     Community(&'a [u8]),
-    User(&'a User, u8, usize, i32),
+    User(&'a SnmpUser, u8, usize, i32),
 }
 
 /// Answers datagrams.
@@ -193,7 +193,7 @@
 
     /// Lets go of what ended walks held.
     pub fn sweep(&mut self, now: i64) {
-        self.pins.sweep(now);
+        self.pins.remove_ended(now);
         self.latest.take_if(|(at, _)| now - *at > SILENT);
     }
 
@@ -283,21 +283,24 @@
         };
         let supported = match level {
             0 => false,
-            AUTH => user.plain,
-            _ => user.privacy.is_some(),
+            AUTH => user.allow_unencrypted,
+            _ => user.privacy_key.is_some(),
         };
         if !supported {
             return self.report(&access, secured, Stat::UnsupportedSecLevels, None);
         }
-        if !message::authentic(datagram, &secured.digest, &user.auth) {
+        if !message::authentic(datagram, &secured.digest, &user.auth_key) {
             return self.report(&access, secured, Stat::WrongDigests, None);
         }
-        if !shared.window().holds(secured.window.0, secured.window.1) {
+        if !shared
+            .window()
+            .is_timely(secured.window.0, secured.window.1)
+        {
             // This report is signed: it tells the sender the time that it needs.
             return self.report(&access, secured, Stat::NotInTimeWindows, Some(user));
         }
         let key = if level & PRIV != 0 {
-            user.privacy.as_ref()
+            user.privacy_key.as_ref()
         } else {
             None
         };
@@ -324,10 +327,10 @@
     /// Counts what is wrong with a message and says so, where the sender takes reports.
     fn report(
         &self,
-        access: &Snmp,
+        access: &SnmpSettings,
         secured: &Secured,
         stat: Stat,
-        signed: Option<&User>,
+        signed: Option<&SnmpUser>,
     ) -> Option<Vec<u8>> {
         self.shared.stats.add(stat);
         if secured.flags & REPORTABLE == 0 {
@@ -356,7 +359,7 @@
             engine: &access.engine,
             window: (window.boots, window.time),
             user: &secured.user,
-            auth: signed.map(|u| &u.auth),
+            auth: signed.map(|u| &u.auth_key),
             privacy: None,
         };
         message::write_v3(&sealing, &access.engine, b"", pdus)
@@ -366,9 +369,9 @@
         &mut self,
         now: i64,
         from: SocketAddr,
-        access: &Snmp,
+        access: &SnmpSettings,
         asker: &Asker<'_>,
-        view: &View,
+        view: &SnmpView,
         request: &Request,
     ) -> Option<Vec<u8>> {
         let taken = match asker {
@@ -410,9 +413,9 @@
                     engine: &access.engine,
                     window: (window.boots, window.time),
                     user: user.name.as_bytes(),
-                    auth: Some(&user.auth),
+                    auth: Some(&user.auth_key),
                     privacy: user
-                        .privacy
+                        .privacy_key
                         .as_ref()
                         .filter(|_| level & PRIV != 0)
                         .map(|key| (key, salt)),
@@ -548,7 +551,7 @@
 /// The bindings of an answer; `None` where those that must be there have no room.
 fn bindings(
     picture: &Picture,
-    view: &View,
+    view: &SnmpView,
     request: &Request,
     room: usize,
 ) -> Option<Vec<VarBind>> {
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -32,8 +32,8 @@
 
 use arc_swap::ArcSwap;
 use tracing::{error, info, warn};
-use valehatch_config::snmp::{Limits, Snmp};
-use valehatch_rate_limit::{RateLimitDecision, SourceRateLimiter, TimeShare};
+use valehatch_config::snmp::{Limits, SnmpSettings};
+use valehatch_rate_limit::{CpuShare, RateLimitDecision, SourceRateLimiter};
 
 use engine::{Engine, Shared, Stat};
 use notify::Notifier;
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// That it cannot listen, or that the system has no thread for it.
-    pub fn start(snmp: Snmp, world: Arc<World>, boots: u32) -> io::Result<Self> {
+    pub fn start(snmp: SnmpSettings, world: Arc<World>, boots: u32) -> io::Result<Self> {
         let socket = UdpSocket::bind(snmp.listen)?;
         socket.set_read_timeout(Some(LOOK))?;
         info!("the agent listens on {}", socket.local_addr()?);
@@ -94,12 +94,12 @@
     }
 
     /// Takes over users, communities, views, receivers, thresholds and limits; where it listens stays.
-    pub fn reread(&self, snmp: Snmp) {
+    pub fn reread(&self, snmp: SnmpSettings) {
         let old = self.shared.access.load();
         if (old.listen, &old.engine) != (snmp.listen, &snmp.engine) {
             warn!("snmp: listen and engine-id are read at the start only");
         }
-        let snmp = Snmp {
+        let snmp = SnmpSettings {
             listen: old.listen,
             engine: old.engine.clone(),
             ..snmp
@@ -184,7 +184,7 @@
             engine.sweep(now);
             let spent = cpu_time();
             // What comes meanwhile waits in the socket or is lost there, which costs nobody anything.
-            let pause = door.share.used(now, spent - used).min(1_000_000);
+            let pause = door.share.record_used(now, spent - used).min(1_000_000);
             used = spent;
             if pause > 0 {
                 shared.stats.more(Stat::PausedMicros, pause.unsigned_abs());
@@ -198,7 +198,7 @@
 struct Door {
     limits: Limits,
     sources: SourceRateLimiter<IpAddr>,
-    share: TimeShare,
+    share: CpuShare,
     told: Option<i64>,
     untold: u64,
 }
@@ -207,7 +207,7 @@
     fn new(limits: &Limits, now: i64) -> Self {
         Self {
             sources: SourceRateLimiter::new(limits.per_source, limits.total, SOURCES, now),
-            share: TimeShare::new(limits.cpu_share, now),
+            share: CpuShare::new(limits.cpu_share, now),
             limits: limits.clone(),
             told: None,
             untold: 0,
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Memberships of a fleet in virtual time under faults: what each believes, and how soon.
 
 use rstest::rstest;
-use valehatch_membership::MembershipEvent;
-use valehatch_membership::wire::State;
+use valehatch_membership::wire::MemberState;
+use valehatch_membership::{Load, MembershipEvent};
 use valehatch_policy::Span;
 use valehatch_testbed::fleet::{Fleet, Network, address};
 
@@ -31,7 +31,10 @@
     let agreed = fleet
         .run(within, Fleet::agreed)
         .unwrap_or_else(|b| panic!("{what}: {}", b.0));
-    let alive: Vec<usize> = fleet.running().map(|(_, h)| h.living().count()).collect();
+    let alive: Vec<usize> = fleet
+        .running()
+        .map(|(_, h)| h.live_members().count())
+        .collect();
     assert!(
         agreed,
         "{what}: not agreed after {} s: {alive:?}",
@@ -55,7 +58,7 @@
     agree(&mut fleet, s(60), "a start of all");
     let synced = |f: &Fleet| {
         f.running()
-            .all(|(_, h)| h.synced() && h.share(false) as usize == size)
+            .all(|(_, h)| h.synced() && h.quota_divisor(Load::Normal) as usize == size)
     };
     assert!(
         fleet.run(s(60), synced).unwrap(),
@@ -127,7 +130,7 @@
     let gone = |f: &Fleet| {
         f.running().all(|(_, h)| {
             h.peers()
-                .any(|(a, p)| *a == address(7) && p.state == State::Left)
+                .any(|(a, p)| *a == address(7) && p.state == MemberState::Left)
         })
     };
     assert!(fleet.run(s(4), gone).unwrap(), "within eight periods");
@@ -160,7 +163,7 @@
     agree(&mut fleet, s(20), "after the sleep");
     let first = fleet.notes.iter().find(|n| n.by == 4).unwrap();
     assert!(
-        matches!(first.note, MembershipEvent::Slept(gap) if gap >= s(29)),
+        matches!(first.note, MembershipEvent::ProcessPaused(gap) if gap >= s(29)),
         "{first:?}"
     );
     let blamed = |by, note| {
