--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -371,3 +371,36 @@
     );
     assert_eq!(late.deadline + ms(140), prompt.deadline);
 }
+
+fn answer(effects: Vec<Effect>) -> Option<FinalAnswer> {
+    effects.into_iter().find_map(|effect| match effect {
+        Effect::Answer { answer, .. } => Some(answer),
+        _ => None,
+    })
+}
+
+// An attempt is still being dialled as the client's time ends, so the request never ran. In time, that is said.
+#[test]
+fn turn_at_the_deadline_rejects_request_that_never_ran() {
+    let mut fixture = Fixture::new(NON_IDEMPOTENT);
+    let mut answered = None;
+    for _ in 0..2_100 {
+        answered = answered.or_else(|| answer(fixture.turn(1, vec![])));
+    }
+    assert!(
+        matches!(answered, Some(FinalAnswer::Rejected { .. })),
+        "{answered:?}"
+    );
+}
+
+// The same on a machine so busy that the turn comes late, when the core's own timer is due as well. It fires before the
+// decision module is asked, and fails the request as one that may have run.
+#[test]
+fn late_turn_after_the_deadline_rejects_request_that_never_ran() {
+    let mut fixture = Fixture::new(NON_IDEMPOTENT);
+    let answered = answer(fixture.turn(2_100, vec![]));
+    assert!(
+        matches!(answered, Some(FinalAnswer::Rejected { .. })),
+        "{answered:?}"
+    );
+}
