--- a/crates/admission/src/admission_queue.rs
+++ b/crates/admission/src/admission_queue.rs
@@ -21,8 +21,6 @@
 /// Tenths of its time after which a waiting request is rejected: its client must still be able to
 /// come back, and a rejection after half of its time counts as a failure.
 const MAX_WAIT_TENTHS: i64 = 4;
-/// Interval at which waiting requests are checked.
-const TICK: Span = Span::from_millis(10);
 
 /// A request in flight.
 #[derive(Clone, Copy, Debug)]
@@ -127,13 +125,6 @@
         views
     }
 
-    /// When [`Self::tick`] is due, whatever else happens.
-    #[must_use]
-    pub fn next_timer_at(&self, now: Time) -> Option<Time> {
-        let first = self.expiries.first()?;
-        Some(first.at.min(now + TICK))
-    }
-
     /// A request asks for admission.
     pub fn on_arrival(&mut self, now: Time, arrival: Arrival, out: &mut Vec<AdmissionDecision>) {
         let unknown_tenant = self.settings.quotas.len();
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -5,9 +5,9 @@
 
 /// Weight of the newest latency in a class's mean.
 const GAIN: f64 = 0.05;
-/// Bounds of a class's cost, as multiples of the cheapest class's: a class that is slow for a while
-/// keeps a usable share.
+/// Least cost of a class, as a multiple of the cheapest class's.
 const MIN_COST_RATIO: f64 = 0.25;
+/// Most cost of a class in that measure: one that is slow for a while keeps a usable quota.
 const MAX_COST_RATIO: f64 = 64.0;
 /// Until a class is measured, its mean is its latency objective over this.
 const OBJECTIVE_DIVISOR: f64 = 4.0;
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -25,11 +25,13 @@
 const RESERVED_FRACTION: f64 = 0.6;
 /// Clients whose hints are remembered.
 const MAX_CLIENTS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
-/// How much before and after its hint a client may come back and still use its reservation.
+/// How long before its hint a client may come back and still use its reservation.
 const EARLY_TOLERANCE: Span = Span::from_millis(50);
+/// How long after its hint it may.
 const LATE_TOLERANCE: Span = Span::from_millis(1_000);
-/// Smoothing of the fraction of hints that are honoured, and its first estimate.
+/// Smoothing of the fraction of hints that are honoured.
 const HONOURED_GAIN: f64 = 0.02;
+/// The estimate of that fraction before any client came back.
 const INITIAL_HONOURED_FRACTION: f64 = 0.5;
 /// A hint is at most this fraction of its slot after the slot's start.
 const MAX_SLOT_OFFSET: f64 = 0.99;
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -223,7 +223,7 @@
                     class: ClassId(class),
                     tenant: None,
                     work: Some(Span::from_millis(i64::from(*how))),
-                    repeat: false,
+                    is_client_retry: false,
                     since_last_write: None,
                 })]);
             }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -194,7 +194,7 @@
             }
         }
         let (role, position, report) = (reply.role, reply.position, reply.report);
-        let closed = if response_started_at.is_some() {
+        let request_ended = if response_started_at.is_some() {
             self.finish_streamed_request(now, ended_at, id, outcome, effects);
             true
         } else {
@@ -205,7 +205,7 @@
             attempt: number,
             endpoint,
             outcome,
-            closed,
+            request_ended,
             latency: ended_at - attempt.sent_at,
             role,
             position,
@@ -275,7 +275,7 @@
     /// Sends an attempt, or reports to the policy that it was not sent.
     pub(crate) fn send(&mut self, now: Time, order: &SendOrder, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(&order.request) else {
-            return self.config.decisions.on_denied(Denial::RequestOver);
+            return self.config.decisions.on_denied(Denial::RequestEnded);
         };
         let deadline = order
             .timeout
@@ -322,7 +322,7 @@
         effects: &mut Vec<Effect>,
     ) -> Result<(), Denial> {
         let Some(request) = self.requests.get(&order.request) else {
-            return Err(Denial::RequestOver);
+            return Err(Denial::RequestEnded);
         };
         let check = SendCheck {
             now,
@@ -371,7 +371,7 @@
                 attempt: unsent.id.attempt,
                 endpoint: unsent.endpoint,
                 outcome: unsent.outcome,
-                closed: false,
+                request_ended: false,
                 latency: Span(0),
                 role: None,
                 position: None,
--- a/crates/core/src/cluster_clock.rs
+++ b/crates/core/src/cluster_clock.rs
@@ -28,8 +28,9 @@
 const TOLERATED_BEHIND: Span = Span::from_millis(20);
 /// The wall clock may be ahead by less than this: data then counts as slightly older than it is.
 const TOLERATED_AHEAD: Span = Span::from_millis(50);
-/// Remembered observations of primaries, and the shortest time between two of them.
+/// Observations of primaries that are remembered.
 const MAX_PRIMARY_SAMPLES: usize = 16;
+/// Shortest time between two of them.
 const PRIMARY_SAMPLE_INTERVAL: Span = Span::from_millis(200);
 /// Primaries show that the wall clock is ahead only if they agree over this time. The positions of
 /// a group without a primary stand still, so their offsets drift apart.
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -1,7 +1,9 @@
-//! The one place that decides whether something may be accepted, sent, retried or closed now.
+//! The last check before something is accepted, sent, retried or closed.
 //!
-//! Each question is a pure function of what the caller knows; a denial says why. [`Decisions`]
-//! counts denials by reason. Some denials show a defect of the policy, which knows as much as the
+//! The policy decides first (`give_up_reason` in its `scheduling` module); what it should not have
+//! ordered is stopped here. Each question is a pure function of what the caller knows; a denial
+//! says why. [`Decisions`] counts the reducer's denials by reason; those of a [`SendPermit`] are
+//! not counted, but attempts that were cancelled before they were written are. Some denials show a defect of the policy, which knows as much as the
 //! reducer does: then nothing is sent, the violation is counted apart and logged as an error, and
 //! debug builds panic. Times are whole microseconds of the process's monotonic clock.
 //!
@@ -9,6 +11,7 @@
 //! | --- | --- |
 //! | [`may_accept`] | the reducer, for each request that comes in |
 //! | [`may_send`] | the reducer, for each attempt that the policy orders |
+//! | [`may_retry`] | [`may_send`], for a request that may have run |
 //! | [`SendPermit::try_acquire`] | the connection, just before the first byte of an attempt |
 //! | [`may_check_health`] | the reducer, for each health check |
 //! | [`may_close`] | the reducer, for each client connection during shutdown |
@@ -37,19 +40,19 @@
 #[repr(u8)]
 pub enum Denial {
     /// The request has had its final answer, or its client has left.
-    RequestOver,
+    RequestEnded,
     /// Its response is being streamed to its client.
-    StreamBegan,
+    ResponseStarted,
     /// An attempt is in flight.
-    AttemptOut,
+    AttemptInFlight,
     /// It has had as many attempts as the settings allow.
-    AttemptsSpent,
+    AttemptsExhausted,
     /// Its deadline has passed.
-    DeadlineOver,
+    DeadlineExceeded,
     /// It may have run, and is not idempotent.
-    RepeatForbidden,
+    RetryForbidden,
     /// It may have run, and the time in which its idempotency key is remembered is over.
-    RepeatWindowOver,
+    RetryWindowClosed,
     /// The endpoint is draining, was removed or was never listed.
     EndpointNotReady,
     /// The permit was revoked: the client has left, or the endpoint is draining.
@@ -57,7 +60,7 @@
     /// The permit was used before.
     PermitUsed,
     /// A request of the same name is open.
-    DuplicateName,
+    DuplicateRequestId,
     /// As many requests are open as the settings allow.
     TooManyOpen,
     /// The process is about to end and rejects new requests.
@@ -69,17 +72,17 @@
 impl Denial {
     /// All reasons, in the order of their numbers.
     pub const ALL: [Self; 14] = [
-        Self::RequestOver,
-        Self::StreamBegan,
-        Self::AttemptOut,
-        Self::AttemptsSpent,
-        Self::DeadlineOver,
-        Self::RepeatForbidden,
-        Self::RepeatWindowOver,
+        Self::RequestEnded,
+        Self::ResponseStarted,
+        Self::AttemptInFlight,
+        Self::AttemptsExhausted,
+        Self::DeadlineExceeded,
+        Self::RetryForbidden,
+        Self::RetryWindowClosed,
         Self::EndpointNotReady,
         Self::PermitRevoked,
         Self::PermitUsed,
-        Self::DuplicateName,
+        Self::DuplicateRequestId,
         Self::TooManyOpen,
         Self::Stopping,
         Self::RequestsOpen,
@@ -89,17 +92,17 @@
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::RequestOver => "request_over",
-            Self::StreamBegan => "stream_began",
-            Self::AttemptOut => "attempt_out",
-            Self::AttemptsSpent => "attempts_spent",
-            Self::DeadlineOver => "deadline_over",
-            Self::RepeatForbidden => "repeat_forbidden",
-            Self::RepeatWindowOver => "repeat_window_over",
+            Self::RequestEnded => "request_over",
+            Self::ResponseStarted => "stream_began",
+            Self::AttemptInFlight => "attempt_out",
+            Self::AttemptsExhausted => "attempts_spent",
+            Self::DeadlineExceeded => "deadline_over",
+            Self::RetryForbidden => "repeat_forbidden",
+            Self::RetryWindowClosed => "repeat_window_over",
             Self::EndpointNotReady => "endpoint_not_ready",
             Self::PermitRevoked => "permit_revoked",
             Self::PermitUsed => "permit_used",
-            Self::DuplicateName => "duplicate_name",
+            Self::DuplicateRequestId => "duplicate_name",
             Self::TooManyOpen => "too_many_open",
             Self::Stopping => "stopping",
             Self::RequestsOpen => "requests_open",
@@ -111,9 +114,9 @@
     pub const fn is_violation(self) -> bool {
         matches!(
             self,
-            Self::AttemptOut
-                | Self::RepeatForbidden
-                | Self::RepeatWindowOver
+            Self::AttemptInFlight
+                | Self::RetryForbidden
+                | Self::RetryWindowClosed
                 | Self::EndpointNotReady
         )
     }
@@ -138,7 +141,7 @@
 /// The reason for the denial.
 pub fn may_accept(check: &AcceptCheck) -> Result<(), Denial> {
     if check.name_is_open {
-        return Err(Denial::DuplicateName);
+        return Err(Denial::DuplicateRequestId);
     }
     if check.open_requests >= check.max_open_requests {
         return Err(Denial::TooManyOpen);
@@ -178,16 +181,16 @@
 /// The reason for the denial.
 pub fn may_send(check: &SendCheck) -> Result<(), Denial> {
     if check.response_started {
-        return Err(Denial::StreamBegan);
+        return Err(Denial::ResponseStarted);
     }
     if check.attempts_in_flight > 0 {
-        return Err(Denial::AttemptOut);
+        return Err(Denial::AttemptInFlight);
     }
     if check.attempts >= check.max_attempts {
-        return Err(Denial::AttemptsSpent);
+        return Err(Denial::AttemptsExhausted);
     }
     if check.deadline <= check.now {
-        return Err(Denial::DeadlineOver);
+        return Err(Denial::DeadlineExceeded);
     }
     if !check.endpoint_is_ready {
         return Err(Denial::EndpointNotReady);
@@ -213,9 +216,9 @@
         | Idempotency::IdempotencyKey {
             scope: DedupScope::Zone,
             ..
-        } => Err(Denial::RepeatForbidden),
+        } => Err(Denial::RetryForbidden),
         Idempotency::IdempotencyKey { window, .. } if now < since + window => Ok(()),
-        Idempotency::IdempotencyKey { .. } => Err(Denial::RepeatWindowOver),
+        Idempotency::IdempotencyKey { .. } => Err(Denial::RetryWindowClosed),
     }
 }
 
@@ -275,10 +278,11 @@
     /// Uses the permit: the attempt may be written now, once.
     ///
     /// # Errors
-    /// Why the attempt may not be written.
+    /// Why the attempt may not be written. `DeadlineExceeded` also stands for a retry window that has closed
+    /// and for a replica whose data may be too old by now.
     pub fn try_acquire(&self, now: Time) -> Result<(), Denial> {
         if now > self.send_before {
-            return Err(Denial::DeadlineOver);
+            return Err(Denial::DeadlineExceeded);
         }
         self.settle(USED).map_err(|was| {
             if was == USED {
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -157,7 +157,7 @@
         let mut events = std::mem::take(&mut self.pending_events);
         for event in &mut events {
             if let PolicyEvent::AttemptEnded(end) = event {
-                end.closed |= !self.requests.contains_key(&end.request);
+                end.request_ended |= !self.requests.contains_key(&end.request);
             }
         }
         events
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -143,7 +143,7 @@
         self.open_names.extend(incoming.name.clone());
         let client_key = incoming.client;
         let session = incoming.session;
-        let repeat = incoming.is_client_retry;
+        let is_client_retry = incoming.is_client_retry;
         let last_write_at = incoming.last_write_at;
         let pending = PendingRequest::new(reply_to, incoming, now);
         let request = Request {
@@ -154,7 +154,7 @@
             class: ClassId(pending.class),
             tenant: pending.tenant.map(TenantId),
             work: None,
-            repeat,
+            is_client_retry,
             since_last_write: last_write_at.map(|at| Span((now - at).0.max(0))),
         };
         let arrival = Arrival {
@@ -206,7 +206,7 @@
     /// The final answer of a request that is not accepted.
     fn denied_answer(&self, denial: Denial, class: usize) -> (FinalOutcome, FinalAnswer) {
         let reason = match denial {
-            Denial::DuplicateName => {
+            Denial::DuplicateRequestId => {
                 return (
                     FinalOutcome::Failed(FailureReason::DuplicateRequestId),
                     FinalAnswer::Failed(Failure::DuplicateName),
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -31,6 +31,7 @@
 /// The platform kills the program after its longest class deadline, cut to this, plus
 /// [`KILL_GRACE`].
 const LONGEST_DEADLINE: Span = Span::from_millis(3_000);
+/// What the platform adds to the longest deadline before it sends SIGKILL.
 const KILL_GRACE: Span = Span::from_millis(700);
 /// Tenths of the time until the kill in which existing connections are served: clients use a
 /// connection for as long as it is open, and the other gateways may be down as well.
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -29,12 +29,12 @@
 
 #[rstest]
 #[case::allowed(|_: &mut SendCheck| {}, Ok(()))]
-#[case::streaming(|s: &mut SendCheck| s.response_started = true, Err(Denial::StreamBegan))]
-#[case::attempt_out(|s: &mut SendCheck| s.attempts_in_flight = 1, Err(Denial::AttemptOut))]
-#[case::attempts_spent(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsSpent))]
-#[case::deadline_over(|s: &mut SendCheck| s.deadline = s.now, Err(Denial::DeadlineOver))]
+#[case::streaming(|s: &mut SendCheck| s.response_started = true, Err(Denial::ResponseStarted))]
+#[case::attempt_out(|s: &mut SendCheck| s.attempts_in_flight = 1, Err(Denial::AttemptInFlight))]
+#[case::attempts_spent(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsExhausted))]
+#[case::deadline_over(|s: &mut SendCheck| s.deadline = s.now, Err(Denial::DeadlineExceeded))]
 #[case::endpoint_drains(|s: &mut SendCheck| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
-#[case::may_have_run(|s: &mut SendCheck| s.may_have_run_since = Some(Time(1)), Err(Denial::RepeatForbidden))]
+#[case::may_have_run(|s: &mut SendCheck| s.may_have_run_since = Some(Time(1)), Err(Denial::RetryForbidden))]
 fn send_check_denies_by_reason(
     #[case] change: fn(&mut SendCheck),
     #[case] expected: Result<(), Denial>,
@@ -47,13 +47,13 @@
 #[rstest]
 #[case::idempotent(Idempotency::Idempotent, i64::MAX / 2, Ok(()))]
 #[case::key_inside_window(WITH_KEY, WINDOW.0 - 1, Ok(()))]
-#[case::key_at_window_end(WITH_KEY, WINDOW.0, Err(Denial::RepeatWindowOver))]
+#[case::key_at_window_end(WITH_KEY, WINDOW.0, Err(Denial::RetryWindowClosed))]
 #[case::key_of_zone(
     Idempotency::IdempotencyKey { scope: DedupScope::Zone, window: WINDOW },
     1,
-    Err(Denial::RepeatForbidden)
+    Err(Denial::RetryForbidden)
 )]
-#[case::non_idempotent(Idempotency::NonIdempotent, 0, Err(Denial::RepeatForbidden))]
+#[case::non_idempotent(Idempotency::NonIdempotent, 0, Err(Denial::RetryForbidden))]
 fn retry_check_follows_idempotency(
     #[case] idempotency: Idempotency,
     #[case] after: i64,
@@ -76,7 +76,7 @@
 #[case(ProcessStage::Draining, false, 9, Ok(()))]
 #[case(ProcessStage::Closing, false, 9, Ok(()))]
 #[case(ProcessStage::Stopping, false, 9, Err(Denial::Stopping))]
-#[case(ProcessStage::Serving, true, 9, Err(Denial::DuplicateName))]
+#[case(ProcessStage::Serving, true, 9, Err(Denial::DuplicateRequestId))]
 #[case(ProcessStage::Serving, false, 10, Err(Denial::TooManyOpen))]
 fn accept_check_denies_by_reason(
     #[case] stage: ProcessStage,
@@ -110,7 +110,7 @@
 #[test]
 fn denied_permit_returns_reason() {
     let permit = SendPermit::new(Time(10));
-    assert_eq!(permit.try_acquire(Time(11)), Err(Denial::DeadlineOver));
+    assert_eq!(permit.try_acquire(Time(11)), Err(Denial::DeadlineExceeded));
     assert_eq!(permit.try_acquire(Time(10)), Ok(()));
     assert_eq!(permit.try_acquire(Time(10)), Err(Denial::PermitUsed));
     let permit = SendPermit::new(Time(10));
@@ -123,7 +123,7 @@
     let decisions = Decisions::default();
     decisions.on_denied(Denial::Stopping);
     decisions.on_denied(Denial::Stopping);
-    decisions.on_violated(Denial::AttemptOut);
+    decisions.on_violated(Denial::AttemptInFlight);
     decisions.on_retry();
     let text = decisions.text();
     for line in [
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -325,7 +325,7 @@
         Arc::clone(&reload_requested),
         on_change,
     )
-    .map_err(StartError::resource("members"))?;
+    .map_err(StartError::resource("file watch"))?;
     Ok(reload_requested)
 }
 
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -69,7 +69,8 @@
         let _ = platform.handoff.set(handle.clone());
         // A list that discovery sent before the handle existed has not been passed on; the other process may
         // poll the same list seconds later only.
-        handle.forward_list(valehatch_net::lock(&endpoint_list).cache().encode());
+        let encoded = valehatch_net::lock(&endpoint_list).cache().encode();
+        handle.forward_list(encoded);
     }
     // Only now: whoever reads "ready" may start the next process at once, and that one has to find this one.
     platform.status.on_listening();
@@ -337,7 +338,7 @@
         }
     }
 
-    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is told at once, by the current
+    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is notified at once, by the current
     /// list under the new address. This process may end before that address answers.
     fn on_sighup(&self) {
         let Some(address) = self.reload("read again") else {
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -553,7 +553,7 @@
             gateway
                 .program
                 .log()
-                .matches("reloaded the configured endpoints")
+                .matches("configuration file read again")
                 .count()
                 >= n
         });
--- a/crates/gateway/tests/door.rs
+++ b/crates/gateway/tests/door.rs
@@ -135,7 +135,7 @@
         .replace("0.2\n", "0.8\n");
     std::fs::write(&gateway.file, swapped).unwrap();
     gateway.program.signal("HUP");
-    gateway.program.says("reloaded the configured endpoints");
+    gateway.program.says("configuration file read again");
     let (large, small) = both(&gateway, 400);
     assert!(small > large * 2, "{large} to {small}, of 0.02 to 0.8");
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -25,6 +25,7 @@
 /// brings the rest. Otherwise a start of a thousand gateways would make each send every update
 /// sixteen times.
 const FULL_QUEUE: usize = 64;
+/// Transmissions of each update while the queue is that long.
 const TRANSMISSIONS_WHEN_FULL: u32 = 2;
 /// Updates that can fit into a datagram, at most.
 pub(crate) const MAX_UPDATES_PER_DATAGRAM: usize = 16;
--- a/crates/net/src/clients/listener.rs
+++ b/crates/net/src/clients/listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket and the thread that accepts from it.
 //!
-//! State: the id of the last connection, and when accepting was told to stop.
+//! State: the id of the last connection, and when accepting was asked to stop.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -30,7 +30,7 @@
 };
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How long connections that keep coming are still accepted once accepting was told to stop.
+/// How long connections that keep coming are still accepted once accepting was asked to stop.
 /// Closing a listener resets what is in its backlog; waiting for longer would take connections from
 /// a process that waits for the same address.
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -17,7 +17,8 @@
 
 use crate::spawn;
 
-/// How often the file is checked: well within the grace period of a draining endpoint.
+/// How often the file is checked: well within the grace period that a draining endpoint has for requests already on
+/// their way, which is some hundred milliseconds at least.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A front whose endpoints the file names.
@@ -42,7 +43,7 @@
     on_reload: impl Fn(OperatorConfig) + Send + 'static,
 ) -> io::Result<()> {
     send_endpoints(&fronts, first);
-    spawn("members", move || {
+    spawn("file watch", move || {
         // The file may have changed since the caller has read it, so the first check reads it
         // again.
         let mut last_modified: Option<SystemTime> = None;
@@ -58,7 +59,7 @@
                 Ok(read) => {
                     send_endpoints(&fronts, &read);
                     on_reload(read);
-                    info!("reloaded the configured endpoints");
+                    info!("configuration file read again");
                 }
                 Err(e) => warn!(error = %e, "reload failed, keeping the configuration"),
             }
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -44,8 +44,11 @@
 const STALLED_AFTER: Duration = Duration::from_millis(700);
 /// Calls in flight at once: as many as become late one after the other until [`STALLED_AFTER`].
 const MAX_CALLS: usize = 7;
+/// Shortest pause after a failed call.
 const MIN_BACKOFF: Span = Span::from_millis(50);
+/// Longest pause after failed calls to an agent on this machine.
 const MAX_AGENT_BACKOFF: Span = Span::from_millis(100);
+/// Longest pause after failed calls to a service that pushes lists.
 const MAX_PUSH_BACKOFF: Span = Span::from_millis(2_500);
 
 /// Where the discovery that pushes lists runs.
@@ -318,7 +321,7 @@
     }
 
     fn spawn(self, reached: Option<ListVersion>) -> std::io::Result<()> {
-        spawn("list", move || self.run(reached))
+        spawn("discovery", move || self.run(reached))
     }
 
     fn run(mut self, reached: Option<ListVersion>) {
--- a/crates/net/src/discovery/watch.rs
+++ b/crates/net/src/discovery/watch.rs
@@ -17,6 +17,7 @@
 use super::http::{self, Response, Sending};
 use crate::lock;
 
+/// Buffer of a connection to discovery; responses may be longer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Where discovery is. A change of the address ends the latest call and any pause at once.
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -39,7 +39,9 @@
 const VERSION: u8 = 2;
 /// Version, channel, and four bytes for the fleet.
 const HEADER_BYTES: usize = 6;
+/// The channel of membership datagrams.
 const MEMBERSHIP_CHANNEL: u8 = 1;
+/// The channel of requests for endpoint lists and their answers.
 const LISTS_CHANNEL: u8 = 2;
 /// The shortest wait for a datagram.
 const MIN_WAIT: Span = Span::from_millis(1);
@@ -219,7 +221,7 @@
             dropped: DroppedDatagrams::default(),
         });
         let running = Arc::clone(&transport);
-        spawn("peers", move || running.run()).map_err(GossipStartError::Thread)?;
+        spawn("gossip", move || running.run()).map_err(GossipStartError::Thread)?;
         let address = transport.peers.listen;
         let advertised = transport.peers.advertise;
         tracing::info!(%address, %advertised, "gossiping with other gateways");
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -28,7 +28,7 @@
 
 /// How often this process's usage is reported to the state machine.
 const USAGE_INTERVAL: Duration = Duration::from_millis(50);
-/// Successors whose messages are read at once: one, and others that are told to retry.
+/// Successors whose messages are read at once: one, and others that are asked to retry.
 const MAX_SUCCESSORS: usize = 4;
 /// Events that may wait for the thread.
 const EVENT_QUEUE: usize = 64;
@@ -93,7 +93,7 @@
 
 impl HotRestart {
     /// Starts the threads. The process serves, and once this returns a successor finds it.
-    /// `predecessor` is the connection to the old process, if there is one; it is told that this
+    /// `predecessor` is the connection to the old process, if there is one; it is notified that this
     /// one is ready.
     ///
     /// # Errors
@@ -132,7 +132,7 @@
         let mut actions = vec![];
         exporter.state_machine.start_serving(&mut actions);
         exporter.execute(&mut actions);
-        spawn("handover", move || exporter.run(&inbox))?;
+        spawn("hot restart", move || exporter.run(&inbox))?;
         Ok(handle)
     }
 }
@@ -146,7 +146,7 @@
     predecessor.set_write_timeout(Some(WRITE_TIMEOUT))?;
     // Before this process takes over the path: the predecessor takes it back if this process ends.
     let _ = send(&predecessor, &HandoffMessage::Ready);
-    spawn("handover", move || {
+    spawn("hot restart", move || {
         while let Ok(message) = receive(&predecessor) {
             let event = match message {
                 HandoffMessage::EndpointList(list) => ExporterEvent::ListForwarded(list),
@@ -318,7 +318,7 @@
             let listener = UnixListener::bind(&own)?;
             let events = self.events.clone();
             let gateway = self.restart.gateway.clone();
-            spawn("handover", move || {
+            spawn("hot restart", move || {
                 accept_successors(&listener, &gateway, &events);
             })?;
             self.accepts_successors = true;
@@ -353,7 +353,7 @@
         let reader = Arc::clone(&readers);
         let events = events.clone();
         let gateway = gateway.to_owned();
-        let started = spawn("handover", move || {
+        let started = spawn("hot restart", move || {
             if let Err(e) = read_successor(peer, &connection, &gateway, &events) {
                 tracing::info!(error = %e, "hot restart peer disconnected");
             }
--- a/crates/net/src/upstream/pool.rs
+++ b/crates/net/src/upstream/pool.rs
@@ -80,7 +80,7 @@
         let Some(upstream) = self.connections.get(&connection).map(Arc::clone) else {
             return;
         };
-        let Err(e) = spawn("server", move || upstream.run(&job)) else {
+        let Err(e) = spawn("upstream", move || upstream.run(&job)) else {
             return;
         };
         tracing::warn!(error = %e, "no thread for an upstream connection");
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -126,7 +126,7 @@
     /// Estimated work, if known.
     pub work: Option<Span>,
     /// Whether it is a client's retry, where clients mark those.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// Time since the session's last write, if the client sent it.
     pub since_last_write: Option<Span>,
 }
@@ -143,7 +143,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Whether the request has its final answer, by this attempt or before it.
-    pub closed: bool,
+    pub request_ended: bool,
     /// How long the attempt took.
     pub latency: Span,
     /// The role that the endpoint reported.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -87,7 +87,7 @@
 //!     class: ClassId(0),
 //!     tenant: None,
 //!     work: None,
-//!     repeat: false,
+//!     is_client_retry: false,
 //!     since_last_write: None,
 //! });
 //! router.step(Time(1_000_000), &[list, read], &mut actions);
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -81,7 +81,7 @@
     }
 
     /// Whether a request that has just arrived is shed.
-    pub(crate) fn should_shed(&mut self, id: RequestId) -> bool {
+    pub(crate) fn decide_shedding(&mut self, id: RequestId) -> bool {
         let Some(request) = self.pending.get(&id) else {
             return false;
         };
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -3,9 +3,9 @@
 //! - An endpoint that leaves an attempt unanswered for longer than responses ever take is ejected
 //!   as unresponsive. It gets a trial attempt now and then, and only an answer readmits it, because
 //!   a hung process passes health checks.
-//! - Failed attempts and failed health checks without an answer between them eject it as
-//!   unreachable; health checks find out when it is back. A single broken connection ejects
-//!   nothing.
+//! - A failed health check ejects it as unreachable once there have been
+//!   [`FAILURES_BEFORE_EJECTION`] failures without an answer between them; health checks find out
+//!   when it is back. Failed attempts count, but alone they eject nothing.
 //!
 //! Inputs: ends of attempts and of health checks, time. State: [`OutlierState`] of each endpoint.
 //! Bounds: none of its own. Units: microseconds; failures are counted.
@@ -19,13 +19,14 @@
 use crate::settings::Idempotency;
 use crate::time::{Span, Time};
 
-/// Failed attempts and health checks without an answer between them from which an endpoint is
-/// ejected.
+/// Failures without an answer between them from which a failed health check ejects an endpoint.
+/// Attempts alone never eject: their connections may fail for reasons of this machine.
 const FAILURES_BEFORE_EJECTION: u32 = 3;
 /// From an ejection, or the last attempt, to the next trial. The interval between health checks of
 /// an unreachable endpoint doubles from here.
 const FIRST_TRIAL_AFTER: Span = Span::from_millis(500);
-/// Longest interval between two trials: every router tries the same dead endpoint.
+/// Longest interval between two health checks of an unreachable endpoint: every router checks the
+/// same dead endpoint. An unresponsive one gets a trial attempt each [`FIRST_TRIAL_AFTER`].
 const MAX_TRIAL_INTERVAL: Span = Span::from_millis(4000);
 
 /// Why an endpoint is ejected.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -125,7 +125,7 @@
         request.in_flight.remove(&end.attempt);
         let group = request.group;
         self.release_search(group, end.request, end.endpoint);
-        if end.closed {
+        if end.request_ended {
             return self.finish(end.request, actions);
         }
         self.prepare_retry(end, attempt.sent_at());
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -163,7 +163,7 @@
 
     /// Sends a waiting request, gives it up, or leaves it waiting.
     fn schedule(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Disposition {
-        let shed = self.should_shed(id);
+        let shed = self.decide_shedding(id);
         let Some(request) = self.pending.get(&id) else {
             return Disposition::Settled;
         };
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -264,7 +264,7 @@
         attempt: 3,
         endpoint: EndpointId(88),
         outcome: Outcome::Ok,
-        closed: true,
+        request_ended: true,
         latency: ms(1),
         role: PRIMARY,
         position: None,
--- a/crates/policy/tests/sessions.rs
+++ b/crates/policy/tests/sessions.rs
@@ -31,7 +31,7 @@
     else {
         panic!()
     };
-    end.closed = true;
+    end.request_ended = true;
     script.step(&[
         PolicyEvent::ClientDisconnected(RequestId(1)),
         PolicyEvent::AttemptEnded(end),
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -219,7 +219,7 @@
             class,
             tenant: None,
             work: None,
-            repeat: false,
+            is_client_retry: false,
             since_last_write: since_last_write.map(ms),
         };
         let session_position = request.since_last_write.map(|ago| self.now - ago);
@@ -266,8 +266,8 @@
         if !outcome.never_ran() {
             tracked.may_have_run_since.get_or_insert(tracked.last_sent);
         }
-        let closed = outcome == Outcome::Ok || tracked.finished;
-        tracked.finished |= closed;
+        let request_ended = outcome == Outcome::Ok || tracked.finished;
+        tracked.finished |= request_ended;
         if role == Some(Role::Replica) {
             self.primaries.remove(&endpoint);
         } else if role == Some(Role::Primary) {
@@ -284,7 +284,7 @@
             attempt,
             endpoint,
             outcome,
-            closed,
+            request_ended,
             latency,
             role,
             position,
--- a/crates/request-log/src/outcomes.rs
+++ b/crates/request-log/src/outcomes.rs
@@ -34,9 +34,10 @@
         TooLate = "late",
         /// The deadline passed.
         DeadlineExceeded = "deadline",
-        /// All attempts are used up, and none of them ran.
+        /// All attempts are used up; another try by the client does no harm.
         AttemptsExhausted = "attempts",
-        /// The deduplication window of the idempotency key closed.
+        /// The deduplication window of the idempotency key closed. Not recorded any more, as such
+        /// requests fail; kept, because names are stored.
         RetryWindowClosed = "window",
         /// The limit on open requests is reached.
         TooManyOpen = "open",
--- a/crates/simulator-adapter/src/frames.rs
+++ b/crates/simulator-adapter/src/frames.rs
@@ -212,7 +212,7 @@
                 class: ClassId(class.into()),
                 tenant: None,
                 work: None,
-                repeat: marks & 2 != 0,
+                is_client_retry: marks & 2 != 0,
                 since_last_write: None,
             });
             Incoming::Ask {
@@ -236,7 +236,7 @@
             let attempt = c.u16("n")?.into();
             let mark = c.u32("mark")?;
             let endpoint = EndpointId(c.u32("node")?);
-            let closed = c.u8("closed")? != 0;
+            let request_ended = c.u8("closed")? != 0;
             let outcome = outcome(c.u16("result")?)?;
             let latency = Span(ms_to_micros(c.f64("cost-time-ms")?));
             let metrics = metrics(&mut c)?;
@@ -245,7 +245,7 @@
                 attempt,
                 endpoint,
                 outcome,
-                closed,
+                request_ended,
                 latency,
                 role: None,
                 position: None,
