--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -154,8 +154,8 @@
             5 => (Outcome::ConnectFailed, None),
             _ => (Outcome::Reset, None),
         };
-        let closed = outcome == Outcome::Ok || !self.open.contains_key(&request);
-        if closed {
+        let request_ended = outcome == Outcome::Ok || !self.open.contains_key(&request);
+        if request_ended {
             self.open.remove(&request);
         }
         let latency = self.now - sent;
@@ -165,7 +165,7 @@
             attempt,
             endpoint,
             outcome,
-            closed,
+            request_ended,
             latency,
             role,
             position,
