--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -226,7 +226,7 @@
         let listener = inheritance
             .listener()
             .map_err(StartError::resource(format!("listen: {}", config.listen)))?;
-        let handler = valehatch_pg::clients::Front {
+        let handler = valehatch_pg::clients::PostgresHandler {
             site: site.clone(),
             clock,
         };
@@ -256,7 +256,7 @@
         // Where replicas serve stale reads, only the position in an answer shows whether it was fresh enough.
         let needs_verified_clock = site.settings.stale_read_policy == StaleReadPolicy::Serve;
         let pools = EndpointPools::new(
-            Arc::new(valehatch_pg::servers::Databases { clock: self.clock }),
+            Arc::new(valehatch_pg::upstream::PostgresProtocol { clock: self.clock }),
             self.inbox.0.clone(),
             self.clock,
             Duration::from_millis(site.connect_timeout_ms),
--- a/crates/gateway/src/protocols.rs
+++ b/crates/gateway/src/protocols.rs
@@ -52,7 +52,7 @@
     let site = front.site.clone();
     let connect_timeout = Duration::from_millis(site.connect_timeout_ms);
     let connections = connection_limiter(clock, front.sockets, UpstreamAccounting::Shared);
-    let databases = Arc::new(valehatch_pg::servers::Databases { clock });
+    let databases = Arc::new(valehatch_pg::upstream::PostgresProtocol { clock });
     let pools = EndpointPools::new(
         databases,
         events,
@@ -61,7 +61,7 @@
         Arc::clone(&connections),
     );
     ProtocolStack {
-        handler: Arc::new(valehatch_pg::clients::Front { site, clock }),
+        handler: Arc::new(valehatch_pg::clients::PostgresHandler { site, clock }),
         upstream: Box::new(pools.count_attempts(metrics)),
         connections,
         max_in_flight: None,
--- /dev/null
+++ b/crates/pg/src/clients/request.rs
@@ -0,0 +1,173 @@
+//! Decodes a query into a request: checks its comment against the settings, and its statement
+//! against its class.
+
+use std::collections::hash_map::DefaultHasher;
+use std::fmt;
+use std::hash::{Hash, Hasher};
+use std::sync::Arc;
+
+use valehatch_core::{IncomingRequest, MemoryReservation, Payload};
+use valehatch_policy::{Consistency, GroupId, Idempotency, RequestClass, SessionKey, Span};
+
+use super::PostgresHandler;
+use super::request_comment::CommentedQuery;
+
+/// Bytes that a request's name may have.
+const NAME_BYTES: std::ops::RangeInclusive<usize> = 1..=64;
+/// How long a client may say that it waits, in milliseconds: up to 24 hours.
+const CLIENT_TIMEOUT_MS: std::ops::RangeInclusive<u32> = 1..=86_400_000;
+
+/// Why a query is not a request. Its text is sent to the client.
+#[derive(Debug)]
+pub(super) enum RequestError {
+    /// The query is not UTF-8.
+    NotUtf8,
+    /// The query does not begin with a comment.
+    MissingComment,
+    /// The comment is not a list of names and values.
+    MalformedComment,
+    /// The comment has a name twice.
+    DuplicateField,
+    /// The comment lacks this name.
+    MissingField(&'static str),
+    /// The name has no byte or too many.
+    InvalidName,
+    /// No class has this name.
+    UnknownClass(String),
+    /// The client's timeout is not a number, or out of its bounds.
+    InvalidClientTimeout,
+    /// The group is not a number.
+    InvalidGroup,
+    /// The idempotency key is empty.
+    EmptyIdempotencyKey,
+    /// The statement does not begin with this verb, as its class requires.
+    WrongStatement(&'static str),
+}
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NotUtf8 => f.write_str("the query is not UTF-8"),
+            Self::MissingComment => f.write_str("the query has no leading comment"),
+            Self::MalformedComment => f.write_str("the comment is not made of names and values"),
+            Self::DuplicateField => f.write_str("the comment holds a name twice"),
+            Self::MissingField(name) => write!(f, "the comment has no {name}"),
+            Self::InvalidName => f.write_str("the id is empty or longer than 64 bytes"),
+            Self::UnknownClass(class) => write!(f, "no class {class:?} is known"),
+            Self::InvalidClientTimeout => f.write_str("d is not a number of milliseconds"),
+            Self::InvalidGroup => f.write_str("cluster is not a number"),
+            Self::EmptyIdempotencyKey => f.write_str("the key is empty"),
+            Self::WrongStatement(verb) => {
+                write!(f, "the class takes statements that begin with {verb}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for RequestError {}
+
+impl PostgresHandler {
+    /// Decodes a query; `None` if no memory could be reserved for it. `reserve` is called with the
+    /// request's class, tenant and group, once everything else has been checked.
+    pub(super) fn decode_request(
+        &self,
+        client: u64,
+        query: &[u8],
+        reserve: impl FnOnce(usize, Option<usize>, GroupId) -> Option<MemoryReservation>,
+    ) -> Result<Option<IncomingRequest>, RequestError> {
+        let commented = CommentedQuery::parse(query)?;
+        let name = commented.required("id")?;
+        if !NAME_BYTES.contains(&name.len()) {
+            return Err(RequestError::InvalidName);
+        }
+        let class_name = commented.required("c")?;
+        let class = index_of(&self.site.classes, class_name)
+            .ok_or_else(|| RequestError::UnknownClass(class_name.to_owned()))?;
+        let client_timeout = parse_client_timeout(commented.required("d")?)?;
+        let group = commented.required("cluster")?.parse();
+        let group = GroupId(group.map_err(|_| RequestError::InvalidGroup)?);
+        let contract = &self.site.settings.classes[class];
+        check_contract(contract, &commented)?;
+        let session = self.session_key(contract.consistency, commented.statement);
+        let tenant = commented
+            .optional("t")
+            .and_then(|tenant| index_of(&self.site.tenants, tenant));
+        let Some(memory) = reserve(class, tenant, group) else {
+            return Ok(None);
+        };
+        let last_write_ms = commented
+            .optional("after")
+            .and_then(|unix_ms| unix_ms.parse().ok());
+        Ok(Some(IncomingRequest {
+            name: Some(Arc::from(name)),
+            class,
+            tenant,
+            group,
+            session,
+            received: self.clock.now(),
+            // No request is open for longer than its class's deadline, however long its client
+            // would wait.
+            client_timeout: client_timeout.min(contract.deadline),
+            is_client_retry: commented.optional("r") == Some("1"),
+            last_write_at: last_write_ms.map(|unix_ms| self.clock.at_unix_ms(unix_ms)),
+            client,
+            payload: Arc::new(Payload {
+                bytes: query.to_vec(),
+                write: contract.consistency == Consistency::Write,
+                class,
+            }),
+            memory,
+        }))
+    }
+
+    /// The session of a read or write: the key that its statement is about. `None` if no class
+    /// reads its session's writes, so that no session has to be remembered.
+    fn session_key(&self, consistency: Consistency, statement: &str) -> Option<SessionKey> {
+        let classes = &self.site.settings.classes;
+        let uses_sessions = classes
+            .iter()
+            .any(|class| class.consistency == Consistency::Session);
+        let has_session = matches!(consistency, Consistency::Write | Consistency::Session);
+        if !uses_sessions || !has_session {
+            return None;
+        }
+        let mut hasher = DefaultHasher::new();
+        first_quoted(statement)?.hash(&mut hasher);
+        Some(SessionKey(hasher.finish()))
+    }
+}
+
+fn index_of(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+fn parse_client_timeout(text: &str) -> Result<Span, RequestError> {
+    let timeout_ms = text.parse::<u32>().ok();
+    timeout_ms
+        .filter(|timeout_ms| CLIENT_TIMEOUT_MS.contains(timeout_ms))
+        .map(|timeout_ms| Span::from_millis(timeout_ms.into()))
+        .ok_or(RequestError::InvalidClientTimeout)
+}
+
+/// Checks that a query has what its class needs: an idempotency key, and a matching statement.
+fn check_contract(class: &RequestClass, query: &CommentedQuery) -> Result<(), RequestError> {
+    let needs_key = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
+    if needs_key && query.required("k")?.is_empty() {
+        return Err(RequestError::EmptyIdempotencyKey);
+    }
+    let verb = if class.consistency == Consistency::Write {
+        "INSERT "
+    } else {
+        "SELECT "
+    };
+    let beginning = query.statement.trim_start().get(..verb.len());
+    if beginning.is_none_or(|beginning| !beginning.eq_ignore_ascii_case(verb)) {
+        return Err(RequestError::WrongStatement(verb));
+    }
+    Ok(())
+}
+
+/// The first quoted text of a statement: the key that it is about.
+fn first_quoted(statement: &str) -> Option<&str> {
+    statement.split('\'').nth(1)
+}
--- /dev/null
+++ b/crates/pg/src/codec/startup.rs
@@ -0,0 +1,72 @@
+//! The start of a session: the client's first message and the reply to it.
+
+use std::io::{self, Read, Write};
+
+use super::framing::{FramingError, put_message, read_body, read_length};
+use super::message_types::backend;
+use super::put_ready_for_query;
+
+/// Bytes of the longest startup message, as in PostgreSQL itself.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Codes in the place of a version that ask for something else than a session.
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSSAPI_REQUEST_CODE: u32 = 80_877_104;
+/// The protocol's major version, in the upper half of the version field.
+const MAJOR_VERSION: u32 = 3;
+
+/// The first message of a connection.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum FirstMessage {
+    /// Opens a session.
+    Startup,
+    /// Asks for encryption by TLS or GSSAPI; a plain `N` declines it.
+    EncryptionRequest,
+    /// Cancels a query of another connection. The gateway issues no keys to name one by.
+    CancelRequest,
+    /// Opens a session of another version of the protocol.
+    UnsupportedVersion(u32),
+}
+
+/// Reads the first message of a connection, or the next one after declined encryption.
+pub(crate) fn read_first_message(reader: &mut impl Read) -> io::Result<FirstMessage> {
+    let length = read_length(reader, MAX_STARTUP_BYTES)?;
+    let body = read_body(reader, length, MAX_STARTUP_BYTES)?;
+    let Some(code) = body.first_chunk() else {
+        return Err(FramingError::MissingVersion.into());
+    };
+    Ok(match u32::from_be_bytes(*code) {
+        SSL_REQUEST_CODE | GSSAPI_REQUEST_CODE => FirstMessage::EncryptionRequest,
+        CANCEL_REQUEST_CODE => FirstMessage::CancelRequest,
+        version if version >> 16 == MAJOR_VERSION => FirstMessage::Startup,
+        version => FirstMessage::UnsupportedVersion(version),
+    })
+}
+
+/// The reply to a startup message, up to the first ReadyForQuery.
+pub(crate) fn startup_reply() -> Vec<u8> {
+    let mut out = vec![];
+    let authentication_ok = 0_u32.to_be_bytes();
+    put_message(&mut out, backend::AUTHENTICATION, &[&authentication_ok]);
+    put_parameter_status(&mut out, "server_version", "15.0");
+    put_parameter_status(&mut out, "server_encoding", "UTF8");
+    put_parameter_status(&mut out, "client_encoding", "UTF8");
+    put_message(&mut out, backend::BACKEND_KEY_DATA, &[&[0; 8]]);
+    put_ready_for_query(&mut out);
+    out
+}
+
+fn put_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
+    let parts: [&[u8]; 4] = [name.as_bytes(), b"\0", value.as_bytes(), b"\0"];
+    put_message(out, backend::PARAMETER_STATUS, &parts);
+}
+
+/// Writes the startup message of a session with an endpoint.
+pub(crate) fn write_startup(writer: &mut impl Write) -> io::Result<()> {
+    let parameters = b"user\0worker\0database\0catalog\0\0";
+    let length = (8 + parameters.len()) as u32;
+    let mut out = length.to_be_bytes().to_vec();
+    out.extend_from_slice(&(MAJOR_VERSION << 16).to_be_bytes());
+    out.extend_from_slice(parameters);
+    writer.write_all(&out)
+}
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,8 +1,12 @@
-//! PostgreSQL's protocol, version 3, as far as the platform needs it: the codec, then the peer on both sides.
+//! PostgreSQL's frontend/backend protocol, version 3, as far as simple queries need it.
+//!
+//! - `codec`: messages to and from bytes, without state. Lengths are checked before memory is
+//!   reserved.
+//! - [`clients`]: the server side of the protocol, towards the gateway's clients.
+//! - [`upstream`]: the client side of the protocol, towards endpoints.
 
 #![forbid(unsafe_code)]
-#![expect(missing_docs, reason = "not yet split and documented")]
 
 pub mod clients;
-pub mod codec;
-pub mod servers;
+mod codec;
+pub mod upstream;
--- /dev/null
+++ b/crates/pg/src/upstream/response.rs
@@ -0,0 +1,352 @@
+//! Reads the response to one query, up to ReadyForQuery.
+//!
+//! Input: backend messages. State: how far the response has come, and what of it goes to the
+//! client. A response that violates the protocol counts as an error, as the query may have run, and
+//! its connection is not used again. Memory: one message, the messages kept for the client, and
+//! [`MAX_ASYNCHRONOUS_BYTES`] at most for notices and parameters.
+
+use std::fmt;
+use std::io::{self, BufReader, ErrorKind};
+use std::sync::Arc;
+
+use valehatch_core::{UpstreamJob, UpstreamReply};
+use valehatch_net::Clock;
+use valehatch_net::clients::ResponseBody;
+use valehatch_net::upstream::{BodyOpener, ReceivedReply};
+use valehatch_policy::{Outcome, Role};
+
+use super::load_report::{parse_load_report, position_from_unix_ms};
+use super::response_stream::ResponseStream;
+use super::streamed_row::{StreamedRowError, is_streamed, stream_row};
+use super::{MAX_ASYNCHRONOUS_BYTES, MAX_MESSAGE_BYTES, outcome_of};
+use crate::codec::error_response::{CODE_FIELD, error_field};
+use crate::codec::framing::{
+    HEADER_BYTES, Message, MessageHeader, put_message, read_body, read_header,
+};
+use crate::codec::message_types::backend;
+use crate::codec::put_ready_for_query;
+use crate::codec::rows::{describes_one_column, only_column};
+use crate::codec::strings::{command_tag, parameter_status};
+
+/// Bytes of the longest row; values have up to 4 MiB.
+const MAX_ROW_BYTES: usize = 16 * 1024 * 1024;
+/// Length of an error code.
+const SQLSTATE_BYTES: usize = 5;
+/// Body of a ReadyForQuery outside of a transaction.
+const IDLE: &[u8] = b"I";
+
+/// How far a response has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Phase {
+    /// No RowDescription or error yet.
+    Start,
+    /// A RowDescription of one column.
+    Described,
+    /// The only row.
+    RowReceived,
+    /// CommandComplete: the response counts, even if the connection fails now.
+    Complete,
+    /// An ErrorResponse, which counts likewise.
+    Failed,
+}
+
+/// Why a response is of no use.
+#[derive(Debug)]
+enum ResponseError {
+    /// The connection ended before ReadyForQuery.
+    Disconnected,
+    /// A message cannot be read, or the connection stalled.
+    Unreadable(io::Error),
+    /// Notices and parameters above [`MAX_ASYNCHRONOUS_BYTES`].
+    TooManyAsynchronousBytes,
+    /// A message, by its type, that is not valid at its place.
+    UnexpectedMessage(u8),
+    /// A row that is not one column with a value.
+    MalformedRow,
+    /// An ErrorResponse without a valid code.
+    MalformedError,
+    /// A ParameterStatus that is not a name and a value.
+    MalformedParameter,
+    /// A row was not streamed to its end.
+    StreamedRow(StreamedRowError),
+}
+
+impl fmt::Display for ResponseError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Disconnected => f.write_str("the connection ended"),
+            Self::Unreadable(error) => write!(f, "a message cannot be read: {error}"),
+            Self::TooManyAsynchronousBytes => f.write_str("too many notices and parameters"),
+            Self::UnexpectedMessage(message_type) => {
+                write!(f, "unexpected message of type {message_type:#04x}")
+            }
+            Self::MalformedRow => f.write_str("a row without exactly one column"),
+            Self::MalformedError => f.write_str("an error without a code"),
+            Self::MalformedParameter => f.write_str("a malformed parameter"),
+            Self::StreamedRow(error) => write!(f, "a streamed row is not complete: {error}"),
+        }
+    }
+}
+
+impl std::error::Error for ResponseError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Unreadable(error) => Some(error),
+            Self::StreamedRow(error) => Some(error),
+            _ => None,
+        }
+    }
+}
+
+impl From<io::Error> for ResponseError {
+    fn from(error: io::Error) -> Self {
+        match error.kind() {
+            ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset => Self::Disconnected,
+            _ => Self::Unreadable(error),
+        }
+    }
+}
+
+/// Reads one response.
+pub(super) struct ResponseReader<'a> {
+    clock: Clock,
+    job: &'a UpstreamJob,
+    open_body: BodyOpener<'a>,
+    phase: Phase,
+    reply: UpstreamReply,
+    /// Messages for the client that were not streamed.
+    client_messages: Vec<u8>,
+    /// The row of a health check.
+    health_check_row: Option<Vec<u8>>,
+    /// The client's response, once a row was streamed to it.
+    streamed: Option<Arc<ResponseBody>>,
+    /// Bytes of notices and parameters so far.
+    asynchronous_bytes: usize,
+}
+
+impl<'a> ResponseReader<'a> {
+    pub(super) fn new(clock: Clock, job: &'a UpstreamJob, open_body: BodyOpener<'a>) -> Self {
+        Self {
+            clock,
+            job,
+            open_body,
+            phase: Phase::Start,
+            reply: UpstreamReply::without_details(Outcome::Reset),
+            client_messages: vec![],
+            health_check_row: None,
+            streamed: None,
+            asynchronous_bytes: 0,
+        }
+    }
+
+    /// Reads messages up to ReadyForQuery. The connection is reusable if that was received.
+    pub(super) fn read(mut self, reader: &mut BufReader<ResponseStream>) -> ReceivedReply {
+        let failed = |outcome| ReceivedReply {
+            reply: UpstreamReply::without_details(outcome),
+            reusable: false,
+        };
+        match self.read_messages(reader) {
+            Ok(()) => ReceivedReply {
+                reply: self.into_reply(),
+                reusable: true,
+            },
+            // A part of a response does not count; a complete one or an error does, although
+            // ReadyForQuery is missing.
+            Err(ResponseError::Disconnected) => ReceivedReply {
+                reply: self.into_reply(),
+                reusable: false,
+            },
+            Err(error) => {
+                tracing::warn!(%error, "endpoint's response dropped");
+                match error {
+                    ResponseError::StreamedRow(error) => failed(error.outcome()),
+                    _ => failed(Outcome::Error),
+                }
+            }
+        }
+    }
+
+    fn read_messages(
+        &mut self,
+        reader: &mut BufReader<ResponseStream>,
+    ) -> Result<(), ResponseError> {
+        loop {
+            let header = read_header(reader, MAX_ROW_BYTES)?;
+            if self.is_streamed_row(&header) {
+                self.stream_row(reader, header.body_length)?;
+                continue;
+            }
+            let message = Message {
+                message_type: header.message_type,
+                body: read_body(reader, header.body_length, MAX_MESSAGE_BYTES)?,
+            };
+            if self.is_ready(&message) {
+                return Ok(());
+            }
+            self.on_message(&message)?;
+        }
+    }
+
+    const fn is_streamed_row(&self, header: &MessageHeader) -> bool {
+        header.message_type == backend::DATA_ROW
+            && is_streamed(header.body_length)
+            && matches!(self.job, UpstreamJob::Request { .. })
+    }
+
+    fn is_ready(&self, message: &Message) -> bool {
+        message.message_type == backend::READY_FOR_QUERY
+            && message.body == IDLE
+            && matches!(self.phase, Phase::Complete | Phase::Failed)
+    }
+
+    /// Streams a row to the client, after the messages kept so far.
+    fn stream_row(
+        &mut self,
+        reader: &mut BufReader<ResponseStream>,
+        body_length: usize,
+    ) -> Result<(), ResponseError> {
+        if self.phase != Phase::Described {
+            return Err(ResponseError::UnexpectedMessage(backend::DATA_ROW));
+        }
+        let preceding = std::mem::take(&mut self.client_messages);
+        let streamed = stream_row(reader, &preceding, body_length, self.open_body)
+            .map_err(ResponseError::StreamedRow)?;
+        self.streamed = Some(streamed);
+        self.phase = Phase::RowReceived;
+        Ok(())
+    }
+
+    fn on_message(&mut self, message: &Message) -> Result<(), ResponseError> {
+        let Message { message_type, body } = message;
+        match (*message_type, self.phase) {
+            (backend::NOTICE_RESPONSE, _) => self.count_asynchronous(body),
+            (backend::PARAMETER_STATUS, _) => {
+                self.count_asynchronous(body)?;
+                self.on_parameter_status(body)
+            }
+            (backend::ROW_DESCRIPTION, Phase::Start) if describes_one_column(body) => {
+                self.phase = Phase::Described;
+                self.keep_for_client(message);
+                Ok(())
+            }
+            (backend::DATA_ROW, Phase::Described) => self.on_row(message),
+            (backend::COMMAND_COMPLETE, Phase::RowReceived) if self.matches_job(body) => {
+                self.phase = Phase::Complete;
+                self.keep_for_client(message);
+                Ok(())
+            }
+            (backend::ERROR_RESPONSE, Phase::Start | Phase::Described | Phase::RowReceived) => {
+                self.on_error(message)
+            }
+            (unexpected, _) => Err(ResponseError::UnexpectedMessage(unexpected)),
+        }
+    }
+
+    fn keep_for_client(&mut self, message: &Message) {
+        let out = &mut self.client_messages;
+        put_message(out, message.message_type, &[&message.body]);
+    }
+
+    const fn count_asynchronous(&mut self, body: &[u8]) -> Result<(), ResponseError> {
+        self.asynchronous_bytes += body.len() + HEADER_BYTES;
+        if self.asynchronous_bytes > MAX_ASYNCHRONOUS_BYTES {
+            return Err(ResponseError::TooManyAsynchronousBytes);
+        }
+        Ok(())
+    }
+
+    fn on_row(&mut self, message: &Message) -> Result<(), ResponseError> {
+        let value = only_column(&message.body).ok_or(ResponseError::MalformedRow)?;
+        if matches!(self.job, UpstreamJob::HealthCheck) {
+            self.health_check_row = Some(value.to_vec());
+        }
+        self.phase = Phase::RowReceived;
+        self.keep_for_client(message);
+        Ok(())
+    }
+
+    fn on_error(&mut self, message: &Message) -> Result<(), ResponseError> {
+        let code = error_field(&message.body, CODE_FIELD)
+            .filter(|code| code.len() == SQLSTATE_BYTES)
+            .ok_or(ResponseError::MalformedError)?;
+        if self.phase == Phase::Start {
+            self.reply.outcome = outcome_of(code);
+            self.reply.is_final_error = is_statement_error(code);
+        } else {
+            // The statement has begun to run: the code does not prove that it had no effect.
+            self.reply.outcome = Outcome::Error;
+        }
+        if self.reply.is_final_error {
+            self.keep_for_client(message);
+        }
+        self.phase = Phase::Failed;
+        Ok(())
+    }
+
+    fn on_parameter_status(&mut self, body: &[u8]) -> Result<(), ResponseError> {
+        let parameter = parameter_status(body).ok_or(ResponseError::MalformedParameter)?;
+        let value = parameter.value;
+        match (parameter.name, value) {
+            ("mode", "read-write") => self.reply.role = Some(Role::Primary),
+            ("mode", "read-only") => self.reply.role = Some(Role::Replica),
+            ("wal_time", _) => {
+                let unix_ms = value.parse().ok();
+                self.reply.position =
+                    unix_ms.and_then(|unix_ms| position_from_unix_ms(self.clock, unix_ms));
+            }
+            ("stats", _) => self.reply.report = parse_load_report(self.clock, value),
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Whether a CommandComplete is that of the job's statement. A health check may get any.
+    fn matches_job(&self, body: &[u8]) -> bool {
+        let Some(tag) = command_tag(body) else {
+            return false;
+        };
+        match self.job {
+            UpstreamJob::Request { payload, .. } if payload.write => tag.starts_with("INSERT "),
+            UpstreamJob::Request { .. } => tag.starts_with("SELECT "),
+            UpstreamJob::HealthCheck => true,
+        }
+    }
+
+    fn into_reply(self) -> UpstreamReply {
+        let mut reply = self.reply;
+        if reply.is_final_error {
+            reply.body = Some(self.client_messages);
+            return reply;
+        }
+        if self.phase != Phase::Complete {
+            return reply;
+        }
+        reply.outcome = Outcome::Ok;
+        match self.job {
+            UpstreamJob::Request { .. } => {
+                let mut last_messages = self.client_messages;
+                // The end of a streamed response is written as it is; that of a buffered one gets
+                // its ReadyForQuery with the final answer.
+                if self.streamed.is_some() {
+                    put_ready_for_query(&mut last_messages);
+                }
+                reply.body = Some(last_messages);
+            }
+            UpstreamJob::HealthCheck => {
+                let text = self
+                    .health_check_row
+                    .and_then(|row| String::from_utf8(row).ok());
+                let report = text.and_then(|text| parse_load_report(self.clock, &text));
+                reply.report = report.or(reply.report);
+            }
+        }
+        reply
+    }
+}
+
+/// Whether an error's code blames the statement, so that every endpoint would report the same.
+fn is_statement_error(code: &str) -> bool {
+    ["08P01", "0A", "42"]
+        .iter()
+        .any(|class| code.starts_with(class))
+}
