--- /dev/null
+++ b/crates/simulator-adapter/src/decode.rs
@@ -0,0 +1,400 @@
+//! Decodes a record of an input frame.
+//!
+//! | code | fields on the wire | [`Input`] and its fields |
+//! | --- | --- | --- |
+//! | 1 | `salt` 8, `settings length` 4, `settings` | `Attach`: `seed`, `settings` (UTF-8) |
+//! | 2 | `kind` 1, `gen` 8, `buffer` 2 | `EndpointListUpdate`: `kind`, unused, `table` |
+//! | 3 | `req` 8, `client-key` 8, `time-left-ms` 8 | `Request`: `id`, `session_key`, `time_left` |
+//! | | `cluster-no` 4, `predicted-ms` 8, `profile` 1 | `group`, `work`, `class` |
+//! | | `account` 4, `marks` 2, `wrote-ms-ago` 4 | `tenant`, `work` and `repeat`, `since_last_write_ms` |
+//! | 4 | `req` 8, `cost-time-ms` 8, `n` 2, `node` 4 | `ResponseStarted`: request, unused, unused, unused |
+//! | 5 | `req` 8, `n` 2, `mark` 4, `node` 4 | `AttemptEnded`: `request`, `attempt`, `progress`, `endpoint` |
+//! | | `closed` 1, `result` 2, `cost-time-ms` 8 | `closed`, `outcome`, `latency` |
+//! | | `metrics count` 1, `metrics` 4 each | `report_values` |
+//! | 6 | `req` 8 | `ClientDisconnected`: request |
+//! | 7 | `ctx` 8 | `TimerExpired`: token |
+//! | 8 | `node` 4, `cost-time-ms` 8, `result` 2 | `HealthCheckEnded`: `endpoint`, `latency`, `outcome` |
+//! | | `metrics count` 1, `metrics` 4 each | `report_values` |
+//! | 9 | `author` 2, `msg length` 2, `msg` | `Gossip`: unused |
+//! | 10 | | `Stop` |
+//! | 11 | `buffer` 2, `rows` 4, the rows | `EndpointTable`: `number`, `entries` |
+//! | row | `launched-ms` 8, `node` 4, `nominal` 4 | [`EndpointRecord`]: `started`, `endpoint`, `weight` |
+//! | | `zone` 1, `primary` 4, `stage-state` 1 | `zone`, `primary`, `state` |
+//! | | `kind` 1, `db` 2 | `kind`, `group` |
+//! | 12 | `who` 4 | `SelectInstance`: instance |
+//!
+//! Widths are in bytes. `cluster-no`, `wrote-ms-ago`, `nominal`, `primary`, `metrics` and all fields of
+//! eight bytes whose names end in `-ms` are finite floats, the others unsigned integers. Names that end
+//! in `-ms` or contain `-ms-` are milliseconds.
+//!
+//! A `kind` of an update is 0 or 3 for a complete list, 1 for a failed discovery, 2 for changes only.
+//! The bits of `marks` are [`MARK_WORK_KNOWN`] and [`MARK_REPEAT`]; `mark` is a [`ReplicationProgress`];
+//! `result` is an outcome as an HTTP-like status.
+
+use valehatch_config::settings::ms_to_micros;
+use valehatch_policy::{
+    ClassId, EndpointId, EndpointRecord, EndpointState, GroupId, KindId, Outcome, RequestId, Role,
+    Span, Time, ZoneId,
+};
+
+use crate::error::{FieldError, RecordError};
+use crate::fields::FieldReader;
+use crate::host::InstanceId;
+
+/// Starts an instance.
+const ATTACH: u8 = 1;
+/// The endpoint list was updated, or its discovery failed.
+const ENDPOINT_LIST_UPDATE: u8 = 2;
+/// A new request.
+const REQUEST: u8 = 3;
+/// The response of an attempt has begun.
+const RESPONSE_STARTED: u8 = 4;
+/// An attempt ended.
+const ATTEMPT_ENDED: u8 = 5;
+/// A client disconnected.
+const CLIENT_DISCONNECTED: u8 = 6;
+/// A timer expired.
+const TIMER_EXPIRED: u8 = 7;
+/// A health check ended.
+const HEALTH_CHECK_ENDED: u8 = 8;
+/// Another instance sent something.
+const GOSSIP: u8 = 9;
+/// Stops an instance.
+const STOP: u8 = 10;
+/// An endpoint table.
+const ENDPOINT_TABLE: u8 = 11;
+/// Selects the instance of the records that follow.
+const SELECT_INSTANCE: u8 = 12;
+
+/// Bit of `marks`: `predicted-ms` is known.
+const MARK_WORK_KNOWN: u16 = 1;
+/// Bit of `marks`: the request is a client's retry.
+const MARK_REPEAT: u16 = 2;
+
+/// An input of the host.
+pub(crate) enum Input<'a> {
+    /// The records that follow are for this instance.
+    SelectInstance(InstanceId),
+    /// An endpoint table, for all instances.
+    EndpointTable(EndpointTable),
+    /// Starts the selected instance, in place of one that runs.
+    Attach {
+        /// Seed of its randomness.
+        seed: u64,
+        /// Text of its settings.
+        settings: &'a str,
+    },
+    /// Stops the selected instance, without a last step.
+    Stop,
+    /// Something happened to the selected instance.
+    Event(EventInput),
+}
+
+/// A numbered list of endpoints, for later updates to refer to.
+pub(crate) struct EndpointTable {
+    /// Its number; a later table with the same number replaces it.
+    pub(crate) number: u16,
+    /// Its entries.
+    pub(crate) entries: Vec<EndpointRecord>,
+}
+
+/// What happened to an instance, before its settings are applied to it.
+pub(crate) enum EventInput {
+    /// The endpoint list was updated, or its discovery failed.
+    EndpointListUpdate {
+        /// What kind of update it is, as coded on the wire.
+        kind: u8,
+        /// Number of the endpoint table with the entries.
+        table: u16,
+    },
+    /// A new request.
+    Request(RequestInput),
+    /// The response of an attempt of this request has begun.
+    ResponseStarted(RequestId),
+    /// An attempt ended.
+    AttemptEnded(AttemptEndInput),
+    /// The client of this request disconnected.
+    ClientDisconnected(RequestId),
+    /// The timer with this token expired.
+    TimerExpired(u64),
+    /// A health check ended.
+    HealthCheckEnded(HealthCheckInput),
+    /// Another instance sent something; the decision module has no use for it.
+    Gossip,
+}
+
+/// A new request.
+pub(crate) struct RequestInput {
+    /// Its id.
+    pub(crate) id: RequestId,
+    /// Its session; 0 for none.
+    pub(crate) session_key: u64,
+    /// How long the client still waits.
+    pub(crate) time_left: Span,
+    /// Its replication group.
+    pub(crate) group: GroupId,
+    /// Estimated work, if known.
+    pub(crate) work: Option<Span>,
+    /// Its class; not checked against the settings.
+    pub(crate) class: ClassId,
+    /// Index of its tenant; no tenant if the settings have fewer.
+    pub(crate) tenant: u32,
+    /// Whether it is a client's retry.
+    pub(crate) repeat: bool,
+    /// Time since the session's last write, in milliseconds; not above 0 if unknown.
+    pub(crate) since_last_write_ms: f64,
+}
+
+/// The end of an attempt.
+pub(crate) struct AttemptEndInput {
+    /// The request.
+    pub(crate) request: RequestId,
+    /// The attempt, from 0.
+    pub(crate) attempt: u32,
+    /// Role and replication position that the endpoint reported.
+    pub(crate) progress: ReplicationProgress,
+    /// The endpoint.
+    pub(crate) endpoint: EndpointId,
+    /// Whether the request has its final answer.
+    pub(crate) closed: bool,
+    /// How it ended.
+    pub(crate) outcome: Outcome,
+    /// How long it took.
+    pub(crate) latency: Span,
+    /// Values of the load report; empty without one.
+    pub(crate) report_values: Vec<f64>,
+}
+
+/// The end of a health check.
+pub(crate) struct HealthCheckInput {
+    /// The endpoint.
+    pub(crate) endpoint: EndpointId,
+    /// How long it took.
+    pub(crate) latency: Span,
+    /// How it ended.
+    pub(crate) outcome: Outcome,
+    /// Values of the load report; empty without one.
+    pub(crate) report_values: Vec<f64>,
+}
+
+/// An endpoint's role, in the two lowest bits, and its replication position, in the others.
+#[derive(Clone, Copy)]
+pub(crate) struct ReplicationProgress(u32);
+
+impl ReplicationProgress {
+    /// Values of the two lowest bits.
+    const ROLES: u32 = 4;
+
+    /// The role, if the endpoint reported one.
+    pub(crate) const fn role(self) -> Option<Role> {
+        match self.0 % Self::ROLES {
+            1 => Some(Role::Primary),
+            2 => Some(Role::Replica),
+            _ => None,
+        }
+    }
+
+    /// The position as a time after the settings' zero of positions, if the endpoint reported one. The
+    /// wire has whole milliseconds.
+    pub(crate) fn position(self) -> Option<Span> {
+        let millis = self.0 / Self::ROLES;
+        (millis > 0).then(|| Span::from_millis(i64::from(millis)))
+    }
+}
+
+/// Decodes a record's fields.
+///
+/// # Errors
+/// The code is unknown, a field is missing or has no usable value, or bytes are left over.
+pub(crate) fn decode(code: u8, fields: &[u8]) -> Result<Input<'_>, RecordError> {
+    let mut reader = FieldReader::new(fields);
+    let input = decode_input(code, &mut reader)?;
+    match reader.left() {
+        0 => Ok(input),
+        left => Err(RecordError::TrailingBytes(left)),
+    }
+}
+
+/// The input of a record with this code. Bytes after its last field are left.
+fn decode_input<'a>(code: u8, reader: &mut FieldReader<'a>) -> Result<Input<'a>, RecordError> {
+    let event = match code {
+        ATTACH => return decode_attach(reader),
+        ENDPOINT_LIST_UPDATE => decode_endpoint_list_update(reader)?,
+        REQUEST => EventInput::Request(decode_request(reader)?),
+        RESPONSE_STARTED => decode_response_started(reader)?,
+        ATTEMPT_ENDED => EventInput::AttemptEnded(decode_attempt_end(reader)?),
+        CLIENT_DISCONNECTED => EventInput::ClientDisconnected(RequestId(reader.u64("req")?)),
+        TIMER_EXPIRED => EventInput::TimerExpired(reader.u64("ctx")?),
+        HEALTH_CHECK_ENDED => EventInput::HealthCheckEnded(decode_health_check(reader)?),
+        GOSSIP => decode_gossip(reader)?,
+        STOP => return Ok(Input::Stop),
+        ENDPOINT_TABLE => return decode_endpoint_table(reader).map(Input::EndpointTable),
+        SELECT_INSTANCE => return Ok(Input::SelectInstance(InstanceId(reader.u32("who")?))),
+        _ => return Err(RecordError::UnknownCode),
+    };
+    Ok(Input::Event(event))
+}
+
+/// The start of an instance.
+fn decode_attach<'a>(reader: &mut FieldReader<'a>) -> Result<Input<'a>, RecordError> {
+    let seed = reader.u64("salt")?;
+    let length = reader.u32("settings length")?;
+    let bytes = reader.bytes(length as usize, "settings")?;
+    let settings = std::str::from_utf8(bytes).map_err(RecordError::SettingsNotUtf8)?;
+    Ok(Input::Attach { seed, settings })
+}
+
+/// An update of the endpoint list; its kind is not checked.
+fn decode_endpoint_list_update(reader: &mut FieldReader<'_>) -> Result<EventInput, FieldError> {
+    let kind = reader.u8("kind")?;
+    let _generation = reader.u64("gen")?;
+    let table = reader.u16("buffer")?;
+    Ok(EventInput::EndpointListUpdate { kind, table })
+}
+
+/// A new request. A group outside of 0 to 65535 becomes the nearest of them.
+fn decode_request(reader: &mut FieldReader<'_>) -> Result<RequestInput, FieldError> {
+    let id = RequestId(reader.u64("req")?);
+    let session_key = reader.u64("client-key")?;
+    let time_left = decode_span(reader, "time-left-ms")?;
+    let group = reader.f32("cluster-no")?;
+    let work = decode_span(reader, "predicted-ms")?;
+    let class = reader.u8("profile")?;
+    let tenant = reader.u32("account")?;
+    let marks = reader.u16("marks")?;
+    let since_last_write_ms = reader.f32("wrote-ms-ago")?;
+    Ok(RequestInput {
+        id,
+        session_key,
+        time_left,
+        group: GroupId(group as u16),
+        work: (marks & MARK_WORK_KNOWN != 0).then_some(work),
+        class: ClassId(class.into()),
+        tenant,
+        repeat: marks & MARK_REPEAT != 0,
+        since_last_write_ms,
+    })
+}
+
+/// The start of a response.
+fn decode_response_started(reader: &mut FieldReader<'_>) -> Result<EventInput, FieldError> {
+    let request = RequestId(reader.u64("req")?);
+    let _latency_ms = reader.f64("cost-time-ms")?;
+    let _attempt = reader.u16("n")?;
+    let _endpoint = reader.u32("node")?;
+    Ok(EventInput::ResponseStarted(request))
+}
+
+/// The end of an attempt.
+fn decode_attempt_end(reader: &mut FieldReader<'_>) -> Result<AttemptEndInput, RecordError> {
+    let request = RequestId(reader.u64("req")?);
+    let attempt = reader.u16("n")?.into();
+    let progress = ReplicationProgress(reader.u32("mark")?);
+    let endpoint = EndpointId(reader.u32("node")?);
+    let closed = reader.u8("closed")? != 0;
+    let outcome = decode_outcome(reader)?;
+    let latency = decode_span(reader, "cost-time-ms")?;
+    let report_values = decode_report_values(reader)?;
+    Ok(AttemptEndInput {
+        request,
+        attempt,
+        progress,
+        endpoint,
+        closed,
+        outcome,
+        latency,
+        report_values,
+    })
+}
+
+/// The end of a health check.
+fn decode_health_check(reader: &mut FieldReader<'_>) -> Result<HealthCheckInput, RecordError> {
+    let endpoint = EndpointId(reader.u32("node")?);
+    let latency = decode_span(reader, "cost-time-ms")?;
+    let outcome = decode_outcome(reader)?;
+    let report_values = decode_report_values(reader)?;
+    Ok(HealthCheckInput {
+        endpoint,
+        latency,
+        outcome,
+        report_values,
+    })
+}
+
+/// What another instance sent.
+fn decode_gossip(reader: &mut FieldReader<'_>) -> Result<EventInput, FieldError> {
+    let _author = reader.u16("author")?;
+    let length = reader.u16("msg length")?;
+    let _message = reader.bytes(length.into(), "msg")?;
+    Ok(EventInput::Gossip)
+}
+
+/// An endpoint table.
+fn decode_endpoint_table(reader: &mut FieldReader<'_>) -> Result<EndpointTable, RecordError> {
+    let number = reader.u16("buffer")?;
+    let rows = reader.u32("rows")?;
+    // Grows row by row: a count that the record does not hold must not reserve memory.
+    let entries = (0..rows)
+        .map(|_| decode_endpoint(reader))
+        .collect::<Result<_, _>>()?;
+    Ok(EndpointTable { number, entries })
+}
+
+/// An entry of an endpoint table. A start not above 0 is unknown.
+fn decode_endpoint(reader: &mut FieldReader<'_>) -> Result<EndpointRecord, RecordError> {
+    let launched_ms = reader.f64("launched-ms")?;
+    let endpoint = EndpointId(reader.u32("node")?);
+    let weight = reader.f32("nominal")?;
+    let zone = ZoneId(reader.u8("zone")?);
+    let primary = reader.f32("primary")? > 0.0;
+    let state = decode_endpoint_state(reader)?;
+    let kind = KindId(reader.u8("kind")?);
+    let group = GroupId(reader.u16("db")?);
+    Ok(EndpointRecord {
+        endpoint,
+        group,
+        zone,
+        kind,
+        weight,
+        started: (launched_ms > 0.0).then(|| Time(ms_to_micros(launched_ms))),
+        primary,
+        state,
+    })
+}
+
+/// An endpoint's state.
+fn decode_endpoint_state(reader: &mut FieldReader<'_>) -> Result<EndpointState, RecordError> {
+    match reader.u8("stage-state")? {
+        0 => Ok(EndpointState::Removed),
+        1 => Ok(EndpointState::Ready),
+        2 => Ok(EndpointState::Draining),
+        code => Err(RecordError::UnknownEndpointState(code)),
+    }
+}
+
+/// The outcome of an attempt or a health check.
+fn decode_outcome(reader: &mut FieldReader<'_>) -> Result<Outcome, RecordError> {
+    match reader.u16("result")? {
+        200 => Ok(Outcome::Ok),
+        204 => Ok(Outcome::Misdirected),
+        408 => Ok(Outcome::Timeout),
+        409 => Ok(Outcome::NotSent),
+        429 => Ok(Outcome::Rejected),
+        444 => Ok(Outcome::Cancelled),
+        502 => Ok(Outcome::Error),
+        520 => Ok(Outcome::Reset),
+        521 => Ok(Outcome::ConnectFailed),
+        code => Err(RecordError::UnknownOutcome(code)),
+    }
+}
+
+/// The values of a load report, at most 255.
+fn decode_report_values(reader: &mut FieldReader<'_>) -> Result<Vec<f64>, FieldError> {
+    let count = reader.u8("metrics count")?;
+    (0..count).map(|_| reader.f32("metrics")).collect()
+}
+
+/// A duration that the wire has in milliseconds.
+fn decode_span(reader: &mut FieldReader<'_>, field: &'static str) -> Result<Span, FieldError> {
+    reader.f64(field).map(|ms| Span(ms_to_micros(ms)))
+}
