--- a/crates/cql/src/clients.rs
+++ b/crates/cql/src/clients.rs
@@ -1,5 +1,5 @@
-//! Handles the requests of clients that speak the Cassandra native protocol: many at once on a connection, each answered
-//! under its stream id.
+//! Handles the requests of clients that speak the Cassandra native protocol: many at once on a
+//! connection, each answered under its stream id.
 
 use std::io;
 use std::sync::Arc;
@@ -15,18 +15,16 @@
 
 use crate::PreparedStatements;
 use crate::decode::{DecodedRequest, check_startup};
-use crate::frame::{Direction, Frame, FrameError, MAX_CLIENT_BODY};
+use crate::frame::{Direction, Frame, FrameError, MAX_CLIENT_BODY, RESPONSE_BIT};
 use crate::opcodes::{error_code, flag, opcode};
 use crate::responses::{error, overloaded, put_string, response, supported};
 use crate::ticket::Ticket;
 
-/// Closes a connection that is idle for longer. Drivers keep a pool of connections and send a heartbeat on each about
-/// every 30 s.
+/// Closes a connection that is idle for longer. Drivers keep a pool of connections and send a
+/// heartbeat on each about every 30 s.
 const IDLE_TIMEOUT: Span = Span::from_millis(120_000);
 /// Requests that are read ahead on one connection.
 const PIPELINE_LIMIT: usize = 64;
-/// The bit of the version byte that marks a response.
-const RESPONSE_BIT: u8 = 0x80;
 /// Replicas that answered (0) and that were waited for (1), behind the consistency of a time-out.
 const TIMEOUT_REPLICAS: [u8; 8] = [0, 0, 0, 0, 0, 0, 0, 1];
 
@@ -68,7 +66,8 @@
         if let Some(id) = request.unprepared_id {
             return session.reply(0, unprepared(stream_id, id));
         }
-        // A keyspace set on one upstream connection would hold for every client that is served over it next.
+        // A keyspace set on one upstream connection would hold for every client that is served over
+        // it next.
         if request.changes_keyspace() {
             let message = "USE is not kept: name the keyspace in each statement";
             return session.reply(0, error(stream_id, error_code::INVALID, message, &[]));
--- a/crates/cql/src/connection.rs
+++ b/crates/cql/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an endpoint, shared by many exchanges: its socket and the frames that wait to be written.
+//! One connection to an endpoint, shared by many exchanges: its socket and the frames that wait to
+//! be written.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -18,7 +19,8 @@
 struct QueuedFrame {
     stream_id: i16,
     bytes: Vec<u8>,
-    /// The class of the attempt that is sent with the last byte; none if the frame is not an attempt's first.
+    /// The class of the attempt that is sent with the last byte; none if the frame is not an
+    /// attempt's first.
     attempt: Option<usize>,
 }
 
@@ -72,7 +74,8 @@
         true
     }
 
-    /// Takes what is left of the first frame; its bytes begin to leave. Without one, the writer thread's claim ends.
+    /// Takes what is left of the first frame; its bytes begin to leave. Without one, the writer
+    /// thread's claim ends.
     pub(crate) fn begin_first(
         &mut self,
         id: MultiplexedConnectionId,
--- a/crates/cql/src/connection_threads.rs
+++ b/crates/cql/src/connection_threads.rs
@@ -1,5 +1,6 @@
-//! The threads of a connection. One connects, does the handshake and reads until the connection ends. A second one writes
-//! while the endpoint is slow to take what is queued. Both may wait for the endpoint and for the core's queue.
+//! The threads of a connection. One connects, does the handshake and reads until the connection
+//! ends. A second one writes while the endpoint is slow to take what is queued. Both may wait for
+//! the endpoint and for the core's queue.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -27,7 +28,8 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// What is left for the handshake at least: a timeout of zero would mean none.
 const MIN_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1);
-/// A receive buffer that is larger, in bytes, is freed once it is empty: one large response must not keep its memory.
+/// A receive buffer that is larger, in bytes, is freed once it is empty: one large response must
+/// not keep its memory.
 const MAX_IDLE_BUFFER: usize = 4 * CHUNK_SIZE;
 
 /// Whether a connection is of further use.
@@ -133,7 +135,8 @@
                 state.multiplexer.tick(now, actions);
             });
             if status == ConnectionStatus::Failed {
-                // Before the core gets the events: what it sends next must not go out on a connection that is about to end.
+                // Before the core gets the events: what it sends next must not go out on a
+                // connection that is about to end.
                 self.lose(&mut lock(&self.state), connection, &mut events);
             }
             self.flush(&mut events);
@@ -296,7 +299,8 @@
     event
 }
 
-/// Queues the next frame of an exchange on its connection; if that is lost, the exchange ends as not sent.
+/// Queues the next frame of an exchange on its connection; if that is lost, the exchange ends as
+/// not sent.
 fn send_next(
     state: &mut EndpointState,
     now: Time,
--- a/crates/cql/src/endpoint.rs
+++ b/crates/cql/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! One endpoint: the multiplexer's state, its connections and the exchanges on them, behind one lock. The multiplexer's
-//! actions are executed here.
+//! One endpoint: the multiplexer's state, its connections and the exchanges on them, behind one
+//! lock. The multiplexer's actions are executed here.
 //!
 //! Events for the core are collected and sent once nothing is locked any more.
 
@@ -98,7 +98,8 @@
         lock(&self.state).multiplexer.size() == MultiplexerSize::default()
     }
 
-    /// Changes the state and executes the actions that follow. Frames are queued, not written: [`flush`](Self::flush) does.
+    /// Changes the state and executes the actions that follow. Frames are queued, not written:
+    /// [`flush`](Self::flush) does.
     pub(crate) fn update(
         self: &Arc<Self>,
         events: &mut Vec<Event>,
@@ -219,7 +220,8 @@
         started.is_ok()
     }
 
-    /// Writes the queued frames, as far as the endpoint takes them without waiting. A thread writes the rest.
+    /// Writes the queued frames, as far as the endpoint takes them without waiting. A thread writes
+    /// the rest.
     pub(crate) fn flush(self: &Arc<Self>, events: &mut Vec<Event>) {
         let mut state = lock(&self.state);
         let mut lost = vec![];
--- a/crates/cql/src/exchange.rs
+++ b/crates/cql/src/exchange.rs
@@ -1,5 +1,6 @@
-//! What passes between the gateway and an endpoint for one request: its frame, what the responses say of the attempt, and
-//! the statements that the endpoint has to prepare again. No I/O: frames in, frames or an outcome out.
+//! What passes between the gateway and an endpoint for one request: its frame, what the responses
+//! say of the attempt, and the statements that the endpoint has to prepare again. No I/O: frames
+//! in, frames or an outcome out.
 
 use std::fmt;
 
@@ -12,8 +13,8 @@
 use crate::reader::ReadError;
 use crate::requests::{heartbeat, prepare};
 
-/// How long after its request a statement may be prepared again. An endpoint that began to drain since then must get
-/// nothing new after its grace.
+/// How long after its request a statement may be prepared again. An endpoint that began to drain
+/// since then must get nothing new after its grace.
 const REPREPARE_WITHIN: Span = Span::from_millis(200);
 /// How many statements may be prepared again for one request: one for each statement of a batch.
 const MAX_REPREPARES: u32 = 16;
@@ -26,7 +27,8 @@
     Finished {
         /// The reply for the core.
         reply: UpstreamReply,
-        /// The response was malformed, or a health check failed: the connection is of no further use.
+        /// The response was malformed, or a health check failed: the connection is of no further
+        /// use.
         closes_connection: bool,
     },
 }
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Whether it may be written now. A request that moves to another connection, because its first one was lost before
-    /// the request was sent, holds its permit already.
+    /// Whether it may be written now. A request that moves to another connection, because its first
+    /// one was lost before the request was sent, holds its permit already.
     pub fn try_begin(&mut self, now: Time) -> bool {
         self.is_permitted |= match &self.job {
             UpstreamJob::Request { permit, .. } => permit.try_acquire(now).is_ok(),
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Whether the endpoint is only preparing a statement again: nothing of the request itself was sent since.
+    /// Whether the endpoint is only preparing a statement again: nothing of the request itself was
+    /// sent since.
     pub const fn is_repreparing(&self) -> bool {
         self.repreparing.is_some()
     }
@@ -176,7 +179,8 @@
     }
 }
 
-/// Remembers the statement of a PREPARE, whose frame is `request`, under the id that the endpoint gave it.
+/// Remembers the statement of a PREPARE, whose frame is `request`, under the id that the endpoint
+/// gave it.
 fn remember_statement(id: &[u8], request: &[u8], prepared: &PreparedStatements) {
     let request = Frame::from_bytes(request.to_vec());
     let statement = request
--- a/crates/cql/src/frame.rs
+++ b/crates/cql/src/frame.rs
@@ -1,4 +1,5 @@
-//! Frames of the protocol, version 4: a header of nine bytes and a body. A body's length is checked before memory is taken.
+//! Frames of the protocol, version 4: a header of nine bytes and a body. A body's length is checked
+//! before memory is taken.
 
 use std::fmt;
 use std::io::{self, Read};
@@ -14,10 +15,11 @@
 pub const MAX_ENDPOINT_BODY: usize = 2 * 1024 * 1024;
 /// Where the opcode stands in a frame, in bytes from its start.
 pub(crate) const OPCODE_OFFSET: usize = 4;
-/// Bytes reserved for a body before it has come: enough for most, and no more than that for what a header merely claims.
+/// Bytes reserved for a body before it has come: enough for most, and no more than that for what a
+/// header merely claims.
 const INITIAL_BODY_CAPACITY: usize = 1024;
 /// The bit of the version byte that marks a response.
-const RESPONSE_BIT: u8 = 0x80;
+pub(crate) const RESPONSE_BIT: u8 = 0x80;
 /// The length of a trace id, in bytes.
 const TRACE_ID_LENGTH: usize = 16;
 
@@ -107,7 +109,8 @@
     /// Reads a frame, with a body of at most `max_body` bytes.
     ///
     /// # Errors
-    /// The connection ended, or the frame has another version or too long a body; its body is then not read.
+    /// The connection ended, or the frame has another version or too long a body; its body is then
+    /// not read.
     pub fn read(
         from: &mut impl Read,
         direction: Direction,
@@ -216,7 +219,7 @@
             result_kind::SCHEMA_CHANGE => skip_schema_change(&mut reader)?,
             _ => return Ok(false),
         }
-        Ok(reader.0.is_empty())
+        Ok(reader.is_empty())
     }
 
     /// The body, behind the parts that flags announce.
@@ -224,7 +227,7 @@
     /// # Errors
     /// One of those parts does not fit.
     pub fn content(&self) -> Result<Reader<'_>, ReadError> {
-        let mut reader = Reader(&self.0[HEADER_LENGTH..]);
+        let mut reader = Reader::new(&self.0[HEADER_LENGTH..]);
         if self.0[0] & RESPONSE_BIT != 0 {
             if self.flags() & flag::TRACING != 0 {
                 reader.take(TRACE_ID_LENGTH)?;
--- a/crates/cql/src/lib.rs
+++ b/crates/cql/src/lib.rs
@@ -4,11 +4,13 @@
 //! | --- | --- |
 //! | [`frame`], [`reader`], [`opcodes`] | decode frames and the values in them |
 //! | [`requests`], [`responses`] | encode what the gateway writes itself |
-//! | [`clients`], `decode`, `ticket` | handle the requests of clients: decode them, encode their answers |
+//! | [`clients`] | handle the requests of clients |
+//! | `decode`, `ticket` | what a request asks for, and what its answer depends on |
 //! | [`exchange`] | one request's frames to and from an endpoint; no I/O |
 //! | [`pool`] | the endpoints of a front, for the core's thread |
 //! | `endpoint` | one endpoint: multiplexer, connections and exchanges |
-//! | `connection`, `connection_threads` | a shared connection and its write queue; the threads that read and write it |
+//! | `connection` | a shared connection and its write queue |
+//! | `connection_threads` | the threads that read and write a connection |
 //! | [`prepared_statements`] | statements by id, to prepare them on any endpoint |
 
 #![forbid(unsafe_code)]
--- a/crates/cql/src/pool.rs
+++ b/crates/cql/src/pool.rs
@@ -1,8 +1,9 @@
-//! The endpoints of a front: few connections to each, many requests on every one. Which connection carries what is decided
-//! by [`valehatch_stream_multiplexing`]; here it is written and read.
+//! The endpoints of a front: few connections to each, many requests on every one. Which connection
+//! carries what is decided by [`valehatch_stream_multiplexing`]; here it is written and read.
 //!
-//! Used by the core's thread only, which queues frames and writes them at the end of its turn without waiting; what an
-//! endpoint does not take at once is left to a thread. Each connection has a thread that reads.
+//! Used by the core's thread only, which queues frames and writes them at the end of its turn
+//! without waiting; what an endpoint does not take at once is left to a thread. Each connection has
+//! a thread that reads.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,7 +24,10 @@
 
 /// The longest that a response which has begun may stand still.
 pub(crate) const MAX_RESPONSE_PAUSE: Span = Span::from_millis(400);
-/// Endpoints that are remembered though nothing is open to them. A fleet that replaces its endpoints must not fill memory.
+/// Stands for a connect timeout, in microseconds, that does not fit 64 bits.
+const FALLBACK_CONNECT_MICROS: i64 = 250_000;
+/// Endpoints that are remembered though nothing is open to them. A fleet that replaces its
+/// endpoints must not fill memory.
 const MAX_REMEMBERED_ENDPOINTS: usize = 64;
 
 /// What the connections to all endpoints share.
@@ -40,8 +44,8 @@
 }
 
 impl UpstreamContext {
-    /// The last byte of a frame was written: the one place where an attempt at an endpoint is counted. `attempt` is its
-    /// class, if the frame is an attempt's first.
+    /// The last byte of a frame was written: the one place where an attempt at an endpoint is
+    /// counted. `attempt` is its class, if the frame is an attempt's first.
     pub(crate) fn on_frame_sent(&self, attempt: Option<usize>) {
         if let (Some(class), Some(metrics)) = (attempt, &self.metrics) {
             metrics.count_attempt_sent(class);
@@ -59,9 +63,9 @@
 }
 
 impl EndpointPools {
-    /// Pools without connections. `connect_timeout` is for connecting and the handshake together. At most `max_connections`
-    /// are open to all endpoints; one that is idle is closed after `idle_timeout`. Attempts whose last byte was written are
-    /// counted in `metrics`.
+    /// Pools without connections. `connect_timeout` is for connecting and the handshake together.
+    /// At most `max_connections` are open to all endpoints; one that is idle is closed after
+    /// `idle_timeout`. Attempts whose last byte was written are counted in `metrics`.
     ///
     /// # Errors
     /// A time is out of its bounds.
@@ -74,7 +78,8 @@
         max_connections: usize,
         metrics: Option<Arc<OutcomeMetrics>>,
     ) -> Result<Self, SettingsError> {
-        let connect_micros = i64::try_from(connect_timeout.as_micros()).unwrap_or(250_000);
+        let connect_micros =
+            i64::try_from(connect_timeout.as_micros()).unwrap_or(FALLBACK_CONNECT_MICROS);
         let request_timeout = Span(connect_micros).min(MAX_RESPONSE_PAUSE);
         let settings = Settings::new(request_timeout, idle_timeout);
         // Checked now: later nobody could be given the error.
@@ -97,7 +102,8 @@
         })
     }
 
-    /// Does not wait for the core's queue: this is the core's own thread, which would wait for itself.
+    /// Does not wait for the core's queue: this is the core's own thread, which would wait for
+    /// itself.
     fn try_send_events(&self, events: Vec<Event>) {
         for event in events {
             if self.context.events.try_send(event).is_err() {
--- a/crates/cql/src/prepared_statements.rs
+++ b/crates/cql/src/prepared_statements.rs
@@ -1,4 +1,5 @@
-//! Prepared statements by the id that an endpoint gave them. Any endpoint that does not know an id can be sent its statement.
+//! Prepared statements by the id that an endpoint gave them. Any endpoint that does not know an id
+//! can be sent its statement.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -10,7 +11,8 @@
 /// Bytes of statements that are remembered at most.
 const MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// The statements that clients prepared. Memory is bounded by forgetting the oldest, which its clients then prepare anew.
+/// The statements that clients prepared. Memory is bounded by forgetting the oldest, which its
+/// clients then prepare anew.
 #[derive(Default)]
 pub struct PreparedStatements(Mutex<Statements>);
 
--- a/crates/cql/src/reader.rs
+++ b/crates/cql/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads the protocol's values from a frame's body. Every length is checked against the bytes that are left.
+//! Reads the protocol's values from a frame's body. Every length is checked against the bytes that
+//! are left.
 
 use std::fmt;
 
@@ -55,17 +56,30 @@
     pub(super) const NO_METADATA: u32 = 0x04;
 }
 
-/// Reads values from the front of the bytes that it holds. Each method fails if fewer bytes are left than the value needs.
-pub struct Reader<'a>(pub &'a [u8]);
+/// Reads values from the front of the bytes that it holds. Each method fails if fewer bytes are
+/// left than the value needs.
+pub struct Reader<'a> {
+    remaining: &'a [u8],
+}
 
 impl<'a> Reader<'a> {
+    /// Reads from the start of `bytes`.
+    pub const fn new(bytes: &'a [u8]) -> Self {
+        Self { remaining: bytes }
+    }
+
+    /// Whether everything was read.
+    pub const fn is_empty(&self) -> bool {
+        self.remaining.is_empty()
+    }
+
     /// Takes the next `length` bytes.
     pub fn take(&mut self, length: usize) -> Result<&'a [u8], ReadError> {
         let (head, tail) = self
-            .0
+            .remaining
             .split_at_checked(length)
             .ok_or(ReadError::UnexpectedEnd)?;
-        self.0 = tail;
+        self.remaining = tail;
         Ok(head)
     }
 
@@ -97,7 +111,8 @@
         utf8(self.take(length)?)
     }
 
-    /// Reads `[bytes]` or a `[value]`. Null and unset, whose lengths are negative, are read as empty.
+    /// Reads `[bytes]` or a `[value]`. Null and unset, whose lengths are negative, are read as
+    /// empty.
     pub fn bytes(&mut self) -> Result<&'a [u8], ReadError> {
         let length = self.int()?;
         if length > i32::MAX as u32 {
--- a/crates/cql/src/responses.rs
+++ b/crates/cql/src/responses.rs
@@ -43,8 +43,9 @@
     response(stream_id, opcode::SUPPORTED, &body)
 }
 
-/// A rejection. When to retry, in milliseconds, stands in the message and, for programs, in the custom payload; `overloaded`
-/// adds to the message that more requests wait than can be served by then.
+/// A rejection. When to retry, in milliseconds, stands in the message and, for programs, in the
+/// custom payload; `overloaded` adds to the message that more requests wait than can be served by
+/// then.
 pub fn overloaded(stream_id: i16, retry_after_ms: i64, overloaded: bool) -> Vec<u8> {
     let mut body = 1_u16.to_be_bytes().to_vec();
     put_string(&mut body, "retry-after-ms");
--- a/crates/cql/src/ticket.rs
+++ b/crates/cql/src/ticket.rs
@@ -10,7 +10,8 @@
 }
 
 impl Ticket {
-    /// Bits 0 to 15 are the stream id, bit 16 is set for a write, bits 32 to 47 are the consistency.
+    /// Bits 0 to 15 are the stream id, bit 16 is set for a write, bits 32 to 47 are the
+    /// consistency.
     pub(crate) const fn to_bits(self) -> u64 {
         self.stream_id.cast_unsigned() as u64
             | (self.is_write as u64) << 16
--- a/crates/cql/tests/malformed_response.rs
+++ b/crates/cql/tests/malformed_response.rs
@@ -16,7 +16,8 @@
 
 #[test]
 fn malformed_response_connection_closes_before_event() {
-    // An endpoint whose every response is followed by bytes that belong to nothing; it reports when a connection ends.
+    // An endpoint whose every response is followed by bytes that belong to nothing; it reports when
+    // a connection ends.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: Arc<str> = listener.local_addr().unwrap().to_string().into();
     let (ended, ends) = mpsc::channel();
@@ -44,7 +45,8 @@
             ended.send(()).unwrap();
         }
     });
-    // The core takes an event only when it is received here: until then the thread that sends it waits.
+    // The core takes an event only when it is received here: until then the thread that sends it
+    // waits.
     let (events, inbox) = crossbeam_channel::bounded(0);
     let (request_timeout, idle) = (Duration::from_secs(10), Span::from_millis(60_000));
     let mut pools = EndpointPools::new(
--- a/crates/cql/tests/slow_endpoint.rs
+++ b/crates/cql/tests/slow_endpoint.rs
@@ -1,4 +1,5 @@
-//! Attempts at an endpoint that reads nothing for a while: what was written completely is counted, and nothing else.
+//! Attempts at an endpoint that reads nothing for a while: what was written completely is counted,
+//! and nothing else.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -34,8 +35,9 @@
     Some(head[4])
 }
 
-/// Does the handshake of the first connection, reads nothing more until it may, and then everything: how many complete
-/// requests. It answers none: an answer to a closed peer would cause a reset, which drops what was not read yet.
+/// Does the handshake of the first connection, reads nothing more until it may, and then
+/// everything: how many complete requests. It answers none: an answer to a closed peer would cause
+/// a reset, which drops what was not read yet.
 fn endpoint(listener: &TcpListener, may: &Receiver<()>) -> u64 {
     let (mut stream, _) = listener.accept().unwrap();
     assert_eq!(read(&mut stream), Some(STARTUP));
