--- a/crates/config/src/flatten.rs
+++ b/crates/config/src/flatten.rs
@@ -1,8 +1,10 @@
-//! Nested JSON to settings text: lines of the form `path=value`, as the simulator's first message has them.
+//! Nested JSON to settings text: lines of the form `path=value`, as the simulator's first message
+//! has them.
 //!
-//! A list of plain values is joined with commas; a list of objects gets its length under `.count`. Spaces and commas in
-//! values become `_`, as do line breaks, and `=` in keys, so that no value can write another key. A list of one value,
-//! where no list belongs, keeps its brackets, so that it is not taken for the value.
+//! A list of plain values is joined with commas; a list of objects gets its length under `.count`.
+//! Spaces and commas in values become `_`, as do line breaks, and `=` in keys, so that no value can
+//! write another key. A list of one value, where no list belongs, keeps its brackets, so that it is
+//! not taken for the value.
 
 use serde_json::Value;
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,10 @@
-//! The one place where configuration is read, checked and given defaults. Errors name the key at fault.
+//! The one place where configuration is read, checked and given defaults. Errors name the key at
+//! fault.
 //!
-//! There are two sources: the platform's JSON with the settings of one deployment, and the operators' TOML file with any
-//! number of fronts. Both end in the decision module's settings, through the same parser. Keys that operators type keep
-//! their names; [`settings`] maps them to the terms of the code, and no other package knows them.
+//! There are two sources: the platform's JSON with the settings of one deployment, and the
+//! operators' TOML file with any number of fronts. Both end in the decision module's settings,
+//! through the same parser. Keys that operators type keep their names; [`settings`] maps them to
+//! the terms of the code, and no other package knows them.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/config/src/names.rs
+++ b/crates/config/src/names.rs
@@ -8,8 +8,8 @@
 
 use crate::error::{KeyProblem, SettingsError};
 
-/// The number of an endpoint from its name, the same at every gateway and whatever else the list holds: the eight
-/// hexadecimal digits that the name ends in, or else its FNV-1a hash.
+/// The number of an endpoint from its name, the same at every gateway and whatever else the list
+/// holds: the eight hexadecimal digits that the name ends in, or else its FNV-1a hash.
 #[must_use]
 pub fn endpoint_id(name: &str) -> EndpointId {
     const FNV_OFFSET_BASIS: u32 = 2_166_136_261;
@@ -41,8 +41,8 @@
 
 impl Error for UnusableName {}
 
-/// Checks that a request's comment can hold a name: a comma ends a name there, `*/` ends the comment, and space around a
-/// name is ignored.
+/// Checks that a request's comment can hold a name: a comma ends a name there, `*/` ends the
+/// comment, and space around a name is ignored.
 ///
 /// # Errors
 /// The name, if it cannot.
@@ -120,8 +120,8 @@
     Ok(name.clone())
 }
 
-/// A list of names that only discovery uses; it may be missing. Numbers are of 8 bits, and the last stands for names that
-/// are not listed.
+/// A list of names that only discovery uses; it may be missing. Numbers are of 8 bits, and the last
+/// stands for names that are not listed.
 fn listed_names(settings: &Value, list: &str) -> Result<Vec<String>, SettingsError> {
     let value = settings.get(list).unwrap_or(&Value::Null);
     if value.is_null() {
--- a/crates/config/src/operators/contracts.rs
+++ b/crates/config/src/operators/contracts.rs
@@ -1,5 +1,5 @@
-//! Contracts: the request classes of a front, the list `[[front.contract]]`. A Cassandra front knows a request's contract
-//! by how its statement begins; a PostgreSQL front's requests name it.
+//! Contracts: the request classes of a front, the list `[[front.contract]]`. A Cassandra front
+//! knows a request's contract by how its statement begins; a PostgreSQL front's requests name it.
 
 use super::Protocol;
 use super::endpoints::read_group;
@@ -29,12 +29,14 @@
     prefixes: Vec<String>,
 }
 
-/// The contracts of a front. A Cassandra front has two more than the file: for unknown statements and for PREPARE.
+/// The contracts of a front. A Cassandra front has two more than the file: for unknown statements
+/// and for PREPARE.
 #[derive(Clone, Debug)]
 pub struct Contracts(Vec<Contract>);
 
 impl Contracts {
-    /// The contract of a statement: the first of the file with a prefix of it, or else the one for unknown statements.
+    /// The contract of a statement: the first of the file with a prefix of it, or else the one for
+    /// unknown statements.
     #[must_use]
     pub fn for_statement(&self, statement: &str) -> &Contract {
         let prefixes = self.0.iter().flat_map(|contract| &contract.prefixes);
@@ -71,8 +73,8 @@
     !(prefix.ends_with(is_word) && rest.starts_with(is_word))
 }
 
-/// A statement for comparing: in lower case, with one space between words and no semicolon at the end. It is cut once it
-/// is longer than `max_bytes`.
+/// A statement for comparing: in lower case, with one space between words and no semicolon at the
+/// end. It is cut once it is longer than `max_bytes`.
 fn normalize(statement: &str, max_bytes: usize) -> String {
     let mut text = String::with_capacity(max_bytes.min(statement.len()) + 8);
     for word in statement.trim().trim_end_matches(';').split_whitespace() {
@@ -137,7 +139,8 @@
         }
     }
 
-    /// A contract of a Cassandra front that the file does not list; `deadline_key` of the front sets its deadline.
+    /// A contract of a Cassandra front that the file does not list; `deadline_key` of the front
+    /// sets its deadline.
     fn built_in(
         front: &Section<'_>,
         name: &str,
@@ -167,7 +170,8 @@
         }
     }
 
-    /// Checks keys against each other, against the budgets, and against the groups that have an endpoint.
+    /// Checks keys against each other, against the budgets, and against the groups that have an
+    /// endpoint.
     fn check(
         &self,
         section: &Section<'_>,
@@ -294,7 +298,8 @@
     }
 }
 
-/// The contracts that a Cassandra front has beside those of the file, in the order that [`Contracts`] needs.
+/// The contracts that a Cassandra front has beside those of the file, in the order that
+/// [`Contracts`] needs.
 pub(super) fn built_in_contracts(
     front: &Section<'_>,
     groups: Option<&[u16]>,
--- a/crates/config/src/operators/front_settings.rs
+++ b/crates/config/src/operators/front_settings.rs
@@ -1,4 +1,5 @@
-//! A front's part of the operators' file as settings text, which goes through the same parser as the platform's.
+//! A front's part of the operators' file as settings text, which goes through the same parser as
+//! the platform's.
 
 use std::fmt::{Display, Write};
 
@@ -163,7 +164,8 @@
     text.put("telemetry.source", reports);
 }
 
-/// What stands for `[front.database]` at other fronts: all endpoints are equal and send no load reports.
+/// What stands for `[front.database]` at other fronts: all endpoints are equal and send no load
+/// reports.
 fn put_no_database(text: &mut TextBuilder) {
     text.put("family-info.role-listed", "static");
     text.put("family-info.server-checks", "off");
--- a/crates/config/src/operators/mod.rs
+++ b/crates/config/src/operators/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' file: all fronts of a gateway, their endpoints, contracts and budgets, and what monitors them.
+//! The operators' file: all fronts of a gateway, their endpoints, contracts and budgets, and what
+//! monitors them.
 //!
-//! Input: TOML. Output: [`OperatorConfig`], or every fault with its key and line. A front's part is turned into settings
-//! text and goes through the same parser as the platform's settings.
+//! Input: TOML. Output: [`OperatorConfig`], or every fault with its key and line. A front's part is
+//! turned into settings text and goes through the same parser as the platform's settings.
 //!
 //! | module | sections of the file |
 //! | --- | --- |
--- a/crates/config/src/operators/sections.rs
+++ b/crates/config/src/operators/sections.rs
@@ -104,17 +104,18 @@
     pub dir: PathBuf,
     /// `sync-ms`: how often records are made durable, in milliseconds, 1 to 10,000, default 200.
     pub sync_ms: u64,
-    /// `checkpoint-ms`: how often a checkpoint is written, in milliseconds, 1 to 3,600,000, default 10,000.
+    /// `checkpoint-ms`: how often a checkpoint is written, in milliseconds, 1 to 3,600,000, default
+    /// 10,000.
     pub checkpoint_ms: u64,
-    /// `segment-kb`: size from which a segment of the request log is followed by the next, in bytes; 4 to 4,194,304 KB,
-    /// default 65,536 KB.
+    /// `segment-kb`: size from which a segment of the request log is followed by the next, in
+    /// bytes; 4 to 4,194,304 KB, default 65,536 KB.
     pub segment_bytes: u64,
     /// `segments`: segments that are kept, 2 to 10,000, default 8.
     pub segments: usize,
     /// `queue`: records that may wait to be written, 16 to 1,048,576, default 16,384.
     pub max_queued: usize,
-    /// `snapshot-ms`: how often the snapshot for the next start is written, in milliseconds, 1 to 3,600,000, default
-    /// 1,000.
+    /// `snapshot-ms`: how often the snapshot for the next start is written, in milliseconds, 1 to
+    /// 3,600,000, default 1,000.
     pub snapshot_ms: u64,
 }
 
@@ -152,8 +153,8 @@
     pub max_waiting: usize,
     /// `buckets`: buckets that the clients of a tenant are hashed into, 1 to 65,536, default 4,096.
     pub client_buckets: u32,
-    /// `lanes`: endpoint groups that may have waiting requests at once, for writes and for reads each, 1 to 100,000,
-    /// default 64.
+    /// `lanes`: endpoint groups that may have waiting requests at once, for writes and for reads
+    /// each, 1 to 100,000, default 64.
     pub max_active_groups: usize,
 }
 
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -21,7 +21,8 @@
     pub fleet: String,
     /// `seeds`: gateways that are contacted first; default none.
     pub seeds: Vec<SocketAddr>,
-    /// `from`: networks that gateways may be in; nothing is received from or sent to other addresses but the seeds.
+    /// `from`: networks that gateways may be in; nothing is received from or sent to other
+    /// addresses but the seeds.
     pub allowed_networks: Vec<IpNet>,
     /// `probe-ms`: time between two probes, in milliseconds, 50 to 60,000, default 500.
     pub probe_interval_ms: i64,
@@ -29,8 +30,8 @@
     pub max_gateways: usize,
     /// `bytes-per-s`: bytes sent in a second on average, 1,024 to 1,048,576, default 8,192.
     pub bytes_per_s: u32,
-    /// `settle-ms`: how long the fleet must have been smaller before its size is lowered, in milliseconds, 0 to
-    /// 86,400,000, default 30,000.
+    /// `settle-ms`: how long the fleet must have been smaller before its size is lowered, in
+    /// milliseconds, 0 to 86,400,000, default 30,000.
     pub shrink_delay_ms: i64,
 }
 
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -44,7 +44,8 @@
     pub site: Site,
 }
 
-/// Why the platform's configuration cannot be used. The texts are shown to operators; each names the key.
+/// Why the platform's configuration cannot be used. The texts are shown to operators; each names
+/// the key.
 #[derive(Debug)]
 pub enum PlatformConfigError {
     /// The text is not JSON.
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,5 +1,6 @@
-//! Reads a TOML document key by key. Every fault is kept with its key and line, so that one run reports all of them, and
-//! every value that was read or filled in is kept, so that the file can be printed with its defaults.
+//! Reads a TOML document key by key. Every fault is kept with its key and line, so that one run
+//! reports all of them, and every value that was read or filled in is kept, so that the file can be
+//! printed with its defaults.
 
 mod invalid_value;
 
@@ -166,8 +167,8 @@
             .add_fault(self.line_of(key), self.path_of(key), what.into());
     }
 
-    /// The value of a key, or its default. A missing key without a default is a fault, and so is a value that cannot be
-    /// used; `fallback` then stands in for it, so that reading goes on.
+    /// The value of a key, or its default. A missing key without a default is a fault, and so is a
+    /// value that cannot be used; `fallback` then stands in for it, so that reading goes on.
     fn value<T: Clone>(
         &self,
         key: &str,
@@ -254,7 +255,8 @@
         usize::try_from(self.integer(key, Some(default), bounds)).unwrap_or(0)
     }
 
-    /// A number within bounds; a whole number will do, and the lower bound stands in for an invalid value.
+    /// A number within bounds; a whole number will do, and the lower bound stands in for an invalid
+    /// value.
     #[must_use]
     pub fn number(&self, key: &str, default: Option<f64>, bounds: RangeInclusive<f64>) -> f64 {
         let read = |value: &Value| {
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,11 +1,12 @@
 //! Settings text to the decision module's settings.
 //!
-//! Input: lines of the form `key=value`, from the platform's JSON ([`mod@crate::flatten`]), the operators' file
-//! ([`crate::operators`]) or the simulator. Output: [`Settings`] and [`WireSettings`], or the first key at fault. Unknown
-//! keys are ignored.
+//! Input: lines of the form `key=value`, from the platform's JSON ([`mod@crate::flatten`]), the
+//! operators' file ([`crate::operators`]) or the simulator. Output: [`Settings`] and
+//! [`WireSettings`], or the first key at fault. Unknown keys are ignored.
 //!
-//! This is the one place where the keys that operators type are mapped to the terms of the code. "required" means that a
-//! missing key is an error; `30 d` is [`MAX_SPAN_MS`]; `classes.N` and `tenants.N` count from 0.
+//! This is the one place where the keys that operators type are mapped to the terms of the code.
+//! "required" means that a missing key is an error; `30 d` is [`MAX_SPAN_MS`]; `classes.N` and
+//! `tenants.N` count from 0.
 //!
 //! | key | field | unit | bounds | default |
 //! | --- | --- | --- | --- | --- |
@@ -67,10 +68,11 @@
 pub const MAX_SPAN_MS: f64 = 2_592_000_000.0;
 /// The shortest length of time above 0, in milliseconds: the decision module counts microseconds.
 const MIN_SPAN_MS: f64 = 0.001;
-/// The shortest deadline, in milliseconds. A final answer is sent some time before the deadline, and attempts need time
-/// before that.
+/// The shortest deadline, in milliseconds. A final answer is sent some time before the deadline,
+/// and attempts need time before that.
 pub const MIN_DEADLINE_MS: f64 = 10.0;
-/// Attempts of one request, whatever the settings allow: more of them only add to the load that failed the first ones.
+/// Attempts of one request, whatever the settings allow: more of them only add to the load that
+/// failed the first ones.
 pub const MAX_ATTEMPTS: u32 = 6;
 const MAX_ATTEMPTS_SETTING: f64 = 1e9;
 /// Default of `limits.connect-timeout-ms`, in milliseconds.
@@ -79,7 +81,8 @@
 const MAX_CONNECT_TIMEOUT_MS: f64 = 60_000.0;
 /// Default of `rules.ask-within-ms` where the list is watched, in milliseconds.
 const DEFAULT_POLL_INTERVAL_MS: f64 = 10_000.0;
-/// The shortest `rules.ask-within-ms` where the list is polled, in milliseconds: a poll waits a quarter of it.
+/// The shortest `rules.ask-within-ms` where the list is polled, in milliseconds: a poll waits a
+/// quarter of it.
 const MIN_POLL_INTERVAL_MS: f64 = 100.0;
 /// Most classes, and most tenants.
 const MAX_ITEMS: f64 = 65_536.0;
@@ -239,8 +242,8 @@
     })
 }
 
-/// How often the list has to be polled. Where it is watched this bounds pauses between tries only, and 0 means the
-/// default.
+/// How often the list has to be polled. Where it is watched this bounds pauses between tries only,
+/// and 0 means the default.
 fn parse_max_poll_interval(
     text: &SettingsText<'_>,
     mode: DiscoveryMode,
--- a/crates/config/src/settings/text.rs
+++ b/crates/config/src/settings/text.rs
@@ -29,8 +29,8 @@
         Ok(Self(lines))
     }
 
-    /// The value of a key. An empty value, as JSON's null gives, counts as missing; a key that holds further keys has
-    /// the value [`OBJECT`], which no check accepts.
+    /// The value of a key. An empty value, as JSON's null gives, counts as missing; a key that
+    /// holds further keys has the value [`OBJECT`], which no check accepts.
     pub(super) fn find(&self, key: &str) -> Option<&'a str> {
         if let Some(value) = self.0.get(key) {
             return Some(*value).filter(|value| !value.is_empty());
--- a/crates/config/src/settings/wire.rs
+++ b/crates/config/src/settings/wire.rs
@@ -49,8 +49,8 @@
 }
 
 impl WireSettings {
-    /// The load report that an endpoint's values make; `None` without values. `position_time` turns a position in
-    /// seconds into a time.
+    /// The load report that an endpoint's values make; `None` without values. `position_time` turns
+    /// a position in seconds into a time.
     pub fn report(
         &self,
         values: &[f64],
--- a/crates/config/src/snmp/access.rs
+++ b/crates/config/src/snmp/access.rs
@@ -16,8 +16,8 @@
 const MAX_OBJECT_NAME: usize = 128;
 const LOOPBACK: [&str; 2] = ["127.0.0.0/8", "::1/128"];
 
-/// `[[snmp.view]]`: subtrees that may be read. The longest subtree that an object is in decides (RFC 3415, section 4,
-/// without masks).
+/// `[[snmp.view]]`: subtrees that may be read. The longest subtree that an object is in decides
+/// (RFC 3415, section 4, without masks).
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct SnmpView {
     /// Its name.
--- a/crates/config/src/snmp/mod.rs
+++ b/crates/config/src/snmp/mod.rs
@@ -1,4 +1,5 @@
-//! `[snmp]`: the agent's address and identity, who may read what, who gets notifications, and limits.
+//! `[snmp]`: the agent's address and identity, who may read what, who gets notifications, and
+//! limits.
 //!
 //! | module | sections |
 //! | --- | --- |
--- a/crates/config/src/snmp/notifications.rs
+++ b/crates/config/src/snmp/notifications.rs
@@ -6,30 +6,37 @@
 const MAX_PER_S: f64 = 1e9;
 const MAX_PERMILLE: i64 = 1_000_000;
 
-/// `[snmp.notify]`. A condition is notified when it begins, at its rising threshold, and when it ends, below its falling
-/// one. Times are 1 to 86,400,000 ms.
+/// `[snmp.notify]`. A condition is notified when it begins, at its rising threshold, and when it
+/// ends, below its falling one. Times are 1 to 86,400,000 ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NotificationSettings {
-    /// `no-primary-ms`: time without a primary from which a group is reported, in milliseconds, default 5,000.
+    /// `no-primary-ms`: time without a primary from which a group is reported, in milliseconds,
+    /// default 5,000.
     pub no_primary_ms: u64,
-    /// `search-lasting-ms`: time from which a primary search is reported, in milliseconds, default 2,000.
+    /// `search-lasting-ms`: time from which a primary search is reported, in milliseconds, default
+    /// 2,000.
     pub search_lasting_ms: u64,
     /// `refusals-rising-per-s`: rejections of a class in a second, default 10.
     pub rejections_rising_per_s: f64,
-    /// `refusals-falling-per-s`: rejections of a class in a second, default 2; below the rising threshold.
+    /// `refusals-falling-per-s`: rejections of a class in a second, default 2; below the rising
+    /// threshold.
     pub rejections_falling_per_s: f64,
-    /// `refusals-over-ms`: the time over which rejections are averaged, in milliseconds, default 5,000.
+    /// `refusals-over-ms`: the time over which rejections are averaged, in milliseconds, default
+    /// 5,000.
     pub rejections_window_ms: u64,
-    /// `budget-rising-permille`: use of a tenant's quota in thousandths, 1 to 1,000,000, default 1,100.
+    /// `budget-rising-permille`: use of a tenant's quota in thousandths, 1 to 1,000,000, default
+    /// 1,100.
     pub quota_rising_permille: u64,
-    /// `budget-falling-permille`: use of a tenant's quota in thousandths, default 1,000; at most the rising threshold.
+    /// `budget-falling-permille`: use of a tenant's quota in thousandths, default 1,000; at most
+    /// the rising threshold.
     pub quota_falling_permille: u64,
     /// `queue-rising-ms`: longest wait in a tenant's admission queue, in milliseconds, default 400.
     pub queue_wait_rising_ms: u64,
-    /// `queue-falling-ms`: longest wait in a tenant's admission queue, in milliseconds, default 100; at most the rising
-    /// threshold.
+    /// `queue-falling-ms`: longest wait in a tenant's admission queue, in milliseconds, default
+    /// 100; at most the rising threshold.
     pub queue_wait_falling_ms: u64,
-    /// `storm`: notifications within the storm's window, 1 to 100,000, default 20; further ones are sent as one.
+    /// `storm`: notifications within the storm's window, 1 to 100,000, default 20; further ones are
+    /// sent as one.
     pub storm_limit: usize,
     /// `storm-window-ms`: the window, in milliseconds, default 10,000.
     pub storm_window_ms: u64,
--- a/crates/config/src/snmp/receivers.rs
+++ b/crates/config/src/snmp/receivers.rs
@@ -11,7 +11,8 @@
 pub enum Credentials {
     /// SNMPv2c: the community string.
     Community(String),
-    /// SNMPv3: the user, and for informs the receiver's engine id, to which the user's keys are localized.
+    /// SNMPv3: the user, and for informs the receiver's engine id, to which the user's keys are
+    /// localized.
     User(SnmpUser, Option<Vec<u8>>),
 }
 
@@ -24,8 +25,8 @@
     pub inform: bool,
     /// `community` or `user`.
     pub credentials: Credentials,
-    /// `timeout-ms`: time until the first retransmission of an inform, in milliseconds, 10 to 600,000, default 1,000;
-    /// twice as long before each further one.
+    /// `timeout-ms`: time until the first retransmission of an inform, in milliseconds, 10 to
+    /// 600,000, default 1,000; twice as long before each further one.
     pub timeout_ms: u64,
     /// `retries`: retransmissions of an inform, 0 to 100, default 5.
     pub retries: u32,
@@ -70,8 +71,8 @@
     }
 }
 
-/// The user of informs. The receiver's engine is authoritative for an inform, so the keys are localized to that engine
-/// and stand in the receiver's own section.
+/// The user of informs. The receiver's engine is authoritative for an inform, so the keys are
+/// localized to that engine and stand in the receiver's own section.
 fn read_inform_user(section: &Section<'_>) -> Credentials {
     let name = section.name("user", None);
     let engine = parse_engine_id(&section.text("engine-id", None));
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -3,9 +3,10 @@
 //! The policy decides first (`give_up_reason` in its `scheduling` module); what it should not have
 //! ordered is stopped here. Each question is a pure function of what the caller knows; a denial
 //! says why. [`Decisions`] counts the reducer's denials by reason; those of a [`SendPermit`] are
-//! not counted, but attempts that were cancelled before they were written are. Some denials show a defect of the policy, which knows as much as the
-//! reducer does: then nothing is sent, the violation is counted apart and logged as an error, and
-//! debug builds panic. Times are whole microseconds of the process's monotonic clock.
+//! not counted, but attempts that were cancelled before they were written are. Some denials show a
+//! defect of the policy, which knows as much as the reducer does: then nothing is sent, the
+//! violation is counted apart and logged as an error, and debug builds panic. Times are whole
+//! microseconds of the process's monotonic clock.
 //!
 //! | question | asked by |
 //! | --- | --- |
@@ -278,8 +279,8 @@
     /// Uses the permit: the attempt may be written now, once.
     ///
     /// # Errors
-    /// Why the attempt may not be written. `DeadlineExceeded` also stands for a retry window that has closed
-    /// and for a replica whose data may be too old by now.
+    /// Why the attempt may not be written. `DeadlineExceeded` also stands for a retry window that
+    /// has closed and for a replica whose data may be too old by now.
     pub fn try_acquire(&self, now: Time) -> Result<(), Denial> {
         if now > self.send_before {
             return Err(Denial::DeadlineExceeded);
--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -1,5 +1,5 @@
-//! Switches of the fault-injection library `valehatch-fault-shim`, kept in a small file. The test writes them; the
-//! library maps the file into the process under test and reads them at each call.
+//! Switches of the fault-injection library `valehatch-fault-shim`, kept in a small file. The test
+//! writes them; the library maps the file into the process under test and reads them at each call.
 
 #![forbid(unsafe_code)]
 
@@ -29,7 +29,8 @@
     ShortTransfers,
     /// How many of a thousand reads and writes on sockets return EINTR first.
     Interrupts,
-    /// How many of a thousand reads of a broken or ended connection tell ETIMEDOUT or EHOSTUNREACH in place of it.
+    /// How many of a thousand reads of a broken or ended connection tell ETIMEDOUT or EHOSTUNREACH
+    /// in place of it.
     LateErrors,
     /// How many of a thousand writes to files fail with ENOSPC after a part was written.
     FileWriteFails,
@@ -37,7 +38,8 @@
     SyncFails,
     /// How many of a thousand calls of rename fail with EIO.
     RenameFails,
-    /// A pause before a write on a socket, in microseconds, twice a second: between reading the clock and writing.
+    /// A pause before a write on a socket, in microseconds, twice a second: between reading the
+    /// clock and writing.
     PauseBeforeWrite,
 }
 
@@ -109,7 +111,8 @@
     }
 }
 
-/// Builds the library with the cargo that runs, beside this program's own artifacts, and says where it is.
+/// Builds the library with the cargo that runs, beside this program's own artifacts, and says where
+/// it is.
 ///
 /// # Errors
 /// The build failed; what it said.
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,8 +1,9 @@
-//! Loaded into a process under test by `LD_PRELOAD`: makes system calls fail in ways that Linux documents, as the
-//! switches of `valehatch-fault-control` say. Without that file every call passes through unchanged.
+//! Loaded into a process under test by `LD_PRELOAD`: makes system calls fail in ways that Linux
+//! documents, as the switches of `valehatch-fault-control` say. Without that file every call passes
+//! through unchanged.
 //!
-//! Only calls through the C library are reached; those that a program makes directly (epoll and poll of `rustix`) are
-//! interrupted by signals instead.
+//! Only calls through the C library are reached; those that a program makes directly (epoll and
+//! poll of `rustix`) are interrupted by signals instead.
 
 #![allow(clippy::missing_safety_doc)]
 
@@ -19,7 +20,8 @@
 /// How often a write is held up.
 const HOLD_UP_EACH: Duration = Duration::from_millis(500);
 
-/// Errors that concern one connection or the whole machine for a moment (accept(2), connect(2), socket(2)).
+/// Errors that concern one connection or the whole machine for a moment (accept(2), connect(2),
+/// socket(2)).
 const ACCEPT_ERRORS: [c_int; 6] = [
     libc::ECONNABORTED,
     libc::ENFILE,
@@ -43,7 +45,8 @@
     *MAPPED.get_or_init(|| {
         let path = std::env::var_os(CONTROL_FILE_VARIABLE)?;
         let path = std::ffi::CString::new(path.into_encoded_bytes()).ok()?;
-        // SAFETY: the path ends in a zero byte; the mapping is never given back, so that it lives as long as the process.
+        // SAFETY: the path ends in a zero byte; the mapping is never given back, so that it lives
+        // as long as the process.
         unsafe {
             let file = libc::open(path.as_ptr(), libc::O_RDONLY | libc::O_CLOEXEC);
             let null = std::ptr::null_mut();
@@ -109,9 +112,11 @@
     ($name:literal, $kind:ty) => {{
         static FOUND: OnceLock<usize> = OnceLock::new();
         let name: &CStr = $name;
-        // SAFETY: the name ends in a zero byte, and the C library's function of this name has this type.
+        // SAFETY: the name ends in a zero byte, and the C library's function of this name has this
+        // type.
         unsafe {
-            let address = *FOUND.get_or_init(|| libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) as usize);
+            let address =
+                *FOUND.get_or_init(|| libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) as usize);
             std::mem::transmute::<usize, $kind>(address)
         }
     }};
@@ -226,7 +231,8 @@
     done
 }
 
-/// Held up before this write, and for how long: once in [`HOLD_UP_EACH`], so that no request meets two.
+/// Held up before this write, and for how long: once in [`HOLD_UP_EACH`], so that no request meets
+/// two.
 fn hold_up() -> Option<Duration> {
     static LAST: AtomicU64 = AtomicU64::new(0);
     let pause = u64::try_from(value(Switch::PauseBeforeWrite))
@@ -283,8 +289,8 @@
     }
 }
 
-/// See write(2). A file's write that fails makes a part first: the call says how much, and the next one that there is no
-/// space left.
+/// See write(2). A file's write that fails makes a part first: the call says how much, and the next
+/// one that there is no space left.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, length: size_t) -> ssize_t {
     static FULL: AtomicBool = AtomicBool::new(false);
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -23,10 +23,12 @@
 use crate::recovery::{SharedService, count_outcome};
 use crate::resources::{request_memory, upstream_connections};
 
-/// Time-out of health checks where the configured connect time-out does not fit into a [`Span`], in milliseconds.
+/// Time-out of health checks where the configured connect time-out does not fit into a [`Span`], in
+/// milliseconds.
 const DEFAULT_HEALTH_CHECK_TIMEOUT_MS: i64 = 250;
 
-/// Who observes a front: the names in its records, the request log, and whether service is complete.
+/// Who observes a front: the names in its records, the request log, and whether service is
+/// complete.
 pub(crate) struct Observer {
     /// Names of the front, its classes and its tenants.
     pub(crate) names: Arc<Observability>,
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -1,7 +1,8 @@
-//! Hot restart: what this process takes over from its predecessor, and what it hands on to its successor.
+//! Hot restart: what this process takes over from its predecessor, and what it hands on to its
+//! successor.
 //!
-//! The steps and who holds what at each are `valehatch_hot_restart`'s; the socket between the two processes is
-//! `valehatch_net::hot_restart`'s. This module connects them with the front.
+//! The steps and who holds what at each are `valehatch_hot_restart`'s; the socket between the two
+//! processes is `valehatch_net::hot_restart`'s. This module connects them with the front.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
@@ -117,7 +118,8 @@
         self.predecessor.is_some()
     }
 
-    /// Tells the predecessor that this process serves, and listens for a successor. `None` if there is nowhere to listen.
+    /// Tells the predecessor that this process serves, and listens for a successor. `None` if there
+    /// is nowhere to listen.
     pub(crate) fn announce(
         self,
         path: Option<PathBuf>,
@@ -139,7 +141,8 @@
     }
 }
 
-/// This process as the hot restart sees it: what can be divided between two processes, and what can be handed on.
+/// This process as the hot restart sees it: what can be divided between two processes, and what can
+/// be handed on.
 pub(crate) struct SharedProcess {
     /// The gateway's name; processes of another name hand nothing on to each other.
     pub(crate) gateway: String,
@@ -205,7 +208,8 @@
     }
 
     fn set_limits(&self, limits: ProcessLimits, processes: u32) {
-        // Connections that are open already are not cut to meet a smaller limit: they go as they become idle.
+        // Connections that are open already are not cut to meet a smaller limit: they go as they
+        // become idle.
         let descriptors = limits.descriptors.max(self.usage().descriptors);
         self.connections.resize(platform_limits(descriptors));
         self.clients.set_memory_limit(request_memory(limits.bytes));
@@ -226,8 +230,9 @@
         store.apply_forwarded(&received);
         let cached_source = store.cache().version.map(|version| version.source);
         drop(store);
-        // The other process has been sent SIGHUP and polls another address now. The signal was meant for the gateway,
-        // so this process reads the configuration too; it takes no list of the new address but from there itself.
+        // The other process has been sent SIGHUP and polls another address now. The signal was
+        // meant for the gateway, so this process reads the configuration too; it takes no list of
+        // the new address but from there itself.
         let received_source = received.version.map(|version| version.source);
         if received_source != cached_source {
             (self.reload_discovery)();
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,5 @@
-//! The gateway: its command line, and the wiring of configuration, cores, fronts, request log and agent.
+//! The gateway: its command line, and the wiring of configuration, cores, fronts, request log and
+//! agent.
 //!
 //! | module | holds |
 //! | --- | --- |
@@ -51,12 +52,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve all fronts of an operators' file until SIGTERM; SIGHUP reads members, users and receivers again.
+    /// Serve all fronts of an operators' file until SIGTERM; SIGHUP reads members, users and
+    /// receivers again.
     Serve {
         /// The operators' file, in TOML.
         file: PathBuf,
     },
-    /// Read and check an operators' file; name each key at fault with its line, and exit with 2 if there is one.
+    /// Read and check an operators' file; name each key at fault with its line, and exit with 2 if
+    /// there is one.
     Check {
         /// The operators' file, in TOML.
         file: PathBuf,
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,8 +1,9 @@
-//! `valehatch serve FILE`: all fronts of an operators' file, each with a core of its own, and what they share: the
-//! request log, the SNMP agent, membership and the snapshot writer.
+//! `valehatch serve FILE`: all fronts of an operators' file, each with a core of its own, and what
+//! they share: the request log, the SNMP agent, membership and the snapshot writer.
 //!
-//! SIGHUP reads the file again; a change of the file is noticed as well. Endpoints, tenant quotas and the agent's users,
-//! views, receivers and limits are taken over; everything else stays as at the start.
+//! SIGHUP reads the file again; a change of the file is noticed as well. Endpoints, tenant quotas
+//! and the agent's users, views, receivers and limits are taken over; everything else stays as at
+//! the start.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -193,7 +194,8 @@
         })
     }
 
-    /// Starts discovery for a front that uses it; the endpoints of others are sent by [`watch_file`].
+    /// Starts discovery for a front that uses it; the endpoints of others are sent by
+    /// [`watch_file`].
     fn start_endpoint_list(
         &self,
         index: usize,
@@ -253,7 +255,8 @@
             SnapshotWriter::start(self.file, recoverable, gossip.cloned(), service, self.clock)
                 .map_err(StartError::resource("recovery"))?;
         if let (None, Some(gossip)) = (&writer, gossip) {
-            // Without a state folder nothing follows how complete service is: the other gateways take it as complete.
+            // Without a state folder nothing follows how complete service is: the other gateways
+            // take it as complete.
             gossip.set_service_phase(ServicePhase::Full);
         }
         Ok(writer)
@@ -292,7 +295,8 @@
     }
 }
 
-/// Watches the file, and sends what may change in service. The flag that comes back has the file read again.
+/// Watches the file, and sends what may change in service. The flag that comes back has the file
+/// read again.
 fn watch_file(
     path: PathBuf,
     file: &OperatorConfig,
@@ -360,8 +364,8 @@
     Ok(())
 }
 
-/// Ends what outlives the cores, in this order: the agent still sends its last notification, and the writers write
-/// what was recorded last.
+/// Ends what outlives the cores, in this order: the agent still sends its last notification, and
+/// the writers write what was recorded last.
 fn finish(
     agent: Arc<Option<Agent>>,
     snapshots: Option<SnapshotWriter>,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,6 +1,8 @@
-//! `valehatch` without a command: the platform's front, as the JSON file says that `BALANCER_CONFIG` names.
+//! `valehatch` without a command: the platform's front, as the JSON file says that
+//! `BALANCER_CONFIG` names.
 //!
-//! Everything is read at the start. SIGHUP reads the file again and takes over discovery's address alone.
+//! Everything is read at the start. SIGHUP reads the file again and takes over discovery's address
+//! alone.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -41,10 +43,12 @@
     max_active_groups: 64,
 };
 
-/// The handle to the other process of a hot restart, once it can be asked for; SIGHUP and discovery use it before that.
+/// The handle to the other process of a hot restart, once it can be asked for; SIGHUP and discovery
+/// use it before that.
 type LateHandoffHandle = Arc<OnceLock<HandoffHandle>>;
 
-/// Serves the platform until it has stopped, with an admission queue of these sizes if one is given.
+/// Serves the platform until it has stopped, with an admission queue of these sizes if one is
+/// given.
 ///
 /// # Errors
 /// Why it cannot start.
@@ -67,12 +71,13 @@
     let handle = inheritance.announce(hot_restart::socket_path(platform.config.listen), shared);
     if let Some(handle) = &handle {
         let _ = platform.handoff.set(handle.clone());
-        // A list that discovery sent before the handle existed has not been passed on; the other process may
-        // poll the same list seconds later only.
+        // A list that discovery sent before the handle existed has not been passed on; the other
+        // process may poll the same list seconds later only.
         let encoded = valehatch_net::lock(&endpoint_list).cache().encode();
         handle.forward_list(encoded);
     }
-    // Only now: whoever reads "ready" may start the next process at once, and that one has to find this one.
+    // Only now: whoever reads "ready" may start the next process at once, and that one has to find
+    // this one.
     platform.status.on_listening();
     if has_predecessor {
         // The predecessor may have been sent SIGHUP since this process read the configuration.
@@ -180,8 +185,9 @@
         })
     }
 
-    /// Takes over from the predecessor, and polls discovery from its list, or else from the one in the configuration.
-    /// Each list that discovery changes also goes to the other process of a hot restart.
+    /// Takes over from the predecessor, and polls discovery from its list, or else from the one in
+    /// the configuration. Each list that discovery changes also goes to the other process of a hot
+    /// restart.
     fn start_discovery(&self) -> Result<(Inheritance, SharedEndpointList), StartError> {
         let config = &self.config;
         let poller = DiscoveryPoller::new(PollerConfig {
@@ -254,7 +260,8 @@
 
     fn endpoint_pools(&self, metrics: Option<Arc<OutcomeMetrics>>) -> EndpointPools {
         let site = &self.config.site;
-        // Where replicas serve stale reads, only the position in an answer shows whether it was fresh enough.
+        // Where replicas serve stale reads, only the position in an answer shows whether it was
+        // fresh enough.
         let needs_verified_clock = site.settings.stale_read_policy == StaleReadPolicy::Serve;
         let pools = EndpointPools::new(
             Arc::new(valehatch_pg::upstream::PostgresProtocol { clock: self.clock }),
@@ -338,8 +345,9 @@
         }
     }
 
-    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is notified at once, by the current
-    /// list under the new address. This process may end before that address answers.
+    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is
+    /// notified at once, by the current list under the new address. This process may end before
+    /// that address answers.
     fn on_sighup(&self) {
         let Some(address) = self.reload("read again") else {
             return;
@@ -355,7 +363,8 @@
         handle.forward_list(endpoint_list.encode());
     }
 
-    /// [`Self::reload`] for the hot restart, which calls it when the other process polls another address.
+    /// [`Self::reload`] for the hot restart, which calls it when the other process polls another
+    /// address.
     fn reload_discovery_callback(self: &Arc<Self>) -> Arc<dyn Fn() + Send + Sync> {
         let reloader = Arc::clone(self);
         Arc::new(move || {
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -1,7 +1,9 @@
-//! What a start takes from the snapshot of an earlier process, and what a front adds to the next snapshot.
+//! What a start takes from the snapshot of an earlier process, and what a front adds to the next
+//! snapshot.
 //!
-//! Snapshots come from the state folder ([`read_snapshot`]) or from the predecessor of a hot restart
-//! ([`decode_inherited`]); how far each is trusted by its age is `valehatch_recovery`'s. Unix times are milliseconds.
+//! Snapshots come from the state folder ([`read_snapshot`]) or from the predecessor of a hot
+//! restart ([`decode_inherited`]); how far each is trusted by its age is `valehatch_recovery`'s.
+//! Unix times are milliseconds.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -87,7 +89,8 @@
     restored
 }
 
-/// Gateways of the last run to contact beside the seeds; none once the snapshot is too old to guess from.
+/// Gateways of the last run to contact beside the seeds; none once the snapshot is too old to guess
+/// from.
 pub(crate) fn remembered_gateways(snapshot: Option<&Snapshot>) -> Vec<SocketAddr> {
     let Some(snapshot) = snapshot else {
         return vec![];
@@ -103,7 +106,8 @@
     gateways.take(MAX_REMEMBERED_GATEWAYS).collect()
 }
 
-/// Service since this start; it is complete once every front that uses discovery has a confirmed list and serves.
+/// Service since this start; it is complete once every front that uses discovery has a confirmed
+/// list and serves.
 pub(crate) fn service(file: &OperatorConfig, clock: Clock) -> SharedService {
     let uses_discovery = |front: &&valehatch_config::operators::FrontSettings| {
         matches!(front.endpoints, EndpointSource::Discovery(_))
@@ -135,7 +139,8 @@
 }
 
 impl RecoverableFront {
-    /// Its part of a snapshot; `at_ms` and `now` are the same moment by the wall clock and by the monotonic clock.
+    /// Its part of a snapshot; `at_ms` and `now` are the same moment by the wall clock and by the
+    /// monotonic clock.
     pub(crate) fn snapshot(&self, at_ms: u64, now: Time) -> FrontSnapshot {
         let endpoint_list = self
             .endpoint_list
@@ -152,7 +157,8 @@
         }
     }
 
-    /// Endpoints in slow start, each with the time at which it would have started to be as warm as it is.
+    /// Endpoints in slow start, each with the time at which it would have started to be as warm as
+    /// it is.
     fn warming_endpoints(&self, view: &LiveView, at_ms: u64) -> Vec<WarmingEndpoint> {
         let rules = &self.settings.rules;
         let warming = view.endpoints.iter().filter_map(|endpoint| {
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -1,6 +1,8 @@
-//! How a process divides its descriptors and its memory between clients, upstream connections and everything else.
+//! How a process divides its descriptors and its memory between clients, upstream connections and
+//! everything else.
 //!
-//! All sizes are counts of descriptors or bytes. A hot restart divides them again: see [`crate::hot_restart`].
+//! All sizes are counts of descriptors or bytes. A hot restart divides them again: see
+//! [`crate::hot_restart`].
 
 use std::sync::Arc;
 
@@ -77,8 +79,9 @@
             active_clients: usize::MAX,
             settle_time: ANSWER_SETTLE_TIME,
         },
-        // Only Cassandra's fronts count apart, and its protocol has no closing error: a client whose idle
-        // connection is closed just as it sends sees a reset, so the connection must have been idle for longer.
+        // Only Cassandra's fronts count apart, and its protocol has no closing error: a client
+        // whose idle connection is closed just as it sends sees a reset, so the connection must
+        // have been idle for longer.
         UpstreamAccounting::Separate => ConnectionLimits {
             total: upstream,
             overflow,
--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -1,7 +1,9 @@
-//! Writes the state folder's `snapshot` and `recovery.json`, on a thread of its own; no core waits for it.
+//! Writes the state folder's `snapshot` and `recovery.json`, on a thread of its own; no core waits
+//! for it.
 //!
-//! `snapshot` is what the next start begins with, written every `state.snapshot-ms` and at the end. `recovery.json` says
-//! whether service is complete since this start, and is written when that changes.
+//! `snapshot` is what the next start begins with, written every `state.snapshot-ms` and at the end.
+//! `recovery.json` says whether service is complete since this start, and is written when that
+//! changes.
 
 use std::io;
 use std::path::PathBuf;
@@ -74,7 +76,8 @@
     }
 }
 
-/// Files of one kind, and whether the last write of one failed. Only the first failure and its end are logged.
+/// Files of one kind, and whether the last write of one failed. Only the first failure and its end
+/// are logged.
 struct FileKind {
     name: &'static str,
     failing: bool,
--- a/crates/gateway/src/snapshot_writer/tests.rs
+++ b/crates/gateway/src/snapshot_writer/tests.rs
@@ -6,8 +6,8 @@
 
 use super::*;
 
-/// The folder takes `recovery.json` but no snapshot. A log line that writing works again would be wrong then: an operator
-/// would believe that the next start finds a snapshot.
+/// The folder takes `recovery.json` but no snapshot. A log line that writing works again would be
+/// wrong then: an operator would believe that the next start finds a snapshot.
 #[test]
 fn written_state_file_does_not_end_snapshot_failure() {
     let folder = std::env::temp_dir().join(format!("valehatch-snapshot-{}", std::process::id()));
--- a/crates/gateway/src/snmp.rs
+++ b/crates/gateway/src/snmp.rs
@@ -17,8 +17,9 @@
 /// The commands of `valehatch snmp`.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Make the localized keys of a user from passwords, which are read from standard input: one line for
-    /// authentication (HMAC-SHA-256), and one for encryption (AES-128) if the user is to have it.
+    /// Make the localized keys of a user from passwords, which are read from standard input: one
+    /// line for authentication (HMAC-SHA-256), and one for encryption (AES-128) if the user is to
+    /// have it.
     Key {
         #[command(flatten)]
         engine: Engine,
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,4 +1,5 @@
-//! What operators read of this process at the management address: whether it is ready to serve, and its counters.
+//! What operators read of this process at the management address: whether it is ready to serve, and
+//! its counters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +21,8 @@
     has_endpoint_list: AtomicBool,
 }
 
-/// The status of all fronts of this process. It is shared with the management thread; flags only ever become true.
+/// The status of all fronts of this process. It is shared with the management thread; flags only
+/// ever become true.
 pub(crate) struct ProcessStatus {
     fronts: Vec<FrontStatus>,
     listening: AtomicBool,
--- a/crates/management/src/connection_table.rs
+++ b/crates/management/src/connection_table.rs
@@ -1,14 +1,14 @@
 //! Which connections there are, when each expires, and which is evicted for a new one. No I/O.
 //!
-//! The table has a fixed number of slots. When all are taken, [`ConnectionTable::decide_accept`] names the connection
-//! whose loss costs least.
+//! The table has a fixed number of slots. When all are taken, [`ConnectionTable::decide_accept`]
+//! names the connection whose loss costs least.
 
 use std::time::{Duration, Instant};
 
 /// How long a connection is safe from eviction after its stage began.
 pub(crate) const EVICTION_GRACE: Duration = Duration::from_millis(2);
-/// How long input is drained after the response. Closing with unread input would send a reset, and the client could lose
-/// the response.
+/// How long input is drained after the response. Closing with unread input would send a reset, and
+/// the client could lose the response.
 pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The stage of a connection.
@@ -87,7 +87,8 @@
         self.connections[slot] = None;
     }
 
-    /// Where a new connection can go: a free slot, else the oldest connection of the lowest eviction rank.
+    /// Where a new connection can go: a free slot, else the oldest connection of the lowest
+    /// eviction rank.
     pub(crate) fn decide_accept(&self, now: Instant) -> AcceptDecision {
         if let Some(slot) = self.connections.iter().position(Option::is_none) {
             return AcceptDecision::Slot(slot);
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The lowest is evicted first: a response long delivered, no request yet, a response just delivered, one being written.
+    /// The lowest is evicted first: a response long delivered, no request yet, a response just
+    /// delivered, one being written.
     fn eviction_rank(&self, now: Instant) -> u8 {
         match self.stage {
             Stage::Draining if self.stage_since + LINGER_TIMEOUT / 4 <= now => 0,
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -1,7 +1,9 @@
-//! The management endpoint: health, metrics and decisions over HTTP/1.1, one request for each connection.
+//! The management endpoint: health, metrics and decisions over HTTP/1.1, one request for each
+//! connection.
 //!
-//! It answers in bounded time whatever else the process does and whoever else connects: one thread, a fixed number of
-//! connections, no blocking operation. Paths: `/admin/health`, `/admin/stats`, `/admin/decisions`.
+//! It answers in bounded time whatever else the process does and whoever else connects: one thread,
+//! a fixed number of connections, no blocking operation. Paths: `/admin/health`, `/admin/stats`,
+//! `/admin/decisions`.
 
 #![forbid(unsafe_code)]
 
@@ -21,7 +23,8 @@
 /// Stack of the endpoint's thread, in bytes.
 const STACK_SIZE: usize = 128 * 1024;
 
-/// What the responses are made of. Its methods run on the thread of the endpoint and must not block.
+/// What the responses are made of. Its methods run on the thread of the endpoint and must not
+/// block.
 pub trait Source: Send + Sync + 'static {
     /// Whether this process is ready to serve.
     ///
@@ -57,7 +60,8 @@
     }
 }
 
-/// Listens, and serves on a thread of its own for as long as the process lives; returns the bound address.
+/// Listens, and serves on a thread of its own for as long as the process lives; returns the bound
+/// address.
 ///
 /// # Errors
 /// The address cannot be listened on, or the thread cannot be started.
--- a/crates/management/src/server.rs
+++ b/crates/management/src/server.rs
@@ -1,4 +1,5 @@
-//! The sockets of the management endpoint, polled on one thread: no operation on a connection blocks.
+//! The sockets of the management endpoint, polled on one thread: no operation on a connection
+//! blocks.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,7 +14,8 @@
 use crate::request::{MAX_HEAD_BYTES, ManagementRequest};
 use crate::{ManagementEndpoint, Source};
 
-/// Connections that may wait to be accepted: more than a burst brings while the thread does not run.
+/// Connections that may wait to be accepted: more than a burst brings while the thread does not
+/// run.
 const BACKLOG: i32 = 1024;
 /// Connections accepted before the others are served again.
 const MAX_ACCEPTS: usize = 64;
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Polls until a connection is ready, the time is over or, if `accepting`, a connection can be accepted; says whether
-    /// one can.
+    /// Polls until a connection is ready, the time is over or, if `accepting`, a connection can be
+    /// accepted; says whether one can.
     fn wait(&mut self, accepting: bool, time: Option<Duration>) -> bool {
         let mut fds = Vec::with_capacity(self.slots.len() + 1);
         let wanted = |stage| {
--- a/crates/net/src/clients/connection/tests.rs
+++ b/crates/net/src/clients/connection/tests.rs
@@ -233,7 +233,8 @@
     let socket = SockRef::from(&connection.stream);
     socket.set_send_buffer_size(4096).unwrap();
     let (mut sent, mut full_rounds) = (0, 0);
-    // Bytes in transit make room in the send buffer again, late on a busy machine: it is full once it has been so for 100 ms.
+    // Bytes in transit make room in the send buffer again, late on a busy machine: it is full once
+    // it has been so for 100 ms.
     while full_rounds < 20 {
         full_rounds += 1;
         while let Ok(n) = socket.send_with_flags(&[b'v'; 1000], libc::MSG_DONTWAIT) {
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -17,8 +17,8 @@
 
 use crate::spawn;
 
-/// How often the file is checked: well within the grace period that a draining endpoint has for requests already on
-/// their way, which is some hundred milliseconds at least.
+/// How often the file is checked: well within the grace period that a draining endpoint has for
+/// requests already on their way, which is some hundred milliseconds at least.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A front whose endpoints the file names.
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -86,8 +86,8 @@
 impl PropagationDeadlines {
     fn new(source: DiscoverySource, site: &Site) -> Self {
         let max_poll_interval = site.settings.rules.max_poll_interval;
-        // Whatever failed before, a change has to arrive within `PROPAGATION_DEADLINE`: the next call begins
-        // earlier by as much as its response may take.
+        // Whatever failed before, a change has to arrive within `PROPAGATION_DEADLINE`: the next
+        // call begins earlier by as much as its response may take.
         let max_call_interval = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT)
             .min(max_poll_interval.times(0.4));
         let total = duration(PROPAGATION_DEADLINE_AFTER_WAIT);
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -93,8 +93,8 @@
 
 impl HotRestart {
     /// Starts the threads. The process serves, and once this returns a successor finds it.
-    /// `predecessor` is the connection to the old process, if there is one; it is notified that this
-    /// one is ready.
+    /// `predecessor` is the connection to the old process, if there is one; it is notified that
+    /// this one is ready.
     ///
     /// # Errors
     /// The machine has no thread or descriptor.
--- a/crates/notifications/src/delivery_queue.rs
+++ b/crates/notifications/src/delivery_queue.rs
@@ -1,8 +1,9 @@
 //! What a receiver has not taken yet.
 //!
-//! Traps are sent once. Informs stay until they are acknowledged: each is sent again after a pause that doubles, up to a
-//! number of times, and only [`MAX_IN_FLIGHT`] are in flight at once, so that a dead receiver costs next to nothing. The
-//! queue is bounded: when it is full, the oldest that is not in flight is dropped and counted.
+//! Traps are sent once. Informs stay until they are acknowledged: each is sent again after a pause
+//! that doubles, up to a number of times, and only [`MAX_IN_FLIGHT`] are in flight at once, so that
+//! a dead receiver costs next to nothing. The queue is bounded: when it is full, the oldest that is
+//! not in flight is dropped and counted.
 
 use std::collections::VecDeque;
 
@@ -12,7 +13,8 @@
 pub const MAX_IN_FLIGHT: usize = 8;
 /// The longest pause before an inform is sent again, unless the first is longer.
 const MAX_PAUSE: Span = Span::from_millis(60_000);
-/// Doublings of the pause that are counted: further ones would not fit, and are above [`MAX_PAUSE`] anyway.
+/// Doublings of the pause that are counted: further ones would not fit, and are above [`MAX_PAUSE`]
+/// anyway.
 const MAX_DOUBLINGS: u32 = 20;
 
 #[derive(Debug)]
@@ -76,7 +78,8 @@
 }
 
 impl<T: Clone> DeliveryQueue<T> {
-    /// Holds at most `max_queued`. `informs` says how informs are sent again; `None` for traps. Ids follow `last_id`.
+    /// Holds at most `max_queued`. `informs` says how informs are sent again; `None` for traps. Ids
+    /// follow `last_id`.
     #[must_use]
     pub fn new(max_queued: usize, informs: Option<Retransmission>, last_id: i32) -> Self {
         Self {
@@ -143,7 +146,8 @@
         deliveries
     }
 
-    /// Makes an inform due now: the receiver has reported what the next message needs to be accepted.
+    /// Makes an inform due now: the receiver has reported what the next message needs to be
+    /// accepted.
     pub fn resend(&mut self, now: Time, id: i32) {
         for queued in &mut self.queue {
             if queued.id == id {
--- a/crates/notifications/src/groups.rs
+++ b/crates/notifications/src/groups.rs
@@ -88,7 +88,8 @@
 }
 
 impl GroupState {
-    /// The state before a group's first look. The first primary is no change; further changes before the look are.
+    /// The state before a group's first look. The first primary is no change; further changes
+    /// before the look are.
     pub(crate) fn before(look: &GroupLook<'_>) -> Self {
         Self {
             primary: Arc::clone(&look.primary),
@@ -118,7 +119,8 @@
         previous: &Arc<str>,
         out: &mut Vec<Notification>,
     ) {
-        // Two changes between looks may lead back to the same primary: they are changes all the same.
+        // Two changes between looks may lead back to the same primary: they are changes all the
+        // same.
         let changed_back = look.group.changes > self.changes + 1 && !look.primary.is_empty();
         self.changes = look.group.changes;
         if *previous != look.primary || changed_back {
--- a/crates/notifications/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -1,8 +1,9 @@
 //! Notifications of the SNMP agent: which one, when, and queued for whom. No I/O, no clock.
 //!
-//! Input: what each front publishes, the durable counters, and the time. Output: notifications, each at the change that
-//! it reports and not again. Thresholds have a rising and a falling edge, so that a value that wavers around one edge is
-//! not reported again and again; what exceeds the limit of a window is reported as one [`Notification::Storm`].
+//! Input: what each front publishes, the durable counters, and the time. Output: notifications,
+//! each at the change that it reports and not again. Thresholds have a rising and a falling edge,
+//! so that a value that wavers around one edge is not reported again and again; what exceeds the
+//! limit of a window is reported as one [`Notification::Storm`].
 //!
 //! | module | job |
 //! | --- | --- |
@@ -13,8 +14,8 @@
 //! | `storm` | limits notifications within a window |
 //! | [`delivery_queue`] | what a receiver has not taken yet |
 //!
-//! Bounds: the monitor holds one entry for each group, endpoint, class and tenant that it last saw; a delivery queue has
-//! its size in its constructor.
+//! Bounds: the monitor holds one entry for each group, endpoint, class and tenant that it last saw;
+//! a delivery queue has its size in its constructor.
 
 #![forbid(unsafe_code)]
 
--- a/crates/notifications/src/monitor.rs
+++ b/crates/notifications/src/monitor.rs
@@ -90,12 +90,14 @@
         }
     }
 
-    /// Replaces the thresholds. A condition that holds continues until it is below the new falling edge.
+    /// Replaces the thresholds. A condition that holds continues until it is below the new falling
+    /// edge.
     pub fn set_thresholds(&mut self, thresholds: Thresholds) {
         self.thresholds = thresholds;
     }
 
-    /// Takes a look; returns what is to be sent. `state_fault` is the current fault of the request log, if it has one.
+    /// Takes a look; returns what is to be sent. `state_fault` is the current fault of the request
+    /// log, if it has one.
     pub fn look(
         &mut self,
         now: Time,
@@ -259,8 +261,8 @@
         });
     }
 
-    /// Forgets groups and endpoints that have left the list. An unavailable endpoint that has left is no longer waited
-    /// for, so its condition ends.
+    /// Forgets groups and endpoints that have left the list. An unavailable endpoint that has left
+    /// is no longer waited for, so its condition ends.
     fn remove_unseen(&mut self) {
         let look = self.looks;
         self.groups.retain(|_, group| group.seen == look);
--- a/crates/notifications/src/notification.rs
+++ b/crates/notifications/src/notification.rs
@@ -117,7 +117,8 @@
     pub wait_ms: u64,
 }
 
-/// The kind of a notification. Its number is that of the MIB, its text is sent to receivers: neither changes.
+/// The kind of a notification. Its number is that of the MIB, its text is sent to receivers:
+/// neither changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NotificationKind {
     /// [`Notification::Started`].
--- a/crates/notifications/src/storm.rs
+++ b/crates/notifications/src/storm.rs
@@ -1,5 +1,5 @@
-//! Limits notifications within a window. What exceeds the limit is counted by kind and reported as one when the window
-//! has ended.
+//! Limits notifications within a window. What exceeds the limit is counted by kind and reported as
+//! one when the window has ended.
 
 use std::collections::BTreeMap;
 
--- a/crates/notifications/src/thresholds.rs
+++ b/crates/notifications/src/thresholds.rs
@@ -79,7 +79,8 @@
 }
 
 impl RateWindow {
-    /// Adds a sample. Returns the increase in 1,000 seconds; `None` until the samples cover the window.
+    /// Adds a sample. Returns the increase in 1,000 seconds; `None` until the samples cover the
+    /// window.
     pub(crate) fn add(&mut self, now: Time, total: u64, window: Span) -> Option<u64> {
         self.samples.push_back(Sample { at: now, total });
         while self
--- a/crates/rate-limit/src/cpu_share.rs
+++ b/crates/rate-limit/src/cpu_share.rs
@@ -5,8 +5,8 @@
 /// Unused time that may be saved up, in microseconds of the clock.
 const MAX_SAVED: Micros = SECOND / 10;
 
-/// A share of one core. Time used beyond the share has to pass before more is used; the share of a tenth of a second may
-/// be saved up.
+/// A share of one core. Time used beyond the share has to pass before more is used; the share of a
+/// tenth of a second may be saved up.
 #[derive(Debug)]
 pub struct CpuShare {
     /// The share in millionths.
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Records microseconds of CPU time used up to now. Returns the pause in microseconds until more may be used; 0 for
-    /// none.
+    /// Records microseconds of CPU time used up to now. Returns the pause in microseconds until
+    /// more may be used; 0 for none.
     pub fn record_used(&mut self, now: Micros, used: Micros) -> Micros {
         let elapsed = (now - self.updated_at).max(0);
         self.updated_at = self.updated_at.max(now);
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,5 +1,5 @@
-//! What an agent on UDP admits, without I/O and without a clock. Times come in as microseconds of a monotonic clock; every
-//! table has its size in its constructor.
+//! What an agent on UDP admits, without I/O and without a clock. Times come in as microseconds of a
+//! monotonic clock; every table has its size in its constructor.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/rate-limit/src/snapshot_cache.rs
+++ b/crates/rate-limit/src/snapshot_cache.rs
@@ -20,15 +20,16 @@
 }
 
 impl<T> Walk<T> {
-    /// Whether a request continues the walk. A walk only goes forward; the same name in the same request is a
-    /// retransmission.
+    /// Whether a request continues the walk. A walk only goes forward; the same name in the same
+    /// request is a retransmission.
     fn is_continued_by(&self, request: i32, name: &[u32]) -> bool {
         *name > *self.last_name || *name == *self.last_name && request == self.last_request
     }
 }
 
-/// The snapshots of walks, by source. A request that does not continue its source's walk begins a new one on a new
-/// snapshot. When the table is full, the walk that has been silent longest is dropped and continues on a newer snapshot.
+/// The snapshots of walks, by source. A request that does not continue its source's walk begins a
+/// new one on a new snapshot. When the table is full, the walk that has been silent longest is
+/// dropped and continues on a newer snapshot.
 pub struct SnapshotCache<K: Hash + Eq, T> {
     walks: LruCache<K, Walk<T>, RandomState>,
     max_silence: Micros,
@@ -36,8 +37,8 @@
 }
 
 impl<K: Hash + Eq, T: Clone> SnapshotCache<K, T> {
-    /// Keeps at most `max_walks`. A walk ends after `max_silence` microseconds without a step, and `max_age`
-    /// microseconds after its begin.
+    /// Keeps at most `max_walks`. A walk ends after `max_silence` microseconds without a step, and
+    /// `max_age` microseconds after its begin.
     #[must_use]
     pub fn new(max_walks: NonZeroUsize, max_silence: Micros, max_age: Micros) -> Self {
         Self {
--- a/crates/rate-limit/src/source_rate_limiter.rs
+++ b/crates/rate-limit/src/source_rate_limiter.rs
@@ -49,8 +49,9 @@
     Total,
 }
 
-/// Bounds requests by source and in all. When its table is full, the source that has been silent longest is forgotten:
-/// its bucket is the likeliest to be full again, and the bound on all requests holds for what it gains.
+/// Bounds requests by source and in all. When its table is full, the source that has been silent
+/// longest is forgotten: its bucket is the likeliest to be full again, and the bound on all
+/// requests holds for what it gains.
 pub struct SourceRateLimiter<K: Hash + Eq> {
     source_rate_per_s: u32,
     total_rate_per_s: u32,
--- a/crates/request-log/src/checksum_line.rs
+++ b/crates/request-log/src/checksum_line.rs
@@ -1,4 +1,5 @@
-//! JSON lines that end in their own checksum: `{…,"crc":"89abcdef"}`, CRC-32 (ISO-HDLC) of all bytes before `,"crc"`.
+//! JSON lines that end in their own checksum: `{…,"crc":"89abcdef"}`, CRC-32 (ISO-HDLC) of all
+//! bytes before `,"crc"`.
 
 use std::fmt;
 
--- a/crates/request-log/src/counters.rs
+++ b/crates/request-log/src/counters.rs
@@ -1,5 +1,6 @@
-//! Rows of counters: one for each front and class, and one for each front and tenant. [`Counters`] is a persistent map:
-//! a copy is cheap, and a reader of one is not disturbed by what is counted meanwhile.
+//! Rows of counters: one for each front and class, and one for each front and tenant. [`Counters`]
+//! is a persistent map: a copy is cheap, and a reader of one is not disturbed by what is counted
+//! meanwhile.
 
 use std::sync::Arc;
 
@@ -60,7 +61,8 @@
     Failed(FailureReason),
     /// Attempts with an outcome.
     Attempt(AttemptOutcome),
-    /// Requests served within the bounds of a latency bucket; a number beyond the last means the last.
+    /// Requests served within the bounds of a latency bucket; a number beyond the last means the
+    /// last.
     LatencyBucket(usize),
 }
 
@@ -203,7 +205,8 @@
     }
 }
 
-/// All rows. Their number is bounded by that of the fronts, classes and tenants of the configuration.
+/// All rows. Their number is bounded by that of the fronts, classes and tenants of the
+/// configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     rows: OrdMap<RowKey, CounterRow>,
--- a/crates/request-log/src/durable.rs
+++ b/crates/request-log/src/durable.rs
@@ -1,5 +1,6 @@
-//! Marks and checkpoints as bytes. A mark holds the counters that a batch of records changed, as they stand after it; a
-//! checkpoint holds all counters and the position in the request log up to which they count. JSON keys are stored names.
+//! Marks and checkpoints as bytes. A mark holds the counters that a batch of records changed, as
+//! they stand after it; a checkpoint holds all counters and the position in the request log up to
+//! which they count. JSON keys are stored names.
 
 use std::collections::BTreeMap;
 
@@ -49,7 +50,8 @@
     rows
 }
 
-/// Raises counters to the stored values. Counters of a later version, whose names are unknown here, are skipped.
+/// Raises counters to the stored values. Counters of a later version, whose names are unknown here,
+/// are skipped.
 fn raise_to_stored(counters: &mut Counters, rows: &StoredRows, unlogged: u64) {
     counters.unlogged = counters.unlogged.max(unlogged);
     for (key, values) in rows {
--- a/crates/request-log/src/events.rs
+++ b/crates/request-log/src/events.rs
@@ -50,7 +50,8 @@
         /// The error of the file system.
         error: String,
     },
-    /// Writes began to fail, with this fault. Counting goes on in memory; published counters stand still.
+    /// Writes began to fail, with this fault. Counting goes on in memory; published counters stand
+    /// still.
     WritesFailing(String),
     /// Writes succeed again.
     WritesRecovered,
--- a/crates/request-log/src/file_names.rs
+++ b/crates/request-log/src/file_names.rs
@@ -1,4 +1,5 @@
-//! Names of the files in the state directory. Operators' tools and later versions find them by these names.
+//! Names of the files in the state directory. Operators' tools and later versions find them by
+//! these names.
 
 /// The newest checkpoint.
 pub(crate) const CHECKPOINT: &str = "checkpoint";
--- a/crates/request-log/src/latency_samples.rs
+++ b/crates/request-log/src/latency_samples.rs
@@ -1,6 +1,8 @@
-//! Latency quantiles of the last 30 to 60 seconds: two histograms a row, filled in turn for half of the window each.
+//! Latency quantiles of the last 30 to 60 seconds: two histograms a row, filled in turn for half of
+//! the window each.
 //!
-//! Input: latencies and times in microseconds. Rows beyond the bound of the constructor are not measured.
+//! Input: latencies and times in microseconds. Rows beyond the bound of the constructor are not
+//! measured.
 
 use std::collections::BTreeMap;
 
@@ -84,8 +86,8 @@
         half.saturating_record(latency_us.clamp(1, MAX_LATENCY_US));
     }
 
-    /// The latency, in microseconds, that so many thousandths of the recent requests stayed within; `None` if there
-    /// were none.
+    /// The latency, in microseconds, that so many thousandths of the recent requests stayed within;
+    /// `None` if there were none.
     pub fn quantile(&mut self, now_us: i64, key: &RowKey, per_mille: u32) -> Option<u64> {
         let window = self.rows.get_mut(key)?;
         window.advance_to(now_us / HALF_WINDOW_US);
--- a/crates/request-log/src/lib.rs
+++ b/crates/request-log/src/lib.rs
@@ -1,13 +1,14 @@
-//! Outcome counters and the durable request log. One [`RequestRecord`] is written for each final answer; [`Counters`]
-//! are the sum of all records and outlive the process.
+//! Outcome counters and the durable request log. One [`RequestRecord`] is written for each final
+//! answer; [`Counters`] are the sum of all records and outlive the process.
 //!
-//! Input: records, bytes found in the state directory, and the time as numbers. Output: lines, marks and checkpoints
-//! through a [`LogStorage`], counters that are durable, and events for the program's log. This package has no clock, no
-//! thread and no I/O of its own.
+//! Input: records, bytes found in the state directory, and the time as numbers. Output: lines,
+//! marks and checkpoints through a [`LogStorage`], counters that are durable, and events for the
+//! program's log. This package has no clock, no thread and no I/O of its own.
 //!
-//! Every counter only grows. Whatever is read back after a crash is therefore a lower bound, and so is the maximum of
-//! two findings, counter by counter: counters form a join-semilattice (a grow-only counter). Published counts are
-//! stored three times: in the request log, in the marks and, later, in a checkpoint. Losing one of them loses no count.
+//! Every counter only grows. Whatever is read back after a crash is therefore a lower bound, and so
+//! is the maximum of two findings, counter by counter: counters form a join-semilattice (a
+//! grow-only counter). Published counts are stored three times: in the request log, in the marks
+//! and, later, in a checkpoint. Losing one of them loses no count.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -25,8 +26,8 @@
 //! | [`outcome_metrics`] | metrics of the running process |
 //! | [`latency_samples`] | latency quantiles of the last minute |
 //!
-//! Bounds: counters hold one row for each front and class or tenant; metrics one set for each class; latency samples as
-//! many rows as their constructor says.
+//! Bounds: counters hold one row for each front and class or tenant; metrics one set for each
+//! class; latency samples as many rows as their constructor says.
 
 #![forbid(unsafe_code)]
 
--- a/crates/request-log/src/outcome_metrics.rs
+++ b/crates/request-log/src/outcome_metrics.rs
@@ -1,8 +1,9 @@
-//! Metrics of the running process: counts since its start, and gauges. The metric names are scraped and never change.
+//! Metrics of the running process: counts since its start, and gauges. The metric names are scraped
+//! and never change.
 //!
-//! Each count is taken in one place, when it becomes true: final answers by the reducer as it decides them, attempts by
-//! whoever wrote an attempt's last byte. The reducer sets the gauges once a turn. There is one set of counts for each
-//! class, whose number is fixed.
+//! Each count is taken in one place, when it becomes true: final answers by the reducer as it
+//! decides them, attempts by whoever wrote an attempt's last byte. The reducer sets the gauges once
+//! a turn. There is one set of counts for each class, whose number is fixed.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Counts the final answer of a request; an aborted request has none. Unknown classes are ignored.
+    /// Counts the final answer of a request; an aborted request has none. Unknown classes are
+    /// ignored.
     pub fn count_final_answer(&self, class: usize, outcome: &FinalOutcome) {
         let Some(class) = self.classes.get(class) else {
             return;
@@ -112,15 +114,17 @@
         self.ejected_endpoints.store(ejected as u64, Relaxed);
     }
 
-    /// One metric a line, `name:value|c` for counts and `name:value|g` for gauges, in the order of the classes.
+    /// One metric a line, `name:value|c` for counts and `name:value|g` for gauges, in the order of
+    /// the classes.
     #[must_use]
     pub fn text(&self) -> String {
         text([self])
     }
 }
 
-/// The metrics of a process with several fronts, in the form of [`OutcomeMetrics::text`]. Values are added up over the
-/// fronts; classes of the same name are one class, in the order in which the names first come.
+/// The metrics of a process with several fronts, in the form of [`OutcomeMetrics::text`]. Values
+/// are added up over the fronts; classes of the same name are one class, in the order in which the
+/// names first come.
 #[must_use]
 pub fn text<'a>(fronts: impl IntoIterator<Item = &'a OutcomeMetrics>) -> String {
     let mut totals: Vec<ClassTotals<'_>> = vec![];
--- a/crates/request-log/src/outcomes.rs
+++ b/crates/request-log/src/outcomes.rs
@@ -1,5 +1,5 @@
-//! How requests and attempts end. The names are stored in the request log and shown in the MIB: they never change, and
-//! the order of the variants is that of the MIB's numbers.
+//! How requests and attempts end. The names are stored in the request log and shown in the MIB:
+//! they never change, and the order of the variants is that of the MIB's numbers.
 
 use serde::{Deserialize, Serialize};
 use valehatch_policy::Outcome;
--- a/crates/request-log/src/record.rs
+++ b/crates/request-log/src/record.rs
@@ -1,4 +1,5 @@
-//! The record of one request at its final answer, and its line in the request log. The JSON keys are stored names.
+//! The record of one request at its final answer, and its line in the request log. The JSON keys
+//! are stored names.
 
 use std::sync::Arc;
 
@@ -37,7 +38,8 @@
     pub outcome: FinalOutcome,
     /// Its attempts, oldest first. If it was served, the last attempt's endpoint served it.
     pub attempts: Vec<AttemptRecord>,
-    /// From arrival to the first attempt, or to the final answer if there was no attempt, in microseconds.
+    /// From arrival to the first attempt, or to the final answer if there was no attempt, in
+    /// microseconds.
     #[serde(rename = "waited_us")]
     pub queued_us: u64,
     /// From arrival to the final answer, in microseconds.
@@ -56,8 +58,8 @@
 }
 
 impl RequestRecord {
-    /// Appends the record as a line of the request log, with its sequence number and the Unix time of its final answer
-    /// in milliseconds.
+    /// Appends the record as a line of the request log, with its sequence number and the Unix time
+    /// of its final answer in milliseconds.
     pub fn append_line(&self, out: &mut Vec<u8>, sequence: u64, unix_ms: u64) {
         let line = LogLine {
             sequence,
--- a/crates/request-log/src/replay.rs
+++ b/crates/request-log/src/replay.rs
@@ -1,8 +1,9 @@
-//! Rebuilds counters from stored bytes: the newest checkpoint that can be read, the records behind it, and the marks,
-//! each of which is a lower bound of the truth.
+//! Rebuilds counters from stored bytes: the newest checkpoint that can be read, the records behind
+//! it, and the marks, each of which is a lower bound of the truth.
 //!
-//! Input: both checkpoints, then the lines of the marks, then the lines of the log in order. Output: [`Recovered`].
-//! The marks since the older checkpoint are held in memory, and at most [`MAX_REPORTED_ISSUES`] issues.
+//! Input: both checkpoints, then the lines of the marks, then the lines of the log in order.
+//! Output: [`Recovered`]. The marks since the older checkpoint are held in memory, and at most
+//! [`MAX_REPORTED_ISSUES`] issues.
 
 use std::fmt;
 
@@ -99,7 +100,8 @@
     reason: CorruptRecord,
 }
 
-/// A replay in progress. Add the marks first, then the lines of the log from [`Replay::start_position`] on.
+/// A replay in progress. Add the marks first, then the lines of the log from
+/// [`Replay::start_position`] on.
 #[derive(Debug, Default)]
 pub struct Replay {
     checkpoint: Checkpoint,
@@ -120,7 +122,8 @@
 }
 
 impl Replay {
-    /// Begins with the bytes of the newest and the older checkpoint, as far as there are such files.
+    /// Begins with the bytes of the newest and the older checkpoint, as far as there are such
+    /// files.
     #[must_use]
     pub fn new(newest: Option<&[u8]>, older: Option<&[u8]>) -> Self {
         let mut replay = Self::default();
@@ -163,8 +166,8 @@
     /// Adds a line of the log, with its line end if it has one, and the position where it begins.
     pub fn add_line(&mut self, position: LogPosition, line: &[u8]) {
         if let Some(suspect) = self.suspect.take() {
-            // More follows in the same segment: the suspect line is corrupt. Otherwise a write stopped half-way, and
-            // the writer went on in a new segment.
+            // More follows in the same segment: the suspect line is corrupt. Otherwise a write
+            // stopped half-way, and the writer went on in a new segment.
             if suspect.position.segment == position.segment {
                 self.report_corrupt(suspect);
             } else {
@@ -223,7 +226,8 @@
         if sequence <= self.last_sequence {
             return;
         }
-        // A mark sets counters to a value, a record adds to them: marks of earlier records have to come first.
+        // A mark sets counters to a value, a record adds to them: marks of earlier records have to
+        // come first.
         self.join_marks_before(sequence);
         if sequence > self.last_sequence + 1 {
             self.gaps.push(SequenceRange {
@@ -252,7 +256,8 @@
     fn join_first_marks(&mut self, count: usize) {
         let marks: Vec<DurableMark> = self.marks.drain(..count).collect();
         for mark in marks {
-            // A mark within the checkpoint is joined too: it may count records that the log never had.
+            // A mark within the checkpoint is joined too: it may count records that the log never
+            // had.
             mark.join_into(&mut self.checkpoint.counters);
             if mark.last_sequence > self.last_sequence {
                 self.gaps.push(SequenceRange {
--- a/crates/request-log/src/request_log.rs
+++ b/crates/request-log/src/request_log.rs
@@ -1,8 +1,9 @@
 //! The request log: counts records, writes them, and publishes counts only once they are durable.
 //!
-//! Input: records, and the calls [`RequestLog::flush`] and [`RequestLog::checkpoint`] at the caller's pace. Output: files
-//! through a [`LogStorage`], the published counters, the status, and events. It reads no clock and starts no thread.
-//! Its memory is the counters and the batch since the last flush.
+//! Input: records, and the calls [`RequestLog::flush`] and [`RequestLog::checkpoint`] at the
+//! caller's pace. Output: files through a [`LogStorage`], the published counters, the status, and
+//! events. It reads no clock and starts no thread. Its memory is the counters and the batch since
+//! the last flush.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Continues from what the storage holds, in a new segment. Faults are reported and counted; none keeps the gateway
-    /// from serving. `now_ms` is Unix time in milliseconds.
+    /// Continues from what the storage holds, in a new segment. Faults are reported and counted;
+    /// none keeps the gateway from serving. `now_ms` is Unix time in milliseconds.
     #[must_use]
     pub fn open(mut storage: S, limits: SegmentLimits, now_ms: u64) -> Self {
         let mut stored = StoredState::read(&storage);
@@ -169,7 +170,8 @@
         log
     }
 
-    /// Counts a record; it is written with the next flush. `unix_ms` is the time of its final answer.
+    /// Counts a record; it is written with the next flush. `unix_ms` is the time of its final
+    /// answer.
     pub fn record(&mut self, record: &RequestRecord, unix_ms: u64) {
         self.status.last_sequence += 1;
         self.pending.records += 1;
@@ -191,8 +193,8 @@
 
     /// Makes durable what was counted since the last flush, then publishes it.
     ///
-    /// Lines that cannot be written are lost to the request log and counted as unlogged. Counts are not lost: they are
-    /// written again with the next flush.
+    /// Lines that cannot be written are lost to the request log and counted as unlogged. Counts are
+    /// not lost: they are written again with the next flush.
     pub fn flush(&mut self) {
         let batch = std::mem::take(&mut self.pending);
         if self.storage.is_none() {
@@ -231,9 +233,9 @@
             return None;
         };
         self.counted.unlogged += batch.records;
-        // A part of the batch may have been written. A batch appended behind it would begin in the middle of a line,
-        // and the replay would find a corrupt record. The next batch goes to a new segment, so a failing truncation
-        // does no harm: the replay finds a torn end.
+        // A part of the batch may have been written. A batch appended behind it would begin in the
+        // middle of a line, and the replay would find a corrupt record. The next batch goes to a
+        // new segment, so a failing truncation does no harm: the replay finds a torn end.
         let _ = storage.truncate(&file, self.position.offset);
         self.position = LogPosition::start_of(self.position.segment + 1);
         Some(format!("the request log cannot be written: {e}"))
@@ -243,8 +245,8 @@
     fn write_mark(&mut self) -> Option<String> {
         let storage = self.storage.as_mut()?;
         let mut line = vec![];
-        // A mark appended to a torn one would be lost with it, and so would counts that were already published. An
-        // empty line ends the torn mark; the replay skips it.
+        // A mark appended to a torn one would be lost with it, and so would counts that were
+        // already published. An empty line ends the torn mark; the replay skips it.
         if self.marks_may_be_torn {
             line.push(b'\n');
         }
@@ -284,7 +286,8 @@
         self.status.fault = fault;
     }
 
-    /// Writes all counters, if they changed since the last checkpoint, so that the log is needed from here on only.
+    /// Writes all counters, if they changed since the last checkpoint, so that the log is needed
+    /// from here on only.
     pub fn checkpoint(&mut self) {
         if !std::mem::take(&mut self.checkpoint_needed) {
             return;
--- a/crates/request-log/src/startup.rs
+++ b/crates/request-log/src/startup.rs
@@ -1,4 +1,5 @@
-//! Reads the state directory at the start: checkpoints, marks and segments, in the order that [`Replay`] needs.
+//! Reads the state directory at the start: checkpoints, marks and segments, in the order that
+//! [`Replay`] needs.
 
 use std::io;
 
@@ -50,8 +51,9 @@
 
     /// The number of this start of the program.
     ///
-    /// SNMP managers reject an agent whose boots went back. Where the count was lost, the minutes since 2020 stand in
-    /// for it: a program starts less than once a minute over its life, so that number is above the lost one.
+    /// SNMP managers reject an agent whose boots went back. Where the count was lost, the minutes
+    /// since 2020 stand in for it: a program starts less than once a minute over its life, so that
+    /// number is above the lost one.
     pub(crate) fn next_boots(&self, now_ms: u64) -> u32 {
         let stored = self.recovered.checkpoint.boots;
         let was_used = !self.listed || self.names.iter().any(|name| name != LOCK);
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -23,13 +23,13 @@
 //! | | `kind` 1, `db` 2 | `kind`, `group` |
 //! | 12 | `who` 4 | `SelectInstance`: instance |
 //!
-//! Widths are in bytes. `cluster-no`, `wrote-ms-ago`, `nominal`, `primary`, `metrics` and all fields of
-//! eight bytes whose names end in `-ms` are finite floats, the others unsigned integers. Names that end
-//! in `-ms` or contain `-ms-` are milliseconds.
+//! Widths are in bytes. `cluster-no`, `wrote-ms-ago`, `nominal`, `primary`, `metrics` and all
+//! fields of eight bytes whose names end in `-ms` are finite floats, the others unsigned integers.
+//! Names that end in `-ms` or contain `-ms-` are milliseconds.
 //!
-//! A `kind` of an update is 0 or 3 for a complete list, 1 for a failed discovery, 2 for changes only.
-//! The bits of `marks` are [`MARK_WORK_KNOWN`] and [`MARK_REPEAT`]; `mark` is a [`ReplicationProgress`];
-//! `result` is an outcome as an HTTP-like status.
+//! A `kind` of an update is 0 or 3 for a complete list, 1 for a failed discovery, 2 for changes
+//! only. The bits of `marks` are [`MARK_WORK_KNOWN`] and [`MARK_REPEAT`]; `mark` is a
+//! [`ReplicationProgress`]; `result` is an outcome as an HTTP-like status.
 
 use valehatch_config::settings::ms_to_micros;
 use valehatch_policy::{
@@ -194,8 +194,8 @@
         }
     }
 
-    /// The position as a time after the settings' zero of positions, if the endpoint reported one. The
-    /// wire has whole milliseconds.
+    /// The position as a time after the settings' zero of positions, if the endpoint reported one.
+    /// The wire has whole milliseconds.
     pub(crate) fn position(self) -> Option<Span> {
         let millis = self.0 / Self::ROLES;
         (millis > 0).then(|| Span::from_millis(i64::from(millis)))
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// Appends a crash report of an instance. The text is cut after [`MAX_CRASH_TEXT_BYTES`] bytes, at the
-/// start of a character.
+/// Appends a crash report of an instance. The text is cut after [`MAX_CRASH_TEXT_BYTES`] bytes, at
+/// the start of a character.
 pub(crate) fn push_crash_report(reply: &mut Reply, instance: InstanceId, text: &str) {
     push_instance(reply, instance);
     let mut end = text.len().min(MAX_CRASH_TEXT_BYTES);
@@ -71,7 +71,8 @@
     reply.push(SELECT_INSTANCE, &[&instance.0.to_be_bytes()]);
 }
 
-/// Appends an action. An attempt above 65535 is written as 65535; the decision module's limit is far below.
+/// Appends an action. An attempt above 65535 is written as 65535; the decision module's limit is
+/// far below.
 fn push_action(reply: &mut Reply, action: &Action) {
     match action {
         Action::Send {
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -114,8 +114,8 @@
 }
 
 /// The load report that the values make; `None` without values. A position is in seconds after the
-/// settings' zero and is rounded down to whole microseconds: a later one would claim commits that the
-/// endpoint may not have applied.
+/// settings' zero and is rounded down to whole microseconds: a later one would claim commits that
+/// the endpoint may not have applied.
 fn load_report(values: &[f64], wire: &WireSettings) -> Option<LoadReport> {
     wire.report(values, |seconds| {
         let micros = (seconds * MICROS_PER_SECOND).floor();
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
-//! Hosts instances of the decision module: takes in the records of a frame, steps the instances that
-//! they are for, and appends what comes back to the reply.
+//! Hosts instances of the decision module: takes in the records of a frame, steps the instances
+//! that they are for, and appends what comes back to the reply.
 //!
-//! State: the running instances and the endpoint tables, as many as the simulator makes. Each instance
-//! gets its events of a frame in one step, at the frame's clock.
+//! State: the running instances and the endpoint tables, as many as the simulator makes. Each
+//! instance gets its events of a frame in one step, at the frame's clock.
 
 use std::any::Any;
 use std::collections::BTreeMap;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,9 +2,9 @@
 //! Puts the decision module on the simulator's wire. It translates and hosts instances; it decides
 //! nothing.
 //!
-//! Input frames come on stdin, and each gets one reply on stdout before the next is read. The end of
-//! the input between two frames ends the process with success; a malformed frame, with exit code 2
-//! and a line on stderr.
+//! Input frames come on stdin, and each gets one reply on stdout before the next is read. The end
+//! of the input between two frames ends the process with success; a malformed frame, with exit code
+//! 2 and a line on stderr.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/state/src/directory.rs
+++ b/crates/state/src/directory.rs
@@ -1,4 +1,5 @@
-//! The files of the request log on a disk: [`LogStorage`] over a directory that one process has for itself.
+//! The files of the request log on a disk: [`LogStorage`] over a directory that one process has for
+//! itself.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
@@ -33,9 +34,9 @@
 
     /// Fails if a name no longer stands for the open file.
     ///
-    /// Writes to an open file succeed even after the file or its directory was removed, but nobody would ever read
-    /// them: their counts would be published and lost with the process. Comparing device and inode after each write
-    /// shows it before anything is published.
+    /// Writes to an open file succeed even after the file or its directory was removed, but nobody
+    /// would ever read them: their counts would be published and lost with the process. Comparing
+    /// device and inode after each write shows it before anything is published.
     fn check_still_named(&self, name: &str, file: &File) -> io::Result<()> {
         let named = fs::metadata(self.path.join(name))?;
         let open = file.metadata()?;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,9 @@
 //! The state directory: the durable request log and counters, and the snapshot for the next start.
 //!
-//! Input: records of final answers from each core, through a bounded queue; a core never waits for the disk. A thread
-//! writes them, makes them durable in batches, and then publishes the counters. Bounds: the queue's length is a setting,
-//! a batch holds at most 4,096 queue entries between two flushes, and latency quantiles are kept for 256 rows.
+//! Input: records of final answers from each core, through a bounded queue; a core never waits for
+//! the disk. A thread writes them, makes them durable in batches, and then publishes the counters.
+//! Bounds: the queue's length is a setting, a batch holds at most 4,096 queue entries between two
+//! flushes, and latency quantiles are kept for 256 rows.
 //!
 //! | file in the directory | content |
 //! | --- | --- |
--- a/crates/state/src/recorder.rs
+++ b/crates/state/src/recorder.rs
@@ -1,4 +1,5 @@
-//! A core's end of the queue. It never waits: a record that finds the queue full is counted, and not logged.
+//! A core's end of the queue. It never waits: a record that finds the queue full is counted, and
+//! not logged.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Queues a record without waiting. If the queue is full, the record is counted here and not logged.
+    /// Queues a record without waiting. If the queue is full, the record is counted here and not
+    /// logged.
     pub fn record(&mut self, record: Box<RequestRecord>) {
         self.send_unlogged();
         let Err(error) = self.queue.try_send(QueueEntry::Record(record)) else {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Queues the counts of records that found the queue full, if there is space now. To be called regularly, so that
-    /// they are published even if no further request comes.
+    /// Queues the counts of records that found the queue full, if there is space now. To be called
+    /// regularly, so that they are published even if no further request comes.
     pub fn send_unlogged(&mut self) {
         if self.unlogged.is_empty() {
             return;
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! The snapshot's file. It is written under another name, made durable and renamed: a reader finds a complete one or none.
+//! The snapshot's file. It is written under another name, made durable and renamed: a reader finds
+//! a complete one or none.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Read, Write};
@@ -29,8 +30,8 @@
     File::open(directory)?.sync_all()
 }
 
-/// Reads the last snapshot; `None` if there is none. At most `max_bytes` and one byte are read, so that the caller sees
-/// that a file is too long.
+/// Reads the last snapshot; `None` if there is none. At most `max_bytes` and one byte are read, so
+/// that the caller sees that a file is too long.
 ///
 /// # Errors
 /// The error of the file system.
--- a/crates/state/src/writer.rs
+++ b/crates/state/src/writer.rs
@@ -1,7 +1,8 @@
 //! The thread that writes the request log and publishes the counters.
 //!
-//! Input: the queue that the [`Recorder`]s fill. Output: files in the state directory, [`PublishedCounters`], and lines in
-//! the program's log. Between two flushes it takes at most [`BATCH_ENTRIES`] entries.
+//! Input: the queue that the [`Recorder`]s fill. Output: files in the state directory,
+//! [`PublishedCounters`], and lines in the program's log. Between two flushes it takes at most
+//! [`BATCH_ENTRIES`] entries.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -41,7 +42,8 @@
 pub struct PublishedCounters {
     /// The durable counters.
     pub counters: Counters,
-    /// The 99th percentile of the latency of served requests over the last 30 to 60 s, in microseconds, by row.
+    /// The 99th percentile of the latency of served requests over the last 30 to 60 s, in
+    /// microseconds, by row.
     pub p99: Arc<BTreeMap<RowKey, u64>>,
     /// The status of the request log.
     pub status: LogStatus,
@@ -72,7 +74,8 @@
         Box::new(move || entries.len())
     }
 
-    /// Writes everything that is queued, then ends the thread. All recorders must be dropped before.
+    /// Writes everything that is queued, then ends the thread. All recorders must be dropped
+    /// before.
     pub fn finish(self) {
         drop(self.queue);
         if self.thread.join().is_err() {
@@ -81,7 +84,8 @@
     }
 }
 
-/// Opens the request log and starts the writer's thread. Without settings, counters end with the process.
+/// Opens the request log and starts the writer's thread. Without settings, counters end with the
+/// process.
 ///
 /// # Errors
 /// The state directory cannot be created or locked, or the thread cannot be started.
@@ -167,7 +171,8 @@
         }
     }
 
-    /// Takes batches from the queue, and flushes and publishes after each, until all recorders are dropped.
+    /// Takes batches from the queue, and flushes and publishes after each, until all recorders are
+    /// dropped.
     fn run(mut self, entries: &Receiver<QueueEntry>, published: &ArcSwap<PublishedCounters>) {
         let mut last_checkpoint = Instant::now();
         let mut last_quantiles = Instant::now();
@@ -209,7 +214,8 @@
         }
     }
 
-    /// Counts an entry and those that wait behind it, at most `max_entries` in all. Returns how many.
+    /// Counts an entry and those that wait behind it, at most `max_entries` in all. Returns how
+    /// many.
     fn take_waiting(
         &mut self,
         first: QueueEntry,
--- a/crates/stream-multiplexing/src/actions.rs
+++ b/crates/stream-multiplexing/src/actions.rs
@@ -4,8 +4,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MultiplexedConnectionId(pub u64);
 
-/// A request or another exchange that a connection carries. The submitter chooses the number, and uses it again only
-/// when the job has ended.
+/// A request or another exchange that a connection carries. The submitter chooses the number, and
+/// uses it again only when the job has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -23,7 +23,8 @@
 pub enum MultiplexerAction {
     /// Open this connection.
     Open(MultiplexedConnectionId),
-    /// Queue the job's bytes; call [`write_started`](crate::StreamMultiplexer::write_started) when they begin to leave.
+    /// Queue the job's bytes; call [`write_started`](crate::StreamMultiplexer::write_started) when
+    /// they begin to leave.
     Send {
         /// The connection.
         connection: MultiplexedConnectionId,
--- a/crates/stream-multiplexing/src/multiplexer.rs
+++ b/crates/stream-multiplexing/src/multiplexer.rs
@@ -259,7 +259,8 @@
         }
     }
 
-    /// An answered job sends more on the same connection. Returns false if that is lost; the job has then ended.
+    /// An answered job sends more on the same connection. Returns false if that is lost; the job
+    /// has then ended.
     pub fn resubmit(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) -> bool {
         let Some(JobState::Answered { connection }) = self.jobs.get(&job).copied() else {
             return false;
@@ -343,7 +344,8 @@
         self.connection_lost(now, connection, out);
     }
 
-    /// A connection broke, or could not be opened. Answered jobs on it go on: their answers are already there.
+    /// A connection broke, or could not be opened. Answered jobs on it go on: their answers are
+    /// already there.
     pub fn connection_lost(
         &mut self,
         now: Time,
@@ -364,14 +366,16 @@
             }
         }
         if self.connections.is_empty() && !lost.ready {
-            // The endpoint cannot be reached: waiting for another connection would only delay the retries elsewhere.
+            // The endpoint cannot be reached: waiting for another connection would only delay the
+            // retries elsewhere.
             for waiting in std::mem::take(&mut self.waiting) {
                 self.jobs.remove(&waiting.job);
                 out.push(not_sent(waiting.job));
             }
             return;
         }
-        // A connection that could not be opened is not opened again at once: that would repeat without a pause.
+        // A connection that could not be opened is not opened again at once: that would repeat
+        // without a pause.
         let all_ready = self.connections.values().all(|c| c.ready);
         if lost.ready && !self.waiting.is_empty() && all_ready {
             self.open(now, out);
--- a/crates/stream-multiplexing/src/settings.rs
+++ b/crates/stream-multiplexing/src/settings.rs
@@ -25,7 +25,8 @@
     pub max_waiting: usize,
     /// How long a job may wait until its bytes begin to leave, above 0.
     pub max_write_delay: Span,
-    /// A connection that carries jobs and has received nothing for so long gets a heartbeat; above 0.
+    /// A connection that carries jobs and has received nothing for so long gets a heartbeat; above
+    /// 0.
     pub heartbeat_after: Span,
     /// A connection that receives nothing for so long after a heartbeat is given up; above 0.
     pub heartbeat_timeout: Span,
