--- a/crates/gateway/tests/leave.rs
+++ b/crates/gateway/tests/leave.rs
@@ -5,10 +5,12 @@
 
 use std::collections::BTreeSet;
 use std::io::Write;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
+use procfs::net::TcpState;
 use rstest::rstest;
 use support::*;
 
@@ -18,7 +20,7 @@
 const STAYS: u32 = 1_000;
 
 /// A database that holds what is asked by those who leave, until the gateway gives it up.
-fn holding() -> (std::net::SocketAddr, Arc<Seen>) {
+fn holding() -> (SocketAddr, Arc<Seen>) {
     database("read-write", |_, q| {
         if id_of(q) < STAYS {
             Does::Stall(vec![])
@@ -109,6 +111,19 @@
     );
 }
 
+/// Whether the end of a client's connection has reached the gateway's side of it. On a busy machine
+/// the kernel delivers it some time after the client's call has returned. A reset leaves no socket.
+fn end_has_arrived(how: Leaves, gateway: SocketAddr, client: SocketAddr) -> bool {
+    let sockets = procfs::net::tcp().unwrap();
+    let side = sockets
+        .iter()
+        .find(|entry| entry.local_address == gateway && entry.remote_address == client);
+    match side {
+        Some(entry) => entry.state == TcpState::CloseWait,
+        None => how == Leaves::Resets,
+    }
+}
+
 #[rstest]
 fn messages_that_arrive_together_with_their_clients_end_do_not_begin(
     #[values(Leaves::Closes, Leaves::HalfCloses, Leaves::Resets)] how: Leaves,
@@ -125,6 +140,7 @@
     }
     serves(&gateway, STAYS);
     gateway.program.pause();
+    let from = client.0.local_addr().unwrap();
     client
         .0
         .write_all(&pipelined(1..commands + 1, 5_000))
@@ -135,6 +151,9 @@
     } else {
         client.leave(how)
     };
+    until("the end is there as well", || {
+        end_has_arrived(how, gateway.address, from)
+    });
     gateway.program.signal("CONT");
     (1..10).for_each(|n| serves(&gateway, STAYS + n));
     let sent = ids(&seen);
