--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,9 +1,9 @@
-//! How the admission queue is wired between accepted requests and the policy.
+//! Connects the admission queue to accepted requests and the policy.
 //!
-//! An accepted request waits in the queue until the queue admits or rejects it. The queue learns
-//! from here how much the usable endpoints of each group can take. Where the configuration names no
-//! queue, requests go to the policy at once. Times are whole microseconds of the process's
-//! monotonic clock.
+//! An accepted request waits in the queue until the queue admits or rejects it. This module reports
+//! to the queue how many attempts the usable endpoints of each group can handle. Without a
+//! configured queue, requests are passed to the policy immediately. Times are whole microseconds of
+//! the process's monotonic clock.
 
 use valehatch_admission::{
     AdmissionDecision, Arrival, Capacity, LaneId, LaneKind, QueueRejection, RetryAfterHint,
@@ -18,8 +18,8 @@
 use crate::reducer::State;
 use crate::timers::Timer;
 
-/// Interval at which the queue learns the endpoints' capacity and expires requests, while it is not
-/// empty.
+/// Interval at which the capacity of the endpoints is reported to the queue and waiting requests
+/// expire, while the queue is not empty.
 const QUEUE_INTERVAL: Span = Span::from_millis(5);
 
 impl State {
@@ -36,8 +36,8 @@
         self.set_admission_timer(now);
     }
 
-    /// Passes admitted requests on to the policy and answers rejected ones, until the queue has
-    /// decided nothing new.
+    /// Passes admitted requests to the policy and answers rejected ones until the queue has made no
+    /// further decisions.
     pub(crate) fn apply_admission_decisions(
         &mut self,
         now: Time,
@@ -88,7 +88,7 @@
         self.answer(now, id, answer, FinalOutcome::Rejected(reason), effects);
     }
 
-    /// Sets the queue's timer if a request waits and the timer is not set.
+    /// Sets the queue's timer if requests are waiting and the timer is not set yet.
     fn set_admission_timer(&mut self, now: Time) {
         let is_waiting = self.admission.as_ref().is_some_and(|a| !a.is_empty());
         if self.admission_timer_set || !is_waiting {
@@ -98,7 +98,7 @@
         self.set_timer(now + QUEUE_INTERVAL, Timer::Admission);
     }
 
-    /// Lets the queue expire requests that have waited too long.
+    /// Expires requests that have waited in the queue for too long.
     pub(crate) fn on_admission_timer(&mut self, now: Time) {
         self.admission_timer_set = false;
         if let Some(admission) = &mut self.admission {
@@ -107,8 +107,8 @@
         self.set_admission_timer(now);
     }
 
-    /// Reports to the queue what the usable endpoints of each group can take, and how much waits in
-    /// the policy.
+    /// Reports to the queue how many attempts the usable endpoints of each group can handle, and
+    /// how many requests are waiting in the policy.
     pub(crate) fn report_capacity(&mut self, now: Time) {
         let Some(admission) = &mut self.admission else {
             return;
@@ -146,7 +146,8 @@
     }
 }
 
-/// Attempts that the usable endpoints of a group may have in flight together, in this role.
+/// Number of attempts that the usable endpoints of a group with the given role may have in flight
+/// in total.
 fn attempt_limit(endpoints: &[EndpointView], group: &GroupView, role: Role) -> f64 {
     let mut limit = 0.0;
     for endpoint in endpoints {
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: sent to an endpoint, streamed back, ended, cancelled.
+//! Sending, streaming and cancelling attempts, and handling their end.
 //!
-//! Inputs are the policy's orders to send or cancel, and what upstream connections report. A
-//! request has at most one attempt in flight ([`may_send`] checks it), and each attempt in flight
+//! Inputs are the policy's orders to send or cancel, and the events of upstream connections. A
+//! request has at most one attempt in flight, which [`may_send`] checks, and each attempt in flight
 //! occupies one upstream connection. Times are whole microseconds of the process's monotonic clock.
 
 use std::sync::Arc;
@@ -20,35 +20,33 @@
 use crate::timers::Timer;
 use crate::upstream_connections::ConnectionUse;
 
-/// One attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
-    /// The request.
     pub(crate) request: RequestId,
-    /// Which of its attempts, counted from 0.
+    /// Number of the attempt within its request, counted from 0.
     pub(crate) attempt: u32,
 }
 
 /// An attempt that occupies a connection.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptInFlight {
-    /// Which one.
     pub(crate) id: AttemptId,
-    /// When it was handed to the connection.
+    /// When the attempt was handed to the connection.
     pub(crate) sent_at: Time,
 }
 
-/// What becomes of an upstream connection once what it carried has ended.
+/// What happens to an upstream connection after the attempt or health check on it has ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AfterReply {
-    /// It may carry something else.
+    /// The connection becomes idle and may be used again.
     Reuse,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
 impl AfterReply {
-    /// From the flag of the event that ends what a connection carried.
+    /// Converts the `reusable` flag of `Event::AttemptEnded`.
     pub(crate) const fn from_reusable(reusable: bool) -> Self {
         if reusable { Self::Reuse } else { Self::Close }
     }
@@ -56,17 +54,15 @@
 
 /// The policy's order to send an attempt.
 pub(crate) struct SendOrder {
-    /// The request.
     pub(crate) request: RequestId,
-    /// Where to.
     pub(crate) endpoint: EndpointId,
-    /// How long its answer is waited for; `None`: until the request's deadline.
+    /// How long to wait for the answer; `None` waits until the request's deadline.
     pub(crate) timeout: Option<Span>,
-    /// Its first byte must not be written after this.
+    /// Latest time at which the first byte of the attempt may be written.
     pub(crate) send_before: Option<Time>,
 }
 
-/// An attempt that was not handed to a connection, and why not.
+/// An attempt that was not handed to a connection; `outcome` tells why.
 struct UnsentAttempt {
     id: AttemptId,
     endpoint: EndpointId,
@@ -74,7 +70,7 @@
 }
 
 impl State {
-    /// The connections that carry attempts of a request.
+    /// Connections that carry attempts of a request.
     pub(crate) fn connections_of(&self, request: RequestId) -> Vec<ConnectionId> {
         let first = AttemptId {
             request,
@@ -90,14 +86,14 @@
             .collect()
     }
 
-    /// The connection whose response is being streamed to a request's client, if there is one.
+    /// The connection whose response is being streamed to a request's client, if any.
     pub(crate) fn streaming_connection(&self, id: RequestId) -> Option<ConnectionId> {
         self.requests.get(&id)?.response_started_at?;
         self.connections_of(id).first().copied()
     }
 
-    /// A response that is streamed has started. From here on the request is bound to this attempt:
-    /// it has no deadline and is not sent again, and its endpoint has done its work.
+    /// Starts to forward a streamed response. From then on the request is bound to this attempt: it
+    /// has no deadline and is not retried, and its endpoint counts as having finished the work.
     pub(crate) fn on_response_started(
         &mut self,
         now: Time,
@@ -133,7 +129,7 @@
         Some(PolicyEvent::ResponseStarted(id))
     }
 
-    /// Ends what an upstream connection carried.
+    /// Ends the attempt or health check that an upstream connection carries.
     pub(crate) fn on_reply(
         &mut self,
         now: Time,
@@ -184,7 +180,8 @@
             outcome,
         };
         self.trace(id, step, effects);
-        // A streamed response is timed by its start: the rest arrives as fast as its client reads.
+        // The latency of a streamed response is measured up to its start, because the rest arrives
+        // only as fast as the client reads.
         let response_started_at = self.requests.get(&id).and_then(|r| r.response_started_at);
         let ended_at = response_started_at.unwrap_or(now);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -213,7 +210,7 @@
         })
     }
 
-    /// Ends a request whose response was streamed to its client, as a whole or in part.
+    /// Ends a request whose response was streamed to its client, completely or in part.
     fn finish_streamed_request(
         &mut self,
         now: Time,
@@ -240,8 +237,8 @@
         }
     }
 
-    /// Answers a request with what an attempt brought back, if that is final. Returns whether the
-    /// request is over.
+    /// Answers a request with the reply to an attempt if that reply is final. Returns whether the
+    /// request has ended.
     fn apply_reply(
         &mut self,
         now: Time,
@@ -313,7 +310,7 @@
         }
     }
 
-    /// Whether an attempt may be sent; a denial is counted and logged.
+    /// Checks whether an attempt may be sent. Counts retries; counts and logs denials.
     fn check_send(
         &self,
         now: Time,
@@ -345,7 +342,7 @@
         permitted
     }
 
-    /// Notes for the request log when and where an attempt went.
+    /// Stores the start time and endpoint of an attempt for the request log.
     fn record_attempt_start(&mut self, now: Time, order: &SendOrder) {
         if self.config.observability.is_none() {
             return;
@@ -412,14 +409,14 @@
         });
     }
 
-    /// Whether the policy may use an endpoint that is not listed: only where the settings make
-    /// removal advisory. A draining endpoint is listed, and never used.
+    /// Whether the policy may use an endpoint that is not listed, which it may only if the settings
+    /// make removal advisory. A draining endpoint is still listed and never used.
     fn may_use_unlisted(&self, endpoint: EndpointId) -> bool {
         self.config.settings.rules.removal_is_advisory && !self.endpoints.contains_key(&endpoint)
     }
 
-    /// Counts and logs that an attempt is not sent. That the policy asked for it may be a defect of
-    /// the policy.
+    /// Counts and logs that an attempt is not sent. A denial that shows a defect of the policy is
+    /// also counted and logged as an invariant violation, and panics in debug builds.
     fn on_send_denied(
         &self,
         request: RequestId,
@@ -457,8 +454,8 @@
         self.pending_events.extend(ended);
     }
 
-    /// Ends the attempt on a connection if nothing of it was written yet; an attempt that has begun
-    /// goes on.
+    /// Cancels the attempt on a connection if nothing of it has been written yet. An attempt that
+    /// has begun continues.
     pub(crate) fn cancel_unsent_attempt(
         &mut self,
         now: Time,
--- a/crates/core/src/client_connections.rs
+++ b/crates/core/src/client_connections.rs
@@ -1,6 +1,7 @@
-//! Connections from clients and the requests that are open on them.
+//! Connections from clients, and the open requests on them.
 //!
-//! Bounded by the connections that the fronts accept and by the limit on open requests.
+//! Both are bounded: connections by the number that the fronts accept, requests by
+//! `max_open_requests` in the settings.
 
 use std::collections::BTreeSet;
 
@@ -14,17 +15,17 @@
 /// A connection from a client.
 #[derive(Default)]
 pub(crate) struct ClientConnection {
-    /// Requests that came in on it and have had no final answer.
+    /// Requests that were received on the connection and have no final answer yet.
     pub(crate) open_requests: BTreeSet<RequestId>,
 }
 
 impl State {
-    /// Notes a client that has connected.
+    /// Adds a client that has connected.
     pub(crate) fn on_client_connected(&mut self, client: ClientId) {
         self.clients.entry(client).or_default();
     }
 
-    /// Aborts each request of a client whose connection has closed.
+    /// Aborts all open requests of a client whose connection has closed.
     pub(crate) fn on_client_disconnected(
         &mut self,
         now: Time,
@@ -44,7 +45,7 @@
         id: RequestId,
         effects: &mut Vec<Effect>,
     ) -> Option<PolicyEvent> {
-        // A response that is being streamed has no reader any more.
+        // Nobody reads the streamed response any more, so its upstream connection is closed.
         if let Some(connection) = self.streaming_connection(id) {
             let reply = UpstreamReply::without_details(Outcome::Cancelled);
             return self.on_reply(now, connection, reply, AfterReply::Close, effects);
--- a/crates/core/src/cluster_clock.rs
+++ b/crates/core/src/cluster_clock.rs
@@ -1,77 +1,82 @@
-//! The cluster's Unix clock on this process's monotonic clock.
+//! The offset between the cluster's Unix clock and this process's monotonic clock.
 //!
 //! Replication positions, commit times and start times of endpoints are Unix times of one clock
-//! that all endpoints read. The wall clock of this machine may be off from it by any amount. What
-//! endpoints report corrects it: a reported time is never later than the moment in which it was
-//! received, and a primary's position is never older than the moment in which it was requested.
+//! that all endpoints share. The wall clock of this machine may differ from that clock by any
+//! amount. Times reported by endpoints correct it: a reported time is never later than the moment
+//! at which it was received, and a primary's position is never earlier than the moment at which it
+//! was requested.
 //!
-//! All times are whole microseconds. Bounded by `MAX_LOWER_BOUNDS` and `MAX_PRIMARY_SAMPLES`
-//! remembered observations.
+//! All times are whole microseconds. At most `MAX_LOWER_BOUNDS` lower bounds and
+//! `MAX_PRIMARY_SAMPLES` samples of primaries are kept.
 
 use std::collections::VecDeque;
 
 use valehatch_policy::{Span, Time};
 
-/// Lower bounds that are remembered to corroborate later ones.
+/// Maximum number of lower bounds that are kept to corroborate later ones.
 const MAX_LOWER_BOUNDS: usize = 8;
-/// Two observations agree if the offsets that they imply differ by no more than this; a single
-/// corrupt answer agrees with none and changes nothing.
-const AGREEMENT: Span = Span::from_millis(500);
-/// Error of an answer's times: positions are whole milliseconds, commit times are rounded up.
+/// Two observations agree if the offsets that they imply differ by at most this. A single corrupt
+/// time agrees with no other observation and changes nothing.
+const AGREEMENT_TOLERANCE: Span = Span::from_millis(500);
+/// Rounding error of the times in an answer: positions are whole milliseconds, and commit times are
+/// rounded up.
 const ANSWER_ROUNDING: Span = Span::from_millis(2);
-/// The oldest that a primary's report may be when it is sent.
+/// Maximum age of a primary's load report when it is sent.
 const MAX_REPORT_AGE: Span = Span::from_millis(1_000);
-/// Assumed age of a report if the wall clock is ahead by more than any report is old.
+/// Age assumed for a load report when the offset is corrected because the wall clock is ahead by
+/// more than the maximum age of a report.
 const ASSUMED_REPORT_AGE: Span = Span::from_millis(250);
-/// The wall clock may be behind by less than this: reading it and the monotonic clock takes some
-/// time on a busy machine.
+/// The wall clock may be behind by up to this without being corrected. On a busy machine, some time
+/// passes between reading it and reading the monotonic clock.
 const TOLERATED_BEHIND: Span = Span::from_millis(20);
-/// The wall clock may be ahead by less than this: data then counts as slightly older than it is.
+/// The wall clock may be ahead by up to this without being corrected; data then counts as slightly
+/// older than it is.
 const TOLERATED_AHEAD: Span = Span::from_millis(50);
-/// Observations of primaries that are remembered.
+/// Maximum number of samples of primaries that are kept.
 const MAX_PRIMARY_SAMPLES: usize = 16;
-/// Shortest time between two of them.
+/// Minimum time between two samples of primaries that are kept.
 const PRIMARY_SAMPLE_INTERVAL: Span = Span::from_millis(200);
-/// Primaries show that the wall clock is ahead only if they agree over this time. The positions of
-/// a group without a primary stand still, so their offsets drift apart.
-const STEADY_FOR: Span = Span::from_millis(1_000);
+/// Samples of primaries show that the wall clock is ahead only if they agree over at least this
+/// time. The position of a group without a primary does not advance, so the offsets that it implies
+/// drift apart.
+const MIN_STEADY_TIME: Span = Span::from_millis(1_000);
 
-/// Where a reported time comes from.
+/// Source of a reported time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClockSample {
-    /// The position of the primary, or a commit time, in the answer to a request: from between
-    /// request and answer.
+    /// The primary's position or a commit time in the answer to a request. The time lies between
+    /// the request and the answer.
     PrimaryAnswer,
-    /// The position in a primary's load report, which may be older than its request.
+    /// The position in a primary's load report, which may be from before the request.
     PrimaryReport,
-    /// The position of a replica, which may lag by any time.
+    /// The position of a replica, which may lag by any amount.
     Replica,
 }
 
-/// An offset that a primary implied.
+/// A lower bound of the offset, implied by a time that a primary reported.
 #[derive(Clone, Copy, Debug)]
 struct PrimarySample {
     received_at: Time,
     lower_bound: i64,
 }
 
-/// The offset between the two clocks, as far as it is known.
+/// Estimate of the offset between the cluster's clock and this process's monotonic clock.
 #[derive(Debug)]
 pub struct ClusterClock {
     /// Unix time in microseconds at which the monotonic clock read 0.
     offset: i64,
-    /// Lower bounds of the offset, the newest last.
+    /// Latest lower bounds of the offset, in order of observation.
     lower_bounds: VecDeque<i64>,
-    /// The greatest lower bound that was corroborated.
+    /// Greatest lower bound that an earlier one agreed with.
     greatest_lower_bound: Option<i64>,
-    /// Lower bounds from primaries, the newest last.
+    /// Latest samples of primaries, in order of observation.
     primary_samples: VecDeque<PrimarySample>,
     is_verified: bool,
 }
 
 impl ClusterClock {
-    /// Starts from the wall clock: the Unix time in microseconds at which the monotonic clock
-    /// read 0.
+    /// Creates a clock from the wall clock: `offset` is the Unix time in microseconds, according to
+    /// the wall clock, at which the monotonic clock read 0.
     #[must_use]
     pub fn new(offset: i64) -> Self {
         Self {
@@ -89,14 +94,15 @@
         self.offset
     }
 
-    /// Whether primaries have confirmed or corrected the wall clock.
+    /// Whether times from primaries have confirmed or corrected the wall clock.
     #[must_use]
     pub const fn is_verified(&self) -> bool {
         self.is_verified
     }
 
-    /// Takes in a Unix time in microseconds, with the times of the monotonic clock at which it was
-    /// requested and received. Returns by how much the offset grew, if it was corrected.
+    /// Processes a reported Unix time in microseconds, with the times of the monotonic clock at
+    /// which it was requested and received. Returns the change of the offset in microseconds if the
+    /// offset was corrected.
     pub fn observe(
         &mut self,
         unix: i64,
@@ -134,8 +140,9 @@
         (self.offset != before).then_some(self.offset - before)
     }
 
-    /// Verifies the offset by what a primary reported, or sets it to `corrected` if it is above the
-    /// upper bound and primaries have agreed for long enough.
+    /// Marks the offset as verified if it does not exceed `upper_bound` by more than the tolerance.
+    /// Otherwise sets it to `corrected`, provided that samples of primaries have agreed for long
+    /// enough.
     fn observe_primary(&mut self, sample: PrimarySample, upper_bound: i64, corrected: i64) {
         let is_steady = self.is_steady(sample);
         if self.offset <= upper_bound + TOLERATED_AHEAD.0 {
@@ -146,7 +153,7 @@
         }
     }
 
-    /// Remembers a lower bound. Returns whether an earlier one agrees with it.
+    /// Stores a lower bound. Returns whether an earlier one agrees with it.
     fn corroborates(&mut self, lower_bound: i64) -> bool {
         let agrees = self
             .lower_bounds
@@ -159,10 +166,11 @@
         agrees
     }
 
-    /// Remembers a primary's lower bound. Returns whether one from long enough before agrees.
+    /// Stores a sample of a primary if the previous one is old enough. Returns whether the sample
+    /// agrees with one that was received at least [`MIN_STEADY_TIME`] earlier.
     fn is_steady(&mut self, sample: PrimarySample) -> bool {
         let is_steady = self.primary_samples.iter().any(|earlier| {
-            sample.received_at - earlier.received_at >= STEADY_FOR
+            sample.received_at - earlier.received_at >= MIN_STEADY_TIME
                 && agree(sample.lower_bound, earlier.lower_bound)
         });
         let newest = self.primary_samples.back();
@@ -181,5 +189,5 @@
 }
 
 fn agree(one: i64, other: i64) -> bool {
-    one.abs_diff(other) <= AGREEMENT.0.unsigned_abs()
+    one.abs_diff(other) <= AGREEMENT_TOLERANCE.0.unsigned_abs()
 }
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: names, addresses and readiness of upstream endpoints.
 //!
-//! Bounded by the endpoint list itself. What the policy knows of an endpoint is its own.
+//! The state here has one entry per listed endpoint. The policy keeps its own data on endpoints.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,25 +10,25 @@
 use crate::messages::{ConnectionId, Effect, ListedEndpoint};
 use crate::reducer::State;
 
-/// What an endpoint is called and where it listens.
+/// Name and address of an endpoint.
 pub(crate) struct EndpointAddress {
-    /// Its name in logs and figures.
+    /// Endpoint name in logs and metrics.
     pub(crate) name: Arc<str>,
-    /// Host and port.
+    /// Host and port of the endpoint.
     pub(crate) address: Arc<str>,
 }
 
-/// How much a list event says.
+/// Whether a list event contains all endpoints or only changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListCoverage {
-    /// Every endpoint: what is missing was removed.
+    /// All endpoints; those that are missing have been removed.
     Complete,
-    /// Changes only.
+    /// New, changed and removed endpoints only.
     Changes,
 }
 
 impl ListCoverage {
-    /// From the flag of the list event.
+    /// Converts the `complete` flag of `Event::EndpointList`.
     pub(crate) const fn from_complete(complete: bool) -> Self {
         if complete {
             Self::Complete
@@ -39,7 +39,7 @@
 }
 
 impl State {
-    /// Takes over a list event, and cancels attempts that may no longer begin.
+    /// Applies a list event and cancels attempts that must no longer begin.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now: Time,
@@ -49,8 +49,9 @@
         effects: &mut Vec<Effect>,
     ) {
         policy_events.push(self.update_endpoints(coverage, endpoints, effects));
-        // An attempt may have been decided on before this event and still be dialling. Writing it
-        // now would begin work on an endpoint that drains, so its send permit is revoked.
+        // An attempt that was ordered before this event may still wait for its connection to be
+        // established. Writing it now would begin work on a draining endpoint, so its send permit
+        // is revoked.
         let mut not_ready: Vec<ConnectionId> = vec![];
         for (id, connection) in &self.connections {
             if !self.ready_endpoints.contains(&connection.endpoint) {
@@ -98,8 +99,8 @@
             .endpoints
             .get(&id)
             .is_some_and(|known| known.address != address);
-        // A draining endpoint gets no new requests, and connections to an old address do not reach
-        // a moved one.
+        // A draining endpoint receives no new requests, and connections to the old address do not
+        // reach an endpoint that has moved.
         if !is_ready || has_moved {
             self.close_idle_connections(id, effects);
         }
@@ -130,7 +131,7 @@
         }
     }
 
-    /// An endpoint as the log names it: by its name, or by its number if it is not listed.
+    /// Name of an endpoint in the log: its listed name, or its number if it is not listed.
     pub(crate) fn endpoint_name(&self, id: EndpointId) -> Arc<str> {
         self.endpoints.get(&id).map_or_else(
             || Arc::from(format!("#{}", id.0)),
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -1,4 +1,5 @@
-//! What must hold after every step of the reducer; the testbed and the tests check it.
+//! Invariants of the reducer's state, which hold after every turn. The testbed and the tests check
+//! them.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -14,22 +15,23 @@
 /// An invariant of the reducer that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InvariantViolation {
-    /// The attempts in flight are not as many as the connections that carry an attempt.
+    /// The number of attempts in flight differs from the number of connections that carry one.
     AttemptsAndConnectionsDiffer {
-        /// Attempts in flight.
+        /// Number of attempts in flight.
         attempts: usize,
-        /// Connections that carry an attempt.
+        /// Number of connections that carry an attempt.
         connections: usize,
     },
-    /// The index of idle connections does not name exactly the idle connections.
+    /// The index of idle connections does not match the connections that are idle.
     IdleIndexDiffers,
     /// An invariant of the admission queue does not hold.
     AdmissionQueue(QueueViolation),
-    /// The requests that wait for admission are not as many as those in the admission queue.
+    /// The number of requests marked as waiting for admission differs from the length of the
+    /// admission queue.
     QueuedRequestsDiffer {
-        /// Requests that wait for admission.
+        /// Number of requests marked as waiting for admission.
         waiting: usize,
-        /// Requests in the admission queue.
+        /// Number of requests in the admission queue.
         queued: usize,
     },
 }
@@ -71,7 +73,7 @@
     }
 }
 
-/// An idle connection with its endpoint, as the index and the connections both know it.
+/// An idle connection and its endpoint; used to compare the index with the connections.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct IndexedConnection {
     endpoint: EndpointId,
@@ -79,10 +81,11 @@
 }
 
 impl State {
-    /// Checks what must hold after every step. The cost grows with all that is open.
+    /// Checks the invariants that hold after every turn. The cost grows with the number of open
+    /// requests and connections.
     ///
     /// # Errors
-    /// The first invariant that does not hold.
+    /// The first violated invariant.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         self.check_attempts()?;
         self.check_idle_index()?;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,27 +1,27 @@
 //! The core of a gateway: a reducer without I/O that decides what is sent, retried, answered,
 //! opened and closed.
 //!
-//! [`State::reduce`] takes events and a time and returns effects; the same events give the same
-//! effects. It reads no clock, draws its randomness from a seed, and iterates in a defined order
-//! only.
+//! [`State::reduce`] takes the current time and a batch of events and appends the resulting
+//! effects. The reducer is deterministic: it reads no clock, draws random numbers from a seeded
+//! generator and iterates over ordered collections only, so the same events give the same effects.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `reducer` | the state, and the table of events to handlers |
-//! | `messages` | events in, effects out, configuration |
+//! | `reducer` | the state, and the dispatch of events to handlers |
+//! | `messages` | events, effects, configuration and the published view |
 //! | `requests` | requests in flight, from arrival to final answer |
-//! | `admission` | the admission queue between arrival and policy |
-//! | `attempts` | attempts: sent, streamed, ended, cancelled |
+//! | `admission` | the admission queue between the arrival of a request and the policy |
+//! | `attempts` | sending, streaming and cancelling attempts, and handling their end |
 //! | `upstream_connections` | connections to endpoints |
 //! | `client_connections` | connections from clients |
 //! | `endpoints` | the endpoint list |
-//! | [`permission`] | whether something may be accepted, sent, repeated or closed now |
-//! | [`shutdown`] | shutdown: state, schedule, steps |
-//! | `timers` | what is due when |
-//! | `outcomes` | where the end of a request is counted |
-//! | `live_view` | the published view |
-//! | `invariants` | what must hold after every step |
-//! | [`cluster_clock`] | the cluster's Unix clock on this process's monotonic clock |
+//! | [`permission`] | final checks before accepting, sending, retrying or closing |
+//! | [`shutdown`] | state, schedule and steps of a shutdown |
+//! | `timers` | scheduled timers and their handlers |
+//! | `outcomes` | metrics and log records of requests that have ended |
+//! | `live_view` | the published view of the state |
+//! | `invariants` | consistency checks of the state |
+//! | [`cluster_clock`] | offset of the cluster's Unix clock from this process's monotonic clock |
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/src/live_view.rs
+++ b/crates/core/src/live_view.rs
@@ -1,6 +1,7 @@
-//! The view of the state that is published, and the request rates in it.
+//! The published view of the state, and the request rates in it.
 //!
-//! Rates are requests per whole second of the process's monotonic clock, one counter pair a tenant.
+//! Rates are requests per full second of the process's monotonic clock. Each tenant has two
+//! counters, one for the current and one for the previous second.
 
 use std::sync::Arc;
 
@@ -9,23 +10,23 @@
 use crate::messages::{Effect, LiveEndpoint, LiveView, OpenCounts};
 use crate::reducer::State;
 
-/// Requests of each tenant, by whole seconds.
+/// Requests per second of each tenant.
 pub(crate) struct RequestRates {
-    /// The second that runs.
+    /// The current second: whole seconds of the monotonic clock.
     second: i64,
     tenants: Vec<TenantRate>,
 }
 
 #[derive(Clone, Copy, Default)]
 struct TenantRate {
-    /// Requests in the second that runs.
+    /// Requests in the current second so far.
     current: u64,
-    /// Requests in the second before.
+    /// Requests in the previous second.
     previous: u64,
 }
 
 impl RequestRates {
-    /// No requests yet, of so many tenants.
+    /// Creates zeroed counters for `tenants` tenants.
     pub(crate) fn new(tenants: usize) -> Self {
         Self {
             second: 0,
@@ -33,6 +34,7 @@
         }
     }
 
+    /// Moves the counters on to the second of `now`.
     fn advance(&mut self, now: Time) {
         let second = now.0 / 1_000_000;
         let passed = second - self.second;
@@ -51,7 +53,7 @@
 }
 
 impl State {
-    /// Counts a request that has come in.
+    /// Counts a request that has arrived.
     pub(crate) fn count_request(&mut self, tenant: Option<usize>, now: Time) {
         self.rates.advance(now);
         if let Some(rate) = tenant.and_then(|tenant| self.rates.tenants.get_mut(tenant)) {
@@ -64,7 +66,6 @@
         effects.push(Effect::PublishView(Box::new(self.live_view(now))));
     }
 
-    /// What is known and in flight now.
     fn live_view(&mut self, now: Time) -> LiveView {
         self.rates.advance(now);
         let view = self.router.view();
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,8 +1,7 @@
-//! What goes into the reducer and what comes out: events, effects, configuration, and the published
-//! view.
+//! Input and output of the reducer: events, effects, configuration, and the published view.
 //!
-//! Times are whole microseconds of the process's monotonic clock. Numbers of classes and tenants
-//! are their places in the settings.
+//! Times are whole microseconds of the process's monotonic clock. Classes and tenants are
+//! identified by their indexes in the settings.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,15 +15,15 @@
 
 use crate::permission::{Decisions, Denial, SendPermit};
 
-/// A connection from a client.
+/// Identifies a connection from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A connection to an upstream endpoint.
+/// Identifies a connection to an upstream endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Memory reserved for the bytes of a request; given back as it is dropped.
+/// Memory reserved for the bytes of a request; released when the reservation is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     used: Arc<AtomicUsize>,
@@ -32,9 +31,10 @@
 }
 
 impl MemoryReservation {
-    /// Reserves memory if no more than `limit` bytes are then in use by all that share the counter.
+    /// Reserves `bytes` unless the reservations that share the counter `used` would then exceed
+    /// `limit` bytes in total.
     pub fn try_acquire(used: &Arc<AtomicUsize>, bytes: usize, limit: usize) -> Option<Self> {
-        // Dropping the reservation gives its bytes back, so it is made before the check.
+        // Created before the check: above the limit, dropping the reservation releases its bytes.
         let reservation = Self {
             used: Arc::clone(used),
             bytes,
@@ -50,86 +50,88 @@
     }
 }
 
-/// What is forwarded to an endpoint; only the fronts know its form.
+/// The part of a request that is forwarded to an endpoint.
 #[derive(Debug)]
 pub struct Payload {
-    /// The bytes.
+    /// The request in the encoding of the front's protocol, which the core does not interpret.
     pub bytes: Vec<u8>,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// The class that it is counted for.
+    /// Index of the class that the request is counted under.
     pub class: usize,
 }
 
-/// A request as a front has decoded it.
+/// A request as decoded by a front.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The client's name for it, where clients name requests: no two open requests share a name.
+    /// Name that the client assigned to the request, if any; unique among the open requests.
     pub name: Option<Arc<str>>,
-    /// Its class, by number.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its tenant, by number; `None` if it is not known.
+    /// Index of the request's tenant; `None` if the tenant is not known.
     pub tenant: Option<usize>,
-    /// The group that it is for.
+    /// Group that the request is addressed to.
     pub group: GroupId,
-    /// Its session, where clients name one.
+    /// Session of the request, if the client supplied one.
     pub session: Option<SessionKey>,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub received: Time,
-    /// How long its client waits from then on.
+    /// How long the client waits for the answer, counted from `received`.
     pub client_timeout: Span,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
-    /// When the session's last write was committed, if the client sent that.
+    /// Commit time of the session's last write, if the client sent it.
     pub last_write_at: Option<Time>,
-    /// What is forwarded to an endpoint.
+    /// The part that is forwarded to an endpoint.
     pub payload: Arc<Payload>,
-    /// The memory that its bytes occupy while it is open.
+    /// Reservation for the request's bytes, held while the request is open.
     pub memory: MemoryReservation,
-    /// Its client, as far as the front can tell clients apart: clients share evenly in the
-    /// admission queue.
+    /// Identifies the client, as far as the front can distinguish clients. The admission queue
+    /// shares capacity evenly between clients.
     pub client: u64,
 }
 
-/// How a request failed.
+/// Why a request failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// No answer came in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     Timeout,
-    /// An error or a lost connection; it may have run.
+    /// The last attempt ended with a lost connection or with an error that has no message; the
+    /// request may have run.
     ConnectionLost,
-    /// The same, with the message of the last endpoint.
+    /// The last attempt ended with an error, whose message from the endpoint is forwarded; the
+    /// request may have run.
     UpstreamError(Vec<u8>),
-    /// A request of the same name is open.
+    /// Another request with the same name is open.
     DuplicateName,
 }
 
-/// The final answer of a request.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// An endpoint's response.
+    /// The response of an endpoint.
     Served(Vec<u8>),
-    /// It has not run and may be retried.
+    /// The request has not run and may be retried.
     Rejected {
-        /// After this time.
+        /// How long the client should wait before it retries.
         retry_after: Span,
-        /// Whether more requests wait than can be served by then.
+        /// Whether more requests are waiting than can be served within `retry_after`.
         overloaded: bool,
     },
-    /// It failed.
+    /// The request failed; except for a duplicate name it may have run.
     Failed(Failure),
 }
 
-/// What becomes of a client's connection once an answer is written to it.
+/// What happens to a client's connection after an answer has been written to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAnswer {
-    /// It takes further requests.
+    /// The connection accepts further requests.
     KeepOpen,
-    /// It is closed, unless its client has sent more meanwhile.
+    /// The connection is closed, unless the client has sent more data in the meantime.
     Close,
 }
 
-/// What came back for a job.
+/// The result of an [`UpstreamJob`].
 #[derive(Debug)]
 pub struct UpstreamReply {
     /// How the job ended.
@@ -138,17 +140,17 @@
     pub role: Option<Role>,
     /// The endpoint's replication position, if it reported one.
     pub position: Option<Time>,
-    /// The endpoint's load report, if it sent one.
+    /// The endpoint's load report, if the reply contained one.
     pub report: Option<LoadReport>,
-    /// The whole response; of an error, the endpoint's message if it is to be forwarded.
+    /// The complete response; for an error, the endpoint's message if it is to be forwarded.
     pub body: Option<Vec<u8>>,
-    /// Whether every endpoint would answer with this error: it is forwarded, and the request is not
-    /// retried.
+    /// Whether every endpoint would answer with this error, in which case the error is forwarded
+    /// and the request is not retried.
     pub is_final_error: bool,
 }
 
 impl UpstreamReply {
-    /// An outcome without anything else.
+    /// Creates a reply that consists of its outcome alone.
     pub const fn without_details(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -161,56 +163,57 @@
     }
 }
 
-/// An endpoint as the list names it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// What the policy needs of it.
+    /// The part of the entry that the policy uses.
     pub record: EndpointRecord,
-    /// Its name in logs and figures.
+    /// Endpoint name in logs and metrics.
     pub name: Arc<str>,
-    /// Host and port.
+    /// Host and port of the endpoint.
     pub address: Arc<str>,
 }
 
-/// What happened.
+/// An input of the reducer.
 #[derive(Debug)]
 pub enum Event {
-    /// The endpoint list, or changes of it.
+    /// The endpoint list was received, completely or as changes.
     EndpointList {
-        /// Whether it names every endpoint, so that the others were removed.
+        /// Whether `endpoints` is the complete list, so that endpoints missing from it are removed.
         complete: bool,
-        /// The endpoints.
+        /// New and changed entries, or all entries if the list is complete.
         endpoints: Vec<ListedEndpoint>,
     },
     /// A client has connected.
     ClientConnected(ClientId),
-    /// A request came in.
+    /// A request was received.
     RequestReceived {
-        /// On this connection.
+        /// Connection that the request was read from.
         client: ClientId,
-        /// Comes back with its answer.
+        /// Chosen by the front and returned with the answer, to match it to the request.
         ticket: u64,
-        /// The request.
+        /// The decoded request.
         request: IncomingRequest,
     },
-    /// A request came in completely after its client had left: it is counted and does not run.
+    /// A request was fully received only after its client had disconnected; the request is counted
+    /// but not run.
     RequestAbandoned {
-        /// Its class, by number.
+        /// Index of the request's class.
         class: usize,
-        /// Its tenant, by number.
+        /// Index of the request's tenant; `None` if the tenant is not known.
         tenant: Option<usize>,
-        /// The group that it was for.
+        /// Group that the request was addressed to.
         group: GroupId,
     },
     /// A front rejected a request itself, for lack of memory or connections.
     RequestRejected {
-        /// Its class, by number.
+        /// Index of the request's class.
         class: usize,
-        /// Its tenant, by number.
+        /// Index of the request's tenant; `None` if the tenant is not known.
         tenant: Option<usize>,
-        /// The group that it was for.
+        /// Group that the request was addressed to.
         group: GroupId,
-        /// Why.
+        /// Reason for the rejection, for metrics and the request log.
         reason: RejectionReason,
     },
     /// A client has closed its connection.
@@ -218,40 +221,40 @@
     /// A response that is too long to be buffered has started on a connection and waits to be
     /// forwarded.
     ResponseStarted(ConnectionId),
-    /// What a connection carried has ended; a streamed response was read by the client completely,
-    /// or was cut off.
+    /// The attempt or health check on a connection has ended. A streamed response was either read
+    /// completely by the client or cut off.
     AttemptEnded {
-        /// The connection.
+        /// Connection that carried the attempt or health check.
         connection: ConnectionId,
-        /// What came back.
+        /// The result.
         reply: UpstreamReply,
-        /// Whether the connection may carry something else.
+        /// Whether the connection may be used again.
         reusable: bool,
     },
-    /// Unix times that were mapped to this process's clock before lie this much later than assumed;
-    /// earlier if negative.
+    /// The offset between the cluster's clock and this process's clock was corrected: Unix times
+    /// that were converted before lie this much later than assumed, or earlier if negative.
     ClockCorrected(Span),
-    /// Gateways that share the endpoints now.
+    /// Number of gateways that share the endpoints from now on.
     GatewayCount(u32),
-    /// New quotas of the tenants, where there is an admission queue.
+    /// New quotas of the tenants; ignored without an admission queue.
     TenantQuotas(Vec<f64>),
     /// A planned shutdown was requested.
     ShutdownRequested,
-    /// Another process accepts new connections from now on; existing ones are closed as they become
-    /// idle.
+    /// Another process accepts new connections from now on; existing connections are closed when
+    /// they become idle.
     HandoffStarted,
-    /// Upstream connections may be this many from now on.
+    /// New maximum number of upstream connections.
     UpstreamConnectionLimit(usize),
-    /// The live view is to be published.
+    /// The live view was requested.
     PublishView,
 }
 
-/// What a connection is to carry.
+/// Work to be sent on an upstream connection.
 #[derive(Clone, Debug)]
 pub enum UpstreamJob {
     /// An attempt of a request.
     Request {
-        /// What is sent.
+        /// Bytes to send.
         payload: Arc<Payload>,
         /// When the gateway stops waiting for the response.
         deadline: Time,
@@ -262,82 +265,82 @@
     HealthCheck,
 }
 
-/// What is to be done.
+/// An output of the reducer, to be carried out by its caller.
 #[derive(Debug)]
 pub enum Effect {
-    /// Open a connection.
+    /// Open a connection to an endpoint.
     Connect {
-        /// Its number.
+        /// Identifies the new connection in later events and effects.
         connection: ConnectionId,
-        /// Where to.
+        /// Host and port of the endpoint.
         address: Arc<str>,
     },
     /// Send a job on a connection.
     Submit {
-        /// The connection.
+        /// Connection to send on; opened by an earlier effect.
         connection: ConnectionId,
-        /// The job.
+        /// Attempt or health check to send.
         job: UpstreamJob,
     },
     /// Close a connection to an endpoint.
     CloseUpstream(ConnectionId),
-    /// Forward the response that has started on a connection, as it comes.
+    /// Forward the response that has started on a connection while it is being received.
     ForwardBody {
-        /// The connection.
+        /// Upstream connection to read from.
         connection: ConnectionId,
-        /// The client.
+        /// Client connection to write to.
         client: ClientId,
-        /// The ticket of its request.
+        /// Ticket of the request that is answered.
         ticket: u64,
     },
-    /// Send a client the final answer of its request.
+    /// Send the final answer to a request.
     Answer {
-        /// The client.
+        /// Client connection to write to.
         client: ClientId,
-        /// The ticket of its request.
+        /// Ticket of the request that is answered.
         ticket: u64,
-        /// The answer.
+        /// Answer to encode in the front's protocol.
         answer: FinalAnswer,
-        /// What becomes of its connection then.
+        /// Whether the client connection stays open afterwards.
         after: AfterAnswer,
     },
     /// Close a client's connection.
     CloseClient(ClientId),
-    /// Close every client connection that is idle: the program is about to end.
+    /// Close every idle client connection, because the process is about to end.
     CloseIdleClients,
-    /// Accept no new client connections.
+    /// Stop accepting client connections.
     StopListening,
-    /// Write to the log.
+    /// Write an event to the log.
     Log(LogEvent),
-    /// Record a request that had its final answer.
+    /// Record a request that has ended.
     RecordOutcome(Box<RequestRecord>),
     /// Publish the live view.
     PublishView(Box<LiveView>),
-    /// End the program once no message is partly read or written; asked for again until it ends.
+    /// End the process as soon as no message is partly read or written; repeated until then.
     Exit,
 }
 
-/// What the log receives.
+/// An event to be written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// All upstream connections are in use: so many.
+    /// All upstream connections are in use; carries their number.
     UpstreamConnectionsExhausted(usize),
-    /// New quotas were not taken over.
+    /// New quotas were ignored because their number differs from the number of tenants.
     InvalidQuotas(QuotaCountMismatch),
-    /// The policy asked for what must never be done; it was not done.
+    /// The policy ordered an attempt that must never be sent; the attempt was not sent.
     InvariantViolated {
-        /// What forbids it.
+        /// Reason for the denial.
         denial: Denial,
-        /// The request, by its client's name for it or by its number.
+        /// Client-assigned name of the request, or its number.
         request: Arc<str>,
-        /// The endpoint.
+        /// Name of the endpoint, or its number if it is not listed.
         endpoint: Arc<str>,
     },
-    /// A step of a request, where requests are traced.
+    /// A step of a request; logged only if requests are traced.
     RequestStep {
-        /// The request, by its client's name for it or by its number.
+        /// Client-assigned name of the request, or its number.
         request: Arc<str>,
-        /// The step.
+        /// The step that the request has reached.
         step: RequestStep,
     },
 }
@@ -347,52 +350,52 @@
 pub enum RequestStep {
     /// An attempt was handed to a connection.
     AttemptSent {
-        /// Counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// The endpoint.
+        /// Name of the endpoint, or its number if it is not listed.
         endpoint: Arc<str>,
-        /// The connection.
+        /// Connection that carries the attempt.
         connection: ConnectionId,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
     },
-    /// The request had its final answer, or its client left.
+    /// The request received its final answer, or its client disconnected.
     RequestEnded(FinalOutcome),
     /// An attempt was not sent.
     Denied(Denial),
 }
 
-/// What a gateway knows and has open at a moment.
+/// A snapshot of a front's state.
 #[derive(Clone, Debug)]
 pub struct LiveView {
-    /// The moment.
+    /// When the snapshot was taken.
     pub taken_at: Time,
-    /// The groups, by number.
+    /// Groups known to the policy, ordered by ID.
     pub groups: Vec<GroupView>,
-    /// The endpoints, by number.
+    /// Listed endpoints, ordered by ID.
     pub endpoints: Vec<LiveEndpoint>,
-    /// Requests of each tenant in the last whole second.
+    /// Requests in the last full second, by tenant index.
     pub request_rates: Vec<u64>,
-    /// What is open at the moment.
+    /// Numbers of open requests and connections.
     pub open: OpenCounts,
-    /// Turns of the event loop so far.
+    /// Turns of the event loop since the start.
     pub turns: u64,
     /// Whether a planned shutdown was requested.
     pub shutting_down: bool,
-    /// The admission queue of each tenant, the last for requests without a known tenant; empty
-    /// without a queue.
+    /// Admission queues by tenant index, followed by the queue for requests without a known tenant;
+    /// empty without an admission queue.
     pub tenant_queues: Vec<TenantQueueView>,
 }
 
-/// Numbers of what is open in a gateway.
+/// Numbers of open requests and connections of a front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCounts {
-    /// Requests that have had no final answer yet.
+    /// Requests without a final answer.
     pub requests: usize,
     /// Connections to upstream endpoints.
     pub upstream_connections: usize,
@@ -403,44 +406,45 @@
 /// An endpoint in the live view.
 #[derive(Clone, Debug)]
 pub struct LiveEndpoint {
-    /// Its name.
+    /// Endpoint name from the endpoint list.
     pub name: Arc<str>,
-    /// Host and port.
+    /// Host and port of the endpoint.
     pub address: Arc<str>,
-    /// What the policy knows of it.
+    /// The policy's view of the endpoint.
     pub view: EndpointView,
 }
 
-/// Names of what is counted, and how often the live view is published.
+/// Names used in request records, and the interval at which the live view is published.
 #[derive(Clone, Debug)]
 pub struct Observability {
-    /// The front's name.
+    /// Name of the front.
     pub front: Arc<str>,
-    /// The classes' names, by number.
+    /// Names of the classes, by index.
     pub classes: Vec<Arc<str>>,
-    /// The tenants' names, by number.
+    /// Names of the tenants, by index.
     pub tenants: Vec<Arc<str>>,
-    /// Shortest interval between two views; it grows with the number of endpoints.
+    /// Minimum interval between two views; the actual interval grows with the number of endpoints.
     pub publish_interval: Span,
 }
 
 /// The configuration of the core.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// Set where requests wait in an admission queue.
+    /// Settings of the admission queue; `None` passes requests to the policy directly.
     pub admission: Option<AdmissionSettings>,
-    /// Set where final answers are recorded and views are published.
+    /// Names for request records and the publishing interval; `None` disables request records and
+    /// periodic publishing.
     pub observability: Option<Arc<Observability>>,
-    /// Set where metrics are kept.
+    /// Metrics to update; `None` disables metrics.
     pub metrics: Option<Arc<OutcomeMetrics>>,
-    /// The policy's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// Counters of what was denied, and why.
+    /// Counters of denials and retries, shared with the admin interface.
     pub decisions: Arc<Decisions>,
-    /// Whether the steps of each request are logged.
+    /// Whether each step of a request is logged.
     pub trace_requests: bool,
-    /// Upstream connections at most.
+    /// Maximum number of upstream connections.
     pub upstream_connection_limit: usize,
-    /// How long the answer to a health check is waited for.
+    /// How long to wait for the answer to a health check.
     pub health_check_timeout: Span,
 }
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -1,7 +1,7 @@
-//! Where the end of a request is counted: in the metrics at once, and in the request log by the
-//! record that leaves here.
+//! Metrics and log records of requests that have ended.
 //!
-//! Durations in records are whole microseconds. Nothing is kept here.
+//! Metrics are updated immediately; the record for the request log is returned as an effect.
+//! Durations in records are whole microseconds. The module keeps no state.
 
 use std::sync::Arc;
 
@@ -14,21 +14,21 @@
 use crate::reducer::State;
 use crate::requests::{LoggedAttempt, PendingRequest};
 
-/// How a request ended.
+/// The end of a request, as recorded in metrics and the request log.
 pub(crate) struct RequestEnd {
     class: usize,
     tenant: Option<usize>,
     group: GroupId,
     outcome: FinalOutcome,
     attempts: Vec<AttemptRecord>,
-    /// From its arrival to its first attempt.
+    /// Time from the arrival of the request to its first attempt.
     waited: Span,
-    /// From its arrival to its final answer.
+    /// Time from the arrival of the request to its final answer.
     total: Span,
 }
 
 impl RequestEnd {
-    /// The end of a request that was answered as it came in.
+    /// The end of a request that was not accepted; it had no attempt and did not wait.
     pub(crate) const fn on_arrival(
         class: usize,
         tenant: Option<usize>,
@@ -48,7 +48,7 @@
 }
 
 impl PendingRequest {
-    /// Notes how the attempt in flight ended, where attempts are recorded.
+    /// Records how the attempt in flight ended, if attempts are recorded.
     pub(crate) fn record_attempt(&mut self, outcome: Outcome, now: Time) {
         if let Some(attempt) = self.in_flight.take() {
             let record = attempt.ended(outcome.into(), now);
@@ -68,7 +68,7 @@
 }
 
 impl State {
-    /// Counts a request that has ended.
+    /// Traces and records a request that has ended.
     pub(crate) fn record(
         &self,
         now: Time,
@@ -99,7 +99,8 @@
         self.record_end(end, effects);
     }
 
-    /// Counts a request that a front rejected, or whose client left before it was accepted.
+    /// Records a request that a front rejected, or whose client disconnected before it was
+    /// accepted.
     pub(crate) fn on_unaccepted(
         &mut self,
         now: Time,
@@ -115,7 +116,7 @@
         self.record_end(end, effects);
     }
 
-    /// The one place where the end of a request is counted.
+    /// Updates the metrics and emits the log record. Every request that ends is counted here, once.
     pub(crate) fn record_end(&self, end: RequestEnd, effects: &mut Vec<Effect>) {
         if let Some(metrics) = &self.config.metrics {
             metrics.count_final_answer(end.class, &end.outcome);
@@ -137,7 +138,7 @@
     }
 }
 
-/// A duration in whole microseconds; a negative one is 0.
+/// Converts a duration to whole microseconds; negative durations become 0.
 fn micros(span: Span) -> u64 {
     u64::try_from(span.0).unwrap_or(0)
 }
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -1,16 +1,17 @@
-//! The last check before something is accepted, sent, retried or closed.
+//! Final checks before a request is accepted, an attempt or health check is sent, or a connection
+//! is closed.
 //!
-//! The policy decides first (`give_up_reason` in its `scheduling` module); what it should not have
-//! ordered is stopped here. Each question is a pure function of what the caller knows; a denial
-//! says why. [`Decisions`] counts the reducer's denials by reason; those of a [`SendPermit`] are
-//! not counted, but attempts that were cancelled before they were written are. Some denials show a
-//! defect of the policy, which knows as much as the reducer does: then nothing is sent, the
-//! violation is counted apart and logged as an error, and debug builds panic. Times are whole
-//! microseconds of the process's monotonic clock.
+//! The policy decides first (`give_up_reason` in its `scheduling` module); the checks here stop
+//! orders that the policy should not have given. Each check is a pure function of its arguments and
+//! returns the reason for a denial. [`Decisions`] counts the reducer's denials by reason. Denials
+//! by a [`SendPermit`] are not counted, but attempts that were cancelled before they were written
+//! are. Some denials show a defect of the policy, because the policy has the same information as
+//! the reducer: nothing is sent, the violation is counted separately and logged as an error, and
+//! debug builds panic. Times are whole microseconds of the process's monotonic clock.
 //!
-//! | question | asked by |
+//! | check | called by |
 //! | --- | --- |
-//! | [`may_accept`] | the reducer, for each request that comes in |
+//! | [`may_accept`] | the reducer, for each request that arrives |
 //! | [`may_send`] | the reducer, for each attempt that the policy orders |
 //! | [`may_retry`] | [`may_send`], for a request that may have run |
 //! | [`SendPermit::try_acquire`] | the connection, just before the first byte of an attempt |
@@ -22,56 +23,57 @@
 
 use valehatch_policy::{DedupScope, Idempotency, Time};
 
-/// How far the process has come between its start and its end.
+/// Stage of the process between start and exit, which decides whether requests are accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessStage {
-    /// It accepts connections and requests.
+    /// Connections and requests are accepted.
     #[default]
     Serving,
-    /// It shuts down, and still serves.
+    /// A shutdown has begun; requests are still served.
     Draining,
-    /// It still serves; connections are closed as they become idle.
+    /// Requests are still served; client connections are closed when they become idle.
     Closing,
     /// New requests are rejected at once.
     Stopping,
 }
 
-/// Why something may not be done.
+/// Reason why an action is not permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Denial {
-    /// The request has had its final answer, or its client has left.
+    /// The request has received its final answer, or its client has disconnected.
     RequestEnded,
-    /// Its response is being streamed to its client.
+    /// The response to the request is being streamed to its client.
     ResponseStarted,
-    /// An attempt is in flight.
+    /// Another attempt of the request is in flight.
     AttemptInFlight,
-    /// It has had as many attempts as the settings allow.
+    /// The request has had as many attempts as the settings allow.
     AttemptsExhausted,
-    /// Its deadline has passed.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// It may have run, and is not idempotent.
+    /// The request may have run and is not idempotent.
     RetryForbidden,
-    /// It may have run, and the time in which its idempotency key is remembered is over.
+    /// The request may have run, and the time for which its idempotency key is remembered has
+    /// passed.
     RetryWindowClosed,
     /// The endpoint is draining, was removed or was never listed.
     EndpointNotReady,
-    /// The permit was revoked: the client has left, or the endpoint is draining.
+    /// The permit was revoked because the client disconnected or the endpoint is draining.
     PermitRevoked,
-    /// The permit was used before.
+    /// The permit has already been used.
     PermitUsed,
-    /// A request of the same name is open.
+    /// Another request with the same name is open.
     DuplicateRequestId,
     /// As many requests are open as the settings allow.
     TooManyOpen,
     /// The process is about to end and rejects new requests.
     Stopping,
-    /// The connection has open requests.
+    /// The client connection has open requests.
     RequestsOpen,
 }
 
 impl Denial {
-    /// All reasons, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Self; 14] = [
         Self::RequestEnded,
         Self::ResponseStarted,
@@ -89,7 +91,7 @@
         Self::RequestsOpen,
     ];
 
-    /// Its name in metrics and logs, which must not change.
+    /// Name of the reason in metrics and logs, which must not change.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Whether an order that this denies shows a defect of the policy.
+    /// Whether an order that is denied for this reason shows a defect of the policy.
     #[must_use]
     pub const fn is_violation(self) -> bool {
         matches!(
@@ -123,20 +125,20 @@
     }
 }
 
-/// What decides whether a request is accepted.
+/// Input of [`may_accept`].
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptCheck {
-    /// How far the process has come.
+    /// Current stage of the process.
     pub stage: ProcessStage,
     /// Whether an open request has the same name.
     pub name_is_open: bool,
-    /// Open requests, without this one.
+    /// Number of open requests, not counting this one.
     pub open_requests: usize,
-    /// Open requests at most.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
 }
 
-/// Whether a request that has come in may be accepted.
+/// Checks whether a request that has arrived may be accepted.
 ///
 /// # Errors
 /// The reason for the denial.
@@ -153,30 +155,30 @@
     Ok(())
 }
 
-/// What decides whether an attempt is sent.
+/// Input of [`may_send`].
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck {
-    /// The present time.
+    /// Current time.
     pub now: Time,
-    /// When the attempt is given up.
+    /// When the attempt would time out.
     pub deadline: Time,
     /// Whether a response is being streamed to the client.
     pub response_started: bool,
-    /// Attempts of the request that are in flight.
+    /// Number of attempts of the request that are in flight.
     pub attempts_in_flight: usize,
-    /// Attempts that the request has had.
+    /// Number of attempts that the policy has ordered for the request before this one.
     pub attempts: u32,
-    /// Attempts at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Whether the request may run twice.
     pub idempotency: Idempotency,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent; `None` if no attempt can have run.
     pub may_have_run_since: Option<Time>,
-    /// Whether the endpoint takes new requests.
+    /// Whether the endpoint accepts new requests.
     pub endpoint_is_ready: bool,
 }
 
-/// Whether an attempt may be sent to an endpoint.
+/// Checks whether an attempt may be sent to an endpoint.
 ///
 /// # Errors
 /// The reason for the denial.
@@ -199,7 +201,8 @@
     may_retry(check.idempotency, check.may_have_run_since, check.now)
 }
 
-/// Whether a request may be sent again, given since when it may have run.
+/// Checks whether a request may be retried. `may_have_run_since` is the time at which the first
+/// attempt that may have run was sent, if there was one.
 ///
 /// # Errors
 /// The reason for the denial.
@@ -223,7 +226,7 @@
     }
 }
 
-/// Whether an endpoint may get a health check.
+/// Checks whether a health check may be sent to an endpoint.
 ///
 /// # Errors
 /// The reason for the denial.
@@ -235,7 +238,7 @@
     }
 }
 
-/// Whether this side may close a client's connection during shutdown.
+/// Checks whether the gateway may close a client's connection during a shutdown.
 ///
 /// # Errors
 /// The reason for the denial.
@@ -247,27 +250,28 @@
     }
 }
 
-/// States of a permit.
+// States of a `SendPermit`.
 const AVAILABLE: u8 = 0;
 const USED: u8 = 1;
 const REVOKED: u8 = 2;
 
-/// The permit to write an attempt, shared by the core and the connection that carries it.
+/// A permit to write an attempt, shared by the core and the connection that carries the attempt.
 ///
-/// A client may leave, or an endpoint begin to drain, while another thread is about to write the
-/// attempt. Without the permit the attempt would begin after it was cancelled, or count as unsent
-/// although it runs. One atomic exchange decides: the connection acquires the permit just before
-/// the first byte, the core revokes it, and the first of the two wins.
+/// A client may disconnect, or an endpoint may begin to drain, while another thread is about to
+/// write the attempt. Without the permit, the attempt could begin after it was cancelled, or count
+/// as unsent although it runs. The connection acquires the permit just before it writes the first
+/// byte, the core revokes the permit to cancel the attempt, and an atomic compare-and-exchange lets
+/// only the first of the two succeed.
 #[derive(Clone, Debug)]
 pub struct SendPermit {
     state: Arc<AtomicU8>,
-    /// The last moment at which the first byte may be written.
+    /// Latest time at which the first byte may be written.
     send_before: Time,
 }
 
 impl SendPermit {
-    /// A permit that is valid up to and including this time: a dial may succeed long after the
-    /// attempt was ordered.
+    /// Creates a permit that is valid up to and including `send_before`. The limit is needed
+    /// because a connection may be established long after the attempt was ordered.
     #[must_use]
     pub fn new(send_before: Time) -> Self {
         Self {
@@ -276,17 +280,17 @@
         }
     }
 
-    /// Uses the permit: the attempt may be written now, once.
+    /// Uses the permit, which allows the caller to write the attempt once.
     ///
     /// # Errors
-    /// Why the attempt may not be written. `DeadlineExceeded` also stands for a retry window that
-    /// has closed and for a replica whose data may be too old by now.
+    /// The reason why the attempt may not be written. `DeadlineExceeded` also covers a retry window
+    /// that has closed and a replica whose data may have become too old.
     pub fn try_acquire(&self, now: Time) -> Result<(), Denial> {
         if now > self.send_before {
             return Err(Denial::DeadlineExceeded);
         }
-        self.settle(USED).map_err(|was| {
-            if was == USED {
+        self.transition_to(USED).map_err(|state| {
+            if state == USED {
                 Denial::PermitUsed
             } else {
                 Denial::PermitRevoked
@@ -294,13 +298,15 @@
         })
     }
 
-    /// Revokes the permit. Returns true if nothing was written and nothing will be.
+    /// Revokes the permit. Returns `true` if nothing has been written and nothing will be.
     #[must_use]
     pub fn revoke(&self) -> bool {
-        self.settle(REVOKED).is_ok()
+        self.transition_to(REVOKED).is_ok()
     }
 
-    fn settle(&self, state: u8) -> Result<(), u8> {
+    /// Changes the state of an available permit. Returns the current state if the permit was
+    /// already used or revoked.
+    fn transition_to(&self, state: u8) -> Result<(), u8> {
         self.state
             .compare_exchange(AVAILABLE, state, Ordering::AcqRel, Ordering::Acquire)
             .map(drop)
@@ -308,7 +314,7 @@
 }
 
 /// Counters of denials and violations by reason, of retries, and of attempts that were cancelled
-/// before they were sent.
+/// before any byte was written.
 #[derive(Debug, Default)]
 pub struct Decisions {
     denied: [AtomicU64; Denial::ALL.len()],
@@ -323,22 +329,22 @@
         self.denied[denial as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a violation.
+    /// Counts an invariant violation; see [`Denial::is_violation`].
     pub fn on_violated(&self, denial: Denial) {
         self.violated[denial as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a retry.
+    /// Counts a retry that was permitted.
     pub fn on_retry(&self) {
         self.retried.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an attempt that was cancelled before anything of it was written.
+    /// Counts an attempt that was cancelled before any byte was written.
     pub fn on_cancelled_unsent(&self) {
         self.cancelled_unsent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Violations for all reasons together.
+    /// Total number of violations.
     #[must_use]
     pub fn violations(&self) -> u64 {
         self.violated
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -1,4 +1,5 @@
-//! The reducer: [`State::reduce`] takes events and returns effects, and alone changes the state.
+//! The reducer: [`State::reduce`] turns events into effects and is the only way to change the
+//! state.
 //!
 //! | event | handler |
 //! | --- | --- |
@@ -13,9 +14,9 @@
 //! | `ShutdownRequested`, `HandoffStarted` | `shutdown.rs` |
 //! | `PublishView` | `live_view.rs` |
 //!
-//! Times are whole microseconds of the process's monotonic clock. Bounds: open requests by the
-//! settings' `max_open_requests`, upstream connections by `upstream_connection_limit`, endpoints by
-//! the endpoint list.
+//! Times are whole microseconds of the process's monotonic clock. Open requests are bounded by
+//! `max_open_requests` in the settings, upstream connections by `upstream_connection_limit`, and
+//! endpoints by the endpoint list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -38,25 +39,26 @@
     pub(crate) router: Router,
     pub(crate) config: CoreConfig,
     pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
-    /// The clients' names of open requests.
+    /// Client-assigned names of the open requests; duplicates are rejected.
     pub(crate) open_names: BTreeSet<Arc<str>>,
-    /// The connection of each attempt in flight.
+    /// Connection that carries each attempt in flight.
     pub(crate) attempts: BTreeMap<AttemptId, ConnectionId>,
     pub(crate) connections: BTreeMap<ConnectionId, UpstreamConnection>,
-    /// The idle ones of `connections`, by endpoint.
+    /// Index of the idle entries of `connections`, by endpoint.
     pub(crate) idle_connections: BTreeMap<EndpointId, BTreeSet<IdleConnection>>,
     pub(crate) endpoints: BTreeMap<EndpointId, EndpointAddress>,
-    /// Endpoints that take new requests.
+    /// Endpoints that accept new requests.
     pub(crate) ready_endpoints: BTreeSet<EndpointId>,
     pub(crate) clients: BTreeMap<ClientId, ClientConnection>,
     pub(crate) timers: BTreeSet<ScheduledTimer>,
-    /// What the policy receives in the next turn: each turn steps it once.
+    /// Events for the policy in the next turn, since each turn steps the policy only once.
     pub(crate) pending_events: Vec<PolicyEvent>,
     pub(crate) next_request: u64,
     pub(crate) next_connection: u64,
-    /// Where accepted requests wait before the policy learns of them.
+    /// Queue in which accepted requests wait before they are passed to the policy, if one is
+    /// configured.
     pub(crate) admission: Option<AdmissionQueue>,
-    /// What the queue has decided and was not applied yet.
+    /// Decisions of the admission queue that have not been applied yet.
     pub(crate) admission_decisions: Vec<AdmissionDecision>,
     pub(crate) capacity_reported_at: Time,
     pub(crate) admission_timer_set: bool,
@@ -66,11 +68,11 @@
 }
 
 impl State {
-    /// A state that knows no endpoints yet. The seed decides the random choices of the policy and
-    /// the queue.
+    /// Creates a state that knows no endpoints yet. `seed` determines the random choices of the
+    /// policy and the admission queue.
     ///
     /// # Errors
-    /// Settings that the policy cannot work with.
+    /// The policy rejects the settings.
     pub fn new(config: CoreConfig, seed: u64) -> Result<Self, SettingsError> {
         let mut timers = BTreeSet::from([ScheduledTimer {
             at: Time(0),
@@ -108,7 +110,8 @@
         })
     }
 
-    /// When the next turn is due even if nothing comes in; a time in the past means at once.
+    /// Time at which the next turn is due even if no event arrives; a time in the past means
+    /// immediately.
     pub fn next_due(&self) -> Option<Time> {
         if !self.pending_events.is_empty() {
             return Some(Time(0));
@@ -116,8 +119,9 @@
         self.timers.first().map(|timer| timer.at)
     }
 
-    /// One turn: handles the events up to `now` and the timers that are due, steps the policy once,
-    /// and adds what is to be done to `effects`, in order.
+    /// Runs one turn: handles `events` and the timers that are due at `now`, steps the policy once,
+    /// and appends the resulting effects to `effects` in the order in which they must be carried
+    /// out.
     pub fn reduce(&mut self, now: Time, events: Vec<Event>, effects: &mut Vec<Effect>) {
         self.turns += 1;
         let mut policy_events = self.take_pending_events();
@@ -134,8 +138,8 @@
             self.apply_action(now, action, effects);
         }
         self.report_capacity(now);
-        // Requests admitted into capacity that this turn's answers freed reach the policy with the
-        // next turn, which comes at once.
+        // This turn's answers may have freed capacity. Requests that are admitted into it are
+        // passed to the policy in the next turn, which runs immediately.
         let mut admitted = vec![];
         self.apply_admission_decisions(now, &mut admitted, effects);
         self.pending_events.extend(admitted);
@@ -151,8 +155,8 @@
         }
     }
 
-    /// What the last turn left for the policy. A request may have ended since an end of its attempt
-    /// was noted.
+    /// Takes the events that the previous turn left for the policy. A request may have ended after
+    /// the end of its attempt was recorded, so `request_ended` is updated here.
     fn take_pending_events(&mut self) -> Vec<PolicyEvent> {
         let mut events = std::mem::take(&mut self.pending_events);
         for event in &mut events {
@@ -231,8 +235,8 @@
         }
     }
 
-    /// Carries out what the policy orders. A request whose response is being streamed is out of its
-    /// hands.
+    /// Carries out an action of the policy. Actions for a request whose response is being streamed
+    /// are ignored.
     fn apply_action(&mut self, now: Time, action: Action, effects: &mut Vec<Effect>) {
         if let Action::Send { request, .. }
         | Action::Cancel { request, .. }
@@ -267,7 +271,7 @@
             } => self.reject_request(now, request, retry_after, why, effects),
             Action::Fail { request, .. } => self.fail_request(now, request, effects),
             Action::HealthCheck { endpoint } => self.check_health(now, endpoint, effects),
-            // The fronts watch the endpoint list all the time.
+            // The fronts watch the endpoint list continuously.
             Action::RefreshEndpointList => {}
             Action::SetTimer { at, token } => self.set_timer(at, Timer::Policy(token)),
         }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,8 +1,9 @@
-//! Requests in flight: accepted or rejected as they come in, given one final answer, then removed.
+//! Requests in flight: each is accepted or rejected on arrival, receives exactly one final answer,
+//! and is then removed.
 //!
-//! Inputs are requests from the fronts and the policy's decisions to reject or fail them. Bounded
-//! by the settings' `max_open_requests`: beyond it a request is rejected. Times are whole
-//! microseconds of the process's monotonic clock.
+//! Inputs are requests from the fronts and the policy's decisions to reject or fail them. The
+//! number of open requests is bounded by `max_open_requests` in the settings; further requests are
+//! rejected. Times are whole microseconds of the process's monotonic clock.
 
 use std::sync::Arc;
 
@@ -22,81 +23,76 @@
 use crate::shutdown::RETRY_AFTER_HANDOFF;
 use crate::timers::Timer;
 
-/// A final answer is sent this long before the client's own timeout.
+/// The final answer is due this long before the client's own timeout.
 const CLIENT_TIMEOUT_MARGIN: Span = Span::from_millis(5);
 
 /// A request in flight.
 pub(crate) struct PendingRequest {
-    /// What its client calls it.
+    /// Name that the client assigned to the request, if any.
     pub(crate) name: Option<Arc<str>>,
-    /// The connection that it came in on.
+    /// Connection that the request was received on.
     pub(crate) client: ClientId,
-    /// What the front matches its answer by.
+    /// Returned to the front with the answer, to match it to the request.
     pub(crate) ticket: u64,
-    /// Its class, by number.
     pub(crate) class: usize,
-    /// Its tenant, by number.
     pub(crate) tenant: Option<usize>,
-    /// Its group.
     pub(crate) group: GroupId,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub(crate) arrived: Time,
-    /// When its final answer must have been sent.
+    /// When the final answer must have been sent.
     pub(crate) deadline: Time,
-    /// What is sent to an endpoint.
     pub(crate) payload: Arc<Payload>,
-    /// The memory that its bytes occupy, given back as the request is dropped.
+    /// Reservation for the request's bytes, released when the request is dropped.
     pub(crate) _memory: MemoryReservation,
-    /// How many attempts it has had.
+    /// Attempts ordered by the policy so far, including those that were not sent.
     pub(crate) attempts: u32,
     /// When the first attempt was sent; for the request log.
     pub(crate) first_sent_at: Option<Time>,
-    /// The attempts that are over; for the request log.
+    /// Attempts that have ended; for the request log.
     pub(crate) attempt_records: Vec<AttemptRecord>,
-    /// What the policy receives once the request is admitted; `None` after that.
+    /// Request to pass to the policy on admission; `None` unless the request waits in the admission
+    /// queue.
     pub(crate) queued: Option<Box<Request>>,
     /// The attempt in flight; for the request log.
     pub(crate) in_flight: Option<LoggedAttempt>,
-    /// How the last attempt ended.
+    /// How the last attempt that was sent ended.
     pub(crate) last_outcome: Option<Outcome>,
-    /// The endpoint's message about the last error.
+    /// The endpoint's error message for that attempt, if there was one.
     pub(crate) last_error: Option<Vec<u8>>,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent.
     pub(crate) may_have_run_since: Option<Time>,
-    /// When its response started, if it is streamed: from then on the request is bound to that
-    /// attempt.
+    /// When a streamed response started. From then on the request is bound to that attempt.
     pub(crate) response_started_at: Option<Time>,
 }
 
-/// An attempt in flight, as the request log names it.
+/// The attempt in flight, as recorded in the request log.
 pub(crate) struct LoggedAttempt {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub(crate) endpoint: Arc<str>,
-    /// When it was sent.
     pub(crate) sent_at: Time,
 }
 
-/// Why a request ends without the policy's decision, for the request log.
+/// Reasons to log for a request that ends without a decision of the policy.
 #[derive(Clone, Copy)]
 pub(crate) struct EndReasons {
-    /// If it has not run.
+    /// Used if the request has not run.
     pub(crate) never_ran: RejectionReason,
-    /// If it may have run.
+    /// Used if the request may have run.
     pub(crate) may_have_run: FailureReason,
 }
 
-/// Where a request came in and where its answer goes.
+/// Where the answer to a request is sent.
 #[derive(Clone, Copy)]
 pub(crate) struct ReplyTo {
-    /// The connection that it came in on.
+    /// Connection that the request was received on.
     pub(crate) client: ClientId,
-    /// What the front matches its answer by.
+    /// Returned to the front with the answer, to match it to the request.
     pub(crate) ticket: u64,
 }
 
 impl PendingRequest {
     fn new(reply_to: ReplyTo, incoming: IncomingRequest, now: Time) -> Self {
-        // It may have waited for this turn of the event loop.
+        // The request may have waited for this turn of the event loop.
         let arrived = incoming.received.min(now);
         let time_allowed = Span((incoming.client_timeout - CLIENT_TIMEOUT_MARGIN).0.max(1));
         Self {
@@ -122,7 +118,7 @@
         }
     }
 
-    /// When a request that the policy has left without an answer is failed: after its client's own
+    /// When the request is ended if the policy has not answered it, which is after the client's own
     /// timeout.
     pub(crate) fn overdue_at(&self) -> Time {
         self.deadline + CLIENT_TIMEOUT_MARGIN + CLIENT_TIMEOUT_MARGIN
@@ -130,8 +126,8 @@
 }
 
 impl State {
-    /// Accepts a request, or answers it at once. Returns what the policy is to learn of it, unless
-    /// it is queued first.
+    /// Accepts or immediately answers a request. Returns the event for the policy, or `None` if the
+    /// request was answered or queued.
     pub(crate) fn on_request(
         &mut self,
         now: Time,
@@ -213,7 +209,7 @@
         });
     }
 
-    /// The final answer of a request that is not accepted.
+    /// Final answer to a request that is not accepted.
     fn denied_answer(&self, denial: Denial, class: usize) -> (FinalOutcome, FinalAnswer) {
         let reason = match denial {
             Denial::DuplicateRequestId => {
@@ -237,7 +233,7 @@
         (FinalOutcome::Rejected(reason), answer)
     }
 
-    /// Ends a request that the policy has left without an answer.
+    /// Ends a request that the policy did not answer in time.
     pub(crate) fn on_request_overdue(
         &mut self,
         now: Time,
@@ -252,8 +248,8 @@
         self.end_request(now, id, reasons, policy_events, effects);
     }
 
-    /// Gives a request its final answer without the policy: a rejection if it has not run and will
-    /// not, otherwise a failure.
+    /// Sends the final answer to a request without a decision of the policy: a rejection if the
+    /// request has not run and will not run, a failure otherwise.
     pub(crate) fn end_request(
         &mut self,
         now: Time,
@@ -262,7 +258,8 @@
         policy_events: &mut Vec<PolicyEvent>,
         effects: &mut Vec<Effect>,
     ) {
-        // An attempt of which nothing was written must not begin once this is decided.
+        // An attempt of which nothing has been written must not begin after the request is
+        // answered.
         for connection in self.connections_of(id) {
             policy_events.extend(self.cancel_unsent_attempt(now, connection, effects));
         }
@@ -284,7 +281,7 @@
         policy_events.push(PolicyEvent::ClientDisconnected(id));
     }
 
-    /// Rejects a request for the policy.
+    /// Rejects a request as ordered by the policy.
     pub(crate) fn reject_request(
         &mut self,
         now: Time,
@@ -305,7 +302,8 @@
         self.answer(now, id, answer, outcome, effects);
     }
 
-    /// Fails a request for the policy, by what its last attempt brought back.
+    /// Fails a request as ordered by the policy. The answer depends on the result of the last
+    /// attempt.
     pub(crate) fn fail_request(&mut self, now: Time, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -323,13 +321,13 @@
         self.answer(now, id, answer, FinalOutcome::Failed(reason), effects);
     }
 
-    /// A request as the log names it: by its client's name for it, or by its number.
+    /// Name of a request in the log: the name assigned by the client, or the request's number.
     pub(crate) fn request_name(&self, id: RequestId) -> Arc<str> {
         let name = self.requests.get(&id).and_then(|r| r.name.clone());
         name.unwrap_or_else(|| Arc::from(format!("#{}", id.0)))
     }
 
-    /// Logs a step of a request, where requests are traced.
+    /// Logs a step of a request if requests are traced.
     pub(crate) fn trace(&self, id: RequestId, step: RequestStep, effects: &mut Vec<Effect>) {
         if !self.config.trace_requests {
             return;
@@ -340,8 +338,8 @@
         }));
     }
 
-    /// Removes a request with all that is kept for it; an attempt of which nothing was written is
-    /// cancelled.
+    /// Removes a request and everything that is stored for it, and cancels its attempt if nothing
+    /// of it has been written.
     pub(crate) fn remove_request(
         &mut self,
         now: Time,
@@ -360,7 +358,7 @@
         Some(request)
     }
 
-    /// Gives a request its one final answer.
+    /// Sends the final answer to a request and removes the request.
     pub(crate) fn answer(
         &mut self,
         now: Time,
@@ -386,7 +384,7 @@
         self.record(now, request, outcome, effects);
     }
 
-    /// Removes a request that has its final answer, here and from the admission queue.
+    /// Removes a request that has its final answer from the state and from the admission queue.
     pub(crate) fn close_request(
         &mut self,
         now: Time,
@@ -410,7 +408,7 @@
     }
 }
 
-/// A process that is about to end serves nothing more on the connection.
+/// A stopping process serves no further requests on the connection, so it is closed.
 const fn after_denial(denial: Denial) -> AfterAnswer {
     match denial {
         Denial::Stopping => AfterAnswer::Close,
@@ -430,7 +428,7 @@
 }
 
 impl CoreConfig {
-    /// The outcome of a request that is answered now, by its latency objective.
+    /// Outcome of a request that is answered now: in time or late, by its latency objective.
     pub(crate) fn served_outcome(&self, request: &PendingRequest, now: Time) -> FinalOutcome {
         let latency_objective = self.settings.classes[request.class].latency_objective;
         if now - request.arrived <= latency_objective {
@@ -440,8 +438,9 @@
         }
     }
 
-    /// Retry-After where the policy names none. Overload or a group without a usable endpoint takes
-    /// a while to pass; where a late answer has no value, an early retry would only add load.
+    /// Retry-After if the policy does not specify one. Overload and the lack of a usable endpoint
+    /// last for a while. In classes where a late answer has no value, an early retry would only add
+    /// load, so they get the longest Retry-After.
     pub(crate) fn default_retry_after(&self, class: usize) -> Span {
         let longest = self.settings.limits.max_retry_after;
         let class = self.settings.classes.get(class);
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -1,19 +1,19 @@
-//! Shutdown: its state, its schedule, and what happens at each step.
+//! State, schedule and steps of a shutdown.
 //!
-//! Inputs are a planned shutdown, a handoff (another process takes new connections over), and
-//! timers that they set. Times are whole microseconds of the process's monotonic clock. The state
-//! has a fixed size.
+//! A shutdown is caused by a planned shutdown request, by a handoff (another process takes over new
+//! connections), or by both; the timers that they set trigger the steps. Times are whole
+//! microseconds of the process's monotonic clock. The state has a fixed size.
 //!
 //! | state | `Requested` | `HandoffStarted` | `CloseClients` | `RejectRequests` |
 //! | --- | --- | --- | --- | --- |
-//! | `Serving` | `Draining`, cause `Requested` | `Draining`, cause `Handoff` | stays | stays |
+//! | `Serving` | `Draining`, cause `Requested` | `Draining`, cause `Handoff` | same | same |
 //! | `Draining` | adds the cause | adds the cause | `Closing` | `Rejecting` |
-//! | `Closing` | adds the cause | adds the cause | stays | `RejectingAndClosing` |
-//! | `Rejecting` | adds the cause | adds the cause | `RejectingAndClosing` | stays |
-//! | `RejectingAndClosing` | adds the cause | adds the cause | stays | stays |
+//! | `Closing` | adds the cause | adds the cause | same | `RejectingAndClosing` |
+//! | `Rejecting` | adds the cause | adds the cause | `RejectingAndClosing` | same |
+//! | `RejectingAndClosing` | adds the cause | adds the cause | same | same |
 //!
-//! `Rejecting` may come before `Closing`: where the longest deadline of a class is short, open
-//! requests get their final answer before client connections would begin to close.
+//! `Rejecting` may come before `Closing`: if the longest deadline of all classes is short, open
+//! requests receive their final answer before client connections begin to close.
 
 use valehatch_policy::{Outcome, PolicyEvent, RequestId, Span, Time};
 use valehatch_request_log::{FailureReason, RejectionReason};
@@ -25,33 +25,33 @@
 use crate::requests::{EndReasons, PendingRequest};
 use crate::timers::Timer;
 
-/// New connections are accepted for this long after a shutdown request: clients go on connecting
-/// for 0.4 s.
+/// New connections are accepted for this long after a shutdown request, because clients continue to
+/// connect for 0.4 s.
 const ACCEPT_AFTER_REQUEST: Span = Span::from_millis(450);
-/// The platform kills the program after its longest class deadline, cut to this, plus
+/// The platform kills the process after the longest class deadline, capped at this value, plus
 /// [`KILL_GRACE`].
-const LONGEST_DEADLINE: Span = Span::from_millis(3_000);
-/// What the platform adds to the longest deadline before it sends SIGKILL.
+const MAX_CLASS_DEADLINE: Span = Span::from_millis(3_000);
+/// Time that the platform adds to the longest deadline before it sends SIGKILL.
 const KILL_GRACE: Span = Span::from_millis(700);
-/// Tenths of the time until the kill in which existing connections are served: clients use a
-/// connection for as long as it is open, and the other gateways may be down as well.
+/// Part of the time until the kill, in tenths, for which existing connections are served. Clients
+/// use a connection for as long as it is open, and the other gateways may be down as well.
 const SERVE_TENTHS: i64 = 9;
 /// After a handoff, existing connections are served for this long before idle ones are closed.
 const SERVE_AFTER_HANDOFF: Span = Span::from_millis(100);
-/// Open requests get their final answer this long before the kill.
+/// Open requests receive their final answer this long before the kill.
 const FAIL_REQUESTS_LEAD: Span = Span::from_millis(250);
-/// After a handoff, new requests are rejected this much earlier still: they would be cut off here,
-/// and the other process can serve them.
+/// After a handoff, new requests are rejected this much earlier than open requests are failed: they
+/// would be cut off in this process, and the other process can serve them.
 const REJECT_AFTER_HANDOFF_LEAD: Span = Span::from_millis(250);
-/// Retry-After for requests that are rejected after a handoff: the other process takes them at
-/// once.
+/// Retry-After for requests that are rejected after a handoff; the other process accepts them
+/// immediately.
 pub(crate) const RETRY_AFTER_HANDOFF: Span = Span::from_millis(1);
-/// Interval at which client connections that have become idle are closed.
+/// Interval at which idle client connections are closed.
 const CLOSE_INTERVAL: Span = Span::from_millis(25);
-/// The program ends this long before the kill, even if clients keep connections open.
+/// The process exits this long before the kill, even if clients keep connections open.
 const EXIT_LEAD: Span = Span::from_millis(100);
-/// Interval at which the program is asked to end; it does once no message is partly read or
-/// written.
+/// Interval at which [`Effect::Exit`] is repeated; the process exits once no message is partly read
+/// or written.
 const EXIT_INTERVAL: Span = Span::from_millis(5);
 
 /// Why the process shuts down.
@@ -59,13 +59,13 @@
 pub enum ShutdownCause {
     /// A planned shutdown was requested.
     Requested,
-    /// Another process takes new connections.
+    /// Another process accepts new connections.
     Handoff,
-    /// Both.
+    /// A planned shutdown was requested, and another process accepts new connections.
     RequestedAndHandoff,
 }
 
-/// How far a shutdown has come.
+/// Phase of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
     /// Requests are served as before.
@@ -78,12 +78,12 @@
     RejectingAndClosing,
 }
 
-/// What advances a shutdown.
+/// An event that starts or advances a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownEvent {
     /// A planned shutdown was requested.
     Requested,
-    /// Another process takes new connections from now on.
+    /// Another process accepts new connections from now on.
     HandoffStarted,
     /// Client connections begin to close.
     CloseClients,
@@ -91,23 +91,23 @@
     RejectRequests,
 }
 
-/// Whether and how far the process is shutting down. It never goes back to an earlier state.
+/// State of the shutdown. It never returns to an earlier state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShutdownState {
-    /// No shutdown.
+    /// No shutdown has begun.
     #[default]
     Serving,
-    /// A shutdown is under way.
+    /// A shutdown is in progress.
     ShuttingDown {
-        /// Why.
+        /// All causes so far.
         cause: ShutdownCause,
-        /// How far it has come.
+        /// Steps that have been taken so far.
         phase: ShutdownPhase,
     },
 }
 
 impl ShutdownState {
-    /// The state after an event: the table in the module's documentation.
+    /// Returns the state after an event, according to the table in the module documentation.
     #[must_use]
     pub const fn after(self, event: ShutdownEvent) -> Self {
         let Self::ShuttingDown { cause, phase } = self else {
@@ -157,7 +157,7 @@
         )
     }
 
-    /// Whether another process takes new connections.
+    /// Whether another process accepts new connections.
     #[must_use]
     pub const fn is_handoff(self) -> bool {
         matches!(
@@ -193,7 +193,7 @@
         )
     }
 
-    /// The stage that decides which requests are accepted.
+    /// Stage of the process, which decides whether requests are accepted.
     #[must_use]
     pub const fn process_stage(self) -> ProcessStage {
         match self {
@@ -242,35 +242,36 @@
 }
 
 impl State {
-    /// Schedules the steps of a planned shutdown, so that the program ends before the platform
+    /// Schedules the steps of a planned shutdown so that the process exits before the platform
     /// kills it.
     pub(crate) fn on_shutdown_requested(&mut self, now: Time) {
         self.shutdown = self.shutdown.after(ShutdownEvent::Requested);
         let classes = &self.config.settings.classes;
         let longest = classes.iter().map(|class| class.deadline).max();
-        let kill = longest.unwrap_or(LONGEST_DEADLINE).min(LONGEST_DEADLINE) + KILL_GRACE;
-        let serve = Span(kill.0 / 10 * SERVE_TENTHS).max(ACCEPT_AFTER_REQUEST);
-        let fail = kill - FAIL_REQUESTS_LEAD;
+        let kill_after = longest.unwrap_or(MAX_CLASS_DEADLINE).min(MAX_CLASS_DEADLINE) + KILL_GRACE;
+        let close_after = Span(kill_after.0 / 10 * SERVE_TENTHS).max(ACCEPT_AFTER_REQUEST);
+        let fail_after = kill_after - FAIL_REQUESTS_LEAD;
         self.set_timer(now + ACCEPT_AFTER_REQUEST, Timer::StopListening);
-        self.set_timer(now + serve, Timer::CloseClients);
+        self.set_timer(now + close_after, Timer::CloseClients);
         self.set_timer(
-            now + (fail - REJECT_AFTER_HANDOFF_LEAD),
+            now + (fail_after - REJECT_AFTER_HANDOFF_LEAD),
             Timer::RejectAfterHandoff,
         );
-        self.set_timer(now + fail, Timer::FailOpenRequests);
-        self.set_timer(now + (kill - EXIT_LEAD), Timer::Exit);
+        self.set_timer(now + fail_after, Timer::FailOpenRequests);
+        self.set_timer(now + (kill_after - EXIT_LEAD), Timer::Exit);
     }
 
-    /// Stops accepting, and closes client connections as they become idle. Accepting ends first, so
-    /// that a connection that was accepted last is still served.
+    /// Schedules the steps of a handoff: stops accepting connections immediately, and later closes
+    /// client connections when they become idle. The delay lets connections that were accepted last
+    /// still be served.
     pub(crate) fn on_handoff_started(&mut self, now: Time) {
         self.shutdown = self.shutdown.after(ShutdownEvent::HandoffStarted);
         self.set_timer(now, Timer::StopListening);
         self.set_timer(now + SERVE_AFTER_HANDOFF, Timer::CloseClients);
     }
 
-    /// Closes client connections that have no open request, and comes back for those that become
-    /// idle later.
+    /// Closes client connections without an open request, and sets the timer again for connections
+    /// that become idle later.
     pub(crate) fn on_close_clients_timer(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.shutdown = self.shutdown.after(ShutdownEvent::CloseClients);
         if self.shutdown.is_rejecting() {
@@ -289,21 +290,21 @@
         }
     }
 
-    /// Rejects new requests from now on if another process can serve them.
+    /// Starts to reject new requests if another process can serve them.
     pub(crate) fn on_reject_after_handoff_timer(&mut self) {
         if self.shutdown.is_handoff() {
             self.shutdown = self.shutdown.after(ShutdownEvent::RejectRequests);
         }
     }
 
-    /// Asks the program to end, and asks again later if it could not.
+    /// Requests the exit of the process, and sets the timer to repeat the request.
     pub(crate) fn on_exit_timer(&mut self, now: Time, effects: &mut Vec<Effect>) {
         effects.push(Effect::Exit);
         self.set_timer(now + EXIT_INTERVAL, Timer::Exit);
     }
 
-    /// Gives each open request its final answer; responses that are being streamed go on until the
-    /// program ends.
+    /// Sends a final answer to each open request. Responses that are being streamed continue until
+    /// the process exits.
     pub(crate) fn fail_open_requests(
         &mut self,
         now: Time,
@@ -331,8 +332,8 @@
             never_ran: RejectionReason::Stopping,
             may_have_run: FailureReason::Stopping,
         };
-        // The client retries elsewhere once it has its answer, and an attempt still in flight would
-        // overlap with the retry. So its connection is closed first.
+        // The client may retry elsewhere once it has its answer, and an attempt still in flight
+        // would overlap with the retry. The upstream connection is therefore closed first.
         let mut ended = vec![];
         for connection in self.connections_of(id) {
             ended.extend(self.cancel_unsent_attempt(now, connection, effects));
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,9 +1,9 @@
-//! What the reducer does at a time of its own choosing.
+//! Timers of the reducer.
 //!
-//! The reducer keeps its timers in one ordered set: by time, and among timers of the same moment by
-//! the order of the variants of [`Timer`]. That order reaches the effects, so it must not change.
-//! The set is bounded by the open requests and upstream connections, the policy's own timers, and
-//! one of each other kind.
+//! Timers are kept in a set that is ordered by due time and, for equal times, by the order of the
+//! variants of [`Timer`]. That order determines the order of effects, so it must not change. The
+//! set is bounded by the number of open requests and upstream connections, the policy's own timers,
+//! and one timer of each other kind.
 
 use std::sync::Arc;
 
@@ -13,58 +13,55 @@
 use crate::messages::{ConnectionId, Effect, Observability, UpstreamReply};
 use crate::reducer::State;
 
-/// The view is published at most this often per endpoint: drawing it up takes about a microsecond
-/// for each.
+/// Minimum publishing interval of the live view per listed endpoint. Building the view takes about
+/// a microsecond per endpoint.
 const PUBLISH_INTERVAL_PER_ENDPOINT: Span = Span(50);
 
-/// What is due.
+/// A kind of timer, with the object that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A timer that the policy set, with its token.
+    /// A timer set by the policy, identified by the policy's token.
     Policy(u64),
-    /// An attempt or a health check has been out for too long on this connection.
+    /// The attempt or health check on this connection times out.
     AttemptTimeout(ConnectionId),
-    /// A request has had no final answer although its client's time is over.
+    /// The request has no final answer although its client has stopped waiting.
     RequestOverdue(RequestId),
-    /// Upstream connections that have been idle for too long are closed.
+    /// Closes upstream connections that have been idle for too long; repeats.
     SweepIdleConnections,
-    /// The live view is published.
+    /// Publishes the live view; repeats.
     PublishView,
-    /// The admission queue looks for requests that have waited too long.
+    /// Expires requests that have waited in the admission queue for too long.
     Admission,
-    /// Shutdown: no new client connections.
+    /// Shutdown: stops accepting client connections.
     StopListening,
-    /// Shutdown: client connections without an open request are closed; repeats.
+    /// Shutdown: closes client connections without an open request; repeats.
     CloseClients,
-    /// Shutdown after a handoff: new requests are rejected.
+    /// Shutdown after a handoff: starts to reject new requests.
     RejectAfterHandoff,
-    /// Shutdown: open requests get their final answer now.
+    /// Shutdown: sends a final answer to each open request.
     FailOpenRequests,
-    /// Shutdown: the program is asked to end; repeats.
+    /// Shutdown: requests the exit of the process; repeats.
     Exit,
 }
 
 /// A timer and when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ScheduledTimer {
-    /// When it is due.
     pub(crate) at: Time,
-    /// What is due then.
     pub(crate) timer: Timer,
 }
 
 impl State {
-    /// Sets a timer.
     pub(crate) fn set_timer(&mut self, at: Time, timer: Timer) {
         self.timers.insert(ScheduledTimer { at, timer });
     }
 
-    /// Removes a timer that was set for this time, if there is one.
+    /// Removes a timer that was set for this time; does nothing if there is none.
     pub(crate) fn cancel_timer(&mut self, at: Time, timer: Timer) {
         self.timers.remove(&ScheduledTimer { at, timer });
     }
 
-    /// Takes out the first timer that is due by now.
+    /// Removes and returns the first timer that is due at `now`.
     pub(crate) fn pop_due_timer(&mut self, now: Time) -> Option<Timer> {
         let first = *self.timers.first()?;
         if first.at > now {
@@ -85,8 +82,8 @@
         match timer {
             Timer::Policy(token) => policy_events.push(PolicyEvent::Timer(token)),
             Timer::AttemptTimeout(connection) => {
-                // A late answer on this connection would be taken for the answer to the next
-                // request that it carries, so the connection is closed together with the attempt.
+                // The connection is closed with the attempt, because a late answer on it would be
+                // taken for the answer to the next request.
                 let reply = UpstreamReply::without_details(Outcome::Timeout);
                 let ended = self.on_reply(now, connection, reply, AfterReply::Close, effects);
                 policy_events.extend(ended);
--- a/crates/core/src/upstream_connections.rs
+++ b/crates/core/src/upstream_connections.rs
@@ -1,9 +1,9 @@
-//! Connections to upstream endpoints: opened on demand, reused while fresh, closed when idle for
-//! too long.
+//! Connections to upstream endpoints: opened on demand, reused while fresh, and closed when idle
+//! for too long.
 //!
-//! Bounded by [`CoreConfig::upstream_connection_limit`]: where it is reached, the connection that
-//! has been idle longest makes way, and if none is idle no connection is opened. Times are whole
-//! microseconds of the process's monotonic clock.
+//! Their number is bounded by [`CoreConfig::upstream_connection_limit`]. At the limit, the
+//! connection that has been idle longest is closed to open a new one; if no connection is idle,
+//! none is opened. Times are whole microseconds of the process's monotonic clock.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,54 +16,50 @@
 use crate::reducer::State;
 use crate::timers::Timer;
 
-/// Interval at which idle connections are checked for their age.
+/// Interval at which connections that have been idle for too long are closed.
 const IDLE_SWEEP_INTERVAL: Span = Span::from_millis(250);
-/// Tenths of the endpoint's idle timeout for which an idle connection may still be used. A new
-/// connection costs the endpoint work; but close to the timeout the endpoint may close one just as
-/// a request is written.
+/// Idle time after which a connection is no longer used, in tenths of the endpoint's idle timeout.
+/// A new connection costs the endpoint work, but close to the timeout the endpoint may close the
+/// connection just as a request is written to it.
 const IDLE_TENTHS: i64 = 8;
 
 /// What an upstream connection carries.
 #[derive(Clone, Copy)]
 pub(crate) enum ConnectionUse {
-    /// Nothing.
     Idle {
-        /// Since then.
+        /// When the connection became idle.
         since: Time,
     },
-    /// An attempt.
     Attempt(AttemptInFlight),
-    /// A health check.
     HealthCheck {
-        /// When it was handed to the connection.
+        /// When the health check was handed to the connection.
         sent_at: Time,
     },
 }
 
 /// A connection to an endpoint.
 pub(crate) struct UpstreamConnection {
-    /// The endpoint.
     pub(crate) endpoint: EndpointId,
-    /// What it carries.
     pub(crate) usage: ConnectionUse,
-    /// When what it carries is given up.
+    /// When the current attempt or health check times out.
     pub(crate) timeout_at: Time,
-    /// The permit of the attempt that it carries.
+    /// Permit of the current attempt; shared with the thread that writes the attempt.
     pub(crate) permit: Option<SendPermit>,
 }
 
-/// An idle connection; ordered by the time since when it is idle.
+/// An entry of the index of idle connections. Entries are ordered by the time at which the
+/// connection became idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct IdleConnection {
-    /// Since when it has carried nothing.
+    /// When the connection became idle.
     pub(crate) since: Time,
-    /// The connection.
     pub(crate) id: ConnectionId,
 }
 
 impl UpstreamConnection {
-    /// Takes the permit off the connection. Returns whether the attempt is given up before anything
-    /// of it was written, in which case it has not run.
+    /// Removes the permit from the connection and revokes it if `outcome` is a timeout or a
+    /// cancellation. Returns whether that happened before any byte of the attempt was written, in
+    /// which case the attempt has not run.
     pub(crate) fn revoke_permit(&mut self, outcome: Outcome) -> bool {
         let is_given_up = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
         let Some(permit) = self.permit.take() else {
@@ -74,7 +70,7 @@
 }
 
 impl State {
-    /// Marks a connection as idle. Returns what it carried.
+    /// Marks a connection as idle. Returns its previous use.
     pub(crate) fn release_connection(
         &mut self,
         now: Time,
@@ -93,14 +89,14 @@
                 .or_default()
                 .insert(idle);
         }
-        // A timeout left over from what it carried would end what it carries next.
+        // A leftover timeout would end the next attempt on the connection.
         let timeout_at = slot.timeout_at;
         self.cancel_timer(timeout_at, Timer::AttemptTimeout(connection));
         Some(usage)
     }
 
-    /// The outcome of an attempt for which there is no connection: its endpoint is not listed, or
-    /// the limit is reached.
+    /// Outcome of an attempt for which no connection is available, either because its endpoint is
+    /// not listed or because all connections are in use.
     pub(crate) fn no_connection_outcome(&self, endpoint: EndpointId) -> Outcome {
         if self.endpoints.contains_key(&endpoint) {
             Outcome::LocalFailure
@@ -109,8 +105,9 @@
         }
     }
 
-    /// The most recently used idle connection to an endpoint, or a new one within the limit. `None`
-    /// if the endpoint is not listed, or if every connection is in use.
+    /// Takes the most recently used idle connection to an endpoint, or opens a new one. Returns
+    /// `None` if the endpoint is not listed or if the limit is reached and every connection is in
+    /// use.
     pub(crate) fn acquire_connection(
         &mut self,
         now: Time,
@@ -175,7 +172,7 @@
         longest_of_each.min().map(|idle| idle.id)
     }
 
-    /// Sets when what a connection carries is given up.
+    /// Sets the time at which the attempt or health check on a connection times out.
     pub(crate) fn set_timeout(&mut self, connection: ConnectionId, timeout_at: Time) {
         if let Some(slot) = self.connections.get_mut(&connection) {
             slot.timeout_at = timeout_at;
@@ -183,7 +180,7 @@
         self.set_timer(timeout_at, Timer::AttemptTimeout(connection));
     }
 
-    /// Closes a connection, whatever it carries.
+    /// Closes a connection regardless of its current use.
     pub(crate) fn close_connection(&mut self, connection: ConnectionId, effects: &mut Vec<Effect>) {
         let Some(closed) = self.connections.remove(&connection) else {
             return;
@@ -218,7 +215,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and sets the timer for the next time.
+    /// Closes connections that have been idle for too long, and sets the timer for the next sweep.
     pub(crate) fn sweep_idle_connections(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let oldest = IdleConnection {
             since: now - self.config.max_idle_time(),
@@ -234,8 +231,8 @@
         self.set_timer(now + IDLE_SWEEP_INTERVAL, Timer::SweepIdleConnections);
     }
 
-    /// Sets the limit on upstream connections and closes idle ones beyond it. Connections in use
-    /// are kept, so the limit is never below their number.
+    /// Sets the limit on upstream connections and closes idle connections above it. Connections in
+    /// use are kept, so the effective limit is never below their number.
     pub(crate) fn on_connection_limit(&mut self, limit: usize, effects: &mut Vec<Effect>) {
         while self.connections.len() > limit
             && let Some(evicted) = self.longest_idle_connection()
@@ -279,7 +276,8 @@
 }
 
 impl CoreConfig {
-    /// How long a connection may be idle and still be used: well below what endpoints allow.
+    /// Longest time for which a connection may be idle and still be used; well below the idle
+    /// timeout of endpoints.
     fn max_idle_time(&self) -> Span {
         Span(self.settings.limits.idle_connection_timeout.0 / 10 * IDLE_TENTHS)
     }
