--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -226,7 +226,7 @@
     AttemptEnded {
         /// Connection that carried the attempt or health check.
         connection: ConnectionId,
-        /// The result.
+        /// Outcome of the attempt or health check, and the response if there was one.
         reply: UpstreamReply,
         /// Whether the connection may be used again.
         reusable: bool,
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -101,7 +101,7 @@
 
     /// Records a request that a front rejected, or whose client disconnected before it was
     /// accepted.
-    pub(crate) fn on_unaccepted(
+    pub(crate) fn on_request_not_accepted(
         &mut self,
         now: Time,
         class: usize,
--- a/crates/core/src/permission.rs
+++ b/crates/core/src/permission.rs
@@ -33,7 +33,7 @@
     Draining,
     /// Requests are still served; client connections are closed when they become idle.
     Closing,
-    /// New requests are rejected at once.
+    /// New requests are rejected immediately.
     Stopping,
 }
 
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -6,7 +6,7 @@
 //! | `EndpointList` | `endpoints.rs`, `on_endpoint_list` |
 //! | `ClientConnected`, `ClientDisconnected` | `client_connections.rs` |
 //! | `RequestReceived` | `requests.rs`, `on_request` |
-//! | `RequestRejected`, `RequestAbandoned` | `outcomes.rs`, `on_unaccepted` |
+//! | `RequestRejected`, `RequestAbandoned` | `outcomes.rs`, `on_request_not_accepted` |
 //! | `ResponseStarted`, `AttemptEnded` | `attempts.rs` |
 //! | `UpstreamConnectionLimit` | `upstream_connections.rs` |
 //! | `TenantQuotas` | the admission queue |
@@ -199,12 +199,12 @@
                 tenant,
                 group,
                 reason,
-            } => self.on_unaccepted(now, class, tenant, group, Some(reason), effects),
+            } => self.on_request_not_accepted(now, class, tenant, group, Some(reason), effects),
             Event::RequestAbandoned {
                 class,
                 tenant,
                 group,
-            } => self.on_unaccepted(now, class, tenant, group, None, effects),
+            } => self.on_request_not_accepted(now, class, tenant, group, None, effects),
             Event::ResponseStarted(connection) => {
                 policy_events.extend(self.on_response_started(now, connection, effects));
             }
--- a/crates/core/src/upstream_connections.rs
+++ b/crates/core/src/upstream_connections.rs
@@ -21,7 +21,7 @@
 /// Idle time after which a connection is no longer used, in tenths of the endpoint's idle timeout.
 /// A new connection costs the endpoint work, but close to the timeout the endpoint may close the
 /// connection just as a request is written to it.
-const IDLE_TENTHS: i64 = 8;
+const MAX_IDLE_TENTHS: i64 = 8;
 
 /// What an upstream connection carries.
 #[derive(Clone, Copy)]
@@ -279,6 +279,6 @@
     /// Longest time for which a connection may be idle and still be used; well below the idle
     /// timeout of endpoints.
     fn max_idle_time(&self) -> Span {
-        Span(self.settings.limits.idle_connection_timeout.0 / 10 * IDLE_TENTHS)
+        Span(self.settings.limits.idle_connection_timeout.0 / 10 * MAX_IDLE_TENTHS)
     }
 }
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! When an attempt may be written: its permit is acquired or revoked once, and the reducer revokes
-//! it as soon as the request is cancelled or its endpoint drains.
+//! When an attempt may be written: its permit can be acquired or revoked only once, and the reducer
+//! revokes the permit as soon as the request is cancelled or the endpoint drains.
 
 mod support;
 
@@ -19,14 +19,14 @@
 
 const IDEMPOTENCY_KEY: usize = 0;
 
-/// A reducer with one request whose attempt was handed to a connection.
+/// A reducer with one request, whose attempt has been handed to a connection.
 struct Fixture {
     state: State,
     now: Time,
     memory: Arc<AtomicUsize>,
     permit: SendPermit,
     connection: ConnectionId,
-    /// When the attempt is given up.
+    /// When the attempt times out.
     deadline: Time,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// When the attempt that was submitted is given up.
+/// Deadline of the submitted attempt.
 fn submitted_deadline(effects: &[Effect]) -> Time {
     let deadline = |effect: &Effect| match effect {
         Effect::Submit {
@@ -84,7 +84,7 @@
         Self::after_events(class, vec![], ms(0))
     }
 
-    /// A fixture whose request was read this long before the turn that handled it.
+    /// A fixture whose request was read `waited` before the turn that handled it.
     fn with_wait_before_reducer(waited: Span) -> Self {
         let mut fixture = Self::new(NON_IDEMPOTENT);
         let end = UpstreamReply {
@@ -110,12 +110,12 @@
             }],
         );
         (fixture.connection, fixture.permit) =
-            submitted(&effects).expect("it goes to the primary at once");
+            submitted(&effects).expect("the attempt is sent to the primary immediately");
         fixture.deadline = submitted_deadline(&effects);
         fixture
     }
 
-    /// A fixture in which these events were handled and this time passed before the request.
+    /// A fixture in which `before` was handled, and `time` passed, before the request was received.
     fn after_events(class: usize, before: Vec<Event>, time: Span) -> Self {
         let mut state = State::new(config(ms(3_000)), 1).unwrap();
         let (start, memory) = (Time(100_000_000), Arc::new(AtomicUsize::new(0)));
@@ -137,7 +137,7 @@
             vec![list, Event::ClientConnected(ClientId(1)), received],
             &mut effects,
         );
-        let (connection, permit) = submitted(&effects).expect("it goes to the primary at once");
+        let (connection, permit) = submitted(&effects).expect("the attempt is sent to the primary immediately");
         Self {
             state,
             now,
@@ -152,7 +152,7 @@
         self.now = self.now + ms(after);
         let mut effects = vec![];
         self.state.reduce(self.now, events, &mut effects);
-        // The next turn comes at once and passes on what the policy has not seen yet.
+        // A further turn follows immediately and passes pending events to the policy.
         self.state.reduce(self.now, vec![], &mut effects);
         self.state.check_invariants().unwrap();
         effects
@@ -164,55 +164,56 @@
     let (now, end) = (Time(1), Time(10));
     let permit = SendPermit::new(end);
     assert!(permit.clone().try_acquire(now).is_ok());
-    assert!(permit.try_acquire(now).is_err(), "once");
-    assert!(!permit.revoke(), "it has begun");
+    assert!(permit.try_acquire(now).is_err(), "already acquired");
+    assert!(!permit.revoke(), "the attempt has begun");
     let permit = SendPermit::new(end);
     assert!(permit.revoke());
-    assert!(!permit.revoke(), "once");
+    assert!(!permit.revoke(), "already revoked");
     assert!(
         permit.try_acquire(now).is_err(),
-        "it must not begin any more"
+        "the attempt must not begin any more"
     );
     assert!(
         SendPermit::new(end).try_acquire(end).is_ok(),
-        "its last moment counts"
+        "the permit is valid up to and including its end"
     );
     let late = SendPermit::new(end);
     assert!(late.try_acquire(Time(11)).is_err());
     assert!(late.revoke(), "nothing was written");
 }
 
-// One thread is about to write an attempt while another cancels it. If both succeeded, the attempt
-// would run although it counts as unsent.
+// One thread acquires the permit to write an attempt while another revokes it. If both succeeded,
+// the attempt would run although it counts as unsent.
 #[test]
 fn permit_race_between_threads_has_one_winner() {
     for _ in 0..2_000 {
         let permit = SendPermit::new(Time(10));
         let other = permit.clone();
-        let took = thread::spawn(move || other.try_acquire(Time(1)).is_ok());
+        let acquired = thread::spawn(move || other.try_acquire(Time(1)).is_ok());
         let revoked = permit.revoke();
-        assert!(took.join().unwrap() != revoked);
+        assert!(acquired.join().unwrap() != revoked);
     }
 }
 
-// A client leaves while its attempt is still being dialled. The attempt must not begin later, and
-// its memory is returned once, also if the connection reports the same end again.
+// A client disconnects while the connection for its attempt is still being established. The attempt
+// must not begin later, and its memory is released only once, even if the connection reports the
+// end again.
 #[test]
-fn client_leaves_before_write_cancels_attempt_and_returns_memory() {
+fn client_disconnect_before_write_cancels_attempt_and_releases_memory() {
     for class in [IDEMPOTENCY_KEY, NON_IDEMPOTENT] {
         let mut fixture = Fixture::new(class);
         let effects = fixture.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
         assert!(
             fixture.permit.try_acquire(fixture.now).is_err(),
-            "it must not begin any more"
+            "the attempt must not begin any more"
         );
         assert!(closed(&effects, fixture.connection));
         assert_eq!(
             fixture.memory.load(Ordering::Relaxed),
             0,
-            "its memory is returned"
+            "the memory is released"
         );
-        // The connection reports the same end, late.
+        // The connection reports the end of the attempt late.
         let reply = UpstreamReply::without_details(Outcome::NotSent);
         let ended = Event::AttemptEnded {
             connection: fixture.connection,
@@ -224,24 +225,25 @@
     }
 }
 
-// A client leaves after its attempt was written. The endpoint has begun the work, so its connection
-// stays open.
+// A client disconnects after its attempt was written. The endpoint has begun the work, so the
+// upstream connection stays open.
 #[test]
-fn client_leaves_after_write_keeps_attempt() {
+fn client_disconnect_after_write_keeps_attempt() {
     let mut fixture = Fixture::new(NON_IDEMPOTENT);
     assert!(fixture.permit.try_acquire(fixture.now).is_ok());
     let effects = fixture.turn(50, vec![Event::ClientDisconnected(ClientId(1))]);
     assert!(
         !closed(&effects, fixture.connection),
-        "it runs, and its endpoint is not disturbed"
+        "the attempt continues on its connection"
     );
     assert_eq!(fixture.memory.load(Ordering::Relaxed), 0);
 }
 
-// An endpoint begins to drain or is removed while an attempt to it is being dialled. Nothing may
-// begin there any more, and the request goes to the other endpoint at once.
+// An endpoint begins to drain or is removed while the connection for an attempt is being
+// established. The attempt must not begin there any more, and the request is sent to the other
+// endpoint immediately.
 #[test]
-fn endpoint_drains_before_write_moves_request_at_once() {
+fn endpoint_drains_before_write_moves_request_immediately() {
     for (state, complete) in [
         (EndpointState::Draining, false),
         (EndpointState::Removed, false),
@@ -261,9 +263,9 @@
         );
         assert!(
             fixture.permit.try_acquire(fixture.now).is_err(),
-            "{state:?}: it must not begin there any more"
+            "{state:?}: the attempt must not begin there any more"
         );
-        let (connection, _) = submitted(&effects).expect("the other one has it at once");
+        let (connection, _) = submitted(&effects).expect("the other endpoint receives it immediately");
         assert_ne!(connection, fixture.connection);
     }
 }
@@ -285,7 +287,7 @@
             endpoints,
         }],
     );
-    assert!(submitted(&effects).is_none(), "it may have run");
+    assert!(submitted(&effects).is_none(), "the attempt may have run");
     let reply = UpstreamReply {
         body: Some(b"done".to_vec()),
         ..UpstreamReply::without_details(Outcome::Ok)
@@ -307,11 +309,12 @@
     )));
 }
 
-// A dial never succeeds. Nothing was written, so the request is rejected and may be retried safely.
+// The connection for an attempt is never established. Nothing was written, so the request is
+// rejected and may be retried safely.
 #[test]
-fn dial_times_out_rejects_request() {
+fn connect_timeout_rejects_request() {
     let mut fixture = Fixture::new(NON_IDEMPOTENT);
-    // After half of its time a request that was never written is rejected, not failed.
+    // A request of which nothing was written is rejected, not failed, after half of its time.
     let effects: Vec<Effect> = (0..50).flat_map(|_| fixture.turn(50, vec![])).collect();
     let answers: Vec<_> = effects
         .iter()
@@ -330,19 +333,19 @@
     assert!(fixture.permit.try_acquire(fixture.now).is_err());
 }
 
-// The program is about to end with an attempt in flight. Its client gets an answer and retries
-// elsewhere; were the attempt still in flight, the request could run twice.
+// The process is about to exit with an attempt in flight. The client receives an answer and retries
+// elsewhere. If the attempt were still in flight then, the request could run twice.
 #[test]
-fn shutdown_end_cancels_attempt_with_its_answer() {
-    // Shutdown was requested 3 s ago; 0.45 s later each open request is answered, however long its
-    // client would wait.
+fn shutdown_end_cancels_attempt_and_answers_request() {
+    // Shutdown was requested 3 s ago. Each open request is answered 0.45 s later, regardless of how
+    // long its client would wait.
     let mut fixture =
         Fixture::after_events(NON_IDEMPOTENT, vec![Event::ShutdownRequested], ms(3_000));
     assert!(fixture.permit.try_acquire(fixture.now).is_ok());
     let early = fixture.turn(400, vec![]);
     assert!(
         !closed(&early, fixture.connection),
-        "it may be answered yet"
+        "the attempt may still be answered"
     );
     let effects = fixture.turn(60, vec![]);
     let failed = |e: &Effect| {
@@ -354,14 +357,18 @@
             }
         )
     };
-    assert!(effects.iter().any(failed), "it may have run: {effects:?}");
+    assert!(
+        effects.iter().any(failed),
+        "the request may have run: {effects:?}"
+    );
     assert!(
         closed(&effects, fixture.connection),
-        "it is not out any more when its client asks elsewhere"
+        "the attempt is no longer in flight when the client retries elsewhere"
     );
 }
 
-// Guards against two copies of a write at a time: its client may retry as soon as it has the answer.
+// Guards against two copies of a write running at the same time: the client may retry as soon as it
+// has its answer.
 #[test]
 fn shutdown_end_closes_connection_before_the_answer() {
     let mut fixture =
@@ -378,7 +385,8 @@
     assert!(closed_at < answered_at, "{effects:?}");
 }
 
-// Guards against a time-out, after which a client may not retry, for a request whose attempt was never written.
+// Guards against answering with a timeout, after which a client may not retry, a request whose
+// attempt was never written.
 #[test]
 fn shutdown_end_rejects_request_that_never_ran() {
     let mut fixture =
@@ -390,12 +398,12 @@
     );
     assert!(
         fixture.permit.try_acquire(fixture.now).is_err(),
-        "nothing of it is written any more"
+        "the attempt must not begin any more"
     );
 }
 
-// A request may wait for the reducer while an earlier turn runs. Were its deadline counted from the
-// turn, the endpoint would receive a deadline later than its client's own.
+// A request may wait for the reducer while an earlier turn runs. If its deadline were counted from
+// its own turn, the endpoint would receive a deadline later than the client's.
 #[test]
 fn wait_before_reducer_shortens_deadline() {
     let (prompt, late) = (
@@ -412,9 +420,10 @@
     })
 }
 
-// An attempt is still being dialled as the client's time ends, so the request never ran. In time, that is said.
+// The connection for an attempt is still being established when the client's time ends, so the
+// request never ran and is rejected.
 #[test]
-fn turn_at_the_deadline_rejects_request_that_never_ran() {
+fn turn_at_deadline_rejects_request_that_never_ran() {
     let mut fixture = Fixture::new(NON_IDEMPOTENT);
     let mut answered = None;
     for _ in 0..2_100 {
@@ -426,10 +435,11 @@
     );
 }
 
-// The same on a machine so busy that the turn comes late, when the core's own timer is due as well. It fires before the
-// decision module is asked, and fails the request as one that may have run.
+// As above, but on a machine so busy that the turn runs late, when the reducer's timer for overdue
+// requests is due as well. That timer fires before the policy is stepped; the test guards against
+// it failing the request as one that may have run.
 #[test]
-fn late_turn_after_the_deadline_rejects_request_that_never_ran() {
+fn late_turn_after_deadline_rejects_request_that_never_ran() {
     let mut fixture = Fixture::new(NON_IDEMPOTENT);
     let answered = answer(fixture.turn(2_100, vec![]));
     assert!(
@@ -438,9 +448,9 @@
     );
 }
 
-// Guards against a rejection, after which a client may retry, for a request whose attempt was written.
+// Guards against rejecting, after which a client may retry, a request whose attempt was written.
 #[test]
-fn late_turn_after_the_deadline_fails_request_that_may_have_run() {
+fn late_turn_after_deadline_fails_request_that_may_have_run() {
     let mut fixture = Fixture::new(NON_IDEMPOTENT);
     assert!(fixture.permit.try_acquire(fixture.now).is_ok());
     let answered = answer(fixture.turn(2_100, vec![]));
--- a/crates/core/tests/cluster_clock.rs
+++ b/crates/core/tests/cluster_clock.rs
@@ -1,5 +1,5 @@
-//! The offset between the cluster's clock and this process's is corrected by what endpoints report,
-//! and by nothing else.
+//! Correction of the offset between the cluster's clock and this process's clock, which depends
+//! only on times reported by endpoints.
 
 use rstest::rstest;
 use valehatch_core::cluster_clock::{ClockSample, ClusterClock};
@@ -13,7 +13,8 @@
     Span::from_millis(n).0
 }
 
-/// Observations of a kind, each `age_ms` old when it is sent, over exchanges of 4 ms.
+/// Feeds the clock observations of one kind. Each reported time is `age_ms` old when it is sent,
+/// and each exchange takes 4 ms.
 fn observe(clock: &mut ClusterClock, sample: ClockSample, age_ms: i64, times: i64) {
     for n in 0..times {
         let requested_at = Time(ms(1_000 + 400 * n));
@@ -41,7 +42,8 @@
     );
 }
 
-// A report may be some time old. Data must never count as newer than it is by more than that age.
+// A load report may be some time old. Data must never count as newer than it is by more than that
+// age.
 #[rstest]
 fn primary_reports_correct_errors_beyond_their_age(
     #[values(-HOUR, -2_000_000, 2_000_000, HOUR)] error: i64,
@@ -74,7 +76,7 @@
     assert!(clock.is_verified());
 }
 
-// One endpoint reports a corrupt time. No other observation agrees with it, so nothing changes.
+// An endpoint reports a corrupt time. No other observation agrees with it, so the offset is kept.
 #[rstest]
 fn single_corrupt_time_changes_nothing(
     #[values(-HOUR, HOUR, i64::MIN / 2, i64::MAX / 2)] error: i64,
@@ -90,8 +92,8 @@
     assert_eq!((moved, clock.offset()), (None, TRUE_OFFSET));
 }
 
-// A replica may lag by any time. Its position can show that this clock is behind, never that it is
-// ahead.
+// A replica may lag by any amount. Its position can show that this clock is behind, but never that
+// this clock is ahead.
 #[test]
 fn lagging_replica_does_not_set_clock_back() {
     let mut clock = ClusterClock::new(TRUE_OFFSET);
@@ -103,10 +105,10 @@
     assert!(clock.offset() > TRUE_OFFSET - ms(110));
 }
 
-// The position of a group without a primary stands still. Its old primary still reports it, and it
-// must not count as the present.
+// The position of a group without a primary does not advance. The old primary still reports it, and
+// it must not be taken for the current time.
 #[rstest]
-#[case::after_a_healthy_time(true)]
+#[case::after_healthy_period(true)]
 #[case::from_the_start(false)]
 fn stalled_primary_does_not_set_clock_back(#[case] healthy_before: bool) {
     let mut clock = ClusterClock::new(TRUE_OFFSET);
--- a/crates/core/tests/permission.rs
+++ b/crates/core/tests/permission.rs
@@ -1,4 +1,4 @@
-//! The permission checks: each reason for a denial alone, and the boundary beside it.
+//! Permission checks: each reason for a denial on its own, and values just inside the limits.
 
 use rstest::rstest;
 use valehatch_core::permission::{
@@ -30,10 +30,10 @@
 #[rstest]
 #[case::allowed(|_: &mut SendCheck| {}, Ok(()))]
 #[case::streaming(|s: &mut SendCheck| s.response_started = true, Err(Denial::ResponseStarted))]
-#[case::attempt_out(|s: &mut SendCheck| s.attempts_in_flight = 1, Err(Denial::AttemptInFlight))]
-#[case::attempts_spent(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsExhausted))]
-#[case::deadline_over(|s: &mut SendCheck| s.deadline = s.now, Err(Denial::DeadlineExceeded))]
-#[case::endpoint_drains(|s: &mut SendCheck| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
+#[case::attempt_in_flight(|s: &mut SendCheck| s.attempts_in_flight = 1, Err(Denial::AttemptInFlight))]
+#[case::attempts_exhausted(|s: &mut SendCheck| s.attempts = 6, Err(Denial::AttemptsExhausted))]
+#[case::deadline_exceeded(|s: &mut SendCheck| s.deadline = s.now, Err(Denial::DeadlineExceeded))]
+#[case::endpoint_not_ready(|s: &mut SendCheck| s.endpoint_is_ready = false, Err(Denial::EndpointNotReady))]
 #[case::may_have_run(|s: &mut SendCheck| s.may_have_run_since = Some(Time(1)), Err(Denial::RetryForbidden))]
 fn send_check_denies_by_reason(
     #[case] change: fn(&mut SendCheck),
@@ -67,7 +67,7 @@
     assert_eq!(
         may_retry(idempotency, None, first + Span(after)),
         Ok(()),
-        "it never ran"
+        "a request that never ran may be retried"
     );
 }
 
@@ -141,7 +141,7 @@
         (decisions.violations(), text.lines().count()),
         (1, 2 * Denial::ALL.len() + 2)
     );
-    // The counters are indexed by the reason's number.
+    // The counters are indexed by the discriminant of the reason.
     for (index, denial) in Denial::ALL.iter().enumerate() {
         assert_eq!(*denial as usize, index);
     }
--- a/crates/core/tests/shutdown.rs
+++ b/crates/core/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The transitions of a shutdown, each alone, and what they mean for new requests.
+//! State transitions of a shutdown, and the process stage in each phase.
 
 use rstest::rstest;
 use valehatch_core::permission::ProcessStage;
@@ -21,7 +21,7 @@
 #[case::handoff(ShutdownEvent::HandoffStarted, shutting_down(Handoff, Draining))]
 #[case::close_clients(ShutdownEvent::CloseClients, ShutdownState::Serving)]
 #[case::reject_requests(ShutdownEvent::RejectRequests, ShutdownState::Serving)]
-fn serving_process_begins_to_drain_for_a_cause_only(
+fn serving_state_starts_to_drain_only_for_a_cause(
     #[case] event: ShutdownEvent,
     #[case] expected: ShutdownState,
 ) {
@@ -39,7 +39,7 @@
     ShutdownEvent::HandoffStarted,
     RequestedAndHandoff
 )]
-fn further_cause_is_added_and_the_phase_stays(
+fn further_cause_is_added_and_phase_is_kept(
     #[case] before: ShutdownCause,
     #[case] event: ShutdownEvent,
     #[case] expected: ShutdownCause,
@@ -54,16 +54,16 @@
 #[case::draining_closes(Draining, ShutdownEvent::CloseClients, Closing)]
 #[case::closing_closes(Closing, ShutdownEvent::CloseClients, Closing)]
 #[case::rejecting_closes(Rejecting, ShutdownEvent::CloseClients, RejectingAndClosing)]
-#[case::both_closes(RejectingAndClosing, ShutdownEvent::CloseClients, RejectingAndClosing)]
+#[case::rejecting_and_closing_closes(RejectingAndClosing, ShutdownEvent::CloseClients, RejectingAndClosing)]
 #[case::draining_rejects(Draining, ShutdownEvent::RejectRequests, Rejecting)]
 #[case::closing_rejects(Closing, ShutdownEvent::RejectRequests, RejectingAndClosing)]
 #[case::rejecting_rejects(Rejecting, ShutdownEvent::RejectRequests, Rejecting)]
-#[case::both_rejects(
+#[case::rejecting_and_closing_rejects(
     RejectingAndClosing,
     ShutdownEvent::RejectRequests,
     RejectingAndClosing
 )]
-fn phase_advances_and_the_cause_stays(
+fn step_advances_phase_and_keeps_cause(
     #[case] before: ShutdownPhase,
     #[case] event: ShutdownEvent,
     #[case] expected: ShutdownPhase,
@@ -79,7 +79,7 @@
 #[case::closing(Closing, ProcessStage::Closing)]
 #[case::rejecting(Rejecting, ProcessStage::Stopping)]
 #[case::rejecting_and_closing(RejectingAndClosing, ProcessStage::Stopping)]
-fn phase_decides_the_process_stage(#[case] phase: ShutdownPhase, #[case] expected: ProcessStage) {
+fn phase_determines_process_stage(#[case] phase: ShutdownPhase, #[case] expected: ProcessStage) {
     for cause in CAUSES {
         assert_eq!(shutting_down(cause, phase).process_stage(), expected);
     }
--- a/crates/core/tests/shutdown_schedule.rs
+++ b/crates/core/tests/shutdown_schedule.rs
@@ -1,4 +1,4 @@
-//! When each step of a shutdown happens, at the reducer.
+//! Times at which the reducer takes each step of a shutdown.
 
 mod support;
 
@@ -13,7 +13,7 @@
 const START: Time = Time(100_000_000);
 const CLIENT: ClientId = ClientId(1);
 
-/// A reducer with one client that stays connected and sends nothing.
+/// A reducer with one client, which stays connected.
 struct Fixture {
     state: State,
     elapsed_ms: i64,
@@ -38,7 +38,8 @@
         effects
     }
 
-    /// Takes a turn each millisecond until a step happens; the milliseconds since the start.
+    /// Runs a turn every millisecond until an effect matches `step`. Returns the milliseconds since
+    /// the start, or `None` if no effect matches within 5 s of the start.
     fn wait_for(&mut self, step: fn(&Effect) -> bool) -> Option<i64> {
         while self.elapsed_ms < 5_000 {
             let effects = self.turn(vec![]);
@@ -50,7 +51,7 @@
         None
     }
 
-    /// The Retry-After of a request that comes in now; `None` if it is accepted.
+    /// Sends a request. Returns its Retry-After, or `None` if it is accepted.
     fn retry_after(&mut self) -> Option<Span> {
         let memory = Arc::new(AtomicUsize::new(0));
         let received = START + ms(self.elapsed_ms);
@@ -95,8 +96,8 @@
     assert_eq!(fixture.wait_for(exits), Some(3_600));
 }
 
-// Where every deadline is short, open requests get their final answer before client connections
-// would begin to close. Connections then close all at once, and none earlier.
+// If the deadlines of all classes are short, open requests receive their final answer before client
+// connections begin to close. All client connections then close at the same time, and none earlier.
 #[test]
 fn short_deadlines_reject_requests_before_closing_clients() {
     let mut fixture = Fixture::new(ms(1_000), vec![Event::ShutdownRequested]);
@@ -119,15 +120,16 @@
     assert!(effects.iter().any(exits));
 }
 
-// A request that comes in late in a shutdown could be cut off. After a handoff the other process
-// takes it at once, so it is rejected earlier and with the shortest Retry-After.
+// A request that arrives late in a shutdown could be cut off, so it is rejected. After a handoff
+// the other process accepts requests immediately, so they are rejected earlier and with the
+// shortest Retry-After.
 #[rstest]
-#[case::request_before_the_end(vec![Event::ShutdownRequested], 3_449, None)]
-#[case::request_at_the_end(vec![Event::ShutdownRequested], 3_450, Some(ms(125)))]
-#[case::handoff_before_its_lead(vec![Event::ShutdownRequested, Event::HandoffStarted], 3_199, None)]
-#[case::handoff_at_its_lead(vec![Event::ShutdownRequested, Event::HandoffStarted], 3_200, Some(ms(1)))]
+#[case::before_requests_are_failed(vec![Event::ShutdownRequested], 3_449, None)]
+#[case::when_requests_are_failed(vec![Event::ShutdownRequested], 3_450, Some(ms(125)))]
+#[case::handoff_before_reject_lead(vec![Event::ShutdownRequested, Event::HandoffStarted], 3_199, None)]
+#[case::handoff_at_reject_lead(vec![Event::ShutdownRequested, Event::HandoffStarted], 3_200, Some(ms(1)))]
 #[case::handoff_alone(vec![Event::HandoffStarted], 3_600, None)]
-fn late_request_is_rejected_from_its_step_on(
+fn request_late_in_shutdown_is_rejected(
     #[case] events: Vec<Event>,
     #[case] at_ms: i64,
     #[case] expected: Option<Span>,
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, configuration and requests that the tests of the reducer share.
+//! Settings, configuration and requests shared by the tests of the reducer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -10,7 +10,7 @@
     Rules, SessionTracking, Settings, Span, StaleReadPolicy, Time, ZoneId,
 };
 
-/// The class that must not run twice; class 0 has an idempotency key.
+/// Index of the non-idempotent class; class 0 uses an idempotency key.
 pub(crate) const NON_IDEMPOTENT: usize = 1;
 
 pub(crate) fn ms(n: i64) -> Span {
@@ -65,7 +65,7 @@
     }
 }
 
-/// A core without admission queue and observability.
+/// A configuration without admission queue, observability and metrics.
 pub(crate) fn config(longest_deadline: Span) -> CoreConfig {
     CoreConfig {
         admission: None,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A request of a class that was read at a time.
+/// A request of `class` whose last byte was read at `received`.
 pub(crate) fn incoming_request(
     memory: &Arc<AtomicUsize>,
     class: usize,
