--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -248,7 +248,10 @@
         self.shutdown = self.shutdown.after(ShutdownEvent::Requested);
         let classes = &self.config.settings.classes;
         let longest = classes.iter().map(|class| class.deadline).max();
-        let kill_after = longest.unwrap_or(MAX_CLASS_DEADLINE).min(MAX_CLASS_DEADLINE) + KILL_GRACE;
+        let kill_after = longest
+            .unwrap_or(MAX_CLASS_DEADLINE)
+            .min(MAX_CLASS_DEADLINE)
+            + KILL_GRACE;
         let close_after = Span(kill_after.0 / 10 * SERVE_TENTHS).max(ACCEPT_AFTER_REQUEST);
         let fail_after = kill_after - FAIL_REQUESTS_LEAD;
         self.set_timer(now + ACCEPT_AFTER_REQUEST, Timer::StopListening);
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -137,7 +137,8 @@
             vec![list, Event::ClientConnected(ClientId(1)), received],
             &mut effects,
         );
-        let (connection, permit) = submitted(&effects).expect("the attempt is sent to the primary immediately");
+        let (connection, permit) =
+            submitted(&effects).expect("the attempt is sent to the primary immediately");
         Self {
             state,
             now,
@@ -265,7 +266,8 @@
             fixture.permit.try_acquire(fixture.now).is_err(),
             "{state:?}: the attempt must not begin there any more"
         );
-        let (connection, _) = submitted(&effects).expect("the other endpoint receives it immediately");
+        let (connection, _) =
+            submitted(&effects).expect("the other endpoint receives it immediately");
         assert_ne!(connection, fixture.connection);
     }
 }
--- a/crates/core/tests/shutdown.rs
+++ b/crates/core/tests/shutdown.rs
@@ -54,7 +54,11 @@
 #[case::draining_closes(Draining, ShutdownEvent::CloseClients, Closing)]
 #[case::closing_closes(Closing, ShutdownEvent::CloseClients, Closing)]
 #[case::rejecting_closes(Rejecting, ShutdownEvent::CloseClients, RejectingAndClosing)]
-#[case::rejecting_and_closing_closes(RejectingAndClosing, ShutdownEvent::CloseClients, RejectingAndClosing)]
+#[case::rejecting_and_closing_closes(
+    RejectingAndClosing,
+    ShutdownEvent::CloseClients,
+    RejectingAndClosing
+)]
 #[case::draining_rejects(Draining, ShutdownEvent::RejectRequests, Rejecting)]
 #[case::closing_rejects(Closing, ShutdownEvent::RejectRequests, RejectingAndClosing)]
 #[case::rejecting_rejects(Rejecting, ShutdownEvent::RejectRequests, Rejecting)]
