--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! How many attempts this router may have in flight at an endpoint: additive increase, additive
-//! decrease by latency.
+//! Limits how many attempts this router may have in flight at an endpoint: additive increase,
+//! additive decrease by latency.
 //!
 //! Inputs: the end of each attempt, the number of routers. State: `Endpoint::concurrency_limit`.
 //! Bounds: at least 1; it grows only while at least half of it is used. Units: attempts.
@@ -9,21 +9,22 @@
 use crate::ids::{ClassId, EndpointId};
 use crate::router::Router;
 
-/// Attempts that may be in flight at an endpoint before any response was measured.
+/// Limit of an endpoint before any response was measured.
 pub(crate) const INITIAL_LIMIT: f64 = 8.0;
-/// What a slow response or a rejection takes off the limit. A quick response adds one through the
-/// limit.
+/// Decrease of the limit for a slow response or a rejection. A quick response increases the limit
+/// by its reciprocal.
 const DECREASE: f64 = 0.7;
-/// The least that a growing number of routers leaves of a limit.
+/// Lower bound of a limit that is reduced because the number of routers grows.
 const MIN_AFTER_SCALING: f64 = 2.0;
 
 impl Endpoint {
-    /// Whether one more attempt fits, and `reserved` more after it.
+    /// Whether the limit has room for one more attempt and `reserved` further ones.
     pub(crate) fn has_capacity(&self, reserved: usize) -> bool {
         ((self.in_flight.len() + reserved) as f64) < self.concurrency_limit.max(1.0)
     }
 
-    /// Leaves this fraction, at most 1, of the limit: the rest is for routers that have started.
+    /// Reduces the limit to this fraction (at most 1) of its value; the rest is for routers that
+    /// have started.
     pub(crate) fn scale_concurrency_limit(&mut self, fraction: f64) {
         let scaled = (self.concurrency_limit * fraction).max(MIN_AFTER_SCALING);
         self.concurrency_limit = self.concurrency_limit.min(scaled);
@@ -53,8 +54,9 @@
         }
     }
 
-    /// Whether an attempt of this class may be sent to an endpoint now: it is ready, has capacity
-    /// for it and `reserved` more, and its slow-start budget allows it. Uses that budget.
+    /// Whether an attempt of this class may be sent to an endpoint now: the endpoint is ready, has
+    /// capacity for the attempt and `reserved` more, and its slow-start budget allows the attempt.
+    /// Consumes that budget.
     pub(crate) fn try_acquire(&mut self, id: EndpointId, class: ClassId, reserved: usize) -> bool {
         let admits = self
             .endpoints
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Takes in the endpoint list, and polls it where that is needed.
+//! Applies the endpoint list, and polls it in deployments that do not push changes.
 //!
 //! Inputs: [`crate::PolicyEvent::EndpointList`], [`crate::PolicyEvent::DiscoveryFailed`]. State:
 //! all endpoints, those of each group, and [`ListPolling`]. Bounds: an endpoint that left the list
@@ -16,10 +16,11 @@
 
 /// The first backoff after a failed poll is this fraction of the longest poll interval ...
 const FIRST_BACKOFF_DIVISOR: i64 = 16;
-/// ... and the longest one this fraction, so that a few failures still leave the list up to date.
+/// ... and the longest backoff is this fraction, so that the list stays up to date despite a few
+/// failures.
 const MAX_BACKOFF_DIVISOR: i64 = 2;
 
-/// When the list is polled next.
+/// Schedule of the polls of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct ListPolling {
     next_poll_at: Option<Time>,
@@ -27,7 +28,7 @@
 }
 
 impl ListPolling {
-    /// Polls at once, if the list has to be polled.
+    /// Starts with an immediate poll if the discovery mode is polling.
     pub(crate) fn new(settings: &Settings) -> Self {
         let polls = settings.discovery_mode == DiscoveryMode::Poll;
         Self {
@@ -81,8 +82,8 @@
             .endpoints
             .entry(entry.endpoint)
             .or_insert_with(|| Endpoint::new(entry));
-        // A restarted process has none of the requests that were sent before: that they stay
-        // unanswered proves nothing.
+        // A restarted process has lost the requests that were sent before, so the missing answers
+        // to these prove nothing.
         if endpoint.started != entry.started {
             endpoint.outlier = OutlierState::default();
             endpoint.unanswered_since = None;
@@ -103,7 +104,7 @@
             .insert(entry.endpoint);
     }
 
-    /// Sends an endpoint nothing more.
+    /// Stops sending requests to an endpoint, unless its removal from the list is only advisory.
     fn stop_using(&mut self, id: EndpointId, state: EndpointState) {
         let removal_is_advisory = self.settings.rules.removal_is_advisory;
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
@@ -116,7 +117,7 @@
             return;
         }
         endpoint.state = state;
-        self.lose_primary(id);
+        self.rule_out_primary(id);
         self.drop_if_removed(id);
     }
 
@@ -138,12 +139,13 @@
         }
     }
 
-    /// Polls again after a backoff with jitter.
+    /// Schedules the next poll after a backoff with jitter.
     pub(crate) fn on_discovery_failed(&mut self) {
         if self.settings.discovery_mode != DiscoveryMode::Poll {
             return;
         }
-        // Routers that failed together must not poll together: a random factor from 0.5 to 1.
+        // Routers whose polls failed together must not poll together again: a random factor from
+        // 0.5 to 1 spreads them.
         let jitter = 0.5 + self.random() * 0.5;
         let longest = self.settings.rules.max_poll_interval / MAX_BACKOFF_DIVISOR;
         let polling = &mut self.list_polling;
@@ -151,7 +153,7 @@
         polling.backoff = (polling.backoff * 2).min(longest);
     }
 
-    /// Polls the list if that is due.
+    /// Polls the list if a poll is due.
     pub(crate) fn run_list_polling(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         if self.list_polling.next_poll_at.is_some_and(|at| at <= now) {
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -10,7 +10,7 @@
     /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new may be sent to it.
+    /// Finishes its open requests; no new ones may be sent to it.
     Draining,
     /// No longer on the list.
     Removed,
@@ -19,57 +19,59 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// The endpoint.
+    /// Id of the endpoint; it stays the same when the process restarts.
     pub endpoint: EndpointId,
-    /// Its replication group.
+    /// Replication group that the endpoint belongs to.
     pub group: GroupId,
-    /// Its zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// Machine type of the endpoint.
     pub kind: KindId,
-    /// Its capacity compared with other endpoints', as registered; not above 0 counts as 1.
+    /// Capacity relative to other endpoints, as registered; a value that is not above 0 counts as
+    /// 1.
     pub weight: f64,
-    /// When its process started; `None`: so long ago that it no longer matters.
+    /// When the endpoint's process started; `None` if that is so long ago that it no longer
+    /// matters.
     pub started: Option<Time>,
-    /// Whether it is listed as its group's primary.
+    /// Whether the list names the endpoint as its group's primary.
     pub primary: bool,
-    /// Its state.
+    /// Whether the endpoint accepts requests, is draining or has been removed.
     pub state: EndpointState,
 }
 
-/// A role that an endpoint reports of itself.
+/// Role that an endpoint reports for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The group's primary.
+    /// The endpoint is its group's primary.
     Primary,
-    /// A replica.
+    /// The endpoint is a replica.
     Replica,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Ok,
     /// The endpoint answered with an error; the request may have had an effect.
     Error,
-    /// The endpoint rejected it without executing any of it.
+    /// The endpoint rejected the request without executing any of it.
     Rejected,
-    /// No response in time; it may still be running.
+    /// No response arrived in time; the request may still be running.
     Timeout,
     /// No connection could be established; nothing ran.
     ConnectFailed,
-    /// This machine could not open a connection: nothing was sent, and nothing is known of the
-    /// endpoint.
+    /// This machine could not open a connection: nothing was sent, and the failure says nothing
+    /// about the endpoint.
     LocalFailure,
     /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled by this router; the request may have run.
+    /// This router cancelled the attempt; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The request was not sent.
     NotSent,
-    /// The endpoint rejected it without executing any of it, because it is not the primary or its
-    /// data is too old.
+    /// The endpoint rejected the request without executing any of it, because the endpoint is not
+    /// the primary or its data is too old.
     Misdirected,
 }
 
@@ -97,35 +99,36 @@
     }
 }
 
-/// Load report of an endpoint, as of some time before it arrived.
+/// Load report of an endpoint. It describes the endpoint at some time before the report arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct LoadReport {
     /// Replication position: every commit up to this time has been applied.
     pub position: Option<Time>,
     /// Whether the endpoint was the primary.
     pub primary: Option<bool>,
-    /// Fraction of its cores in use, from 0 to 1.
+    /// Fraction of the endpoint's cores in use, from 0 to 1.
     pub busy: Option<f64>,
 }
 
-/// A new request.
+/// A new request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id that the embedder assigned to the request.
     pub id: RequestId,
-    /// Its session, if it has one.
+    /// Session of the request; `None` if it belongs to none.
     pub session: Option<SessionKey>,
     /// How long the client still waits for the final answer.
     pub time_left: Span,
-    /// The replication group it is for.
+    /// Replication group that the request is addressed to.
     pub group: GroupId,
-    /// Its class. A request of an unknown class is ignored.
+    /// Class of the request. A request of an unknown class is ignored.
     pub class: ClassId,
-    /// Its tenant, if there are tenants.
+    /// Tenant of the request; `None` without tenants.
     pub tenant: Option<TenantId>,
-    /// Estimated work, if known.
+    /// Estimated execution time, if known.
     pub work: Option<Span>,
-    /// Whether it is a client's retry, where clients mark those.
+    /// Whether the client marked the request as a retry; always `false` where clients do not mark
+    /// retries.
     pub is_client_retry: bool,
     /// Time since the session's last write, if the client sent it.
     pub since_last_write: Option<Span>,
@@ -134,65 +137,66 @@
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// The endpoint it was sent to.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether the request has its final answer, by this attempt or before it.
+    /// Whether the request has its final answer, from this attempt or an earlier one.
     pub request_ended: bool,
     /// How long the attempt took.
     pub latency: Span,
-    /// The role that the endpoint reported.
+    /// Role that the endpoint reported with its answer, if any.
     pub role: Option<Role>,
-    /// The replication position that the endpoint reported; for a served write, its commit.
+    /// Replication position that the endpoint reported; for a served write, the position of its
+    /// commit.
     pub position: Option<Time>,
-    /// A load report, if one came with the response.
+    /// Load report, if one came with the response.
     pub report: Option<LoadReport>,
 }
 
 /// An input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyEvent {
-    /// The endpoint list, complete or changes only.
+    /// The endpoint list was received, either complete or as changes.
     EndpointList {
         /// Whether endpoints without an entry have been removed.
         complete: bool,
-        /// The entries.
+        /// New and changed entries; all entries if the list is complete.
         entries: Vec<EndpointRecord>,
     },
     /// A poll of the endpoint list failed, or the watch broke.
     DiscoveryFailed,
-    /// A new request.
+    /// A client sent a new request.
     Request(Request),
-    /// The response of an attempt has begun; the request is bound to this attempt.
+    /// The response of an attempt has begun; no other attempt may answer the request from now on.
     ResponseStarted(RequestId),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client disconnected; it gets no final answer.
     ClientDisconnected(RequestId),
-    /// The number of routers that share the endpoints, at least 1 (0 counts as 1). If it grew, this
-    /// router reduces its concurrency limits (never below two attempts at an endpoint) and its
-    /// estimate of its own part of the traffic in proportion. If it shrank, both grow again with
-    /// the responses.
+    /// The number of routers that share the endpoints changed; 0 counts as 1. If the number grew,
+    /// this router reduces its concurrency limits (never below two attempts at an endpoint) and its
+    /// estimate of its own share of the traffic in proportion. If the number shrank, both grow
+    /// again as responses arrive.
     RouterCount(u32),
     /// The cluster's clock was corrected: times that arrived before (positions, commits, starts of
-    /// endpoints) move by this much, back if negative.
+    /// endpoints) move by this much, backwards if negative.
     ClockCorrected(Span),
     /// A timer expired; the number is the token of [`Action::SetTimer`].
     Timer(u64),
     /// A health check ended.
     HealthCheckEnded {
-        /// The endpoint.
+        /// Endpoint that was checked.
         endpoint: EndpointId,
         /// How the check ended.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the check took.
         latency: Span,
-        /// The load report, if one came.
+        /// Load report, if one came with the answer.
         report: Option<LoadReport>,
     },
 }
@@ -200,17 +204,18 @@
 /// Why a request gets no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GiveUpReason {
-    /// Its deadline has passed.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// It was shed on arrival, because responses have taken too much of their latency objective.
+    /// The request was shed on arrival, because responses have taken too much of their latency
+    /// objective.
     Overloaded,
-    /// Half of its time has passed without a first attempt.
+    /// About half of the request's time has passed without a first attempt.
     NeverSent,
     /// A response would come too late to count.
     TooLate,
-    /// It has had the maximum number of attempts.
+    /// The request has had the maximum number of attempts.
     AttemptsExhausted,
-    /// It may have run, and a retry would no longer be deduplicated.
+    /// The request may have run, and a retry would not be deduplicated any more.
     RetryWindowClosed,
 }
 
@@ -219,51 +224,52 @@
 pub enum Action {
     /// Start the request's next attempt.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The endpoint.
+        /// Endpoint to send the request to.
         endpoint: EndpointId,
-        /// Timeout of the attempt; `None`: the client's deadline.
+        /// Timeout of the attempt; `None` means the client's deadline.
         timeout: Option<Span>,
         /// No byte of the request may be written after this moment, however long the connection
-        /// takes to establish; `None`: no limit within the timeout.
+        /// takes to establish; `None` means no limit within the timeout.
         send_before: Option<Time>,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: not served, and safe to retry.
+    /// Final answer: the request was not served and is safe to retry.
     Reject {
-        /// The request.
+        /// Request that is answered.
         request: RequestId,
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it retries; `None` if the deployment sends no
+        /// Retry-After.
         retry_after: Option<Span>,
         /// Why the request is given up.
         why: GiveUpReason,
     },
-    /// Final answer: not known to be served, and the request may have run.
+    /// Final answer: the request is not known to be served and may have run.
     Fail {
-        /// The request.
+        /// Request that is answered.
         request: RequestId,
         /// Why the request is given up.
         why: GiveUpReason,
     },
     /// Send a health check.
     HealthCheck {
-        /// The endpoint.
+        /// Endpoint to check.
         endpoint: EndpointId,
     },
     /// Poll the endpoint list.
     RefreshEndpointList,
-    /// Set a timer; [`PolicyEvent::Timer`] reports that it expired.
+    /// Set a timer; [`PolicyEvent::Timer`] reports that it has expired.
     SetTimer {
-        /// When it expires.
+        /// When the timer expires.
         at: Time,
-        /// Returned with the event.
+        /// Token that the event returns.
         token: u64,
     },
 }
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -1,8 +1,8 @@
-//! What one router knows of one replication group: a primary and its replicas.
+//! State that one router keeps of one replication group: a primary and its replicas.
 //!
-//! Inputs: none of its own; the module that owns a concern updates its part. State: [`Group`], one
-//! for each group that has endpoints or waiting requests. Bounds: `endpoints` by the endpoint list,
-//! `waiting` by the open requests. Units: microseconds.
+//! Inputs: none; the module that owns a concern updates its part of the state. State: [`Group`],
+//! one for each group that has endpoints or waiting requests. Bounds: the endpoint list bounds
+//! `endpoints`, the open requests bound `waiting`. Units: microseconds.
 
 use std::collections::BTreeSet;
 
@@ -12,16 +12,16 @@
 use crate::time::Time;
 use crate::view::PrimaryEvidence;
 
-/// What one router knows of one replication group.
+/// State that one router keeps of one replication group.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    /// The endpoint that is taken for the primary.
+    /// The endpoint that is assumed to be the primary.
     pub(crate) primary: Option<EndpointId>,
-    /// How it is known.
+    /// How the primary is known.
     pub(crate) primary_evidence: PrimaryEvidence,
     pub(crate) primary_since: Time,
-    /// How often another endpoint, or none, was taken for the primary.
+    /// Number of changes of `primary`, including those to `None`.
     pub(crate) primary_changes: u64,
     pub(crate) search: Option<PrimarySearch>,
     /// Requests without an attempt in flight.
@@ -30,7 +30,7 @@
 }
 
 impl Group {
-    /// Whether there is evidence for the primary: it does not just stand in.
+    /// Whether there is evidence for the primary; without it, the primary is only a guess.
     pub(crate) fn knows_primary(&self) -> bool {
         self.primary_evidence != PrimaryEvidence::Unknown
     }
@@ -40,7 +40,7 @@
         self.primary.filter(|_| self.knows_primary())
     }
 
-    /// Sets the primary; evidence for one ends the search.
+    /// Sets the primary. Evidence for a primary ends the search.
     pub(crate) fn set_primary(
         &mut self,
         primary: Option<EndpointId>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether nothing would be lost if it were forgotten.
+    /// Whether the group can be dropped: it has neither endpoints nor waiting requests.
     pub(crate) fn is_empty(&self) -> bool {
         self.endpoints.is_empty() && self.waiting.is_empty()
     }
--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: reads and writes that need an endpoint's role or position, ends of health checks, load
 //! reports. State: [`HealthCheckState`] of each endpoint, and [`ClockComparison`]. Bounds: one
-//! check in flight at an endpoint. Units: microseconds.
+//! check in flight for each endpoint. Units: microseconds.
 
 use crate::endpoint::{ReplicationLag, ReportedRole};
 use crate::events::{Action, EndpointState, LoadReport, Outcome, Role};
@@ -11,10 +11,10 @@
 use crate::time::{Span, Time};
 use crate::view::PrimaryEvidence;
 
-/// Reported positions of primaries from which no more are asked for to compare this machine's clock
-/// with them.
+/// Number of positions reported by primaries that suffice for a comparison with this machine's
+/// clock; no more are requested then.
 const CLOCK_COMPARISONS: u32 = 3;
-/// Interval between two health checks of one primary for that.
+/// Shortest interval between two health checks of a primary for the clock comparison.
 const CLOCK_CHECK_INTERVAL: Span = Span::from_millis(100);
 
 /// Health checks of one endpoint. At most one is in flight.
@@ -25,13 +25,13 @@
 }
 
 impl HealthCheckState {
-    /// Whether the last check was sent at least this long ago.
+    /// Whether the last check, if any, was sent at least `interval` ago.
     fn is_older_than(&self, interval: Span, now: Time) -> bool {
         self.last_sent_at.is_none_or(|at| now - at >= interval)
     }
 }
 
-/// Positions that primaries have reported since the start, by which clocks are compared.
+/// Number of positions that primaries have reported since the start. Clocks are compared by these.
 #[derive(Debug, Default)]
 pub(crate) struct ClockComparison {
     positions: u32,
@@ -49,7 +49,8 @@
 }
 
 impl Router {
-    /// Sends a health check, unless one is in flight or the deployment allows none.
+    /// Sends a health check, unless one is in flight, the endpoint is not listed as ready, or the
+    /// deployment allows no health checks.
     pub(crate) fn start_health_check(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Checks a replica that a read could use, unless a new report can hardly be newer than the
-    /// last one.
+    /// Sends a health check to a replica that a read could use, unless a new report can hardly be
+    /// newer than the last one.
     pub(crate) fn check_freshness(
         &mut self,
         id: EndpointId,
@@ -78,8 +79,8 @@
         };
         let lag = endpoint.lag.span;
         let report_would_suffice = self.now - lag >= required_position;
-        // A report is as old as its refresh interval makes it, so a check sooner than half of the
-        // lag shows nothing new.
+        // Reports are refreshed at intervals, so a check sooner than half of the lag after the last
+        // one shows nothing new.
         let interval = if report_would_suffice {
             lag / 2
         } else {
@@ -91,9 +92,9 @@
         }
     }
 
-    /// Checks a primary until enough positions of primaries are known. A primary's data is never
-    /// behind, so its position shows whether this machine's clock is right. The interval keeps
-    /// checks that fail at once from following each other within one moment.
+    /// Sends health checks to a primary until enough positions of primaries are known. A primary's
+    /// data is never behind, so its position shows whether this machine's clock is right. The
+    /// interval prevents checks that fail at once from following each other within one moment.
     pub(crate) fn check_clock(&mut self, primary: EndpointId, actions: &mut Vec<Action>) {
         if self.clock_comparison.is_complete() {
             return;
@@ -108,7 +109,8 @@
         }
     }
 
-    /// A health check ended: a pass may readmit its endpoint, and no answer may eject it.
+    /// Handles the end of a health check: a pass may readmit the endpoint, and a missing answer may
+    /// eject it.
     pub(crate) fn on_health_check_ended(
         &mut self,
         id: EndpointId,
@@ -130,16 +132,17 @@
         }
         let unanswered = matches!(outcome, Outcome::ConnectFailed | Outcome::Timeout);
         if unanswered && endpoint.outlier.on_health_check_failed(self.now) {
-            self.lose_primary(id);
+            self.rule_out_primary(id);
         }
     }
 
-    /// Takes in the position and the role that an endpoint reported.
+    /// Records the position and the role that an endpoint reported.
     pub(crate) fn on_load_report(&mut self, id: EndpointId, report: &LoadReport) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        // A reported role is as old as the report's position at most.
+        // The reported role is at most as old as the report's position, which therefore dates the
+        // role.
         let Some(position) = report.position else {
             return;
         };
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,5 +1,4 @@
-//! Identifiers of what the decision module works on. The embedder assigns them; they carry no
-//! state.
+//! Identifiers that the decision module uses. The embedder assigns them; they carry no state.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -10,12 +9,12 @@
 }
 
 id!(
-    /// A client's request. An id is never used twice.
+    /// A client's request. Ids are never reused.
     RequestId,
     u64
 );
 id!(
-    /// An endpoint (a database server). It keeps its id when its process restarts.
+    /// An endpoint (a database server). The id stays the same when the endpoint's process restarts.
     EndpointId,
     u32
 );
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latency estimates, from how attempts and health checks ended.
+//! Latency estimates, updated from the ends of attempts and health checks.
 //!
 //! Inputs: the outcome and latency of each attempt, whether or not its request still waits, and of
 //! each health check. State: [`LatencyEstimates`] (mean and deviation of each class), and of each
@@ -14,26 +14,27 @@
 
 /// Weight of a new sample in a moving average: about the last ten samples count.
 pub(crate) const GAIN: f64 = 0.1;
-/// Weight of a new sample in an endpoint's excess latency: a router may get only two or three
-/// responses from one.
+/// Weight of a new sample in an endpoint's excess latency; larger than [`GAIN`], because a router
+/// may get only two or three responses from an endpoint.
 const EXCESS_GAIN: f64 = 0.3;
 /// Largest excess latency, as a multiple of the class's mean latency.
 pub(crate) const MAX_EXCESS: f64 = 9.0;
 /// Standard deviations above the mean latency after which an unanswered attempt marks its endpoint
 /// unresponsive.
 const UNRESPONSIVE_AFTER_DEVIATIONS: f64 = 9.0;
-/// A response that takes more than this fraction of its class's latency objective is slow: the rest
-/// is for queueing and retries.
+/// A response that takes more than this fraction of its class's latency objective is slow; the rest
+/// of the objective is for queueing and retries.
 pub(crate) const SLOW_FRACTION: f64 = 0.33;
-/// Shortest time constant of decaying values, for endpoints whose slow start is shorter.
+/// Shortest time constant of decaying values, for deployments whose slow start is shorter.
 pub(crate) const MIN_DECAY: Span = Span::from_millis(1000);
 
-/// `amount` after it has decayed exponentially for `elapsed`, with time constant `over`.
-pub(crate) fn decayed(amount: f64, elapsed: Span, over: Span) -> f64 {
-    amount * (-elapsed.as_f64() / over.max(MIN_DECAY).as_f64()).exp()
+/// `amount` after it has decayed exponentially for `elapsed`, with this time constant or
+/// [`MIN_DECAY`] if that is longer.
+pub(crate) fn decayed(amount: f64, elapsed: Span, time_constant: Span) -> f64 {
+    amount * (-elapsed.as_f64() / time_constant.max(MIN_DECAY).as_f64()).exp()
 }
 
-/// A value that decays exponentially since it was last set.
+/// A value that decays exponentially from the moment at which it was set.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingValue {
     pub(crate) value: f64,
@@ -41,8 +42,8 @@
 }
 
 impl DecayingValue {
-    pub(crate) fn at(&self, now: Time, over: Span) -> f64 {
-        decayed(self.value, now - self.set_at, over)
+    pub(crate) fn at(&self, now: Time, time_constant: Span) -> f64 {
+        decayed(self.value, now - self.set_at, time_constant)
     }
 }
 
@@ -55,8 +56,8 @@
 }
 
 impl LatencyEstimates {
-    /// Assumes a quarter of each latency objective, and one tick for health checks, until something
-    /// was measured.
+    /// Assumes a quarter of each latency objective, and one tick for health checks, until latencies
+    /// are measured.
     pub(crate) fn new(settings: &Settings) -> Self {
         let objectives = || {
             settings
@@ -83,7 +84,7 @@
         self.mean[class.0]
     }
 
-    /// Mean latency of a class.
+    /// Mean latency of a class; at least 1 microsecond.
     pub(crate) fn expected(&self, class: ClassId) -> Span {
         Span::from_micros(self.mean(class))
     }
@@ -93,9 +94,9 @@
         self.health_check
     }
 
-    /// How long an attempt may stay unanswered, among `in_flight` at its endpoint, before that
-    /// marks the endpoint unresponsive. It depends on the class: a long query that is cancelled for
-    /// its latency only runs twice.
+    /// How long an attempt of this class may stay unanswered before its endpoint, with `in_flight`
+    /// attempts in flight, counts as unresponsive. The time depends on the class: cancelling a long
+    /// query only because it takes long makes it run twice.
     pub(crate) fn unresponsive_after(&self, class: ClassId, in_flight: usize) -> Span {
         let deviations = UNRESPONSIVE_AFTER_DEVIATIONS / (in_flight.max(1) as f64).sqrt();
         Span::from_micros(self.mean[class.0] + deviations * self.deviation[class.0])
@@ -112,15 +113,15 @@
     }
 }
 
-/// Whether an attempt took long enough to count as slow. A timeout alone does not: the client's
-/// deadline may be short.
+/// Whether an attempt took long enough to count as slow. A timeout alone does not make an attempt
+/// slow, because the client's deadline may be short.
 fn is_slow(end: &AttemptEnd, class: &RequestClass) -> bool {
     end.latency > class.latency_objective.times(SLOW_FRACTION)
 }
 
 impl Router {
     /// Updates all estimates from the end of an attempt, whether or not its request still waits.
-    pub(crate) fn measure(&mut self, end: &AttemptEnd, sent: &SentAttempt) {
+    pub(crate) fn update_estimates(&mut self, end: &AttemptEnd, sent: &SentAttempt) {
         if !self.endpoints.contains_key(&end.endpoint) {
             return;
         }
@@ -166,9 +167,9 @@
         };
     }
 
-    /// Counts a response of an endpoint at full capacity, divided by the weight of all such
-    /// endpoints at that moment. With the weight of a later moment, an endpoint whose group has
-    /// shrunk would seem to have served far more.
+    /// Counts a response of an endpoint at full capacity, divided by the total weight of all such
+    /// endpoints at that moment. If the weight of a later moment were used, an endpoint whose group
+    /// has shrunk would seem to have served far more.
     fn count_warm_response(&mut self, id: EndpointId) {
         let is_warm = |endpoint: &&Endpoint| self.is_ready_and_warm(endpoint);
         if self.endpoints.get(&id).filter(is_warm).is_none() {
@@ -186,14 +187,14 @@
         };
     }
 
-    /// Recent responses of endpoints at full capacity, for a weight of 1.
+    /// Decaying count of responses from endpoints at full capacity, per unit of endpoint weight.
     pub(crate) fn warm_responses_now(&self) -> f64 {
         self.warm_responses
             .at(self.now, self.settings.rules.slow_start_duration)
     }
 
-    /// How much this router's own recent responses show of each endpoint: from 0 (nothing) to 1
-    /// (enough).
+    /// How well this router's own recent responses describe each endpoint, from 0 (not at all) to 1
+    /// (sufficiently).
     pub(crate) fn measurement_confidence(&self) -> f64 {
         (self.warm_responses_now() * GAIN).min(1.0)
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,28 +1,28 @@
 #![forbid(unsafe_code)]
-//! The decision module of a read/write splitter in front of replication groups of one primary and
-//! its replicas each: which endpoint a request is sent to, whether it is attempted again, and what
-//! is rejected.
+//! The decision module of a read/write splitter in front of replication groups, each with one
+//! primary and its replicas. It decides which endpoint a request is sent to, whether the request is
+//! retried, and which requests are rejected.
 //!
-//! [`Router`] is a state machine without I/O, clock or threads. An embedder hands it
-//! [`PolicyEvent`]s in batches, with the time of its clock, and carries out the [`Action`]s that
-//! come back, in their order. The same settings, seed and events give the same actions.
+//! [`Router`] is a state machine without I/O, clock or threads. An embedder passes it
+//! [`PolicyEvent`]s in batches, with the time of the embedder's clock, and carries out the returned
+//! [`Action`]s in order. The same settings, seed and events give the same actions.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `router` | the step: events in, actions out |
-//! | `endpoint_list` | takes in the endpoint list, and polls it |
+//! | `endpoint_list` | applies the endpoint list, and polls it |
 //! | `scheduling` | order of the waiting requests; when they are given up |
 //! | `load_shedding` | which new requests are rejected under overload |
-//! | `primary_search` | finds a group's primary; endpoint of a write |
-//! | `replica_selection` | endpoint of a read |
-//! | `sessions` | read-your-writes |
-//! | `concurrency_limit`, `slow_start` | how much an endpoint may be sent |
+//! | `primary_search` | finds a group's primary; selects the endpoint of a write |
+//! | `replica_selection` | selects the endpoint of a read |
+//! | `sessions` | read-your-writes consistency |
+//! | `concurrency_limit`, `slow_start` | limits on what an endpoint is sent |
 //! | `outlier_detection`, `health_checks` | which endpoints may be used; what load reports show |
-//! | `retry` | ends of attempts; until when a request may be attempted again |
+//! | `retry` | ends of attempts; until when a request may be retried |
 //! | `latency` | latency estimates |
-//! | `endpoint`, `group` | what is known of one endpoint and of one group |
-//! | `view` | the same, for observers |
-//! | `events`, `settings`, `ids`, `time` | vocabulary |
+//! | `endpoint`, `group` | state of one endpoint and of one group |
+//! | `view` | read-only view of the state, for observers |
+//! | `events`, `settings`, `ids`, `time` | inputs and outputs, settings, ids, and time types |
 //!
 //! ```
 //! use valehatch_policy::*;
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,9 +1,9 @@
 //! Load shedding: rejects part of the new requests while responses take too much of their latency
 //! objective.
 //!
-//! Many routers with few requests in flight each fill an endpoint's queue without seeing it. The
-//! time that responses take shows it, whatever the overload comes from. Requests with the least
-//! priority for their work are shed first.
+//! Many routers with few requests in flight each can fill an endpoint's queue without noticing it.
+//! Response times reveal the queue, whatever causes the overload. Requests with the lowest priority
+//! per work are shed first.
 //!
 //! Inputs: the latency of each attempt, and each new request. State: [`LatencyUtilization`] of each
 //! group, and [`LoadShedding`]. Bounds: at most [`MAX_SHED_PROBABILITY`] of the new requests are
@@ -16,22 +16,23 @@
 use crate::router::Router;
 use crate::settings::Consistency;
 
-/// Fraction of the latency objective that responses take on average above which some requests are
-/// shed.
+/// Mean fraction of the latency objective that responses take above which some requests are shed.
 const SHED_FROM: f64 = 0.4;
-/// The same above which nearly all are.
+/// Mean fraction of the latency objective that responses take above which nearly all requests are
+/// shed.
 const SHED_ALL_AT: f64 = 0.7;
-/// Weight of a new sample in that average; smaller than [`GAIN`], as a few slow responses must not
-/// shed anything.
+/// Weight of a new sample in the mean fraction; smaller than [`GAIN`], so that a few slow responses
+/// shed nothing.
 const UTILIZATION_GAIN: f64 = GAIN / 2.0;
-/// Largest fraction that a single attempt counts as.
+/// Largest fraction of the latency objective with which a single attempt counts.
 const MAX_UTILIZATION: f64 = 2.0;
-/// Largest probability with which a request is shed: those that remain show when the overload ends.
+/// Largest probability with which a request is shed; the requests that remain show when the
+/// overload ends.
 const MAX_SHED_PROBABILITY: f64 = 1.0 - GAIN;
-/// Stands in for a priority weight of 0, by which nothing could be divided.
+/// Lower bound of a priority weight, because the shed probability is divided by it.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-9;
 
-/// Moving averages of the fraction of their latency objective that a group's attempts take, by the
+/// Moving averages of the fraction of the latency objective that a group's attempts take, by the
 /// role of the endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyUtilization {
@@ -56,7 +57,7 @@
     }
 }
 
-/// What load shedding knows of the requests.
+/// Statistics of recent requests that load shedding uses.
 #[derive(Debug, Default)]
 pub(crate) struct LoadShedding {
     /// Moving average of the requests' priority weight per microsecond of expected latency.
@@ -74,7 +75,7 @@
 }
 
 impl Router {
-    /// Priority weight of a request of this class for each microsecond of its expected latency.
+    /// Priority weight of a request of this class per microsecond of its expected latency.
     pub(crate) fn priority_per_work(&self, class: ClassId) -> f64 {
         let weight = self.settings.class(class).priority_weight;
         weight.max(MIN_PRIORITY_WEIGHT) / self.latencies.mean(class)
@@ -100,31 +101,32 @@
             .map_or(0.0, |group| group.latency_utilization.get(role));
         self.load_shedding.add_request(priority);
         let overload = ((utilization - SHED_FROM) / (SHED_ALL_AT - SHED_FROM)).clamp(0.0, 1.0);
-        let over = self.unseen_load_fraction().powi(2) * overload;
-        let probability = over * (self.load_shedding.typical_priority / priority).powi(2);
+        let base_probability = self.unseen_load_fraction().powi(2) * overload;
+        let probability =
+            base_probability * (self.load_shedding.typical_priority / priority).powi(2);
         self.random() < probability.min(MAX_SHED_PROBABILITY)
     }
 
-    /// The fraction of the load that concurrency limits do not see: the fewer routers there are for
-    /// each endpoint, the more of its queue each of them sees.
+    /// Fraction of the load that concurrency limits do not see: the fewer routers there are for
+    /// each endpoint, the more of the endpoint's queue each router sees.
     fn unseen_load_fraction(&self) -> f64 {
         let routers = f64::from(self.settings.routers);
         routers / (routers + self.endpoints.len() as f64)
     }
 
-    /// Takes in what an attempt took of its latency objective. A rejection counts as
-    /// [`SHED_ALL_AT`] at least.
+    /// Updates the groups' averages with the fraction of its latency objective that an attempt
+    /// took. A rejection counts as at least [`SHED_ALL_AT`].
     pub(crate) fn update_latency_utilization(&mut self, end: &AttemptEnd, class: ClassId) {
         let Some(endpoint) = self.endpoints.get(&end.endpoint) else {
             return;
         };
-        let least = if end.outcome == Outcome::Rejected {
+        let min_sample = if end.outcome == Outcome::Rejected {
             SHED_ALL_AT
         } else {
             0.0
         };
         let objective = self.settings.class(class).latency_objective.as_f64();
-        let sample = (end.latency.as_f64() / objective.max(1.0)).clamp(least, MAX_UTILIZATION);
+        let sample = (end.latency.as_f64() / objective.max(1.0)).clamp(min_sample, MAX_UTILIZATION);
         let is_primary = self
             .groups
             .get(&endpoint.group)
@@ -134,13 +136,13 @@
         } else {
             Role::Replica
         };
-        // A group with few responses of its own goes by those of the others.
-        let gain_of_others = UTILIZATION_GAIN / (self.groups.len() as f64).sqrt();
+        // A group with few responses of its own relies on those of the other groups.
+        let other_groups_gain = UTILIZATION_GAIN / (self.groups.len() as f64).sqrt();
         for (id, group) in &mut self.groups {
             let gain = if *id == endpoint.group {
                 UTILIZATION_GAIN
             } else {
-                gain_of_others
+                other_groups_gain
             };
             group.latency_utilization.add_sample(role, sample, gain);
         }
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,11 +1,11 @@
-//! Outlier detection: whether an endpoint may be used, by this router's own evidence.
+//! Outlier detection: decides from this router's own evidence whether an endpoint may be used.
 //!
 //! - An endpoint that leaves an attempt unanswered for longer than responses ever take is ejected
-//!   as unresponsive. It gets a trial attempt now and then, and only an answer readmits it, because
-//!   a hung process passes health checks.
-//! - A failed health check ejects it as unreachable once there have been
-//!   [`FAILURES_BEFORE_EJECTION`] failures without an answer between them; health checks find out
-//!   when it is back. Failed attempts count, but alone they eject nothing.
+//!   as unresponsive. It gets a trial attempt from time to time, and only an answer readmits it,
+//!   because a hung process passes health checks.
+//! - A failed health check ejects an endpoint as unreachable after [`FAILURES_BEFORE_EJECTION`]
+//!   failures without an answer between them; further health checks show when the endpoint is back.
+//!   Failed attempts count as failures, but never eject an endpoint on their own.
 //!
 //! Inputs: ends of attempts and of health checks, time. State: [`OutlierState`] of each endpoint.
 //! Bounds: none of its own. Units: microseconds; failures are counted.
@@ -19,22 +19,24 @@
 use crate::settings::Idempotency;
 use crate::time::{Span, Time};
 
-/// Failures without an answer between them from which a failed health check ejects an endpoint.
-/// Attempts alone never eject: their connections may fail for reasons of this machine.
+/// Number of failures, without an answer between them, from which a failed health check ejects an
+/// endpoint. Failed attempts alone never eject, because their connections may fail for reasons of
+/// this machine.
 const FAILURES_BEFORE_EJECTION: u32 = 3;
-/// From an ejection, or the last attempt, to the next trial. The interval between health checks of
-/// an unreachable endpoint doubles from here.
+/// Time from an ejection, or from the last attempt, to the next trial. The interval between health
+/// checks of an unreachable endpoint starts with this value and doubles each time.
 const FIRST_TRIAL_AFTER: Span = Span::from_millis(500);
-/// Longest interval between two health checks of an unreachable endpoint: every router checks the
-/// same dead endpoint. An unresponsive one gets a trial attempt each [`FIRST_TRIAL_AFTER`].
+/// Longest interval between two health checks of an unreachable endpoint; it is long because every
+/// router checks the same dead endpoint. An unresponsive endpoint gets a trial attempt every
+/// [`FIRST_TRIAL_AFTER`].
 const MAX_TRIAL_INTERVAL: Span = Span::from_millis(4000);
 
 /// Why an endpoint is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionCause {
-    /// It leaves what is sent unanswered.
+    /// The endpoint does not answer attempts.
     Unresponsive,
-    /// Connections to it fail.
+    /// Connections to the endpoint fail.
     Unreachable,
 }
 
@@ -46,8 +48,9 @@
     ejected: Option<EjectionCause>,
     next_trial_at: Time,
     trial_interval: Span,
-    /// When it was last readmitted after it had been unreachable. Its process may have restarted
-    /// then, long before the endpoint list says so, and slow start begins anew.
+    /// When the endpoint was last readmitted after it had been unreachable. Its process may have
+    /// restarted in the meantime, long before the endpoint list shows that, so slow start begins
+    /// again.
     readmitted_at: Option<Time>,
 }
 
@@ -64,7 +67,7 @@
         self.readmitted_at
     }
 
-    /// Readmits the endpoint, and forgets its failures.
+    /// Readmits the endpoint and clears its failure count.
     pub(crate) fn readmit(&mut self, now: Time) {
         if self.ejected.take() == Some(EjectionCause::Unreachable) {
             self.readmitted_at = Some(now);
@@ -82,19 +85,20 @@
         self.next_trial_at = now + FIRST_TRIAL_AFTER;
     }
 
-    /// A connection failed or broke.
+    /// Counts an attempt whose connection failed or broke.
     pub(crate) fn on_attempt_failed(&mut self) {
         self.consecutive_failures += 1;
     }
 
-    /// A health check passed. It proves nothing of an unresponsive endpoint.
+    /// Readmits the endpoint after a health check passed, unless the endpoint is unresponsive: a
+    /// hung process passes health checks.
     pub(crate) fn on_health_check_passed(&mut self, now: Time) {
         if self.ejected != Some(EjectionCause::Unresponsive) {
             self.readmit(now);
         }
     }
 
-    /// A health check got no answer; returns whether that ejects the endpoint.
+    /// Counts a health check without an answer; returns whether it ejects the endpoint.
     pub(crate) fn on_health_check_failed(&mut self, now: Time) -> bool {
         if self.is_ejected() {
             return false;
@@ -109,13 +113,13 @@
         true
     }
 
-    /// Whether an unresponsive endpoint may have a trial attempt now.
+    /// Whether an unresponsive endpoint may get a trial attempt now.
     fn trial_attempt_is_due(&self, now: Time) -> bool {
         self.ejected == Some(EjectionCause::Unresponsive) && now >= self.next_trial_at
     }
 
-    /// Whether an unreachable endpoint gets a health check now; if so, the next one takes twice as
-    /// long.
+    /// Whether an unreachable endpoint is due for a health check now. If so, the interval to the
+    /// next one doubles.
     fn try_start_trial_check(&mut self, now: Time) -> bool {
         if self.ejected != Some(EjectionCause::Unreachable) || now < self.next_trial_at {
             return false;
@@ -144,7 +148,8 @@
         }
     }
 
-    /// Ejects an endpoint, and cancels what may run again elsewhere.
+    /// Ejects an unresponsive endpoint, and cancels its attempts whose requests may run again
+    /// elsewhere.
     fn eject_unresponsive(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
@@ -161,18 +166,18 @@
                 });
             }
         }
-        self.lose_primary(id);
+        self.rule_out_primary(id);
     }
 
-    /// Whether a request that still waits for its answer may run twice.
+    /// Whether a request without a final answer may run twice.
     fn is_repeatable(&self, id: RequestId) -> bool {
         self.pending.get(&id).is_some_and(|request| {
             self.settings.class(request.class).idempotency != Idempotency::NonIdempotent
         })
     }
 
-    /// When an endpoint becomes unresponsive unless it answers; `None` if it is already, or has
-    /// nothing in flight.
+    /// When an endpoint becomes unresponsive unless it answers; `None` if it already is
+    /// unresponsive or has no attempt in flight.
     pub(crate) fn unresponsive_at(&self, endpoint: &Endpoint) -> Option<Time> {
         if endpoint.outlier.ejected() == Some(EjectionCause::Unresponsive) {
             return None;
@@ -186,8 +191,8 @@
         endpoint.in_flight.values().map(overdue_at).min()
     }
 
-    /// How long an attempt of this class may stay unanswered, among `in_flight` at its endpoint,
-    /// before that marks the endpoint unresponsive.
+    /// How long an attempt of this class may stay unanswered before its endpoint, with `in_flight`
+    /// attempts in flight, counts as unresponsive.
     pub(crate) fn unresponsive_after(&self, class: ClassId, in_flight: usize) -> Span {
         self.latencies.unresponsive_after(class, in_flight) + self.settings.tick
     }
@@ -202,8 +207,8 @@
         })
     }
 
-    /// Sends health checks to the unreachable endpoints that are due for one. Called only while a
-    /// request waits that they could serve.
+    /// Sends health checks to the unreachable endpoints that are due for one. Called only while
+    /// requests wait that these endpoints could serve.
     pub(crate) fn check_unreachable_endpoints(
         &mut self,
         candidates: &BTreeSet<EndpointId>,
--- a/crates/policy/src/primary_search.rs
+++ b/crates/policy/src/primary_search.rs
@@ -1,12 +1,12 @@
 //! Finds the primary of a group, and selects the endpoint of a write.
 //!
 //! The primary is known from the endpoint list, from roles in answers and from load reports. While
-//! it is not known, one write at a time searches: it is sent to each endpoint in order, while the
-//! group's other writes wait. At the same time health checks ask the endpoints for their role, so
-//! that a new primary may be found without using up a write's attempts.
+//! it is unknown, one write at a time leads a search: the write is sent to one endpoint after
+//! another, while the group's other writes wait. At the same time health checks ask the endpoints
+//! for their role, so that a new primary may be found without using up the attempts of a write.
 //!
 //! Inputs: reported roles, ejections, writes. State: [`PrimarySearch`] of a group whose primary was
-//! lost. Bounds: one write in flight for a search. Units: microseconds.
+//! lost. Bounds: one write in flight for each search. Units: microseconds.
 
 use std::collections::BTreeSet;
 
@@ -19,16 +19,19 @@
 use crate::time::{Span, Time};
 use crate::view::PrimaryEvidence;
 
-/// Pause after every endpoint was tried, and first interval between two rounds of health checks.
+/// Pause after every endpoint was tried; also the first interval between two rounds of health
+/// checks.
 const SEARCH_PAUSE: Span = Span::from_millis(500);
-/// From the start of a search to its first round of health checks.
+/// Time from the start of a search to its first round of health checks.
 const FIRST_CHECKS_AFTER: Span = Span::from_millis(125);
-/// Most pauses by which many routers extend the interval between two rounds of health checks.
+/// The interval between two rounds of health checks grows with the number of routers, by at most
+/// this many times [`SEARCH_PAUSE`].
 const MAX_EXTRA_PAUSES: f64 = 8.0;
-/// That interval is multiplied by a random factor from this to 1 more.
+/// The interval between two rounds of health checks is multiplied by a random factor between this
+/// value and this value plus 1.
 const MIN_JITTER: f64 = 0.5;
 
-/// The write that searches, and where it was sent.
+/// The write that leads a search, and the endpoint that it was sent to.
 #[derive(Clone, Copy, Debug)]
 struct LeadingWrite {
     request: RequestId,
@@ -65,20 +68,20 @@
         self.started_at
     }
 
-    fn is_led_to(&self, endpoint: EndpointId) -> bool {
+    fn is_trying(&self, endpoint: EndpointId) -> bool {
         self.leading_write
             .is_some_and(|write| write.endpoint == endpoint)
     }
 
-    /// The endpoint is not the primary.
-    fn on_lost(&mut self, endpoint: EndpointId) {
+    /// Marks an endpoint as tried, and ends the lead of a write that was sent to it.
+    fn rule_out(&mut self, endpoint: EndpointId) {
         self.tried_endpoints.insert(endpoint);
-        if self.is_led_to(endpoint) {
+        if self.is_trying(endpoint) {
             self.leading_write = None;
         }
     }
 
-    /// The next of the candidates in this round; pauses after the last.
+    /// Returns the next untried candidate of this round, and pauses the search after the last one.
     fn next_untried(&mut self, candidates: &[EndpointId], now: Time) -> Option<EndpointId> {
         if self.leading_write.is_some() || self.paused_until.is_some_and(|until| now < until) {
             return None;
@@ -98,9 +101,9 @@
 }
 
 impl Router {
-    /// Sets the primary of a group that has no evidence for one: the one that the list names, or,
-    /// before a search, the lowest ready endpoint. The list is the weakest evidence, and none for
-    /// an endpoint that has reported its own role.
+    /// Sets the primary of a group without evidence for one: the endpoint that the list names or,
+    /// if there is none and no search runs, the lowest ready endpoint. The list is the weakest
+    /// evidence; it is ignored for an endpoint that has reported its own role.
     pub(crate) fn seed_primary(&mut self, id: GroupId) {
         let trusts_list = self.settings.listed_role != ListedRole::Ignored;
         let endpoints = &self.endpoints;
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Takes in a role that an endpoint reported, in an answer or in a load report. The newest
-    /// report counts.
+    /// Records a role that an endpoint reported, in an answer or in a load report. The newest
+    /// report takes precedence.
     pub(crate) fn on_role(
         &mut self,
         id: EndpointId,
@@ -142,7 +145,7 @@
         }
         endpoint.role = Some(reported);
         if reported.role == Role::Replica {
-            return self.lose_primary(id);
+            return self.rule_out_primary(id);
         }
         let answered = evidence == PrimaryEvidence::Answer;
         if endpoint.state != EndpointState::Ready || (endpoint.outlier.is_ejected() && !answered) {
@@ -159,7 +162,7 @@
             && group
                 .search
                 .as_ref()
-                .is_some_and(|search| search.is_led_to(id));
+                .is_some_and(|search| search.is_trying(id));
         let evidence = if found_by_search {
             PrimaryEvidence::Search
         } else {
@@ -168,7 +171,8 @@
         group.set_primary(Some(id), evidence, self.now);
     }
 
-    /// Whether another endpoint is the group's primary by a report that is at least as new.
+    /// Whether another endpoint is the group's primary according to a report that is at least as
+    /// new.
     fn has_newer_primary(&self, group: GroupId, candidate: EndpointId, reported_at: Time) -> bool {
         let current = self.groups.get(&group).and_then(|group| group.primary);
         let Some(current) = current.filter(|id| *id != candidate) else {
@@ -182,9 +186,9 @@
         })
     }
 
-    /// The endpoint is not the primary, or not usable as one: starts a search if it was taken for
-    /// it.
-    pub(crate) fn lose_primary(&mut self, id: EndpointId) {
+    /// Rules out an endpoint that is not the primary or not usable as one. Starts a search if the
+    /// group had it as its primary.
+    pub(crate) fn rule_out_primary(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else {
             return;
         };
@@ -195,11 +199,11 @@
             group.set_primary(None, PrimaryEvidence::Unknown, self.now);
             group.search = Some(PrimarySearch::new(id, self.now));
         } else if let Some(search) = &mut group.search {
-            search.on_lost(id);
+            search.rule_out(id);
         }
     }
 
-    /// Carries on the search of a group in which requests wait.
+    /// Advances the primary search of a group with waiting requests.
     pub(crate) fn run_primary_search(&mut self, id: GroupId, actions: &mut Vec<Action>) {
         self.replace_overdue_leader(id);
         self.check_roles(id, actions);
@@ -209,8 +213,8 @@
         self.groups.get_mut(&id)?.search.as_mut()
     }
 
-    /// Lets another write search if the attempt of the leading one takes too long, or its request
-    /// has ended.
+    /// Lets another write lead the search if the attempt of the leading write takes too long or its
+    /// request has ended.
     fn replace_overdue_leader(&mut self, id: GroupId) {
         let leader = self.search_mut(id).and_then(|search| search.leading_write);
         let Some(leader) = leader else {
@@ -229,7 +233,7 @@
     }
 
     /// Asks the endpoints of a group for their role by health checks, with exponential backoff and
-    /// jitter, as many routers search at once.
+    /// jitter because many routers search at once.
     fn check_roles(&mut self, id: GroupId, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_due = self
@@ -239,10 +243,10 @@
             return;
         }
         let jitter = MIN_JITTER + self.random();
-        // The more routers there are for each endpoint, the longer each waits.
+        // The more routers share an endpoint, the longer each of them waits.
         let routers_per_endpoint =
             f64::from(self.settings.routers) / self.endpoints.len().max(1) as f64;
-        let longest = SEARCH_PAUSE.times(1.0 + routers_per_endpoint.min(MAX_EXTRA_PAUSES));
+        let max_interval = SEARCH_PAUSE.times(1.0 + routers_per_endpoint.min(MAX_EXTRA_PAUSES));
         let Some(group) = self.groups.get_mut(&id) else {
             return;
         };
@@ -250,14 +254,14 @@
             return;
         };
         search.next_checks_at = now + search.check_interval.times(jitter);
-        search.check_interval = (search.check_interval * 2).min(longest);
+        search.check_interval = (search.check_interval * 2).min(max_interval);
         for endpoint in group.endpoints.clone() {
             self.start_health_check(endpoint, actions);
         }
     }
 
-    /// The endpoint of a write: the primary, or for the one write that searches the next endpoint
-    /// to try.
+    /// Selects the endpoint of a write: the primary or, for the one write that leads a search, the
+    /// next endpoint to try.
     pub(crate) fn select_write_target(&mut self, id: RequestId) -> Result<EndpointId, NoTarget> {
         let Some(request) = self.pending.get(&id) else {
             return Err(NoTarget::RequestEnded);
@@ -270,15 +274,15 @@
             let primary = group.primary.ok_or(NoTarget::NoPrimary)?;
             return self.acquire_target(primary, class, 0);
         }
-        // A searching write keeps one attempt for the primary that is found, if it has more than
-        // one.
+        // A write that leads a search reserves its last attempt for the primary that is found,
+        // unless it may have only one attempt.
         if attempts + 1 >= self.settings.limits.max_attempts.max(2) {
             return Err(NoTarget::LastAttemptReserved);
         }
         self.lead_search(id, group_id, class)
     }
 
-    /// Lets a write search, if no other does and an endpoint is left to try.
+    /// Lets a write lead the search if no other write does and an endpoint is left to try.
     fn lead_search(
         &mut self,
         request: RequestId,
@@ -314,7 +318,8 @@
         self.search_mut(group)?.next_untried(&candidates, now)
     }
 
-    /// The leading write's attempt ended: another endpoint is tried, or another write searches.
+    /// Releases the search after the leading write's attempt has ended: the write then tries
+    /// another endpoint, or another write leads.
     pub(crate) fn release_search(
         &mut self,
         group: GroupId,
@@ -333,8 +338,8 @@
         }
     }
 
-    /// The primary that there is evidence for, if it can have an attempt now with `reserved` more
-    /// left.
+    /// Selects the primary if there is evidence for it and it has capacity for an attempt now and
+    /// `reserved` more.
     pub(crate) fn select_known_primary(
         &mut self,
         group: GroupId,
--- a/crates/policy/src/replica_selection.rs
+++ b/crates/policy/src/replica_selection.rs
@@ -1,14 +1,14 @@
-//! Selects the endpoint of a read: two random choices among the replicas that are fresh enough,
-//! else the primary.
+//! Selects the endpoint of a read: the less loaded of two random choices among the replicas that
+//! are fresh enough, otherwise the primary.
 //!
-//! A replica is fresh enough if its position is known to be, or, where replicas reject reads that
-//! need newer data, if it may be: a wrong guess costs one attempt. If none is, health checks ask
-//! two replicas for their position, and the read waits for the answer once. Long queries of a group
-//! all go to one replica, because a replica applies nothing while it executes one: so the others
-//! stay fresh.
+//! A replica is fresh enough if its position is known to be recent enough. Where replicas reject
+//! reads that need newer data, a replica that may be fresh enough is tried as well, because a wrong
+//! guess costs one attempt. If no replica qualifies, health checks ask two replicas for their
+//! position, and the read waits once for the answer. A replica applies no changes while it executes
+//! a long query, so all long queries of a group go to one replica and the others stay fresh.
 //!
-//! Inputs: reads, positions and lags, load. State: none of its own. Bounds: one pass over the
-//! endpoints of a group for each read. Units: microseconds; positions are times.
+//! Inputs: reads, positions and lags, load. State: none. Bounds: one pass over the endpoints of a
+//! group for each read. Units: microseconds; positions are times.
 
 use crate::endpoint::Endpoint;
 use crate::events::Action;
@@ -20,34 +20,35 @@
 use crate::settings::{Consistency, RequestClass, StaleReadPolicy};
 use crate::time::{Span, Time};
 
-/// Fraction of the idle timeout for which a connection is assumed to be still open.
-const IDLE_TIMEOUT_USED: f64 = 0.75;
-/// A class is one of long queries if they take more than this fraction of the tightest staleness
-/// bound.
+/// Fraction of the idle timeout for which a connection is assumed to stay open.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
+/// The requests of a class count as long queries if they take more than this fraction of the
+/// tightest staleness bound.
 const LONG_QUERY_FRACTION: f64 = 0.7;
-/// Attempts that a read leaves free at the primary, for writes.
+/// Capacity, in attempts, that a read leaves at the primary for writes.
 const RESERVED_FOR_WRITES: usize = 1;
-/// Replicas that are asked for their position if none is known to be fresh enough.
+/// Number of replicas that are asked for their position if none is known to be fresh enough.
 const REPLICAS_CHECKED: usize = 2;
-/// A read waits this many times the mean latency of health checks for one that is in flight.
-const HEALTH_CHECK_WAIT: f64 = 2.0;
+/// A read waits for a health check in flight for this multiple of the mean latency of health
+/// checks.
+const HEALTH_CHECK_WAIT_FACTOR: f64 = 2.0;
 /// Exponent of an endpoint's success rate in its selection weight.
 const RELIABILITY_EXPONENT: i32 = 4;
 /// Exponent of an endpoint's excess latency in its selection weight while this router has no
-/// responses; it falls to 0 as they come.
+/// responses; the exponent falls to 0 as responses arrive.
 const MAX_LATENCY_EXPONENT: f64 = 2.0;
-/// Smallest factor of an endpoint's selection weight for its failures: it must be tried again some
-/// time.
+/// Lower bound of the reliability factor in an endpoint's selection weight, so that a failing
+/// endpoint is still tried from time to time.
 const MIN_RELIABILITY: f64 = GAIN * GAIN;
 
-/// Load by which two random choices are compared, the smaller first.
+/// Load of an endpoint. Of two random choices, the one with the smaller load is selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SelectionLoad {
     in_flight: usize,
     is_in_other_zone: bool,
 }
 
-/// The replication position that a read needs if it is sent now; `None`: any.
+/// The replication position that a read needs if it is sent now; `None` means any position.
 pub(crate) fn required_position(
     class: &RequestClass,
     session_position: Option<Time>,
@@ -61,7 +62,7 @@
 }
 
 impl Router {
-    /// The endpoint of a read that need not go to the primary.
+    /// Selects the endpoint of a read that need not go to the primary.
     pub(crate) fn select_read_target(
         &mut self,
         id: RequestId,
@@ -101,8 +102,8 @@
         target
     }
 
-    /// The replica that a long query goes to. After a part of its latency objective any other will
-    /// do.
+    /// Returns the replica that executes the group's long queries, if the request is one of them.
+    /// Once the request has waited for a part of its latency objective, any replica may serve it.
     fn select_long_query_replica(
         &self,
         request: &PendingRequest,
@@ -120,25 +121,25 @@
             .filter(|replica| !request.excluded_endpoints.contains(replica))
     }
 
-    /// Whether a replica that executes a request of this class falls behind what other reads need.
+    /// Whether a replica that executes a request of this class becomes too stale for other reads.
     fn is_long_query(&self, class: ClassId) -> bool {
-        let long_from = |class: &RequestClass| match class.consistency {
+        let class_threshold = |class: &RequestClass| match class.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound.times(LONG_QUERY_FRACTION).as_f64()),
             _ => None,
         };
-        let long_from = self
+        let threshold = self
             .settings
             .classes
             .iter()
-            .filter_map(long_from)
+            .filter_map(class_threshold)
             .reduce(f64::min);
         self.settings.class(class).consistency == Consistency::Eventual
-            && long_from.is_some_and(|long_from| self.latencies.mean(class) > long_from)
+            && threshold.is_some_and(|threshold| self.latencies.mean(class) > threshold)
     }
 
-    /// The replica of a group that gets the long queries, the same at every router: the last one,
-    /// if possible of those that are not in slow start, which long queries would overload first.
-    /// `None` with less than two replicas.
+    /// Returns the replica that executes a group's long queries, the same at every router: the last
+    /// one, preferably of those that are not in slow start, as long queries would overload an
+    /// endpoint in slow start first. Returns `None` if there are fewer than two replicas.
     fn long_query_replica(&self, group: &Group) -> Option<EndpointId> {
         let replicas: Vec<EndpointId> = group
             .endpoints
@@ -188,7 +189,7 @@
         None
     }
 
-    /// Whether a replica is known to be fresh enough, or may be and rejects the read if it is not.
+    /// Whether a replica is known to be fresh enough, or may be and rejects the read otherwise.
     fn is_fresh_enough(&self, id: EndpointId, required: Option<Time>) -> bool {
         let Some(required) = required else {
             return true;
@@ -200,8 +201,8 @@
             || self.may_be_fresh_enough(id, endpoint, required)
     }
 
-    /// Whether a replica that rejects reads by itself may be fresh enough: its last known lag is
-    /// taken to decay.
+    /// Whether a replica that rejects stale reads itself may be fresh enough, assuming that its
+    /// last known lag decays.
     fn may_be_fresh_enough(&self, id: EndpointId, endpoint: &Endpoint, required: Time) -> bool {
         if self.settings.stale_read_policy == StaleReadPolicy::Serve {
             return false;
@@ -221,8 +222,8 @@
         self.now - Span::from_micros(lag) >= required
     }
 
-    /// Asks random replicas for their position. They are drawn even if no position is required, so
-    /// that the sequence of random numbers does not depend on that.
+    /// Asks random replicas for their position. Replicas are drawn even if no position is required,
+    /// so that the sequence of random numbers does not depend on it.
     fn check_replicas(
         &mut self,
         replicas: &[EndpointId],
@@ -237,14 +238,15 @@
         }
     }
 
-    /// Whether a read waits for health checks that are in flight: once, for twice as long as they
-    /// take on average.
+    /// Whether a read waits for health checks that are in flight. A read does so only once, for
+    /// twice the mean latency of health checks.
     fn awaits_health_check(&mut self, id: RequestId, replicas: &[EndpointId]) -> bool {
         let in_flight = replicas
             .iter()
             .any(|replica| self.endpoints[replica].health_check.in_flight);
-        let usual_wait = Span::from_micros(HEALTH_CHECK_WAIT * self.latencies.health_check());
-        let until = self.now + usual_wait + self.settings.tick;
+        let expected_wait =
+            Span::from_micros(HEALTH_CHECK_WAIT_FACTOR * self.latencies.health_check());
+        let until = self.now + expected_wait + self.settings.tick;
         let Some(request) = self.pending.get_mut(&id) else {
             return false;
         };
@@ -252,15 +254,15 @@
         in_flight && self.now < until
     }
 
-    /// No replica is left that could serve the read: all endpoints may be tried again.
+    /// Lets a read try all endpoints again, when no replica is left that could serve it.
     fn allow_all_endpoints(&mut self, id: RequestId) {
         if let Some(request) = self.pending.get_mut(&id) {
             request.excluded_endpoints.clear();
         }
     }
 
-    /// Of two that are drawn, the one with fewer attempts in flight from this router; of equals,
-    /// the one in its zone.
+    /// Draws two candidates and returns the one with fewer attempts in flight from this router or,
+    /// if they are equal, the one in this router's zone.
     fn two_random_choices(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
         let first = self.weighted_random_choice(candidates)?;
         let second = self.weighted_random_choice(candidates)?;
@@ -279,8 +281,8 @@
         }
     }
 
-    /// Draws one by [`Router::selection_weight`]; takes one random number even if there is none to
-    /// draw.
+    /// Draws a candidate with a probability proportional to [`Router::selection_weight`]. Takes one
+    /// random number even if there are no candidates.
     fn weighted_random_choice(&mut self, candidates: &[EndpointId]) -> Option<EndpointId> {
         let latency_exponent = MAX_LATENCY_EXPONENT * (1.0 - self.measurement_confidence());
         let weights: Vec<f64> = candidates
@@ -297,14 +299,14 @@
         candidates.last().copied()
     }
 
-    /// What an endpoint can do: its weight, its capacity in slow start, and how seldom it fails.
-    /// Failed attempts end quickly and leave little in flight, so that two random choices alone
-    /// would prefer an endpoint that fails.
+    /// Relative probability of drawing an endpoint, from its weight, its capacity in slow start and
+    /// its failure rate. Failed attempts end quickly and leave little in flight, so two random
+    /// choices alone would prefer an endpoint that fails.
     ///
-    /// A router with few responses from each endpoint (a high `latency_exponent`) has nothing in
-    /// flight by which to recognise a slow endpoint, so its last latencies count. It also prefers
-    /// an endpoint with an idle connection, as it would need a new one for nearly each attempt
-    /// elsewhere.
+    /// A router with few responses from each endpoint (a high `latency_exponent`) has no attempts
+    /// in flight by which to recognise a slow endpoint, so the endpoint's last latencies count as
+    /// well. Such a router also prefers an endpoint with an idle connection, because it would have
+    /// to open a new connection for nearly every attempt elsewhere.
     fn selection_weight(&self, endpoint: &Endpoint, latency_exponent: f64) -> f64 {
         let excess = endpoint
             .excess_latency
@@ -322,10 +324,11 @@
         endpoint.weight * capacity * fitness * connection_factor
     }
 
-    /// Whether an open connection without an attempt on it can be assumed.
+    /// Whether this router can be assumed to have an open connection to the endpoint without an
+    /// attempt on it.
     fn has_idle_connection(&self, endpoint: &Endpoint) -> bool {
         let idle_timeout = self.settings.limits.idle_connection_timeout;
-        let open_for = idle_timeout.times(IDLE_TIMEOUT_USED);
+        let open_for = idle_timeout.times(IDLE_TIMEOUT_FRACTION);
         endpoint.in_flight.is_empty()
             && endpoint
                 .last_sent_at
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight, their ends, and whether and until when a request may be attempted again.
+//! Ends of attempts, and whether and until when a request may be retried.
 //!
 //! Inputs: [`crate::PolicyEvent::ResponseStarted`], [`crate::PolicyEvent::AttemptEnded`]. State:
 //! the attempts in [`crate::endpoint::Endpoint`] and [`crate::scheduling::PendingRequest`]. Bounds:
@@ -14,15 +14,16 @@
 use crate::time::{Span, Time};
 use crate::view::PrimaryEvidence;
 
-/// Ticks before the end of a deduplication window at which retries stop.
+/// Retries stop this many ticks before the end of a deduplication window.
 const WINDOW_MARGIN_TICKS: i64 = 2;
-/// Ticks between the end of an attempt that was given up and the next one. The endpoint must see
-/// the end of the first connection before the retry arrives, or both run.
+/// Ticks between the end of an attempt that was given up and the retry. The endpoint must see the
+/// first connection close before the retry arrives; otherwise both attempts run.
 const RETRY_DELAY_TICKS: i64 = 2;
-/// How far a reported position may lie above the one that has surely been applied.
+/// A reported position may exceed the position that has certainly been applied by up to this much.
 const POSITION_RESOLUTION: Span = Span::from_millis(1);
-/// A rejected read shows a lag; the replica is taken to be so many times as far behind.
-const LAG_AFTER_MISDIRECTION: i64 = 2;
+/// A replica that rejects a read because its data is too old is assumed to lag by this multiple of
+/// the lag that the rejection proves.
+const LAG_FACTOR_AFTER_MISDIRECTION: i64 = 2;
 
 /// An attempt that is no longer in flight.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,7 +39,7 @@
 }
 
 impl Router {
-    /// Until when a request that may have run may be attempted again; `None`: without limit.
+    /// Until when a request that may have run may be retried; `None` means without limit.
     pub(crate) fn retry_allowed_until(&self, request: &PendingRequest) -> Option<Time> {
         match self.settings.class(request.class).idempotency {
             Idempotency::Idempotent => None,
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Until when an attempt that is decided now may be written: a connection may take long to
-    /// establish, and meanwhile the retry window ends and the replica's known position ages.
+    /// Until when an attempt that is decided now may be written to its connection. A connection may
+    /// take long to establish; meanwhile the retry window may end, and the replica's known position
+    /// ages.
     pub(crate) fn send_before(&self, request: &PendingRequest, to: EndpointId) -> Option<Time> {
         let retry_until = self.retry_allowed_until(request);
         let Consistency::BoundedStaleness(bound) = self.settings.class(request.class).consistency
@@ -73,8 +75,8 @@
         fresh_until.into_iter().chain(retry_until).min()
     }
 
-    /// A response has begun: its endpoint has done the work and answers, and forwarding the rest
-    /// takes none of its capacity.
+    /// Handles the start of a response. The endpoint has done the work, so forwarding the rest of
+    /// the response takes none of its capacity.
     pub(crate) fn on_response_started(&mut self, id: RequestId) {
         let Some(request) = self.pending.get_mut(&id) else {
             return;
@@ -101,12 +103,12 @@
         }
     }
 
-    /// An attempt ended: its endpoint's state is updated, and its request ends or waits for a
-    /// retry.
+    /// Handles the end of an attempt: updates the state of its endpoint, and either ends its
+    /// request or queues it for a retry.
     pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let attempt = self.take_attempt(end);
         if let Some(sent) = &attempt.sent {
-            self.measure(end, sent);
+            self.update_estimates(end, sent);
         }
         self.update_endpoint(end, &attempt);
         self.update_role(end, &attempt);
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Takes in what the end of an attempt shows of its endpoint's health and position.
+    /// Updates the endpoint's health and position from the end of an attempt.
     fn update_endpoint(&mut self, end: &AttemptEnd, attempt: &EndedAttempt) {
         let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else {
             return;
@@ -162,8 +164,8 @@
         if endpoint.in_flight.is_empty() {
             endpoint.unanswered_since = None;
         }
-        // A primary that answered had every commit, so at least those made before the attempt was
-        // sent.
+        // A primary that answered had every commit, and therefore at least those made before the
+        // attempt was sent.
         let primary_position = attempt
             .sent_at()
             .filter(|_| end.role == Some(Role::Primary));
@@ -174,8 +176,8 @@
             .max(reported_position);
     }
 
-    /// Takes in the role that came with an answer. A primary may have been one only until its
-    /// response began.
+    /// Records the role that came with an answer. An endpoint that answered as primary is known to
+    /// have been the primary only until its response began.
     fn update_role(&mut self, end: &AttemptEnd, attempt: &EndedAttempt) {
         let Some(role) = end.role else {
             return;
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Lets a request wait for its next attempt.
+    /// Queues a request for its next attempt.
     fn prepare_retry(&mut self, end: &AttemptEnd, sent_at: Option<Time>) {
         let Some(request) = self.pending.get_mut(&end.request) else {
             return;
@@ -199,7 +201,7 @@
         if !end.outcome.never_ran() {
             request.may_have_run_since = request.may_have_run_since.or(sent_at);
         }
-        // Such an attempt ends with its connection.
+        // After these outcomes the connection of the attempt is closed.
         let closes_connection = matches!(
             end.outcome,
             Outcome::Timeout | Outcome::Cancelled | Outcome::Error
@@ -224,19 +226,20 @@
         self.enqueue_if_idle(end.request);
     }
 
-    /// A replica rejected a read that needed this position.
+    /// Records the lag of a replica that rejected a read for which it needed the `required`
+    /// position.
     fn record_lag(&mut self, id: EndpointId, required: Option<Time>) {
         let (Some(endpoint), Some(required)) = (self.endpoints.get_mut(&id), required) else {
             return;
         };
-        let shown = self.now - required;
+        let proven_lag = self.now - required;
         endpoint.lag = ReplicationLag {
-            span: Span(shown.0.saturating_mul(LAG_AFTER_MISDIRECTION)),
+            span: Span(proven_lag.0.saturating_mul(LAG_FACTOR_AFTER_MISDIRECTION)),
             measured_at: self.now,
         };
     }
 
-    /// Lets a request wait unless one of its attempts is still in flight.
+    /// Queues a request unless one of its attempts is still in flight.
     fn enqueue_if_idle(&mut self, id: RequestId) {
         let Some(request) = self.pending.get(&id) else {
             return;
--- a/crates/policy/src/router.rs
+++ b/crates/policy/src/router.rs
@@ -1,8 +1,9 @@
-//! The decision module's step: events of one moment in, actions out, and nothing else.
+//! The step of the decision module: takes the events of one moment, returns the actions that follow
+//! from them and has no other effect.
 //!
-//! Inputs: [`PolicyEvent`]s with the time of the embedder's clock. State: [`Router`]; each module
-//! of the package owns its part and says how it is bounded. Units: microseconds. The same settings,
-//! seed and events give the same actions.
+//! Inputs: [`PolicyEvent`]s and the time of the embedder's clock. State: [`Router`]; each module of
+//! the package owns a part of it and documents how that part is bounded. Units: microseconds. The
+//! same settings, seed and events give the same actions.
 
 use std::collections::BTreeMap;
 
@@ -25,15 +26,16 @@
 
 /// Ticks until the next step while a request waits.
 const WAITING_STEP_TICKS: i64 = 2;
-/// The router has one timer at a time and needs no token to tell them apart.
+/// Token of every timer. The router has at most one timer at a time and does not have to tell
+/// timers apart.
 const TIMER_TOKEN: u64 = 0;
 
-/// The decision module of one router. It works only in [`Router::step`].
+/// The decision module of one router. All of its work is done in [`Router::step`].
 #[derive(Debug)]
 pub struct Router {
     pub(crate) settings: Settings,
     random: Xoshiro256PlusPlus,
-    /// The time of the last step; never goes back.
+    /// Time of the last step; never decreases.
     pub(crate) now: Time,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
@@ -42,7 +44,7 @@
     pub(crate) sessions: SessionStore,
     pub(crate) class_costs: ClassCosts,
     pub(crate) latencies: LatencyEstimates,
-    /// Recent responses of endpoints at full capacity, for a weight of 1.
+    /// Decaying count of responses from endpoints at full capacity, per unit of endpoint weight.
     pub(crate) warm_responses: DecayingValue,
     pub(crate) load_shedding: LoadShedding,
     pub(crate) clock_comparison: ClockComparison,
@@ -52,11 +54,11 @@
 }
 
 impl Router {
-    /// A router that knows no endpoint yet. `seed` determines its random choices.
+    /// Creates a router without endpoints. `seed` determines its random choices.
     ///
     /// # Errors
-    /// [`SettingsError`] if there is no class, or if the number of routers, the attempts for a
-    /// request or the tick is not above 0.
+    /// [`SettingsError`] if there is no class, or if the number of routers, the maximum number of
+    /// attempts or the tick is not above 0.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let latencies = LatencyEstimates::new(&settings);
@@ -81,8 +83,9 @@
         })
     }
 
-    /// Takes all events of one moment, and appends the actions that follow, in the order in which
-    /// they are to be carried out. A `now` before that of an earlier step counts as that one's.
+    /// Processes all events of one moment and appends the resulting actions, in the order in which
+    /// they are to be carried out. A `now` before that of an earlier step counts as the time of
+    /// that step.
     pub fn step(&mut self, now: Time, events: &[PolicyEvent], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for event in events {
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Leaves routers that have started their part of the concurrency limits and of the traffic.
+    /// Reduces the concurrency limits and the estimate of this router's traffic in proportion if
+    /// more routers share the endpoints than before.
     fn on_router_count(&mut self, count: u32) {
         let count = count.max(1);
         let remaining = (f64::from(self.settings.routers) / f64::from(count)).min(1.0);
@@ -131,9 +135,9 @@
         self.settings.routers = count;
     }
 
-    /// Moves all times of the cluster's clock. A position that was reported right after the
-    /// correction is moved as well. Where that makes it older, it stays true; where it would make
-    /// it newer, the position is forgotten.
+    /// Moves all times of the cluster's clock by the correction. A position that was reported right
+    /// after the correction is moved as well: a position that becomes older remains a valid lower
+    /// bound, and one that would become newer is dropped.
     fn on_clock_corrected(&mut self, by: Span) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.on_clock_corrected(by, self.now);
@@ -144,8 +148,8 @@
         }
     }
 
-    /// Any client may name any group, so those without endpoints are kept only while a request
-    /// waits there.
+    /// Clients may name any group, so a group without endpoints is kept only while a request waits
+    /// in it.
     fn forget_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
@@ -158,7 +162,7 @@
             .collect()
     }
 
-    /// A random number, evenly distributed from 0 to 1, 1 excluded.
+    /// Returns a uniformly distributed random number from 0 (inclusive) to 1 (exclusive).
     pub(crate) fn random(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
@@ -169,8 +173,8 @@
         }
     }
 
-    /// Sets the timer for the next step: soon while a request waits, else when an endpoint becomes
-    /// unresponsive or the list is polled.
+    /// Sets the timer for the next step: the earliest of a few ticks from now if a request waits,
+    /// the moment when an endpoint becomes unresponsive, and the next poll of the list.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let Some(at) = self.next_step_at() else {
             return;
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -1,8 +1,8 @@
 //! Requests without a final answer: the order in which they are sent, and when they are given up.
 //!
-//! In each step the waiting requests of a group are taken in the order of their priority weight for
-//! their work, and each is sent, given up, or left to wait. The newest of equals goes first: when
-//! not all can be served in time, those are served that still can be.
+//! In each step, the waiting requests of a group are sorted by priority weight per expected work,
+//! and each is sent, given up, or left waiting. Among equal requests the newest goes first: if not
+//! all can be served in time, the newest are the ones that still can.
 //!
 //! Inputs: [`crate::PolicyEvent::Request`], time. State: [`PendingRequest`], one for each request
 //! without a final answer. Bounds: the embedder admits at most `Limits::max_open_requests`, and
@@ -18,12 +18,12 @@
 use crate::settings::{Consistency, Idempotency, RequestClass};
 use crate::time::{Span, Time};
 
-/// Scale at which priorities are compared as whole numbers.
+/// Factor that scales priorities before they are compared as integers.
 const PRIORITY_SCALE: f64 = 1e9;
-/// A request that was never sent is given up this long before half of its time, so that its client
-/// can still retry: so many ticks ...
+/// A request that was never sent is given up shortly before half of its time has passed, so that
+/// its client can still retry. This margin is so many ticks ...
 const NEVER_SENT_MARGIN_TICKS: i64 = 4;
-/// ... and at most the class's deadline divided by this.
+/// ... but at most the class's deadline divided by this.
 const NEVER_SENT_MARGIN_DIVISOR: i64 = 8;
 
 /// A request without a final answer.
@@ -34,26 +34,27 @@
     pub(crate) session: Option<SessionKey>,
     pub(crate) arrived: Time,
     pub(crate) deadline: Time,
-    /// A response after this does not count.
+    /// A response after this moment does not count.
     pub(crate) useful_until: Time,
-    /// The position that it must see of its session's writes.
+    /// Replication position that the request must see because of its session's writes.
     pub(crate) session_position: Option<Time>,
-    /// Attempts so far.
+    /// Number of attempts sent so far.
     pub(crate) attempts: u32,
     pub(crate) in_flight: BTreeMap<u32, EndpointId>,
     /// When the first attempt that may have run was sent.
     pub(crate) may_have_run_since: Option<Time>,
-    /// Endpoints that have failed to serve it.
+    /// Endpoints that failed to serve this request.
     pub(crate) excluded_endpoints: BTreeSet<EndpointId>,
-    /// No attempt before this.
+    /// Earliest time of the next attempt.
     pub(crate) not_before: Time,
-    /// Until when it waits for health checks to show a replica that is fresh enough; set once.
+    /// Until when the request waits for health checks to show a replica that is fresh enough; set
+    /// only once.
     pub(crate) health_check_wait_until: Option<Time>,
-    /// Whether its response has begun.
+    /// Whether the response has begun.
     pub(crate) streaming: bool,
 }
 
-/// Why a waiting request is sent nowhere in this step.
+/// Why a waiting request is not sent to any endpoint in this step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoTarget {
     /// The request has its final answer.
@@ -62,7 +63,7 @@
     NoPrimary,
     /// Another write searches for the primary, or the search pauses.
     Searching,
-    /// Its last attempt is kept for the primary that a search finds.
+    /// The last attempt is reserved for the primary that a search finds.
     LastAttemptReserved,
     /// The endpoint is not ready, or has no capacity for one more attempt.
     NoCapacity,
@@ -70,16 +71,16 @@
     AwaitingHealthCheck,
 }
 
-/// What becomes of a request that waited.
+/// Whether a request still waits after it was scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disposition {
-    /// It was sent, or given up, or needs nothing.
+    /// The request was sent or given up, or needs no attempt.
     Settled,
-    /// It goes on waiting.
+    /// The request stays in the queue.
     Waiting,
 }
 
-/// Place of a request among those that wait: the smaller goes first.
+/// Sort key of a waiting request; smaller keys go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 struct ScheduleOrder {
     priority: Reverse<i64>,
@@ -87,7 +88,7 @@
 }
 
 impl Router {
-    /// Lets a new request wait; one of an unknown class is ignored.
+    /// Queues a new request; a request of an unknown class is ignored.
     pub(crate) fn on_request(&mut self, request: &Request) {
         let Some(class) = self.settings.classes.get(request.class.0) else {
             return;
@@ -113,8 +114,8 @@
             .push(request.id);
     }
 
-    /// Until when a response counts: a late write may count until the deadline, a read only until
-    /// its latency objective.
+    /// Until when a response counts: until the deadline for a write whose class values late
+    /// responses, otherwise until the latency objective.
     fn useful_until(&self, request: &Request, class: &RequestClass, deadline: Time) -> Time {
         let late_counts =
             class.consistency == Consistency::Write && class.late_priority_weight > 0.0;
@@ -127,7 +128,7 @@
         deadline.min(self.now + class.latency_objective + stretch)
     }
 
-    /// Sends, gives up or leaves waiting each request of a group that waits.
+    /// Sends each waiting request of a group, gives it up, or leaves it waiting.
     pub(crate) fn run_waiting_requests(&mut self, id: GroupId, actions: &mut Vec<Action>) {
         let Some(group) = self.groups.get_mut(&id) else {
             return;
@@ -171,7 +172,7 @@
             return Disposition::Settled;
         }
         if let Some(reason) = self.give_up_reason(request, shed) {
-            self.finish_with(id, reason, actions);
+            self.give_up(id, reason, actions);
             return Disposition::Settled;
         }
         if self.now < request.not_before {
@@ -212,11 +213,11 @@
     /// How long a request may wait for its first attempt.
     fn longest_unsent_wait(&self, request: &PendingRequest) -> Span {
         let margin = self.settings.tick * NEVER_SENT_MARGIN_TICKS;
-        let most = self.settings.class(request.class).deadline / NEVER_SENT_MARGIN_DIVISOR;
-        (request.deadline - request.arrived) / 2 - margin.min(most)
+        let max_margin = self.settings.class(request.class).deadline / NEVER_SENT_MARGIN_DIVISOR;
+        (request.deadline - request.arrived) / 2 - margin.min(max_margin)
     }
 
-    /// The endpoint of a request's next attempt, by what its class needs.
+    /// Selects the endpoint of a request's next attempt by the consistency that its class needs.
     fn select_target(
         &mut self,
         id: RequestId,
@@ -233,7 +234,7 @@
         }
     }
 
-    /// [`Router::try_acquire`] for a target that has been selected.
+    /// Calls [`Router::try_acquire`] for a selected target and returns the target if it succeeds.
     pub(crate) fn acquire_target(
         &mut self,
         endpoint: EndpointId,
@@ -274,8 +275,8 @@
         endpoint.last_sent_at = Some(now);
         request.in_flight.insert(request.attempts, to);
         request.attempts += 1;
-        // Where attempts cannot be cancelled, the timeout of an idempotent request leaves time for
-        // a second one.
+        // If attempts cannot be cancelled, the timeout of an idempotent request leaves time for a
+        // second attempt.
         let class = self.settings.class(request.class);
         let needs_timeout =
             class.idempotency == Idempotency::Idempotent && !self.settings.limits.cancel;
@@ -289,9 +290,9 @@
         Disposition::Settled
     }
 
-    /// Gives a request its final answer: a rejection where a retry is known to be safe, else a
-    /// failure.
-    fn finish_with(&mut self, id: RequestId, why: GiveUpReason, actions: &mut Vec<Action>) {
+    /// Gives up a request. The final answer is a rejection if a retry is known to be safe,
+    /// otherwise a failure.
+    fn give_up(&mut self, id: RequestId, why: GiveUpReason, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(&id) else {
             return;
         };
@@ -311,7 +312,8 @@
         self.finish(id, actions);
     }
 
-    /// Forgets a request that has its final answer, and cancels the attempts that nobody needs.
+    /// Removes a request that has its final answer, and cancels its attempts that are no longer
+    /// needed.
     pub(crate) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.remove(&id) else {
             return;
--- a/crates/policy/src/sessions.rs
+++ b/crates/policy/src/sessions.rs
@@ -1,9 +1,9 @@
-//! Read-your-writes: the position of each session's last write.
+//! Read-your-writes consistency: tracks the position of each session's last write.
 //!
-//! Inputs: the commit of each write that was served, where the router tracks sessions. State:
-//! [`SessionStore`]. Bounds: as many writes as there may be open requests. When it is full the
-//! oldest write is dropped, and its position is required of the reads of every session that is not
-//! remembered. Units: replication positions, which are times.
+//! Inputs: the commit position of each served write, if the router tracks sessions. State:
+//! [`SessionStore`]. Bounds: as many writes as there may be open requests. When the store is full,
+//! the oldest write is dropped, and the reads of all sessions without a stored write must see its
+//! position. Units: replication positions, which are times.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -20,18 +20,18 @@
     position: Time,
 }
 
-/// Positions of sessions' last writes.
+/// Replication positions of the sessions' last writes.
 #[derive(Debug, Default)]
 pub(crate) struct SessionStore {
     last_writes: BTreeMap<SessionKey, Time>,
-    /// The same in the order of arrival, earlier writes of a session included.
+    /// Stored writes in the order of arrival, including earlier writes of a session.
     write_order: VecDeque<SessionWrite>,
-    /// Latest position of the writes that were dropped.
+    /// Latest position among the writes that were dropped.
     dropped_position: Option<Time>,
 }
 
 impl SessionStore {
-    /// The position that a read of this session must see.
+    /// The position that a read of this session must see; `None` if there is no requirement.
     fn required_position(&self, session: Option<SessionKey>) -> Option<Time> {
         let last_write = session.and_then(|session| self.last_writes.get(&session).copied());
         last_write.or(self.dropped_position)
@@ -52,7 +52,7 @@
         let Some(oldest) = self.write_order.pop_front() else {
             return;
         };
-        // A later write of the session has an entry of its own.
+        // If the position differs, the session has a later write with an entry of its own.
         if self.last_writes.get(&oldest.session) == Some(&oldest.position) {
             self.last_writes.remove(&oldest.session);
             self.dropped_position = self.dropped_position.max(Some(oldest.position));
@@ -71,8 +71,8 @@
 }
 
 impl Router {
-    /// The position that a session read must see; `None` for other reads, and if its session has no
-    /// known write.
+    /// The position that a session read must see; `None` for other requests, and if no write of its
+    /// session is known.
     pub(crate) fn session_position(&self, request: &Request, class: &RequestClass) -> Option<Time> {
         if class.consistency != Consistency::Session {
             return None;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Remembers the commit of a write that was served, if this router tracks sessions.
+    /// Stores the commit position of a served write, if this router tracks sessions.
     pub(crate) fn remember_session_write(&mut self, end: &AttemptEnd, sent: &SentAttempt) {
         if self.settings.class(sent.class).consistency != Consistency::Write
             || self.settings.sessions != SessionTracking::RouterTracked
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of a router, fixed for its life except [`Settings::routers`], which
+//! Settings of a router. They are fixed for its lifetime, except [`Settings::routers`], which
 //! [`crate::PolicyEvent::RouterCount`] changes. Durations are in microseconds ([`Span`]), rates in
-//! requests a second.
+//! requests per second.
 
 use std::fmt;
 
@@ -37,16 +37,17 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It carries an idempotency key: retries are deduplicated within the scope, for the window.
+    /// The request carries an idempotency key: retries are deduplicated within the scope, for the
+    /// window.
     IdempotencyKey {
         /// Where retries are deduplicated.
         scope: DedupScope,
         /// How long after the first attempt a retry is deduplicated.
         window: Span,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
@@ -64,60 +65,60 @@
     pub latency_objective_stretch: f64,
     /// How long a client waits for the final answer, over all attempts.
     pub deadline: Span,
-    /// Value of one request that is served in time, compared with those of other classes.
+    /// Value of a request that is served in time, relative to those of other classes.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that a late response counts with.
+    /// Fraction of the priority weight with which a late response counts.
     pub late_priority_weight: f64,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all routers.
+    /// Quota of the tenant over all routers, in requests per second.
     pub allowance: f64,
 }
 
 /// How the endpoint list is obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed.
+    /// Changes are pushed to the router.
     Watch,
-    /// The router polls.
+    /// The router polls the list.
     Poll,
 }
 
 /// How reliable the primary mark of the endpoint list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRole {
-    /// It follows changes of the primary with a delay.
+    /// The mark follows changes of the primary with a delay.
     Trailing,
-    /// It never changes after the start.
+    /// The mark never changes after the start.
     Static,
-    /// It carries no information.
+    /// The mark carries no information.
     Ignored,
 }
 
 /// What a replica does with a read that needs newer data than it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleReadPolicy {
-    /// It serves the data it has. The router must check freshness itself.
+    /// The replica serves the data it has. The router must check freshness itself.
     Serve,
-    /// It rejects the read.
+    /// The replica rejects the read.
     Reject,
-    /// It waits this long to catch up, then rejects the read.
+    /// The replica waits this long to catch up, then rejects the read.
     WaitThenReject(Span),
 }
 
-/// Where the position of a session's last write is known from.
+/// Source of the position of a session's last write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTracking {
-    /// The read says how long ago it was.
+    /// The client sends with each read how long ago the write was.
     ClientProvided,
-    /// The router remembers the commits of the writes it forwarded.
+    /// The router remembers the commit positions of the writes that it forwarded.
     RouterTracked,
 }
 
-/// What the deployment allows.
+/// Capabilities and limits of the deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Whether attempts may be cancelled.
@@ -128,11 +129,12 @@
     pub hedged_requests: bool,
     /// Whether a rejection carries a Retry-After.
     pub retry_after: bool,
-    /// Most attempts for one request; at least 1.
+    /// Maximum number of attempts for one request; at least 1.
     pub max_attempts: u32,
     /// The longest Retry-After that clients honour.
     pub max_retry_after: Span,
-    /// Most requests without a final answer; also the number of sessions that are remembered.
+    /// Maximum number of requests without a final answer; also the maximum number of session writes
+    /// that are remembered.
     pub max_open_requests: usize,
     /// How long an idle connection is kept open.
     pub idle_connection_timeout: Span,
@@ -150,19 +152,19 @@
     /// An endpoint in slow start overloads when it receives more than this multiple of its capacity
     /// ...
     pub overload_multiple: f64,
-    /// ... over this long.
+    /// ... within this time.
     pub overload_duration: Span,
-    /// Whether an endpoint that disappears from the list stays in use; only the draining mark ends
-    /// its use then.
+    /// Whether an endpoint that disappears from the list stays in use. In that case, only the
+    /// draining state ends its use.
     pub removal_is_advisory: bool,
 }
 
-/// What a router is given at its start.
+/// Settings that a router is created with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes, by [`ClassId`]; at least one.
+    /// Request classes, indexed by [`ClassId`]; at least one.
     pub classes: Vec<RequestClass>,
-    /// Tenants, by [`crate::TenantId`]; there may be none.
+    /// Tenants, indexed by [`crate::TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request beyond its tenant's quota; `None` without tenants.
     pub over_quota_priority_weight: Option<f64>,
@@ -172,7 +174,7 @@
     pub listed_role: ListedRole,
     /// What replicas do with reads that need newer data than they have.
     pub stale_read_policy: StaleReadPolicy,
-    /// Where the positions of sessions' writes are known from.
+    /// Source of the positions of sessions' last writes.
     pub sessions: SessionTracking,
     /// Number of routers that share the endpoints; at least 1.
     pub routers: u32,
@@ -180,14 +182,14 @@
     pub zone: ZoneId,
     /// Shortest interval between two steps; above 0.
     pub tick: Span,
-    /// What the deployment allows.
+    /// Capabilities and limits of the deployment.
     pub limits: Limits,
     /// Parameters of endpoint discovery and slow start.
     pub rules: Rules,
 }
 
 impl Settings {
-    /// Checks what a router relies on.
+    /// Checks the settings that a router relies on.
     ///
     /// # Errors
     /// [`SettingsError`] if there is no class, or if a count or the tick is not above 0.
@@ -200,7 +202,7 @@
             return Ok(());
         }
         Err(SettingsError(
-            "classes, routers, max_attempts and tick must be above 0".into(),
+            "classes must not be empty; routers, max_attempts and tick must be above 0".into(),
         ))
     }
 
@@ -210,7 +212,7 @@
     }
 }
 
-/// Settings that no router can work with; the text names them.
+/// Invalid settings; the text names the settings at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub i64);
 
-/// A duration, in microseconds. It may be negative.
+/// A duration, in microseconds; may be negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Span(pub i64);
 
@@ -18,7 +18,7 @@
         Self(ms * 1000)
     }
 
-    /// A duration of `micros` microseconds, truncated to whole ones.
+    /// A duration of `micros` microseconds, truncated to a whole number.
     pub(crate) const fn from_micros(micros: f64) -> Self {
         Self(micros as i64)
     }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,5 +1,5 @@
-//! What a router knows, read-only, for whoever observes it. Nothing here decides or changes
-//! anything. Times are in microseconds of the embedder's clock.
+//! Read-only view of the state of a router, for observers. Nothing here takes part in decisions.
+//! Times are in microseconds of the embedder's clock.
 
 use crate::endpoint::Endpoint;
 use crate::events::{EndpointState, Role};
@@ -16,76 +16,76 @@
 /// How a group's primary is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum PrimaryEvidence {
-    /// It is not known: the lowest endpoint stands in, or none.
+    /// The primary is not known. The lowest ready endpoint, or none, is assumed to be the primary.
     #[default]
     Unknown,
-    /// The endpoint list names it.
+    /// The endpoint list names the primary.
     EndpointList,
-    /// It reported the role in an answer.
+    /// The primary reported the role in an answer.
     Answer,
-    /// It reported the role in a load report.
+    /// The primary reported the role in a load report.
     LoadReport,
-    /// The write that searched for it found it.
+    /// A write that searched for the primary found it.
     Search,
 }
 
 /// Whether a router can use an endpoint, by its own evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointHealth {
-    /// It can.
+    /// The endpoint can be used.
     Healthy,
-    /// It leaves what is sent unanswered.
+    /// The endpoint does not answer attempts.
     Unresponsive,
-    /// Connections to it fail.
+    /// Connections to the endpoint fail.
     Unreachable,
 }
 
-/// What a router knows of a replication group.
+/// State of a replication group, as a router knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupView {
-    /// The group.
+    /// Id of the group.
     pub group: GroupId,
-    /// The endpoint that is taken for the primary.
+    /// The endpoint that is assumed to be the primary; `None` if there is none.
     pub primary: Option<EndpointId>,
-    /// How it is known.
+    /// How the primary is known.
     pub known: PrimaryEvidence,
-    /// Since when it is taken for the primary.
+    /// Since when `primary` has its present value.
     pub since: Time,
-    /// How often another endpoint, or none, was taken for the primary.
+    /// Number of changes of `primary`, including those to `None`.
     pub changes: u64,
-    /// Since when a search for the primary runs, if one does.
+    /// When the current search for the primary started; `None` if no search runs.
     pub searching: Option<Time>,
-    /// Writes that wait.
+    /// Number of waiting writes.
     pub queued_writes: usize,
-    /// All requests that wait.
+    /// Number of all waiting requests, writes included.
     pub waiting: usize,
 }
 
-/// What a router knows of an endpoint.
+/// State of an endpoint, as a router knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointView {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its replication group.
+    /// Replication group that the endpoint belongs to.
     pub group: GroupId,
-    /// Its state in the endpoint list.
+    /// State of the endpoint in the endpoint list.
     pub state: EndpointState,
-    /// The role that it is taken to have, if known.
+    /// Role of the endpoint; `None` if it is not known.
     pub role: Option<Role>,
-    /// Whether it can be used.
+    /// Whether the endpoint can be used.
     pub health: EndpointHealth,
-    /// Attempts in flight there.
+    /// Number of attempts in flight at the endpoint.
     pub in_flight: usize,
-    /// Concurrency limit: how many attempts may be in flight there.
+    /// Concurrency limit: how many attempts may be in flight at the endpoint.
     pub limit: f64,
-    /// Lower bound of its replication position.
+    /// Lower bound of the endpoint's replication position; `None` if it is not known.
     pub position: Option<Time>,
-    /// The fraction of its capacity, from 0 to 1, that it surely has in slow start; `None` at full
-    /// capacity.
+    /// Fraction of its capacity, from 0 to 1, that an endpoint in slow start is certain to have;
+    /// `None` at full capacity.
     pub warm: Option<f64>,
 }
 
-/// What a router knows.
+/// State of a router.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct RouterView {
     /// The groups, in the order of their ids.
@@ -95,7 +95,7 @@
 }
 
 impl Router {
-    /// What the router knows as of its last step.
+    /// Returns the state of the router as of its last step.
     #[must_use]
     pub fn view(&self) -> RouterView {
         RouterView {
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Number of listed endpoints that get no requests now: those that drain, and those that are
-    /// ejected and have been sent nothing for a second. One that was ejected just now, or still
-    /// gets trial attempts, does not count.
+    /// Number of listed endpoints that get no requests now: those that are draining, and those that
+    /// are ejected and have been sent nothing for a second. An endpoint that was ejected only just
+    /// now, or that still gets trial attempts, does not count.
     #[must_use]
     pub fn avoided(&self) -> usize {
         self.endpoints
@@ -177,8 +177,8 @@
         }
     }
 
-    /// The known primary counts as one whatever it reported last; other endpoints count as what
-    /// they reported.
+    /// Role of an endpoint. The known primary has that role whatever it reported last; other
+    /// endpoints have the role that they reported.
     fn role_of(&self, id: EndpointId, endpoint: &Endpoint) -> Option<Role> {
         let is_known_primary = self
             .groups
