--- a/crates/policy/tests/clock_correction.rs
+++ b/crates/policy/tests/clock_correction.rs
@@ -1,4 +1,4 @@
-//! What a correction of the cluster's clock changes.
+//! Effects of a correction of the cluster's clock.
 
 mod support;
 
@@ -6,8 +6,8 @@
 use support::*;
 use valehatch_policy::*;
 
-/// After a small correction positions are a little older and stay known: a gateway that forgot them
-/// would open a connection to each endpoint at the same moment, for health checks.
+/// After a small correction, positions are slightly older and stay known. A gateway that dropped
+/// them would open a connection to every endpoint at the same moment, for health checks.
 #[test]
 fn correction_to_older_keeps_positions() {
     let mut script = Script::group(settings(), 3, 1);
@@ -28,8 +28,8 @@
     );
 }
 
-/// Positions that the correction would make newer may have been reported after it: they are
-/// forgotten.
+/// Positions that the correction would make newer may have been reported after it, so they are
+/// dropped.
 #[rstest]
 fn correction_to_newer_drops_positions(#[values(30, 3_600_000)] by_ms: i64) {
     let mut script = Script::group(settings(), 3, 1);
@@ -41,7 +41,7 @@
 }
 
 /// Health checks of a primary that fail at once, as when no connection can be opened, do not follow
-/// each other without a pause, although each end begins another step.
+/// each other without a pause, although the end of each check triggers another step.
 #[test]
 fn failing_clock_checks_are_paced() {
     let mut script = Script::new(settings());
@@ -55,17 +55,17 @@
     (1..=20).for_each(|id| script.request(id, WRITE));
     script.request(100, BOUNDED);
     for _ in 0..100 {
-        // In the same moment: the router is stepped once more for each end.
+        // All in the same moment: the router is stepped again for each check that ends.
         for endpoint in std::mem::take(&mut script.health_checks) {
             script.health_check_ended(endpoint.0, Outcome::LocalFailure, None);
         }
     }
-    let asked = script
-        .all
+    let checks = script
+        .actions
         .iter()
         .filter(
             |(_, a)| matches!(a, Action::HealthCheck { endpoint } if *endpoint == EndpointId(1)),
         )
         .count();
-    assert!(asked <= 2, "{asked} times in one moment");
+    assert!(checks <= 2, "{checks} health checks in one moment");
 }
--- a/crates/policy/tests/concurrency_limit.rs
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn slow_responses_reduce_the_limit() {
-    let out_at_most = |latency: i64| {
+    let sent_at_once = |latency: i64| {
         let mut script = Script::group(settings(), 2, 1);
         for id in 1..=40 {
             script.request(id, EVENTUAL);
@@ -25,27 +25,28 @@
         }
         script.sends.len() - before
     };
-    assert!(out_at_most(20) > out_at_most(500) && out_at_most(500) >= 1);
+    assert!(sent_at_once(20) > sent_at_once(500) && sent_at_once(500) >= 1);
 }
 
-/// Requests in flight at the only endpoint of a group, while more wait.
-fn in_flight_at_the_primary(script: &mut Script, from: u64) -> usize {
+/// Sends 60 writes to the only endpoint of a group. Returns how many are in flight while the others
+/// wait.
+fn in_flight_at_primary(script: &mut Script, from: u64) -> usize {
     let before = script.sends.len();
     (from..from + 60).for_each(|id| script.request(id, WRITE));
     script.sends.len() - before
 }
 
-/// Two processes of one gateway have no more in flight at an endpoint together than one may: the
-/// limit it had reached, or the initial one if that is higher.
+/// Two processes of one gateway together have no more attempts in flight at an endpoint than one
+/// process may have: the limit that it had reached, or the initial limit if that is higher.
 #[rstest::rstest]
-#[case::nothing_learned(0, 0)]
-#[case::a_quick_member(300, 0)]
-#[case::a_slow_member(90, 1_000)]
-fn second_router_keeps_the_sum_of_limits(#[case] answers: u64, #[case] after_ms: i64) {
-    let learned = || {
+#[case::no_responses(0, 0)]
+#[case::quick_endpoint(300, 0)]
+#[case::slow_endpoint(90, 1_000)]
+fn second_router_keeps_the_sum_of_limits(#[case] responses: u64, #[case] after_ms: i64) {
+    let trained_router = || {
         let mut script = Script::group(settings(), 1, 1);
-        for last in (9..=answers).step_by(9) {
-            // Nine at a time: a limit grows by what is needed.
+        for last in (9..=responses).step_by(9) {
+            // Nine at a time: a limit grows only as far as it is used.
             (last - 8..=last).for_each(|id| script.request(id, WRITE));
             script.advance(after_ms);
             for id in last - 8..=last {
@@ -58,26 +59,25 @@
         }
         script
     };
-    let alone = in_flight_at_the_primary(&mut learned(), 10_000);
-    let start = in_flight_at_the_primary(&mut Script::group(settings(), 1, 1), 10_000);
-    let (mut old, mut new) = (learned(), Script::group(settings(), 1, 1));
+    let alone = in_flight_at_primary(&mut trained_router(), 10_000);
+    let start = in_flight_at_primary(&mut Script::group(settings(), 1, 1), 10_000);
+    let (mut old, mut new) = (trained_router(), Script::group(settings(), 1, 1));
     old.step(&[PolicyEvent::RouterCount(2 * settings().routers)]);
     new.step(&[PolicyEvent::RouterCount(2 * settings().routers)]);
-    let both =
-        in_flight_at_the_primary(&mut old, 10_000) + in_flight_at_the_primary(&mut new, 10_000);
+    let both = in_flight_at_primary(&mut old, 10_000) + in_flight_at_primary(&mut new, 10_000);
     assert!(
         both <= alone.max(start) && both >= 2,
-        "{both} by two routers, {alone} and {start} by one"
+        "{both} in flight from two routers; from one: {alone} after responses, {start} at first"
     );
-    // Fewer routers raise nothing: their number may be wrong.
-    let mut fewer = learned();
+    // A smaller number of routers raises no limit, because the number may be wrong.
+    let mut fewer = trained_router();
     fewer.step(&[
         PolicyEvent::RouterCount(2 * settings().routers),
         PolicyEvent::RouterCount(settings().routers),
     ]);
     assert!(
-        in_flight_at_the_primary(&mut fewer, 10_000) <= alone.div_ceil(2) + 1,
-        "a limit grows by answers"
+        in_flight_at_primary(&mut fewer, 10_000) <= alone.div_ceil(2) + 1,
+        "a limit grows only with responses"
     );
 }
 
@@ -101,6 +101,6 @@
     (101..=106).for_each(|id| script.request(id, EVENTUAL));
     assert!(
         (101..=106).all(|id| script.sent_to(id) == Some(2)),
-        "six at once, of the eight that it may have at first"
+        "six attempts at once are below the initial limit of eight"
     );
 }
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list changes, and how it is polled.
+//! Effects of the endpoint list, and how the list is polled.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use valehatch_policy::*;
 
 #[test]
-fn draining_and_removed_endpoints_get_nothing() {
+fn draining_and_removed_endpoints_get_no_requests() {
     let mut script = Script::group(settings(), 3, 1);
     script.list(
         false,
@@ -22,13 +22,13 @@
 
 #[test]
 fn unlisted_endpoint_is_removed_unless_advisory() {
-    for binds in [true, false] {
+    for is_binding in [true, false] {
         let mut cfg = settings();
-        cfg.rules.removal_is_advisory = !binds;
+        cfg.rules.removal_is_advisory = !is_binding;
         let mut script = Script::group(cfg, 2, 1);
         script.list(true, vec![record(1, true, EndpointState::Ready)]);
         script.request(1, EVENTUAL);
-        assert_eq!(script.sent_to(1), Some(if binds { 1 } else { 2 }));
+        assert_eq!(script.sent_to(1), Some(if is_binding { 1 } else { 2 }));
     }
 }
 
--- a/crates/policy/tests/extremes.rs
+++ b/crates/policy/tests/extremes.rs
@@ -9,7 +9,7 @@
 const PRIMARY: Option<Role> = Some(Role::Primary);
 
 /// Sends requests that are answered at once, one after another; returns how many were rejected.
-fn rejected_of(script: &mut Script, class: ClassId, first: u64, count: u64) -> usize {
+fn count_rejected(script: &mut Script, class: ClassId, first: u64, count: u64) -> usize {
     for id in first..first + count {
         script.request(id, class);
         if script.sent_to(id).is_some() {
@@ -28,19 +28,19 @@
     cfg.classes[EVENTUAL.0].priority_weight = 0.0;
     let mut script = Script::group(cfg, 3, 1);
     assert_eq!(
-        rejected_of(&mut script, EVENTUAL, 1, 100),
+        count_rejected(&mut script, EVENTUAL, 1, 100),
         0,
-        "of a hundred of priority 0"
+        "rejected of a hundred requests of priority 0"
     );
     assert_eq!(
-        rejected_of(&mut script, BOUNDED, 101, 20),
+        count_rejected(&mut script, BOUNDED, 101, 20),
         0,
-        "of those of some priority"
+        "rejected of the requests with a priority above 0"
     );
     assert_eq!(
-        rejected_of(&mut script, EVENTUAL, 201, 100),
+        count_rejected(&mut script, EVENTUAL, 201, 100),
         0,
-        "of a hundred of priority 0 after those"
+        "rejected of a hundred more requests of priority 0"
     );
     assert!(!script.debug_contains("NaN"));
 }
@@ -54,8 +54,8 @@
     ) = (0.0, 1e9);
     let mut script = Script::group(cfg, 3, 1);
     for n in 0..20 {
-        assert_eq!(rejected_of(&mut script, BOUNDED, 1 + 100 * n, 5), 0);
-        assert_eq!(rejected_of(&mut script, EVENTUAL, 50 + 100 * n, 5), 0);
+        assert_eq!(count_rejected(&mut script, BOUNDED, 1 + 100 * n, 5), 0);
+        assert_eq!(count_rejected(&mut script, EVENTUAL, 50 + 100 * n, 5), 0);
     }
 }
 
@@ -75,8 +75,8 @@
         1,
         "the next primary may be in another zone"
     );
-    assert!(script.failed(1), "it may have run");
-    // What certainly did not run is retried.
+    assert!(script.failed(1), "the write may have run");
+    // A write that certainly did not run is retried.
     script.request(2, KEYED);
     script.end(2, Outcome::Rejected, None);
     script.advance(1000);
@@ -101,7 +101,7 @@
     assert_eq!(
         script.sent_to(3),
         Some(2),
-        "and is the primary from there on"
+        "the endpoint that served the write is now the primary"
     );
 }
 
@@ -114,7 +114,10 @@
     ) = (ms(30), ms(10));
     let mut script = Script::group(cfg, 3, 1);
     script.request_with(1, EVENTUAL, 30, None);
-    assert!(script.sent_to(1).is_some(), "it is not rejected on arrival");
+    assert!(
+        script.sent_to(1).is_some(),
+        "the request is not rejected on arrival"
+    );
 }
 
 #[test]
@@ -140,7 +143,7 @@
     for id in 1..50 {
         script.request(id, EVENTUAL);
         let endpoint = script.sent_to(id).expect("sent on arrival");
-        // One of the two is slow, which is remembered however short slow start is.
+        // Endpoint 3 is slow, which is remembered however short slow start is.
         script.now = script.now + ms(if endpoint == 3 { 400 } else { 20 });
         script.end(id, Outcome::Ok, Some(Role::Replica));
         assert!(!script.debug_contains("NaN"));
@@ -150,7 +153,7 @@
         .iter()
         .filter(|(_, endpoint)| endpoint.0 == 3)
         .count();
-    assert!(slow < 20, "the slow one got {slow} of 49");
+    assert!(slow < 20, "the slow endpoint got {slow} of 49 requests");
 }
 
 #[test]
@@ -173,10 +176,10 @@
     }
 }
 
-/// Responses of endpoints at full capacity are remembered for longer than this slow start lasts,
-/// and count for as long.
+/// Responses of endpoints at full capacity are remembered for longer than a short slow start lasts.
+/// The budget divides them by that longer time; otherwise it would be too large.
 #[test]
-fn short_slow_start_keeps_its_budget() {
+fn short_slow_start_stays_within_budget() {
     let mut cfg = settings();
     (
         cfg.rules.slow_start_duration,
@@ -212,9 +215,9 @@
             .filter(|(_, to)| to.0 == endpoint)
             .count();
     }
-    // Two at full capacity are sent 200 a second each, one in slow start gets 0.2 of 0.6 of that:
-    // 2.4 in each of ten tenths of a second.
-    assert!(sent <= 24, "endpoints in slow start got {sent}");
+    // Two endpoints at full capacity get 200 requests per second each. An endpoint in slow start
+    // gets 0.2 of 0.6 of that: 2.4 requests in each of ten periods of 0.1 s.
+    assert!(sent <= 24, "endpoints in slow start got {sent} requests");
 }
 
 #[test]
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn few_slow_responses_shed_nothing() {
-    // One response in six takes all of its latency objective, the others a twelfth: the mean is
-    // 0.25, but over ten of them often above 0.4.
+    // One response in six takes all of its latency objective, the others take a twelfth of it. The
+    // mean is 0.25, but the mean of ten responses is often above 0.4.
     let mut cfg = settings();
     cfg.routers = 300;
     let mut rejected = 0;
@@ -19,7 +19,7 @@
         for id in 1..=300 {
             script.request(id, EVENTUAL);
             rejected += usize::from(script.rejected(id));
-            // Three slow ones one after the other, now and then.
+            // From time to time, three slow responses follow one another.
             script.advance(if (id + seed * 5) % 18 < 3 { 600 } else { 50 });
             let end = script
                 .sent_to(id)
@@ -27,7 +27,7 @@
             script.step(&end.into_iter().collect::<Vec<_>>());
         }
     }
-    assert!(rejected < 30, "{rejected} of 6000");
+    assert!(rejected < 30, "{rejected} of 6000 requests rejected");
 }
 
 #[test]
@@ -38,19 +38,29 @@
         cfg.classes[BOUNDED.0].consistency = Consistency::Eventual;
         cfg.classes[BOUNDED.0].priority_weight = 4.0;
         let mut script = Script::group(cfg, 9, 1);
-        let mut at_once = [0, 0];
+        let mut shed = [0, 0];
         for id in 1..=400 {
-            let dear = usize::from(id % 2 == 0);
-            script.request(id, if dear == 1 { BOUNDED } else { EVENTUAL });
-            at_once[dear] += usize::from(script.rejected(id));
+            let high_priority = usize::from(id % 2 == 0);
+            script.request(
+                id,
+                if high_priority == 1 {
+                    BOUNDED
+                } else {
+                    EVENTUAL
+                },
+            );
+            shed[high_priority] += usize::from(script.rejected(id));
             script.advance(latency);
             if script.sent_to(id).is_some() && !script.answers.contains_key(&RequestId(id)) {
                 script.end(id, Outcome::Ok, REPLICA);
             }
         }
-        at_once
+        shed
     };
     assert_eq!(rejected(50), [0, 0]);
-    let [cheap, dear] = rejected(520);
-    assert!(cheap > 60 && dear * 2 < cheap, "{cheap} {dear}");
+    let [low, high] = rejected(520);
+    assert!(
+        low > 60 && high * 2 < low,
+        "shed: {low} requests of low and {high} of high priority"
+    );
 }
--- a/crates/policy/tests/outlier_detection.rs
+++ b/crates/policy/tests/outlier_detection.rs
@@ -9,18 +9,18 @@
 const REPLICA: Option<Role> = Some(Role::Replica);
 
 #[test]
-fn unresponsive_primary_gets_nothing_and_its_writes_fail() {
+fn unresponsive_primary_gets_no_writes_and_its_write_fails() {
     let mut script = Script::group(settings(), 3, 1);
     script.request(1, WRITE);
     script.advance(900);
     script.request(2, WRITE);
     assert!(
         script.sent_to(2) != Some(1),
-        "an unanswered attempt is evidence"
+        "an unanswered attempt is evidence against its endpoint"
     );
     script.report(2, 0, true);
-    let write_two = script.sent_to(2);
-    assert!(write_two == Some(2) || write_two == Some(3));
+    let second_target = script.sent_to(2);
+    assert!(second_target == Some(2) || second_target == Some(3));
     script.advance(2200);
     assert!(script.failed(1));
     assert_eq!(script.sends.iter().filter(|(r, _)| r.0 == 1).count(), 1);
@@ -39,7 +39,10 @@
     }
     script.request(100, EVENTUAL);
     script.advance(900);
-    assert!(script.cancels.is_empty(), "its class takes that long");
+    assert!(
+        script.cancels.is_empty(),
+        "requests of this class take that long"
+    );
     script.request(101, EVENTUAL);
     assert_eq!(script.sent_to(101), Some(2));
 }
@@ -58,26 +61,26 @@
     (0..3).for_each(|_| script.health_check_ended(3, Outcome::ConnectFailed, None));
     script.health_checks.clear();
     for id in 1_000..1_400 {
-        let asked = script.health_checks.len();
+        let checks_before = script.health_checks.len();
         script.request(id, WRITE);
         script.end(id, Outcome::Ok, PRIMARY);
-        if script.health_checks[asked..].contains(&EndpointId(3)) {
+        if script.health_checks[checks_before..].contains(&EndpointId(3)) {
             script.health_check_ended(3, Outcome::ConnectFailed, None);
         }
         script.advance(100);
     }
-    let asked = script
+    let checks = script
         .health_checks
         .iter()
         .filter(|n| **n == EndpointId(3))
         .count();
     assert!(
-        (5..20).contains(&asked),
-        "{asked} times in 40 s; 80 without the rule"
+        (5..20).contains(&checks),
+        "{checks} health checks in 40 s; 80 without backoff"
     );
-    let mut anew = record(3, false, EndpointState::Ready);
-    anew.started = Some(script.now - ms(10_000));
-    script.list(false, vec![anew]);
+    let mut restarted = record(3, false, EndpointState::Ready);
+    restarted.started = Some(script.now - ms(10_000));
+    script.list(false, vec![restarted]);
     (2_000..2_040).for_each(|id| script.request(id, EVENTUAL));
     assert!((2_000..2_040).any(|id| script.sent_to(id) == Some(3)));
 }
@@ -133,8 +136,8 @@
 
 #[test]
 fn single_reset_keeps_endpoint_in_use() {
-    // An ejection for one reset would begin slow start anew, and the endpoint would get hardly
-    // anything for its duration.
+    // An ejection for a single reset would start slow start again, and the endpoint would get
+    // hardly any requests until it ends.
     let mut script = Script::group(settings(), 2, 1);
     for id in 1..=40 {
         script.request(id, EVENTUAL);
--- a/crates/policy/tests/primary_search.rs
+++ b/crates/policy/tests/primary_search.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn unlisted_primary_lowest_member_gets_writes_and_strong_reads_wait() {
+fn unknown_primary_sends_writes_to_lowest_endpoint_and_strong_reads_wait() {
     let mut cfg = settings();
     cfg.listed_role = ListedRole::Ignored;
     let mut script = Script::new(cfg);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn lost_primary_one_write_searches_and_others_wait() {
+fn lost_primary_lets_one_write_search_while_others_wait() {
     let mut script = Script::group(settings(), 4, 1);
     script.request(1, WRITE);
     script.end(1, Outcome::Misdirected, REPLICA);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn every_member_tried_search_pauses() {
+fn search_that_tried_every_endpoint_pauses() {
     let mut cfg = settings();
     cfg.limits.health_checks = false;
     let mut script = Script::new(cfg);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn health_check_finds_primary_search_ends() {
+fn primary_found_by_health_check_ends_the_search() {
     let mut script = Script::group(settings(), 3, 1);
     script.request(1, WRITE);
     for _ in 0..2 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn older_report_answered_primary_stays() {
+fn older_report_does_not_replace_answered_primary() {
     let mut script = Script::group(settings(), 3, 1);
     script.advance(100);
     script.request(1, WRITE);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn unanswered_leading_write_next_member_is_tried() {
+fn unanswered_leading_write_lets_next_endpoint_be_tried() {
     let mut script = Script::group(settings(), 4, 1);
     script.request(1, WRITE);
     script.request(2, WRITE);
@@ -120,13 +120,13 @@
     assert_eq!(
         script.sends.last().unwrap().1,
         EndpointId(3),
-        "a hung endpoint ends the turn of the leading write"
+        "the leading write is at a hung endpoint, so another write leads the search"
     );
     assert_ne!(script.sends.last().unwrap().0, leader);
 }
 
 #[test]
-fn stale_list_answer_outweighs_it() {
+fn stale_list_does_not_outweigh_an_answer() {
     let mut cfg = settings();
     cfg.listed_role = ListedRole::Static;
     let mut script = Script::new(cfg);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn streamed_answer_role_dates_from_its_start() {
+fn role_in_streamed_answer_dates_from_its_start() {
     let mut script = Script::group(settings(), 3, 1);
     script.request_with(1, STRONG, 60_000, None);
     script.step(&[PolicyEvent::ResponseStarted(RequestId(1))]);
@@ -161,6 +161,6 @@
     assert_eq!(
         script.sent_to(2),
         Some(2),
-        "the other one has reported since that it is the primary"
+        "endpoint 2 has reported since that it is the primary"
     );
 }
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -1,5 +1,5 @@
-//! Seeded random events: the checks of the script hold whatever the outcomes, and the same events
-//! give the same actions.
+//! Seeded random events: the checks of the script hold for all outcomes, and the same events give
+//! the same actions.
 
 mod support;
 
@@ -15,24 +15,24 @@
     LoadReport(u32, i64, bool),
     HealthCheckFails(u32, bool),
     List(u32, u8),
-    Abort(u8),
-    Run(i64),
+    Disconnect(u8),
+    Advance(i64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let one = prop_oneof![
+    let step = prop_oneof![
         5 => (0..7_usize, 100..3000_i64, prop::option::of(1..900_i64)).prop_map(|(c, l, w)| Step::Request(c, l, w)),
         5 => (any::<u8>(), 0..9_u8).prop_map(|(r, o)| Step::End(r, o)),
         3 => (1..6_u32, 0..800_i64, any::<bool>()).prop_map(|(n, a, p)| Step::LoadReport(n, a, p)),
         1 => (1..6_u32, any::<bool>()).prop_map(|(n, c)| Step::HealthCheckFails(n, c)),
-        1 => (1..6_u32, 0..3_u8).prop_map(|(n, script)| Step::List(n, script)),
-        1 => any::<u8>().prop_map(Step::Abort),
-        5 => (5..400_i64).prop_map(Step::Run),
+        1 => (1..6_u32, 0..3_u8).prop_map(|(n, s)| Step::List(n, s)),
+        1 => any::<u8>().prop_map(Step::Disconnect),
+        5 => (5..400_i64).prop_map(Step::Advance),
     ];
-    prop::collection::vec(one, 1..120)
+    prop::collection::vec(step, 1..120)
 }
 
-fn play(
+fn run_steps(
     steps: &[Step],
     stale_read_policy: StaleReadPolicy,
     sessions: SessionTracking,
@@ -48,20 +48,20 @@
     };
     let mut script = Script::group(cfg, 5, 2);
     let mut next = 0;
-    for m in steps {
-        match *m {
-            Step::Request(class, left, wrote) => {
+    for step in steps {
+        match *step {
+            Step::Request(class, time_left_ms, since_last_write) => {
                 next += 1;
                 script.request_with(
                     next,
                     ClassId(class),
-                    left,
-                    wrote.filter(|_| sessions == SessionTracking::ClientProvided),
+                    time_left_ms,
+                    since_last_write.filter(|_| sessions == SessionTracking::ClientProvided),
                 );
             }
-            Step::End(which, how) if next > 0 => {
-                let id = u64::from(which) % next + 1;
-                let (outcome, role) = match how {
+            Step::End(request, outcome) if next > 0 => {
+                let id = u64::from(request) % next + 1;
+                let (outcome, role) = match outcome {
                     0 | 1 => (Outcome::Ok, Some(Role::Primary)),
                     2 => (Outcome::Misdirected, Some(Role::Replica)),
                     3 => (Outcome::Rejected, None),
@@ -96,9 +96,11 @@
                 ][usize::from(state)];
                 script.list(false, vec![record(endpoint, false, state)]);
             }
-            Step::Abort(which) if next > 0 => script.disconnect(u64::from(which) % next + 1),
-            Step::Abort(_) => script.step(&[PolicyEvent::DiscoveryFailed]),
-            Step::Run(span) => script.advance(span),
+            Step::Disconnect(request) if next > 0 => {
+                script.disconnect(u64::from(request) % next + 1)
+            }
+            Step::Disconnect(_) => script.step(&[PolicyEvent::DiscoveryFailed]),
+            Step::Advance(span) => script.advance(span),
         }
     }
     script.advance(3100);
@@ -129,10 +131,10 @@
         .run(
             &(steps(), stale_read_policy, sessions, any::<bool>()),
             |(steps, stale_read_policy, sessions, polled_by_router)| {
-                let script = play(&steps, stale_read_policy, sessions, polled_by_router);
+                let script = run_steps(&steps, stale_read_policy, sessions, polled_by_router);
                 prop_assert!(
                     script.unfinished().is_empty(),
-                    "no end for {:?}",
+                    "no final answer for {:?}",
                     script.unfinished()
                 );
                 Ok(())
@@ -145,21 +147,21 @@
 fn same_events_give_same_actions() {
     runner()
         .run(&steps(), |steps| {
-            let one = play(
+            let first = run_steps(
                 &steps,
                 StaleReadPolicy::Serve,
                 SessionTracking::ClientProvided,
                 true,
             )
-            .all;
-            let two = play(
+            .actions;
+            let second = run_steps(
                 &steps,
                 StaleReadPolicy::Serve,
                 SessionTracking::ClientProvided,
                 true,
             )
-            .all;
-            prop_assert_eq!(one, two);
+            .actions;
+            prop_assert_eq!(first, second);
             Ok(())
         })
         .unwrap();
--- a/crates/policy/tests/replica_selection.rs
+++ b/crates/policy/tests/replica_selection.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn no_fresh_replica_read_checks_then_goes_to_primary() {
+fn read_without_fresh_replica_checks_then_goes_to_primary() {
     let mut script = Script::group(settings(), 3, 1);
     script.advance(400);
     script.health_checks.clear();
@@ -55,8 +55,8 @@
 
 #[test]
 fn long_queries_share_one_replica_and_bounded_reads_avoid_it() {
-    // A replica that executes one applies nothing: spread over all of them, they would make every
-    // replica stale.
+    // A replica applies no changes while it executes a long query: spread over all replicas, long
+    // queries would make every replica stale.
     let mut cfg = settings();
     cfg.stale_read_policy = StaleReadPolicy::WaitThenReject(ms(20));
     cfg.classes[EVENTUAL.0].latency_objective = ms(4000);
@@ -82,8 +82,12 @@
     }
     script.list(false, vec![record(5, false, EndpointState::Draining)]);
     script.request(7, EVENTUAL);
-    assert_eq!(script.sent_to(7), Some(4), "the next one gets them");
-    // A single replica gets everything.
+    assert_eq!(
+        script.sent_to(7),
+        Some(4),
+        "the next replica gets the long queries"
+    );
+    // A single replica also gets bounded reads.
     let mut script = Script::group(cfg, 2, 1);
     script.request(1, BOUNDED);
     assert_eq!(script.sent_to(1), Some(2));
@@ -98,19 +102,20 @@
         while script.sent_to(id) == Some(2) {
             sent += 1;
             script.end(id, Outcome::Error, REPLICA);
-            // It is retried once the end of its connection can no longer be overtaken.
+            // The read is retried once the retry can no longer overtake the end of the first
+            // connection.
             script.advance(2 * settings().tick.0 / 1000 + 5);
         }
         script.end(id, Outcome::Ok, REPLICA);
     }
     assert!(
         (5..60).contains(&sent),
-        "a third of them without the rule: {sent}"
+        "{sent} reads sent to the failing replica; a third of 400 if failures did not count"
     );
 }
 
 #[test]
-fn many_routers_slow_replica_gets_fewer_reads() {
+fn slow_replica_gets_fewer_reads_from_many_routers() {
     let mut cfg = settings();
     cfg.routers = 100;
     let (mut slow, mut all) = (0, 0);
@@ -131,26 +136,26 @@
     }
     assert!(
         all > 1_000 && slow * 4 < all && slow > 20,
-        "{slow} of {all}; a third without the rule"
+        "{slow} of {all} reads sent to the slow replica; a third if latency did not count"
     );
 }
 
 #[rstest::rstest]
-#[case::of_many_routers(100, 0.9, 1.0)]
-#[case::alone_and_busy(1, 0.1, 0.5)]
+#[case::many_routers(100, 0.9, 1.0)]
+#[case::single_busy_router(1, 0.1, 0.5)]
 fn few_requests_prefer_an_idle_connection(
     #[case] routers: u32,
-    #[case] least: f64,
-    #[case] most: f64,
+    #[case] min: f64,
+    #[case] max: f64,
 ) {
-    // Four reads in a row, each long after the one before it was answered but well before a
-    // connection is closed as idle.
+    // Four reads in a row, each long after the previous one was answered but well before an idle
+    // connection is closed.
     let mut cfg = settings();
     cfg.routers = routers;
     let (mut same, mut all) = (0, 0);
     for seed in 0..60 {
         let mut script = Script::group_seeded(cfg.clone(), 6, 1, seed);
-        // A router alone has enough responses from each endpoint.
+        // A single router gets enough responses from each endpoint.
         let before = if routers == 1 { 400 } else { 0 };
         let mut last = None;
         for id in 1..=before + 4 {
@@ -169,10 +174,10 @@
             script.advance(if id > before { 2_000 } else { 5 });
         }
     }
-    let part = same as f64 / all as f64;
+    let fraction = same as f64 / all as f64;
     assert!(
-        part >= least && part <= most,
-        "{part} of {all} went where the one before did"
+        fraction >= min && fraction <= max,
+        "{fraction} of {all} reads went to the endpoint of the previous one"
     );
 }
 
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request is attempted again, and attempts whose response streams.
+//! Whether a request is retried, and attempts whose response is streamed.
 
 mod support;
 
@@ -9,7 +9,7 @@
 const REPLICA: Option<Role> = Some(Role::Replica);
 
 #[test]
-fn attempts_exhausted_write_is_rejected_with_retry_after() {
+fn write_without_attempts_left_is_rejected_with_retry_after() {
     let mut cfg = settings();
     cfg.limits.max_attempts = 2;
     cfg.limits.health_checks = false;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn unresponsive_primary_keyed_write_is_cancelled_and_retried() {
+fn keyed_write_at_unresponsive_primary_is_cancelled_and_retried() {
     let mut script = Script::group(settings(), 3, 1);
     script.request(1, KEYED);
     script.advance(900);
@@ -44,14 +44,14 @@
     assert_eq!(
         script.sent_to(1),
         Some(1),
-        "the endpoint has yet to see the end of its connection: nothing may overtake it"
+        "not retried yet: the retry must not overtake the end of the first connection"
     );
     script.advance(2 * settings().tick.0 / 1000 + 5);
     assert_eq!(script.sent_to(1), Some(2));
 }
 
 #[test]
-fn window_over_keyed_write_fails() {
+fn keyed_write_after_its_window_fails() {
     let mut script = Script::group(settings(), 3, 1);
     script.request(1, KEYED);
     script.advance(2100);
@@ -74,7 +74,11 @@
     let mut script = Script::group(settings(), 2, 1);
     for id in 1..=60 {
         script.request_with(id, EVENTUAL, 60_000, None);
-        assert_eq!(script.sent_to(id), Some(2), "none of them takes capacity");
+        assert_eq!(
+            script.sent_to(id),
+            Some(2),
+            "streaming responses take no capacity"
+        );
         script.step(&[PolicyEvent::ResponseStarted(RequestId(id))]);
     }
     script.advance(20_000);
@@ -82,16 +86,17 @@
     script.request(100, EVENTUAL);
     assert_eq!(script.sent_to(100), Some(2));
     script.end(100, Outcome::Ok, REPLICA);
-    // One breaks off: nothing is sent again.
+    // One client disconnects and one response breaks off: nothing is sent again.
     script.disconnect(1);
     script.end(2, Outcome::Reset, None);
     assert_eq!(script.sends.len(), 61);
     assert!(script.cancels.is_empty());
 }
 
-/// An endpoint is removed from the list while it streams the response of a write that must not run twice, and then the
-/// connection breaks. The endpoint's state has been dropped with the time at which the attempt was sent, so the write
-/// counts as one that never ran, and is sent again.
+/// An endpoint is removed from the list while it streams the response of a write that must not run
+/// twice, and then the connection breaks. If the endpoint's state were dropped at its removal, so
+/// would be the time at which the attempt was sent; the write would count as one that never ran,
+/// and would be sent again.
 #[test]
 fn broken_stream_of_removed_endpoint_is_not_retried() {
     let mut script = Script::group(settings(), 3, 1);
@@ -105,5 +110,8 @@
         ],
     );
     script.end(1, Outcome::Reset, None);
-    assert!(script.failed(1), "it may have run: failed, not retried");
+    assert!(
+        script.failed(1),
+        "the write may have run, so it fails and is not retried"
+    );
 }
--- a/crates/policy/tests/scheduling.rs
+++ b/crates/policy/tests/scheduling.rs
@@ -8,7 +8,7 @@
 const REPLICA: Option<Role> = Some(Role::Replica);
 
 #[test]
-fn full_endpoint_higher_priority_goes_first() {
+fn full_endpoint_gets_higher_priority_first() {
     let mut cfg = settings();
     cfg.classes[EVENTUAL.0].priority_weight = 5.0;
     let mut script = Script::group(cfg, 2, 1);
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn objective_passed_read_is_rejected() {
+fn read_past_its_objective_is_rejected() {
     let mut script = Script::new(settings());
     script.list(true, vec![]);
     script.request(1, BOUNDED);
     script.advance(600);
     assert!(
         script.rejected(1),
-        "its latency objective has passed, its deadline has not"
+        "the latency objective of the read has passed, its deadline has not"
     );
 }
 
 #[test]
-fn unknown_groups_are_forgotten() {
+fn unknown_groups_are_dropped() {
     let mut script = Script::group(settings(), 2, 1);
     for group in 100_u16..400 {
         script.request_to(group.into(), GroupId(group), WRITE, 3000, None);
@@ -47,7 +47,7 @@
 
 #[test]
 fn unsent_write_is_rejected_at_half_its_time() {
-    // If it waited until its deadline, its client would have no time left for a retry.
+    // If the write waited until its deadline, its client would have no time left for a retry.
     let mut cfg = settings();
     cfg.limits.health_checks = false;
     let mut script = Script::new(cfg);
@@ -62,8 +62,11 @@
     script.end(1, Outcome::Misdirected, REPLICA);
     script.request_with(2, KEYED, 2000, None);
     script.advance(900);
-    assert!(!script.rejected(2), "it waits while a primary may be found");
-    // The first write leads the next round of the search, so it goes on waiting.
+    assert!(
+        !script.rejected(2),
+        "the write waits while a primary may be found"
+    );
+    // The first write leads the next round of the search, so it keeps waiting.
     script.advance(150);
     assert!(script.rejected(2) && !script.rejected(1));
 }
--- a/crates/policy/tests/sessions.rs
+++ b/crates/policy/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Read-your-writes.
+//! Read-your-writes consistency.
 
 mod support;
 
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! The slow-start budget of an endpoint that has just started, over the sum of all gateways, where
-//! some queries are far longer than the mean.
+//! The slow-start budget of an endpoint that has just started, summed over all gateways, where some
+//! queries are far longer than the mean.
 
 mod support;
 
@@ -7,23 +7,24 @@
 use support::*;
 use valehatch_policy::*;
 
-/// Gateways that share the group, each with its part of the traffic.
+/// Gateways that share the group, each with its share of the traffic.
 const GATEWAYS: u64 = 32;
 /// Endpoints of the group. The first is its primary, the last one restarts.
 const ENDPOINTS: u32 = 4;
-/// Requests of mean work that tenants may send in a second, and what they do send.
+/// Requests of mean work per second that tenants may send.
 const ALLOWANCE: f64 = 240.0;
+/// Time between two requests of one gateway.
 const GAP_MS: i64 = 160;
-/// Work of a short query and of a report, in milliseconds, and one report in so many requests.
+/// Work of a short query and of a report, in milliseconds.
 const SHORT_MS: i64 = 60;
 const REPORT_MS: i64 = 1_100;
-/// Time before the restart, and after it.
+/// Time before and after the restart.
 const BEFORE_RESTART_MS: i64 = 10_000;
 const AFTER_RESTART_MS: i64 = 8_000;
 
-/// The settings of [`support::settings`] and one class more: reports, which any endpoint may
-/// answer.
-fn with_reports() -> (Settings, ClassId) {
+/// The settings of [`support::settings`] with one more class: reports, which any endpoint may
+/// serve.
+fn settings_with_reports() -> (Settings, ClassId) {
     let mut settings = settings();
     let report = RequestClass {
         consistency: Consistency::Eventual,
@@ -42,19 +43,20 @@
     (settings.clone(), ClassId(settings.classes.len() - 1))
 }
 
-/// What one gateway sends to the restarted endpoint: when, and how much work.
+/// Requests that one gateway sends to the restarted endpoint: the time and the work of each.
 fn sent_by_one(gateway: u64, seed: u64, one_report_in: u64, restarted: &[u32]) -> Vec<(Time, f64)> {
-    let (cfg, report) = with_reports();
+    let (cfg, report) = settings_with_reports();
     let mut script = Script::group_seeded(cfg, ENDPOINTS, 1, seed * GATEWAYS + gateway);
     let mut ends: Vec<(Time, u64)> = vec![];
     let mut sends_seen = 0;
     let mut sent = vec![];
-    let began = script.now;
+    let started_at = script.now;
     script.advance(gateway as i64 * GAP_MS / GATEWAYS as i64);
     let mut id = 0;
-    while script.now < began + ms(BEFORE_RESTART_MS + AFTER_RESTART_MS) {
+    while script.now < started_at + ms(BEFORE_RESTART_MS + AFTER_RESTART_MS) {
         id += 1;
-        // Reports are spread over the gateways, so that none sends its own in step with another.
+        // Reports are spread over the gateways, so that no gateway sends its reports in step with
+        // another.
         let class = if (id + gateway * 7).is_multiple_of(one_report_in) {
             report
         } else {
@@ -108,8 +110,8 @@
     sent
 }
 
-/// The most work that reached the endpoint within one window, as a fraction of what overloads it,
-/// and that bound.
+/// The largest work that reached the endpoint within one window, as a fraction of the work that
+/// overloads the endpoint; and the latter, in requests of mean work.
 fn worst_window(mut sent: Vec<(Time, f64)>, one_report_in: u64) -> (f64, f64) {
     sent.sort_by_key(|(at, _)| *at);
     let rules = settings().rules;
@@ -123,11 +125,13 @@
             .rev()
             .take_while(|(earlier, _)| *at - *earlier < rules.overload_duration);
         let units = window.map(|(_, work)| work / mean).sum::<f64>();
-        let grown = ((*at - started).as_f64() / rules.slow_start_duration.as_f64()).clamp(0.0, 1.0);
-        let part =
-            rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * grown;
+        let progress =
+            ((*at - started).as_f64() / rules.slow_start_duration.as_f64()).clamp(0.0, 1.0);
+        let capacity_fraction = rules.slow_start_initial_capacity
+            + (1.0 - rules.slow_start_initial_capacity) * progress;
         let capacity =
-            ALLOWANCE / f64::from(ENDPOINTS) * part * rules.overload_duration.as_f64() / 1e6;
+            ALLOWANCE / f64::from(ENDPOINTS) * capacity_fraction * rules.overload_duration.as_f64()
+                / 1e6;
         let n = rules.overload_multiple * capacity;
         let bound = n + 2.0 * n.sqrt() + 2.0;
         if units / bound > worst.0 {
@@ -146,14 +150,14 @@
             (0..GATEWAYS).flat_map(|gateway| sent_by_one(gateway, seed, one_report_in, restarted));
         let sent: Vec<_> = all.collect();
         let count = sent.len();
-        let (part, bound) = worst_window(sent, one_report_in);
+        let (fraction, bound) = worst_window(sent, one_report_in);
         println!(
-            "one report in {one_report_in}, seed {seed}: {count} sent, at the worst {part:.2} of {bound:.0} requests of mean work"
+            "one report in {one_report_in}, seed {seed}: {count} sent, at most {fraction:.2} of {bound:.0} requests of mean work"
         );
         assert!(count > 10, "{count} sent: too few to show anything");
         assert!(
-            part <= 1.0,
-            "{part:.2} times what overloads it ({bound:.0} requests of mean work)"
+            fraction <= 1.0,
+            "{fraction:.2} times the work that overloads the endpoint ({bound:.0} requests of mean work)"
         );
     }
 }
--- a/crates/policy/tests/slow_start_budget.rs
+++ b/crates/policy/tests/slow_start_budget.rs
@@ -1,4 +1,4 @@
-//! The slow-start budget, over the sum of all routers.
+//! The slow-start budget, summed over all routers.
 
 mod support;
 
@@ -31,11 +31,11 @@
     let mut restarted = record(3, false, EndpointState::Ready);
     restarted.started = Some(script.now);
     script.list(false, vec![restarted]);
-    let restarted_part = load(&mut script, 150);
+    let early = load(&mut script, 150);
     let later = load(&mut script, 700);
     assert!(
-        warm > 100 && restarted_part * 5 < warm && later > restarted_part,
-        "{warm} {restarted_part} {later}"
+        warm > 100 && early * 5 < warm && later > early,
+        "{warm} requests before the restart, {early} just after it, {later} later"
     );
 }
 
@@ -77,9 +77,9 @@
     );
 }
 
-/// Attempts of many routers at one endpoint in the 1.5 s before and after it restarted, each router
-/// with about one request of a class a second.
-fn sent_by_many(class: ClassId, endpoint: u32, endpoints: u32, leaving: &[u32]) -> (usize, usize) {
+/// Number of attempts that many routers send to one endpoint in the 1.5 s before and after it
+/// restarts. Each router gets about one request of the class per second.
+fn sent_by_many(class: ClassId, endpoint: u32, endpoints: u32, removed: &[u32]) -> (usize, usize) {
     let (mut before, mut after) = (0, 0);
     for seed in 0..150 {
         let mut cfg = settings();
@@ -87,7 +87,7 @@
         let mut script = Script::group_seeded(cfg, endpoints, 1, seed);
         script.advance(i64::try_from(seed).unwrap() * 6);
         let mut id = 0;
-        let mut second = |script: &mut Script| {
+        let mut run_second = |script: &mut Script| {
             id += 1;
             script.request(id, class);
             script.advance(100);
@@ -104,7 +104,7 @@
             }
             script.advance(900);
         };
-        (0..12).for_each(|_| second(&mut script));
+        (0..12).for_each(|_| run_second(&mut script));
         let count = |script: &Script, from: usize| {
             script.sends[from..]
                 .iter()
@@ -112,16 +112,16 @@
                 .count()
         };
         let from = script.sends.len();
-        (0..2).for_each(|_| second(&mut script));
+        (0..2).for_each(|_| run_second(&mut script));
         before += count(&script, from);
         let mut restarted = record(endpoint, endpoint == 1, EndpointState::Ready);
         restarted.started = Some(script.now);
-        let removed = leaving
+        let removed = removed
             .iter()
             .map(|n| record(*n, false, EndpointState::Removed));
         script.list(false, removed.chain([restarted]).collect());
         let from = script.sends.len();
-        (0..2).for_each(|_| second(&mut script));
+        (0..2).for_each(|_| run_second(&mut script));
         after += count(&script, from);
     }
     (before, after)
@@ -133,7 +133,10 @@
     let limit = before as f64
         * settings().rules.slow_start_initial_capacity
         * settings().rules.overload_multiple;
-    assert!(before > 100 && (after as f64) < limit, "{before} {after}");
+    assert!(
+        before > 100 && (after as f64) < limit,
+        "{before} attempts before the restart, {after} after it"
+    );
 }
 
 #[test]
@@ -142,7 +145,10 @@
     let limit = before as f64
         * settings().rules.slow_start_initial_capacity
         * settings().rules.overload_multiple;
-    assert!(before > 40 && (after as f64) < limit, "{before} {after}");
+    assert!(
+        before > 40 && (after as f64) < limit,
+        "{before} attempts before the restart, {after} after it"
+    );
 }
 
 #[test]
@@ -153,12 +159,13 @@
         * settings().rules.overload_multiple;
     assert!(
         before > 200 && after > 0 && (after as f64) < limit,
-        "{before} {after}"
+        "{before} attempts before the restart, {after} after it"
     );
 }
 
-/// Writes sent to a primary that has just restarted, within the overload duration, by processes
-/// that share a gateway's 100 requests a second; the first has served its part for a while.
+/// Number of writes that are sent to a primary within the overload duration after its restart, by
+/// processes that share a gateway's 100 requests per second. The first process has served its share
+/// for a while.
 fn sent_to_restarted_primary(processes: u32) -> usize {
     let mut cfg = settings();
     (cfg.routers, cfg.tenants) = (1, vec![Tenant { allowance: 100.0 }]);
@@ -166,7 +173,7 @@
     for n in 0..processes {
         let mut script = Script::group_seeded(cfg.clone(), 4, 1, n.into());
         let mut id = 0;
-        let mut one = |script: &mut Script, class, gap| {
+        let mut send_one = |script: &mut Script, class, gap| {
             id += 1;
             script.request(id, class);
             script.advance(gap);
@@ -182,7 +189,7 @@
                 script.step(&end.into_iter().collect::<Vec<_>>());
             }
         };
-        (0..if n == 0 { 1_500 } else { 0 }).for_each(|_| one(&mut script, EVENTUAL, 10));
+        (0..if n == 0 { 1_500 } else { 0 }).for_each(|_| send_one(&mut script, EVENTUAL, 10));
         script.step(&[PolicyEvent::RouterCount(processes)]);
         let mut restarted = record(1, true, EndpointState::Ready);
         restarted.started = Some(script.now);
@@ -190,7 +197,7 @@
         let from = script.sends.len();
         let gap = 10 * i64::from(processes);
         (0..settings().rules.overload_duration.0 / 1_000 / gap)
-            .for_each(|_| one(&mut script, WRITE, gap));
+            .for_each(|_| send_one(&mut script, WRITE, gap));
         sent += script.sends[from..]
             .iter()
             .filter(|(_, endpoint)| endpoint.0 == 1)
@@ -204,12 +211,13 @@
     let (one, two) = (sent_to_restarted_primary(1), sent_to_restarted_primary(2));
     assert!(
         one > 10 && two <= one + one / 10,
-        "{two} by two, {one} by one"
+        "{two} writes from two processes, {one} from one"
     );
 }
 
-/// Routers and a primary that have just started: 100 writes a second, of the 400 that tenants may
-/// request of four endpoints. An endpoint's capacity is taken to be its part of those.
+/// Routers and a primary that have just started: tenants send 100 writes per second, of the 400
+/// requests per second that they may send to four endpoints. An endpoint's capacity is assumed to
+/// be its share of those.
 #[rstest::rstest]
 #[case(1)]
 #[case(3)]
@@ -238,7 +246,7 @@
         }
         sent.extend(
             script
-                .all
+                .actions
                 .iter()
                 .filter(|(_, a)| matches!(a, Action::Send { .. }))
                 .map(|(at, _)| *at),
@@ -250,11 +258,11 @@
         .iter()
         .filter(|at| **at < first + rules.overload_duration)
         .count();
-    // By the end of that time its capacity is 0.32 of 100 a second.
+    // By the end of that time, the endpoint's capacity is 0.32 of 100 requests per second.
     let budget = rules.overload_multiple * 0.32 * 100.0 * rules.overload_duration.as_f64() / 1e6;
     assert!(
         within >= 10 && (within as f64) < budget,
-        "{within} of {budget}, {} in all",
+        "{within} writes in time, budget {budget}, {} in all",
         sent.len()
     );
 }
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,5 +1,7 @@
-//! A scripted environment: it hands events to a router and checks the five rules on the actions
-//! that come back.
+//! A scripted environment of a router: passes events to it, and checks the actions that it returns.
+//! Each request gets one final answer in time; no request runs twice unless its class allows that;
+//! draining and removed endpoints get no requests; no read is served from data that is too old for
+//! it; and no request has more attempts than allowed.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -109,7 +111,7 @@
     pub health_checks: Vec<EndpointId>,
     pub cancels: Vec<(RequestId, u32)>,
     pub polls: Vec<Time>,
-    pub all: Vec<(Time, Action)>,
+    pub actions: Vec<(Time, Action)>,
 }
 
 pub(crate) fn record(id: u32, primary: bool, state: EndpointState) -> EndpointRecord {
@@ -146,12 +148,12 @@
             health_checks: vec![],
             cancels: vec![],
             polls: vec![],
-            all: vec![],
+            actions: vec![],
         }
     }
 
-    /// Endpoints 1 to `n`, of which `primary` is listed as such; every endpoint has reported its
-    /// present position.
+    /// Endpoints 1 to `n`, of which the list names `primary` as the primary. Every endpoint has
+    /// reported a position 10 ms old.
     pub(crate) fn group(cfg: Settings, n: u32, primary: u32) -> Self {
         Self::group_seeded(cfg, n, primary, 7)
     }
@@ -192,15 +194,15 @@
         &mut self,
         id: u64,
         class: ClassId,
-        left: i64,
+        time_left_ms: i64,
         since_last_write: Option<i64>,
     ) {
-        self.request_to(id, GroupId(0), class, left, since_last_write);
+        self.request_to(id, GroupId(0), class, time_left_ms, since_last_write);
     }
 
-    /// Whether the debug output of the router's state contains this.
-    pub(crate) fn debug_contains(&self, what: &str) -> bool {
-        format!("{:?}", self.router).contains(what)
+    /// Whether the debug output of the router's state contains `text`.
+    pub(crate) fn debug_contains(&self, text: &str) -> bool {
+        format!("{:?}", self.router).contains(text)
     }
 
     pub(crate) fn request_to(
@@ -208,13 +210,13 @@
         id: u64,
         group: GroupId,
         class: ClassId,
-        left: i64,
+        time_left_ms: i64,
         since_last_write: Option<i64>,
     ) {
         let request = Request {
             id: RequestId(id),
             session: Some(SessionKey(5)),
-            time_left: ms(left),
+            time_left: ms(time_left_ms),
             group,
             class,
             tenant: None,
@@ -223,7 +225,7 @@
             since_last_write: since_last_write.map(ms),
         };
         let session_position = request.since_last_write.map(|ago| self.now - ago);
-        let deadline = self.now.0 + left * 1000;
+        let deadline = self.now.0 + time_left_ms * 1000;
         self.requests.insert(
             request.id,
             TrackedRequest {
@@ -236,7 +238,7 @@
         self.step(&[PolicyEvent::Request(request)]);
     }
 
-    /// Ends the attempt in flight for a request; a served one ends the request.
+    /// Ends the attempt in flight of a request; outcome `Ok` ends the request as well.
     pub(crate) fn end(&mut self, id: u64, outcome: Outcome, role: Option<Role>) {
         self.end_with_position(id, outcome, role, None);
     }
@@ -325,7 +327,7 @@
         }]);
     }
 
-    /// Lets time pass in ticks: timers expire, and attempts in flight at their deadline time out.
+    /// Advances time in ticks: timers expire, and attempts in flight at their deadline time out.
     pub(crate) fn advance(&mut self, span_ms: i64) {
         let end = self.now + ms(span_ms);
         while self.now < end {
@@ -335,13 +337,13 @@
                 self.timer = None;
                 events.push(PolicyEvent::Timer(0));
             }
-            let over: Vec<u64> = self
+            let expired: Vec<u64> = self
                 .requests
                 .iter()
                 .filter(|(_, tracked)| !tracked.finished && self.now.0 >= tracked.deadline)
                 .map(|(id, _)| id.0)
                 .collect();
-            for id in over {
+            for id in expired {
                 events.extend(self.end_event(id, Outcome::Timeout, None, None));
             }
             if !events.is_empty() {
@@ -350,7 +352,7 @@
             for (id, tracked) in &self.requests {
                 assert!(
                     tracked.finished || self.now.0 <= tracked.deadline + 20_000,
-                    "rule 1: {id:?} has no answer in time"
+                    "{id:?} has no answer in time"
                 );
             }
         }
@@ -361,7 +363,7 @@
         self.router.step(self.now, events, &mut actions);
         for action in actions {
             self.check(&action);
-            self.all.push((self.now, action));
+            self.actions.push((self.now, action));
         }
     }
 
@@ -377,14 +379,14 @@
                 let tracked = self
                     .requests
                     .get_mut(request)
-                    .expect("a request of this script");
-                assert!(!tracked.finished, "rule 1: two answers for {request:?}");
+                    .expect("the request was sent by this script");
+                assert!(!tracked.finished, "two answers for {request:?}");
                 let rejected = matches!(action, Action::Reject { .. });
                 let safe = self.cfg.classes[tracked.class].idempotency == Idempotency::Idempotent;
                 let ran = tracked.may_have_run_since.is_some() || !tracked.in_flight.is_empty();
                 assert!(
                     !rejected || safe || !ran,
-                    "rule 2: {request:?} may have run and was rejected"
+                    "{request:?} may have run and was rejected"
                 );
                 tracked.finished = true;
                 self.answers.insert(*request, action.clone());
@@ -402,30 +404,30 @@
         let tracked = self
             .requests
             .get_mut(&request)
-            .expect("a request of this script");
+            .expect("the request was sent by this script");
         let class = &self.cfg.classes[tracked.class];
-        assert!(!tracked.finished, "rule 1: {request:?} sent after its end");
+        assert!(!tracked.finished, "{request:?} sent after its end");
         assert!(
             tracked.in_flight.is_empty(),
-            "rule 2: two attempts of {request:?} in flight"
+            "two attempts of {request:?} in flight"
         );
         assert!(
             !self.unusable.contains(&endpoint),
-            "rule 3: {endpoint:?} is draining or removed"
+            "{request:?} sent to {endpoint:?}, which is draining or removed"
         );
         match (class.idempotency, tracked.may_have_run_since) {
             (Idempotency::NonIdempotent, Some(_)) => {
-                panic!("rule 2: {request:?} may have run and was retried")
+                panic!("{request:?} may have run and was retried")
             }
             (Idempotency::IdempotencyKey { window, .. }, Some(from)) => {
                 assert!(
                     self.now.0 < from + window.0,
-                    "rule 2: {request:?} retried after its window"
+                    "{request:?} retried after its deduplication window"
                 );
-                let ends = send_before.is_some_and(|at| at.0 < from + window.0);
+                let is_limited = send_before.is_some_and(|at| at.0 < from + window.0);
                 assert!(
-                    ends,
-                    "rule 2: {request:?} may begin after its window if its connection is late"
+                    is_limited,
+                    "a late connection may write {request:?} after its deduplication window"
                 );
             }
             _ => {}
@@ -443,15 +445,15 @@
             let reported = self.reported_positions.get(&endpoint).copied();
             assert!(
                 reported >= required,
-                "rule 5: {request:?} to {endpoint:?} is stale"
+                "{request:?} sent to {endpoint:?}, whose data is too old"
             );
             if let (Consistency::BoundedStaleness(bound), Some(reported)) =
                 (class.consistency, reported)
             {
-                let ends = send_before.is_some_and(|at| at <= reported + bound);
+                let is_limited = send_before.is_some_and(|at| at <= reported + bound);
                 assert!(
-                    ends,
-                    "rule 5: {request:?} to {endpoint:?} may be stale if its connection is late"
+                    is_limited,
+                    "a late connection may write {request:?} to {endpoint:?} when its data is too old"
                 );
             }
         }
@@ -465,7 +467,7 @@
         self.sends.push((request, endpoint));
     }
 
-    /// The client disconnects; attempts in flight still end.
+    /// Disconnects the client of a request; its attempts in flight still end.
     pub(crate) fn disconnect(&mut self, id: u64) {
         let Some(tracked) = self
             .requests
@@ -487,7 +489,7 @@
             .collect()
     }
 
-    /// Where the last attempt of a request went.
+    /// Endpoint of the last attempt of a request.
     pub(crate) fn sent_to(&self, id: u64) -> Option<u32> {
         self.sends
             .iter()
