--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,14 +1,19 @@
-//! Anti-entropy: two gateways compare their member tables, and each gets what it lacks (push/pull).
+//! Anti-entropy: two gateways compare their member tables, and each sends the updates that the
+//! other lacks (push/pull).
 //!
-//! Inputs are time (whole microseconds) and messages of the other gateway; the outputs are effects.
-//! One session at a time is started here; sessions that others start need no state.
+//! Inputs are time (whole microseconds) and messages from the other gateway; outputs are effects.
+//! This gateway runs at most one session of its own at a time; answering a session that another
+//! gateway has started needs no state.
 //!
-//! 1. The initiator sends the digest of its table. If it is the same, the answer is `InSync`.
-//! 2. Otherwise a small table is sent at once; for a larger one the bucket digests are sent.
-//! 3. The initiator pulls the buckets that differ, page by page, and names by hash what it has.
-//! 4. If the table is one bucket, the initiator sends back what the other lacks.
+//! 1. The initiator sends the digest of its table. If the tables are equal, the answer is `InSync`.
+//! 2. Otherwise, the responder sends a small table immediately, and the bucket digests of a larger
+//!    one.
+//! 3. The initiator pulls the buckets that differ, page by page, and lists the updates that it has
+//!    already, by hash.
+//! 4. If the table is a single bucket, the initiator sends back the updates that the responder
+//!    lacks.
 //!
-//! A session ends when a page does not come within a period.
+//! A session ends if the next page does not arrive within a period.
 
 use std::net::SocketAddr;
 
@@ -19,26 +24,26 @@
 use crate::gossip::MAX_UPDATES_PER_DATAGRAM;
 use crate::member_table::{BUCKETS, Member, bucket_of, hash_with, member_digest};
 use crate::wire::{MemberState, MemberUpdate, Message, SyncCursor};
-use crate::{Membership, draw_below, draw_fraction};
+use crate::{Membership, random_below, random_fraction};
 
 /// Periods between sessions, on average.
 const SYNC_PERIODS: f64 = 10.0;
-/// Fraction of the byte budget that pages and the updates sent back may use. Pages contain only
-/// what the other lacks, so they come before other updates.
+/// Fraction of the byte budget that pages and pushed updates may use. Pages contain only what the
+/// receiver lacks, so their share is larger than that of gossip.
 const SYNC_BUDGET_FRACTION: f64 = 0.75;
-/// Hashes of known updates in a pull. If more are known, none are named. With all other fields at
-/// their longest the datagram has 245 bytes.
+/// Maximum number of hashes of known updates in a pull. If more updates are known, none is listed.
+/// With all other fields at their maximum length, the datagram has 245 bytes.
 const MAX_KNOWN_HASHES: usize = 50;
-/// Members per bucket of a table that is compared bucket by bucket, about.
+/// Approximate number of members per bucket of a table that is compared bucket by bucket.
 const MEMBERS_PER_BUCKET: usize = 16;
 
-/// The cursor of a session that has only sent a digest: the number of buckets is not known yet.
+/// Cursor of a session that has only sent a digest: the number of buckets is not known yet.
 const DIGEST_SENT: SyncCursor = SyncCursor {
     bucket: 0,
     bucket_count: 0,
     after: None,
 };
-/// The entire table as one bucket.
+/// Cursor at the start of a table that is a single bucket.
 const ENTIRE_TABLE: SyncCursor = SyncCursor {
     bucket: 0,
     bucket_count: 1,
@@ -49,11 +54,11 @@
 #[derive(Clone, Debug)]
 struct SyncSession {
     with: SocketAddr,
-    /// The page that was requested last, or [`DIGEST_SENT`].
+    /// The last requested page, or [`DIGEST_SENT`].
     cursor: SyncCursor,
-    /// Differing buckets still to be pulled, the last one next.
+    /// Differing buckets still to be pulled; the last element is next.
     remaining: Vec<u8>,
-    /// When the session ends unless the next message has come.
+    /// When the session ends unless the next message has arrived.
     expires_at: Time,
 }
 
@@ -62,18 +67,19 @@
         self.cursor.bucket_count == DIGEST_SENT.bucket_count
     }
 
-    /// Whether a page answers the last message. A small table is sent at once, in answer to the
+    /// Whether a page answers the last message. A small table is sent immediately in answer to the
     /// digest.
     fn expects(&self, page: SyncCursor) -> bool {
         self.cursor == page || self.awaits_digest_answer() && page.bucket_count == 1
     }
 }
 
-/// State of anti-entropy.
+/// The session in progress, and when the next one starts.
 #[derive(Debug)]
 pub(crate) struct AntiEntropy {
     session: Option<SyncSession>,
-    /// Whether all that some gateway knew was known here once.
+    /// Whether this gateway has completed a session since its start or the last pause, or knows no
+    /// other gateway to sync with.
     pub(crate) synced: bool,
     next_at: Time,
     last_started_at: Time,
@@ -89,14 +95,14 @@
         }
     }
 
-    /// Starts over after this process has paused.
+    /// Drops the session and schedules a new one immediately, after this process has paused.
     pub(crate) fn restart(&mut self, synced: bool, now: Time) {
         self.session = None;
         self.synced = synced;
         self.next_at = now;
     }
 
-    /// Ends the session with a gateway if it is as expected.
+    /// Takes the session with a gateway if it is in the expected state.
     fn take_session(
         &mut self,
         with: SocketAddr,
@@ -107,7 +113,7 @@
     }
 }
 
-/// Updates that the other gateway knows already, by salted hash.
+/// Salted hashes of the updates that the other gateway has already.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KnownUpdates<'a> {
     pub(crate) salt: u16,
@@ -125,18 +131,18 @@
     }
 }
 
-/// A page as it was received.
+/// A received page of the other gateway's table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedPage<'a> {
     pub(crate) cursor: SyncCursor,
-    /// Whether the bucket ends with this page.
+    /// Whether this is the last page of the bucket.
     pub(crate) last: bool,
     pub(crate) updates: &'a [MemberUpdate],
 }
 
 impl Membership {
-    /// Starts a session if one is due: with a member that disagrees on the view, otherwise with
-    /// any.
+    /// Starts a session if one is due: with a member that disagrees on the view if there is one,
+    /// otherwise with a random member.
     pub(crate) fn start_sync(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let interval = self.settings.probe_interval;
         let expired = self
@@ -150,11 +156,11 @@
             return;
         }
         let disagreeing = self.view.disagreeing_member().filter(|_| self.sync.synced);
-        let Some(with) = disagreeing.or_else(|| self.draw_live(1, None).pop()) else {
+        let Some(with) = disagreeing.or_else(|| self.random_live_members(1, None).pop()) else {
             return;
         };
         let periods = if self.sync.synced {
-            SYNC_PERIODS * (0.5 + draw_fraction(&mut self.rng))
+            SYNC_PERIODS * (0.5 + random_fraction(&mut self.rng))
         } else {
             1.0
         };
@@ -171,8 +177,8 @@
         self.send(with, Message::SyncDigest(digest), now, effects);
     }
 
-    /// Starts the next session at once if a member disagrees and the reason is not just a change
-    /// still on its way.
+    /// Makes the next session due now if a member disagrees for another reason than a change that
+    /// is still propagating.
     pub(crate) fn expedite_sync(&mut self, now: Time) {
         let interval = self.settings.probe_interval;
         let since_change = now - self.view.since();
@@ -184,13 +190,13 @@
         }
     }
 
-    /// The digest of all that is known, this gateway included: the same at all gateways that know
-    /// the same.
+    /// Digest of the member table including this gateway. Gateways with equal tables have equal
+    /// digests.
     fn table_digest(&self) -> u64 {
         self.table.digest() ^ self.local.digest()
     }
 
-    /// The digests of a table divided into this many buckets, a power of two.
+    /// Digests of the table divided into `bucket_count` buckets, which must be a power of two.
     fn bucket_digests(&self, bucket_count: usize) -> Vec<u32> {
         let mut digests = vec![0_u64; bucket_count];
         for (bucket, digest) in self.table.bucket_digests().iter().enumerate() {
@@ -201,7 +207,7 @@
         digests.into_iter().map(|d| (d >> 32) as u32).collect()
     }
 
-    /// Answers a digest.
+    /// Answers the digest of a gateway that starts a session.
     pub(crate) fn on_sync_digest(
         &mut self,
         from: SocketAddr,
@@ -222,13 +228,13 @@
         }
     }
 
-    /// The other gateway has the same table.
+    /// Completes the session with a gateway that has the same table.
     pub(crate) fn on_in_sync(&mut self, from: SocketAddr, effects: &mut Vec<Effect>) {
         self.sync.take_session(from, |_| true);
         self.finish_sync(effects);
     }
 
-    /// Pulls the buckets that differ.
+    /// Compares bucket digests, and starts to pull the buckets that differ.
     pub(crate) fn on_bucket_digests(
         &mut self,
         from: SocketAddr,
@@ -252,8 +258,8 @@
             .filter(|(_, (ours, theirs))| ours != theirs)
             .map(|(bucket, _)| bucket)
             .collect();
-        // Gateways that sync with the same one at the same time begin with different buckets.
-        let first = draw_below(&mut self.rng, differing.len());
+        // Gateways that sync with the same member at the same time start at different buckets.
+        let first = random_below(&mut self.rng, differing.len());
         differing.rotate_left(first);
         let bucket_count = u8::try_from(bucket_count).unwrap_or(1);
         self.pull_next_bucket(from, bucket_count, differing, now, effects);
@@ -292,8 +298,8 @@
             remaining,
             expires_at: now + self.settings.probe_interval,
         });
-        // An update whose hash equals that of another one is left out of the answer. The next pull
-        // has another salt.
+        // An update whose hash collides with that of a known update is missing from the answer. The
+        // next pull uses another salt.
         let salt = u16::try_from(self.rng.next_u32() >> 16).unwrap_or(0);
         let mut known: Vec<u16> = self
             .table
@@ -312,7 +318,8 @@
         self.send_with(with, message, &[], 0.0, now, effects);
     }
 
-    /// Sends the members after a cursor that the other does not know, as many as fit.
+    /// Sends as many of the members after a cursor that the receiver does not know as fit into one
+    /// datagram.
     pub(crate) fn send_page(
         &mut self,
         to: SocketAddr,
@@ -321,17 +328,18 @@
         now: Time,
         effects: &mut Vec<Effect>,
     ) {
-        // This gateway is in the datagram itself, and the receiver needs nothing about itself.
+        // Every datagram carries its sender's own state, and the receiver needs no update about
+        // itself.
         let updates: Vec<MemberUpdate> = self
             .table
             .after(cursor)
-            .filter(|(address, member)| **address != to && !member.only_known_gone)
+            .filter(|(address, member)| **address != to && !member.never_seen_live)
             .map(|(address, member)| self.update_about(address, member))
             .filter(|update| !known.contains(update))
             .take(MAX_UPDATES_PER_DATAGRAM + 1)
             .collect();
-        // Whether the bucket ends with this page depends on how many updates fit, so it is encoded
-        // once as a trial.
+        // Whether this is the last page depends on how many updates fit, so the datagram is encoded
+        // once to count them.
         let mut all = self.mandatory_updates(&to);
         let mandatory = all.len();
         all.extend(&updates);
@@ -343,8 +351,8 @@
         self.send_with(to, message, &updates[..fitting], reserved, now, effects);
     }
 
-    /// Goes on after a page. Its updates have been merged already; a page that was not requested,
-    /// is duplicated, or belongs to an expired session has no further effect.
+    /// Continues the session after a page whose updates have already been merged. A page that was
+    /// not requested, is duplicated, or belongs to an expired session has no further effect.
     pub(crate) fn on_page(
         &mut self,
         from: SocketAddr,
@@ -378,9 +386,9 @@
         }
     }
 
-    /// Sends back what the other gateway lacks, up to an address. It passes on what is new to it.
-    /// If the table has several buckets a page leaves out what this gateway knows, so the other has
-    /// to sync by itself.
+    /// Sends back the updates that the other gateway lacks, up to an address; that gateway gossips
+    /// those that are new to it. With several buckets, a page omits what this gateway has already,
+    /// so this gateway cannot tell what the other lacks, and the other must start its own session.
     fn push_missing(
         &mut self,
         to: SocketAddr,
@@ -400,7 +408,7 @@
                 .any(|u| u.address == *address && u.claim() >= member.claim());
             is_within
                 && *address != to
-                && !member.only_known_gone
+                && !member.never_seen_live
                 && !is_known
                 && member.state != MemberState::Suspect
         };
@@ -429,7 +437,7 @@
     }
 }
 
-/// Identifies an update among those that a gateway knows already.
+/// Hash of an update for the list of known updates in a pull.
 fn salted_hash(salt: u16, update: &MemberUpdate) -> u16 {
     use std::hash::Hasher;
     let hash = hash_with(&update.address, |hasher| {
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -7,62 +7,64 @@
 use crate::view::ViewStatus;
 use crate::wire::Incarnation;
 
-/// What is to be done or reported.
+/// An action for the caller to perform, or an event to report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram to a gateway.
     Send {
-        /// The gateway's address.
+        /// Address of the receiving gateway.
         to: SocketAddr,
-        /// The datagram, at most [`crate::wire::MAX_DATAGRAM_BYTES`] bytes.
+        /// The encoded datagram, at most [`crate::wire::MAX_DATAGRAM_BYTES`] bytes.
         bytes: Vec<u8>,
     },
-    /// Something changed.
+    /// Report a change of membership, or a condition of this gateway.
     Event(MembershipEvent),
 }
 
-/// What changed.
+/// A change of membership, or a condition of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A gateway that was unknown or gone is alive.
+    /// A gateway is alive that was unknown, dead or departed before.
     Joined(SocketAddr),
-    /// A gateway has restarted: state and promises of its earlier process are lost.
+    /// A gateway has restarted: state and commitments of its earlier process are lost.
     Restarted(SocketAddr),
-    /// A gateway does not answer.
+    /// A gateway does not answer probes.
     Suspected(SocketAddr),
-    /// A suspected gateway is alive.
+    /// A suspected gateway has refuted the suspicion.
     SuspicionCleared(SocketAddr),
-    /// A gateway is declared dead.
+    /// A gateway was declared dead.
     Failed(SocketAddr),
-    /// A gateway has left after a graceful shutdown.
+    /// A gateway has announced its graceful shutdown.
     Left(SocketAddr),
-    /// This process did not run for so long, so everything it knows may be outdated.
+    /// This process did not run for this time, so its member table may be outdated.
     ProcessPaused(Span),
-    /// Others took this gateway for suspect, dead or an earlier process, and it has refuted that.
+    /// Other gateways regarded this one as suspect, dead or an earlier process, and it has refuted
+    /// that.
     Refuted,
-    /// This gateway knows all that some other gateway knew, or there is nobody to ask.
+    /// The first sync of the member table with another gateway since the start or the last pause is
+    /// complete.
     Synced,
-    /// Another gateway, of this incarnation, uses this gateway's address.
+    /// Another gateway, with this incarnation, uses this gateway's address.
     DuplicateIdentity(Incarnation),
     /// All members of the view agree on it.
     ViewConverged(ViewStatus),
-    /// The view has changed since, or a member disagrees.
+    /// The view had converged, and has changed since or a member disagrees with it.
     ViewDiverged,
 }
 
-/// How many gateways there are, counted in three ways that must not be mixed up.
+/// Number of gateways, counted in three ways that are not interchangeable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Gateways that this one considers live, itself included. Rises first; says nothing about what
-    /// others know.
+    /// Gateways that this one considers live, including itself. The first of the counts to rise; it
+    /// says nothing about what other gateways know.
     pub live: u32,
-    /// Members of the view, while all of them agree on it.
+    /// Members of the view; `None` unless all of them agree on it.
     pub agreed: Option<u32>,
-    /// The size in the settings.
+    /// Fleet size in the settings.
     pub configured: u32,
 }
 
-/// Load that decides how a shared quota is divided.
+/// Load of a shared resource, which decides how its quota is divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Load {
     /// The shared resource is below its limit.
@@ -71,7 +73,7 @@
     Overloaded,
 }
 
-/// Counters since the start.
+/// Counters since the start of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounters {
     /// Datagrams sent.
@@ -92,6 +94,6 @@
     pub failed: u64,
     /// Refutations of updates about this gateway.
     pub refuted: u64,
-    /// Times that this process had paused.
+    /// Detected pauses of this process.
     pub paused: u64,
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,13 +1,13 @@
-//! The failure detector: pings, indirect pings, suspicion and death, and reconnection to members
-//! that are gone.
+//! The failure detector: pings, indirect pings, suspicions, declarations of death, and reconnection
+//! to members that are dead or have left.
 //!
-//! Inputs are time (whole microseconds) and acks and nacks of others; the outputs are effects. Each
-//! period one member is pinged. If it does not answer, it is pinged again and some helpers are
-//! asked to ping it. If they get no answer either, it is suspected, and if it does not refute that
-//! in time, it is declared dead.
+//! Inputs are time (whole microseconds) and acks and nacks from other gateways; outputs are
+//! effects. Each period, one member is pinged. If it does not answer, it is pinged again and some
+//! helpers are asked to ping it. If they get no answer either, the member is suspected, and if it
+//! does not refute the suspicion in time, it is declared dead.
 //!
-//! Periods are scaled by the local health. An own ping is started once per period and ends after
-//! one; at most 64 pings for others are outstanding.
+//! Periods are scaled by the local health. One probe is started per period and ends after one
+//! period; at most 64 pings relayed for other gateways are outstanding.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,30 +16,30 @@
 
 use crate::events::Effect;
 use crate::wire::{MemberMetadata, MemberState, MemberUpdate, Message};
-use crate::{Membership, draw_fraction};
+use crate::{Membership, random_fraction};
 
-/// Pings relayed for others at once. A request beyond that is dropped; its sender takes that for a
-/// silent helper.
+/// Maximum number of outstanding pings relayed for other gateways. A request beyond that is
+/// dropped, and its sender counts this gateway as a silent helper.
 const MAX_RELAYED_PINGS: usize = 64;
-/// Helpers that are asked for an indirect ping.
+/// Number of helpers that are asked for an indirect ping.
 const INDIRECT_PINGS: usize = 3;
 /// Fraction of a period within which the answer to a direct ping must arrive; the rest is for
 /// indirect pings.
 pub(crate) const DIRECT_PING_FRACTION: f64 = 0.4;
-/// Periods between pings to members that are gone.
+/// Periods between pings to members that are dead or have left.
 const RECONNECT_PERIODS: f64 = 4.0;
 
-/// A ping of this gateway's own.
+/// An outstanding probe of a member by this gateway.
 #[derive(Clone, Debug)]
 struct Probe {
     target: SocketAddr,
-    /// When the ping is repeated; `None` once it was.
+    /// When the direct ping is repeated; `None` after that.
     repeat_at: Option<Time>,
-    /// When helpers are asked.
+    /// When helpers are asked for indirect pings.
     indirect_at: Time,
-    /// When the probe has failed.
+    /// When the probe fails unless an ack has arrived.
     fails_at: Time,
-    /// The helpers; `None` until they are asked.
+    /// Helpers that were asked; `None` before `indirect_at`.
     helpers: Option<Vec<SocketAddr>>,
     /// Helpers that have sent a nack.
     nacks: BTreeSet<SocketAddr>,
@@ -61,31 +61,31 @@
     }
 }
 
-/// A ping for another gateway.
+/// A ping that this gateway sends on behalf of another one.
 #[derive(Clone, Copy, Debug)]
 struct RelayedPing {
     requester: PingId,
     target: SocketAddr,
-    /// When a nack is due, and after the nack when the ping is forgotten.
+    /// When a nack is due; once the nack is sent, when the ping is removed.
     until: Time,
     nack_sent: bool,
 }
 
-/// A ping by its sender and the sender's number.
+/// Identifies a ping: sequence numbers are unique only per sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PingId {
     pub(crate) sender: SocketAddr,
     pub(crate) number: u32,
 }
 
-/// A ping to send.
+/// A ping that is due to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OutgoingPing {
     pub(crate) number: u32,
     pub(crate) target: SocketAddr,
 }
 
-/// When the steps of a probe are due.
+/// When each step of a probe is due.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeDeadlines {
     pub(crate) repeat_at: Time,
@@ -93,15 +93,15 @@
     pub(crate) fails_at: Time,
 }
 
-/// A probe without an answer.
+/// A probe that ended without an ack.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailedProbe {
     pub(crate) target: SocketAddr,
-    /// How many helpers sent neither ack nor nack; `None` if there were no helpers.
+    /// Number of helpers that sent neither ack nor nack; `None` if no helper was asked.
     pub(crate) silent_helpers: Option<usize>,
 }
 
-/// Outstanding pings.
+/// Outstanding probes, and pings relayed for other gateways, by sequence number.
 #[derive(Debug)]
 pub(crate) struct Probes {
     last_number: u32,
@@ -118,13 +118,13 @@
         }
     }
 
-    /// A new ping number. The answer to a ping that is not registered is ignored.
+    /// Allocates a sequence number. The answer to a ping that is not registered is ignored.
     pub(crate) const fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// Registers a probe and returns its number.
+    /// Registers a probe and returns its sequence number.
     pub(crate) fn start(&mut self, target: SocketAddr, deadlines: ProbeDeadlines) -> u32 {
         let number = self.next_number();
         let probe = Probe {
@@ -139,7 +139,8 @@
         number
     }
 
-    /// Handles an ack of the target or of a helper; whether it answers an outstanding probe.
+    /// Handles an ack from the target or from a helper. Returns whether it answers an outstanding
+    /// probe.
     pub(crate) fn on_ack(&mut self, ack: PingId) -> bool {
         let is_answer = self
             .own
@@ -148,7 +149,7 @@
         is_answer && self.own.remove(&ack.number).is_some()
     }
 
-    /// Handles a nack of a helper.
+    /// Handles a nack from a helper.
     pub(crate) fn on_nack(&mut self, nack: PingId) {
         let Some(probe) = self.own.get_mut(&nack.number) else {
             return;
@@ -158,7 +159,8 @@
         }
     }
 
-    /// The next ping to repeat: one datagram may get lost, two seldom do.
+    /// Takes the next ping that is due to be repeated: a single datagram may get lost, two rarely
+    /// are.
     pub(crate) fn take_repeat(&mut self, now: Time) -> Option<OutgoingPing> {
         let is_due =
             |probe: &Probe| probe.repeat_at.is_some_and(|at| at <= now) && now < probe.fails_at;
@@ -170,7 +172,7 @@
         })
     }
 
-    /// The next probe for which helpers are to be asked.
+    /// Returns the next probe for which helpers must be asked.
     pub(crate) fn next_indirect(&self, now: Time) -> Option<OutgoingPing> {
         let is_due = |probe: &Probe| {
             probe.helpers.is_none() && probe.indirect_at <= now && now < probe.fails_at
@@ -182,7 +184,7 @@
         })
     }
 
-    /// Registers the helpers of a probe.
+    /// Records which helpers were asked for a probe.
     pub(crate) fn set_helpers(&mut self, number: u32, helpers: &[SocketAddr]) {
         if let Some(probe) = self.own.get_mut(&number) {
             probe.helpers = Some(helpers.to_vec());
@@ -203,7 +205,8 @@
         })
     }
 
-    /// Registers a ping for another gateway and returns its number; `None` if there are too many.
+    /// Registers a ping for another gateway and returns its sequence number; `None` if
+    /// [`MAX_RELAYED_PINGS`] are outstanding.
     pub(crate) fn relay(
         &mut self,
         requester: PingId,
@@ -224,7 +227,8 @@
         Some(number)
     }
 
-    /// Handles an ack of the target of a relayed ping: the requester's ping to acknowledge.
+    /// Handles an ack from the target of a relayed ping, and returns the requester's ping that it
+    /// acknowledges.
     pub(crate) fn take_relayed(&mut self, ack: PingId) -> Option<PingId> {
         self.relayed
             .get(&ack.number)
@@ -232,9 +236,9 @@
         self.relayed.remove(&ack.number).map(|ping| ping.requester)
     }
 
-    /// The relayed pings for which a nack is due. Each gets one; an ack that comes within `grace`
-    /// is still passed on.
-    pub(crate) fn take_nacks(&mut self, now: Time, grace: Span) -> Vec<PingId> {
+    /// Takes the relayed pings for which a nack is due. Each gets one nack; an ack that arrives
+    /// within `grace` after it is still relayed.
+    pub(crate) fn take_due_nacks(&mut self, now: Time, grace: Span) -> Vec<PingId> {
         let is_over = |ping: &RelayedPing| ping.until <= now;
         let nacks = self
             .relayed
@@ -251,14 +255,14 @@
         nacks
     }
 
-    /// When something is due next.
+    /// When the next step of any outstanding ping is due.
     pub(crate) fn next_due(&self) -> Option<Time> {
         let own = self.own.values().map(Probe::next_due);
         let relayed = self.relayed.values().map(|ping| ping.until);
         own.chain(relayed).min()
     }
 
-    /// Forgets all pings.
+    /// Drops all outstanding pings.
     pub(crate) fn clear(&mut self) {
         self.own.clear();
         self.relayed.clear();
@@ -266,7 +270,7 @@
 }
 
 impl Membership {
-    /// Pings the next member.
+    /// Starts a probe of the next member, and schedules the one after it.
     pub(crate) fn start_probe(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let interval = self.settings.probe_interval;
         let period = self.health.scale(interval);
@@ -287,8 +291,8 @@
         self.send(target, Message::Ping(number), now, effects);
     }
 
-    /// Each member once per round, in a new random order each round: so a failure is detected
-    /// within two rounds, however unlucky the draw is.
+    /// Selects each member once per round, in a new random order each round, so that every failure
+    /// is detected within two rounds whatever the order.
     fn next_probe_target(&mut self) -> Option<SocketAddr> {
         loop {
             let Some(next) = self.probe_round.pop() else {
@@ -297,7 +301,7 @@
                 if count == 0 {
                     return None;
                 }
-                self.probe_round = self.draw(live, count);
+                self.probe_round = self.sample(live, count);
                 continue;
             };
             if self.table.is_live(&next) {
@@ -312,16 +316,20 @@
             self.send(ping.target, Message::Ping(ping.number), now, effects);
         }
         while let Some(ping) = self.probes.next_indirect(now) {
-            // The direct path is tried again as well: it seldom fails together with the others.
+            // The direct path is tried once more, since it rarely fails together with the indirect
+            // ones.
             self.send(ping.target, Message::Ping(ping.number), now, effects);
-            let helpers = self.draw_live(INDIRECT_PINGS, Some(ping.target));
+            let helpers = self.random_live_members(INDIRECT_PINGS, Some(ping.target));
             self.probes.set_helpers(ping.number, &helpers);
             for helper in helpers {
                 let request = Message::IndirectPing(ping.number, ping.target);
                 self.send(helper, request, now, effects);
             }
         }
-        for requester in self.probes.take_nacks(now, self.settings.probe_interval) {
+        for requester in self
+            .probes
+            .take_due_nacks(now, self.settings.probe_interval)
+        {
             let nack = Message::Nack(requester.number);
             self.send(requester.sender, nack, now, effects);
         }
@@ -331,11 +339,11 @@
     }
 
     fn on_failed_probe(&mut self, failed: FailedProbe, now: Time, effects: &mut Vec<Effect>) {
-        // Silent helpers are a sign that this gateway itself does not receive.
-        let signs = failed
+        // Silent helpers indicate that this gateway itself does not receive datagrams.
+        let penalty = failed
             .silent_helpers
             .map_or(1, |n| u32::try_from(n).unwrap_or(u32::MAX));
-        self.health.degrade(signs);
+        self.health.degrade(penalty);
         let Some(member) = self.table.get(&failed.target) else {
             return;
         };
@@ -351,7 +359,8 @@
         self.apply_update(&suspicion, now, effects);
     }
 
-    /// Handles an ack, for this gateway or for a requester of an indirect ping.
+    /// Handles an ack, which is either for a probe of this gateway or relayed to the requester of
+    /// an indirect ping.
     pub(crate) fn on_ack(&mut self, ack: PingId, now: Time, effects: &mut Vec<Effect>) {
         if let Some(requester) = self.probes.take_relayed(ack) {
             let ack = Message::Ack(requester.number);
@@ -361,8 +370,8 @@
         }
     }
 
-    /// Pings a member for another gateway. Only known members are pinged: otherwise anybody could
-    /// make this gateway send datagrams to any address.
+    /// Pings a member for another gateway. Only known members are pinged; otherwise any sender
+    /// could make this gateway send datagrams to arbitrary addresses.
     pub(crate) fn on_indirect_ping(
         &mut self,
         requester: PingId,
@@ -380,7 +389,7 @@
         }
     }
 
-    /// Declares dead the suspects that did not refute in time.
+    /// Declares members dead whose suspicion has timed out without a refutation.
     pub(crate) fn expire_suspicions(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let expired: Vec<_> = self
             .suspicions
@@ -405,13 +414,13 @@
         }
     }
 
-    /// Pings a gateway that is gone, or a seed that is not known. That heals a network partition,
-    /// and gateways that start together find each other. While no member is live it happens more
-    /// often, with more gateways.
+    /// Pings a gateway that is dead or has left, or a seed that is not live. This heals network
+    /// partitions, and lets gateways that start together discover each other. While no member is
+    /// live, it runs more often and pings more gateways.
     pub(crate) fn reconnect(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let is_alone = self.table.live_count() == 0;
         let periods = if is_alone { 1.0 } else { RECONNECT_PERIODS };
-        let jitter = 0.5 + draw_fraction(&mut self.rng);
+        let jitter = 0.5 + random_fraction(&mut self.rng);
         self.reconnect_at = now + self.settings.probe_interval.times(periods * jitter);
         if self.local.has_left() {
             return;
@@ -425,7 +434,7 @@
         } else {
             1
         };
-        for target in self.draw(candidates.into_iter().collect(), count) {
+        for target in self.sample(candidates.into_iter().collect(), count) {
             let number = self.probes.next_number();
             self.send(target, Message::Ping(number), now, effects);
         }
--- a/crates/membership/src/fleet_size.rs
+++ b/crates/membership/src/fleet_size.rs
@@ -8,13 +8,14 @@
 use crate::events::Load;
 use crate::view::Convergence;
 
-/// The fleet size as it is used.
+/// The fleet size by which shared quotas are divided.
 ///
-/// Too small a size lets each gateway take too much, so that together they overload the endpoints;
-/// too large a size only leaves capacity unused. So the size rises at once, on this gateway's own
-/// count. It falls only after the count has been lower for the shrink delay while the view was
-/// converged, that is, while all gateways agreed on who is missing. While the count is unknown, and
-/// under overload, it is never below the configured size.
+/// A size that is too small gives each gateway too large a share, so that together they overload
+/// the endpoints; a size that is too large only leaves capacity unused. The size therefore rises
+/// immediately with this gateway's own count of live gateways. It falls only after the count has
+/// been lower for the shrink delay while the view was converged, that is, while all gateways agreed
+/// on which of them are missing. While the count is unknown, and under overload, the size is never
+/// below the configured one.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     configured: u32,
@@ -23,16 +24,16 @@
     pending_shrink: Option<PendingShrink>,
 }
 
-/// A lower count that has not lasted long enough yet.
+/// A lower count that has not lasted for the shrink delay yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingShrink {
     since: Time,
-    /// The greatest count since then.
-    greatest: u32,
+    /// Maximum count since then.
+    max_live: u32,
 }
 
 impl FleetSize {
-    /// A size that is not known yet; `configured` counts as 1 at least.
+    /// Starts at the configured size, since the live count is not known yet; 0 is taken as 1.
     #[must_use]
     pub fn new(configured: u32, shrink_delay: Span) -> Self {
         let configured = configured.max(1);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes in the number of live gateways, this one included; `None` while it is unknown.
+    /// Updates the number of live gateways, including this one; `None` while it is unknown.
     pub fn update(&mut self, live: Option<u32>, convergence: Convergence, now: Time) {
         let Some(live) = live else {
             self.current = self.current.max(self.configured);
@@ -62,22 +63,22 @@
         }
         let shrink = match self.pending_shrink {
             Some(pending) => PendingShrink {
-                greatest: pending.greatest.max(live),
+                max_live: pending.max_live.max(live),
                 ..pending
             },
             None => PendingShrink {
                 since: now,
-                greatest: live,
+                max_live: live,
             },
         };
         self.pending_shrink = Some(shrink);
         if now - shrink.since >= self.shrink_delay {
-            self.current = shrink.greatest;
+            self.current = shrink.max_live;
             self.pending_shrink = None;
         }
     }
 
-    /// The number by which a quota is divided.
+    /// Number of gateways by which a quota is divided; under overload at least the configured size.
     #[must_use]
     pub fn divisor(&self, load: Load) -> u32 {
         match load {
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,8 +1,8 @@
 //! Gossip: the broadcast queue, merging of received updates, and sending of datagrams with updates.
 //!
-//! Inputs are updates; the outputs are effects. The queue holds at most one update per known
-//! gateway, and each is sent a bounded number of times. Sending is limited by a budget in bytes per
-//! second: what is beyond it is not sent, which is the same as lost, and is counted.
+//! Inputs are updates; outputs are effects. The queue holds at most one update per known gateway,
+//! and each is transmitted a bounded number of times. Sending is limited by a budget in bytes per
+//! second: a datagram beyond it is counted and not sent, which has the same effect as a lost one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,42 +16,43 @@
 use crate::suspicion::Suspicion;
 use crate::view_changes::ViewChange;
 use crate::wire::{Datagram, MemberState, MemberUpdate, Message};
-use crate::{Membership, draw_below};
+use crate::{Membership, random_below};
 
-/// Transmissions of an update per power of ten of the fleet size, so that each gateway gets it with
-/// a probability near one.
+/// Transmissions of an update per power of ten of the fleet size, so that each gateway receives it
+/// with a probability near one.
 const TRANSMISSIONS_PER_MAGNITUDE: u32 = 4;
-/// Queue length from which on updates are sent [`TRANSMISSIONS_WHEN_FULL`] times, and anti-entropy
-/// brings the rest. Otherwise a start of a thousand gateways would make each send every update
-/// sixteen times.
+/// Queue length above which each update is sent only [`TRANSMISSIONS_WHEN_FULL`] times, and
+/// anti-entropy delivers the rest. Otherwise, when a thousand gateways start at once, each of them
+/// would send every update sixteen times.
 const FULL_QUEUE: usize = 64;
-/// Transmissions of each update while the queue is that long.
+/// Transmissions of each update while the queue is longer than [`FULL_QUEUE`].
 const TRANSMISSIONS_WHEN_FULL: u32 = 2;
-/// Updates that can fit into a datagram, at most.
+/// Maximum number of updates in a datagram.
 pub(crate) const MAX_UPDATES_PER_DATAGRAM: usize = 16;
-/// Fraction of the byte budget that datagrams of [`Membership::spread`] may use.
-const SPREAD_BUDGET_FRACTION: f64 = 0.5;
-/// Queue length from which on probes alone spread updates too slowly, and extra datagrams are sent.
-const SPREAD_FROM_QUEUED: usize = 8;
-/// Periods between extra datagrams.
-const SPREAD_PERIODS: f64 = 0.1;
-/// Extra datagrams with an unchanged view after which the interval between them is doubled.
+/// Fraction of the byte budget that dedicated gossip datagrams may use.
+const GOSSIP_BUDGET_FRACTION: f64 = 0.5;
+/// Queue length from which piggybacking on probes alone disseminates updates too slowly, so that
+/// dedicated gossip datagrams are sent.
+const GOSSIP_QUEUE_THRESHOLD: usize = 8;
+/// Periods between dedicated gossip datagrams.
+const GOSSIP_PERIODS: f64 = 0.1;
+/// Number of gossip datagrams with an unchanged view after which the interval is doubled.
 const UNCHANGED_PER_DOUBLING: u32 = 10;
-/// How often the interval is doubled at most.
+/// Maximum number of times that the interval is doubled.
 const MAX_DOUBLINGS: u32 = 5;
-/// Shortest suspicion timeout, in periods: the suspicion reaches its subject with the next probe,
-/// and the refutation reaches all gateways within a few more.
+/// Shortest suspicion timeout, in periods. The suspected member learns of the suspicion with the
+/// next probe, and its refutation reaches all gateways within a few more periods.
 const MIN_SUSPICION_PERIODS: f64 = 4.0;
 
-/// Order in which updates are sent: those sent least often first, and of these the newest first.
+/// Transmission order of updates: those sent least often first, and among these the newest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     transmissions: u32,
-    /// Decreases with each added update.
+    /// Decreases with each added update, so that a newer update sorts first.
     age: u64,
 }
 
-/// Updates that are still to be sent, one per member at most: a newer one replaces the older.
+/// Updates still to be transmitted, at most one per member: a newer update replaces an older one.
 #[derive(Debug, Default)]
 pub struct BroadcastQueue {
     priorities: BTreeMap<SocketAddr, Priority>,
@@ -60,7 +61,7 @@
 }
 
 impl BroadcastQueue {
-    /// Adds a new update.
+    /// Queues an update, replacing the queued update about the same member.
     pub fn add(&mut self, update: MemberUpdate) {
         self.remove(&update.address);
         self.added += 1;
@@ -72,20 +73,20 @@
         self.priorities.insert(update.address, priority);
     }
 
-    /// Removes the update about a member.
+    /// Removes the queued update about a member, if any.
     pub fn remove(&mut self, address: &SocketAddr) {
         if let Some(priority) = self.priorities.remove(address) {
             self.updates.remove(&priority);
         }
     }
 
-    /// The updates to send next.
+    /// The updates to send next, at most `max_updates`.
     pub fn next(&self, max_updates: usize) -> impl Iterator<Item = MemberUpdate> {
         self.updates.values().take(max_updates).copied()
     }
 
-    /// Counts a transmission of these updates, in a fleet of this size. Updates that were sent
-    /// often enough are removed.
+    /// Counts a transmission of these updates. Updates that were transmitted often enough for the
+    /// fleet size are removed.
     pub fn transmitted(&mut self, updates: &[MemberUpdate], fleet_size: usize) {
         let max_transmissions = if self.len() > FULL_QUEUE {
             TRANSMISSIONS_WHEN_FULL
@@ -96,7 +97,7 @@
             let Some(priority) = self.priorities.get_mut(&update.address) else {
                 continue;
             };
-            // An update that was replaced meanwhile is not counted for its successor.
+            // The queued update has replaced the transmitted one, so it is not counted.
             if self.updates.get(priority) != Some(update) {
                 continue;
             }
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The number of updates in the queue.
+    /// Number of queued updates.
     #[must_use]
     pub fn len(&self) -> usize {
         self.priorities.len()
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Takes bytes out of the bucket unless less than this fraction of its capacity would be left.
+    /// Takes bytes from the bucket, unless less than `reserved_fraction` of its capacity would
+    /// remain.
     fn try_acquire(&mut self, bytes: usize, reserved_fraction: f64, now: Time) -> bool {
         let refill = (now - self.refilled_at).as_f64() / 1e6 * self.bytes_per_second;
         self.available = (self.available + refill).min(self.bytes_per_second);
@@ -154,16 +156,16 @@
     }
 }
 
-/// When extra datagrams are sent, and how long the view has not changed meanwhile.
+/// When dedicated gossip datagrams are sent, and for how many of them the view has not changed.
 #[derive(Debug)]
-pub(crate) struct SpreadState {
+pub(crate) struct GossipSchedule {
     next_at: Time,
     digest: u64,
     agreeing_members: usize,
     unchanged: u32,
 }
 
-impl SpreadState {
+impl GossipSchedule {
     pub(crate) const fn new(now: Time) -> Self {
         Self {
             next_at: now,
@@ -175,7 +177,8 @@
 }
 
 impl Membership {
-    /// Merges an update of any source.
+    /// Merges an update from any source into the member table, and queues it for gossip if it is
+    /// news.
     pub(crate) fn apply_update(
         &mut self,
         update: &MemberUpdate,
@@ -195,11 +198,11 @@
                 return;
             }
             MergeOutcome::Unchanged => return self.confirm_suspicion(update),
-            // A gateway that is already gone is remembered, but not passed on.
+            // A gateway that is first heard of as dead or departed is stored, but not gossiped.
             MergeOutcome::Joined if !update.state.is_live() => return,
             _ => {}
         }
-        // An earlier suspicion was of an earlier incarnation, or is decided.
+        // A running suspicion concerned an earlier incarnation or is resolved by this update.
         self.suspicions.remove(&update.address);
         if update.state == MemberState::Suspect {
             let others = self.table.live_count().saturating_sub(1);
@@ -217,8 +220,8 @@
         effects.extend(event_of(update, merge).map(Effect::Event));
     }
 
-    /// Merges the updates of a datagram, and that its sender is alive unless it says that it
-    /// leaves.
+    /// Merges the updates of a datagram. The datagram also proves its sender alive, unless the
+    /// sender announces that it leaves.
     pub(crate) fn apply_updates(
         &mut self,
         from: SocketAddr,
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Passes a suspicion on if it is of another reporter than those known.
+    /// Counts a suspicion as a confirmation, and gossips it if its reporter is new.
     fn confirm_suspicion(&mut self, update: &MemberUpdate) {
         if update.state != MemberState::Suspect {
             return;
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Sends a datagram with updates from the queue.
+    /// Sends a datagram with updates piggybacked from the queue.
     pub(crate) fn send(
         &mut self,
         to: SocketAddr,
@@ -290,7 +293,7 @@
     }
 
     /// Sends a datagram with as many of these updates as fit, unless less than the reserved
-    /// fraction of the byte budget would be left. Returns how many of the updates were sent.
+    /// fraction of the byte budget would remain. Returns the number of updates sent.
     pub(crate) fn send_with(
         &mut self,
         to: SocketAddr,
@@ -318,7 +321,7 @@
         encoded.updates.saturating_sub(mandatory)
     }
 
-    /// A datagram without updates.
+    /// Builds a datagram without updates.
     pub(crate) fn datagram(&mut self, message: Message) -> Datagram {
         let rotation = self.rng.next_u32();
         Datagram {
@@ -330,9 +333,9 @@
         }
     }
 
-    /// Updates with which each datagram to a gateway begins: that this gateway leaves, and what is
-    /// claimed about the receiver unless that is that it is alive in its current incarnation. It
-    /// must know of a claim to refute it.
+    /// Updates that every datagram to a gateway starts with: the announcement that this gateway
+    /// leaves, and the claim about the receiver, unless that says it is alive in its current
+    /// incarnation. The receiver can refute a claim only if it knows of it.
     pub(crate) fn mandatory_updates(&self, to: &SocketAddr) -> Vec<MemberUpdate> {
         let own = self.local.has_left().then(|| self.local.update());
         let about_receiver = self
@@ -343,7 +346,7 @@
         own.into_iter().chain(about_receiver).collect()
     }
 
-    /// What this gateway passes on about a member.
+    /// The update that this gateway gossips about a member.
     pub(crate) fn update_about(&self, address: &SocketAddr, member: &Member) -> MemberUpdate {
         let reporter = if member.state == MemberState::Suspect {
             self.reporter_hash()
@@ -359,70 +362,74 @@
         }
     }
 
-    /// Identifies this gateway as the reporter of a suspicion.
+    /// Hash that identifies this gateway as the reporter of a suspicion.
     pub(crate) fn reporter_hash(&self) -> u16 {
         let hash = hash_with(&self.local.address, |_| {});
         u16::try_from(hash & 0xffff).unwrap_or(0)
     }
 
-    /// When [`Self::spread`] is due next; `None` while probes are enough.
-    pub(crate) fn next_spread(&self) -> Option<Time> {
-        self.needs_spread().then_some(self.spread.next_at)
+    /// When [`Self::send_gossip`] is due next; `None` while piggybacking on probes suffices.
+    pub(crate) fn next_gossip_due(&self) -> Option<Time> {
+        self.needs_gossip().then_some(self.gossip_schedule.next_at)
     }
 
     fn has_many_broadcasts(&self) -> bool {
-        self.broadcasts.len() >= SPREAD_FROM_QUEUED
+        self.broadcasts.len() >= GOSSIP_QUEUE_THRESHOLD
     }
 
-    fn needs_spread(&self) -> bool {
+    fn needs_gossip(&self) -> bool {
         self.has_many_broadcasts() || !self.view.all_agree()
     }
 
-    /// Sends an extra datagram while many updates are queued, or while not all members are known to
-    /// agree on the view.
+    /// Sends a dedicated gossip datagram while many updates are queued, or while not all members
+    /// are known to agree on the view.
     ///
-    /// In the latter case members of this gateway's own block get it first: they learn of each
-    /// other within a few datagrams, and of complete blocks within a few more.
-    pub(crate) fn spread(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        if now < self.spread.next_at || self.local.has_left() || !self.needs_spread() {
+    /// In the latter case, members of this gateway's own block are preferred: they learn of each
+    /// other's agreement within a few datagrams, and of complete blocks within a few more.
+    pub(crate) fn send_gossip(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        if now < self.gossip_schedule.next_at || self.local.has_left() || !self.needs_gossip() {
             return;
         }
-        self.count_unchanged_spreads();
-        self.spread.next_at = now + self.settings.probe_interval.times(self.spread_periods());
-        let Some(to) = self.draw_spread_target() else {
+        self.count_unchanged_rounds();
+        self.gossip_schedule.next_at = now
+            + self
+                .settings
+                .probe_interval
+                .times(self.gossip_interval_periods());
+        let Some(to) = self.random_gossip_target() else {
             return;
         };
         let updates: Vec<MemberUpdate> = self.broadcasts.next(MAX_UPDATES_PER_DATAGRAM).collect();
-        let reserved = 1.0 - SPREAD_BUDGET_FRACTION;
+        let reserved = 1.0 - GOSSIP_BUDGET_FRACTION;
         self.send_with(to, Message::Gossip, &updates, reserved, now, effects);
     }
 
-    fn count_unchanged_spreads(&mut self) {
+    fn count_unchanged_rounds(&mut self) {
         let status = self.view.status();
-        let is_unchanged = self.spread.digest == status.digest
-            && self.spread.agreeing_members == status.agreeing_members;
-        self.spread.unchanged = if is_unchanged {
-            self.spread.unchanged + 1
+        let is_unchanged = self.gossip_schedule.digest == status.digest
+            && self.gossip_schedule.agreeing_members == status.agreeing_members;
+        self.gossip_schedule.unchanged = if is_unchanged {
+            self.gossip_schedule.unchanged + 1
         } else {
             0
         };
-        self.spread.digest = status.digest;
-        self.spread.agreeing_members = status.agreeing_members;
+        self.gossip_schedule.digest = status.digest;
+        self.gossip_schedule.agreeing_members = status.agreeing_members;
     }
 
-    fn spread_periods(&self) -> f64 {
+    fn gossip_interval_periods(&self) -> f64 {
         if self.broadcasts.len() >= FULL_QUEUE {
-            return SPREAD_PERIODS / 2.0;
+            return GOSSIP_PERIODS / 2.0;
         }
         let doublings = if self.has_many_broadcasts() {
             0
         } else {
-            (self.spread.unchanged / UNCHANGED_PER_DOUBLING).min(MAX_DOUBLINGS)
+            (self.gossip_schedule.unchanged / UNCHANGED_PER_DOUBLING).min(MAX_DOUBLINGS)
         };
-        SPREAD_PERIODS * f64::from(1 << doublings)
+        GOSSIP_PERIODS * f64::from(1 << doublings)
     }
 
-    fn draw_spread_target(&mut self) -> Option<SocketAddr> {
+    fn random_gossip_target(&mut self) -> Option<SocketAddr> {
         let own_block = if self.has_many_broadcasts() {
             None
         } else {
@@ -430,15 +437,15 @@
         };
         match own_block.filter(|block| !block.is_empty()) {
             Some(block) => {
-                let index = block.start + draw_below(&mut self.rng, block.len());
+                let index = block.start + random_below(&mut self.rng, block.len());
                 self.table.live().get(index).copied()
             }
-            None => self.draw_live(1, None).pop(),
+            None => self.random_live_members(1, None).pop(),
         }
     }
 }
 
-/// The event to report for an update that changed the member table.
+/// The event to report for a merged update; `None` if callers need not know of it.
 const fn event_of(update: &MemberUpdate, merge: Merge) -> Option<MembershipEvent> {
     let address = update.address;
     Some(match (merge.outcome, update.state) {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,31 +1,32 @@
-//! Membership: which gateways there are. SWIM with Lifeguard's suspicion timeouts and local health.
-//! No I/O, no clock, no threads.
+//! Membership of the gateway fleet: SWIM with Lifeguard's suspicion timeouts and local health
+//! multiplier. No I/O, no clock, no threads.
 //!
-//! Inputs are datagrams and time, in whole microseconds; outputs are [`Effect`]s. Each period one
-//! member is pinged. If it does not answer, helpers are asked to ping it; if they get no answer
-//! either, it is suspected; if it does not refute the suspicion in time, it is declared dead.
-//! Updates come along with these datagrams, and now and then gateways compare what they know. What
-//! is known here is a hint: nothing that must be true may rest on it.
+//! Inputs are datagrams and the time in whole microseconds; outputs are [`Effect`]s. Each protocol
+//! period, one member is pinged. If it does not answer, helpers are asked to ping it; if they get
+//! no answer either, the member is suspected; if it does not refute the suspicion in time, it is
+//! declared dead. Updates are piggybacked on these datagrams, and gateways periodically compare
+//! their member tables (anti-entropy). Membership is a hint: correctness must not depend on it.
 //!
-//! Bounds: at most [`Settings::max_members`] other gateways are known; one more is ignored and
-//! counted in [`MessageCounters::table_full`]. At most [`Settings::max_bytes_per_second`] bytes are
-//! sent per second on average, and twice as many in any one second; what is beyond is not sent,
-//! which is the same as lost, and counted in [`MessageCounters::rate_limited`].
+//! Bounds: the member table holds at most [`Settings::max_members`] other gateways; a gateway
+//! beyond that is ignored and counted in [`MessageCounters::table_full`]. At most
+//! [`Settings::max_bytes_per_second`] bytes are sent per second on average, and twice as many in
+//! any one second. A datagram beyond this budget is not sent, which has the same effect as a lost
+//! datagram, and is counted in [`MessageCounters::rate_limited`].
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | [`settings`] | settings and their validation |
 //! | [`events`] | effects, events and counters |
-//! | [`wire`] | messages and their form in a datagram |
-//! | `failure_detector` | pings, indirect pings, suspicion and death, reconnection |
+//! | [`wire`] | messages and their encoding in a datagram |
+//! | `failure_detector` | pings, indirect pings, suspicions, declarations of death, reconnection |
 //! | [`suspicion`] | suspicion timeouts and the local health multiplier |
 //! | [`gossip`] | the broadcast queue, merging of updates, sending |
 //! | [`member_table`] | what is known about each gateway |
 //! | `anti_entropy` | comparison of member tables (push/pull) |
 //! | `local_member` | this gateway's own incarnation and refutation |
 //! | [`view`] | whether all members agree on who is in the fleet |
-//! | [`view_changes`] | changes of the view for readers |
-//! | `queries` | what a caller can read, pauses, and random choices |
+//! | [`view_changes`] | the log of view changes |
+//! | `queries` | read access for callers, pause detection, random selection |
 //! | [`fleet_size`] | the fleet size by which shared quotas are divided |
 
 #![forbid(unsafe_code)]
@@ -54,10 +55,10 @@
 use anti_entropy::{AntiEntropy, KnownUpdates, ReceivedPage};
 use failure_detector::{DIRECT_PING_FRACTION, PingId, Probes};
 use fleet_size::FleetSize;
-use gossip::{BroadcastQueue, ByteBudget, SpreadState};
+use gossip::{BroadcastQueue, ByteBudget, GossipSchedule};
 use local_member::LocalMember;
 use member_table::MemberTable;
-use queries::{draw_below, draw_fraction};
+use queries::{random_below, random_fraction};
 use suspicion::{LocalHealth, Suspicion};
 use view::View;
 use view_changes::MAX_CHANGES;
@@ -69,16 +70,16 @@
 pub use events::{Effect, Load, MemberCounts, MembershipEvent, MessageCounters};
 pub use settings::{InvalidSettings, Settings};
 
-/// How long a gone member is remembered, in periods.
+/// How long a dead or departed member stays in the member table, in periods.
 const RETENTION_PERIODS: f64 = 1_200.0;
-/// Periods between two calls from which on this process counts as paused.
+/// Gap between two calls, in periods, from which this process counts as having been paused.
 const PAUSE_PERIODS: f64 = 3.0;
-/// Members that are notified at once of a graceful shutdown.
+/// Number of members that are notified immediately of a graceful shutdown.
 const LEAVE_FANOUT: usize = 6;
-/// How long the disagreement of a member counts, in periods.
+/// How long a member's disagreement prevents convergence of the view, in periods.
 const DISAGREEMENT_PERIODS: f64 = 4.0;
 
-/// What one gateway knows about the others. The caller sends the datagrams and keeps the time.
+/// The membership state of one gateway. The caller sends the datagrams and supplies the time.
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
@@ -93,9 +94,9 @@
     fleet_size: FleetSize,
     view: View,
     budget: ByteBudget,
-    spread: SpreadState,
+    gossip_schedule: GossipSchedule,
     sync: AntiEntropy,
-    /// Members still to be probed in this round, the last one next.
+    /// Members still to be probed in the current round; the last element is next.
     probe_round: Vec<SocketAddr>,
     probe_at: Time,
     reconnect_at: Time,
@@ -104,11 +105,11 @@
 }
 
 impl Membership {
-    /// A gateway that has just started. `wall_ms` is the wall clock in Unix milliseconds, for the
-    /// first incarnation; it may be wrong.
+    /// Creates the state of a gateway that has just started. `wall_ms` is the wall clock in Unix
+    /// milliseconds, from which the first incarnation number is taken; it may be wrong.
     ///
     /// # Errors
-    /// Each variant of [`InvalidSettings`].
+    /// Returns [`InvalidSettings`] if a setting is out of range.
     pub fn new(
         settings: Settings,
         wall_ms: u64,
@@ -121,8 +122,8 @@
             number: wall_ms.min(Incarnation::MAX_NUMBER / 2),
             nonce: rng.next_u32(),
         };
-        // Gateways that start together must not probe at the same time.
-        let first_probe = DIRECT_PING_FRACTION * draw_fraction(&mut rng);
+        // A random delay keeps gateways that start together from probing at the same time.
+        let first_probe = DIRECT_PING_FRACTION * random_fraction(&mut rng);
         let metadata = MemberMetadata {
             zone: settings.zone,
             version: settings.version,
@@ -141,7 +142,7 @@
             fleet_size: FleetSize::new(settings.configured_fleet_size, settings.shrink_delay),
             view: View::new(address, MAX_CHANGES, disagreement_timeout, now),
             budget: ByteBudget::new(settings.max_bytes_per_second, now),
-            spread: SpreadState::new(now),
+            gossip_schedule: GossipSchedule::new(now),
             sync: AntiEntropy::new(settings.has_no_other_seeds(), now),
             probe_round: vec![],
             probe_at: now + interval.times(first_probe),
@@ -155,23 +156,23 @@
         Ok(membership)
     }
 
-    /// When [`Self::tick`] is due next. An earlier call does no harm.
+    /// When [`Self::tick`] is due next. Calling it earlier is harmless.
     #[must_use]
     pub fn next_due(&self) -> Time {
-        // At least once a period, so that a pause of this process differs from having nothing to
-        // do.
+        // At least one call per period, so that a pause of this process can be told from having
+        // nothing to do.
         let keep_alive = self.last_call_at + self.settings.probe_interval;
         self.suspicions
             .values()
             .map(Suspicion::deadline)
             .chain(self.probes.next_due())
-            .chain(self.next_spread())
+            .chain(self.next_gossip_due())
             .chain([self.probe_at, self.reconnect_at, keep_alive])
             .min()
             .unwrap_or(self.last_call_at)
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due: timeouts, probes, reconnection, anti-entropy and gossip.
     pub fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let now = self.detect_pause(now, effects);
         self.expire_suspicions(now, effects);
@@ -183,11 +184,11 @@
             self.reconnect(now, effects);
         }
         self.start_sync(now, effects);
-        self.spread(now, effects);
+        self.send_gossip(now, effects);
         self.update_convergence(now, effects);
     }
 
-    /// Handles a datagram. Whether its sender may send any is checked by the caller.
+    /// Handles a received datagram. The caller checks that the sender is authorized.
     pub fn receive(
         &mut self,
         now: Time,
@@ -210,7 +211,8 @@
         if !agrees {
             self.expedite_sync(now);
         }
-        // A member that agrees, but does not know yet that all do, gets a datagram that says so.
+        // A member that agrees but does not know yet that all members do is sent a datagram that
+        // says so.
         let is_behind =
             agrees && self.view.all_agree() && datagram.agreement.members != AgreeingMembers::All;
         match datagram.message {
@@ -267,17 +269,17 @@
         }
     }
 
-    /// Announces a graceful shutdown: some members are notified at once, others when they probe
-    /// this gateway.
+    /// Announces a graceful shutdown: some members are notified immediately, the others when they
+    /// probe this gateway.
     pub fn leave(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let now = self.detect_pause(now, effects);
         self.local.state = MemberState::Left;
-        for member in self.draw_live(LEAVE_FANOUT, None) {
+        for member in self.random_live_members(LEAVE_FANOUT, None) {
             self.send(member, Message::Gossip, now, effects);
         }
     }
 
-    /// Announces a lifecycle phase to all members.
+    /// Announces a lifecycle phase to all members. An unchanged phase has no effect.
     pub fn set_phase(&mut self, phase: Phase, now: Time, effects: &mut Vec<Effect>) {
         let now = self.detect_pause(now, effects);
         if !self.local.set_phase(phase) {
--- a/crates/membership/src/local_member.rs
+++ b/crates/membership/src/local_member.rs
@@ -1,5 +1,5 @@
-//! This gateway as a member: its incarnation, its announced metadata, and the refutation of what
-//! others claim about it.
+//! This gateway as a member: its incarnation, its announced metadata, and the refutation of claims
+//! that others make about it.
 //!
 //! Inputs are updates about this gateway. The state has a fixed size.
 
@@ -8,40 +8,42 @@
 use crate::member_table::{member_digest, view_member_digest};
 use crate::wire::{Incarnation, MemberMetadata, MemberState, MemberUpdate, Phase};
 
-/// Refutations that another process answered with the very next number, after which it counts as a
-/// second gateway with the same address. An earlier process of this gateway cannot answer.
+/// Number of refutations that another process must have answered with the very next incarnation
+/// number to be reported as a second gateway with the same address. An earlier process of this
+/// gateway no longer runs and cannot answer.
 const DUPLICATE_AFTER_ANSWERS: u32 = 2;
-/// Answers after which this gateway no longer refutes the other one.
+/// Number of such answers after which this gateway stops refuting the other process.
 const YIELD_AFTER_ANSWERS: u32 = 3;
 
-/// Another process that uses this gateway's address, and how many refutations it has answered.
+/// Another process that uses this gateway's address.
 #[derive(Clone, Copy, Debug)]
-struct Rival {
+struct ConflictingProcess {
     nonce: u32,
+    /// Number of refutations it has answered, at most [`YIELD_AFTER_ANSWERS`].
     answers: u32,
 }
 
-/// Incarnation and metadata by which the others know this gateway's address.
+/// Incarnation and metadata under which other gateways know this gateway's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Identity {
     pub(crate) incarnation: Incarnation,
     pub(crate) metadata: MemberMetadata,
 }
 
-/// What an update about this gateway led to.
+/// Outcome of an update about this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OwnUpdateOutcome {
-    /// It is true, or was left unanswered.
+    /// The update is true, or was deliberately not refuted.
     Accepted,
-    /// It was refuted by a later incarnation.
+    /// This gateway took a later incarnation to refute the update.
     Refuted,
 }
 
-/// An update about this gateway as it was handled.
+/// Result of handling an update about this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnUpdate {
     pub(crate) outcome: OwnUpdateOutcome,
-    /// A second gateway with the same address was detected by this update.
+    /// Whether this update revealed a second gateway with the same address.
     pub(crate) duplicate_detected: bool,
 }
 
@@ -52,8 +54,8 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) metadata: MemberMetadata,
     pub(crate) state: MemberState,
-    rival: Option<Rival>,
-    /// The rival's identity, once this gateway has yielded to it.
+    conflict: Option<ConflictingProcess>,
+    /// Identity of the conflicting process, once this gateway no longer refutes it.
     yielded_to: Option<Identity>,
 }
 
@@ -68,7 +70,7 @@
             incarnation,
             metadata,
             state: MemberState::Alive,
-            rival: None,
+            conflict: None,
             yielded_to: None,
         }
     }
@@ -77,7 +79,7 @@
         self.state == MemberState::Left
     }
 
-    /// The identity by which the others know this address.
+    /// The identity under which other gateways know this address.
     pub(crate) fn identity(&self) -> Identity {
         self.yielded_to.unwrap_or(Identity {
             incarnation: self.incarnation,
@@ -85,7 +87,7 @@
         })
     }
 
-    /// This gateway's statement about itself.
+    /// The update by which this gateway announces itself.
     pub(crate) const fn update(&self) -> MemberUpdate {
         MemberUpdate {
             address: self.address,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// What this gateway adds to the digest of the member table.
+    /// Contribution of this gateway to the digest of the member table.
     pub(crate) fn digest(&self) -> u64 {
         if !self.state.is_live() {
             return 0;
@@ -105,7 +107,7 @@
         member_digest(&self.address, identity.incarnation, identity.metadata)
     }
 
-    /// What this gateway adds to the digest of the view.
+    /// Contribution of this gateway to the digest of the view.
     pub(crate) fn view_digest(&self) -> u64 {
         if !self.state.is_live() {
             return 0;
@@ -114,7 +116,7 @@
         view_member_digest(&self.address, identity.incarnation, identity.metadata)
     }
 
-    /// Announces a phase; whether it is another one than before.
+    /// Sets the announced phase. Returns whether it has changed.
     pub(crate) fn set_phase(&mut self, phase: Phase) -> bool {
         if self.metadata.phase == phase || self.has_left() {
             return false;
@@ -125,7 +127,8 @@
         true
     }
 
-    /// Handles an update about this gateway. A greater claim is refuted by a later incarnation.
+    /// Handles an update about this gateway. A claim greater than this gateway's own is refuted by
+    /// taking a later incarnation.
     pub(crate) fn on_update(&mut self, update: &MemberUpdate) -> OwnUpdate {
         let mut result = OwnUpdate {
             outcome: OwnUpdateOutcome::Accepted,
@@ -140,20 +143,20 @@
         }
         if update.incarnation.nonce != self.incarnation.nonce {
             let answers = self.count_answer(update.incarnation, &mut result);
-            // Two gateways that refute each other for ever would flood the fleet. The others know
-            // this address by the other process then, and its state stands for both.
+            // Two gateways that keep refuting each other would flood the fleet. Once this one
+            // yields, other gateways see only the other process at this address.
             if answers == YIELD_AFTER_ANSWERS && update.state.is_live() {
-                let rival = Identity {
+                let other = Identity {
                     incarnation: update.incarnation,
                     metadata: update.metadata,
                 };
-                self.yielded_to = self.yielded_to.max(Some(rival));
+                self.yielded_to = self.yielded_to.max(Some(other));
                 return result;
             }
         }
         self.yielded_to = None;
-        // A gateway that was declared gone must not be taken for part of a view that was agreed on
-        // without it.
+        // A later epoch keeps a gateway that was declared dead or departed from being counted in a
+        // view that was agreed on without it.
         if !update.state.is_live() {
             self.metadata.epoch += 1;
         }
@@ -162,16 +165,17 @@
         result
     }
 
-    /// Counts refutations that the same rival has answered with the very next number.
-    fn count_answer(&mut self, rival: Incarnation, result: &mut OwnUpdate) -> u32 {
-        let known = self.rival.filter(|known| known.nonce == rival.nonce);
-        let is_answer = rival.number == self.incarnation.number + 1;
+    /// Counts the refutations that the same process has answered with the very next incarnation
+    /// number, and returns their number.
+    fn count_answer(&mut self, other: Incarnation, result: &mut OwnUpdate) -> u32 {
+        let known = self.conflict.filter(|known| known.nonce == other.nonce);
+        let is_answer = other.number == self.incarnation.number + 1;
         let answers = match known {
             Some(known) => (known.answers + u32::from(is_answer)).min(YIELD_AFTER_ANSWERS),
             None => 0,
         };
-        self.rival = Some(Rival {
-            nonce: rival.nonce,
+        self.conflict = Some(ConflictingProcess {
+            nonce: other.nonce,
             answers,
         });
         result.duplicate_detected = answers == DUPLICATE_AFTER_ANSWERS
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,8 +1,8 @@
-//! The member table: every other gateway that is known, and what is claimed about it.
+//! The member table: all known gateways other than this one, and the current claim about each.
 //!
 //! Inputs are updates; times are whole microseconds. The table has a maximum size. When it is full,
-//! a new gateway replaces the one that has been gone for the longest, or is rejected if there is
-//! none. Digests of the table are kept up to date with each change.
+//! a new gateway replaces the one that has been dead or departed for the longest, or is rejected if
+//! there is none. Digests of the table are updated incrementally with each change.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -13,35 +13,36 @@
 
 use crate::wire::{Claim, Incarnation, MemberMetadata, MemberState, MemberUpdate, SyncCursor};
 
-/// Buckets into which the table is divided by a hash of the address, for anti-entropy.
+/// Number of buckets into which the table is divided, by a hash of the address, for anti-entropy.
 pub const BUCKETS: usize = 32;
 
-/// What is known about a gateway.
+/// A gateway other than this one, as this gateway knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its incarnation.
+    /// Latest known incarnation of the member.
     pub incarnation: Incarnation,
-    /// Its state in that incarnation.
+    /// State of the member in that incarnation.
     pub state: MemberState,
-    /// Its metadata in that incarnation.
+    /// Metadata of the member in that incarnation.
     pub metadata: MemberMetadata,
-    /// Since when this gateway knows that state.
+    /// When this gateway learned of the state.
     pub since: Time,
-    /// When it last sent a datagram in that incarnation; `None` if it is known only from others.
+    /// When the member last sent a datagram in that incarnation; `None` if it is known only from
+    /// others.
     pub last_message_at: Option<Time>,
-    /// It was never known here while it was live.
+    /// Whether the member was already dead or departed when this gateway first learned of it.
     ///
-    /// That it is gone overrides late updates, but is passed on to nobody. Otherwise gateways that
-    /// have forgotten it and gateways that have not would pass it to each other for ever.
-    pub(crate) only_known_gone: bool,
-    /// It last used an earlier incarnation than is known: it has restarted and must learn which
-    /// incarnation to supersede.
+    /// Such an entry overrides late updates, but is not gossiped. Otherwise, gateways that have
+    /// expired the member and gateways that have not would pass it to each other forever.
+    pub(crate) never_seen_live: bool,
+    /// Whether the member's last datagram had an earlier incarnation than the known one: the member
+    /// has restarted and must learn which incarnation to supersede.
     pub(crate) uses_old_incarnation: bool,
     bucket: u8,
 }
 
 impl Member {
-    /// What is claimed about it.
+    /// The current claim about the member, for comparison with an update.
     #[must_use]
     pub const fn claim(&self) -> Claim {
         Claim {
@@ -52,31 +53,31 @@
     }
 }
 
-/// How an update changed what is known about a member.
+/// How an update changed the member table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// The member was unknown.
     Joined,
-    /// It is another process than the one that was known.
+    /// The member is another process than the known one.
     Restarted,
-    /// The same process, in another state than this one before.
+    /// The same process has changed its state; the field is the previous state.
     StateChanged(MemberState),
-    /// The same process and state, in a later incarnation or with other metadata.
+    /// The same process in the same state, with a later incarnation or other metadata.
     Refreshed,
-    /// Nothing changed: the known claim is at least as great.
+    /// The known claim is at least as great, so the update was ignored.
     Unchanged,
-    /// There is no room for another member.
+    /// The member is unknown, and the table is full of live members.
     TableFull,
 }
 
-/// What was known about a member before an update.
+/// State and metadata of a member before an update was merged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PriorState {
     pub(crate) state: MemberState,
     pub(crate) metadata: MemberMetadata,
 }
 
-/// An update as it was merged.
+/// Result of merging an update.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Merge {
     pub(crate) outcome: MergeOutcome,
@@ -93,24 +94,25 @@
     }
 }
 
-/// All gateways known beside this one.
+/// All known gateways other than this one.
 #[derive(Debug)]
 pub struct MemberTable {
     members: BTreeMap<SocketAddr, Member>,
     max_members: usize,
-    /// How long a gone member is remembered, so that late updates cannot bring it back.
+    /// How long a dead or departed member stays in the table, so that late updates cannot revive
+    /// it.
     retention: Span,
     /// Live members, in order of their addresses.
     live: Vec<SocketAddr>,
     bucket_digests: [u64; BUCKETS],
     view_digest: u64,
-    /// Injected fault: the last update wins, whatever its incarnation.
+    /// Injected fault: the latest update wins, whatever its incarnation.
     #[cfg(feature = "mutants")]
     pub(crate) accepts_stale_updates: bool,
 }
 
 impl MemberTable {
-    /// An empty table. Gone members are forgotten after `retention`.
+    /// Creates an empty table. Dead and departed members expire after `retention`.
     #[must_use]
     pub const fn new(max_members: usize, retention: Span) -> Self {
         Self {
@@ -125,7 +127,7 @@
         }
     }
 
-    /// What is known about one gateway.
+    /// The entry of a gateway; `None` if it is unknown.
     #[must_use]
     pub fn get(&self, address: &SocketAddr) -> Option<&Member> {
         self.members.get(address)
@@ -135,12 +137,12 @@
         self.members.get_mut(address)
     }
 
-    /// Whether a gateway is known and live.
+    /// Whether a gateway is known and alive or suspected.
     pub(crate) fn is_live(&self, address: &SocketAddr) -> bool {
         self.get(address).is_some_and(|m| m.state.is_live())
     }
 
-    /// All members, in order of their addresses.
+    /// All members, including dead and departed ones, in order of their addresses.
     pub fn iter(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         self.members.iter()
     }
@@ -154,43 +156,43 @@
             .filter(move |(_, m)| m.bucket % cursor.bucket_count.max(1) == cursor.bucket)
     }
 
-    /// The number of live members.
+    /// Number of live members, without this gateway.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.live.len()
     }
 
-    /// The live members, in order of their addresses.
+    /// The live members in order of their addresses, without this gateway.
     #[must_use]
     pub fn live(&self) -> &[SocketAddr] {
         &self.live
     }
 
-    /// Digest of the live members with their full incarnations and metadata. Suspicion does not
-    /// change it: it is over soon, one way or the other.
+    /// Digest of the live members with their full incarnations and metadata. A suspicion does not
+    /// change it, since every suspicion is soon refuted or confirmed.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.bucket_digests.iter().fold(0, |all, one| all ^ one)
     }
 
-    /// The digests of the buckets.
+    /// Digests of the buckets, by bucket index.
     pub(crate) const fn bucket_digests(&self) -> &[u64; BUCKETS] {
         &self.bucket_digests
     }
 
-    /// Digest of the view: of the live members with their nonces and metadata, without incarnation
+    /// Digest of the view: the live members with their nonces and metadata, but without incarnation
     /// numbers, so that a refutation does not change it.
     #[must_use]
     pub const fn view_digest(&self) -> u64 {
         self.view_digest
     }
 
-    /// Merges an update: the greater claim holds.
+    /// Merges an update: the greater claim wins.
     pub fn merge(&mut self, update: &MemberUpdate, now: Time) -> MergeOutcome {
         self.merge_update(update, now).outcome
     }
 
-    /// Merges an update, and returns what was known before.
+    /// Merges an update, and returns the outcome with the prior state of the member.
     pub(crate) fn merge_update(&mut self, update: &MemberUpdate, now: Time) -> Merge {
         let Some(member) = self.members.get(&update.address) else {
             return self.insert(update, now);
@@ -208,7 +210,7 @@
             } else {
                 now
             },
-            only_known_gone: before.only_known_gone && !update.state.is_live(),
+            never_seen_live: before.never_seen_live && !update.state.is_live(),
             ..before
         };
         self.toggle_digests(&update.address, &before);
@@ -244,7 +246,7 @@
     }
 
     fn insert(&mut self, update: &MemberUpdate, now: Time) -> Merge {
-        if self.members.len() >= self.max_members && !self.make_room(now) {
+        if self.members.len() >= self.max_members && !self.evict_oldest_gone(now) {
             return Merge::without_prior_state(MergeOutcome::TableFull);
         }
         let address = update.address;
@@ -255,7 +257,7 @@
             metadata: update.metadata,
             since: now,
             last_message_at: None,
-            only_known_gone: !is_live,
+            never_seen_live: !is_live,
             uses_old_incarnation: false,
             bucket: bucket_of(&address),
         };
@@ -267,7 +269,8 @@
         Merge::without_prior_state(MergeOutcome::Joined)
     }
 
-    /// Forgets the members that have been gone for the retention time, and returns their addresses.
+    /// Removes members that have been dead or departed for the retention time, and returns their
+    /// addresses.
     pub fn expire(&mut self, now: Time) -> Vec<SocketAddr> {
         let is_expired =
             |member: &Member| !member.state.is_live() && now - member.since >= self.retention;
@@ -283,8 +286,9 @@
         expired
     }
 
-    /// Forgets the member that has been gone for the longest; whether there was one.
-    fn make_room(&mut self, now: Time) -> bool {
+    /// Removes the member that has been dead or departed for the longest. Returns whether there was
+    /// one.
+    fn evict_oldest_gone(&mut self, now: Time) -> bool {
         let gone = self.members.iter().filter(|(_, m)| !m.state.is_live());
         let oldest = gone
             .min_by_key(|(_, m)| (now - m.since).0.saturating_neg())
@@ -303,7 +307,7 @@
         }
     }
 
-    /// Adds a member to the digests, or removes it from them.
+    /// Adds a live member to the digests, or removes it from them: XOR does both.
     fn toggle_digests(&mut self, address: &SocketAddr, member: &Member) {
         if member.state.is_live() {
             self.bucket_digests[usize::from(member.bucket)] ^=
@@ -325,8 +329,8 @@
     }
 }
 
-/// Hashes an address and what `write` adds. The hash is part of the wire form: all gateways compute
-/// the same.
+/// Hashes an address followed by the bytes that `write` adds. The hash is part of the wire format,
+/// so all gateways must compute the same value.
 pub(crate) fn hash_with(address: &SocketAddr, write: impl FnOnce(&mut SipHasher13)) -> u64 {
     let mut hasher = SipHasher13::new();
     match address.ip() {
@@ -338,12 +342,12 @@
     hasher.finish()
 }
 
-/// The bucket of an address, below [`BUCKETS`].
+/// Index of the bucket of an address, less than [`BUCKETS`].
 pub(crate) fn bucket_of(address: &SocketAddr) -> u8 {
     (hash_with(address, |_| {}) % BUCKETS as u64) as u8
 }
 
-/// What a live member adds to the digest of a table.
+/// Contribution of a live member to the digest of the member table.
 pub(crate) fn member_digest(
     address: &SocketAddr,
     incarnation: Incarnation,
@@ -355,7 +359,7 @@
     })
 }
 
-/// What a live member adds to the digest of a view.
+/// Contribution of a live member to the digest of the view.
 pub(crate) fn view_member_digest(
     address: &SocketAddr,
     incarnation: Incarnation,
@@ -366,7 +370,7 @@
     })
 }
 
-/// Writes the canonical form: fixed widths, big-endian, in this order.
+/// Hashes the canonical form of a process: fixed widths, big-endian, in this order.
 fn write_process(hasher: &mut SipHasher13, nonce: u32, metadata: MemberMetadata) {
     hasher.write_u32(nonce.to_be());
     hasher.write_u32(metadata.epoch.to_be());
--- a/crates/membership/src/queries.rs
+++ b/crates/membership/src/queries.rs
@@ -1,6 +1,7 @@
-//! What a caller can read of the membership's state, and the steps that keep that state up to date.
+//! Read access to the membership state, detection of pauses, convergence updates, and random
+//! selection of members.
 //!
-//! Inputs are time in whole microseconds; nothing here sends datagrams.
+//! Inputs are times in whole microseconds. Nothing in this module sends datagrams.
 
 use std::net::SocketAddr;
 
@@ -17,25 +18,25 @@
 use crate::{Membership, PAUSE_PERIODS};
 
 impl Membership {
-    /// What is known about the others, in order of their addresses, including those that are gone
-    /// and remembered.
+    /// All known gateways other than this one, in order of their addresses, including those that
+    /// are dead or have left and have not expired yet.
     pub fn peers(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         self.table.iter()
     }
 
-    /// The other gateways that are live, in order of their addresses.
+    /// The live gateways other than this one, in order of their addresses.
     pub fn live_members(&self) -> impl Iterator<Item = SocketAddr> {
         self.table.live().iter().copied()
     }
 
-    /// The view, and how far it is agreed on.
+    /// Summary of the view, and how far its members agree on it.
     #[must_use]
     pub const fn view_status(&self) -> ViewStatus {
         self.view.status()
     }
 
-    /// The members of the view in order of their addresses, this gateway included, with those that
-    /// are gone and remembered.
+    /// The members of the view in order of their addresses, including this gateway and those that
+    /// are dead or have left and have not expired yet.
     pub fn members(&self) -> impl Iterator<Item = MemberView> {
         let identity = self.local.identity();
         let own = MemberView {
@@ -56,18 +57,18 @@
         before.chain([own]).chain(after)
     }
 
-    /// The kept changes of the view after a version, each once and in order.
+    /// The changes of the view after a version that are still kept, each once and in order.
     pub fn changes_since(&self, version: u64) -> impl Iterator<Item = &ViewChange> {
         self.view.changes_since(version)
     }
 
-    /// How many changes of the view after a version are no longer kept.
+    /// Number of changes of the view after a version that are no longer kept.
     #[must_use]
     pub fn missed_changes(&self, version: u64) -> u64 {
         self.view.missed_changes(version)
     }
 
-    /// How many gateways there are.
+    /// Number of gateways, counted in three ways.
     #[must_use]
     pub fn member_counts(&self) -> MemberCounts {
         let status = self.view.status();
@@ -79,46 +80,47 @@
         }
     }
 
-    /// The number of gateways by which a shared quota is divided.
+    /// Number of gateways by which a shared quota must be divided.
     #[must_use]
     pub fn quota_divisor(&self, load: Load) -> u32 {
         self.fleet_size.divisor(load)
     }
 
-    /// Whether all that some gateway knew was known here once.
+    /// Whether this gateway has synced its member table with another gateway since its start or the
+    /// last pause, or knows no other gateway to sync with.
     #[must_use]
     pub const fn synced(&self) -> bool {
         self.sync.synced
     }
 
-    /// This gateway's incarnation.
+    /// Current incarnation of this gateway.
     #[must_use]
     pub const fn incarnation(&self) -> Incarnation {
         self.local.incarnation
     }
 
-    /// This gateway's local health.
+    /// Local health of this gateway.
     #[must_use]
     pub const fn local_health(&self) -> LocalHealth {
         self.health
     }
 
-    /// Counters since the start.
+    /// Counters since the start of this process.
     #[must_use]
     pub const fn counters(&self) -> MessageCounters {
         self.counters
     }
 
-    /// Injects a fault, for tests of checkers.
+    /// Injects a fault, for tests that verify checkers.
     #[cfg(feature = "mutants")]
     pub const fn inject_fault(&mut self, fault: crate::view::InjectedFault) {
         self.view.fault = Some(fault);
         self.table.accepts_stale_updates = matches!(fault, crate::view::InjectedFault::AcceptStale);
     }
 
-    /// Detects that this process did not run for long, before anything else is done: answers that
-    /// it could not receive meanwhile must not count as missing. Returns the time, which never goes
-    /// back.
+    /// Detects that this process did not run for a long time. Must be called before anything else
+    /// is done, so that answers that could not be received in the meantime do not count as missing.
+    /// Returns the time, clamped so that it never goes backwards.
     pub(crate) fn detect_pause(&mut self, now: Time, effects: &mut Vec<Effect>) -> Time {
         let now = now.max(self.last_call_at);
         let gap = now - self.last_call_at;
@@ -136,13 +138,14 @@
         for suspicion in self.suspicions.values_mut() {
             suspicion.postpone(gap);
         }
-        // Others may have declared this gateway dead meanwhile. A later incarnation overrides that.
+        // Other gateways may have declared this one dead during the pause. A later incarnation
+        // overrides that.
         self.local.incarnation.number += 1;
         effects.push(Effect::Event(MembershipEvent::ProcessPaused(gap)));
         now
     }
 
-    /// Updates whether the view has converged, and the fleet size.
+    /// Re-evaluates convergence of the view, and updates the fleet size.
     pub(crate) fn update_convergence(&mut self, now: Time, effects: &mut Vec<Effect>) {
         self.update_view_digest(now);
         let knowledge = if self.sync.synced && !self.local.has_left() {
@@ -168,14 +171,14 @@
         self.fleet_size.update(live, convergence, now);
     }
 
-    /// Sets the view's digest to that of what is known now.
+    /// Recomputes the digest of the view from the current member table and this gateway.
     pub(crate) fn update_view_digest(&mut self, now: Time) {
         let digest = self.table.view_digest() ^ self.local.view_digest();
         self.view.set_digest(digest, self.table.live(), now);
     }
 
-    /// Draws at most this many live members, each at most once, evenly.
-    pub(crate) fn draw_live(
+    /// Selects up to `count` distinct live members uniformly at random.
+    pub(crate) fn random_live_members(
         &mut self,
         count: usize,
         excluded: Option<SocketAddr>,
@@ -187,27 +190,27 @@
                 .copied()
                 .filter(|address| Some(*address) != excluded)
                 .collect();
-            return self.draw(candidates, count);
+            return self.sample(candidates, count);
         }
-        let mut drawn = vec![];
-        while drawn.len() < count {
-            let address = live[draw_below(&mut self.rng, live.len())];
-            if Some(address) != excluded && !drawn.contains(&address) {
-                drawn.push(address);
+        let mut selected = vec![];
+        while selected.len() < count {
+            let address = live[random_below(&mut self.rng, live.len())];
+            if Some(address) != excluded && !selected.contains(&address) {
+                selected.push(address);
             }
         }
-        drawn
+        selected
     }
 
-    /// Draws at most this many of the candidates, evenly, in random order.
-    pub(crate) fn draw(
+    /// Selects up to `count` of the candidates uniformly at random, in random order.
+    pub(crate) fn sample(
         &mut self,
         mut candidates: Vec<SocketAddr>,
         count: usize,
     ) -> Vec<SocketAddr> {
         let count = count.min(candidates.len());
         for index in 0..count {
-            let other = index + draw_below(&mut self.rng, candidates.len() - index);
+            let other = index + random_below(&mut self.rng, candidates.len() - index);
             candidates.swap(index, other);
         }
         candidates.truncate(count);
@@ -215,12 +218,12 @@
     }
 }
 
-/// A number from 0 to 1.
-pub(crate) fn draw_fraction(rng: &mut Xoshiro256PlusPlus) -> f64 {
+/// Returns a random number from 0 to 1, both included.
+pub(crate) fn random_fraction(rng: &mut Xoshiro256PlusPlus) -> f64 {
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
-/// A whole number from 0 to below `end`; 0 if `end` is 0.
-pub(crate) fn draw_below(rng: &mut Xoshiro256PlusPlus, end: usize) -> usize {
+/// Returns a random integer in `0..end`, or 0 if `end` is 0.
+pub(crate) fn random_below(rng: &mut Xoshiro256PlusPlus, end: usize) -> usize {
     usize::try_from(rng.next_u64() % end.max(1) as u64).unwrap_or(0)
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -6,57 +6,61 @@
 
 use valehatch_policy::Span;
 
-/// Shortest probe interval that is accepted.
+/// Minimum probe interval.
 const MIN_PROBE_INTERVAL: Span = Span::from_millis(10);
-/// Least byte rate that is accepted: less would leave probes unsent.
+/// Minimum byte rate; a lower one would not suffice for the probes.
 const MIN_BYTES_PER_SECOND: u32 = 1024;
 
 /// Settings of one gateway's membership.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This gateway's address, by which all others know it.
+    /// Address of this gateway, under which all others know and reach it.
     pub local_address: SocketAddr,
-    /// Gateways to contact first.
+    /// Gateways to contact first; may include this gateway itself, which is skipped.
     pub seeds: Vec<SocketAddr>,
-    /// Number of this gateway's zone; 0 if there are none.
+    /// Zone number of this gateway; 0 if the fleet has no zones.
     pub zone: u16,
-    /// Number of the program's version.
+    /// Program version number.
     pub version: u16,
-    /// Time between two probes of this gateway, at least 10 ms. All other intervals are multiples
-    /// of it.
+    /// Protocol period: the time between two probes by this gateway, at least 10 ms. All other
+    /// intervals are multiples of it.
     pub probe_interval: Span,
-    /// Other gateways that are known at most.
+    /// Maximum number of other gateways in the member table, at least 1.
     pub max_members: usize,
     /// Bytes that may be sent per second on average, at least 1,024; twice as many may be sent in
     /// any one second.
     pub max_bytes_per_second: u32,
-    /// Size of the fleet while it is not known.
+    /// Fleet size to assume while the actual one is unknown.
     pub configured_fleet_size: u32,
     /// How long the fleet must have been smaller before the smaller size is used.
     pub shrink_delay: Span,
 }
 
-/// Why settings were rejected.
+/// Reason why settings were rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidSettings {
-    /// Others cannot send to [`Settings::local_address`]: its IP address is unspecified or its port
-    /// is 0.
+    /// Other gateways cannot send to [`Settings::local_address`]: its IP address is unspecified or
+    /// its port is 0.
     UnreachableLocalAddress,
-    /// [`Settings::probe_interval`] is too short.
+    /// [`Settings::probe_interval`] is shorter than 10 ms.
     ProbeIntervalTooShort,
     /// [`Settings::max_members`] is 0.
     NoMembers,
-    /// [`Settings::max_bytes_per_second`] is too low.
+    /// [`Settings::max_bytes_per_second`] is less than 1,024.
     ByteRateTooLow,
 }
 
 impl std::fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::UnreachableLocalAddress => "the own address is none that others could send to",
-            Self::ProbeIntervalTooShort => "the period is under 10 ms",
-            Self::NoMembers => "no gateway may be known",
-            Self::ByteRateTooLow => "under 1,024 bytes a second leave questions unasked",
+            Self::UnreachableLocalAddress => {
+                "the local address is unspecified or has port 0, so other gateways cannot reach it"
+            }
+            Self::ProbeIntervalTooShort => "the probe interval is shorter than 10 ms",
+            Self::NoMembers => "the maximum number of members is 0",
+            Self::ByteRateTooLow => {
+                "the byte rate is below 1,024 bytes per second, too low for the probes"
+            }
         })
     }
 }
@@ -64,7 +68,7 @@
 impl std::error::Error for InvalidSettings {}
 
 impl Settings {
-    /// Checks the bounds that the fields document.
+    /// Checks the documented bounds of the fields.
     pub(crate) fn validate(&self) -> Result<(), InvalidSettings> {
         if self.local_address.ip().is_unspecified() || self.local_address.port() == 0 {
             return Err(InvalidSettings::UnreachableLocalAddress);
@@ -81,7 +85,7 @@
         Ok(())
     }
 
-    /// Whether there is no seed but this gateway itself.
+    /// Whether no seed is configured other than this gateway itself.
     pub(crate) fn has_no_other_seeds(&self) -> bool {
         self.seeds.iter().all(|seed| *seed == self.local_address)
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,19 +1,21 @@
-//! The view: who is in the fleet, in which phase, and whether all members agree on that.
+//! The view: which gateways are in the fleet, in which phase, and whether all members agree on
+//! that.
 //!
-//! Inputs are the digest of the live members, agreement messages of others, and time in whole
-//! microseconds. The state holds one bit per member, disagreements of members, and a bounded log of
-//! changes.
+//! Inputs are the digest of the live members, agreement messages from other gateways, and time in
+//! whole microseconds. The state holds one bit per member, the members that disagree, and a bounded
+//! log of changes.
 //!
 //! Every datagram carries the digest of its sender's view and the set of members that are known to
-//! have the same view. The set is joined by union, over members that the digest identifies by
-//! address, process and epoch. So loss, duplication, order and earlier processes change when
-//! agreement is known, not what is known. Once all members agree, the view has converged.
+//! have the same view. Sets are merged by union, over members that the digest identifies by
+//! address, process and epoch. Loss, duplication, reordering and earlier processes therefore affect
+//! when agreement becomes known, but not the result. Once all members agree, the view has
+//! converged.
 //!
-//! A digest never comes back: a member that was declared gone and is alive takes a later epoch. So
-//! agreement with one view is never counted for a later one. There is one exception: a gateway
-//! declares another gone by itself and learns at once that it is alive. Others may count its
-//! earlier agreement for that moment. It sends its own digest meanwhile, and a member that receives
-//! that does not call the view converged.
+//! A digest never recurs: a member that was declared dead or departed but is alive takes a later
+//! epoch. Agreement with one view is therefore never counted for a later one, with one exception:
+//! if a gateway on its own declares another one dead and immediately learns that it is alive, other
+//! members may count the gateway's earlier agreement for that moment. In the meantime the gateway
+//! sends its own digest, and a member that receives it does not regard the view as converged.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -23,12 +25,12 @@
 use crate::view_changes::ViewChange;
 use crate::wire::{AgreeingMembers, MEMBERS_PER_BLOCK, ViewAgreement};
 
-/// Whether this gateway knows all that the others know.
+/// Whether this gateway's member table is complete enough to judge convergence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalKnowledge {
-    /// It has synced, and takes part in the fleet.
+    /// This gateway has synced with another one, and is not leaving.
     Complete,
-    /// It has not synced yet, or it is leaving.
+    /// This gateway has not synced yet, or is leaving.
     Incomplete,
 }
 
@@ -37,29 +39,29 @@
 pub enum Convergence {
     /// All members of the view are known to agree on it.
     Converged,
-    /// Some member is not known to agree, or disagrees.
+    /// At least one member disagrees or is not known to agree.
     Diverged,
 }
 
-/// The view as it is known here.
+/// Summary of the view of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewStatus {
-    /// The digest: the same at all gateways that have the same view.
+    /// Digest of the view; equal at all gateways that have the same view.
     pub digest: u64,
-    /// Changes since this process started; cannot be compared between gateways.
+    /// Number of changes since this process started; not comparable between gateways.
     pub version: u64,
-    /// Since when the view has this digest here.
+    /// When the view of this gateway took this digest.
     pub since: Time,
-    /// Members of the view, this gateway included.
+    /// Number of members of the view, including this gateway.
     pub members: usize,
-    /// Members that are known to agree, this gateway included.
+    /// Number of members that are known to agree, including this gateway.
     pub agreeing_members: usize,
-    /// Since when all members agree; `None` while they do not.
+    /// When the view converged; `None` while it has not.
     pub converged_at: Option<Time>,
 }
 
-/// The view of this gateway, and what it knows about the others' views. The methods that take
-/// `live` need the other live members, in order of their addresses, as they were at the last
+/// The view of this gateway, and which other members are known to agree with it. Methods that take
+/// `live` expect the other live members, in order of their addresses, as passed to the last
 /// [`View::set_digest`].
 #[derive(Debug)]
 pub struct View {
@@ -67,19 +69,19 @@
     digest: u64,
     since: Time,
     version: u64,
-    /// Bit sets of the agreeing members, by rank of their addresses.
+    /// Bit sets of the agreeing members, indexed by the rank of their addresses.
     agreeing_blocks: Vec<u64>,
     agreeing_members: usize,
     members: usize,
     converged_at: Option<Time>,
-    /// The digest for which convergence was reported last.
+    /// Digest for which convergence was last reported; `None` while the view is not converged.
     reported: Option<u64>,
-    /// Members that have disagreed since they agreed, and when.
+    /// Members that have sent another digest after they had agreed, with the time of the last one.
     disagreements: BTreeMap<SocketAddr, Time>,
     /// The member that last sent another digest.
     disagreeing_member: Option<SocketAddr>,
-    /// How long a disagreement counts: until then the member's change has arrived here, or it
-    /// disagrees again.
+    /// How long a disagreement counts. By then, either the member's change has arrived at this
+    /// gateway or the member has disagreed again.
     disagreement_timeout: Span,
     changes: VecDeque<ViewChange>,
     max_changes: usize,
@@ -87,21 +89,21 @@
     pub(crate) fault: Option<InjectedFault>,
 }
 
-/// Faults that tests inject to see that checkers detect them.
+/// Faults that tests inject to verify that checkers detect them.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An agreeing member counts each time that it is reported.
+    /// An agreeing member is counted each time that it is reported.
     DoubleCount,
-    /// The last update wins, even if it is of an earlier incarnation.
+    /// The latest update wins, even if it has an earlier incarnation.
     AcceptStale,
-    /// Members that were declared gone are never contacted again.
+    /// Members that were declared dead or have left are never contacted again.
     ForgetPartition,
 }
 
 impl View {
-    /// The view of a gateway that knows no other. At most `max_changes` changes are kept; beyond
-    /// that the oldest is dropped, and its readers learn how many they have missed.
+    /// Creates the view of a gateway that knows no other one. At most `max_changes` changes are
+    /// kept; beyond that, the oldest is dropped, and readers can query how many they have missed.
     #[must_use]
     pub const fn new(
         local_address: SocketAddr,
@@ -129,19 +131,20 @@
         }
     }
 
-    /// The digest of the view.
+    /// Digest of the view; equal at all gateways that have the same view.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Since when the view has this digest.
+    /// When the view took its current digest.
     #[must_use]
     pub const fn since(&self) -> Time {
         self.since
     }
 
-    /// Sets the digest of the current members; whether the view has changed.
+    /// Sets the digest of the current members. Returns whether the view has changed; if it has, all
+    /// agreement is reset.
     pub fn set_digest(&mut self, digest: u64, live: &[SocketAddr], now: Time) -> bool {
         if digest == self.digest && self.members == live.len() + 1 {
             return false;
@@ -152,7 +155,7 @@
         true
     }
 
-    /// Forgets who agrees: the view has changed, or this process has paused.
+    /// Clears the agreeing members, after the view has changed or this process has paused.
     pub fn reset_agreement(&mut self, live: &[SocketAddr]) {
         self.members = live.len() + 1;
         self.agreeing_blocks.clear();
@@ -166,7 +169,7 @@
         self.add_agreeing_member(&local_address, live);
     }
 
-    /// Position of a member among all members of the view, by address.
+    /// Position of a member among all members of the view, ordered by address.
     fn rank(&self, address: &SocketAddr, live: &[SocketAddr]) -> Option<usize> {
         if *address == self.local_address {
             return Some(live.partition_point(|a| a < address));
@@ -181,8 +184,7 @@
         }
     }
 
-    /// Joins a block by union, so that repeated, late and reordered messages have no further
-    /// effect.
+    /// Merges a block by union, so that repeated, late and reordered messages have no effect.
     fn add_agreeing(&mut self, block: usize, bits: u64) {
         let all_bits = self.all_bits(block);
         let Some(agreeing) = self.agreeing_blocks.get_mut(block) else {
@@ -201,7 +203,7 @@
         (self.agreeing_members = self.agreeing_members.min(self.members));
     }
 
-    /// The bits of all members of a block.
+    /// Bit set of all members of a block.
     fn all_bits(&self, block: usize) -> u64 {
         match self.members.saturating_sub(block * MEMBERS_PER_BLOCK) {
             0 => 0,
@@ -222,7 +224,8 @@
             .is_some_and(|agreeing| agreeing >> (rank % MEMBERS_PER_BLOCK) & 1 == 1)
     }
 
-    /// Handles the agreement that came with a datagram; whether the sender has the same view.
+    /// Handles the agreement piggybacked on a datagram. Returns whether the sender has the same
+    /// view.
     pub fn on_agreement(
         &mut self,
         from: &SocketAddr,
@@ -259,8 +262,8 @@
         true
     }
 
-    /// A member that has not reached this view yet is missing among the agreeing members anyway.
-    /// Only one that agreed before has to be remembered.
+    /// Records that a member has another view. Only a member that agreed before is added to the
+    /// disagreements: any other is missing from the agreeing members anyway.
     fn on_disagreement(&mut self, from: &SocketAddr, live: &[SocketAddr], now: Time) {
         let Some(rank) = self.rank(from, live) else {
             return;
@@ -271,7 +274,8 @@
         }
     }
 
-    /// Updates whether the view has converged; `Some` if that is to be reported.
+    /// Re-evaluates whether the view has converged. Returns `Some` if the result must be reported:
+    /// it has changed, or the view has converged on another digest.
     pub fn update_convergence(
         &mut self,
         knowledge: LocalKnowledge,
@@ -294,26 +298,26 @@
         (before != digest).then_some(convergence)
     }
 
-    /// Whether all members are known to agree.
+    /// Whether all members of the view are known to have agreed.
     #[must_use]
     pub const fn all_agree(&self) -> bool {
         self.agreeing_members == self.members
     }
 
-    /// The member that last sent another digest, if any has since the view changed or
+    /// The member that last sent another digest; `None` if none has since the view changed or since
     /// [`Self::clear_disagreeing_member`].
     #[must_use]
     pub const fn disagreeing_member(&self) -> Option<SocketAddr> {
         self.disagreeing_member
     }
 
-    /// Anti-entropy with the disagreeing member has begun.
+    /// Clears the disagreeing member, once anti-entropy has started.
     pub fn clear_disagreeing_member(&mut self) {
         self.disagreeing_member = None;
     }
 
-    /// The agreement to send. Of the incomplete blocks the one of this gateway comes first,
-    /// otherwise `rotation` selects one.
+    /// The agreement to send. Among incomplete blocks, this gateway's own is preferred; otherwise
+    /// `rotation` selects one.
     #[must_use]
     pub fn agreement(&self, live: &[SocketAddr], rotation: u32) -> ViewAgreement {
         let members = match self.agreeing_members {
@@ -354,7 +358,8 @@
         }
     }
 
-    /// The members of this gateway's block, as indexes into `live`, while the block is incomplete.
+    /// The members of this gateway's own block as indexes into `live`; `None` if the block is
+    /// complete.
     #[must_use]
     pub fn own_incomplete_block(&self, live: &[SocketAddr]) -> Option<std::ops::Range<usize>> {
         let own_rank = self.rank(&self.local_address, live)?;
@@ -362,12 +367,12 @@
         if self.is_complete(block) {
             return None;
         }
-        // Ranks count this gateway, indexes into `live` do not.
+        // Ranks include this gateway; indexes into `live` do not.
         let index = |rank: usize| (rank - usize::from(rank > own_rank)).min(live.len());
         Some(index(block * MEMBERS_PER_BLOCK)..index((block + 1) * MEMBERS_PER_BLOCK))
     }
 
-    /// The view as it is known here.
+    /// Summary of the view: digest, version, and how far the members agree.
     #[must_use]
     pub const fn status(&self) -> ViewStatus {
         ViewStatus {
@@ -380,7 +385,7 @@
         }
     }
 
-    /// Appends a change; its version is set here.
+    /// Appends a change to the log, and assigns its version.
     pub(crate) fn record_change(&mut self, change: ViewChange) {
         self.version += 1;
         if self.changes.len() >= self.max_changes {
@@ -392,15 +397,15 @@
         });
     }
 
-    /// The kept changes after a version, in order.
+    /// The changes after a version that are still kept, in order.
     pub fn changes_since(&self, version: u64) -> impl Iterator<Item = &ViewChange> {
         let known = version.saturating_sub(self.dropped_changes());
         let known = usize::try_from(known).unwrap_or(usize::MAX);
         self.changes.iter().skip(known)
     }
 
-    /// How many changes after a version are no longer kept. A reader that has missed any must read
-    /// the whole view again.
+    /// Number of changes after a version that are no longer kept. A reader that has missed any must
+    /// read the whole view again.
     #[must_use]
     pub fn missed_changes(&self, version: u64) -> u64 {
         self.dropped_changes().saturating_sub(version)
@@ -411,7 +416,7 @@
     }
 }
 
-/// Whether a bit is set in a bit set; bits beyond its end are not.
+/// Whether a bit is set in a bit set; bits beyond its end count as not set.
 fn bit(set: &[u8], index: usize) -> bool {
     set.get(index / 8)
         .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
--- a/crates/membership/src/view_changes.rs
+++ b/crates/membership/src/view_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the view, as readers get them: each once, in order, with its reason.
+//! Changes of the view as reported to readers: each exactly once, in order, with its reason.
 //!
 //! Inputs are merged updates; times are whole microseconds. No state.
 
@@ -9,17 +9,17 @@
 use crate::member_table::{Merge, MergeOutcome, PriorState};
 use crate::wire::{Incarnation, MemberMetadata, MemberState, MemberUpdate, Phase};
 
-/// Changes that are kept for readers.
+/// Maximum number of changes that are kept for readers.
 pub const MAX_CHANGES: usize = 512;
 
-/// How a member counts in the view.
+/// Status of a member in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberStatus {
-    /// It answers, and has announced this phase.
+    /// The member is alive, and has announced this phase.
     Active(Phase),
-    /// It does not answer, and may still refute.
+    /// The member does not answer, but may still refute the suspicion.
     Suspected,
-    /// It has left, or is declared dead.
+    /// The member has left or was declared dead.
     Gone,
 }
 
@@ -35,61 +35,62 @@
     }
 }
 
-/// A member of the view.
+/// A member of the view, as returned by [`crate::Membership::members`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its address.
+    /// Address of the member, which identifies it.
     pub address: SocketAddr,
-    /// Its incarnation.
+    /// Latest known incarnation of the member.
     pub incarnation: Incarnation,
-    /// Its metadata.
+    /// Metadata that the member announced in that incarnation.
     pub metadata: MemberMetadata,
-    /// How it counts.
+    /// Status of the member in the view of this gateway.
     pub status: MemberStatus,
 }
 
-/// Why the view changed.
+/// Reason of a view change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeReason {
-    /// The member was unknown or gone.
+    /// The member is alive and was unknown, dead or departed before.
     Joined,
-    /// Another process of it: state and promises of the earlier one are lost.
+    /// The member is a new process: state and commitments of the earlier one are lost.
     Restarted,
-    /// It announced another phase, zone or version.
+    /// The member announced another phase, zone or version.
     MetadataChanged,
-    /// It did not answer some gateway.
+    /// The member did not answer a gateway's probe.
     Suspected,
-    /// It refuted the suspicion.
+    /// The member refuted the suspicion.
     SuspicionCleared,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Failed,
-    /// It announced its shutdown.
+    /// The member announced its graceful shutdown.
     Left,
 }
 
-/// One change of the view.
+/// A change of one member in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewChange {
-    /// The version of the view after it, one more than after the change before.
+    /// Version of the view after the change; versions are consecutive.
     pub version: u64,
-    /// When this gateway learned of it.
+    /// When this gateway learned of the change.
     pub at: Time,
-    /// The member's address.
+    /// Address of the changed member.
     pub address: SocketAddr,
-    /// The member's incarnation after it.
+    /// Incarnation of the member after the change.
     pub incarnation: Incarnation,
-    /// The member's metadata after it.
+    /// Metadata of the member after the change.
     pub metadata: MemberMetadata,
-    /// The status before it; `None` if the member was unknown.
+    /// Status before the change; `None` if the member was unknown.
     pub before: Option<MemberStatus>,
-    /// The status after it.
+    /// Status after the change.
     pub after: MemberStatus,
-    /// Why the view changed.
+    /// Reason of the change.
     pub reason: ChangeReason,
 }
 
 impl ViewChange {
-    /// The change to which a merged update leads, if it is one. The view sets the version.
+    /// The change that a merged update causes; `None` if it is no change for readers. The view
+    /// assigns the version.
     pub(crate) fn from_merge(update: &MemberUpdate, merge: Merge, now: Time) -> Option<Self> {
         let reason = change_reason(merge.outcome, update.state)?;
         let before = merge
@@ -118,7 +119,7 @@
     }
 }
 
-/// Whether zone, version or phase differ; the epoch alone is no change for readers.
+/// Whether zone, version or phase differ. A new epoch alone is not a change for readers.
 fn announces_other_metadata(prior: PriorState, metadata: MemberMetadata) -> bool {
     let prior = prior.metadata;
     prior.zone != metadata.zone
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,115 +1,116 @@
-//! Messages between gateways, and their form in a datagram.
+//! Messages between gateways, and their encoding in a datagram.
 //!
-//! A datagram is one [`Datagram`] in postcard, at most [`MAX_DATAGRAM_BYTES`] bytes. The order of
-//! fields and variants is the byte form; their names are free. Pure functions, no state.
+//! A datagram is one [`Datagram`] encoded with postcard, at most [`MAX_DATAGRAM_BYTES`] bytes long.
+//! The order of fields and variants is part of the wire format; their names are not. Pure
+//! functions, no state.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram in bytes: the transport's 256 less its own header.
+/// Maximum datagram size in bytes: the transport's 256 bytes less its own header.
 pub const MAX_DATAGRAM_BYTES: usize = 248;
-/// Members per block of [`AgreeingMembers::Some`].
+/// Number of members per block of [`AgreeingMembers::Some`].
 pub const MEMBERS_PER_BLOCK: usize = 64;
 
-/// Which process of a gateway a statement is about, and how often that process has refuted
-/// statements about itself.
+/// Identifies a process of a gateway, and versions the claims about it.
 ///
-/// A greater incarnation is a later one. The number begins with the wall clock in milliseconds, so
-/// that a restarted gateway supersedes its earlier process. If the clock was set back, others tell
-/// it the earlier number and it takes the next.
+/// A greater incarnation is a later one. The number starts at the wall clock in milliseconds, so
+/// that a restarted gateway supersedes its earlier process. If the clock was set back, other
+/// gateways report the earlier number, and the restarted gateway takes the one after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Grows with each start and each refutation.
+    /// Increases with each start, each refutation, each detected pause and each change of phase.
     pub number: u64,
-    /// Drawn at each start: distinguishes two processes whatever their numbers are.
+    /// Random value chosen at each start; distinguishes two processes whatever their numbers are.
     pub nonce: u32,
 }
 
 impl Incarnation {
-    /// Numbers from here on are rejected: nobody could refute the last one.
+    /// Numbers from this one on are rejected, since the highest number could not be refuted.
     pub const MAX_NUMBER: u64 = 1 << 62;
 }
 
-/// State of a member. For one incarnation, a greater state overrides a lesser one.
+/// State of a member. Within one incarnation, a greater state overrides a lesser one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer some gateway, and may still refute.
+    /// The member did not answer a gateway's probe, but may still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It has announced its graceful shutdown.
+    /// The member has announced its graceful shutdown.
     Left,
 }
 
 impl MemberState {
-    /// Whether a member in this state counts as live; suspects do.
+    /// Whether a member in this state counts as live, which includes suspects.
     #[must_use]
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// Lifecycle phase that a gateway announces.
+/// Lifecycle phase that a gateway announces to the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has started and still recovers.
+    /// The gateway has started and is still recovering.
     #[default]
     Starting,
-    /// It serves completely.
+    /// The gateway has recovered and provides full service.
     Full,
-    /// It takes no new work and is about to leave.
+    /// The gateway accepts no new work and is about to leave.
     Draining,
 }
 
-/// What a gateway announces about itself. Each change takes the next incarnation, so that the later
-/// one wins everywhere.
+/// Metadata that a gateway announces about itself. Each change takes the next incarnation number,
+/// so that the latest metadata wins everywhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberMetadata {
-    /// Grows within one process each time that others had declared it gone, and with each change of
-    /// the fields below, so that the digest of an earlier view never comes back.
+    /// Increases within one process each time that the gateway refutes having been declared dead or
+    /// departed, and with each change of the fields below, so that the digest of an earlier view
+    /// never recurs.
     pub epoch: u32,
-    /// Number of its zone; 0 if there are none.
+    /// Zone number; 0 if the fleet has no zones.
     pub zone: u16,
-    /// Number of its program version.
+    /// Program version number.
     pub version: u16,
-    /// Its lifecycle phase.
+    /// Current lifecycle phase.
     pub phase: Phase,
 }
 
-/// What is claimed about a member. Of two claims the greater holds, by incarnation, then state,
-/// then metadata: gateways that got the same claims end with the same result, whatever their order
-/// and number.
+/// A claim about a member. Of two claims, the greater one wins, compared by incarnation, then
+/// state, then metadata. Gateways that receive the same claims therefore reach the same result, in
+/// whatever order and however often they receive them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Claim {
-    /// The incarnation.
+    /// Incarnation that the claim is about.
     pub incarnation: Incarnation,
-    /// The state in that incarnation.
+    /// State of the member in that incarnation.
     pub state: MemberState,
-    /// The metadata in that incarnation.
+    /// Metadata of the member in that incarnation.
     pub metadata: MemberMetadata,
 }
 
-/// A statement about one member, as gossip carries it.
+/// An update about one member, as carried by gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member's address.
+    /// Address of the member.
     pub address: SocketAddr,
-    /// The member's incarnation.
+    /// Incarnation that the update is about.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// State of the member in that incarnation.
     pub state: MemberState,
-    /// For a suspicion, a hash of the suspecting gateway: independent suspicions shorten the
-    /// timeout. Otherwise 0.
+    /// For a suspicion, a hash of the suspecting gateway, since independent suspicions shorten the
+    /// timeout; otherwise 0.
     pub reporter: u16,
-    /// Its metadata in that incarnation.
+    /// Metadata of the member in that incarnation.
     pub metadata: MemberMetadata,
 }
 
 impl MemberUpdate {
-    /// The claim that this update makes.
+    /// The claim that this update makes, without address and reporter.
     #[must_use]
     pub const fn claim(&self) -> Claim {
         Claim {
@@ -123,48 +124,49 @@
 /// A position in another gateway's member table, for anti-entropy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncCursor {
-    /// The bucket of members.
+    /// Index of the bucket, less than `bucket_count`.
     pub bucket: u8,
     /// Number of buckets into which the table is divided, a power of two.
     pub bucket_count: u8,
-    /// The last address that was already received of this bucket.
+    /// Last address already received from this bucket; `None` at its start.
     pub after: Option<SocketAddr>,
 }
 
-/// Purpose of a datagram. Numbers of pings are chosen by the sender of the ping.
+/// Message of a datagram. Sequence numbers of pings are chosen by the sender of the ping.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for an ack with the same number.
+    /// Requests an ack with the same sequence number.
     Ping(u32),
-    /// Answers a ping; from a helper, that the target of the indirect ping answered.
+    /// Answers a ping. From a helper, it means that the target of the indirect ping has answered.
     Ack(u32),
-    /// Asks the receiver to ping the target.
+    /// Requests that the receiver ping the target.
     IndirectPing(u32, SocketAddr),
-    /// From a helper: the target has not answered, but the helper itself is alive.
+    /// Sent by a helper that is alive itself when the target has not answered.
     Nack(u32),
     /// Starts anti-entropy with the digest of the sender's member table (big-endian).
     SyncDigest([u8; 8]),
-    /// The tables differ: digests of the sender's buckets, a power of two of them.
+    /// Answers a digest of another table: the digests of the sender's buckets, whose number is a
+    /// power of two.
     BucketDigests(Vec<u32>),
-    /// Asks for the members after a cursor.
+    /// Requests the members after a cursor.
     Pull {
-        /// Where to go on.
+        /// Position after which the page starts.
         cursor: SyncCursor,
-        /// Salt of the hashes.
+        /// Salt of the hashes in `known`.
         salt: u16,
-        /// Salted hashes of updates that the sender has already.
+        /// Salted hashes of the updates that the sender has already; empty if there are too many.
         known: Vec<u16>,
     },
-    /// Members after a cursor, in the datagram's updates.
+    /// Answers a pull: the members after the cursor are the updates of the datagram.
     PullPage {
-        /// The cursor of the request.
+        /// Cursor of the request.
         cursor: SyncCursor,
-        /// Whether the bucket ends with this page.
+        /// Whether this is the last page of the bucket.
         last: bool,
     },
-    /// Answers a digest: the tables are the same.
+    /// Answers a digest of an equal table.
     InSync,
-    /// Carries only updates.
+    /// Carries only piggybacked updates.
     Gossip,
 }
 
@@ -172,19 +174,19 @@
 /// [`MEMBERS_PER_BLOCK`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgreeingMembers {
-    /// Nothing is said about others.
+    /// Agreement of members other than the sender is not reported.
     #[default]
     Unknown,
     /// All members of some blocks, and some members of one more block.
     Some {
-        /// Bit set of the blocks of which all members agree; empty if there are none.
+        /// Bit set of the blocks in which all members agree; empty if there are none.
         complete_blocks: Vec<u8>,
-        /// Index of one more block.
+        /// Index of one further block.
         block: u8,
-        /// Bit set of the agreeing members of that block.
+        /// Bit set of the agreeing members in that block.
         bits: u64,
     },
-    /// All members.
+    /// All members of the view agree.
     All,
 }
 
@@ -200,27 +202,27 @@
 /// A datagram of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The sender's metadata.
+    /// Metadata of the sender.
     pub metadata: MemberMetadata,
-    /// The sender's view.
+    /// Digest of the sender's view, and the members known to agree with it.
     pub agreement: ViewAgreement,
-    /// The purpose.
+    /// Protocol message.
     pub message: Message,
-    /// Updates that come along.
+    /// Piggybacked updates, or the members of a [`Message::PullPage`].
     pub updates: Vec<MemberUpdate>,
 }
 
-/// A datagram in its byte form.
+/// An encoded datagram.
 pub(crate) struct EncodedDatagram {
     pub(crate) bytes: Vec<u8>,
-    /// How many of the offered updates fit.
+    /// Number of the offered updates that fit.
     pub(crate) updates: usize,
 }
 
 impl Datagram {
-    /// Decodes bytes from the network; `None` for anything that is not exactly one datagram.
+    /// Decodes bytes from the network. Returns `None` unless they are exactly one valid datagram.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
@@ -233,7 +235,7 @@
         (rest.is_empty() && all_valid).then_some(datagram)
     }
 
-    /// The byte form of a datagram without updates, plus as many of `updates` as fit.
+    /// Encodes a datagram that has no updates yet, with as many of `updates` as fit.
     pub(crate) fn encode_with(self, updates: &[MemberUpdate]) -> EncodedDatagram {
         let mut free = MAX_DATAGRAM_BYTES.saturating_sub(encoded_bytes(&self));
         let mut fitting = vec![];
@@ -250,8 +252,8 @@
             updates: fitting,
             ..self
         };
-        // Encoding fails only without memory; an empty datagram is dropped by the receiver like a
-        // lost one.
+        // Encoding fails only if memory is exhausted. The receiver rejects an empty datagram, which
+        // has the same effect as a lost one.
         let bytes = postcard::to_extend(&datagram, Vec::with_capacity(MAX_DATAGRAM_BYTES));
         EncodedDatagram {
             bytes: bytes.unwrap_or_default(),
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Merging of updates, malformed datagrams, settings, refutation, a full table, suspicion timeouts
-//! and the fleet size.
+//! Merging of updates, malformed datagrams, validation of settings, refutation, a full member
+//! table, suspicion timeouts and the fleet size.
 
 use std::net::SocketAddr;
 
@@ -42,7 +42,7 @@
     })
 }
 
-/// What a table contains, as far as all gateways must agree on it.
+/// The part of a table's contents that must be equal at all gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct TableContents {
     members: Vec<(SocketAddr, Incarnation, MemberState)>,
@@ -72,7 +72,7 @@
         order in proptest::collection::vec(any::<usize>(), 40),
     ) {
         let expected = merged(&updates);
-        // In another order, and some of them twice.
+        // The same updates in another order, some of them duplicated.
         let mut other = updates.clone();
         if !updates.is_empty() {
             other.extend(order[..10].iter().map(|n| updates[n % updates.len()]));
@@ -134,13 +134,13 @@
     assert!(!error.to_string().is_empty());
 }
 
-/// Another gateway says that this one is dead, by the incarnation of an earlier process whose clock
-/// was ahead. This one refutes that with the next number, and already its answer says so. An
-/// incarnation that nobody could refute is rejected.
+/// Another gateway claims that this one is dead, with the incarnation of an earlier process whose
+/// clock was ahead. This gateway refutes the claim with the next number, which its answer to the
+/// same datagram already carries. An incarnation too high to be refuted is rejected.
 #[test]
-fn own_death_is_refuted_and_unbounded_incarnation_is_rejected() {
+fn own_death_is_refuted_and_irrefutable_incarnation_is_rejected() {
     let mut membership = Membership::new(settings(), 1000, 1, Time(0)).unwrap();
-    let (me, mut out) = (membership.incarnation(), vec![]);
+    let (initial, mut out) = (membership.incarnation(), vec![]);
     let other = Incarnation {
         number: 5,
         nonce: 9,
@@ -162,9 +162,15 @@
         ),
         &mut out,
     );
-    assert_eq!(membership.incarnation(), Incarnation { number: 4001, ..me });
+    assert_eq!(
+        membership.incarnation(),
+        Incarnation {
+            number: 4001,
+            ..initial
+        }
+    );
     assert!(out.contains(&Effect::Event(MembershipEvent::Refuted)));
-    // Its answer already has the later incarnation.
+    // The answer already carries the later incarnation.
     let answer = out.iter().find_map(|e| {
         if let Effect::Send { bytes, .. } = e {
             Some(bytes)
@@ -194,8 +200,8 @@
     );
 }
 
-/// More gateways announce themselves than the table has room for. The last one is not taken in
-/// until another one has left.
+/// More gateways announce themselves than the table can hold. The last one is not added until
+/// another one has left.
 #[test]
 fn full_table_replaces_only_gone_members() {
     let mut membership = Membership::new(settings(), 1, 1, Time(0)).unwrap();
@@ -263,7 +269,7 @@
     assert_eq!(
         Suspicion::new(incarnation, 0, 0, min_timeout, Time(0)).deadline(),
         Time(0) + min_timeout,
-        "nobody could confirm it"
+        "the shortest timeout applies if no gateway could confirm the suspicion"
     );
 }
 
@@ -271,7 +277,11 @@
 fn fleet_size_rises_at_once_and_falls_after_delay() {
     let mut size = FleetSize::new(12, Span::from_millis(1000));
     let at = |ms: i64| Time(ms * 1000);
-    assert_eq!(size.divisor(Load::Normal), 12, "unknown: as configured");
+    assert_eq!(
+        size.divisor(Load::Normal),
+        12,
+        "the configured size applies while the count is unknown"
+    );
     size.update(Some(1), Convergence::Converged, at(0));
     assert_eq!(size.divisor(Load::Normal), 12);
     size.update(Some(5), Convergence::Converged, at(500));
@@ -281,14 +291,18 @@
     assert_eq!(
         (size.divisor(Load::Normal), size.divisor(Load::Overloaded)),
         (5, 12),
-        "the greatest count of that time; as configured under overload"
+        "the greatest count during the delay, and the configured size under overload"
     );
     size.update(Some(40), Convergence::Converged, at(1001));
     assert_eq!(
         (size.divisor(Load::Normal), size.divisor(Load::Overloaded)),
         (40, 40),
-        "larger at once"
+        "a larger count applies immediately"
     );
     size.update(None, Convergence::Converged, at(9000));
-    assert_eq!(size.divisor(Load::Normal), 40, "unknown again: not smaller");
+    assert_eq!(
+        size.divisor(Load::Normal),
+        40,
+        "the size does not shrink when the count becomes unknown"
+    );
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,5 +1,5 @@
-//! The view: agreement is a union in any order; changes are reported once; a converged view is the
-//! one that all have.
+//! The view: agreement is a union that does not depend on the order of messages; each change is
+//! reported once; a view converges only if all members have it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -31,10 +31,10 @@
 
 const DIGEST: u64 = 77;
 
-/// A view of this many members, one of which is this gateway.
-fn view(me: usize, size: usize) -> (View, Vec<SocketAddr>) {
-    let live: Vec<SocketAddr> = (0..size).filter(|n| *n != me).map(address).collect();
-    let mut view = View::new(address(me), 4, Span(1_000), Time(0));
+/// A view of `size` members, of which `local` is this gateway, and its other live members.
+fn view(local: usize, size: usize) -> (View, Vec<SocketAddr>) {
+    let live: Vec<SocketAddr> = (0..size).filter(|n| *n != local).map(address).collect();
+    let mut view = View::new(address(local), 4, Span(1_000), Time(0));
     assert!(view.set_digest(DIGEST, &live, Time(0)));
     (view, live)
 }
@@ -47,8 +47,9 @@
 }
 
 proptest! {
-    /// Agreement messages go among all members in any order, lost and duplicated as drawn: a member
-    /// counts as agreeing only if its own message has arrived in some way.
+    /// Agreement messages are exchanged among all members in a random order, with losses and
+    /// duplicates. A member counts as agreeing only if its own message has arrived, directly or
+    /// through others.
     #[test]
     fn agreeing_members_are_union_of_messages(
         size in 2..200_usize,
@@ -56,7 +57,7 @@
         sends in proptest::collection::vec((any::<usize>(), any::<usize>(), any::<u32>(), 1..3_usize), 0..600),
     ) {
         let mut views: Vec<_> = (0..size).map(|n| view(n, size)).collect();
-        // The exact answer: who can know of whom, by those that passed it on.
+        // The reference model: whose agreement each member can know of, including through others.
         let mut knows: Vec<BTreeSet<usize>> = (0..size).map(|n| BTreeSet::from([n])).collect();
         for (from, to, rotation, times) in sends {
             let (from, to) = (from % size, to % size);
@@ -74,16 +75,16 @@
         for (n, (view, _)) in views.iter().enumerate() {
             let agreeing = view.status().agreeing_members;
             prop_assert!(agreeing <= knows[n].len(), "{agreeing} counted, {:?} could be known", knows[n]);
-            // A silent member is counted by itself alone.
-            let never = silent.iter().filter(|s| **s < size && **s != n).count();
-            prop_assert!(agreeing <= size - never);
+            // A silent member is counted only by itself.
+            let uncounted = silent.iter().filter(|s| **s < size && **s != n).count();
+            prop_assert!(agreeing <= size - uncounted);
         }
     }
 
-    /// Tables that merged the same updates have the same view digest, and another one where any
-    /// process or metadata differs.
+    /// Tables that merged the same updates have the same view digest; tables that differ in any
+    /// live process or its metadata have different ones.
     #[test]
-    fn view_digest_follows_from_live_processes_and_metadata(
+    fn view_digest_depends_only_on_live_processes_and_metadata(
         drawn in proptest::collection::vec((1..6_usize, 1..4_u64, 0..2_u32, 0..2_u32, 0..4_usize), 0..24),
         order in proptest::collection::vec(any::<usize>(), 48),
     ) {
@@ -114,16 +115,16 @@
         let (one, two) = (merge(&updates), merge(&other));
         prop_assert_eq!((one.view_digest(), one.digest(), live(&one)), (two.view_digest(), two.digest(), live(&two)));
         prop_assert_eq!(one.live(), live(&one).iter().map(|l| l.0).collect::<Vec<_>>());
-        // Fewer updates: another view unless the live processes are the same.
+        // With fewer updates, the digest differs unless the live processes are the same.
         for n in 0..updates.len() {
-            let less = merge(&updates[..n]);
-            prop_assert_eq!(less.view_digest() == one.view_digest(), live(&less) == live(&one));
+            let partial = merge(&updates[..n]);
+            prop_assert_eq!(partial.view_digest() == one.view_digest(), live(&partial) == live(&one));
         }
     }
 }
 
-/// All members agree, then one of them has another view: the view must not count as converged until
-/// it agrees again, or until its change would have arrived here.
+/// All members agree, then one of them reports another view. The view must not count as converged
+/// until that member agrees again, or until its change would have arrived at this gateway.
 #[rstest]
 #[case::two(2)]
 #[case::one_more_than_a_block(65)]
@@ -158,7 +159,7 @@
     assert_eq!(
         view.update_convergence(LocalKnowledge::Incomplete, Time(3)),
         None,
-        "not before this gateway has synced"
+        "the view does not converge before this gateway has synced"
     );
     assert_eq!(
         (
@@ -180,7 +181,8 @@
         ),
         (Some(Convergence::Diverged), None)
     );
-    // Its change has not arrived in all that time, and it has not disagreed again.
+    // Within the disagreement timeout, neither the member's change has arrived nor has it disagreed
+    // again.
     assert_eq!(
         (
             view.update_convergence(LocalKnowledge::Complete, Time(1_005)),
@@ -188,7 +190,7 @@
         ),
         (Some(Convergence::Converged), Some(Time(1_005)))
     );
-    // With another view, agreement with the old one no longer counts.
+    // Agreement with the old view does not count for the new one.
     assert!(view.set_digest(DIGEST + 2, &live, Time(1_006)));
     assert_eq!(
         view.update_convergence(LocalKnowledge::Complete, Time(1_006)),
@@ -201,7 +203,7 @@
         Time(1_007),
     );
     assert_eq!(view.status().agreeing_members, 1);
-    // That all agree is passed on by a member that learned it from others.
+    // A member that has learned from others that all members agree passes this on.
     view.on_agreement(
         &live[0],
         &agreement(DIGEST + 2, AgreeingMembers::All),
@@ -229,7 +231,7 @@
     Membership::new(settings, 1, 1, Time(0)).unwrap()
 }
 
-/// A datagram of another gateway with these updates.
+/// An encoded datagram of another gateway with these updates.
 fn datagram(
     number: u64,
     nonce: u32,
@@ -249,9 +251,9 @@
     .unwrap()
 }
 
-/// A gateway that has learned from another one how a third joins, changes its phase, is suspected,
-/// clears itself, fails, restarts twice and leaves. It got each update twice: a known one is no
-/// change.
+/// A gateway that has learned from another one that a third has joined, changed its phase, was
+/// suspected, refuted the suspicion, failed, restarted twice and left. Each update is received
+/// twice; the second time, it must not cause a change.
 fn membership_after_changes() -> Membership {
     let (mut membership, mut out) = (membership(), vec![]);
     let metadata = |epoch, phase| MemberMetadata {
@@ -294,11 +296,11 @@
     let membership = membership_after_changes();
     let changes: Vec<ViewChange> = membership.changes_since(0).copied().collect();
     let active = MemberStatus::Active;
-    let of = |c: &ViewChange| (c.address, c.before, c.after, c.reason);
+    let fields = |c: &ViewChange| (c.address, c.before, c.after, c.reason);
     let member = address(2);
     assert_eq!(membership.missed_changes(0), 0);
     assert_eq!(
-        changes.iter().map(of).collect::<Vec<_>>(),
+        changes.iter().map(fields).collect::<Vec<_>>(),
         [
             (
                 address(3),
@@ -355,12 +357,12 @@
     assert_eq!(
         membership.changes_since(7).count(),
         2,
-        "a reader continues where it stopped"
+        "a reader continues after the last version it has read"
     );
 }
 
 #[test]
-fn late_reader_learns_number_of_missed_changes() {
+fn late_reader_gets_number_of_missed_changes() {
     let (mut membership, mut out) = (membership(), vec![]);
     for n in 2..902 {
         let bytes = datagram(1, 1, MemberMetadata::default(), Gossip, vec![]);
@@ -371,9 +373,9 @@
     assert_eq!((missed, kept.len(), kept.last()), (288, 512, Some(&900)));
 }
 
-/// Two gateways are configured with the same address. Each refutes what the other says, for ever.
-/// The one that sees its refutations answered reports that and gives in. An earlier process of the
-/// same gateway cannot answer.
+/// Two gateways are configured with the same address, and would refute each other's claims for
+/// ever. A gateway whose refutations are answered reports the conflict and stops refuting. An
+/// earlier process of the same gateway cannot answer, and must not be reported.
 #[test]
 fn answered_refutations_reveal_duplicate_identity() {
     let (mut membership, mut out) = (membership(), vec![]);
@@ -397,8 +399,8 @@
         out.iter()
             .any(|e| matches!(e, Effect::Event(MembershipEvent::DuplicateIdentity(_))))
     };
-    // An earlier process whose clock was ahead: superseded once, whatever other gateways still
-    // repeat of it.
+    // An earlier process whose clock was ahead is superseded, whatever claims about it other
+    // gateways still repeat.
     assert!(
         !receive(&mut membership, 100)
             && !receive(&mut membership, 100)
@@ -406,17 +408,17 @@
             && !receive(&mut membership, 105)
     );
     assert_eq!(membership.incarnation().number, 106);
-    // A gateway that answers each time.
+    // Another gateway with the same address answers each refutation.
     assert!(!receive(&mut membership, 107));
-    assert!(receive(&mut membership, 109), "reported");
+    assert!(receive(&mut membership, 109), "the duplicate is reported");
     assert!(
         !receive(&mut membership, 111) && !receive(&mut membership, 113),
-        "once"
+        "the duplicate is reported only once"
     );
     assert_eq!(
         membership.incarnation().number,
         110,
-        "and no longer superseded"
+        "the other process is no longer superseded"
     );
     assert!(
         membership
--- a/crates/membership/tests/wire_forms.rs
+++ b/crates/membership/tests/wire_forms.rs
@@ -1,6 +1,6 @@
-//! Byte forms of membership datagrams and the digests they carry. The file in `fixtures/` holds one
-//! datagram of each kind as version 0.4.0 wrote them, one after the other; later versions must read
-//! them and write the same bytes.
+//! Wire format of membership datagrams and of the digests they carry. The file in `fixtures/` is
+//! the concatenation of one datagram of each kind as written by version 0.4.0. Later versions must
+//! read these datagrams and write the same bytes.
 
 use std::net::SocketAddr;
 
@@ -49,7 +49,7 @@
 }
 
 fn datagrams() -> Vec<Datagram> {
-    let (four, six) = (address("10.0.0.9:7946"), address("[2001:db8::9]:7946"));
+    let (ipv4, ipv6) = (address("10.0.0.9:7946"), address("[2001:db8::9]:7946"));
     let some = AgreeingMembers::Some {
         complete_blocks: vec![0x81, 2],
         block: 3,
@@ -62,7 +62,7 @@
             updates(),
         ),
         (Message::Ack(1), some, vec![]),
-        (Message::IndirectPing(2, four), AgreeingMembers::All, vec![]),
+        (Message::IndirectPing(2, ipv4), AgreeingMembers::All, vec![]),
         (Message::Nack(3), AgreeingMembers::All, vec![]),
         (
             Message::SyncDigest([1, 2, 3, 4, 5, 6, 7, 0xff]),
@@ -79,7 +79,7 @@
                 cursor: SyncCursor {
                     bucket: 5,
                     bucket_count: 32,
-                    after: Some(six),
+                    after: Some(ipv6),
                 },
                 salt: 500,
                 known: vec![1, 65_535],
@@ -102,7 +102,7 @@
         (Message::InSync, AgreeingMembers::All, vec![]),
         (Message::Gossip, AgreeingMembers::All, updates()),
     ];
-    let one = |(message, members, updates)| Datagram {
+    let datagram = |(message, members, updates)| Datagram {
         incarnation: Incarnation {
             number: 1_700_000_000_001,
             nonce: 0x0123_4567,
@@ -120,11 +120,11 @@
         message,
         updates,
     };
-    all.into_iter().map(one).collect()
+    all.into_iter().map(datagram).collect()
 }
 
 #[test]
-fn stored_datagrams_are_read_and_written_unchanged() {
+fn fixture_datagrams_are_read_and_written_unchanged() {
     let (mut rest, mut read, mut written) = (DATAGRAMS, vec![], vec![]);
     while !rest.is_empty() {
         let (datagram, next) = postcard::take_from_bytes::<Datagram>(rest).unwrap();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn received_ping_is_answered_in_the_pinned_form() {
+fn received_ping_is_answered_in_the_same_wire_format() {
     let settings = Settings {
         local_address: address("10.0.0.1:7946"),
         seeds: vec![],
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn digests_of_equal_tables_stay_equal_across_versions() {
+fn table_digests_stay_equal_across_versions() {
     let mut table = MemberTable::new(8, Span::from_millis(1_000_000));
     for update in updates() {
         table.merge(&update, Time(0));
