--- a/crates/recovery/src/endpoint_list.rs
+++ b/crates/recovery/src/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The cached endpoint list: what discovery listed last, with the version up to which it is known.
+//! The cached endpoint list: the last list from discovery, and its version.
 //!
 //! Inputs are full lists and changes, each with a version. The cache holds one record per listed
-//! endpoint, by name; endpoints that left are removed, so its size is bounded by what discovery
-//! lists. Spans are whole microseconds.
+//! endpoint, by name. Endpoints that have left are removed, so its size is bounded by what
+//! discovery lists. Spans are whole microseconds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,21 +10,22 @@
 use serde::{Deserialize, Serialize};
 use valehatch_policy::{Span, Time};
 
-/// Longest time from a change at discovery until it counts as known to a gateway, whether or not it
-/// arrived.
+/// Time after a change at discovery from which the change counts as known to a gateway, whether or
+/// not it has arrived.
 pub const PROPAGATION_DEADLINE: Span = Span::from_millis(6_000);
-/// The same for a long poll, counted from the end of its wait, if that is later.
+/// Same as [`PROPAGATION_DEADLINE`] for a long poll, counted from the end of its wait; the later of
+/// the two deadlines applies.
 pub const PROPAGATION_DEADLINE_AFTER_WAIT: Span = Span::from_millis(2_000);
-/// How long a list forwarded by the other process goes before discovery's own answers: after that
-/// both processes count as knowing the same changes.
+/// How long a list forwarded by the other process of this gateway takes precedence over answers
+/// from discovery. After that, both processes count as knowing the same changes.
 const FORWARDED_LIST_PRECEDENCE: Span = PROPAGATION_DEADLINE;
 
-/// An endpoint as discovery lists it. The fields have the names of discovery's JSON keys.
+/// An endpoint as listed by discovery. The fields are named like the JSON keys of discovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DiscoveredEndpoint {
-    /// Unique name.
+    /// Unique name of the endpoint.
     pub uid: String,
-    /// Address and port, as text.
+    /// IP address and port, as text.
     pub endpoint: String,
     /// Availability zone; empty if not listed.
     #[serde(default)]
@@ -32,10 +33,10 @@
     /// Machine type; empty if not listed.
     #[serde(default)]
     pub model: String,
-    /// Replication group.
+    /// Number of the replication group; 0 if not listed.
     #[serde(default)]
     pub pod_group: u16,
-    /// `active`, `leaving` or `left`.
+    /// Lifecycle state: `active`, `leaving` or `left`.
     pub state: String,
     /// Relative capacity; 0 if not listed.
     #[serde(default)]
@@ -43,7 +44,7 @@
     /// Start time in Unix milliseconds; 0 if not listed.
     #[serde(default)]
     pub boot_ms: f64,
-    /// `read-write` for a primary.
+    /// Access mode: `read-write` for a primary; empty if not listed.
     #[serde(default)]
     pub mode: String,
 }
@@ -51,23 +52,23 @@
 /// A version of the endpoint list. Revisions of different sources cannot be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// The discovery address that counts the revisions.
+    /// Address of the discovery server that assigns the revisions.
     pub source: SocketAddr,
-    /// Grows with each change at that source, but may start again when the source restarts.
+    /// Increases with each change at that source, but may start over when the source restarts.
     pub revision: u64,
 }
 
-/// What an update of the list contains.
+/// Scope of an update of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All endpoints.
+    /// The update lists all endpoints.
     Full,
-    /// Only the endpoints that changed; those that left have the state `left`.
+    /// The update lists only endpoints that changed; those that left have the state `left`.
     Changes,
 }
 
-/// The version up to which the other process of this gateway has forwarded the list. What discovery
-/// answers with an older revision is included already, and applying it would undo later changes.
+/// Version of the list that the other process of this gateway has forwarded. Answers from discovery
+/// with an older revision are already included in it, and applying them would undo later changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardedListGuard {
     version: ListVersion,
@@ -75,7 +76,7 @@
 }
 
 impl ForwardedListGuard {
-    /// Guards a list that was forwarded now; `None` if it has no version.
+    /// Guards a list that was forwarded at `now`; `None` if the list has no version.
     #[must_use]
     pub fn new(forwarded: &EndpointListCache, now: Time) -> Option<Self> {
         forwarded.version.map(|version| Self {
@@ -84,30 +85,30 @@
         })
     }
 
-    /// Whether an update of this version is included already. Holds only for
-    /// [`PROPAGATION_DEADLINE`], since a source may start to count anew.
+    /// Whether an update of this version is already included in the forwarded list. Always `false`
+    /// once [`PROPAGATION_DEADLINE`] has passed, since a source may start its revisions over.
     #[must_use]
     pub fn covers(&self, update: ListVersion, now: Time) -> bool {
         self.is_newer_than(update) && now < self.until
     }
 
-    /// Whether the forwarded list is a later revision of the same source.
+    /// Whether the forwarded list is a later revision from the same source.
     #[must_use]
     pub fn is_newer_than(&self, update: ListVersion) -> bool {
         self.version.source == update.source && update.revision < self.version.revision
     }
 }
 
-/// The endpoint list as full lists and changes have made it.
+/// The endpoint list that results from all updates so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointListCache {
-    /// The version up to which the list is known; `None` before the first update.
+    /// Version of the last update; `None` before the first one.
     pub version: Option<ListVersion>,
     endpoints: BTreeMap<String, DiscoveredEndpoint>,
 }
 
 impl EndpointListCache {
-    /// Applies an update.
+    /// Applies an update. Endpoints with the state `left` are removed.
     pub fn apply(&mut self, version: ListVersion, scope: ListScope, update: &[DiscoveredEndpoint]) {
         self.version = Some(version);
         if scope == ListScope::Full {
@@ -123,19 +124,19 @@
         }
     }
 
-    /// The byte form (postcard), for the other process of the same gateway.
+    /// Encodes the list with postcard, for the other process of the same gateway.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes the byte form; `None` if the bytes are no list.
+    /// Decodes a list; `None` if the bytes are not a valid encoding.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Whether this list is a later revision of the same source than `other`.
+    /// Whether this list is a later revision than `other`, from the same source.
     #[must_use]
     pub fn is_ahead_of(&self, other: &Self) -> bool {
         let (Some(own), Some(other)) = (self.version, other.version) else {
@@ -144,7 +145,7 @@
         own.source == other.source && own.revision > other.revision
     }
 
-    /// The endpoints, in order of their names.
+    /// The listed endpoints in order of their names.
     pub fn endpoints(&self) -> impl Iterator<Item = &DiscoveredEndpoint> {
         self.endpoints.values()
     }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,18 +1,18 @@
-//! Recovery after a start: what is known again, how far it is trusted, and when service is complete
-//! again. No I/O, no clock, no threads.
+//! Recovery after a start: which knowledge is restored, how far it is trusted, and when service is
+//! complete again. No I/O, no clock, no threads.
 //!
-//! Times come in as [`valehatch_policy::Time`] (monotonic, whole microseconds) or as Unix
-//! milliseconds of the wall clock. Every table is bounded by what discovery lists, by the fronts in
-//! the settings, or by a constant in its module.
+//! Times are passed in as [`valehatch_policy::Time`] (monotonic, whole microseconds) or as Unix
+//! milliseconds of the wall clock. Every collection is bounded by what discovery lists, by the
+//! fronts in the settings, or by a constant in its module.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | [`endpoint_list`] | the cached endpoint list with its version |
-//! | [`snapshot`] | what is stored for the next start, and its byte form |
-//! | [`trust`] | how far knowledge is trusted by its kind, source and age |
-//! | [`restore`](restore()) | what a start takes over from a snapshot |
+//! | [`snapshot`] | the state stored for the next start, and its encoding |
+//! | [`trust`] | how far knowledge is trusted, by its kind, source and age |
+//! | [`restore`](restore()) | the state restored from a snapshot |
 //! | [`list_exchange`] | endpoint lists requested from other gateways where none is cached |
-//! | [`service`] | whether service is recovering or complete, why, and how long it took |
+//! | [`service`] | whether service is recovering or complete, why, and how long recovery took |
 
 #![forbid(unsafe_code)]
 
--- a/crates/recovery/src/list_exchange.rs
+++ b/crates/recovery/src/list_exchange.rs
@@ -1,15 +1,16 @@
-//! Endpoint lists requested from other gateways where none is cached: in chunks, from one gateway
-//! at a time, within a byte budget at the gateways that answer.
+//! Exchange of endpoint lists between gateways: a gateway without a cached list requests it in
+//! chunks, from one gateway at a time; the answers of a gateway are limited by a byte budget.
 //!
-//! Inputs are time, datagrams, and what the caller says of its fronts; outputs are [`Effect`]s.
-//! Nothing waits for a list: a front without one rejects requests meanwhile, and gateways that
-//! start together without any list answer each other that they have none. Only a list that
-//! discovery has confirmed is passed on, with its age, so that no list is passed from gateway to
-//! gateway for ever. A received list is a hint until discovery replaces it.
+//! Inputs are time, datagrams, and the state of the caller's fronts; outputs are [`Effect`]s.
+//! Nothing blocks on a list: a front without one rejects requests in the meantime, and gateways
+//! that start together without any list answer each other that they have none. Only a list that
+//! discovery has confirmed is sent to others, together with its age, so that no list circulates
+//! among gateways forever. A received list is a hint until discovery replaces it.
 //!
-//! Datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes may be lost, late, duplicated or from another
-//! gateway than was asked: a chunk counts only if it is the next one of the gateway that is being
-//! asked. The state is one request per front, of at most [`MAX_ENDPOINTS`] endpoints.
+//! Datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes may be lost, delayed, duplicated, or come from
+//! another gateway than the one that was asked. A chunk is accepted only if it is the next one and
+//! comes from the gateway that is being asked. The state is one request per front, with at most
+//! [`MAX_ENDPOINTS`] endpoints.
 
 use std::net::SocketAddr;
 
@@ -21,90 +22,90 @@
 use crate::endpoint_list::{DiscoveredEndpoint, EndpointListCache, ListVersion};
 use crate::trust::{KnowledgeKind, KnowledgeSource, TrustLevel, trust};
 
-/// Longest datagram, in bytes; the transport adds its header.
+/// Maximum datagram size in bytes, without the header that the transport adds.
 pub const MAX_DATAGRAM_BYTES: usize = 248;
-/// Bytes per second that one gateway sends in answers, to all gateways together.
+/// Maximum rate of answers from one gateway to all others together, in bytes per second.
 pub const ANSWER_BYTES_PER_SECOND: f64 = 16_384.0;
-/// Wait for the first answer; doubled with each attempt.
+/// Timeout of the first attempt; doubled with each further attempt.
 const REQUEST_TIMEOUT: Span = Span::from_millis(200);
-/// Attempts at one gateway before the next one is asked.
+/// Attempts per gateway before the next one is asked.
 const MAX_ATTEMPTS: u32 = 5;
-/// Gateways asked one after the other before a pause.
+/// Number of gateways asked one after another in a round.
 const CANDIDATES_PER_ROUND: usize = 3;
-/// First pause between rounds; doubled each time.
-const FIRST_PAUSE: Span = Span::from_millis(2_000);
-/// Longest pause between rounds.
-const LONGEST_PAUSE: Span = Span::from_millis(30_000);
-/// Endpoints of a list that is accepted.
+/// First backoff between rounds; doubled after each round.
+const INITIAL_BACKOFF: Span = Span::from_millis(2_000);
+/// Maximum backoff between rounds.
+const MAX_BACKOFF: Span = Span::from_millis(30_000);
+/// Maximum number of endpoints of an accepted list.
 pub const MAX_ENDPOINTS: u16 = 10_000;
 
-/// A datagram. The order of variants and fields is the byte form (postcard).
+/// A datagram, encoded with postcard. The order of variants and fields is part of the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
-    /// Requests the list of a front from this offset on.
+    /// Requests the list of a front, starting at this offset.
     Request { front_id: u32, offset: u16 },
-    /// A part of the list.
+    /// Answers a request with a part of the list.
     Chunk(Chunk),
-    /// The sender has no list that discovery has confirmed.
+    /// Answers a request: the sender has no list that discovery has confirmed.
     NoList { front_id: u32 },
 }
 
-/// A part of a front's list. The order of fields is the byte form (postcard).
+/// A part of a front's list, encoded with postcard. The order of fields is part of the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 struct Chunk {
     front_id: u32,
     version: ListVersion,
     /// Milliseconds since discovery confirmed the list.
     age_ms: u32,
-    /// Index of the first endpoint in the whole list.
+    /// Index of the chunk's first endpoint in the list.
     offset: u16,
-    /// Endpoints in the whole list.
+    /// Number of endpoints in the list.
     total: u16,
     endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram to a gateway.
     Send {
-        /// The gateway's address.
+        /// Address of the receiving gateway.
         to: SocketAddr,
-        /// The datagram.
+        /// Encoded datagram, at most [`MAX_DATAGRAM_BYTES`] bytes.
         bytes: Vec<u8>,
     },
-    /// A list was received completely.
+    /// Use a list that was received completely.
     ListReceived {
-        /// Index of the front, in the order given to [`ListExchange::new`].
+        /// Index of the front, in the order passed to [`ListExchange::new`].
         front: usize,
-        /// The endpoints.
+        /// All endpoints of the list.
         endpoints: Vec<DiscoveredEndpoint>,
-        /// The version that the other gateway had from discovery.
+        /// Version of the list that the other gateway has from discovery.
         version: ListVersion,
     },
 }
 
-/// A list that discovery has confirmed, and so may be passed on.
+/// A list that discovery has confirmed, so that it may be sent to other gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfirmedList<'a> {
-    /// The list.
+    /// Endpoint list of a front.
     pub list: &'a EndpointListCache,
-    /// Time since discovery confirmed it.
+    /// Time since discovery last confirmed the list.
     pub age: Span,
 }
 
-/// A request for one front's list, over all gateways that are asked for it.
+/// A request for the list of one front, across all gateways that are asked for it.
 #[derive(Debug, Default)]
 struct ListRequest {
-    /// Gateways still to ask in this round; the last one is being asked.
+    /// Gateways still to be asked in this round; the last element is being asked.
     candidates: Vec<SocketAddr>,
     received: Vec<DiscoveredEndpoint>,
-    /// The version of what was received.
+    /// Version of the list that `received` belongs to.
     version: Option<ListVersion>,
     /// Attempts at the gateway that is being asked.
     attempts: u32,
     next_attempt_at: Time,
-    pause: Span,
+    backoff: Span,
 }
 
 #[derive(Debug)]
@@ -135,7 +136,7 @@
     }
 }
 
-/// Both sides of the exchange in one gateway.
+/// Requests the lists of this gateway's fronts, and answers the requests of other gateways.
 #[derive(Debug)]
 pub struct ListExchange {
     fronts: Vec<Front>,
@@ -144,8 +145,8 @@
 }
 
 impl ListExchange {
-    /// `front_ids` identify the fronts across gateways (a hash of their names), since each gateway
-    /// may list its fronts in its own order.
+    /// Creates an exchange for these fronts. `front_ids` identify the fronts across gateways by a
+    /// hash of their names, since each gateway may configure its fronts in another order.
     #[must_use]
     pub fn new(front_ids: &[u32], seed: u64, now: Time) -> Self {
         let front = |id: &u32| Front {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// When [`Self::tick`] is due next; `None` if there is nothing to request.
+    /// When [`Self::tick`] is due next; `None` if no request is in progress.
     #[must_use]
     pub fn next_due(&self) -> Option<Time> {
         self.fronts
@@ -172,8 +173,8 @@
             .min()
     }
 
-    /// Starts and continues requests. `needs_list` says of a front, by index, whether it has no
-    /// list; `live_gateways` are the gateways that can be asked.
+    /// Starts and continues requests. `needs_list` returns whether the front with this index has no
+    /// list; `live_gateways` returns the gateways that can be asked.
     pub fn tick(
         &mut self,
         now: Time,
@@ -187,11 +188,11 @@
                 continue;
             }
             let front_id = self.fronts[index].id;
-            // Gateways that start together must not all ask at the same time.
+            // A random delay keeps gateways that start together from asking at the same time.
             let jitter = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             let new_request = || ListRequest {
                 next_attempt_at: now + REQUEST_TIMEOUT.times(jitter),
-                pause: FIRST_PAUSE,
+                backoff: INITIAL_BACKOFF,
                 ..ListRequest::default()
             };
             let mut request = self.fronts[index]
@@ -225,7 +226,7 @@
                 request.next_attempt_at = now + REQUEST_TIMEOUT;
                 return;
             }
-            request.candidates = self.draw_candidates(gateways);
+            request.candidates = self.random_candidates(gateways);
         }
         let Some(to) = request.candidates.last().copied() else {
             return;
@@ -238,17 +239,17 @@
         effects.push(Effect::Send { to, bytes });
     }
 
-    fn draw_candidates(&mut self, mut gateways: Vec<SocketAddr>) -> Vec<SocketAddr> {
-        let mut drawn = vec![];
-        while drawn.len() < CANDIDATES_PER_ROUND && !gateways.is_empty() {
+    fn random_candidates(&mut self, mut gateways: Vec<SocketAddr>) -> Vec<SocketAddr> {
+        let mut selected = vec![];
+        while selected.len() < CANDIDATES_PER_ROUND && !gateways.is_empty() {
             let index = self.rng.next_u64() % u64::try_from(gateways.len()).unwrap_or(1);
-            drawn.push(gateways.swap_remove(usize::try_from(index).unwrap_or(0)));
+            selected.push(gateways.swap_remove(usize::try_from(index).unwrap_or(0)));
         }
-        drawn
+        selected
     }
 
-    /// Handles a datagram; bytes that are no datagram of this exchange are ignored.
-    /// `confirmed_list` gives the list of a front, by index, if it may be passed on.
+    /// Handles a received datagram; bytes that are not a datagram of this exchange are ignored.
+    /// `confirmed_list` returns the list of the front with this index if it may be sent to others.
     pub fn receive<'a>(
         &mut self,
         now: Time,
@@ -297,7 +298,7 @@
         if usize::from(chunk.offset) != request.received.len() {
             return;
         }
-        request.pause = FIRST_PAUSE;
+        request.backoff = INITIAL_BACKOFF;
         let age = Some(Span::from_millis(chunk.age_ms.into()));
         let trust = trust(KnowledgeKind::EndpointList, KnowledgeSource::Peer, age);
         let ends_early = chunk.endpoints.is_empty() && total > chunk.offset;
@@ -314,7 +315,7 @@
         self.finish(front_id, version, effects);
     }
 
-    /// The request for a front's list, if this gateway is the one being asked.
+    /// The request for a front's list, if `from` is the gateway that is being asked.
     fn request_to(&mut self, front_id: u32, from: SocketAddr) -> Option<&mut ListRequest> {
         let front = self.fronts.iter_mut().find(|front| front.id == front_id)?;
         let request = front.request.as_mut()?;
@@ -336,24 +337,26 @@
 }
 
 impl ListRequest {
-    /// Goes on to the next gateway. What was received so far is kept: the next one may have the
-    /// same version.
+    /// Continues with the next gateway. Chunks received so far are kept, since the next gateway may
+    /// have the same version.
     fn skip_candidate(&mut self) {
         self.candidates.pop();
         self.attempts = 0;
     }
 
-    /// Asks the next gateway at once, or starts a new round after a pause.
+    /// Schedules the next attempt: immediately if the round has gateways left, otherwise after a
+    /// backoff.
     fn schedule_next(&mut self, now: Time) {
         self.next_attempt_at = now;
         if self.candidates.is_empty() {
-            self.next_attempt_at = now + self.pause;
-            self.pause = Span(self.pause.0 * 2).min(LONGEST_PAUSE);
+            self.next_attempt_at = now + self.backoff;
+            self.backoff = Span(self.backoff.0 * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Appends a chunk. If the list changed since the last one, what was received is dropped and
-    /// the list is requested from its beginning: chunks of two versions must not be mixed.
+    /// Appends a chunk. If its version differs from the chunks received so far, all of them are
+    /// dropped and the list is requested from its beginning, since chunks of two versions must not
+    /// be mixed.
     fn append(&mut self, version: ListVersion, endpoints: Vec<DiscoveredEndpoint>) {
         if self.version.is_some_and(|known| known != version) {
             self.received.clear();
@@ -366,12 +369,12 @@
 }
 
 fn encode(message: &Message) -> Vec<u8> {
-    // Encoding fails only without memory; an empty datagram is dropped by the receiver like a lost
-    // one.
+    // Encoding fails only if memory is exhausted. The receiver ignores an empty datagram, which has
+    // the same effect as a lost one.
     postcard::to_stdvec(message).unwrap_or_default()
 }
 
-/// As many endpoints as fit into a datagram, from an offset on.
+/// Encodes a chunk with as many endpoints as fit into a datagram, starting at an offset.
 fn encode_chunk(front_id: u32, confirmed: ConfirmedList<'_>, offset: u16) -> Vec<u8> {
     let ConfirmedList { list, age } = confirmed;
     let Some(version) = list.version else {
--- a/crates/recovery/src/restore.rs
+++ b/crates/recovery/src/restore.rs
@@ -1,7 +1,7 @@
-//! What a start takes over from a snapshot.
+//! Restores the state of a front from a snapshot.
 //!
-//! Inputs are the snapshot, a front's name and the wall clock in Unix milliseconds; what is trusted
-//! how long is in [`crate::trust`]. Pure functions, no state.
+//! Inputs are the snapshot, a front's name and the wall clock in Unix milliseconds; the maximum
+//! ages are defined in [`crate::trust`]. Pure functions, no state.
 
 use valehatch_policy::Span;
 
@@ -9,30 +9,30 @@
 use crate::snapshot::{FrontSnapshot, Snapshot};
 use crate::trust::{KnowledgeKind, KnowledgeSource, TrustLevel, trust};
 
-/// An endpoint list with which service begins.
+/// The endpoint list with which a front starts until discovery answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredList {
-    /// The endpoints, with states, start times and modes as the snapshot knew them.
+    /// Endpoints with their states, start times and modes as recorded in the snapshot.
     pub endpoints: Vec<DiscoveredEndpoint>,
-    /// The version from which discovery may be watched on.
+    /// Version from which to continue watching discovery.
     pub version: ListVersion,
 }
 
-/// An endpoint to try first when a group's primary is searched.
+/// An endpoint to try first in the search for a group's primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrimaryHint {
-    /// The replication group.
+    /// Number of the replication group.
     pub group: u16,
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub endpoint: String,
 }
 
-/// Why a part of a snapshot was not used.
+/// Reason why a part of a snapshot was not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscardReason {
     /// The snapshot does not contain the front.
     NoSuchFront,
-    /// Primaries are older than [`crate::trust::MAX_PRIMARY_AGE`].
+    /// The primaries are older than [`crate::trust::MAX_PRIMARY_AGE`].
     PrimariesTooOld,
     /// The list is older than [`crate::trust::MAX_LIST_AGE`].
     ListTooOld,
@@ -41,21 +41,21 @@
 impl std::fmt::Display for DiscardReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::NoSuchFront => "nothing was kept for this front",
-            Self::PrimariesTooOld => "primaries were believed too long ago",
+            Self::NoSuchFront => "the snapshot does not contain this front",
+            Self::PrimariesTooOld => "the primaries are too old",
             Self::ListTooOld => "the list is too old",
         })
     }
 }
 
-/// What a start takes over for one front.
+/// State restored for one front.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestoredState {
-    /// The endpoint list; `None` if none is usable.
+    /// Endpoint list; `None` if the snapshot has no usable one.
     pub list: Option<RestoredList>,
-    /// Where to look for primaries first.
+    /// Endpoints to try first in the search for primaries.
     pub primaries: Vec<PrimaryHint>,
-    /// What was not used, for the log.
+    /// Parts of the snapshot that were not used, for the log.
     pub discarded: Vec<DiscardReason>,
 }
 
@@ -64,10 +64,11 @@
     Span(ms.saturating_mul(1000))
 }
 
-/// When the slow start of an endpoint that has this fraction of its capacity must have begun, in
-/// Unix milliseconds: no earlier than the fraction proves.
+/// Returns when the slow start of an endpoint must have begun for it to have reached this fraction
+/// of its capacity, in Unix milliseconds. The result is never earlier than the fraction proves.
 ///
-/// `initial_capacity` (below 1) is the fraction at the begin of a slow start of this `duration`.
+/// `initial_capacity`, less than 1, is the fraction at the beginning of a slow start, and
+/// `duration` is the time that a slow start takes.
 #[must_use]
 pub fn slow_start_began_ms(
     capacity: f64,
@@ -79,12 +80,12 @@
     now_ms.saturating_sub((duration.as_f64() / 1000.0 * progress) as u64)
 }
 
-/// What of a snapshot is used for a front, at this time by the wall clock.
+/// Restores the state of a front from a snapshot. `now_ms` is the wall clock in Unix milliseconds.
 ///
-/// Draining endpoints stay draining. An endpoint in slow start continues it from its recorded begin
-/// and never counts as warmed up: its start time is moved to that begin. A primary is marked only
-/// in the list's `mode`, the weakest evidence there is, and only if the endpoint is listed and
-/// active.
+/// Draining endpoints remain draining. An endpoint in slow start continues it from its recorded
+/// beginning and is never regarded as warmed up: its start time is moved to that beginning. A
+/// primary is marked only in the list's `mode`, which is the weakest evidence, and only if the
+/// endpoint is listed and active.
 #[must_use]
 pub fn restore(snapshot: &Snapshot, front: &str, now_ms: u64) -> RestoredState {
     let Some(stored) = snapshot.fronts.iter().find(|f| f.name == front) else {
@@ -93,7 +94,7 @@
             ..RestoredState::default()
         };
     };
-    // Knowledge was last checked when the snapshot was made.
+    // All knowledge in the snapshot was current when the snapshot was made.
     let age = now_ms.checked_sub(snapshot.at_ms).map(span_from_ms);
     let trust = |kind| trust(kind, KnowledgeSource::Snapshot, age);
     let mut restored = RestoredState::default();
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! The snapshot: what is stored for the next start, and its byte form.
+//! The snapshot: the state stored for the next start, and its encoding.
 //!
-//! The byte form is a header of 14 bytes and a postcard body: `VHSN`, the version (two bytes), the
-//! length of the body (four bytes) and its CRC-32 (four bytes), all big-endian. Bytes that are not
-//! exactly that are rejected as a whole. A snapshot has at most [`MAX_BYTES`]. Times are Unix
-//! milliseconds. The order of fields is part of the byte form.
+//! An encoded snapshot is a header of 14 bytes and a body in postcard. The header consists of
+//! `VHSN`, the format version (two bytes), the length of the body (four bytes) and its CRC-32 (four
+//! bytes), all big-endian. Any other bytes are rejected as a whole. A snapshot has at most
+//! [`MAX_BYTES`] bytes. Times are Unix milliseconds. The order of fields is part of the encoding.
 
 use std::net::SocketAddr;
 
@@ -12,75 +12,76 @@
 use crate::endpoint_list::EndpointListCache;
 
 const MAGIC: [u8; 4] = *b"VHSN";
-/// Version of the byte form; a program reads only its own version.
+/// Format version. A program reads only snapshots of its own version.
 pub const VERSION: u16 = 1;
 const HEADER_BYTES: usize = 14;
-/// Longest snapshot, in bytes; a longer one is neither written nor read.
+/// Maximum size of a snapshot in bytes; a larger one is neither written nor read.
 pub const MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// A group's primary as it was known.
+/// Last known primary of a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PrimarySnapshot {
-    /// The replication group.
+    /// Number of the replication group.
     pub group: u16,
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Since when it was known as the primary, in Unix milliseconds.
+    /// Since when the endpoint was known as the primary, in Unix milliseconds.
     pub since_ms: u64,
-    /// Whether the endpoint said so itself, in an answer or a load report; otherwise the endpoint
-    /// list did.
+    /// Whether the endpoint itself reported that it is the primary, in an answer or a load report;
+    /// otherwise, the endpoint list did.
     pub proved: bool,
 }
 
 /// An endpoint in slow start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmingEndpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Begin of the slow start in Unix milliseconds: its start, or when it became reachable again.
+    /// Beginning of the slow start in Unix milliseconds: when the endpoint started or became
+    /// reachable again.
     pub since_ms: u64,
 }
 
-/// What is stored of a front.
+/// Stored state of a front.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FrontSnapshot {
-    /// Its name in the settings.
+    /// Name of the front in the settings.
     pub name: String,
-    /// The endpoint list; empty where the settings name the endpoints.
+    /// Cached endpoint list; empty if the settings list the endpoints.
     pub list: EndpointListCache,
-    /// Known primaries.
+    /// Last known primaries of the front's groups.
     pub primaries: Vec<PrimarySnapshot>,
     /// Endpoints in slow start.
     pub warming: Vec<WarmingEndpoint>,
 }
 
-/// What is stored of a gateway.
+/// Stored state of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The gateway's name.
+    /// Name of the gateway; a snapshot of another gateway is rejected.
     pub gateway: String,
     /// When the snapshot was made, in Unix milliseconds.
     pub at_ms: u64,
-    /// The fronts, in the order of the settings.
+    /// Fronts in the order of the settings.
     pub fronts: Vec<FrontSnapshot>,
-    /// Addresses of other gateways that were live.
+    /// Addresses of the other gateways that were live.
     pub gateways: Vec<SocketAddr>,
 }
 
-/// Why a snapshot was rejected.
+/// Reason why a snapshot was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It is shorter or longer than its header says.
+    /// The snapshot is shorter or longer than its header says.
     Truncated,
-    /// It does not begin like a snapshot.
+    /// The bytes do not begin with the magic bytes of a snapshot.
     NotASnapshot,
-    /// It has this version instead of [`VERSION`].
+    /// The snapshot has this format version instead of [`VERSION`].
     Version(u16),
-    /// The checksum or the body is wrong.
+    /// The checksum does not match, or the body cannot be decoded.
     Corrupt,
-    /// It belongs to the gateway of this name.
+    /// The snapshot belongs to the gateway of this name.
     OtherGateway(String),
-    /// It was made this many milliseconds after the current wall clock time.
+    /// The snapshot is dated this many milliseconds after the current wall clock time.
     Future(u64),
 }
 
@@ -122,7 +123,7 @@
 }
 
 impl Snapshot {
-    /// The byte form; `None` if it is longer than [`MAX_BYTES`].
+    /// Encodes the snapshot; `None` if the result is longer than [`MAX_BYTES`].
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         let body = postcard::to_stdvec(self)
@@ -138,10 +139,12 @@
         Some([&header.concat()[..], &body].concat())
     }
 
-    /// Decodes the snapshot of the gateway of this name, at this time by the wall clock.
+    /// Decodes the snapshot of the gateway with the name `gateway`. `now_ms` is the wall clock in
+    /// Unix milliseconds.
     ///
     /// # Errors
-    /// Each variant of [`SnapshotError`].
+    /// Returns [`SnapshotError`] if the bytes are not a valid snapshot of this gateway and version,
+    /// or if the snapshot is dated in the future.
     pub fn decode(bytes: &[u8], gateway: &str, now_ms: u64) -> Result<Self, SnapshotError> {
         let (header, body) = bytes
             .split_at_checked(HEADER_BYTES)
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,57 +1,58 @@
-//! How far knowledge is trusted that was not learned since the start.
+//! How far knowledge from before the start is trusted.
 //!
-//! Inputs are its kind, its source and its age; ages are spans in whole microseconds. Pure
-//! functions, no state.
+//! Inputs are the kind, the source and the age of the knowledge; ages are spans in whole
+//! microseconds. Pure functions, no state.
 
 use valehatch_policy::Span;
 
-/// What the knowledge is about.
+/// Subject of the knowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnowledgeKind {
-    /// Which endpoints there are, with their states.
+    /// The listed endpoints with their states.
     EndpointList,
-    /// That an endpoint drains or has left.
+    /// An endpoint is draining or has left.
     Draining,
-    /// Which endpoint is a group's primary.
+    /// An endpoint is the primary of its group.
     Primary,
-    /// An endpoint's replication position.
+    /// The replication position of an endpoint.
     ReplicationPosition,
-    /// That an endpoint is through its slow start.
+    /// An endpoint has completed its slow start.
     WarmedUp,
-    /// Which other gateways there are.
+    /// The addresses of the other gateways.
     Gateways,
 }
 
-/// Where the knowledge comes from.
+/// Source of the knowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnowledgeSource {
-    /// This gateway's own snapshot.
+    /// The snapshot of this gateway itself.
     Snapshot,
-    /// Another gateway.
+    /// A datagram of another gateway.
     Peer,
 }
 
-/// How far the knowledge is used; a higher level includes the lower ones.
+/// How far knowledge is used; a higher level includes the lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TrustLevel {
-    /// As if it were not known.
+    /// The knowledge is not used.
     Ignored,
-    /// It says where to look first; what is found there decides.
+    /// The knowledge determines what to try first; the result of that attempt is authoritative.
     Hint,
-    /// It is acted on until something newer is known.
+    /// The knowledge is acted on until newer knowledge replaces it.
     Trusted,
 }
 
-/// Longest age of an endpoint list; an older one may name machines whose addresses others have now.
+/// Maximum age of an endpoint list. The addresses in an older list may have been reassigned to
+/// other machines.
 pub const MAX_LIST_AGE: Span = Span::from_millis(15 * 60_000);
-/// Longest age of a known primary; an older one saves no search.
+/// Maximum age of a known primary. An older one does not shorten the search for the primary.
 pub const MAX_PRIMARY_AGE: Span = Span::from_millis(60_000);
-/// Longest age of the list of gateways. Longer than the others, since asking a gateway that has
-/// gone costs one datagram.
+/// Maximum age of the list of gateways. Longer than the other maximum ages, since contacting a
+/// gateway that no longer exists costs only one datagram.
 pub const MAX_GATEWAYS_AGE: Span = Span::from_millis(24 * 3_600_000);
 
-/// How far knowledge is trusted. An `age` of `None` is unknown, as where the wall clock stands
-/// before the time of the record; unknown and negative ages are never trusted.
+/// Returns how far knowledge is trusted. An `age` of `None` is unknown, for example because the
+/// wall clock is behind the time of the record. Knowledge of unknown or negative age is never used.
 #[must_use]
 pub fn trust(kind: KnowledgeKind, source: KnowledgeSource, age: Option<Span>) -> TrustLevel {
     let Some(age) = age.filter(|age| *age >= Span(0)) else {
@@ -65,25 +66,26 @@
         }
     };
     match (kind, source) {
-        // The cached list stays in use while discovery is silent. Another gateway's may be of
-        // another deployment.
+        // The cached list stays in use while discovery does not answer. A list from another gateway
+        // is only a hint, since that gateway may belong to another deployment.
         (KnowledgeKind::EndpointList, KnowledgeSource::Snapshot) => {
             up_to(MAX_LIST_AGE, TrustLevel::Trusted)
         }
         (KnowledgeKind::EndpointList, KnowledgeSource::Peer) => {
             up_to(MAX_LIST_AGE, TrustLevel::Hint)
         }
-        // Not using an endpoint is the safe error.
+        // If this knowledge is wrong, an endpoint is not used, which is the safer error.
         (KnowledgeKind::Draining, _) => up_to(MAX_LIST_AGE, TrustLevel::Trusted),
-        // The endpoint's own answer proves it, whatever the source was.
+        // A hint suffices from either source: the endpoint's own answer proves that it is the
+        // primary.
         (KnowledgeKind::Primary, _) => up_to(MAX_PRIMARY_AGE, TrustLevel::Hint),
-        // A position never goes back while the same database process runs; who uses the hint checks
-        // that it does.
+        // A position never goes back while the same database process runs. The user of the hint
+        // must check that the process is still the same.
         (KnowledgeKind::ReplicationPosition, KnowledgeSource::Snapshot) => {
             up_to(MAX_LIST_AGE, TrustLevel::Hint)
         }
         (KnowledgeKind::ReplicationPosition, KnowledgeSource::Peer) => TrustLevel::Ignored,
-        // The endpoint may have restarted since; only what is observed now counts.
+        // The endpoint may have restarted in the meantime, so only current observations count.
         (KnowledgeKind::WarmedUp, _) => TrustLevel::Ignored,
         (KnowledgeKind::Gateways, _) => up_to(MAX_GATEWAYS_AGE, TrustLevel::Hint),
     }
--- a/crates/recovery/tests/endpoint_list.rs
+++ b/crates/recovery/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The cached endpoint list: versions of one source are compared, and what was forwarded is not
-//! applied again.
+//! The cached endpoint list: only revisions of the same source are compared, and updates that a
+//! forwarded list includes are not applied again.
 
 use valehatch_policy::Time;
 use valehatch_recovery::endpoint_list::{EndpointListCache, ForwardedListGuard, ListVersion};
@@ -42,9 +42,9 @@
     assert_eq!(EndpointListCache::decode(b"torn"), None);
 }
 
-/// The other process of this gateway forwards a list, then discovery answers with an older one. It
-/// would undo the newer changes, so it is skipped; but not for ever, since discovery may start to
-/// count anew.
+/// The other process of this gateway forwards a list, then discovery answers with an older one.
+/// Applying the older list would undo the newer changes, so it is skipped, but only until a
+/// deadline, since discovery may start its revisions over.
 #[test]
 fn forwarded_list_covers_older_revisions_until_deadline() {
     let (now, end) = (Time(1_000_000), Time(7_000_000));
--- a/crates/recovery/tests/list_exchange.rs
+++ b/crates/recovery/tests/list_exchange.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists requested from other gateways: in chunks, over losses, within a budget, and never
-//! an old one.
+//! Exchange of endpoint lists between gateways: transfer in chunks, loss of datagrams, the byte
+//! budget of answers, and rejection of outdated lists.
 
 use std::net::SocketAddr;
 
@@ -41,7 +41,7 @@
     list
 }
 
-/// A list and how long ago discovery confirmed it.
+/// A list, and the time since discovery confirmed it.
 struct AgedList {
     list: EndpointListCache,
     age: Span,
@@ -56,7 +56,7 @@
     }
 }
 
-struct Answerer {
+struct Responder {
     exchange: ListExchange,
     list: Option<AgedList>,
 }
@@ -68,11 +68,11 @@
     })
 }
 
-/// A gateway that requests a list, and those that may answer, on a network that loses a fraction of
-/// all datagrams.
+/// A gateway that requests a list and the gateways that may answer, connected by a network that
+/// loses a fraction of all datagrams.
 struct Simulation {
     requester: ListExchange,
-    answerers: Vec<Answerer>,
+    responders: Vec<Responder>,
     received: Option<(Vec<DiscoveredEndpoint>, ListVersion)>,
     loss: f64,
     rng: Xoshiro256PlusPlus,
@@ -85,10 +85,10 @@
         let exchange = |seed| ListExchange::new(&[9], seed, Time(0));
         Self {
             requester: exchange(1),
-            answerers: lists
+            responders: lists
                 .into_iter()
                 .zip(2..)
-                .map(|(list, seed)| Answerer {
+                .map(|(list, seed)| Responder {
                     exchange: exchange(seed),
                     list,
                 })
@@ -105,14 +105,14 @@
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX) < self.loss
     }
 
-    /// Runs for so long, or until a list was received; each way over the network takes a
-    /// millisecond.
+    /// Runs for `span` of simulated time, or until a list was received. A request and its answer
+    /// take one step of 2 ms.
     fn run(&mut self, span: Span) {
         let end = self.now + span;
         while self.now < end && self.received.is_none() {
             self.now = self.now + Span::from_millis(2);
             let (now, mut out) = (self.now, vec![]);
-            let count = u8::try_from(self.answerers.len()).unwrap();
+            let count = u8::try_from(self.responders.len()).unwrap();
             self.requester.tick(
                 now,
                 |_| true,
@@ -130,11 +130,11 @@
                         if self.drops_datagram() {
                             continue;
                         }
-                        let answerer = &mut self.answerers[usize::from(n) - 1];
+                        let responder = &mut self.responders[usize::from(n) - 1];
                         let mut answers = vec![];
-                        let list = answerer.list.as_ref();
+                        let list = responder.list.as_ref();
                         let confirmed = |_| list.map(AgedList::confirmed);
-                        answerer.exchange.receive(
+                        responder.exchange.receive(
                             now,
                             address(100),
                             &bytes,
@@ -143,7 +143,7 @@
                         );
                         for answer in answers {
                             let Effect::Send { bytes, .. } = answer else {
-                                panic!("an answerer receives no list")
+                                panic!("an answering gateway must not receive a list")
                             };
                             assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                             self.answer_bytes += bytes.len();
@@ -166,7 +166,7 @@
     let answer = || aged(endpoints, 7, Span::from_millis(500));
     let mut simulation = Simulation::new(vec![answer(), answer(), answer(), answer()], loss);
     simulation.run(Span::from_millis(120_000));
-    let (received, at) = simulation.received.expect("received");
+    let (received, at) = simulation.received.expect("the list arrives within 120 s");
     assert_eq!(at, version(7));
     assert_eq!(
         received,
@@ -174,23 +174,25 @@
     );
 }
 
-/// Most gateways have no list either. The requester must not wait for them, nor flood them.
+/// Most of the asked gateways have no list either. The requester must neither wait for them nor
+/// flood them with requests.
 #[test]
 fn gateways_without_list_are_skipped_at_once() {
     let mut simulation = Simulation::new(vec![None, aged(20, 3, Span(0)), None], 0.0);
     simulation.run(Span::from_millis(1000));
     assert!(simulation.received.is_some());
-    // Without any list in the fleet, requests become rare.
-    let mut alone = Simulation::new(vec![None, None], 0.0);
-    alone.run(Span::from_millis(60_000));
+    // If no gateway in the fleet has a list, requests become rare.
+    let mut without_list = Simulation::new(vec![None, None], 0.0);
+    without_list.run(Span::from_millis(60_000));
     assert!(
-        alone.received.is_none() && alone.answer_bytes < 200,
+        without_list.received.is_none() && without_list.answer_bytes < 200,
         "{} bytes in a minute",
-        alone.answer_bytes
+        without_list.answer_bytes
     );
 }
 
-/// The only list in the fleet is old: its addresses may belong to other machines by now.
+/// The only list in the fleet is older than the maximum age, so that its addresses may belong to
+/// other machines by now.
 #[test]
 fn list_confirmed_too_long_ago_is_ignored() {
     let mut simulation =
@@ -200,7 +202,7 @@
 }
 
 /// The answering gateway gets a newer list from discovery while it sends the old one in chunks. The
-/// requester starts again and never mixes endpoints of the two versions.
+/// requester must start over, and must not mix endpoints of the two versions.
 #[test]
 fn list_changed_during_transfer_is_requested_again() {
     let mut simulation = Simulation::new(vec![aged(60, 1, Span(0))], 0.0);
@@ -208,16 +210,17 @@
         simulation.run(Span::from_millis(2));
     }
     assert!(simulation.received.is_none(), "the transfer is in progress");
-    simulation.answerers[0].list = aged(40, 2, Span(0));
+    simulation.responders[0].list = aged(40, 2, Span(0));
     simulation.run(Span::from_millis(20_000));
     let (endpoints, at) = simulation.received.unwrap();
     assert_eq!((endpoints.len(), at.revision), (40, 2));
 }
 
-/// Forty gateways lose their lists and all ask the same one. Its answers stay within its budget.
+/// Forty gateways without a list all ask the same gateway, whose answers must stay within its byte
+/// budget.
 #[test]
 fn answers_to_many_requesters_stay_within_budget() {
-    let mut answerer = ListExchange::new(&[9], 1, Time(0));
+    let mut responder = ListExchange::new(&[9], 1, Time(0));
     let list = list(120, 7);
     let confirmed = ConfirmedList {
         list: &list,
@@ -240,7 +243,7 @@
                 };
                 let mut answers = vec![];
                 let from = address(u8::try_from(n + 2).unwrap());
-                answerer.receive(now, from, &bytes, |_| Some(confirmed), &mut answers);
+                responder.receive(now, from, &bytes, |_| Some(confirmed), &mut answers);
                 for answer in answers {
                     let Effect::Send { bytes, .. } = answer else {
                         continue;
@@ -266,9 +269,9 @@
     );
 }
 
-/// A chunk comes from a gateway that was not asked, truncated, or twice.
+/// A chunk arrives truncated, from a gateway that was not asked, or twice.
 #[test]
-fn unrequested_and_truncated_chunks_are_ignored() {
+fn unrequested_truncated_and_duplicate_chunks_are_ignored() {
     let mut simulation = Simulation::new(vec![aged(30, 1, Span(0))], 0.0);
     let (mut requests, mut answers) = (vec![], vec![]);
     simulation.requester.tick(
@@ -284,14 +287,14 @@
         &mut requests,
     );
     let Some(Effect::Send { bytes, .. }) = requests.pop() else {
-        panic!("it sends a request")
+        panic!("the requester must send a request")
     };
     let list = list(2, 1);
     let confirmed = ConfirmedList {
         list: &list,
         age: Span(0),
     };
-    simulation.answerers[0].exchange.receive(
+    simulation.responders[0].exchange.receive(
         Time(0),
         address(100),
         &bytes,
@@ -299,7 +302,7 @@
         &mut answers,
     );
     let Some(Effect::Send { bytes, .. }) = answers.pop() else {
-        panic!("it answers")
+        panic!("the asked gateway must answer")
     };
     let mut out = vec![];
     for cut in 0..bytes.len() {
@@ -314,16 +317,20 @@
     simulation
         .requester
         .receive(Time(2_000_000), address(66), &bytes, |_| None, &mut out);
-    assert_eq!(out, [], "from another gateway, or truncated");
+    assert_eq!(
+        out,
+        [],
+        "a truncated chunk and one from another gateway are ignored"
+    );
     simulation
         .requester
         .receive(Time(2_000_000), address(1), &bytes, |_| None, &mut out);
     assert!(
         matches!(out[..], [Effect::ListReceived { .. }]),
-        "the same bytes from the gateway that was asked"
+        "the same bytes from the asked gateway complete the list"
     );
     simulation
         .requester
         .receive(Time(2_000_000), address(1), &bytes, |_| None, &mut out);
-    assert_eq!(out.len(), 1, "once");
+    assert_eq!(out.len(), 1, "a duplicate is ignored");
 }
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! Trust by kind, source and age; what a start takes over; rejected snapshots; when service is
-//! full.
+//! Trust by kind, source and age; restoring state from a snapshot; rejection of invalid snapshots;
+//! when service is full.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
     DiscoveredEndpoint, EndpointListCache, ListScope, ListVersion,
 };
 use valehatch_recovery::service::{
-    RecoveringReason, RequestResult, STEADY, ServiceRecovery, ServiceState,
+    RecoveringReason, RequestResult, STABILITY_PERIOD, ServiceRecovery, ServiceState,
 };
 use valehatch_recovery::snapshot::{
     FrontSnapshot, PrimarySnapshot, Snapshot, SnapshotError, WarmingEndpoint,
@@ -102,7 +102,7 @@
     #[case] expected: TrustLevel,
 ) {
     assert_eq!(trust(kind, source, age), expected);
-    // An unknown age, or one in the future, is never trusted.
+    // Knowledge of unknown age, or dated in the future, is never trusted.
     assert_eq!(trust(kind, source, None), TrustLevel::Ignored);
     assert_eq!(trust(kind, source, Some(Span(-1))), TrustLevel::Ignored);
 }
@@ -156,30 +156,30 @@
     }
 }
 
-/// A gateway restarts within a second. It begins with the list as it was, and endpoints that
-/// drained or warmed up go on doing so.
+/// A gateway restarts within a second. It starts with the list from the snapshot, in which draining
+/// endpoints are still draining and endpoints in slow start continue it.
 #[test]
 fn restored_list_keeps_draining_primaries_and_slow_start() {
     let list = restore(&snapshot(), "f", NOW + 1000).list.unwrap();
     assert_eq!(list.version, version(41));
-    let of = |uid: &str| list.endpoints.iter().find(|l| l.uid == uid).unwrap();
+    let endpoint = |uid: &str| list.endpoints.iter().find(|l| l.uid == uid).unwrap();
     assert_eq!(
-        (of("a").mode.as_str(), of("bb").mode.as_str()),
+        (endpoint("a").mode.as_str(), endpoint("bb").mode.as_str()),
         ("read-only", "read-write"),
-        "as the snapshot knew it"
+        "the primary of the snapshot overrides the list's mode"
     );
-    assert_eq!(of("ccc").state, "leaving");
+    assert_eq!(endpoint("ccc").state, "leaving");
     assert_eq!(
-        of("dddd").mode,
+        endpoint("dddd").mode,
         "read-only",
-        "an unlisted endpoint is no primary"
+        "a primary that is not listed does not mark another endpoint"
     );
     assert_eq!(
-        of("dddd").boot_ms.to_bits(),
+        endpoint("dddd").boot_ms.to_bits(),
         ((NOW - 3000) as f64).to_bits(),
-        "slow start since it became reachable, not since it started"
+        "the slow start continues from its recorded beginning, not from the endpoint's start"
     );
-    assert_eq!(of("a").boot_ms.to_bits(), 1000.0_f64.to_bits());
+    assert_eq!(endpoint("a").boot_ms.to_bits(), 1000.0_f64.to_bits());
 }
 
 #[rstest]
@@ -211,7 +211,7 @@
         assert_eq!(
             primary,
             Some(if primaries > 0 { "bb" } else { "a" }),
-            "without a hint the list's own mode"
+            "without a hint, the list's own mode applies"
         );
     }
     assert!(restore(&snapshot(), "another", NOW).list.is_none());
@@ -246,8 +246,9 @@
     );
 }
 
-/// The file of the last run is damaged, of another version, of another gateway, or from the future
-/// because the clock was set back. The start must see that and go on without it.
+/// The snapshot file is damaged, of another version, of another gateway, or dated in the future
+/// because the clock was set back. Each of these must be detected, so that the gateway starts
+/// without the snapshot.
 #[test]
 fn damaged_foreign_or_future_snapshot_is_rejected() {
     let bytes = snapshot().encode().unwrap();
@@ -283,7 +284,8 @@
 }
 
 proptest! {
-    /// A disk returns a snapshot with one wrong bit. Wherever it is, the snapshot must be rejected.
+    /// A disk returns a snapshot with one flipped bit. The snapshot must be rejected, whichever bit
+    /// it is.
     #[test]
     fn snapshot_with_flipped_bit_is_rejected(at in any::<usize>(), bit in 0..8_u8) {
         let mut bytes = snapshot().encode().unwrap();
@@ -294,12 +296,12 @@
 }
 
 #[test]
-fn slow_start_begin_follows_from_capacity() {
+fn slow_start_beginning_is_derived_from_capacity() {
     let duration = Span::from_millis(17_000);
     assert_eq!(
         slow_start_began_ms(0.24, duration, 0.24, NOW),
         NOW,
-        "has only begun"
+        "the slow start has only just begun"
     );
     assert_eq!(slow_start_began_ms(0.62, duration, 0.24, NOW), NOW - 8500);
     assert_eq!(slow_start_began_ms(1.0, duration, 0.24, NOW), NOW - 17_000);
@@ -314,12 +316,14 @@
     let mut service = ServiceRecovery::new(2, at(0));
     assert_eq!(
         service.state(),
-        ServiceState::Recovering(RecoveringReason::List(2))
+        ServiceState::Recovering(RecoveringReason::UnconfirmedLists(2))
     );
     service.list_confirmed(0, at(300));
     assert_eq!(
         service.update(at(300)),
-        Some(ServiceState::Recovering(RecoveringReason::List(1)))
+        Some(ServiceState::Recovering(
+            RecoveringReason::UnconfirmedLists(1)
+        ))
     );
     service.list_confirmed(1, at(500));
     for n in 0..20 {
@@ -332,14 +336,16 @@
     }
     assert_eq!(
         service.update(at(700)),
-        Some(ServiceState::Recovering(RecoveringReason::Served))
+        Some(ServiceState::Recovering(
+            RecoveringReason::LowServedFraction
+        ))
     );
     for ms in (700..4000).step_by(50) {
         service.request_finished(RequestResult::Served, at(ms));
         let state = service.update(at(ms));
         if let Some(ServiceState::Full { since, took }) = state {
             assert!(
-                (at(2600)..=at(2800)).contains(&(since + STEADY)),
+                (at(2600)..=at(2800)).contains(&(since + STABILITY_PERIOD)),
                 "{since:?}"
             );
             assert_eq!(took, since - at(0));
@@ -347,12 +353,12 @@
             assert_eq!(
                 service.update(at(ms + 1)),
                 None,
-                "later failures are no recovery"
+                "failures after the recovery do not change the state"
             );
             return;
         }
     }
-    panic!("never full: {:?}", service.state());
+    panic!("service did not become full: {:?}", service.state());
 }
 
 #[test]
@@ -362,7 +368,7 @@
     service.list_confirmed(0, at(9000));
     assert_eq!(
         service.update(at(2039)),
-        Some(ServiceState::Recovering(RecoveringReason::Steady))
+        Some(ServiceState::Recovering(RecoveringReason::NotYetStable))
     );
     assert_eq!(
         service.update(at(2040)),
--- a/crates/recovery/tests/stored_forms.rs
+++ b/crates/recovery/tests/stored_forms.rs
@@ -1,6 +1,6 @@
-//! Byte forms of the snapshot file, the endpoint list and the datagrams of the list exchange. Files
-//! in `fixtures/` were written by version 0.4.0; later versions must read them and write the same
-//! bytes.
+//! Encodings of the snapshot file, the endpoint list and the datagrams of the list exchange. The
+//! files in `fixtures/` were written by version 0.4.0. Later versions must read them and write the
+//! same bytes.
 
 use std::net::SocketAddr;
 
@@ -16,9 +16,9 @@
 const LIST: &[u8] = include_bytes!("fixtures/list.bin");
 const CHUNK: &[u8] = include_bytes!("fixtures/list_piece.bin");
 const MADE_MS: u64 = 1_700_000_000_000;
-/// The number by which both sides know the front; below it the request for its list from the
-/// beginning.
+/// Identifies the front at both gateways. `REQUEST` and `NO_LIST` contain it.
 const FRONT_ID: u32 = 0x1234_5678;
+/// Requests the list of the front from its beginning.
 const REQUEST: &[u8] = b"\x00\xf8\xac\xd1\x91\x01\x00";
 const NO_LIST: &[u8] = b"\x02\xf8\xac\xd1\x91\x01";
 
@@ -70,7 +70,7 @@
             since_ms: MADE_MS - 3_000,
         }],
     };
-    let fixed = FrontSnapshot {
+    let without_discovery = FrontSnapshot {
         name: "fixed".into(),
         list: EndpointListCache::default(),
         primaries: vec![],
@@ -79,13 +79,13 @@
     Snapshot {
         gateway: "gateway-1".into(),
         at_ms: MADE_MS,
-        fronts: vec![front, fixed],
+        fronts: vec![front, without_discovery],
         gateways: vec![address("10.0.0.1:7946"), address("[2001:db8::1]:7946")],
     }
 }
 
 #[test]
-fn stored_snapshot_is_read_and_written_unchanged() {
+fn fixture_snapshot_is_read_and_written_unchanged() {
     assert_eq!(
         Snapshot::decode(SNAPSHOT, "gateway-1", MADE_MS),
         Ok(snapshot())
@@ -94,23 +94,23 @@
 }
 
 #[test]
-fn stored_list_is_read_and_written_unchanged() {
+fn fixture_list_is_read_and_written_unchanged() {
     assert_eq!(EndpointListCache::decode(LIST), Some(list()));
     assert_eq!(list().encode(), LIST);
 }
 
-/// The datagram that a gateway without a list sends first, and that gateway.
+/// A gateway without a list, and the effects of its first request.
 fn requester() -> (ListExchange, Vec<Effect>) {
     let (mut exchange, mut out) = (ListExchange::new(&[FRONT_ID], 1, Time(0)), vec![]);
-    let living = || vec![address("10.0.0.1:7946")];
-    // The first call only draws a delay.
-    exchange.tick(Time(0), |_| true, living, &mut out);
-    exchange.tick(Time(1_000_000), |_| true, living, &mut out);
+    let live_gateways = || vec![address("10.0.0.1:7946")];
+    // The first call only sets a random delay.
+    exchange.tick(Time(0), |_| true, live_gateways, &mut out);
+    exchange.tick(Time(1_000_000), |_| true, live_gateways, &mut out);
     (exchange, out)
 }
 
 #[test]
-fn list_request_is_sent_unchanged_and_answered_with_stored_bytes() {
+fn list_request_and_answers_match_fixture_bytes() {
     let send = |to, bytes: &[u8]| {
         vec![Effect::Send {
             to: address(to),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn stored_list_answers_are_understood() {
+fn fixture_list_answers_are_decoded() {
     let (mut exchange, mut out) = requester();
     out.clear();
     exchange.receive(
@@ -157,8 +157,8 @@
             version
         }]
     );
-    // Without a list to receive the requester goes on to its next round, which is later than a
-    // repeated request would be.
+    // After the answer that there is no list, the requester backs off until its next round, which
+    // is later than a repeated request would be.
     let (mut exchange, mut out) = requester();
     let repeat = exchange.next_due();
     exchange.receive(
@@ -172,12 +172,12 @@
 }
 
 #[test]
-fn recovery_causes_keep_their_names() {
+fn recovering_reasons_keep_their_names() {
     assert_eq!(
         [
-            RecoveringReason::List(1),
-            RecoveringReason::Served,
-            RecoveringReason::Steady
+            RecoveringReason::UnconfirmedLists(1),
+            RecoveringReason::LowServedFraction,
+            RecoveringReason::NotYetStable
         ]
         .map(RecoveringReason::name),
         ["list", "served", "steady"]
