--- a/crates/gateway/benches/snmp.rs
+++ b/crates/gateway/benches/snmp.rs
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use support::manager::{Walk, own, v2c};
-use support::watched::{Plan, run, statement};
-use support::{Client, Does, database, folder, free_address, tagged};
+use support::manager::{Walk, vh_oid, v2c};
+use support::monitored::{GatewayConfig, run_gateway, workload_query};
+use support::{Client, Reply, stub_database, temp_folder, free_address, row_with_tag};
 
 const CONNECTIONS: usize = 8;
 /// Requests a second in all while latencies are taken: a good part of what the gateway can do, not all of it.
@@ -45,7 +45,7 @@
                 break;
             }
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            client.ask(&statement(1));
+            client.query(&workload_query(1));
             times.saturating_record(u64::try_from(due.elapsed().as_micros()).unwrap());
         }
         times
@@ -66,7 +66,7 @@
             scope.spawn(|| {
                 let mut client = Client::connect(address);
                 while began.elapsed() < FULL {
-                    client.ask(&statement(1));
+                    client.query(&workload_query(1));
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             });
@@ -95,7 +95,7 @@
 fn walks(agent: SocketAddr, stop: &AtomicBool) {
     let mut session = v2c(agent);
     while !stop.load(Ordering::Relaxed) {
-        Walk::of(&mut session, &[1, 3, 6, 1]).expect("a walk");
+        Walk::fetch(&mut session, &[1, 3, 6, 1]).expect("a walk");
         thread::sleep(Duration::from_secs(1));
     }
 }
@@ -128,14 +128,14 @@
     all[all.len() / 2]
 }
 
-fn gateways() -> (support::watched::Watched, SocketAddr, support::Program) {
-    let serve = |_: usize, _: &str| Does::Say(tagged("x", "SELECT 1"));
+fn gateways() -> (support::monitored::MonitoredGateway, SocketAddr, support::GatewayProcess) {
+    let serve = |_: usize, _: &str| Reply::Send(row_with_tag("x", "SELECT 1"));
     let pg = vec![
-        ("db-1", database("read-write", serve).0, true),
-        ("db-2", database("read-only", serve).0, false),
+        ("db-1", stub_database("read-write", serve).0, true),
+        ("db-2", stub_database("read-only", serve).0, false),
     ];
     let limits = "per-source-per-s = 100000\ntotal-per-s = 100000\ncpu-share = 1.0";
-    let plan = Plan {
+    let plan = GatewayConfig {
         pg,
         cql: vec![],
         state: String::new(),
@@ -148,19 +148,19 @@
         .unwrap()
         .replace(limits, "");
     std::fs::write(&with.file, &text).unwrap();
-    with.program.says("limits were read again");
+    with.program.wait_for_log("limits were read again");
     // The same file, without the agent.
     let listen = free_address();
     let bare =
         text[..text.find("[snmp]").unwrap()].replace(&with.pg.to_string(), &listen.to_string());
-    let place = folder();
+    let place = temp_folder();
     let bare = bare.replace(
         &with.dir.display().to_string(),
         &place.join("state").display().to_string(),
     );
     let file = place.join("gateway.toml");
     std::fs::write(&file, bare).unwrap();
-    let without = run(&file, listen);
+    let without = run_gateway(&file, listen);
     (with, listen, without)
 }
 
@@ -209,7 +209,7 @@
 
 /// A gateway with so many members that nobody asks for; how long a walk over their table takes.
 fn walk_over(members: u32) -> f64 {
-    let (listen, agent, place) = (free_address(), free_address(), folder());
+    let (listen, agent, place) = (free_address(), free_address(), temp_folder());
     let mut text = format!(
         "[[front]]\nname = \"stays\"\nprotocol = \"cassandra\"\nlisten = \"{listen}\"\n\
          [[front.contract]]\nname = \"read\"\nstatements = [\"SELECT\"]\nneed = \"any\"\neffect = \"safe\"\naim-ms = 100\ndeadline-ms = 200\n\
@@ -224,15 +224,15 @@
     }
     let file: PathBuf = place.join("gateway.toml");
     std::fs::write(&file, text).unwrap();
-    let _program = run(&file, listen);
+    let _program = run_gateway(&file, listen);
     let mut session = v2c(agent);
     let mut times = vec![];
-    support::until("the members are shown", || {
-        Walk::of(&mut session, &own(&[14, 1, 3])).is_ok_and(|w| w.texts.len() == members as usize)
+    support::wait_until("the members are shown", || {
+        Walk::fetch(&mut session, &vh_oid(&[14, 1, 3])).is_ok_and(|w| w.texts.len() == members as usize)
     });
     for _ in 0..5 {
         let began = Instant::now();
-        let walk = Walk::of(&mut session, &own(&[14])).unwrap();
+        let walk = Walk::fetch(&mut session, &vh_oid(&[14])).unwrap();
         assert_eq!(walk.texts.len(), 2 * members as usize);
         times.push(began.elapsed().as_secs_f64() * 1000.0);
     }
--- a/crates/gateway/tests/agent.rs
+++ b/crates/gateway/tests/agent.rs
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use support::manager::{Walk, audit, expected, index, own, security, v2c, v3};
-use support::watched::{
-    PASSWORD, Plan, databases, keys, load_cql, load_pg, nodes, rows, run, statement, wait,
+use support::manager::{Walk, audit_request_log, expected_counters, text_index, vh_oid, security, v2c, v3};
+use support::monitored::{
+    PASSWORD, GatewayConfig, database_members, snmp_keys, load_cql, load_pg, node_members, request_rows, run_gateway, workload_query, sleep_for,
 };
-use support::{Answer, Client, Does, Program, Stops, database, error, row, tagged, until};
+use support::{Answer, Client, Reply, GatewayProcess, StopOnDrop, stub_database, error, row, row_with_tag, wait_until};
 
 const REQUESTS: [u32; 10] = support::manager::ROOT;
 /// Columns of the classes' table: in time, late, refused, failed, aborted.
@@ -24,15 +24,15 @@
 fn settled(agent: SocketAddr, fronts: &[(&str, &str, usize)]) -> Walk {
     let mut walk = Walk::default();
     let ended = |walk: &Walk, front: &str| {
-        let begin = [own(&[3, 1, 3]), index(front)].concat();
+        let begin = [vh_oid(&[3, 1, 3]), text_index(front)].concat();
         walk.counters
             .iter()
             .filter(|(n, _)| n.starts_with(&begin))
             .map(|(_, n)| *n)
             .sum::<u64>()
     };
-    until("all that was asked has ended and is shown", || {
-        walk = Walk::of(&mut v2c(agent), &REQUESTS).unwrap();
+    wait_until("all that was asked has ended and is shown", || {
+        walk = Walk::fetch(&mut v2c(agent), &REQUESTS).unwrap();
         fronts
             .iter()
             .all(|(front, _, asked)| ended(&walk, front) == *asked as u64)
@@ -45,9 +45,9 @@
     let more =
         "[[snmp.receiver]]\naddress = \"127.0.0.1:9\"\ncommunity = \"stays\"\nkind = \"inform\"\n"
             .to_owned();
-    let plan = Plan {
-        pg: databases(),
-        cql: nodes(),
+    let plan = GatewayConfig {
+        pg: database_members(),
+        cql: node_members(),
         state: "sync-ms = 50".into(),
         more,
         user: true,
@@ -56,7 +56,7 @@
     let stop = AtomicBool::new(false);
     let (pg, cql) = (AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
-        let _stops = Stops(&stop);
+        let _stops = StopOnDrop(&stop);
         for n in 0..6 {
             let (stop, pg, cql) = (&stop, &pg, &cql);
             scope
@@ -72,15 +72,15 @@
         new.init().unwrap();
         let (mut last, mut n) = (Walk::default(), 0);
         // Requests end in every way, sooner or later as the machine is fast.
-        until("of each end some are shown", || {
-            wait(Duration::from_secs(1));
+        wait_until("of each end some are shown", || {
+            sleep_for(Duration::from_secs(1));
             n += 1;
             let walk =
-                Walk::of(if n % 2 == 0 { &mut old } else { &mut new }, &[1, 3, 6, 1]).unwrap();
-            walk.covers(&last).unwrap();
+                Walk::fetch(if n % 2 == 0 { &mut old } else { &mut new }, &[1, 3, 6, 1]).unwrap();
+            walk.check_not_below(&last).unwrap();
             last = walk;
             let ended = |column: &u32| {
-                let below = own(&[3, 1, *column]);
+                let below = vh_oid(&[3, 1, *column]);
                 last.counters
                     .iter()
                     .any(|(name, n)| name.starts_with(&below) && *n > 0)
@@ -94,7 +94,7 @@
         ("stays", "stay-read", asked[1]),
     ];
     let walk = settled(watched.agent, &fronts);
-    let (log, lines) = audit(&watched.dir);
+    let (log, lines) = audit_request_log(&watched.dir);
     assert_eq!(
         lines,
         (asked[0] + asked[1]) as u64,
@@ -102,13 +102,13 @@
     );
     assert_eq!(
         (
-            walk.one(&[15, 9, 0]),
-            walk.one(&[15, 10, 0]),
-            walk.one(&[15, 4, 0])
+            walk.value(&[15, 9, 0]),
+            walk.value(&[15, 10, 0]),
+            walk.value(&[15, 4, 0])
         ),
         (0, 0, lines)
     );
-    let wanted = expected(&log, &rows(&["bookings", "stays"]));
+    let wanted = expected_counters(&log, &request_rows(&["bookings", "stays"]));
     assert!(wanted.len() > 300);
     for (name, n) in &wanted {
         assert_eq!(walk.counters.get(name), Some(n), "{name:?}");
@@ -116,7 +116,7 @@
     let sum = |column: u32| -> u64 {
         wanted
             .iter()
-            .filter(|(n, _)| n.starts_with(&own(&[3, 1, column])))
+            .filter(|(n, _)| n.starts_with(&vh_oid(&[3, 1, column])))
             .map(|(_, n)| n)
             .sum()
     };
@@ -124,12 +124,12 @@
     assert!(ends.iter().all(|n| *n > 0), "of each end some: {ends:?}");
     println!("requests {lines}; in time, late, refused, failed, aborted {ends:?}");
     watched.program.terminate();
-    assert!(watched.program.ended().success());
-    let (log, _) = audit(&watched.dir);
+    assert!(watched.program.wait_for_exit().success());
+    let (log, _) = audit_request_log(&watched.dir);
     // What a clean stop left on the disk is what the next start shows.
-    let again = run(&watched.file, watched.pg);
-    let walk = Walk::of(&mut v2c(watched.agent), &REQUESTS).unwrap();
-    for (name, n) in expected(&log, &rows(&["bookings", "stays"])) {
+    let again = run_gateway(&watched.file, watched.pg);
+    let walk = Walk::fetch(&mut v2c(watched.agent), &REQUESTS).unwrap();
+    for (name, n) in expected_counters(&log, &request_rows(&["bookings", "stays"])) {
         assert_eq!(walk.counters.get(&name), Some(&n), "{name:?}");
     }
     drop(again);
@@ -143,8 +143,8 @@
     const REQUESTS_EACH: u64 = 18;
     let one = |seed: usize| {
         let state = "sync-ms = 2\ncheckpoint-ms = 5\nsegment-kb = 16\nsegments = 10000".to_owned();
-        let plan = Plan {
-            pg: databases(),
+        let plan = GatewayConfig {
+            pg: database_members(),
             cql: vec![],
             state,
             more: String::new(),
@@ -156,21 +156,21 @@
         let (mut shown, mut boots) = (Walk::default(), 0);
         let mut random = seed as u64 * 7919 + 17;
         let ended = |walk: &Walk| {
-            walk.requests()
-                .filter(|(n, _)| n.starts_with(&own(&[3, 1, 3])))
+            walk.request_counters()
+                .filter(|(n, _)| n.starts_with(&vh_oid(&[3, 1, 3])))
                 .map(|(_, n)| *n)
                 .sum::<u64>()
         };
         for kill in 0..KILLS {
-            let own_program = program.take().unwrap_or_else(|| run(&file, pg));
+            let own_program = program.take().unwrap_or_else(|| run_gateway(&file, pg));
             let (stop, last) = (AtomicBool::new(false), Mutex::new(Walk::default()));
             thread::scope(|scope| {
-                let _stops = Stops(&stop);
-                let first = Walk::of(&mut v2c(agent), &REQUESTS).unwrap();
+                let _stops = StopOnDrop(&stop);
+                let first = Walk::fetch(&mut v2c(agent), &REQUESTS).unwrap();
                 first
-                    .covers(&shown)
+                    .check_not_below(&shown)
                     .unwrap_or_else(|e| panic!("kill {kill} of gateway {seed}: {e}"));
-                let engine = Walk::of(&mut v2c(agent), &[1, 3, 6, 1, 6, 3, 10, 2, 1, 2]).unwrap();
+                let engine = Walk::fetch(&mut v2c(agent), &[1, 3, 6, 1, 6, 3, 10, 2, 1, 2]).unwrap();
                 let now = *engine.gauges.values().next().unwrap();
                 assert!(now > boots, "engine boots {now} after {boots}");
                 boots = now;
@@ -190,12 +190,12 @@
                     let mut asks = session();
                     while !stop.load(Ordering::Relaxed) {
                         // A walk that the kill cuts off shows nothing whole, nor does one that a slow machine does.
-                        let Ok(walk) = Walk::of(&mut asks, &own(&[3])) else {
+                        let Ok(walk) = Walk::fetch(&mut asks, &vh_oid(&[3])) else {
                             asks = session();
                             continue;
                         };
                         let mut seen = seen.lock().unwrap();
-                        for (name, n) in walk.requests() {
+                        for (name, n) in walk.request_counters() {
                             let old = seen.counters.get(name).copied().unwrap_or(0);
                             assert!(*n >= old, "{name:?} fell while it ran");
                             seen.counters.insert(name.clone(), *n);
@@ -206,22 +206,22 @@
                     .wrapping_mul(6_364_136_223_846_793_005)
                     .wrapping_add(1_442_695_040_888_963_407);
                 if kill % 3 > 0 {
-                    until("some requests are shown", || {
+                    wait_until("some requests are shown", || {
                         ended(&last.lock().unwrap()) >= enough
                     });
                 }
-                wait(Duration::from_micros(5_000 + random % 60_000));
+                sleep_for(Duration::from_micros(5_000 + random % 60_000));
                 own_program.signal("KILL");
             });
             shown = last.into_inner().unwrap();
         }
-        let last = run(&file, pg);
-        let walk = Walk::of(&mut v2c(agent), &REQUESTS).unwrap();
-        walk.covers(&shown).unwrap();
-        assert_eq!(walk.one(&[15, 10, 0]), 0, "no record was missed");
+        let last = run_gateway(&file, pg);
+        let walk = Walk::fetch(&mut v2c(agent), &REQUESTS).unwrap();
+        walk.check_not_below(&shown).unwrap();
+        assert_eq!(walk.value(&[15, 10, 0]), 0, "no record was missed");
         // And over all kills the counters are what the whole log comes to.
-        let (log, _) = audit(&watched.dir);
-        for (name, n) in expected(&log, &rows(&["bookings"])) {
+        let (log, _) = audit_request_log(&watched.dir);
+        for (name, n) in expected_counters(&log, &request_rows(&["bookings"])) {
             assert_eq!(walk.counters.get(&name), Some(&n), "{name:?}");
         }
         drop(last);
@@ -246,9 +246,9 @@
 }
 
 /// One database that takes all, and a gateway over it.
-fn simple(state: &str, more: &str, user: bool) -> support::watched::Watched {
+fn simple(state: &str, more: &str, user: bool) -> support::monitored::MonitoredGateway {
     let serve = |_: usize, q: &str| {
-        Does::Say(tagged(
+        Reply::Send(row_with_tag(
             "x",
             if q.contains("INSERT") {
                 "INSERT 0 1"
@@ -257,8 +257,8 @@
             },
         ))
     };
-    let pg = vec![("db-1", database("read-write", serve).0, true)];
-    Plan {
+    let pg = vec![("db-1", stub_database("read-write", serve).0, true)];
+    GatewayConfig {
         pg,
         cql: vec![],
         state: state.into(),
@@ -273,8 +273,8 @@
     let (mut client, mut refused) = (Client::connect(address), 0);
     for n in 0..count {
         // Of the words that are served.
-        until("it is served", || {
-            match client.ask(&statement(1 + 97 * 3 * n)) {
+        wait_until("it is served", || {
+            match client.query(&workload_query(1 + 97 * 3 * n)) {
                 // Turned away, or not answered in time.
                 Answer::Error(code, _) if code == "53300" || code == "57014" => {
                     refused += 1;
@@ -290,7 +290,7 @@
 /// Requests that were served, in time or late: how fast the machine is is not asked here.
 fn served(agent: SocketAddr) -> u64 {
     let of = |column| {
-        Walk::of(&mut v2c(agent), &own(&[3, 1, column]))
+        Walk::fetch(&mut v2c(agent), &vh_oid(&[3, 1, column]))
             .unwrap()
             .counters
             .values()
@@ -303,16 +303,16 @@
 fn a_folder_that_goes_is_told_and_service_goes_on() {
     let watched = simple("sync-ms = 10\ncheckpoint-ms = 50", "", false);
     ask(watched.pg, 20);
-    until("they are shown", || served(watched.agent) == 20);
+    wait_until("they are shown", || served(watched.agent) == 20);
     let aside = watched.dir.with_extension("gone");
     std::fs::rename(&watched.dir, &aside).unwrap();
     // A file in its place: it cannot be made anew either.
     std::fs::write(&watched.dir, b"").unwrap();
     let refused = ask(watched.pg, 20) as u64;
-    watched.program.says("state: ");
-    until("the agent tells of it", || {
-        let walk = Walk::of(&mut v2c(watched.agent), &own(&[15])).unwrap();
-        !walk.texts[&own(&[15, 2, 0])].is_empty() && walk.one(&[15, 3, 0]) > 0
+    watched.program.wait_for_log("state: ");
+    wait_until("the agent tells of it", || {
+        let walk = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[15])).unwrap();
+        !walk.texts[&vh_oid(&[15, 2, 0])].is_empty() && walk.value(&[15, 3, 0]) > 0
     });
     assert_eq!(
         served(watched.agent),
@@ -320,14 +320,14 @@
         "nothing is shown that is not durable, and nothing falls"
     );
     std::fs::remove_file(&watched.dir).unwrap();
-    until("the folder is made anew, and all is shown", || {
+    wait_until("the folder is made anew, and all is shown", || {
         served(watched.agent) == 40
     });
-    watched.program.says("state: writes recovered");
-    let walk = Walk::of(&mut v2c(watched.agent), &own(&[15])).unwrap();
-    assert!(walk.texts[&own(&[15, 2, 0])].is_empty());
+    watched.program.wait_for_log("state: writes recovered");
+    let walk = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[15])).unwrap();
+    assert!(walk.texts[&vh_oid(&[15, 2, 0])].is_empty());
     assert_eq!(
-        walk.one(&[15, 10, 0]),
+        walk.value(&[15, 10, 0]),
         20 + refused,
         "records that no log has are counted as missed"
     );
@@ -337,9 +337,9 @@
 fn spoilt_files_are_told_and_no_counter_falls() {
     let mut watched = simple("sync-ms = 10\ncheckpoint-ms = 100000", "", false);
     ask(watched.pg, 300);
-    until("they are shown", || served(watched.agent) == 300);
+    wait_until("they are shown", || served(watched.agent) == 300);
     watched.program.signal("KILL");
-    watched.program.ended();
+    watched.program.wait_for_exit();
     let log = watched.dir.join("requests-00000001.log");
     let mut bytes = std::fs::read(&log).unwrap();
     // In the middle, and torn at the end.
@@ -348,17 +348,17 @@
     bytes.extend_from_slice(b"{\"seq\":301,\"at\":1,\"fro");
     std::fs::write(&log, bytes).unwrap();
     std::fs::write(watched.dir.join("checkpoint"), b"nonsense").unwrap();
-    let mut program = run(&watched.file, watched.pg);
-    program.says("file checkpoint is corrupt");
-    program.says("record is corrupt");
-    program.says("counted from the marks");
+    let mut program = run_gateway(&watched.file, watched.pg);
+    program.wait_for_log("file checkpoint is corrupt");
+    program.wait_for_log("record is corrupt");
+    program.wait_for_log("counted from the marks");
     assert_eq!(served(watched.agent), 300);
-    let walk = Walk::of(&mut v2c(watched.agent), &own(&[15])).unwrap();
-    assert!(walk.one(&[15, 3, 0]) >= 3);
+    let walk = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[15])).unwrap();
+    assert!(walk.value(&[15, 3, 0]) >= 3);
     ask(watched.pg, 10);
-    until("counting goes on", || served(watched.agent) == 310);
+    wait_until("counting goes on", || served(watched.agent) == 310);
     program.signal("KILL");
-    program.ended();
+    program.wait_for_exit();
     // Nothing at all is left but the marks.
     for name in [
         "checkpoint",
@@ -368,10 +368,10 @@
     ] {
         let _ = std::fs::remove_file(watched.dir.join(name));
     }
-    let program = run(&watched.file, watched.pg);
+    let program = run_gateway(&watched.file, watched.pg);
     assert_eq!(served(watched.agent), 310);
     // Boots that were lost go on beyond any that there were.
-    let boots = Walk::of(&mut v2c(watched.agent), &[1, 3, 6, 1, 6, 3, 10, 2, 1, 2]).unwrap();
+    let boots = Walk::fetch(&mut v2c(watched.agent), &[1, 3, 6, 1, 6, 3, 10, 2, 1, 2]).unwrap();
     assert!(*boots.gauges.values().next().unwrap() > 3_000_000);
     drop(program);
 }
@@ -410,7 +410,7 @@
     let walk = |user: &str, password: &str| {
         let mut session = v3(watched.agent, user, password.as_bytes());
         session.init().map_err(|e| e.to_string())?;
-        Walk::of(&mut session, &[1, 3, 6, 1, 2, 1, 1])
+        Walk::fetch(&mut session, &[1, 3, 6, 1, 2, 1, 1])
             .map_err(|e| e.to_string())
             .map(|w| w.texts.len())
     };
@@ -418,21 +418,21 @@
     assert!(walk("facilities", "another password").is_err());
     assert!(walk("office", "the office's own").is_err());
     let text = std::fs::read_to_string(&watched.file).unwrap();
-    let old = keys("watched", PASSWORD);
+    let old = snmp_keys("watched", PASSWORD);
     let text = text
         .replace("\"facilities\"", "\"office\"")
-        .replace(&old, &keys("watched", "the office's own"));
+        .replace(&old, &snmp_keys("watched", "the office's own"));
     std::fs::write(&watched.file, text).unwrap();
     watched.program.signal("HUP");
     watched
         .program
-        .says("users, views, receivers and limits were read again");
+        .wait_for_log("users, views, receivers and limits were read again");
     assert!(walk("office", "the office's own").unwrap() >= 4);
     assert!(walk("facilities", PASSWORD).is_err());
     // A file that is no good changes nothing.
     std::fs::write(&watched.file, "[snmp]\n").unwrap();
     watched.program.signal("HUP");
-    watched.program.says("front is missing");
+    watched.program.wait_for_log("front is missing");
     assert!(walk("office", "the office's own").unwrap() >= 4);
     let _ = security("office", b"x");
 }
@@ -445,7 +445,7 @@
 impl Receiver {
     fn new() -> (Self, SocketAddr) {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(support::WAIT)).unwrap();
+        socket.set_read_timeout(Some(support::TEST_TIMEOUT)).unwrap();
         let address = socket.local_addr().unwrap();
         (Self { socket }, address)
     }
@@ -502,21 +502,21 @@
     // The listed primary turns writes away, and the other one takes them.
     let replica = |_: usize, q: &str| {
         if q.contains("INSERT") {
-            Does::Say(error("25006"))
+            Reply::Send(error("25006"))
         } else {
-            Does::Say(row("x"))
+            Reply::Send(row("x"))
         }
     };
     let primary = |_: usize, q: &str| {
         if q.contains("INSERT") {
-            Does::Say(tagged("x", "INSERT 0 1"))
+            Reply::Send(row_with_tag("x", "INSERT 0 1"))
         } else {
-            Does::Say(row("x"))
+            Reply::Send(row("x"))
         }
     };
     let (old, new) = (
-        database("read-only", replica).0,
-        database("read-write", primary).0,
+        stub_database("read-only", replica).0,
+        stub_database("read-write", primary).0,
     );
     let (traps, informs) = (Receiver::new(), Receiver::new());
     let more = format!(
@@ -525,7 +525,7 @@
         traps.1, informs.1
     );
     let pg = vec![("a-old", old, true), ("b-new", new, false)];
-    let plan = Plan {
+    let plan = GatewayConfig {
         pg,
         cql: vec![],
         state: String::new(),
@@ -535,16 +535,16 @@
     let mut watched = plan.start();
     assert_eq!(traps.0.until(1), ["watched"]);
     let mut client = Client::connect(watched.pg);
-    assert_eq!(client.ask(&statement(3)), Answer::Value("x".into()));
+    assert_eq!(client.query(&workload_query(3)), Answer::Value("x".into()));
     let changed = traps.0.until(3);
     assert_eq!(changed[0], "bookings");
-    let group = [index("bookings"), vec![1]].concat();
+    let group = [text_index("bookings"), vec![1]].concat();
     let mut walk = Walk::default();
-    until("the new one is shown", || {
-        walk = Walk::of(&mut v2c(watched.agent), &own(&[13])).unwrap();
-        walk.texts[&[own(&[13, 1, 4]), group.clone()].concat()] == b"b-new"
+    wait_until("the new one is shown", || {
+        walk = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[13])).unwrap();
+        walk.texts[&[vh_oid(&[13, 1, 4]), group.clone()].concat()] == b"b-new"
     });
-    let known = walk.gauges[&[own(&[13, 1, 5]), group].concat()];
+    let known = walk.gauges[&[vh_oid(&[13, 1, 5]), group].concat()];
     assert!(
         [3, 4, 5].contains(&known),
         "it is known by answer, report or search, not by the list: {known}"
@@ -562,7 +562,7 @@
     watched.program.terminate();
     assert_eq!(traps.0.until(2), ["watched"]);
     assert_eq!(informs.0.until(2), ["watched"]);
-    assert!(watched.program.ended().success());
+    assert!(watched.program.wait_for_exit().success());
 }
 
 #[test]
@@ -578,11 +578,11 @@
         ),
     )
     .unwrap();
-    watched.program.says("limits were read again");
+    watched.program.wait_for_log("limits were read again");
     let flooded = |at: SocketAddr| {
         let stop = AtomicBool::new(false);
         thread::scope(|scope| {
-            let _stops = Stops(&stop);
+            let _stops = StopOnDrop(&stop);
             for n in 0..2 {
                 let stop = &stop;
                 scope.spawn(move || {
@@ -623,11 +623,11 @@
     );
     // A tenth of them may be turned away by what else runs at that moment.
     assert!(with.1 <= 20.max(without.1 * 3), "{said}");
-    wait(Duration::from_millis(1100));
+    sleep_for(Duration::from_millis(1100));
     // What is left of the limits may not do at once.
-    until("it is told what was turned away", || {
-        let walk = Walk::of(&mut v2c(watched.agent), &own(&[17]));
-        walk.is_ok_and(|walk| walk.one(&[17, 2, 0]) + walk.one(&[17, 3, 0]) > 100)
+    wait_until("it is told what was turned away", || {
+        let walk = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[17]));
+        walk.is_ok_and(|walk| walk.value(&[17, 2, 0]) + walk.value(&[17, 3, 0]) > 100)
     });
 }
 
@@ -639,19 +639,19 @@
     let state = text.find("[state]").unwrap();
     let budget = text.find("[[budget]]").unwrap();
     std::fs::write(&watched.file, text[..state].to_owned() + &text[budget..]).unwrap();
-    let mut program: Program = run(&watched.file, watched.pg);
+    let mut program: GatewayProcess = run_gateway(&watched.file, watched.pg);
     ask(watched.pg, 5);
-    until("they are shown", || served(watched.agent) == 5);
-    let first = Walk::of(&mut v2c(watched.agent), &own(&[1]))
+    wait_until("they are shown", || served(watched.agent) == 5);
+    let first = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[1]))
         .unwrap()
-        .one(&[1, 4, 0]);
+        .value(&[1, 4, 0]);
     program.signal("KILL");
-    program.ended();
-    let program = run(&watched.file, watched.pg);
-    until("the agent answers", || served(watched.agent) == 0);
-    let second = Walk::of(&mut v2c(watched.agent), &own(&[1]))
+    program.wait_for_exit();
+    let program = run_gateway(&watched.file, watched.pg);
+    wait_until("the agent answers", || served(watched.agent) == 0);
+    let second = Walk::fetch(&mut v2c(watched.agent), &vh_oid(&[1]))
         .unwrap()
-        .one(&[1, 4, 0]);
+        .value(&[1, 4, 0]);
     assert!(second > first, "the discontinuity tells of the restart");
     drop(program);
 }
--- a/crates/gateway/tests/begin.rs
+++ b/crates/gateway/tests/begin.rs
@@ -44,7 +44,7 @@
     } else {
         "SELECT 1"
     };
-    tagged(query.split('\'').nth(1).unwrap(), tag)
+    row_with_tag(query.split('\'').nth(1).unwrap(), tag)
 }
 
 /// What a query was told that its client will wait.
@@ -61,11 +61,11 @@
 
 /// Waits for a moment, which is true time: what is forbidden is forbidden from then on.
 fn pass(since: Instant, time: Duration) {
-    until("the time passes", || since.elapsed() > time);
+    wait_until("the time passes", || since.elapsed() > time);
 }
 
 /// Every connection has ended, or something has come that must not.
-fn settled(seen: &Seen) -> bool {
+fn settled(seen: &StubDatabase) -> bool {
     seen.count() > 0 || seen.closed.load(Ordering::SeqCst) == seen.opened.load(Ordering::SeqCst)
 }
 
@@ -74,13 +74,13 @@
     #[values("read", "book", "once")] class: &str,
     #[values(false, true)] reset: bool,
 ) {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    seen.holds.store(true, Ordering::SeqCst);
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    seen.delay_greetings.store(true, Ordering::SeqCst);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&query(class));
-    until("its database is dialled", || {
-        seen.held.load(Ordering::SeqCst) > 0
+    wait_until("its database is dialled", || {
+        seen.delayed_greetings.load(Ordering::SeqCst) > 0
     });
     if reset {
         SockRef::from(&client.0)
@@ -89,8 +89,8 @@
     }
     drop(client);
     pass(Instant::now(), GONE);
-    seen.holds.store(false, Ordering::SeqCst);
-    until("it is settled", || settled(&seen));
+    seen.delay_greetings.store(false, Ordering::SeqCst);
+    wait_until("it is settled", || settled(&seen));
     assert_eq!(
         seen.count(),
         0,
@@ -99,7 +99,7 @@
     );
     let mut other = Client::connect(gateway.address);
     assert_eq!(
-        other.ask(&query(class)),
+        other.query(&query(class)),
         Answer::Value("x1".into()),
         "the id is free again"
     );
@@ -109,35 +109,35 @@
 fn nothing_begins_at_a_member_that_was_told_to_drain_while_its_dial_was_late(
     #[values("leaving", "left")] state: &str,
 ) {
-    let (old, seen) = database("read-only", |_, q| Does::Say(echo(q)));
-    let (new, _) = database("read-only", |_, q| Does::Say(echo(q)));
-    let (primary, _) = database("read-write", |_, q| Does::Say(echo(q)));
-    seen.holds.store(true, Ordering::SeqCst);
+    let (old, seen) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
+    let (new, _) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
+    let (primary, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    seen.delay_greetings.store(true, Ordering::SeqCst);
     let known = [
         target("s-00000000", primary, "read-write", "active"),
         target("s-00000001", old, "read-only", "active"),
     ];
-    let gateway = platform(&known.join(","), 15_000);
+    let gateway = start_gateway(&known.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&read(1, 4_000));
-    until("its database is dialled", || {
-        seen.held.load(Ordering::SeqCst) > 0
+    wait_until("its database is dialled", || {
+        seen.delayed_greetings.load(Ordering::SeqCst) > 0
     });
     gateway.discovery.changes.lock().unwrap().extend([
         target("s-00000001", old, "read-only", state),
         target("s-00000002", new, "read-only", "active"),
     ]);
-    until("that is told", || {
-        !gateway.discovery.told.lock().unwrap().is_empty()
+    wait_until("that is told", || {
+        !gateway.discovery.update_times.lock().unwrap().is_empty()
     });
     pass(Instant::now(), GRACE);
-    seen.holds.store(false, Ordering::SeqCst);
+    seen.delay_greetings.store(false, Ordering::SeqCst);
     assert_eq!(
         client.answer(),
         Answer::Value("x1".into()),
         "the other member serves it"
     );
-    until("it is settled", || settled(&seen));
+    wait_until("it is settled", || settled(&seen));
     assert_eq!(
         seen.count(),
         0,
@@ -150,14 +150,14 @@
 fn a_repeat_does_not_begin_behind_its_window_however_late_its_dial_came_up() {
     const WINDOW: Duration = Duration::from_millis(600);
     // The first one runs, and its answer is lost; from then on dials come up late.
-    let (at, seen) = database("read-write", |n, q| {
+    let (at, seen) = stub_database("read-write", |n, q| {
         if n == 0 {
-            Does::CutAndHold
+            Reply::CloseAndDelayNew
         } else {
-            Does::Say(echo(q))
+            Reply::Send(echo(q))
         }
     });
-    let gateway = platform_edited(
+    let gateway = start_gateway_with_config(
         &target("s-00000001", at, "read-write", "active"),
         15_000,
         false,
@@ -165,12 +165,12 @@
     );
     let mut client = Client::connect(gateway.address);
     client.send(&write("book", 1, 4_000));
-    until("its repeat is dialled", || {
-        seen.held.load(Ordering::SeqCst) > 0
+    wait_until("its repeat is dialled", || {
+        seen.delayed_greetings.load(Ordering::SeqCst) > 0
     });
     let ran = seen.queries.lock().unwrap()[0].0;
     pass(ran, WINDOW);
-    seen.holds.store(false, Ordering::SeqCst);
+    seen.delay_greetings.store(false, Ordering::SeqCst);
     let answer = client.answer();
     assert!(
         matches!(&answer, Answer::Error(code, _) if code != "53300"),
@@ -186,17 +186,17 @@
 
 #[test]
 fn what_is_dialled_late_tells_its_database_what_the_client_has_left() {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    seen.holds.store(true, Ordering::SeqCst);
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    seen.delay_greetings.store(true, Ordering::SeqCst);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     let asked = Instant::now();
     client.send(&write("book", 1, 3_000));
-    until("its database is dialled", || {
-        seen.held.load(Ordering::SeqCst) > 0
+    wait_until("its database is dialled", || {
+        seen.delayed_greetings.load(Ordering::SeqCst) > 0
     });
     pass(asked, Duration::from_millis(700));
-    seen.holds.store(false, Ordering::SeqCst);
+    seen.delay_greetings.store(false, Ordering::SeqCst);
     assert_eq!(client.answer(), Answer::Value("x1".into()));
     let (when, passed, _) = seen.queries.lock().unwrap()[0].clone();
     let left = Duration::from_millis(3_000).saturating_sub(when - asked);
@@ -205,12 +205,12 @@
 
 #[test]
 fn a_dial_that_outlives_its_request_is_not_written_to() {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    seen.holds.store(true, Ordering::SeqCst);
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    seen.delay_greetings.store(true, Ordering::SeqCst);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     let asked = Instant::now();
-    let answer = client.ask(&write("once", 1, 400));
+    let answer = client.query(&write("once", 1, 400));
     assert!(
         matches!(&answer, Answer::Error(code, _) if code == "53300"),
         "it never ran: {answer:?}"
@@ -220,7 +220,7 @@
         "{:?}",
         asked.elapsed()
     );
-    seen.holds.store(false, Ordering::SeqCst);
-    until("it is settled", || settled(&seen));
+    seen.delay_greetings.store(false, Ordering::SeqCst);
+    wait_until("it is settled", || settled(&seen));
     assert_eq!(seen.count(), 0, "{:?}", seen.queries.lock().unwrap());
 }
--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -13,14 +13,14 @@
 
 use rstest::rstest;
 use support::cql::*;
-use support::{Program, folder, free_address, until};
+use support::{GatewayProcess, temp_folder, free_address, wait_until};
 use valehatch_config::operators::{EndpointSource, OperatorConfig};
 
 struct Gateway {
     address: SocketAddr,
     path: PathBuf,
     members: Vec<SocketAddr>,
-    program: Program,
+    program: GatewayProcess,
 }
 
 fn file(listen: SocketAddr, members: &[SocketAddr], leaving: Option<usize>) -> String {
@@ -73,9 +73,9 @@
 }
 
 fn edited(members: &[SocketAddr], edit: impl Fn(String) -> String) -> Gateway {
-    let (address, path) = (free_address(), folder().join("gateway.toml"));
+    let (address, path) = (free_address(), temp_folder().join("gateway.toml"));
     std::fs::write(&path, edit(file(address, members, None))).unwrap();
-    let program = Program::start(&["serve", path.to_str().unwrap()], None, address);
+    let program = GatewayProcess::start(&["serve", path.to_str().unwrap()], None, address);
     Gateway {
         address,
         path,
@@ -96,27 +96,27 @@
 fn a_session_is_greeted_and_answers_come_under_their_streams() {
     let others = Arc::new(AtomicUsize::new(0));
     let answered = Arc::clone(&others);
-    let (at, _) = node(move |f, n| {
+    let (at, _) = stub_node(move |f, n| {
         // The slow one must not hold up the others of its connection: its answer waits for theirs.
         if f.body.ends_with(b"slow\0\x01\0") {
-            until("the others are answered", || {
+            wait_until("the others are answered", || {
                 answered.load(Ordering::SeqCst) == 20
             });
         }
-        served(f, n)
+        echo_query(f, n)
     });
     let gateway = gateway(&[at]);
-    let mut client = Client::raw(gateway.address);
-    assert_eq!(client.ask(7, (0x05, vec![])).op, SUPPORTED);
+    let mut client = Client::connect_raw(gateway.address);
+    assert_eq!(client.request(7, (0x05, vec![])).op, SUPPORTED);
     assert_eq!(
-        client.ask(3, query("SELECT 1")).error().0,
+        client.request(3, query("SELECT 1")).error().0,
         0x000a,
         "STARTUP comes first"
     );
     let mut client = Client::connect(gateway.address);
     assert_eq!(
         client
-            .ask(8, (0x0b, [&[0, 1][..], &short(b"STATUS_CHANGE")].concat()))
+            .request(8, (0x0b, [&[0, 1][..], &short(b"STATUS_CHANGE")].concat()))
             .op,
         READY
     );
@@ -132,7 +132,7 @@
         };
         assert_eq!(
             answer.body,
-            rows(&String::from_utf8_lossy(
+            rows_body(&String::from_utf8_lossy(
                 &query(&format!("SELECT {text}")).1
             ))
         );
@@ -153,7 +153,7 @@
 #[case::batch_kind(Frame { version: 4, flags: 0, stream: 9, op: 0x0d, body: vec![0, 0, 1, 9] }.bytes(), "batch")]
 #[case::compressed(Frame { version: 4, flags: 1, stream: 9, op: 0x07, body: vec![] }.bytes(), "compression")]
 fn malformed_frames_get_a_protocol_error_that_says_why(#[case] input: Vec<u8>, #[case] says: &str) {
-    let (at, seen) = node(served);
+    let (at, seen) = stub_node(echo_query);
     let gateway = gateway(&[at]);
     let mut client = Client::connect(gateway.address);
     client.0.write_all(&input).unwrap();
@@ -163,20 +163,20 @@
     assert!(text.contains(says), "{text}");
     assert_eq!(
         Client::connect(gateway.address)
-            .ask(1, query("SELECT 1"))
+            .request(1, query("SELECT 1"))
             .op,
         RESULT,
         "others are served"
     );
-    assert_eq!(seen.seen.lock().unwrap().len(), 1);
+    assert_eq!(seen.requests.lock().unwrap().len(), 1);
 }
 
 /// Every node gives a statement the same id, and knows only what it was told itself.
-fn forgetful(known: &Mutex<BTreeSet<Vec<u8>>>, frame: &Frame) -> Does {
+fn forgetful(known: &Mutex<BTreeSet<Vec<u8>>>, frame: &Frame) -> Reply {
     match frame.op {
         0x09 => {
             known.lock().unwrap().insert(frame.body[4..].to_vec());
-            Does::Say(
+            Reply::Send(
                 RESULT,
                 [&[0, 0, 0, 4][..], &short(&frame.body[4..]), &[0; 20]].concat(),
             )
@@ -184,12 +184,12 @@
         0x0a => {
             let id = frame.body[2..2 + usize::from(frame.body[1])].to_vec();
             if known.lock().unwrap().contains(&id) {
-                Does::Say(RESULT, rows("prepared"))
+                Reply::Send(RESULT, rows_body("prepared"))
             } else {
-                Does::Say(ERROR, fault(0x2500, &short(&id)))
+                Reply::Send(ERROR, error_body(0x2500, &short(&id)))
             }
         }
-        _ => Does::Say(RESULT, rows("plain")),
+        _ => Reply::Send(RESULT, rows_body("plain")),
     }
 }
 
@@ -197,22 +197,22 @@
 fn a_node_that_forgot_a_statement_is_told_it_again_and_an_id_from_elsewhere_is_unprepared() {
     let known: Arc<Mutex<BTreeSet<Vec<u8>>>> = Arc::default();
     let shared = Arc::clone(&known);
-    let (at, seen) = node(move |f, _| forgetful(&shared, f));
+    let (at, seen) = stub_node(move |f, _| forgetful(&shared, f));
     let gateway = gateway(&[at]);
     let mut client = Client::connect(gateway.address);
     let id = b"INSERT INTO stays.guest (id) VALUES (?)";
     let execute = || (0x0a, [&short(id)[..], &[0, 1, 0]].concat());
-    assert_eq!(client.ask(5, execute()).error().0, 0x2500);
+    assert_eq!(client.request(5, execute()).error().0, 0x2500);
     assert_eq!(
         client
-            .ask(6, (0x09, long(std::str::from_utf8(id).unwrap())))
+            .request(6, (0x09, long(std::str::from_utf8(id).unwrap())))
             .op,
         RESULT
     );
     known.lock().unwrap().clear();
-    assert_eq!(client.ask(7, execute()).body, rows("prepared"));
+    assert_eq!(client.request(7, execute()).body, rows_body("prepared"));
     let ops: Vec<u8> = seen
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
@@ -226,7 +226,7 @@
     known.lock().unwrap().clear();
     let batch = [&[0, 0, 1, 1][..], &short(id), &[0, 0, 0, 1, 0]].concat();
     assert_eq!(
-        client.ask(8, (0x0d, batch)).op,
+        client.request(8, (0x0d, batch)).op,
         RESULT,
         "batches go through the same contract"
     );
@@ -234,25 +234,25 @@
 
 #[test]
 fn refusals_are_overloaded_with_a_retry_after_and_a_fault_of_the_statement_is_passed_on() {
-    let (at, _) = node(|_, _| Does::Say(ERROR, fault(0x2200, &[])));
+    let (at, _) = stub_node(|_, _| Reply::Send(ERROR, error_body(0x2200, &[])));
     let one = patient(&[at]);
     assert_eq!(
         Client::connect(one.address)
-            .ask(4, query("SELECT nonsense"))
+            .request(4, query("SELECT nonsense"))
             .error()
             .0,
         0x2200
     );
     assert_eq!(
         Client::connect(one.address)
-            .ask(4, query("USE stays"))
+            .request(4, query("USE stays"))
             .error()
             .0,
         0x2200
     );
     let two = patient(&[free_address()]);
     let answer =
-        Client::connect(two.address).ask(4, query("INSERT INTO stays.guest (id) VALUES (1)"));
+        Client::connect(two.address).request(4, query("INSERT INTO stays.guest (id) VALUES (1)"));
     let (code, text) = answer.error();
     assert!(
         code == 0x1001 && answer.flags & 4 != 0 && text.contains("retry after"),
@@ -274,51 +274,51 @@
 }
 
 #[rstest]
-#[case::half_an_answer("INSERT INTO stays.guest (id) VALUES (1)", Does::Stall, 0x0000, true)]
+#[case::half_an_answer("INSERT INTO stays.guest (id) VALUES (1)", Reply::PartialThenStall, 0x0000, true)]
 #[case::silence_on_a_connection_that_goes_on(
     "INSERT INTO stays.guest (id) VALUES (1)",
-    Does::Silent,
+    Reply::NoReply,
     0x1100,
     false
 )]
-#[case::cut_short("INSERT INTO stays.guest (id) VALUES (1)", Does::Cut, 0x0000, true)]
-#[case::unknown_counts_as_an_unsafe_write("DELETE FROM stays.guest", Does::Reset, 0x0000, true)]
+#[case::cut_short("INSERT INTO stays.guest (id) VALUES (1)", Reply::PartialThenClose, 0x0000, true)]
+#[case::unknown_counts_as_an_unsafe_write("DELETE FROM stays.guest", Reply::Close, 0x0000, true)]
 #[case::a_time_out_of_the_node_s_own(
     "INSERT INTO stays.guest (id) VALUES (1)",
-    Does::Say(ERROR, fault(0x1100, &[0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 6, b'S', b'I', b'M', b'P', b'L', b'E'])),
+    Reply::Send(ERROR, error_body(0x1100, &[0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 6, b'S', b'I', b'M', b'P', b'L', b'E'])),
     0x1100,
     false
 )]
-#[case::server_error("TRUNCATE stays.guest", Does::Say(ERROR, vec![0; 6]), 0x0000, false)]
+#[case::server_error("TRUNCATE stays.guest", Reply::Send(ERROR, vec![0; 6]), 0x0000, false)]
 fn a_write_that_may_have_run_fails_and_is_sent_once(
     #[case] text: &str,
-    #[case] does: Does,
+    #[case] does: Reply,
     #[case] code: u32,
     #[case] broken: bool,
 ) {
     let does = Mutex::new(Some(does));
-    let (at, seen) = node(move |f, n| does.lock().unwrap().take().unwrap_or_else(|| served(f, n)));
+    let (at, seen) = stub_node(move |f, n| does.lock().unwrap().take().unwrap_or_else(|| echo_query(f, n)));
     let gateway = patient(&[at]);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
-    let answer = client.ask(2, query(text));
+    let answer = client.request(2, query(text));
     assert_eq!(answer.error().0, code);
     assert!(
         began.elapsed() < Duration::from_secs(5),
         "twice its deadline: {:?}",
         began.elapsed()
     );
-    assert_eq!(seen.seen.lock().unwrap().len(), 1);
+    assert_eq!(seen.requests.lock().unwrap().len(), 1);
     // What stalled keeps its connection and its stream to itself.
-    until("the connection was given up", || {
+    wait_until("the connection was given up", || {
         !broken || seen.closed.load(Ordering::SeqCst) > 0
     });
     let mut next = None;
-    until("the node is used again", || {
-        next = Some(client.ask(3, query("INSERT INTO stays.guest (id) VALUES (2)")));
+    wait_until("the node is used again", || {
+        next = Some(client.request(3, query("INSERT INTO stays.guest (id) VALUES (2)")));
         next.as_ref().unwrap().op == RESULT
     });
-    let all = seen.seen.lock().unwrap();
+    let all = seen.requests.lock().unwrap();
     let first = &all[0];
     let (connection, stream) = (first.1, first.2.stream);
     // While the node has not shown that it lives, another connection may be used.
@@ -333,10 +333,10 @@
 fn a_paged_result_cut_by_a_drain_goes_on_elsewhere_and_the_drainer_gets_nothing_new() {
     // A page holds its number; the paging state in the request asks for the next one.
     let page =
-        |f: &Frame, _: &Node| Does::Say(RESULT, rows(&format!("page {}", f.body.last().unwrap())));
-    let (a, one) = node(page);
-    let (b, two) = node(page);
-    let (c, three) = node(page);
+        |f: &Frame, _: &StubNode| Reply::Send(RESULT, rows_body(&format!("page {}", f.body.last().unwrap())));
+    let (a, one) = stub_node(page);
+    let (b, two) = stub_node(page);
+    let (c, three) = stub_node(page);
     let gateway = gateway(&[a, b, c]);
     let mut client = Client::connect(gateway.address);
     // QUERY with a page size of 10 and a paging state.
@@ -350,17 +350,17 @@
             .concat(),
         )
     };
-    let counts = || [&one, &two, &three].map(|n| n.seen.lock().unwrap().len());
+    let counts = || [&one, &two, &three].map(|n| n.requests.lock().unwrap().len());
     let mut n = 0;
     let mut next = |client: &mut Client| {
         n = (n + 1) % 200;
         assert_eq!(
-            client.ask(1, ask(n)).body,
-            rows(&format!("page {n}")),
+            client.request(1, ask(n)).body,
+            rows_body(&format!("page {n}")),
             "each page is whole, and the right one"
         );
     };
-    until("both replicas serve pages", || {
+    wait_until("both replicas serve pages", || {
         next(&mut client);
         counts()[1] > 0 && counts()[2] > 0
     });
@@ -371,11 +371,11 @@
     }
     let late = |at: &Instant| at.duration_since(told) > Duration::from_millis(500);
     assert!(
-        !two.seen.lock().unwrap().iter().any(|(at, ..)| late(at)),
+        !two.requests.lock().unwrap().iter().any(|(at, ..)| late(at)),
         "the drainer got a page too late"
     );
     assert!(
-        three.seen.lock().unwrap().iter().any(|(at, ..)| late(at)),
+        three.requests.lock().unwrap().iter().any(|(at, ..)| late(at)),
         "the pages went on"
     );
 }
@@ -391,22 +391,22 @@
 }
 
 impl Book {
-    fn does(&mut self, frame: &Frame, node: &Node) -> Does {
+    fn does(&mut self, frame: &Frame, node: &StubNode) -> Reply {
         let turn = self.turns;
         self.turns += 1;
         // Turned away, or lost before it was run: no effect. All else has one, whatever the client hears.
         let (name, ran, does) = match turn * 7919 % 100 {
             // All clients at once are left waiting now and then: a silence outlasts the deadline for certain only while
             // no other write meets a reset on the same connection.
-            _ if (500..510).contains(&(turn % 1000)) => ("silent", true, Does::Silent),
-            0..4 => ("turned away", false, Does::Say(ERROR, fault(0x1001, &[]))),
-            4..7 => ("lost", false, Does::Reset),
-            7..12 => ("reset", true, Does::Reset),
-            12..15 => ("cut", true, Does::Cut),
-            15 => ("stalled", true, Does::Stall),
-            16..18 => ("server error", true, Does::Say(ERROR, vec![0; 6])),
-            18 => ("silent", true, Does::Silent),
-            _ => ("served", true, served(frame, node)),
+            _ if (500..510).contains(&(turn % 1000)) => ("silent", true, Reply::NoReply),
+            0..4 => ("turned away", false, Reply::Send(ERROR, error_body(0x1001, &[]))),
+            4..7 => ("lost", false, Reply::Close),
+            7..12 => ("reset", true, Reply::Close),
+            12..15 => ("cut", true, Reply::PartialThenClose),
+            15 => ("stalled", true, Reply::PartialThenStall),
+            16..18 => ("server error", true, Reply::Send(ERROR, vec![0; 6])),
+            18 => ("silent", true, Reply::NoReply),
+            _ => ("served", true, echo_query(frame, node)),
         };
         *self.did.entry(name).or_default() += 1;
         if ran {
@@ -448,7 +448,7 @@
     let book: Arc<Mutex<Book>> = Arc::default();
     let member = || {
         let book = Arc::clone(&book);
-        node(move |f, n| book.lock().unwrap().does(f, n)).0
+        stub_node(move |f, n| book.lock().unwrap().does(f, n)).0
     };
     let gateway = gateway(&[member(), member(), member()]);
     let address = gateway.address;
@@ -460,7 +460,7 @@
                 break;
             }
             let text = format!("INSERT INTO stays.guest (id) VALUES ({c}, {n})");
-            let answer = client.ask(i16::try_from(n).unwrap(), query(&text));
+            let answer = client.request(i16::try_from(n).unwrap(), query(&text));
             let said = if answer.op == RESULT {
                 u32::MAX
             } else {
@@ -472,7 +472,7 @@
             }
         }
         assert_eq!(
-            client.ask(i16::MAX, (0x05, vec![])).op,
+            client.request(i16::MAX, (0x05, vec![])).op,
             SUPPORTED,
             "one answer to each"
         );
@@ -519,7 +519,7 @@
 fn a_member_keeps_its_number_when_another_is_taken_out_of_the_file() {
     // By its place it would take over the number, and all that is known of it, of the one before.
     let (path, members) = (
-        folder().join("members.toml"),
+        temp_folder().join("members.toml"),
         [free_address(), free_address()],
     );
     let text = file(free_address(), &members, None);
@@ -543,13 +543,13 @@
 
 #[test]
 fn sighup_reads_the_members_again_and_ends_nothing_and_a_started_connection_may_stand_idle() {
-    let (at, _) = node(served);
+    let (at, _) = stub_node(echo_query);
     let gateway = gateway(&[at]);
     let mut client = Client::connect(gateway.address);
     std::thread::sleep(Duration::from_millis(2700));
     for n in 1..=2 {
         gateway.program.signal("HUP");
-        until("it has read them", || {
+        wait_until("it has read them", || {
             gateway
                 .program
                 .log()
@@ -558,35 +558,35 @@
                 >= n
         });
     }
-    assert_eq!(client.ask(2, query("SELECT a")).op, RESULT);
+    assert_eq!(client.request(2, query("SELECT a")).op, RESULT);
 }
 
 #[rstest]
 #[case::no_frame(None)]
 #[case::an_unknown_kind(Some(vec![0, 0, 0, 9]))]
 #[case::an_empty_body(Some(vec![]))]
-#[case::a_value_that_is_longer_than_the_body(Some([&rows("")[..16], &[0x7f, 0xff, 0xff, 0xff, 1]].concat()))]
-#[case::more_than_belongs_to_it(Some([rows("x"), vec![0; 9]].concat()))]
+#[case::a_value_that_is_longer_than_the_body(Some([&rows_body("")[..16], &[0x7f, 0xff, 0xff, 0xff, 1]].concat()))]
+#[case::more_than_belongs_to_it(Some([rows_body("x"), vec![0; 9]].concat()))]
 #[case::rows_without_end(Some(vec![0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff]))]
 #[case::types_without_end(Some([&[0, 0, 0, 2, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0][..], &[0, 0x20].repeat(99)].concat()))]
 fn a_spoilt_result_is_not_passed_on_and_takes_its_connection_along(#[case] body: Option<Vec<u8>>) {
-    let (at, seen) = node(move |f, n| {
-        let first = n.seen.lock().unwrap().len() == 1;
+    let (at, seen) = stub_node(move |f, n| {
+        let first = n.requests.lock().unwrap().len() == 1;
         match &body {
-            Some(body) if first => Does::Say(RESULT, body.clone()),
-            None if first => Does::Say(0x55, rows("x")),
-            _ => served(f, n),
+            Some(body) if first => Reply::Send(RESULT, body.clone()),
+            None if first => Reply::Send(0x55, rows_body("x")),
+            _ => echo_query(f, n),
         }
     });
     let gateway = patient(&[at]);
     let mut client = Client::connect(gateway.address);
     assert_eq!(
-        client.ask(1, query("INSERT INTO stays.a")).error().0,
+        client.request(1, query("INSERT INTO stays.a")).error().0,
         0x0000,
         "it may have run"
     );
-    assert_eq!(client.ask(2, query("INSERT INTO stays.b")).op, RESULT);
-    let seen = seen.seen.lock().unwrap();
+    assert_eq!(client.request(2, query("INSERT INTO stays.b")).op, RESULT);
+    let seen = seen.requests.lock().unwrap();
     assert!(seen.len() == 2 && seen[0].1 != seen[1].1, "{seen:?}");
 }
 
@@ -598,7 +598,7 @@
     const ASKS_UNTIL: Duration = Duration::from_millis(3_590);
     // So long that its connection counts as idle.
     const PAUSE: Duration = Duration::from_millis(280);
-    let (at, _) = node(served);
+    let (at, _) = stub_node(echo_query);
     let mut gateway = gateway(&[at]);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
@@ -614,5 +614,5 @@
         assert_eq!(answer.stream, stream);
         thread::sleep(PAUSE);
     }
-    assert!(gateway.program.ended().success());
+    assert!(gateway.program.wait_for_exit().success());
 }
--- a/crates/gateway/tests/close.rs
+++ b/crates/gateway/tests/close.rs
@@ -10,12 +10,12 @@
 use support::*;
 
 /// A database that answers once it is let go.
-fn held() -> (std::net::SocketAddr, Arc<Seen>, Arc<AtomicBool>) {
+fn held() -> (std::net::SocketAddr, Arc<StubDatabase>, Arc<AtomicBool>) {
     let go = Arc::new(AtomicBool::new(false));
     let goes = Arc::clone(&go);
-    let (at, seen) = database("read-write", move |_, q| {
-        until("it is let go", || goes.load(Ordering::SeqCst));
-        Does::Say(echo_of(q))
+    let (at, seen) = stub_database("read-write", move |_, q| {
+        wait_until("it is let go", || goes.load(Ordering::SeqCst));
+        Reply::Send(echo_oid(q))
     });
     (at, seen, go)
 }
@@ -34,14 +34,14 @@
     #[case] code: Option<&str>,
 ) {
     let (at, seen, go) = held();
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // More than the gateway reads at once comes behind it.
     client
         .0
-        .write_all(&[pipelined(1..4, 5_000), ends, pipelined(4..400, 5_000)].concat())
+        .write_all(&[pipelined_reads(1..4, 5_000), ends, pipelined_reads(4..400, 5_000)].concat())
         .unwrap();
-    until("the database has the first", || seen.count() > 0);
+    wait_until("the database has the first", || seen.count() > 0);
     go.store(true, Ordering::SeqCst);
     assert_eq!(
         [client.answer(), client.answer(), client.answer()],
@@ -50,15 +50,15 @@
     if let Some(code) = code {
         assert!(matches!(client.answer(), Answer::Error(got, _) if got == code));
     }
-    client.ends_cleanly();
+    client.expect_clean_close();
     assert_eq!(
-        Client::connect(gateway.address).ask(&read_of(999, 4_000)),
+        Client::connect(gateway.address).query(&read_query(999, 4_000)),
         value(999)
     );
     let queries = seen.queries.lock().unwrap();
     let sent: Vec<u32> = queries
         .iter()
-        .map(|(_, q, _)| id_of(q))
+        .map(|(_, q, _)| query_id(q))
         .filter(|id| *id != 999)
         .collect();
     assert!(
@@ -71,18 +71,18 @@
 fn answers_that_a_client_is_slow_to_take_reach_it_before_its_session_ends() {
     // More than all buffers on the way hold; the end of the session is read while answers wait here.
     const ANSWERS: u32 = 300;
-    let (at, _) = database("read-write", |_, q| {
+    let (at, _) = stub_database("read-write", |_, q| {
         let oid = q.split('\'').nth(1).unwrap();
-        Does::Say(row(&format!("{oid}{}", "v".repeat(60_000))))
+        Reply::Send(row(&format!("{oid}{}", "v".repeat(60_000))))
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client
         .0
-        .write_all(&[pipelined(0..ANSWERS, 5_000), message(b'X', b"")].concat())
+        .write_all(&[pipelined_reads(0..ANSWERS, 5_000), message(b'X', b"")].concat())
         .unwrap();
     let mut sent = 0;
-    until("nothing more leaves while nobody reads", || {
+    wait_until("nothing more leaves while nobody reads", || {
         let before = std::mem::replace(&mut sent, client.0.peek(&mut vec![0; 16 << 20]).unwrap());
         std::thread::sleep(std::time::Duration::from_millis(100));
         sent == before
@@ -96,32 +96,32 @@
             "answer {id}"
         );
     }
-    client.ends_cleanly();
+    client.expect_clean_close();
 }
 
 #[rstest]
 #[case::a_byte(|whole: &[u8]| whole[..1].to_vec(), vec![])]
 #[case::half_a_message(|whole: &[u8]| whole[..40].to_vec(), vec![])]
-#[case::a_message_in_two(|whole: &[u8]| whole[..40].to_vec(), pipelined(1..2, 5_000)[40..].to_vec())]
+#[case::a_message_in_two(|whole: &[u8]| whole[..40].to_vec(), pipelined_reads(1..2, 5_000)[40..].to_vec())]
 #[case::a_message(|whole: &[u8]| whole.to_vec(), vec![])]
-#[case::more_than_is_read_at_once(|whole: &[u8]| whole.repeat(200), pipelined(1..2, 5_000).repeat(200))]
+#[case::more_than_is_read_at_once(|whole: &[u8]| whole.repeat(200), pipelined_reads(1..2, 5_000).repeat(200))]
 #[case::the_end_of_the_session(|_: &[u8]| message(b'X', b""), vec![])]
 fn what_crosses_the_end_of_a_resting_connection_has_the_last_word_for_its_answer(
     #[case] crosses: fn(&[u8]) -> Vec<u8>,
     #[case] then: Vec<u8>,
 ) {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo_of(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // The end is on its way, and here; the client has not looked.
     client.0.peek(&mut [0]).unwrap();
     client
         .0
-        .write_all(&crosses(&pipelined(1..2, 5_000)))
+        .write_all(&crosses(&pipelined_reads(1..2, 5_000)))
         .unwrap();
-    assert!(is_farewell(&client.answer()), "nothing ran");
+    assert!(is_retryable_refusal(&client.answer()), "nothing ran");
     client.0.write_all(&then).unwrap();
-    client.ends_cleanly();
+    client.expect_clean_close();
     assert_eq!(seen.count(), 0);
 }
 
@@ -133,11 +133,11 @@
     #[case] opening: Vec<u8>,
     #[case] code: Option<&str>,
 ) {
-    let gateway = platform(
+    let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
     );
-    let mut client = Client::raw_with(gateway.address, &[opening, vec![b'v'; 20_000]].concat());
+    let mut client = Client::connect_and_send(gateway.address, &[opening, vec![b'v'; 20_000]].concat());
     if let Some(code) = code {
         let mut first = [0];
         while client.0.peek(&mut first).unwrap() == 1 && first == *b"N" {
@@ -145,7 +145,7 @@
         }
         assert!(matches!(client.answer(), Answer::Error(got, _) if got == code));
     }
-    client.ends_cleanly();
+    client.expect_clean_close();
 }
 
 /// Requests that the gateway takes from one connection before it has answered the first.
@@ -154,16 +154,16 @@
 #[test]
 fn a_long_answer_that_breaks_ends_what_was_asked_behind_it_and_resets_nothing() {
     // Long values are passed on as they come; this one's database ends in the middle of it.
-    let (at, seen) = database("read-write", |_, q| match id_of(q) {
-        1 => Does::Say(echo_of(q)),
-        2 => Does::Cut(row(&"v".repeat(400_000))[..200_000].to_vec()),
-        _ => Does::Stall(vec![]),
+    let (at, seen) = stub_database("read-write", |_, q| match query_id(q) {
+        1 => Reply::Send(echo_oid(q)),
+        2 => Reply::SendThenClose(row(&"v".repeat(400_000))[..200_000].to_vec()),
+        _ => Reply::SendThenStall(vec![]),
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client
         .0
-        .write_all(&pipelined(1..2 * PIPELINE, 5_000))
+        .write_all(&pipelined_reads(1..2 * PIPELINE, 5_000))
         .unwrap();
     assert_eq!(client.answer(), value(1));
     let mut rest = vec![];
@@ -174,12 +174,12 @@
         "it can tell that the answer is not whole"
     );
     // All but the connection that the first was answered on.
-    until("what was asked behind it is called off", || {
+    wait_until("what was asked behind it is called off", || {
         seen.closed.load(Ordering::SeqCst) + 1 >= seen.count()
     });
     let queries = seen.queries.lock().unwrap();
     assert!(
-        queries.iter().all(|(_, q, _)| id_of(q) <= PIPELINE + 2),
+        queries.iter().all(|(_, q, _)| query_id(q) <= PIPELINE + 2),
         "no room was made for more"
     );
 }
--- a/crates/gateway/tests/command.rs
+++ b/crates/gateway/tests/command.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output};
 
 use rstest::rstest;
-use support::folder;
+use support::temp_folder;
 
 const DEPLOYED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gateway.toml");
 
@@ -23,7 +23,7 @@
 }
 
 fn written(text: &str) -> PathBuf {
-    let path = folder().join("gateway.toml");
+    let path = temp_folder().join("gateway.toml");
     std::fs::write(&path, text).unwrap();
     path
 }
--- a/crates/gateway/tests/database.rs
+++ b/crates/gateway/tests/database.rs
@@ -31,23 +31,23 @@
 #[case::before_the_answer(vec![], notice())]
 #[case::before_the_answer_in_small_ones(vec![], message(b'N', b"\0"))]
 #[case::behind_the_row(row("spoilt"), notice())]
-#[case::parameters(vec![], mode("read-write"))]
+#[case::parameters(vec![], mode_status("read-write"))]
 fn an_answer_that_never_ends_fails_its_attempt_at_once(
     #[case] first: Vec<u8>,
     #[case] endless: Vec<u8>,
 ) {
-    let (at, seen) = database("read-write", move |n, q| {
+    let (at, seen) = stub_database("read-write", move |n, q| {
         if n == 0 {
-            Does::Endless([first.clone(), endless.repeat(100)].concat())
+            Reply::SendEndlessly([first.clone(), endless.repeat(100)].concat())
         } else {
-            Does::Say(echo(q))
+            Reply::Send(echo(q))
         }
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     let asked = Instant::now();
     assert_eq!(
-        client.ask(&read(1, 4_000)),
+        client.query(&read(1, 4_000)),
         Answer::Value("x1".into()),
         "a read may be sent again"
     );
@@ -56,7 +56,7 @@
         "{:?}",
         asked.elapsed()
     );
-    until("the connection is given up", || {
+    wait_until("the connection is given up", || {
         seen.closed.load(Ordering::SeqCst) > 0
     });
 }
@@ -65,21 +65,21 @@
 fn a_greeting_that_never_ends_is_no_connection() {
     let greeted = Arc::new(AtomicUsize::new(0));
     let ended = Arc::clone(&greeted);
-    let endless = listen(move |mut stream| {
-        let greeting = mode("read-only").repeat(100);
+    let endless = spawn_server(move |mut stream| {
+        let greeting = mode_status("read-only").repeat(100);
         while stream.write_all(&greeting).is_ok() {}
         ended.fetch_add(1, Ordering::SeqCst);
     });
-    let (good, _) = database("read-write", |_, q| Does::Say(echo(q)));
+    let (good, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = [
         target("s-00000001", good, "read-write", "active"),
         target("s-00000002", endless, "read-only", "active"),
     ];
-    let gateway = platform(&list.join(","), 15_000);
+    let gateway = start_gateway(&list.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     let asked = Instant::now();
     assert_eq!(
-        client.ask(&read(1, 4_000)),
+        client.query(&read(1, 4_000)),
         Answer::Value("x1".into()),
         "the other member has it"
     );
@@ -88,7 +88,7 @@
         "{:?}",
         asked.elapsed()
     );
-    until("the connection is given up", || {
+    wait_until("the connection is given up", || {
         greeted.load(Ordering::SeqCst) > 0
     });
 }
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::script::{Asked, End, Form, Hangs, Says, Scripted, answer};
+use support::scripted_discovery::{Asked, End, Form, HangingListener, CallReply, ScriptedDiscovery, answer};
 use support::*;
 
 /// A member that is told to leave may be sent to for so long.
@@ -44,17 +44,17 @@
 
 /// Two members, and a list of them.
 struct Members {
-    stays: (SocketAddr, Arc<Seen>),
-    leaves: (SocketAddr, Arc<Seen>),
+    stays: (SocketAddr, Arc<StubDatabase>),
+    leaves: (SocketAddr, Arc<StubDatabase>),
 }
 
 impl Members {
     fn start() -> Self {
-        let echo = |query: &str| Does::Say(tagged(query.split('\'').nth(1).unwrap(), "SELECT 1"));
-        let stays = database("read-write", move |_, q| echo(q));
+        let echo = |query: &str| Reply::Send(row_with_tag(query.split('\'').nth(1).unwrap(), "SELECT 1"));
+        let stays = stub_database("read-write", move |_, q| echo(q));
         Self {
             stays,
-            leaves: database("read-only", move |_, q| echo(q)),
+            leaves: stub_database("read-only", move |_, q| echo(q)),
         }
     }
 
@@ -93,7 +93,7 @@
                 let mut client = Client::connect(address);
                 while !over.load(SeqCst) {
                     let query = "/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x'";
-                    if client.ask(query) == Answer::Ended {
+                    if client.query(query) == Answer::Ended {
                         return;
                     }
                     thread::sleep(Duration::from_millis(10));
@@ -115,17 +115,17 @@
 /// A gateway under load that watches a scripted discovery.
 struct Scene {
     members: Members,
-    discovery: Arc<Scripted>,
+    discovery: Arc<ScriptedDiscovery>,
     config: PathBuf,
     _load: Load,
-    program: Program,
+    program: GatewayProcess,
     began: Instant,
 }
 
 impl Scene {
     fn start(mode: Mode, fleet: u32) -> Self {
         let members = Members::start();
-        let discovery = Scripted::start(&members.list("active"));
+        let discovery = ScriptedDiscovery::start(&members.list("active"));
         Self::start_with(mode, fleet, members, discovery, |text| text)
     }
 
@@ -134,10 +134,10 @@
         mode: Mode,
         fleet: u32,
         members: Members,
-        discovery: Arc<Scripted>,
+        discovery: Arc<ScriptedDiscovery>,
         edit: impl Fn(String) -> String,
     ) -> Self {
-        let (address, config) = (free_address(), folder().join("config.json"));
+        let (address, config) = (free_address(), temp_folder().join("config.json"));
         let known = members.list("active").map(|(_, text)| text).join(",");
         let mut text = edit(config_of(address, discovery.address, &known));
         if mode == Mode::Ask {
@@ -151,7 +151,7 @@
             text.replace("\"fleet-size\":1", &format!("\"fleet-size\":{fleet}")),
         )
         .unwrap();
-        let program = Program::start(&[], Some(&config), address);
+        let program = GatewayProcess::start(&[], Some(&config), address);
         let began = Instant::now();
         let load = Load::start(address);
         Self {
@@ -166,14 +166,14 @@
 
     /// The member that is to leave is sent to, and the watch goes on.
     fn settled(self) -> Self {
-        until("the watch is open", || self.discovery.count() > 1);
+        wait_until("the watch is open", || self.discovery.count() > 1);
         self.used();
         self
     }
 
     fn used(&self) {
         let leaves = self.members.leaves.1.count();
-        until("the member that may leave is sent to", || {
+        wait_until("the member that may leave is sent to", || {
             self.members.leaves.1.count() > leaves + 2
         });
     }
@@ -187,11 +187,11 @@
     fn owed(&self, since: Instant, bound: Duration) {
         let end = since + bound;
         let until_then = end.saturating_duration_since(Instant::now());
-        within(WAIT + until_then, "the time after it", || {
+        wait_until_within(TEST_TIMEOUT + until_then, "the time after it", || {
             Instant::now() > end + Duration::from_millis(700)
         });
         let served = self.members.stays.1.count();
-        until("the other one serves", || {
+        wait_until("the other one serves", || {
             self.members.stays.1.count() > served + 20
         });
         let sent = self.members.leaves.1.queries.lock().unwrap();
@@ -218,7 +218,7 @@
         std::fs::write(&self.config, text.replace(own, &to.to_string())).unwrap();
         let at = Instant::now();
         self.program.signal("HUP");
-        self.program.says(&format!("discovery={to}"));
+        self.program.wait_for_log(&format!("discovery={to}"));
         at
     }
 
@@ -226,7 +226,7 @@
         self.program.signal("STOP");
         let tasks = procfs::process::Process::new(self.program.0.id().cast_signed()).unwrap();
         let stands = |t: procfs::process::Task| t.stat().is_ok_and(|s| s.state == 'T');
-        until("it stands still", || {
+        wait_until("it stands still", || {
             tasks.tasks().unwrap().flatten().all(stands)
         });
     }
@@ -264,7 +264,7 @@
 
 impl Trouble {
     /// All calls that are open or come from now on have it.
-    fn begins(self, discovery: &Scripted, members: &Members) {
+    fn begins(self, discovery: &ScriptedDiscovery, members: &Members) {
         let body = members.body(1_000, true, "active");
         let half = |form: Form| {
             let (pieces, _) = answer(&body, form);
@@ -302,12 +302,12 @@
                 ([pieces, vec![(soon, vec![])]].concat(), End::Reset)
             }
         };
-        discovery.script(move |_| Says::Bytes(bytes.clone(), end));
+        discovery.script(move |_| CallReply::Bytes(bytes.clone(), end));
         discovery.reset();
     }
 
     /// New calls are answered; since when.
-    fn ends(self, discovery: &Scripted) -> Instant {
+    fn ends(self, discovery: &ScriptedDiscovery) -> Instant {
         discovery.form(Form::Plain);
         if matches!(self, Self::Silent | Self::Refused) {
             discovery.returns()
@@ -411,9 +411,9 @@
     scene.discovery.script(move |_| {
         left -= 1;
         if left >= 0 {
-            Says::Nothing
+            CallReply::NoReply
         } else {
-            Says::Right(Form::Plain)
+            CallReply::Update(Form::Plain)
         }
     });
     scene.discovery.reset();
@@ -443,17 +443,17 @@
     let mut first = true;
     scene.discovery.script(move |_| {
         if !std::mem::take(&mut first) {
-            return Says::Right(Form::Plain);
+            return CallReply::Update(Form::Plain);
         }
         let drop = (Duration::from_millis(40), b" ".to_vec());
-        Says::Bytes(
+        CallReply::Bytes(
             [vec![(Duration::ZERO, head.into())], vec![drop; DRIPS]].concat(),
             End::Silent,
         )
     });
     scene.discovery.reset();
     let calls = scene.discovery.count();
-    until("the endless answer has begun", || {
+    wait_until("the endless answer has begun", || {
         scene.discovery.count() > calls
     });
     let told = scene.leaves();
@@ -468,14 +468,14 @@
     #[values(
         Form::Plain,
         Form::Indented,
-        Form::Whole,
+        Form::FullList,
         Form::Chunked,
         Form::Trailers,
         Form::Extension(300),
         Form::NoLength,
-        Form::Ends("close"),
-        Form::Ends("Close, x"),
-        Form::Ends("x,  CLOSE"),
+        Form::ConnectionHeader("close"),
+        Form::ConnectionHeader("Close, x"),
+        Form::ConnectionHeader("x,  CLOSE"),
         Form::Http10,
         Form::Interim,
         Form::Pieces(7, 2)
@@ -483,7 +483,7 @@
     form: Form,
 ) {
     let members = Members::start();
-    let discovery = Scripted::start(&members.list("active"));
+    let discovery = ScriptedDiscovery::start(&members.list("active"));
     discovery.form(form);
     let scene = Scene::start_with(Mode::Push, 1, members, discovery, |text| text).settled();
     scene.owed(scene.leaves(), GRACE);
@@ -493,7 +493,7 @@
     scene.used();
     scene.owed(scene.leaves(), GRACE);
     let calls = scene.discovery.count();
-    until("some more are told", || {
+    wait_until("some more are told", || {
         scene
             .discovery
             .tell(STAYS, scene.members.one(STAYS, "active"));
@@ -501,7 +501,7 @@
     });
     let (calls, connections) = (scene.discovery.count(), scene.discovery.connections());
     println!("{calls} calls on {connections} connections");
-    let ends = matches!(form, Form::NoLength | Form::Ends(_) | Form::Http10);
+    let ends = matches!(form, Form::NoLength | Form::ConnectionHeader(_) | Form::Http10);
     assert!(
         ends || connections * 5 <= calls,
         "{calls} calls took {connections} connections"
@@ -520,7 +520,7 @@
 #[rstest]
 fn a_whole_list_replaces_what_was_held(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
     let scene = Scene::start(mode, 1).settled();
-    scene.discovery.form(Form::Whole);
+    scene.discovery.form(Form::FullList);
     let told = scene.discovery.forget(LEAVES);
     // Only the next call's answer is whole.
     scene.owed(told, mode.told() + GRACE);
@@ -542,13 +542,13 @@
     scene
         .discovery
         .script(move |_| match std::mem::take(&mut first) {
-            true => Says::Bytes(vec![(Duration::ZERO, bytes.into())], End::Silent),
-            false => Says::Right(Form::Plain),
+            true => CallReply::Bytes(vec![(Duration::ZERO, bytes.into())], End::Silent),
+            false => CallReply::Update(Form::Plain),
         });
     scene.discovery.reset();
-    scene.program.says("keeping the cached endpoint list");
+    scene.program.wait_for_log("keeping the cached endpoint list");
     scene.owed(scene.leaves(), GRACE);
-    scene.program.says("discovery poll succeeded again");
+    scene.program.wait_for_log("discovery poll succeeded again");
 }
 
 // ---- Versions ----
@@ -564,12 +564,12 @@
     scene.discovery.script(move |asked: &Asked| {
         if asked.from.is_some() && std::mem::take(&mut first) {
             let (pieces, end) = answer(&stale, Form::Plain);
-            return Says::Bytes(pieces, end);
+            return CallReply::Bytes(pieces, end);
         }
-        Says::Right(Form::Plain)
+        CallReply::Update(Form::Plain)
     });
     let asks = |call: &Asked| call.from.is_none() && call.at > told;
-    until("the whole list is asked for", || {
+    wait_until("the whole list is asked for", || {
         scene.discovery.calls.lock().unwrap().iter().any(asks)
     });
     scene.owed(told, GRACE);
@@ -585,7 +585,7 @@
             .tell(STAYS, scene.members.one(STAYS, "active"));
     }
     let held = |call: &Asked| call.from == Some(6);
-    until("the watch is at version 6", || {
+    wait_until("the watch is at version 6", || {
         scene.discovery.calls.lock().unwrap().iter().any(held)
     });
     let told = scene
@@ -618,7 +618,7 @@
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
 ) {
     let scene = Scene::start(mode, 100).settled();
-    let new = Scripted::start(&scene.members.list("leaving"));
+    let new = ScriptedDiscovery::start(&scene.members.list("leaving"));
     scene.discovery.reset();
     trouble.begins(&scene.discovery, &scene.members);
     thread::sleep(Duration::from_millis(1_500));
@@ -635,8 +635,8 @@
 fn a_connect_that_hangs_is_no_part_of_a_new_address(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
     let scene = Scene::start(mode, 100).settled();
     let (hangs, new) = (
-        Hangs::start(),
-        Scripted::start(&scene.members.list("leaving")),
+        HangingListener::start(),
+        ScriptedDiscovery::start(&scene.members.list("leaving")),
     );
     scene.moves(hangs.0);
     thread::sleep(Duration::from_millis(200));
@@ -656,11 +656,11 @@
     let pause = Duration::from_millis(90);
     scene
         .discovery
-        .script(move |_| Says::Bytes(vec![(pause, late.clone())], End::Keep));
+        .script(move |_| CallReply::Bytes(vec![(pause, late.clone())], End::Keep));
     let calls = scene.discovery.count();
     scene.discovery.reset();
-    until("the old one is asked", || scene.discovery.count() > calls);
-    let new = Scripted::start(&scene.members.list("leaving"));
+    wait_until("the old one is asked", || scene.discovery.count() > calls);
+    let new = ScriptedDiscovery::start(&scene.members.list("leaving"));
     let moved = scene.moves(new.address);
     scene.owed(moved, TOLD_ELSEWHERE + GRACE);
     let old = scene.discovery.count();
@@ -681,7 +681,7 @@
     #[values(1, 100)] fleet: u32,
 ) {
     let members = Members::start();
-    let discovery = Scripted::start(&members.list("leaving"));
+    let discovery = ScriptedDiscovery::start(&members.list("leaving"));
     let scene = Scene::start_with(mode, fleet, members, discovery, |text| text);
     scene.owed(scene.began, mode.told() + GRACE);
 }
@@ -689,7 +689,7 @@
 #[test]
 fn an_agent_that_is_silent_at_the_start_binds_as_it_returns() {
     let members = Members::start();
-    let discovery = Scripted::start(&members.list("leaving"));
+    let discovery = ScriptedDiscovery::start(&members.list("leaving"));
     discovery.falls_silent();
     let scene = Scene::start_with(Mode::Push, 100, members, discovery, |text| text);
     thread::sleep(Duration::from_millis(3_040));
@@ -706,7 +706,7 @@
 #[case::no_versions(r#"{"all":true,"targets":[]}"#)]
 fn without_a_known_list_the_whole_one_is_asked_for(#[case] known: &'static str) {
     let members = Members::start();
-    let discovery = Scripted::start(&members.list("active"));
+    let discovery = ScriptedDiscovery::start(&members.list("active"));
     let scene = Scene::start_with(Mode::Push, 1, members, discovery, |text| {
         let (before, rest) = text.split_once("\"known\":").unwrap();
         let (_, after) = rest.split_once("\"settings\"").unwrap();
@@ -735,7 +735,7 @@
 impl Scene {
     fn used_only_one(&self) {
         let served = self.members.stays.1.count();
-        until("the other one serves", || {
+        wait_until("the other one serves", || {
             self.members.stays.1.count() > served + 50
         });
     }
--- a/crates/gateway/tests/door.rs
+++ b/crates/gateway/tests/door.rs
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::Duration;
 
-use support::manager::{Walk, index, own, v2c};
-use support::watched::run;
+use support::manager::{Walk, text_index, vh_oid, v2c};
+use support::monitored::run_gateway;
 use support::{
-    Answer, Client, Does, Program, Stops, WAIT, database, folder, free_address, message, row,
-    until, within,
+    Answer, Client, Reply, GatewayProcess, StopOnDrop, TEST_TIMEOUT, stub_database, temp_folder, free_address, message, row,
+    wait_until, wait_until_within,
 };
 
 struct Gateway {
@@ -21,7 +21,7 @@
     agent: SocketAddr,
     file: std::path::PathBuf,
     text: String,
-    program: Program,
+    program: GatewayProcess,
 }
 
 /// A gateway over one database that takes 5 ms for each request, one after another, with shares of 0.8 and 0.2.
@@ -31,13 +31,13 @@
     let serve = move |_: usize, _: &str| {
         let _held = core.lock().unwrap();
         thread::sleep(Duration::from_millis(5));
-        Does::Say(row("x"))
+        Reply::Send(row("x"))
     };
-    let db = database("read-write", serve).0;
+    let db = stub_database("read-write", serve).0;
     let (address, agent, file) = (
         free_address(),
         free_address(),
-        folder().join("gateway.toml"),
+        temp_folder().join("gateway.toml"),
     );
     let text = format!(
         "{door}\n[[budget]]\nname = \"large\"\nshare = 0.8\nallowance-per-s = 1000\n[[budget]]\nname = \"small\"\nshare = 0.2\nallowance-per-s = 1000\n\
@@ -47,7 +47,7 @@
          [snmp]\nlisten = \"{agent}\"\n[[snmp.community]]\nname = \"stays\"\n"
     );
     std::fs::write(&file, &text).unwrap();
-    let program = run(&file, address);
+    let program = run_gateway(&file, address);
     Gateway {
         address,
         agent,
@@ -108,12 +108,12 @@
         AtomicUsize::new(0),
     );
     thread::scope(|scope| {
-        let _stops = Stops(&stop);
+        let _stops = StopOnDrop(&stop);
         scope.spawn(|| flood(gateway.address, "large", 40, &stop, &large));
         scope.spawn(|| flood(gateway.address, "small", 40, &stop, &small));
         let count = || large.load(Ordering::Relaxed) + small.load(Ordering::Relaxed);
         // A member that a starved machine could not reach is spared for 17 s before it is asked as before.
-        within(3 * WAIT, "enough are served", || count() >= enough);
+        wait_until_within(3 * TEST_TIMEOUT, "enough are served", || count() >= enough);
     });
     (large.into_inner(), small.into_inner())
 }
@@ -124,9 +124,9 @@
     both(&gateway, 100);
     let (large, small) = both(&gateway, 400);
     assert!(large > small * 2, "{large} to {small}, of 0.8 to 0.2");
-    let walk = Walk::of(&mut v2c(gateway.agent), &own(&[8])).unwrap();
+    let walk = Walk::fetch(&mut v2c(gateway.agent), &vh_oid(&[8])).unwrap();
     let of = |column: u32, tenant: &str| {
-        walk.counters[&[own(&[8, 1, column]), index("bookings"), index(tenant)].concat()]
+        walk.counters[&[vh_oid(&[8, 1, column]), text_index("bookings"), text_index(tenant)].concat()]
     };
     assert!(of(17, "large") >= of(18, "large") && of(18, "large") > 0 && of(20, "small") > 0);
     let swapped = gateway
@@ -135,7 +135,7 @@
         .replace("0.2\n", "0.8\n");
     std::fs::write(&gateway.file, swapped).unwrap();
     gateway.program.signal("HUP");
-    gateway.program.says("configuration file read again");
+    gateway.program.wait_for_log("configuration file read again");
     let (large, small) = both(&gateway, 400);
     assert!(small > large * 2, "{large} to {small}, of 0.02 to 0.8");
 }
@@ -149,7 +149,7 @@
             let (address, answered) = (gateway.address, &answered);
             scope.spawn(move || {
                 let mut client = Client::connect(address);
-                let answer = client.ask(&format!(
+                let answer = client.query(&format!(
                     "/* id=s{n},c=read,t=large,d=1000,cluster=0 */ SELECT 1"
                 ));
                 assert!(
@@ -159,11 +159,11 @@
                 answered.fetch_add(1, Ordering::SeqCst);
             });
         }
-        until("some are answered", || answered.load(Ordering::SeqCst) > 0);
+        wait_until("some are answered", || answered.load(Ordering::SeqCst) > 0);
         gateway.program.terminate();
     });
     assert_eq!(answered.into_inner(), 60);
-    assert!(gateway.program.ended().success());
+    assert!(gateway.program.wait_for_exit().success());
 }
 
 #[test]
@@ -175,7 +175,7 @@
     );
     std::fs::write(&gateway.file, fewer).unwrap();
     gateway.program.signal("HUP");
-    gateway.program.says("1 shares for 2 tenants");
+    gateway.program.wait_for_log("1 shares for 2 tenants");
     let (large, small) = both(&gateway, 100);
     assert!(large > 0 && small > 0);
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -12,15 +12,15 @@
 #[test]
 fn an_overbooked_discovery_is_asked_for_what_changed_and_waited_for() {
     let calls = Arc::new(Mutex::new(vec![]));
-    let (one, first) = database("read-write", |_, _| Does::Say(tagged("one", "SELECT 1")));
-    let (two, _) = database("read-write", |_, _| Does::Say(tagged("two", "SELECT 1")));
+    let (one, first) = stub_database("read-write", |_, _| Reply::Send(row_with_tag("one", "SELECT 1")));
+    let (two, _) = stub_database("read-write", |_, _| Reply::Send(row_with_tag("two", "SELECT 1")));
     let news = [
         target("s-00000001", one, "read-write", "leaving"),
         target("s-00000002", two, "read-write", "active"),
     ];
     let (news, seen) = (news.join(","), Arc::clone(&calls));
     // Three calls are turned away, the fourth has to wait for its turn, and those after it for news.
-    let overbooked = listen(move |mut stream| {
+    let overbooked = spawn_server(move |mut stream| {
         loop {
             let mut head = vec![];
             while !head.ends_with(b"\r\n\r\n") {
@@ -60,7 +60,7 @@
             let _ = stream.write_all(answer.as_bytes());
         }
     });
-    let gateway = platform_edited(
+    let gateway = start_gateway_with_config(
         &target("s-00000001", one, "read-write", "active"),
         15_000,
         false,
@@ -81,17 +81,17 @@
     );
     let mut client = Client::connect(gateway.address);
     let mut ask =
-        || client.ask("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
+        || client.query("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
     assert_eq!(
         ask(),
         Answer::Value("one".into()),
         "the list that is known serves meanwhile"
     );
-    until("the news are acted on", || {
+    wait_until("the news are acted on", || {
         ask() == Answer::Value("two".into())
     });
     assert!(first.count() > 0);
-    until("the watch goes on", || calls.lock().unwrap().len() >= 5);
+    wait_until("the watch goes on", || calls.lock().unwrap().len() >= 5);
     let calls: Vec<String> = calls
         .lock()
         .unwrap()
@@ -118,16 +118,16 @@
 
 #[test]
 fn connections_that_stand_idle_have_no_threads() {
-    let (at, seen) = database("read-only", |_, _| Does::Say(tagged("one", "SELECT 1")));
+    let (at, seen) = stub_database("read-only", |_, _| Reply::Send(row_with_tag("one", "SELECT 1")));
     let members = (1..=40).map(|n| target(&format!("s-{n:08x}"), at, "read-only", "active"));
-    let gateway = platform(&members.collect::<Vec<_>>().join(","), 60_000);
+    let gateway = start_gateway(&members.collect::<Vec<_>>().join(","), 60_000);
     let mut client = Client::connect(gateway.address);
     let open = || seen.opened.load(Ordering::SeqCst) - seen.closed.load(Ordering::SeqCst);
-    until("most members are met", || {
-        client.ask("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
+    wait_until("most members are met", || {
+        client.query("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
         open() >= 25
     });
-    until("few threads are left", || {
+    wait_until("few threads are left", || {
         threads(gateway.program.0.id()) <= 15
     });
     assert!(open() >= 25, "the connections stay");
--- a/crates/gateway/tests/flood.rs
+++ b/crates/gateway/tests/flood.rs
@@ -17,13 +17,13 @@
 const GOOD: u32 = 400;
 
 /// Whether a new connection was answered: served or refused.
-fn answered(gateway: &Platform, id: u32) -> bool {
+fn answered(gateway: &TestGateway, id: u32) -> bool {
     let Ok(mut stream) = TcpStream::connect(gateway.address) else {
         return false;
     };
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     if stream
-        .write_all(&[Client::opening(), pipelined(id..id + 1, 4_000)].concat())
+        .write_all(&[Client::startup_message(), pipelined_reads(id..id + 1, 4_000)].concat())
         .is_err()
     {
         return false;
@@ -40,7 +40,7 @@
 /// A flood that goes on: `sent` on each connection, written in pieces of so many bytes. The crowd comes at once, and two more
 /// with each good client, however fast the machine is; at most so many are held open.
 fn flood(
-    gateway: &Platform,
+    gateway: &TestGateway,
     sent: &[u8],
     piece: usize,
     held: usize,
@@ -74,22 +74,22 @@
 
 #[rstest]
 #[case::silent(vec![], usize::MAX)]
-#[case::greeted(Client::opening(), usize::MAX)]
-#[case::half_a_request([Client::opening(), pipelined(1..2, 4_000)[..60].to_vec()].concat(), usize::MAX)]
-#[case::slow_writers([Client::opening(), pipelined(1..2, 4_000)[..60].to_vec()].concat(), 1)]
-#[case::many_commands_and_gone([Client::opening(), pipelined(5_000..5_060, 500)].concat(), usize::MAX)]
+#[case::greeted(Client::startup_message(), usize::MAX)]
+#[case::half_a_request([Client::startup_message(), pipelined_reads(1..2, 4_000)[..60].to_vec()].concat(), usize::MAX)]
+#[case::slow_writers([Client::startup_message(), pipelined_reads(1..2, 4_000)[..60].to_vec()].concat(), 1)]
+#[case::many_commands_and_gone([Client::startup_message(), pipelined_reads(5_000..5_060, 500)].concat(), usize::MAX)]
 fn a_flood_while_discovery_is_down_keeps_out_neither_discovery_nor_good_clients(
     #[case] sent: Vec<u8>,
     #[case] piece: usize,
 ) {
-    let (at, _) = database("read-write", |_, q| Does::Say(echo_of(q)));
+    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
     let small = |text: String| {
         text.replace(
             "\"sockets\":1024",
             &format!("\"sockets\":{SOCKETS},\"memory_mb\":24"),
         )
     };
-    let gateway = platform_edited(
+    let gateway = start_gateway_with_config(
         &target("s-00000001", at, "read-write", "active"),
         15_000,
         true,
@@ -98,10 +98,10 @@
     let held = if sent.len() > 1_000 { 8 } else { 2 * SOCKETS };
     let (over, asked) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
-        let _stops = Stops(&over);
+        let _stops = StopOnDrop(&over);
         let (gateway, over, asked, sent) = (&gateway, &over, &asked, &sent);
         scope.spawn(move || flood(gateway, sent, piece, held, asked, over));
-        until("the crowd is there", || {
+        wait_until("the crowd is there", || {
             gateway.program.descriptors() > SOCKETS / 2 || held < SOCKETS
         });
         let answered = |id: &u32| {
@@ -120,7 +120,7 @@
         );
         // It comes back while the crowd stands.
         gateway.discovery.silent.store(false, Ordering::SeqCst);
-        until("discovery is heard", || {
+        wait_until("discovery is heard", || {
             gateway.discovery.watches.load(Ordering::SeqCst) > 0
         });
     });
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -28,7 +28,7 @@
 
 /// The oid of a query as the value, so that an answer shows whose it is.
 fn echo(query: &str) -> Vec<u8> {
-    tagged(
+    row_with_tag(
         query.split('\'').nth(1).unwrap(),
         if query.contains("INSERT") {
             "INSERT 0 1"
@@ -40,21 +40,21 @@
 
 #[test]
 fn a_query_right_behind_the_startup_message_is_served_and_passed_on_with_the_time_left() {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
-    let mut client = Client::raw(gateway.address);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let mut client = Client::connect_raw(gateway.address);
     let query = write("book", 1, 3000);
     client
         .0
         .write_all(
             &[
-                Client::opening(),
+                Client::startup_message(),
                 message(b'Q', format!("{query}\0").as_bytes()),
             ]
             .concat(),
         )
         .unwrap();
-    client.greeted();
+    client.read_until_ready();
     assert_eq!(client.answer(), value("x1"));
     let passed = seen.query(0);
     let d: u32 = passed
@@ -76,20 +76,20 @@
 
 #[test]
 fn the_ready_check_and_settings_are_answered_at_once_and_answers_keep_their_order() {
-    let (at, _) = database("read-write", |_, q| {
+    let (at, _) = stub_database("read-write", |_, q| {
         // The first takes longer than the second, which must wait for it.
         std::thread::sleep(Duration::from_millis(if q.contains("x1'") {
             80
         } else {
             0
         }));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    assert_eq!(client.ask(""), Answer::Empty);
+    assert_eq!(client.query(""), Answer::Empty);
     assert_eq!(
-        client.ask("SET a = 1"),
+        client.query("SET a = 1"),
         Answer::Ended,
         "a completion and nothing else"
     );
@@ -104,14 +104,14 @@
 
 #[test]
 fn a_client_that_leaves_has_its_read_called_off() {
-    let (at, seen) = database("read-write", |_, _| Does::Stall(vec![]));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&read(1, 5000));
-    until("the database has it", || seen.count() == 1);
+    wait_until("the database has it", || seen.count() == 1);
     let closed = seen.closed.load(Ordering::SeqCst);
     drop(client);
-    until("its connection ends", || {
+    wait_until("its connection ends", || {
         seen.closed.load(Ordering::SeqCst) > closed
     });
     assert_eq!(seen.count(), 1, "nobody waits: it is not sent again");
@@ -119,19 +119,19 @@
 
 #[test]
 fn after_a_time_out_the_connection_is_closed_and_late_bytes_reach_no_one() {
-    let (at, seen) = database("read-write", |n, q| {
+    let (at, seen) = stub_database("read-write", |n, q| {
         if n == 0 {
             // Answers long after the gateway has stopped waiting.
             std::thread::sleep(Duration::from_millis(500));
-            return Does::Cut([row("late"), mode("read-write"), ready()].concat());
+            return Reply::SendThenClose([row("late"), mode_status("read-write"), ready_for_query()].concat());
         }
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
     assert!(
-        matches!(client.ask(&write("once", 1, 250)), Answer::Error(code, _) if code == "57014")
+        matches!(client.query(&write("once", 1, 250)), Answer::Error(code, _) if code == "57014")
     );
     assert!(
         began.elapsed() < Duration::from_millis(2_500),
@@ -139,7 +139,7 @@
     );
     for id in 2..6 {
         assert_eq!(
-            client.ask(&write("once", id, 4000)),
+            client.query(&write("once", id, 4000)),
             value(&format!("x{id}"))
         );
     }
@@ -157,35 +157,35 @@
 #[case::with_nothing(vec![])]
 fn half_an_answer_is_never_served(#[case] half: Vec<u8>) {
     let cut = half.clone();
-    let (at, seen) = database("read-write", move |n, q| {
+    let (at, seen) = stub_database("read-write", move |n, q| {
         if n == 0 {
-            Does::Cut(cut.clone())
+            Reply::SendThenClose(cut.clone())
         } else {
-            Does::Say(echo(q))
+            Reply::Send(echo(q))
         }
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // It may have run: a keyed write is sent again inside its window, an unsafe one is not.
-    assert_eq!(client.ask(&write("book", 1, 4000)), value("x1"));
+    assert_eq!(client.query(&write("book", 1, 4000)), value("x1"));
     assert_eq!(seen.count(), 2);
-    let (at, seen) = database("read-write", move |_, _| Does::Cut(half.clone()));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", move |_, _| Reply::SendThenClose(half.clone()));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     assert!(
-        matches!(client.ask(&write("once", 1, 4000)), Answer::Error(code, _) if code == "58000")
+        matches!(client.query(&write("once", 1, 4000)), Answer::Error(code, _) if code == "58000")
     );
     assert_eq!(seen.count(), 1);
 }
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran_and_a_refusal_says_when_to_come_back() {
-    let gateway = platform(
+    let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
     );
     let mut client = Client::connect(gateway.address);
-    let Answer::Error(code, Some(after)) = client.ask(&write("once", 1, 600)) else {
+    let Answer::Error(code, Some(after)) = client.query(&write("once", 1, 600)) else {
         panic!("no refusal")
     };
     assert_eq!(code, "53300");
@@ -197,17 +197,17 @@
 
 #[test]
 fn a_write_finds_the_primary_by_the_role_that_this_answer_told() {
-    let (one, wrong) = database("read-only", |_, _| Does::Say(error("25006")));
-    let (two, right) = database("read-write", |_, q| Does::Say(echo(q)));
+    let (one, wrong) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
+    let (two, right) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = [
         target("s-00000001", one, "read-write", "active"),
         target("s-00000002", two, "read-only", "active"),
     ];
-    let gateway = platform(&list.join(","), 15_000);
+    let gateway = start_gateway(&list.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..4 {
         assert_eq!(
-            client.ask(&write("once", id, 4000)),
+            client.query(&write("once", id, 4000)),
             value(&format!("x{id}"))
         );
     }
@@ -219,16 +219,16 @@
 
 #[test]
 fn a_draining_database_gets_nothing_new_and_the_watch_is_armed_again_in_time() {
-    let (one, drained) = database("read-only", |_, q| Does::Say(echo(q)));
-    let (two, other) = database("read-write", |_, q| Does::Say(echo(q)));
+    let (one, drained) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
+    let (two, other) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = [
         target("s-00000001", one, "read-only", "active"),
         target("s-00000002", two, "read-write", "active"),
     ];
-    let gateway = platform(&list.join(","), 15_000);
+    let gateway = start_gateway(&list.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
-    until("the replica is used", || {
-        client.ask(&read(1, 4000)) == value("x1") && drained.count() > 0
+    wait_until("the replica is used", || {
+        client.query(&read(1, 4000)) == value("x1") && drained.count() > 0
     });
     let change = target("s-00000001", one, "read-only", "leaving");
     gateway
@@ -237,13 +237,13 @@
         .lock()
         .unwrap()
         .push(change.clone());
-    until("the change is told", || {
-        assert_eq!(client.ask(&read(2, 4000)), value("x2"));
-        !gateway.discovery.told.lock().unwrap().is_empty()
+    wait_until("the change is told", || {
+        assert_eq!(client.query(&read(2, 4000)), value("x2"));
+        !gateway.discovery.update_times.lock().unwrap().is_empty()
     });
-    let told = gateway.discovery.told.lock().unwrap()[0];
+    let told = gateway.discovery.update_times.lock().unwrap()[0];
     while told.elapsed() < Duration::from_millis(900) {
-        assert_eq!(client.ask(&read(3, 4000)), value("x3"));
+        assert_eq!(client.query(&read(3, 4000)), value("x3"));
     }
     let late = |at: &Instant| at.duration_since(told) > Duration::from_millis(500);
     assert!(
@@ -263,11 +263,11 @@
             .lock()
             .unwrap()
             .push(change.clone());
-        until("the watch was armed again", || {
-            gateway.discovery.told.lock().unwrap().len() == n
+        wait_until("the watch was armed again", || {
+            gateway.discovery.update_times.lock().unwrap().len() == n
         });
     }
-    let mut gaps = gateway.discovery.gaps.lock().unwrap().clone();
+    let mut gaps = gateway.discovery.rearm_delays.lock().unwrap().clone();
     gaps.sort();
     assert!(
         gaps[gaps.len() / 2] < Duration::from_millis(200),
@@ -277,29 +277,29 @@
 
 #[test]
 fn while_discovery_is_silent_the_known_list_serves() {
-    let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform_with(
+    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway_with(
         &target("s-00000001", at, "read-write", "active"),
         15_000,
         true,
     );
     let mut client = Client::connect(gateway.address);
-    assert_eq!(client.ask(&read(1, 4000)), value("x1"));
+    assert_eq!(client.query(&read(1, 4000)), value("x1"));
     gateway.discovery.silent.store(false, Ordering::SeqCst);
-    until("the watch is taken up", || {
+    wait_until("the watch is taken up", || {
         gateway.discovery.watches.load(Ordering::SeqCst) > 0
     });
 }
 
 #[test]
 fn a_pooled_connection_is_retired_before_the_database_would_close_it() {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 5000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 5000);
     assert_eq!(
-        Client::connect(gateway.address).ask(&read(1, 4000)),
+        Client::connect(gateway.address).query(&read(1, 4000)),
         value("x1")
     );
-    until("it is closed", || {
+    wait_until("it is closed", || {
         seen.closed.load(Ordering::SeqCst) == seen.opened.load(Ordering::SeqCst)
     });
     let used = seen.queries.lock().unwrap()[0].0;
@@ -312,17 +312,17 @@
 
 #[test]
 fn a_connection_that_the_database_closed_while_idle_costs_no_attempt() {
-    let (at, seen) = database("read-write", |_, q| {
-        Does::Cut([echo(q), mode("read-write"), ready()].concat())
+    let (at, seen) = stub_database("read-write", |_, q| {
+        Reply::SendThenClose([echo(q), mode_status("read-write"), ready_for_query()].concat())
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..6 {
         assert_eq!(
-            client.ask(&write("once", id, 4000)),
+            client.query(&write("once", id, 4000)),
             value(&format!("x{id}"))
         );
-        until("its end has come", || {
+        wait_until("its end has come", || {
             seen.closed.load(Ordering::SeqCst) >= id as usize
         });
     }
@@ -331,19 +331,19 @@
 
 #[test]
 fn a_planned_stop_serves_on_answers_all_closes_what_is_idle_and_ends() {
-    let (at, seen) = database("read-write", |_, q| {
+    let (at, seen) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(if q.contains("x1'") {
             1200
         } else {
             0
         }));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let mut gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let mut gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut idle = Client::connect(gateway.address);
     let mut busy = Client::connect(gateway.address);
     busy.send(&read(1, 4000));
-    until("the database has it", || seen.count() == 1);
+    wait_until("the database has it", || seen.count() == 1);
     let (over, pause) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
     let ends = Arc::clone(&over);
     let late_by = std::thread::spawn(move || {
@@ -358,22 +358,22 @@
     gateway.program.terminate();
     let mut late = Client::connect(gateway.address);
     assert_eq!(
-        late.ask(&read(2, 4000)),
+        late.query(&read(2, 4000)),
         value("x2"),
         "new connections are still taken"
     );
     // It is one that comes back to ask again: one that asked once would be closed meanwhile.
-    assert_eq!(late.ask(&read(4, 4000)), value("x4"));
+    assert_eq!(late.query(&read(4, 4000)), value("x4"));
     let told = Instant::now();
     assert_eq!(busy.answer(), value("x1"));
     // The other gateways may be down as well: connections that clients have go on to be served.
     while told.elapsed() < Duration::from_millis(2000) {
-        assert_eq!(late.ask(&read(3, 4000)), value("x3"));
+        assert_eq!(late.query(&read(3, 4000)), value("x3"));
         std::thread::sleep(Duration::from_millis(50));
     }
     assert!(parted(&idle.answer()), "closed between requests");
     assert!(parted(&late.answer()));
-    assert!(gateway.program.ended().success());
+    assert!(gateway.program.wait_for_exit().success());
     let took = told.elapsed();
     over.store(true, Ordering::SeqCst);
     // It may be later by as much as this machine keeps threads from going on.
@@ -386,14 +386,14 @@
 
 #[test]
 fn what_is_open_when_the_platform_is_about_to_kill_the_program_is_answered_before() {
-    let (at, seen) = database("read-write", |_, _| Does::Stall(vec![]));
-    let mut gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
+    let mut gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 5000));
-    until("the database has it", || seen.count() == 1);
+    wait_until("the database has it", || seen.count() == 1);
     gateway.program.terminate();
     assert!(matches!(client.answer(), Answer::Error(code, _) if code == "57014"));
-    assert!(gateway.program.ended().success());
+    assert!(gateway.program.wait_for_exit().success());
 }
 
 #[rstest]
@@ -450,16 +450,16 @@
     #[case] code: &str,
     #[case] goes_on: bool,
 ) {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.0.write_all(&input).unwrap();
     assert!(matches!(client.answer(), Answer::Error(got, _) if got == code));
     if goes_on && code != "0A000" {
-        assert_eq!(client.ask(&read(1, 4000)), value("x1"));
+        assert_eq!(client.query(&read(1, 4000)), value("x1"));
     }
     assert_eq!(
-        Client::connect(gateway.address).ask(&read(2, 4000)),
+        Client::connect(gateway.address).query(&read(2, 4000)),
         value("x2"),
         "others are served"
     );
@@ -476,11 +476,11 @@
 #[case::startup_too_long(vec![0x7f, 0xff, 0xff, 0xff], "08P01")]
 #[case::old_version(vec![0, 0, 0, 8, 0, 2, 0, 0], "0A000")]
 fn a_malformed_start_gets_an_error(#[case] input: Vec<u8>, #[case] code: &str) {
-    let gateway = platform(
+    let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
     );
-    let mut client = Client::raw(gateway.address);
+    let mut client = Client::connect_raw(gateway.address);
     client.0.write_all(&input).unwrap();
     assert!(matches!(client.answer(), Answer::Error(got, _) if got == code));
 }
@@ -506,7 +506,7 @@
     #[case] bad: &str,
     #[case] key: &str,
 ) {
-    let path = folder().join("config.json");
+    let path = temp_folder().join("config.json");
     let text = config(free_address(), free_address(), "", 15_000);
     assert!(text.contains(good));
     std::fs::write(&path, text.replace(good, bad)).unwrap();
@@ -519,14 +519,14 @@
 #[test]
 fn a_client_that_does_not_read_holds_up_no_one() {
     // Its answers fill every buffer on the way; the core must not wait for them.
-    let (at, _) = database("read-write", |_, q| {
+    let (at, _) = stub_database("read-write", |_, q| {
         if q.contains("x1'") {
-            Does::Say(row(&"v".repeat(64 * 1024)))
+            Reply::Send(row(&"v".repeat(64 * 1024)))
         } else {
-            Does::Say(echo(q))
+            Reply::Send(echo(q))
         }
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut deaf = Client::connect(gateway.address);
     deaf.0
         .set_write_timeout(Some(Duration::from_millis(300)))
@@ -536,30 +536,30 @@
     while deaf.0.write_all(&query.repeat(200)).is_ok() {}
     let mut client = Client::connect(gateway.address);
     for id in 2..20 {
-        assert_eq!(client.ask(&read(id, 4000)), value(&format!("x{id}")));
+        assert_eq!(client.query(&read(id, 4000)), value(&format!("x{id}")));
     }
 }
 
 #[test]
 fn beyond_the_budget_of_descriptors_connections_are_refused_and_the_others_served() {
-    let (at, seen) = database("read-write", |_, q| {
+    let (at, seen) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(200));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
     let list = target("s-00000001", at, "read-write", "active");
     // Of 64 descriptors 16 are kept back, 24 are for clients, 24 for databases.
-    let gateway = platform_edited(&list, 15_000, false, small);
+    let gateway = start_gateway_with_config(&list, 15_000, false, small);
     let ask = |id| {
         [
-            Client::opening(),
+            Client::startup_message(),
             message(b'Q', format!("{}\0", read(id, 4000)).as_bytes()),
         ]
         .concat()
     };
     let mut clients: Vec<Client> = (0..36)
-        .map(|id| Client::raw_with(gateway.address, &ask(id)))
+        .map(|id| Client::connect_and_send(gateway.address, &ask(id)))
         .collect();
-    clients.iter_mut().for_each(Client::greeted);
+    clients.iter_mut().for_each(Client::read_until_ready);
     let refused = |a: &Answer| matches!(a, Answer::Error(code, Some(after)) if code == "53300" && after != "0");
     let answers: Vec<Answer> = clients.iter_mut().map(Client::answer).collect();
     assert!(
@@ -578,16 +578,16 @@
 #[test]
 fn clients_that_keep_their_connections_for_ever_make_room_for_others() {
     // Connections that asked once and stay took every place within seconds: nobody else was served.
-    let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
+    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = target("s-00000001", at, "read-write", "active");
-    let gateway = platform_edited(&list, 15_000, false, small);
+    let gateway = start_gateway_with_config(&list, 15_000, false, small);
     // What was answered only now is not ended for room: who comes then is refused, and comes again.
     let (mut stay, mut id) = (vec![], 0);
     let mut served = |stay: &mut Vec<Client>| {
-        until("what has rested makes room", || {
+        wait_until("what has rested makes room", || {
             id += 1;
             let mut client = Client::connect(gateway.address);
-            let answer = client.ask(&read(id, 4000));
+            let answer = client.query(&read(id, 4000));
             let served = answer == value(&format!("x{id}"));
             assert!(
                 served || matches!(&answer, Answer::Error(code, _) if code == "53300"),
@@ -598,7 +598,7 @@
         });
     };
     (0..60).for_each(|_| served(&mut stay));
-    let silent: Vec<Client> = (0..100).map(|_| Client::raw(gateway.address)).collect();
+    let silent: Vec<Client> = (0..100).map(|_| Client::connect_raw(gateway.address)).collect();
     served(&mut stay);
     let has = |what| {
         std::fs::read_dir(format!("/proc/{}/{what}", gateway.program.0.id()))
@@ -616,15 +616,15 @@
 
 #[rstest]
 #[case::silent(vec![])]
-#[case::greeted(Client::opening())]
-#[case::half_a_command([Client::opening(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
-#[case::half_an_opening(Client::opening()[..9].to_vec())]
+#[case::greeted(Client::startup_message())]
+#[case::half_a_command([Client::startup_message(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
+#[case::half_an_opening(Client::startup_message()[..9].to_vec())]
 fn a_connection_that_asks_nothing_is_closed_within_3_s(#[case] sent: Vec<u8>) {
-    let gateway = platform(
+    let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
     );
-    let mut client = Client::raw(gateway.address);
+    let mut client = Client::connect_raw(gateway.address);
     let began = Instant::now();
     client.0.write_all(&sent).unwrap();
     while read_message(&mut client.0).is_some() {}
@@ -637,14 +637,14 @@
 
 /// What bad clients are owed (LATER, STANDING): an error or a close within 3 s of connecting.
 #[rstest]
-#[case::command([Client::opening(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
-#[case::command_behind_whole_ones([Client::opening(), pipelined(1..3, 1_000), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
-#[case::opening(Client::opening()[..9].to_vec())]
+#[case::command([Client::startup_message(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
+#[case::command_behind_whole_ones([Client::startup_message(), pipelined_reads(1..3, 1_000), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
+#[case::opening(Client::startup_message()[..9].to_vec())]
 fn client_that_stops_half_way_is_ended_within_3_s(#[case] sent: Vec<u8>) {
-    let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let began = Instant::now();
-    let mut client = Client::raw_with(gateway.address, &sent);
+    let mut client = Client::connect_and_send(gateway.address, &sent);
     let (mut last, mut at) = (None, began.elapsed());
     while let Some((kind, _)) = read_message(&mut client.0) {
         (last, at) = (Some(kind), began.elapsed());
@@ -660,15 +660,15 @@
 
 #[test]
 fn who_asks_once_and_stays_is_let_go_long_before_who_comes_back() {
-    let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let (mut once, mut twice) = (
         Client::connect(gateway.address),
         Client::connect(gateway.address),
     );
-    assert_eq!(twice.ask(&read(1, 3000)), value("x1"));
-    assert_eq!(twice.ask(&read(2, 3000)), value("x2"));
-    assert_eq!(once.ask(&read(3, 3000)), value("x3"));
+    assert_eq!(twice.query(&read(1, 3000)), value("x1"));
+    assert_eq!(twice.query(&read(2, 3000)), value("x2"));
+    assert_eq!(once.query(&read(3, 3000)), value("x3"));
     let began = Instant::now();
     assert!(parted(&once.answer()), "though its place is not needed");
     assert!(
@@ -676,7 +676,7 @@
         "half of what the other may: {:?}",
         began.elapsed()
     );
-    assert_eq!(twice.ask(&read(4, 3000)), value("x4"));
+    assert_eq!(twice.query(&read(4, 3000)), value("x4"));
 }
 
 /// The last word on a connection that is ended: nothing ran, and when to come back.
@@ -695,25 +695,25 @@
 fn what_came_in_before_its_connection_was_ended_is_answered_all_of_it(#[case] new: bool) {
     // The gateway stands still while the time for silence passes, and finds both the end of that time and what came
     // in meanwhile when it goes on: only the first message used to be taken, and the request behind it was lost.
-    let (at, _) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = if new {
-        Client::raw(gateway.address)
+        Client::connect_raw(gateway.address)
     } else {
         Client::connect(gateway.address)
     };
     // Its connection is among those that the gateway has taken in.
     assert_eq!(
-        Client::connect(gateway.address).ask(&read(9, 4000)),
+        Client::connect(gateway.address).query(&read(9, 4000)),
         value("x9")
     );
     gateway.program.signal("STOP");
     std::thread::sleep(Duration::from_millis(2300));
-    let opening = if new { Client::opening() } else { vec![] };
+    let opening = if new { Client::startup_message() } else { vec![] };
     client.0.write_all(&[opening, asks(1..4)].concat()).unwrap();
     gateway.program.signal("CONT");
     if new {
-        client.greeted();
+        client.read_until_ready();
     }
     assert_eq!(
         [client.answer(), client.answer(), client.answer()],
@@ -723,8 +723,8 @@
 
 #[test]
 fn what_a_client_asks_before_it_can_know_that_its_connection_ends_is_refused_and_not_lost() {
-    let (at, seen) = database("read-write", |_, q| Does::Say(echo(q)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // The end is on its way, and here; the client has not looked.
     client.0.peek(&mut [0]).unwrap();
@@ -739,12 +739,12 @@
 
 #[test]
 fn what_was_asked_before_half_a_message_is_answered_before_that_ends_its_connection() {
-    let (at, seen) = database("read-write", |_, q| {
+    let (at, seen) = stub_database("read-write", |_, q| {
         // Longer than the half may stay half: its end used to take this answer along.
         std::thread::sleep(Duration::from_millis(2_700));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client
         .0
@@ -761,12 +761,12 @@
 
 #[test]
 fn a_request_behind_others_that_has_no_room_is_refused_after_they_are_answered() {
-    let (at, _) = database("read-write", |_, q| {
+    let (at, _) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(100));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
-    let gateway = platform_edited(
+    let gateway = start_gateway_with_config(
         &target("s-00000001", at, "read-write", "active"),
         15_000,
         false,
@@ -791,14 +791,14 @@
 #[test]
 fn an_open_request_outlasts_the_idle_time_and_a_process_that_is_stopped_for_a_while() {
     // A timed read comes back interrupted after SIGCONT, which must not pass for the connection's end.
-    let (at, seen) = database("read-write", |_, q| {
+    let (at, seen) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(2600));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 5000));
-    until("the database has it", || seen.count() == 1);
+    wait_until("the database has it", || seen.count() == 1);
     gateway.program.signal("STOP");
     std::thread::sleep(Duration::from_millis(300));
     gateway.program.signal("CONT");
@@ -807,27 +807,27 @@
 
 #[test]
 fn sighup_moves_the_watch_and_loses_neither_the_list_nor_a_request() {
-    let (one, first) = database("read-write", |_, q| {
+    let (one, first) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(600));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let (two, second) = database("read-write", |_, q| Does::Say(echo(q)));
+    let (two, second) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let known = target("s-00000001", one, "read-write", "active");
-    let gateway = platform(&known, 15_000);
-    until("the watch runs", || {
+    let gateway = start_gateway(&known, 15_000);
+    wait_until("the watch runs", || {
         gateway.discovery.watches.load(Ordering::SeqCst) > 0
     });
     // Only now: the watch begins after two seconds, which is as long as a connection that asks nothing may stay.
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 4000));
-    until("the database has it", || first.count() == 1);
+    wait_until("the database has it", || first.count() == 1);
     // A file that is no good changes nothing, however often it is read.
     let good = std::fs::read_to_string(&gateway.config).unwrap();
     std::fs::write(&gateway.config, good.replace("\"discovery\"", "\"disco\"")).unwrap();
     (0..3).for_each(|_| gateway.program.signal("HUP"));
-    gateway.program.says("discovery is missing");
+    gateway.program.wait_for_log("discovery is missing");
     assert_eq!(client.answer(), value("x1"));
-    assert_eq!(client.ask(&write("once", 2, 4000)), value("x2"));
+    assert_eq!(client.query(&write("once", 2, 4000)), value("x2"));
     let (moved, new) = Discovery::start(target("s-00000002", two, "read-write", "active"));
     let old = good
         .split("\"discovery\":\"")
@@ -838,14 +838,14 @@
         .unwrap();
     std::fs::write(&gateway.config, good.replace(old, &moved.to_string())).unwrap();
     gateway.program.signal("HUP");
-    until("the new address is watched", || {
+    wait_until("the new address is watched", || {
         new.watches.load(Ordering::SeqCst) > 0 || {
-            let _ = client.ask(&write("once", 3, 4000));
+            let _ = client.query(&write("once", 3, 4000));
             second.count() > 0
         }
     });
     let before = first.count();
-    assert_eq!(client.ask(&write("once", 4, 4000)), value("x4"));
+    assert_eq!(client.query(&write("once", 4, 4000)), value("x4"));
     assert_eq!(
         (first.count(), second.count() > 0),
         (before, true),
@@ -872,21 +872,21 @@
 #[case::a_row_that_never_ends(cut(&row("spoilt"), ROW + 1, &[0, 0, 1, 0]))]
 #[case::no_description(row("spoilt")[ROW..].to_vec())]
 #[case::two_rows([&row("spoilt")[..ROW + 17], &row("spoilt")[ROW..]].concat())]
-#[case::the_answer_to_a_write(tagged("spoilt", "INSERT 0 1"))]
+#[case::the_answer_to_a_write(row_with_tag("spoilt", "INSERT 0 1"))]
 #[case::nothing_but_ready(vec![])]
 #[case::an_error_without_a_code(message(b'E', b"Mnothing\0\0"))]
 fn a_spoilt_answer_fails_its_attempt_at_once_and_takes_its_connection_along(
     #[case] spoilt: Vec<u8>,
 ) {
     // The database goes on: it answers the next query on the same connection, if there is one.
-    let (at, seen) = database("read-write", move |n, q| {
-        Does::Say(if n == 0 { spoilt.clone() } else { echo(q) })
+    let (at, seen) = stub_database("read-write", move |n, q| {
+        Reply::Send(if n == 0 { spoilt.clone() } else { echo(q) })
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     // At its deadline it would be too late to send it again.
     assert_eq!(
-        client.ask(&read(1, 4000)),
+        client.query(&read(1, 4000)),
         value("x1"),
         "a read may be sent again"
     );
@@ -901,14 +901,14 @@
 #[case::a_second_copy(|q: &str| echo(q))]
 #[case::noise(|_: &str| b"\x07\xffnoise\r\n".to_vec())]
 fn what_comes_behind_a_good_answer_spoils_only_the_connection(#[case] more: fn(&str) -> Vec<u8>) {
-    let (at, seen) = database("read-write", move |_, q| {
-        Does::Say([echo(q), mode("read-write"), ready(), more(q)].concat())
+    let (at, seen) = stub_database("read-write", move |_, q| {
+        Reply::Send([echo(q), mode_status("read-write"), ready_for_query(), more(q)].concat())
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..6 {
         assert_eq!(
-            client.ask(&write("once", id, 4000)),
+            client.query(&write("once", id, 4000)),
             value(&format!("x{id}"))
         );
     }
@@ -931,12 +931,12 @@
 #[case("\u{fffd};;x1=1")]
 fn a_report_that_cannot_be_read_is_ignored(#[case] stats: &'static str) {
     // The second member claims to be the primary, in a report of which a part makes no sense.
-    let (one, right) = database("read-write", |_, q| {
+    let (one, right) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(20));
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let (two, wrong) = database("read-only", |_, _| Does::Say(error("25006")));
-    *wrong.stats.lock().unwrap() = Some(stats.into());
+    let (two, wrong) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
+    *wrong.probe_reply.lock().unwrap() = Some(stats.into());
     let list = [
         target("s-00000001", one, "read-write", "active"),
         target("s-00000002", two, "read-only", "active"),
@@ -946,11 +946,11 @@
         text.replace("[\"eventual\"", "[\"lag_bound\"")
             .replace("\"position-zero-ms\"", BOUND)
     };
-    let gateway = platform_edited(&list.join(","), 15_000, false, edit);
+    let gateway = start_gateway_with_config(&list.join(","), 15_000, false, edit);
     let mut client = Client::connect(gateway.address);
-    until("the member was probed", || {
+    wait_until("the member was probed", || {
         assert!(matches!(
-            client.ask(&read(1, 4000)),
+            client.query(&read(1, 4000)),
             Answer::Value(_) | Answer::Error(..)
         ));
         wrong.probes.load(Ordering::SeqCst) > 1
@@ -958,7 +958,7 @@
     let before = wrong.count();
     for id in 2..6 {
         assert_eq!(
-            client.ask(&write("once", id, 4000)),
+            client.query(&write("once", id, 4000)),
             value(&format!("x{id}"))
         );
     }
@@ -974,24 +974,24 @@
 fn the_id_of_an_open_request_is_turned_away_and_the_open_one_served() {
     let turned_away = Arc::new(AtomicBool::new(false));
     let goes_on = Arc::clone(&turned_away);
-    let (at, seen) = database("read-write", move |_, q| {
-        until("the second was turned away", || {
+    let (at, seen) = stub_database("read-write", move |_, q| {
+        wait_until("the second was turned away", || {
             goes_on.load(Ordering::SeqCst)
         });
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let (mut first, mut second) = (
         Client::connect(gateway.address),
         Client::connect(gateway.address),
     );
     first.send(&read(7, 4000));
-    until("the database has it", || seen.count() == 1);
-    assert!(matches!(second.ask(&read(7, 4000)), Answer::Error(code, _) if code == "42710"));
+    wait_until("the database has it", || seen.count() == 1);
+    assert!(matches!(second.query(&read(7, 4000)), Answer::Error(code, _) if code == "42710"));
     turned_away.store(true, Ordering::SeqCst);
     assert_eq!(first.answer(), value("x7"));
     // On a connection of its own: one that asked once and rests is let go.
-    let again = Client::connect(gateway.address).ask(&read(7, 4000));
+    let again = Client::connect(gateway.address).query(&read(7, 4000));
     assert_eq!((again, seen.count()), (value("x7"), 2), "it is free again");
 }
 
@@ -1001,19 +1001,19 @@
 fn a_statement_that_databases_cannot_use_fails_at_once_and_is_not_sent_again(
     #[case] code: &'static str,
 ) {
-    let (at, seen) = database("read-write", move |_, _| Does::Say(error(code)));
-    let gateway = platform(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (at, seen) = stub_database("read-write", move |_, _| Reply::Send(error(code)));
+    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    assert!(matches!(client.ask(&read(1, 4000)), Answer::Error(got, _) if got == code));
+    assert!(matches!(client.query(&read(1, 4000)), Answer::Error(got, _) if got == code));
     assert_eq!(seen.count(), 1);
 }
 
 #[test]
 fn requests_that_are_open_take_bounded_memory() {
     // An eighth of 16 MB is for the bytes of open requests: what is beyond that is refused, not held.
-    let (at, _) = database("read-write", |_, _| Does::Stall(vec![]));
+    let (at, _) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
-    let gateway = platform_edited(
+    let gateway = start_gateway_with_config(
         &target("s-00000001", at, "read-write", "active"),
         15_000,
         false,
--- a/crates/gateway/tests/long.rs
+++ b/crates/gateway/tests/long.rs
@@ -34,11 +34,11 @@
     Duration::from_millis(n)
 }
 
-fn before(does: impl Fn(usize, &str) -> Does + Send + Sync + 'static) -> (Platform, Arc<Seen>) {
-    let (at, seen) = database("read-write", does);
+fn before(does: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> (TestGateway, Arc<StubDatabase>) {
+    let (at, seen) = stub_database("read-write", does);
     let known = target("s-00000001", at, "read-write", "active");
     let edit = |text: String| text.replace(r#""sockets":1024"#, r#""sockets":1024,"memory_mb":24"#);
-    (platform_edited(&known, 15_000, false, edit), seen)
+    (start_gateway_with_config(&known, 15_000, false, edit), seen)
 }
 
 #[rstest]
@@ -54,10 +54,10 @@
 ) {
     // Made once: a client that takes long to look at its answer has asked once and rests, and is let go.
     let (answer, want) = (row(&long(length)), Answer::Value(long(length)));
-    let (gateway, seen) = before(move |_, _| Does::Drip(answer.clone(), piece, pause));
+    let (gateway, seen) = before(move |_, _| Reply::SendSlowly(answer.clone(), piece, pause));
     let mut client = Client::connect(gateway.address);
     for id in 0..2 {
-        assert!(client.ask(&ask("read", id, 5000)) == want);
+        assert!(client.query(&ask("read", id, 5000)) == want);
     }
     assert_eq!(
         (seen.count(), seen.opened.load(Ordering::SeqCst)),
@@ -67,16 +67,16 @@
 }
 
 #[rstest]
-#[case::in_the_value(|mut all: Vec<u8>| { all.truncate(LONG / 2); Does::Cut(all) })]
-#[case::before_the_completion(|mut all: Vec<u8>| { all.truncate(all.len() - 14); Does::Cut(all) })]
-#[case::with_the_tag_of_something_else(|mut all: Vec<u8>| { let at = all.len() - 9; all[at] = b'X'; Does::Say(all) })]
-#[case::with_an_error(|mut all: Vec<u8>| { all.truncate(all.len() - 14); all.extend(error("53300")); Does::Say(all) })]
+#[case::in_the_value(|mut all: Vec<u8>| { all.truncate(LONG / 2); Reply::SendThenClose(all) })]
+#[case::before_the_completion(|mut all: Vec<u8>| { all.truncate(all.len() - 14); Reply::SendThenClose(all) })]
+#[case::with_the_tag_of_something_else(|mut all: Vec<u8>| { let at = all.len() - 9; all[at] = b'X'; Reply::Send(all) })]
+#[case::with_an_error(|mut all: Vec<u8>| { all.truncate(all.len() - 14); all.extend(error("53300")); Reply::Send(all) })]
 fn what_has_begun_is_cut_where_it_breaks_and_never_sent_again(
     #[values("read", "book")] class: &str,
-    #[case] breaks: fn(Vec<u8>) -> Does,
+    #[case] breaks: fn(Vec<u8>) -> Reply,
 ) {
     let (gateway, seen) = before(move |n, q| {
-        let answer = tagged(
+        let answer = row_with_tag(
             &long(2 * LONG),
             if q.contains("INSERT") {
                 "INSERT 0 1"
@@ -87,7 +87,7 @@
         if n == 0 {
             breaks(answer)
         } else {
-            Does::Say(answer)
+            Reply::Send(answer)
         }
     });
     let mut client = Client::connect(gateway.address);
@@ -96,11 +96,11 @@
     let mut rest = vec![];
     client.0.read_to_end(&mut rest).unwrap();
     assert!(
-        rest.len() > 1000 && !rest.ends_with(&ready()),
+        rest.len() > 1000 && !rest.ends_with(&ready_for_query()),
         "it had begun, and does not look whole"
     );
     let mut next = Client::connect(gateway.address);
-    assert!(next.ask(&ask(class, 2, 3000)) == Answer::Value(long(2 * LONG)));
+    assert!(next.query(&ask(class, 2, 3000)) == Answer::Value(long(2 * LONG)));
     assert_eq!(seen.count(), 2, "once each");
 }
 
@@ -112,21 +112,21 @@
     let (gateway, seen) = before(move |n, _| {
         let mut answer = row(&long(2 * LONG));
         if n > 0 {
-            return Does::Say(answer);
+            return Reply::Send(answer);
         }
         spoil(&mut answer);
-        Does::Cut(answer)
+        Reply::SendThenClose(answer)
     });
     let mut client = Client::connect(gateway.address);
-    assert!(client.ask(&ask("read", 1, 3000)) == Answer::Value(long(2 * LONG)));
+    assert!(client.query(&ask("read", 1, 3000)) == Answer::Value(long(2 * LONG)));
     assert_eq!(seen.count(), 2, "the read was sent again");
 }
 
 #[test]
 fn long_answers_keep_their_turn_among_others_and_outlive_a_planned_stop() {
     let (mut gateway, _) = before(|_, q| match q.split('\'').nth(1).unwrap() {
-        "x1" | "x3" => Does::Drip(row(&long(2 * LONG)), 16 * 1024, ms(50)),
-        other => Does::Say(row(other)),
+        "x1" | "x3" => Reply::SendSlowly(row(&long(2 * LONG)), 16 * 1024, ms(50)),
+        other => Reply::Send(row(other)),
     });
     let mut client = Client::connect(gateway.address);
     (0..5).for_each(|id| client.send(&ask("read", id, 3000)));
@@ -140,25 +140,25 @@
         };
         assert!(client.answer() == Answer::Value(want), "{id}");
     }
-    assert!(gateway.program.ended().success());
+    assert!(gateway.program.wait_for_exit().success());
 }
 
 /// Guards against a second run of a write whose endpoint is taken off the list while its answer streams, and whose
 /// connection breaks then.
 #[test]
 fn broken_stream_of_removed_endpoint_is_not_sent_again() {
-    let mut spoilt = tagged(&long(4 * LONG), "INSERT 0 1");
+    let mut spoilt = row_with_tag(&long(4 * LONG), "INSERT 0 1");
     let tag_at = spoilt.len() - 9;
     spoilt[tag_at] = b'X';
-    let (first, seen_first) = database("read-write", move |_, _| {
-        Does::Drip(spoilt.clone(), 3 * LONG, ms(1_500))
+    let (first, seen_first) = stub_database("read-write", move |_, _| {
+        Reply::SendSlowly(spoilt.clone(), 3 * LONG, ms(1_500))
     });
-    let (second, seen_second) = database("read-write", |_, q| Does::Say(echo_of(q)));
+    let (second, seen_second) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
     let known = [
         target("s-00000001", first, "read-write", "active"),
         target("s-00000002", second, "read-only", "active"),
     ];
-    let gateway = platform(&known.join(","), 15_000);
+    let gateway = start_gateway(&known.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&ask("once", 1, 4_000));
     client.0.read_exact(&mut [0; LONG]).unwrap();
@@ -174,28 +174,28 @@
         .push(removed.join(","));
     let mut rest = vec![];
     client.0.read_to_end(&mut rest).unwrap();
-    assert!(!rest.ends_with(&ready()), "it does not look whole");
+    assert!(!rest.ends_with(&ready_for_query()), "it does not look whole");
     let mut next = Client::connect(gateway.address);
     assert_eq!(
-        next.ask(&once_of(2, 4_000)),
+        next.query(&unsafe_write_query(2, 4_000)),
         Answer::Value("x2".into()),
         "the other one is the primary now"
     );
     let asked = [&seen_first, &seen_second].map(|seen| {
         let queries = seen.queries.lock().unwrap();
-        queries.iter().filter(|(_, q, _)| id_of(q) == 1).count()
+        queries.iter().filter(|(_, q, _)| query_id(q) == 1).count()
     });
     assert_eq!(asked, [1, 0], "the write is sent once");
 }
 
 #[test]
 fn a_client_that_leaves_in_the_middle_takes_its_databases_connection_with_it() {
-    let (gateway, seen) = before(|_, _| Does::Stall(row(&long(2 * LONG))[..LONG].to_vec()));
+    let (gateway, seen) = before(|_, _| Reply::SendThenStall(row(&long(2 * LONG))[..LONG].to_vec()));
     let mut client = Client::connect(gateway.address);
     client.send(&ask("once", 1, 3000));
     client.0.read_exact(&mut [0; LONG / 2]).unwrap();
     drop(client);
-    until("its connection ends", || {
+    wait_until("its connection ends", || {
         seen.closed.load(Ordering::SeqCst) == 1
     });
     assert_eq!(seen.count(), 1);
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_request_that_takes_two_seconds_to_write_is_served() {
-    let (gateway, _) = before(|_, _| Does::Say(row("x")));
+    let (gateway, _) = before(|_, _| Reply::Send(row("x")));
     let mut client = Client::connect(gateway.address);
     let query = message(b'Q', format!("{}\0", ask("read", 1, 3000)).as_bytes());
     let began = Instant::now();
@@ -217,7 +217,7 @@
 #[test]
 fn however_many_long_values_are_read_slowly_memory_stays_flat() {
     let answer = row(&long(4 * MIB));
-    let (gateway, _) = before(move |_, _| Does::Say(answer.clone()));
+    let (gateway, _) = before(move |_, _| Reply::Send(answer.clone()));
     let peak = || {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", gateway.program.0.id())).unwrap();
--- a/crates/gateway/tests/management.rs
+++ b/crates/gateway/tests/management.rs
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use support::manager::{ROOT, Walk, audit, index, own, v2c};
-use support::watched::{Plan, load_cql, load_pg, seen_databases, seen_nodes, statement, wait};
+use support::manager::{ROOT, Walk, audit_request_log, text_index, vh_oid, v2c};
+use support::monitored::{GatewayConfig, load_cql, load_pg, stub_databases, stub_nodes, workload_query, sleep_for};
 use support::*;
 use valehatch_request_log::{AttemptOutcome, Counter, RowKey, Scope};
 
 fn call(at: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(at).expect("the door is open");
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
         .write_all(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())
         .unwrap();
@@ -58,9 +58,9 @@
 }
 
 /// A file's gateway with the operators' address, and that address.
-fn told(pg: watched::Members, cql: watched::Members) -> (watched::Watched, SocketAddr) {
+fn told(pg: monitored::Members, cql: monitored::Members) -> (monitored::MonitoredGateway, SocketAddr) {
     let door = free_address();
-    let plan = Plan {
+    let plan = GatewayConfig {
         pg,
         cql,
         state: "sync-ms = 20".into(),
@@ -84,32 +84,32 @@
 
 #[test]
 fn the_figures_are_what_the_stand_ins_saw() {
-    let (database_at, seen) = database("read-write", |_, query| match query {
-        q if q.contains("c=once") => Does::Cut(vec![]),
-        q if q.contains("id=9,") => Does::Stall(vec![]),
-        q => Does::Say(tagged(q.split('\'').nth(1).unwrap(), "SELECT 1")),
+    let (database_at, seen) = stub_database("read-write", |_, query| match query {
+        q if q.contains("c=once") => Reply::SendThenClose(vec![]),
+        q if q.contains("id=9,") => Reply::SendThenStall(vec![]),
+        q => Reply::Send(row_with_tag(q.split('\'').nth(1).unwrap(), "SELECT 1")),
     });
     let door = free_address();
     let known = target("s-00000001", database_at, "read-write", "active");
-    let gateway = platform_edited(&known, 15_000, false, |text| {
+    let gateway = start_gateway_with_config(&known, 15_000, false, |text| {
         text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
     });
-    until("it is ready", || call(door, "/admin/health").0 == 200);
+    wait_until("it is ready", || call(door, "/admin/health").0 == 200);
     let mut client = Client::connect(gateway.address);
     for id in 1..=8 {
-        assert_eq!(client.ask(&read(id)), Answer::Value(format!("x{id}")));
+        assert_eq!(client.query(&read(id)), Answer::Value(format!("x{id}")));
     }
     // It may have run: it fails, and is not sent again.
-    assert!(matches!(client.ask(&once(20)), Answer::Error(code, _) if code != "53300"));
+    assert!(matches!(client.query(&once(20)), Answer::Error(code, _) if code != "53300"));
     client.send(&read(9));
-    until("the database has it", || {
+    wait_until("the database has it", || {
         seen.queries
             .lock()
             .unwrap()
             .iter()
             .any(|q| q.1.contains("id=9,"))
     });
-    until("one is open", || figure(door, "open_requests") == 1);
+    wait_until("one is open", || figure(door, "open_requests") == 1);
     let attempts = |class: &str| {
         seen.queries
             .lock()
@@ -118,7 +118,7 @@
             .filter(|q| q.1.contains(class))
             .count()
     };
-    until("attempts", || {
+    wait_until("attempts", || {
         figure(door, "operations.read.relayed") == attempts("c=read") as u64
     });
     assert_eq!(
@@ -130,12 +130,12 @@
     assert_eq!(figure(door, "registry_entries"), 1);
     let change = target("s-00000001", database_at, "read-write", "leaving");
     gateway.discovery.changes.lock().unwrap().push(change);
-    until("it is avoided", || figure(door, "out_of_rotation") == 1);
+    wait_until("it is avoided", || figure(door, "out_of_rotation") == 1);
     assert!(
         matches!(client.answer(), Answer::Error(..)),
         "no answer came in time"
     );
-    until("none is open", || figure(door, "open_requests") == 0);
+    wait_until("none is open", || figure(door, "open_requests") == 0);
     let ended = |what: &str| figure(door, &format!("operations.read.{what}"));
     assert_eq!(
         ended("fulfilled") + ended("throttled") + ended("faulted"),
@@ -143,13 +143,13 @@
     );
     gateway.program.terminate();
     let stopping = (503, "stopping: a planned stop was asked for\n".to_owned());
-    until("it says no", || call(door, "/admin/health") == stopping);
+    wait_until("it says no", || call(door, "/admin/health") == stopping);
 }
 
 #[test]
 fn health_without_a_list_says_so() {
     let door = free_address();
-    let _gateway = platform_edited("", 15_000, true, |text| {
+    let _gateway = start_gateway_with_config("", 15_000, true, |text| {
         text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
     });
     assert_eq!(
@@ -160,22 +160,22 @@
 
 #[test]
 fn a_member_that_cannot_be_reached_is_out_of_rotation_and_one_that_answers_is_not() {
-    let (primary, _) = database("read-write", |_, _| Does::Say(row("a")));
-    let (replica, _) = database("read-only", |_, _| Does::Say(row("a")));
+    let (primary, _) = stub_database("read-write", |_, _| Reply::Send(row("a")));
+    let (replica, _) = stub_database("read-only", |_, _| Reply::Send(row("a")));
     let (door, nobody) = (free_address(), free_address());
     let known = [
         target("s-00000001", primary, "read-write", "active"),
         target("s-00000002", replica, "read-only", "active"),
         target("s-00000003", nobody, "read-only", "active"),
     ];
-    let gateway = platform_edited(&known.join(","), 15_000, false, |text| {
+    let gateway = start_gateway_with_config(&known.join(","), 15_000, false, |text| {
         text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
     });
     let mut client = Client::connect(gateway.address);
     let mut id = 0;
-    until("it is avoided", || {
+    wait_until("it is avoided", || {
         id += 1;
-        assert_eq!(client.ask(&read(id)), Answer::Value("a".into()));
+        assert_eq!(client.query(&read(id)), Answer::Value("a".into()));
         figure(door, "out_of_rotation") == 1
     });
     assert_eq!(figure(door, "registry_entries"), 3);
@@ -183,12 +183,12 @@
 
 #[test]
 fn the_agent_the_ledger_and_the_figures_say_the_same_to_the_request() {
-    let ((pg, databases), (cql, nodes)) = (seen_databases(), seen_nodes());
+    let ((pg, databases), (cql, nodes)) = (stub_databases(), stub_nodes());
     let (mut watched, door) = told(pg, cql);
-    until("it is ready", || {
+    wait_until("it is ready", || {
         call(door, "/admin/health") == (200, "ready\n".into())
     });
-    until("the members of both fronts are listed", || {
+    wait_until("the members of both fronts are listed", || {
         figure(door, "registry_entries") == 4
     });
     let decisions = call(door, "/admin/decisions").1;
@@ -199,7 +199,7 @@
     let stop = AtomicBool::new(false);
     let (pg, cql) = (AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
-        let _stops = Stops(&stop);
+        let _stops = StopOnDrop(&stop);
         for n in 0..4 {
             let (stop, pg, cql, watched) = (&stop, &pg, &cql, &watched);
             scope
@@ -210,7 +210,7 @@
         }
         let mut last = outcome_metrics(door);
         for _ in 0..10 {
-            wait(Duration::from_millis(200));
+            sleep_for(Duration::from_millis(200));
             let now = outcome_metrics(door);
             let falls = last
                 .iter()
@@ -219,7 +219,7 @@
             last = now;
         }
         // How much comes of which trouble hangs on what else the machine does.
-        until("there is some of each", || {
+        wait_until("there is some of each", || {
             let now = outcome_metrics(door);
             let some = |what: &str| now.iter().any(|(name, n)| name.ends_with(what) && *n > 0);
             let sent = ["read", "once", "stay-read", "stay-write", "unknown"];
@@ -242,19 +242,19 @@
     ];
     let row = |walk: &Walk, (front, class): (&str, &str), column: u32| {
         walk.counters
-            .get(&[own(&[3, 1, column]), index(front), index(class)].concat())
+            .get(&[vh_oid(&[3, 1, column]), text_index(front), text_index(class)].concat())
             .copied()
             .unwrap_or(0)
     };
     let mut walk = Walk::default();
-    until("all that was asked has ended and is shown", || {
-        walk = Walk::of(&mut v2c(watched.agent), &ROOT).unwrap();
+    wait_until("all that was asked has ended and is shown", || {
+        walk = Walk::fetch(&mut v2c(watched.agent), &ROOT).unwrap();
         classes.iter().map(|c| row(&walk, *c, 3)).sum::<u64>() == asked
     });
-    until("none is open", || figure(door, "open_requests") == 0);
+    wait_until("none is open", || figure(door, "open_requests") == 0);
     let shown = outcome_metrics(door);
     let told = |class: &str, what: &str| shown[&format!("operations.{class}.{what}")];
-    let (log, lines) = audit(&watched.dir);
+    let (log, lines) = audit_request_log(&watched.dir);
     assert_eq!(lines, asked);
     let queries: Vec<String> = databases
         .iter()
@@ -264,7 +264,7 @@
     let frames: Vec<String> = nodes
         .iter()
         .flat_map(|n| {
-            n.seen
+            n.requests
                 .lock()
                 .unwrap()
                 .iter()
@@ -342,25 +342,25 @@
     let sums = [4, 6, 7].map(|column| classes.iter().map(|c| row(&walk, *c, column)).sum::<u64>());
     assert!(sums.iter().all(|n| *n > 0), "of each end some: {sums:?}");
     watched.program.terminate();
-    until("it says no", || call(door, "/admin/health").0 == 503);
-    assert!(watched.program.ended().success());
+    wait_until("it says no", || call(door, "/admin/health").0 == 503);
+    assert!(watched.program.wait_for_exit().success());
 }
 
 /// Every node gives a statement the same id, and `known` are those that it has been told.
-fn forgetful(known: &Mutex<Vec<Vec<u8>>>, frame: &cql::Frame) -> cql::Does {
+fn forgetful(known: &Mutex<Vec<Vec<u8>>>, frame: &cql::Frame) -> cql::Reply {
     let mut known = known.lock().unwrap();
     match frame.op {
         0x09 => {
             known.push(frame.body[4..].to_vec());
             let id = cql::short(&frame.body[4..]);
-            cql::Does::Say(cql::RESULT, [&[0, 0, 0, 4][..], &id, &[0; 20]].concat())
+            cql::Reply::Send(cql::RESULT, [&[0, 0, 0, 4][..], &id, &[0; 20]].concat())
         }
         _ => {
             let id = frame.body[2..2 + usize::from(frame.body[1])].to_vec();
             if known.contains(&id) {
-                cql::Does::Say(cql::RESULT, cql::rows("x"))
+                cql::Reply::Send(cql::RESULT, cql::rows_body("x"))
             } else {
-                cql::Does::Say(cql::ERROR, cql::fault(0x2500, &cql::short(&id)))
+                cql::Reply::Send(cql::ERROR, cql::error_body(0x2500, &cql::short(&id)))
             }
         }
     }
@@ -370,26 +370,26 @@
 fn an_attempt_at_a_node_that_is_told_its_statement_again_is_counted_once() {
     let known: Arc<Mutex<Vec<Vec<u8>>>> = Arc::default();
     let shared = Arc::clone(&known);
-    let (at, seen) = cql::node(move |frame, _| forgetful(&shared, frame));
+    let (at, seen) = cql::stub_node(move |frame, _| forgetful(&shared, frame));
     let (watched, door) = told(vec![], vec![("node", at, true)]);
     let mut client = cql::Client::connect(watched.cql);
     let text = "INSERT INTO s (a) VALUES (?)";
-    assert_eq!(client.ask(1, (0x09, cql::long(text))).op, cql::RESULT);
+    assert_eq!(client.request(1, (0x09, cql::long(text))).op, cql::RESULT);
     known.lock().unwrap().clear();
     let execute = (
         0x0a,
         [&cql::short(text.as_bytes())[..], &[0, 1, 0]].concat(),
     );
-    assert_eq!(client.ask(2, execute).op, cql::RESULT);
+    assert_eq!(client.request(2, execute).op, cql::RESULT);
     let ops: Vec<u8> = seen
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
         .map(|(_, _, f)| f.op)
         .collect();
     assert_eq!(ops, [0x09, 0x0a, 0x09, 0x0a]);
-    until("they are counted", || {
+    wait_until("they are counted", || {
         figure(door, "operations.prepare.relayed") == 1
     });
     assert_eq!(figure(door, "operations.stay-write.relayed"), 1);
@@ -427,7 +427,7 @@
     let mut words = 0;
     while !stop.load(Ordering::SeqCst) {
         let mut client = Client::connect(address);
-        client.send(&statement(1));
+        client.send(&workload_query(1));
         heard.note(&client.answer());
         words +=
             usize::from(matches!(client.answer(), Answer::Error(code, Some(_)) if code == "53300"));
@@ -444,7 +444,7 @@
             break;
         }
         let mut own = client.take().unwrap_or_else(|| Client::connect(address));
-        let mut query = statement(n);
+        let mut query = workload_query(n);
         if n % 53 == 0 {
             query = query.replace("d=500", "d=5");
         }
@@ -463,13 +463,13 @@
 #[test]
 fn under_resets_leavers_refusals_last_words_and_drains_the_figures_are_what_clients_and_databases_saw()
  {
-    let (members, seen) = seen_databases();
+    let (members, seen) = stub_databases();
     let door = free_address();
     let known = [
         target("s-00000001", members[0].1, "read-write", "active"),
         target("s-00000002", members[1].1, "read-only", "active"),
     ];
-    let gateway = platform_edited(&known.join(","), 15_000, false, |text| {
+    let gateway = start_gateway_with_config(&known.join(","), 15_000, false, |text| {
         text.replacen("\"listen\"", &format!("\"mgmt\":\"{door}\",\"listen\""), 1)
     });
     let (stop, calm, heard) = (
@@ -483,7 +483,7 @@
             .map(|what| shown[&format!("operations.{class}.{what}")])
     };
     let stay: Vec<Option<Client>> = thread::scope(|scope| {
-        let _stops = (Stops(&stop), Stops(&calm));
+        let _stops = (StopOnDrop(&stop), StopOnDrop(&calm));
         let words = scope.spawn(|| stays(gateway.address, &calm, &heard[0]));
         let threads: Vec<_> = (0..8)
             .map(|n| {
@@ -495,10 +495,10 @@
             let state = if n % 2 == 0 { "leaving" } else { "active" };
             let change = target("s-00000002", members[1].1, "read-only", state);
             gateway.discovery.changes.lock().unwrap().push(change);
-            until("the drain, or its end, is seen", || {
+            wait_until("the drain, or its end, is seen", || {
                 figure(door, "out_of_rotation") == (n + 1) % 2
             });
-            wait(Duration::from_millis(150));
+            sleep_for(Duration::from_millis(150));
             let before = [heard[0].all(), heard[1].all()];
             let now = outcome_metrics(door);
             for (class, before) in ["read", "once"].into_iter().zip(before) {
@@ -509,19 +509,19 @@
                 );
             }
         }
-        until("there is some of each", || {
+        wait_until("there is some of each", || {
             heard.iter().all(|h| h.all().iter().all(|n| *n > 0))
         });
         calm.store(true, Ordering::SeqCst);
         assert!(words.join().unwrap() > 0, "some heard a last word");
         gateway.program.terminate();
-        until("it stops", || call(door, "/admin/health").0 == 503);
-        wait(Duration::from_millis(300));
+        wait_until("it stops", || call(door, "/admin/health").0 == 503);
+        sleep_for(Duration::from_millis(300));
         stop.store(true, Ordering::SeqCst);
         threads.into_iter().map(|t| t.join().unwrap()).collect()
     });
     let mut shown = BTreeMap::new();
-    until("none is open", || {
+    wait_until("none is open", || {
         shown = outcome_metrics(door);
         shown["open_requests"] == 0
     });
@@ -530,7 +530,7 @@
         let (told, heard) = (ended(&shown, class), heard.all());
         let relayed = shown[&format!("operations.{class}.relayed")];
         let of_class = format!("c={class},");
-        let came = |seen: &Arc<Seen>| {
+        let came = |seen: &Arc<StubDatabase>| {
             seen.queries
                 .lock()
                 .unwrap()
@@ -564,10 +564,10 @@
 #[test]
 fn what_finds_no_room_at_the_door_is_counted_as_throttled_and_reaches_no_database() {
     const WRITES: usize = 40;
-    let (at, seen) = database("read-write", |_, _| Does::Stall(vec![]));
+    let (at, seen) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
     let door = free_address();
     // An eighth of it is for the bytes of open requests: twenty of these.
-    let gateway = platform_edited(
+    let gateway = start_gateway_with_config(
         &target("s-00000001", at, "read-write", "active"),
         15_000,
         false,
@@ -606,10 +606,10 @@
     #[case] wanted: &str,
 ) {
     let other = std::net::TcpListener::bind(free_address()).unwrap();
-    let path = folder().join("gateway.toml");
+    let path = temp_folder().join("gateway.toml");
     let text = include_str!("../../../deploy/gateway.toml").replace(
         "valehatch-state",
-        &folder().join("state").display().to_string(),
+        &temp_folder().join("state").display().to_string(),
     );
     let listen = listen(other.local_addr().unwrap());
     std::fs::write(&path, format!("mgmt = {{ listen = \"{listen}\" }}\n{text}")).unwrap();
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -18,7 +18,7 @@
     fronts: Vec<SocketAddr>,
     real: Vec<SocketAddr>,
     database: SocketAddr,
-    programs: Vec<Option<Program>>,
+    programs: Vec<Option<GatewayProcess>>,
 }
 
 fn config(front: SocketAddr, database: SocketAddr, peers: &str) -> String {
@@ -35,7 +35,7 @@
         let real: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
         let relays = Relays::start(real.clone(), 1).unwrap();
         let fronts = (0..size).map(|_| free_address()).collect();
-        let (database, _) = database("read-write", |_, _| Does::Say(row("here")));
+        let (database, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
         let programs = (0..size).map(|_| None).collect();
         let mut fleet = Self {
             relays,
@@ -64,9 +64,9 @@
             known,
             seeds.join(", ")
         );
-        let path = folder().join("gateway.toml");
+        let path = temp_folder().join("gateway.toml");
         std::fs::write(&path, config(self.fronts[n], self.database, &peers)).unwrap();
-        let program = Program::start(&["serve", path.to_str().unwrap()], None, self.fronts[n]);
+        let program = GatewayProcess::start(&["serve", path.to_str().unwrap()], None, self.fronts[n]);
         self.programs[n] = Some(program);
     }
 
@@ -106,7 +106,7 @@
         let running: Vec<usize> = (0..self.programs.len())
             .filter(|n| self.programs[*n].is_some())
             .collect();
-        until(what, || {
+        wait_until(what, || {
             running.iter().all(|n| {
                 let others = running.iter().filter(|o| *o != n).map(|o| self.known(*o));
                 self.living(*n) == others.collect::<BTreeSet<_>>()
@@ -130,7 +130,7 @@
         let running: Vec<usize> = (0..self.programs.len())
             .filter(|n| self.programs[*n].is_some())
             .collect();
-        until(what, || {
+        wait_until(what, || {
             let views: BTreeSet<_> = running.iter().map(|n| self.view(*n)).collect();
             views.len() == 1 && views.iter().flatten().any(|v| v.0 == members)
         });
@@ -146,7 +146,7 @@
         {
             let query = "/* id=1,c=read,t=acme,d=5000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x'";
             assert_eq!(
-                Client::connect(front).ask(query),
+                Client::connect(front).query(query),
                 Answer::Value("here".into())
             );
         }
@@ -167,14 +167,14 @@
     fleet.programs[3]
         .as_ref()
         .unwrap()
-        .says("gateway count changed gateways=7");
+        .wait_for_log("gateway count changed gateways=7");
     fleet.kill(&[0, 1, 2, 4, 5]);
     [0, 1, 2, 4, 5].into_iter().for_each(|n| fleet.start(n));
     fleet.agrees("all know all again, the seeds among them");
     fleet.settles(7, "all hold the same after the kill");
     fleet.serves();
     let anew = format!("gateway restarted peer={}\n", fleet.known(4));
-    until("it is told from its former self", || {
+    wait_until("it is told from its former self", || {
         fleet.log(3).contains(&anew) && fleet.log(6).contains(&anew)
     });
 }
@@ -185,10 +185,10 @@
     fleet.agrees("all know all");
     fleet.programs[2].as_ref().unwrap().terminate();
     let left = format!("gateway left peer={}\n", fleet.known(2));
-    until("they heard of its end", || {
+    wait_until("they heard of its end", || {
         [0, 1, 3].iter().all(|n| fleet.log(*n).contains(&left))
     });
-    fleet.programs[2].as_mut().unwrap().ended();
+    fleet.programs[2].as_mut().unwrap().wait_for_exit();
     fleet.programs[2] = None;
     fleet.kill(&[3]);
     fleet.agrees("they missed the other");
@@ -214,7 +214,7 @@
     let stopped = fleet.known(3);
     fleet.programs[3].as_ref().unwrap().signal("STOP");
     let dead = format!("gateway failed peer={stopped}\n");
-    until("the others miss it", || {
+    wait_until("the others miss it", || {
         (0..3).all(|n| fleet.log(n).contains(&dead))
     });
     // Only now: while it stands still it says nothing, and what it said just before has been read.
@@ -248,11 +248,11 @@
         ..Weather::default()
     });
     let other_half: BTreeSet<SocketAddr> = (0..3).map(|n| fleet.known(n)).collect();
-    until(
+    wait_until(
         "the half that hears nothing of the other gives it up",
         || (3..6).all(|n| fleet.living(n).is_disjoint(&other_half)),
     );
-    until("each half is settled by itself", || {
+    wait_until("each half is settled by itself", || {
         (0..6).all(|n| fleet.view(n).is_some_and(|v| v.0 == 3))
     });
     fleet.serves();
@@ -279,7 +279,7 @@
                 .contains(&format!("gateway joined peer={}\n", fleet.known(o)))
         })
     };
-    until("each has met each", || (0..5).all(found));
+    wait_until("each has met each", || (0..5).all(found));
     fleet.serves();
     fleet.relays.set(Weather::default());
     fleet.agrees("in fair weather all is well");
@@ -306,9 +306,9 @@
         "[peers]\nlisten = \"{listen}\"\nfleet = \"another\"\nseeds = [{}]\nfrom = [\"127.0.0.0/8\"]\nprobe-ms = 150\n",
         seeds.join(", ")
     );
-    let path = folder().join("gateway.toml");
+    let path = temp_folder().join("gateway.toml");
     std::fs::write(&path, config(front, fleet.database, &peers)).unwrap();
-    let other = Program::start(&["serve", path.to_str().unwrap()], None, front);
+    let other = GatewayProcess::start(&["serve", path.to_str().unwrap()], None, front);
     for n in 0..300_usize {
         let bytes: Vec<u8> = (0..n)
             .map(|b| u8::try_from((b * n) % 251).unwrap())
@@ -340,7 +340,7 @@
         ..Weather::default()
     });
     fleet.start_as(4, fleet.known(3));
-    until("both are told", || {
+    wait_until("both are told", || {
         [3, 4].iter().all(|n| {
             fleet
                 .log(*n)
@@ -366,7 +366,7 @@
     "peers.port"
 )]
 fn what_is_wrong_with_the_peers_is_named(#[case] peers: &str, #[case] key: &str) {
-    let path = folder().join("gateway.toml");
+    let path = temp_folder().join("gateway.toml");
     let text = config(
         free_address(),
         free_address(),
--- a/crates/gateway/tests/pipeline.rs
+++ b/crates/gateway/tests/pipeline.rs
@@ -39,22 +39,22 @@
     const ASKED: usize = 40;
     let go = Arc::new(AtomicBool::new(false));
     let may = Arc::clone(&go);
-    let (at, seen) = database("read-only", move |_, q| {
+    let (at, seen) = stub_database("read-only", move |_, q| {
         if q.contains("id=1,") {
-            until("the first may be answered", || may.load(Ordering::SeqCst));
+            wait_until("the first may be answered", || may.load(Ordering::SeqCst));
         }
-        Does::Say(echo(q))
+        Reply::Send(echo(q))
     });
     let members: Vec<_> = (1..=8)
         .map(|n| target(&format!("s-{n:08x}"), at, "read-only", "active"))
         .collect();
-    let gateway = platform(&members.join(","), 15_000);
+    let gateway = start_gateway(&members.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     let asked = Instant::now();
     for id in 1..=ASKED {
         client.send(&read(u32::try_from(id).unwrap(), 4_000));
     }
-    until("all have begun though the first has no answer", || {
+    wait_until("all have begun though the first has no answer", || {
         seen.count() == ASKED
     });
     go.store(true, Ordering::SeqCst);
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -39,16 +39,16 @@
             front: free_address(),
             discovery,
             at,
-            dir: folder().join("state"),
+            dir: temp_folder().join("state"),
         }
     }
 
-    fn start(&self, every_ms: u32) -> Program {
+    fn start(&self, every_ms: u32) -> GatewayProcess {
         self.start_with(every_ms, "")
     }
 
-    fn start_with(&self, every_ms: u32, more: &str) -> Program {
-        let path = folder().join("gateway.toml");
+    fn start_with(&self, every_ms: u32, more: &str) -> GatewayProcess {
+        let path = temp_folder().join("gateway.toml");
         let (front, dir, at) = (self.front, self.dir.display(), self.at);
         let contract = |name: &str, need: &str, effect: &str| {
             format!(
@@ -62,7 +62,7 @@
             contract("once", "write", "unsafe"),
         );
         std::fs::write(&path, text).unwrap();
-        Program::start(&["serve", path.to_str().unwrap()], None, front)
+        GatewayProcess::start(&["serve", path.to_str().unwrap()], None, front)
     }
 
     fn silence(&self, silent: bool) {
@@ -76,7 +76,7 @@
 
     /// Waits until what is kept is such.
     fn keeps(&self, what: &str, such: impl Fn(&Snapshot) -> bool) {
-        until(what, || self.kept().is_some_and(|s| such(&s)));
+        wait_until(what, || self.kept().is_some_and(|s| such(&s)));
     }
 
     fn is(&self, state: &str, why: &str) -> bool {
@@ -98,11 +98,11 @@
             "INSERT INTO objects"
         };
         let query = format!("/* id=1,c={class},t=acme,d=3000,cluster=0 */ {verb} WHERE oid = 'x'");
-        Client::connect(self.front).ask(&query)
+        Client::connect(self.front).query(&query)
     }
 }
 
-fn kill(mut program: Program) {
+fn kill(mut program: GatewayProcess) {
     program.0.kill().unwrap();
     program.0.wait().unwrap();
 }
@@ -114,11 +114,11 @@
 #[test]
 fn with_discovery_silent_a_restart_serves_from_its_own_list_and_is_full_when_discovery_has_confirmed_it()
  {
-    let (at, _) = database("read-write", |_, _| Does::Say(row("here")));
+    let (at, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
     let site = Site::new(target("a", at, "read-write", "active"));
     let program = site.start(20);
-    until("served", || site.ask("read") == here());
-    until("full", || site.is("full", "took-ms"));
+    wait_until("served", || site.ask("read") == here());
+    wait_until("full", || site.is("full", "took-ms"));
     assert_eq!(site.state_keys(), ["started-ms", "state", "took-ms"]);
     site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
     kill(program);
@@ -129,27 +129,27 @@
         here(),
         "at once: nobody has to be asked first"
     );
-    until("recovering", || site.is("recovering", "list"));
+    wait_until("recovering", || site.is("recovering", "list"));
     assert_eq!(site.state_keys(), ["started-ms", "state", "why"]);
     site.silence(false);
-    until("full again", || site.is("full", "took-ms"));
+    wait_until("full again", || site.is("full", "took-ms"));
     kill(program);
     // What was kept made the difference.
     std::fs::remove_dir_all(&site.dir).unwrap();
     site.silence(true);
     let program = site.start(20);
     assert!(matches!(site.ask("read"), Answer::Error(code, Some(_)) if code == "53300"));
-    program.says("no snapshot found");
+    program.wait_for_log("no snapshot found");
     site.silence(false);
-    until("served again", || site.ask("read") == here());
+    wait_until("served again", || site.ask("read") == here());
 }
 
 #[test]
 fn a_believed_primary_is_tried_first_and_proves_itself() {
-    let (old, wrong) = database("read-only", |_, _| Does::Say(error("25006")));
-    let (new, right) = database("read-write", |_, q| {
-        Does::Say(if q.contains("INSERT") {
-            tagged("here", "INSERT 0 1")
+    let (old, wrong) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
+    let (new, right) = stub_database("read-write", |_, q| {
+        Reply::Send(if q.contains("INSERT") {
+            row_with_tag("here", "INSERT 0 1")
         } else {
             row("here")
         })
@@ -161,7 +161,7 @@
     .join(",");
     let site = Site::new(list);
     let program = site.start(20);
-    until("the search has found it", || site.ask("once") == here());
+    wait_until("the search has found it", || site.ask("once") == here());
     site.keeps("the belief", |s| {
         s.fronts[0]
             .primaries
@@ -187,13 +187,13 @@
     // Each tells its role with its answer, which ends the connection.
     let member = |primary_after: bool| {
         let changed = Arc::clone(&changed);
-        database("unused", move |_, _| {
+        stub_database("unused", move |_, _| {
             let primary = changed.load(Ordering::SeqCst) == primary_after;
             let (answer, role) = match primary {
-                true => (tagged("here", "INSERT 0 1"), "read-write"),
+                true => (row_with_tag("here", "INSERT 0 1"), "read-write"),
                 false => (error("25006"), "read-only"),
             };
-            Does::Cut([answer, mode(role), ready()].concat())
+            Reply::SendThenClose([answer, mode_status(role), ready_for_query()].concat())
         })
     };
     let ((one, first), (two, second)) = (member(false), member(true));
@@ -205,7 +205,7 @@
             u8::from(primary)
         ))
     };
-    (*first.stats.lock().unwrap(), *second.stats.lock().unwrap()) = (stats(true), stats(false));
+    (*first.probe_reply.lock().unwrap(), *second.probe_reply.lock().unwrap()) = (stats(true), stats(false));
     let list = [
         target("a", one, "read-write", "active"),
         target("b", two, "read-only", "active"),
@@ -213,7 +213,7 @@
     .join(",");
     let site = Site::new(list);
     let program = site.start(20);
-    until("served by the first", || site.ask("once") == here());
+    wait_until("served by the first", || site.ask("once") == here());
     site.keeps("the belief", |s| {
         s.fronts[0]
             .primaries
@@ -222,7 +222,7 @@
     });
     kill(program);
     changed.store(true, Ordering::SeqCst);
-    (*first.stats.lock().unwrap(), *second.stats.lock().unwrap()) = (stats(false), stats(true));
+    (*first.probe_reply.lock().unwrap(), *second.probe_reply.lock().unwrap()) = (stats(false), stats(true));
     site.silence(true);
     let before = first.count();
     let _program = site.start(20);
@@ -236,8 +236,8 @@
 
 #[test]
 fn a_member_that_was_leaving_gets_nothing_after_a_restart_until_discovery_says_otherwise() {
-    let (one, _) = database("read-write", |_, _| Does::Say(row("here")));
-    let (two, leaving) = database("read-only", |_, _| Does::Say(row("here")));
+    let (one, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
+    let (two, leaving) = stub_database("read-only", |_, _| Reply::Send(row("here")));
     let list = [
         target("a", one, "read-write", "active"),
         target("b", two, "read-only", "active"),
@@ -245,7 +245,7 @@
     .join(",");
     let site = Site::new(list);
     let program = site.start(20);
-    until("served", || site.ask("read") == here());
+    wait_until("served", || site.ask("read") == here());
     site.discovery
         .changes
         .lock()
@@ -260,7 +260,7 @@
     kill(program);
     site.silence(true);
     // What the killed process had sent it has been counted by then.
-    until("its connections have ended there", || {
+    wait_until("its connections have ended there", || {
         leaving.closed.load(Ordering::SeqCst) == leaving.opened.load(Ordering::SeqCst)
     });
     let before = (leaving.count(), leaving.probes.load(Ordering::SeqCst));
@@ -285,10 +285,10 @@
     #[case] spoil: fn(&mut Vec<u8>),
     #[case] said: &str,
 ) {
-    let (at, seen) = database("read-write", |_, _| Does::Say(row("here")));
+    let (at, seen) = stub_database("read-write", |_, _| Reply::Send(row("here")));
     let site = Site::new(target("a", at, "read-write", "active"));
     let program = site.start(20);
-    until("served", || site.ask("read") == here());
+    wait_until("served", || site.ask("read") == here());
     site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
     kill(program);
     let path = site.dir.join("snapshot");
@@ -298,14 +298,14 @@
     site.silence(true);
     let before = seen.count();
     let program = site.start(3_600_000);
-    program.says(said);
+    program.wait_for_log(said);
     assert!(
         matches!(site.ask("read"), Answer::Error(code, Some(_)) if code == "53300"),
         "no list: refused, with a time"
     );
     assert_eq!(seen.count(), before);
     site.silence(false);
-    until("served", || site.ask("read") == here());
+    wait_until("served", || site.ask("read") == here());
 }
 
 fn edited(bytes: &mut Vec<u8>, edit: impl Fn(&mut Snapshot)) {
@@ -317,8 +317,8 @@
 #[test]
 fn with_its_folder_lost_and_discovery_silent_a_gateway_learns_the_list_and_its_drains_from_another()
 {
-    let (one, _) = database("read-write", |_, _| Does::Say(row("here")));
-    let (two, leaving) = database("read-only", |_, _| Does::Say(row("here")));
+    let (one, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
+    let (two, leaving) = stub_database("read-only", |_, _| Reply::Send(row("here")));
     let list = [
         target("a", one, "read-write", "active"),
         target("b", two, "read-only", "leaving"),
@@ -333,16 +333,16 @@
         )
     };
     let _keeps = first.start_with(20, &peers(a, b));
-    until("served", || first.ask("read") == here());
+    wait_until("served", || first.ask("read") == here());
     let lost = second.start_with(20, &peers(b, a));
-    until("served by the other", || second.ask("read") == here());
+    wait_until("served by the other", || second.ask("read") == here());
     kill(lost);
     std::fs::remove_dir_all(&second.dir).unwrap();
     second.silence(true);
     let before = leaving.count();
     let program = second.start_with(20, &peers(b, a));
     // It asks ever less often, and a machine that stands still answers nothing.
-    within(3 * WAIT, "it is told", || {
+    wait_until_within(3 * TEST_TIMEOUT, "it is told", || {
         program.log().lines().any(|line| {
             line.contains("took the endpoint list of another gateway")
                 && line.contains("endpoints=2 version=0")
@@ -359,27 +359,27 @@
         "until discovery has confirmed it"
     );
     second.silence(false);
-    until("full", || second.is("full", "took-ms"));
+    wait_until("full", || second.is("full", "took-ms"));
 }
 
 #[test]
 fn a_folder_that_cannot_be_written_is_said_once_and_service_goes_on() {
-    let (at, _) = database("read-write", |_, _| Does::Say(row("here")));
+    let (at, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
     let site = Site::new(target("a", at, "read-write", "active"));
     // In the way of the file that is written aside.
     std::fs::create_dir_all(site.dir.join("snapshot.new")).unwrap();
     let program = site.start(20);
-    until("served", || site.ask("read") == here());
-    program.says("snapshot write failed, service continues");
+    wait_until("served", || site.ask("read") == here());
+    program.wait_for_log("snapshot write failed, service continues");
     std::fs::remove_dir(site.dir.join("snapshot.new")).unwrap();
-    program.says("snapshot writing works again");
+    program.wait_for_log("snapshot writing works again");
     site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
     assert_eq!(program.log().matches("snapshot write failed").count(), 1);
 }
 
 #[test]
 fn killed_at_200_random_moments_of_writing_there_is_always_a_whole_snapshot_or_none() {
-    let (at, _) = database("read-write", |_, _| Does::Say(row("here")));
+    let (at, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
     // Large enough that a write takes a while.
     let many = (0..1500).map(|n| {
         let (uid, group) = (format!("server-{n:05}"), n % 500);
--- a/crates/gateway/tests/sites.rs
+++ b/crates/gateway/tests/sites.rs
@@ -57,8 +57,8 @@
 }
 
 /// A gateway with a site's settings, between these members.
-fn served(settings: &Value, members: &[String]) -> Platform {
-    platform_edited(&members.join(","), 15_000, false, |text| {
+fn served(settings: &Value, members: &[String]) -> TestGateway {
+    start_gateway_with_config(&members.join(","), 15_000, false, |text| {
         let mut config: Value = serde_json::from_str(&text).unwrap();
         config["settings"] = settings.clone();
         config.to_string()
@@ -76,8 +76,8 @@
 }
 
 /// What a member that serves a query answers.
-fn done(query: &str) -> Does {
-    Does::Say(tagged(
+fn done(query: &str) -> Reply {
+    Reply::Send(row_with_tag(
         "done",
         if query.contains("INSERT") {
             "INSERT 0 1"
@@ -88,9 +88,9 @@
 }
 
 /// A member that breaks the connection at the first query of each id, with no answer, and serves the next.
-fn breaking(role: &'static str) -> (SocketAddr, std::sync::Arc<Seen>) {
+fn breaking(role: &'static str) -> (SocketAddr, std::sync::Arc<StubDatabase>) {
     let met = std::sync::Mutex::new(std::collections::BTreeSet::new());
-    database(role, move |_, query| {
+    stub_database(role, move |_, query| {
         let id = query
             .split("id=")
             .nth(1)
@@ -100,14 +100,14 @@
             .unwrap()
             .to_owned();
         if met.lock().unwrap().insert(id) {
-            Does::Cut(vec![])
+            Reply::SendThenClose(vec![])
         } else {
             done(query)
         }
     })
 }
 
-fn asked(seen: &Seen, id: &str) -> usize {
+fn asked(seen: &StubDatabase, id: &str) -> usize {
     let id = format!("id={id},");
     seen.queries
         .lock()
@@ -128,9 +128,9 @@
         &[target("s-00000001", primary, "read-write", "active")],
     );
     let mut client = Client::connect(gateway.address);
-    assert_eq!(client.ask(&read(1, "plads check")), done);
-    assert_eq!(client.ask(&write(2, "køb & betal")), done);
-    assert_eq!(client.ask(&write(3, "én gang")), broken);
+    assert_eq!(client.query(&read(1, "plads check")), done);
+    assert_eq!(client.query(&write(2, "køb & betal")), done);
+    assert_eq!(client.query(&write(3, "én gang")), broken);
     assert_eq!(
         [asked(&seen, "r1"), asked(&seen, "w2"), asked(&seen, "w3")],
         [2, 2, 1]
@@ -142,9 +142,9 @@
         &[target("s-00000001", primary, "read-write", "active")],
     );
     let mut client = Client::connect(gateway.address);
-    assert_eq!(client.ask(&write(1, "én gang")), broken);
-    assert_eq!(client.ask(&write(2, "plads check")), broken);
-    assert_eq!(client.ask(&read(3, "42")), done);
+    assert_eq!(client.query(&write(1, "én gang")), broken);
+    assert_eq!(client.query(&write(2, "plads check")), broken);
+    assert_eq!(client.query(&read(3, "42")), done);
     assert_eq!(
         [asked(&seen, "w1"), asked(&seen, "w2"), asked(&seen, "r3")],
         [1, 1, 2]
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_name_that_no_setting_has_is_named() {
-    let (primary, seen) = database("read-write", |_, query| done(query));
+    let (primary, seen) = stub_database("read-write", |_, query| done(query));
     let gateway = served(
         &hall(),
         &[target("s-00000001", primary, "read-write", "active")],
@@ -199,7 +199,7 @@
 /// A value of the comment that looks like another name is none.
 #[test]
 fn a_name_that_looks_like_a_time_stays_as_it_is() {
-    let (primary, seen) = database("read-write", |_, query| done(query));
+    let (primary, seen) = stub_database("read-write", |_, query| done(query));
     let mut settings = hall();
     settings["classes"][0]["name"] = json!("plads d=7");
     let gateway = served(
@@ -224,9 +224,9 @@
 #[case(0, "hal a", "hal ø")]
 #[case(0, "hal a", "hal c")]
 fn zones_are_told_apart_by_their_names(#[case] zone: u8, #[case] own: &str, #[case] other: &str) {
-    let (near, by_near) = database("read-only", |_, _| Does::Say(row("near")));
-    let (far, by_far) = database("read-only", |_, _| Does::Say(row("far")));
-    let (primary, _) = database("read-write", |_, _| Does::Say(row("primary")));
+    let (near, by_near) = stub_database("read-only", |_, _| Reply::Send(row("near")));
+    let (far, by_far) = stub_database("read-only", |_, _| Reply::Send(row("far")));
+    let (primary, _) = stub_database("read-write", |_, _| Reply::Send(row("primary")));
     let members = [
         in_zone(&target("s-00000001", primary, "read-write", "active"), own),
         in_zone(&target("s-00000002", far, "read-only", "active"), other),
@@ -238,7 +238,7 @@
     let mut client = Client::connect(gateway.address);
     for id in 0..300 {
         assert!(matches!(
-            client.ask(&read(id, "plads check")),
+            client.query(&read(id, "plads check")),
             Answer::Value(_)
         ));
     }
@@ -250,8 +250,8 @@
 #[test]
 fn probes_are_sent_where_the_site_allows_them() {
     for (settings, allowed) in [(hall(), true), (yard(), false)] {
-        let (primary, _) = database("read-write", |_, _| Does::Say(row("primary")));
-        let (replica, seen) = database("read-only", |_, _| Does::Say(row("replica")));
+        let (primary, _) = stub_database("read-write", |_, _| Reply::Send(row("primary")));
+        let (replica, seen) = stub_database("read-only", |_, _| Reply::Send(row("replica")));
         let members = [
             target("s-00000001", primary, "read-write", "active"),
             target("s-00000002", replica, "read-only", "active"),
@@ -261,10 +261,10 @@
         let mut id = 0;
         let mut ask = || {
             id += 1;
-            client.ask(&read(id, "frisk læsning"))
+            client.query(&read(id, "frisk læsning"))
         };
         if allowed {
-            until("a replica that was asked how far it is serves", || {
+            wait_until("a replica that was asked how far it is serves", || {
                 ask() == Answer::Value("replica".into())
             });
         } else {
@@ -278,7 +278,7 @@
 #[test]
 fn a_client_waits_for_as_long_as_its_site_says() {
     let took = |settings: &Value| {
-        let (primary, _) = database("read-write", |_, _| Does::Stall(vec![]));
+        let (primary, _) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
         let gateway = served(
             settings,
             &[target("s-00000001", primary, "read-write", "active")],
@@ -291,7 +291,7 @@
             "én gang"
         };
         let query = write(1, class).replace("d=4000", "d=20000");
-        assert!(matches!(client.ask(&query), Answer::Error(code, _) if code == "57014"));
+        assert!(matches!(client.query(&query), Answer::Error(code, _) if code == "57014"));
         began.elapsed().as_millis()
     };
     let (hall, yard) = (took(&hall()), took(&yard()));
@@ -324,11 +324,11 @@
     let mut config: Value = serde_json::from_str(&text).unwrap();
     config["settings"] = hall();
     *config["settings"].pointer_mut(at).unwrap() = value;
-    let path = folder().join("config.json");
+    let path = temp_folder().join("config.json");
     std::fs::write(&path, config.to_string()).unwrap();
-    let mut program = Program::begin(&[], Some(&path), &[]);
-    assert_eq!(program.ended().code(), Some(2));
-    program.says(&format!("settings: {key}"));
+    let mut program = GatewayProcess::spawn(&[], Some(&path), &[]);
+    assert_eq!(program.wait_for_exit().code(), Some(2));
+    program.wait_for_log(&format!("settings: {key}"));
 }
 
 /// Figures end a class's name at a colon; whoever has them told is told of such a name.
@@ -338,15 +338,15 @@
     let mut config: Value = serde_json::from_str(&text).unwrap();
     config["settings"] = hall();
     config["settings"]["classes"][0]["name"] = json!("plads:check");
-    let path = folder().join("config.json");
+    let path = temp_folder().join("config.json");
     std::fs::write(&path, config.to_string()).unwrap();
-    let mut program = Program::begin(
+    let mut program = GatewayProcess::spawn(
         &[],
         Some(&path),
         &[("BALANCER_MGMT", &free_address().to_string())],
     );
-    assert_eq!(program.ended().code(), Some(2));
-    program.says("settings: classes.0.name");
+    assert_eq!(program.wait_for_exit().code(), Some(2));
+    program.wait_for_log("settings: classes.0.name");
 }
 
 /// The limits of the machine are checked like the rest.
@@ -359,9 +359,9 @@
     let text = config(free_address(), free_address(), "", 15_000);
     let mut config: Value = serde_json::from_str(&text).unwrap();
     config["limits"][key] = value;
-    let path = folder().join("config.json");
+    let path = temp_folder().join("config.json");
     std::fs::write(&path, config.to_string()).unwrap();
-    let mut program = Program::begin(&[], Some(&path), &[]);
-    assert_eq!(program.ended().code(), Some(2));
-    program.says(&format!("limits.{key}"));
+    let mut program = GatewayProcess::spawn(&[], Some(&path), &[]);
+    assert_eq!(program.wait_for_exit().code(), Some(2));
+    program.wait_for_log(&format!("limits.{key}"));
 }
