--- a/crates/gateway/tests/begin.rs
+++ b/crates/gateway/tests/begin.rs
@@ -1,5 +1,5 @@
-//! What has lost its reason while a connection to its database came up does not begin: the program as a process, between
-//! stand-ins that greet late.
+//! Requests that have become moot while a connection to their database was being set up are not
+//! sent; the stub databases delay their greetings.
 
 mod support;
 
@@ -10,12 +10,13 @@
 use socket2::SockRef;
 use support::*;
 
-/// STANDING: a client that closes its connection has gone; no attempt begins for it from so long after.
-const GONE: Duration = Duration::from_millis(100);
-/// STANDING: an attempt that tells its database so much more than its client has left is at fault.
-const MORE: Duration = Duration::from_millis(150);
-/// PROTOCOL, `drain_grace_ms` and its slack: nothing new goes to a database from so long after its drain was told.
-const GRACE: Duration = Duration::from_millis(550);
+/// STANDING: no attempt starts for a client later than this after it has closed its connection.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// STANDING: by how much the deadline sent to the database may exceed the time the client has left.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
+/// PROTOCOL, `drain_grace_ms` and its slack: no new request goes to a database later than this
+/// after its drain was announced.
+const DRAIN_GRACE: Duration = Duration::from_millis(550);
 
 fn read(id: u32, d: u32) -> String {
     format!(
@@ -37,7 +38,7 @@
     }
 }
 
-/// The oid of a query as the value, so that an answer shows whose it is.
+/// An answer whose value is the oid in the query, which identifies the request.
 fn echo(query: &str) -> Vec<u8> {
     let tag = if query.contains("INSERT") {
         "INSERT 0 1"
@@ -47,8 +48,8 @@
     row_with_tag(query.split('\'').nth(1).unwrap(), tag)
 }
 
-/// What a query was told that its client will wait.
-fn told(query: &str) -> Duration {
+/// The time left that a query states in its comment.
+fn stated_deadline(query: &str) -> Duration {
     let d = query
         .split(",d=")
         .nth(1)
@@ -59,28 +60,28 @@
     Duration::from_millis(d.parse().unwrap())
 }
 
-/// Waits for a moment, which is true time: what is forbidden is forbidden from then on.
-fn pass(since: Instant, time: Duration) {
-    wait_until("the time passes", || since.elapsed() > time);
+/// Waits until more than `time` has passed since `since`.
+fn wait_past(since: Instant, time: Duration) {
+    wait_until("the time has passed", || since.elapsed() > time);
 }
 
-/// Every connection has ended, or something has come that must not.
-fn settled(seen: &StubDatabase) -> bool {
-    seen.count() > 0 || seen.closed.load(Ordering::SeqCst) == seen.opened.load(Ordering::SeqCst)
+/// Whether every connection has ended or a query has arrived that must not.
+fn is_settled(db: &StubDatabase) -> bool {
+    db.count() > 0 || db.closed.load(Ordering::SeqCst) == db.opened.load(Ordering::SeqCst)
 }
 
 #[rstest]
-fn nothing_begins_for_a_client_that_left_while_its_dial_was_late(
+fn client_disconnects_during_late_dial_nothing_is_sent(
     #[values("read", "book", "once")] class: &str,
     #[values(false, true)] reset: bool,
 ) {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    seen.delay_greetings.store(true, Ordering::SeqCst);
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    db.delay_greetings.store(true, Ordering::SeqCst);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&query(class));
-    wait_until("its database is dialled", || {
-        seen.delayed_greetings.load(Ordering::SeqCst) > 0
+    wait_until("the database is dialed", || {
+        db.delayed_greetings.load(Ordering::SeqCst) > 0
     });
     if reset {
         SockRef::from(&client.0)
@@ -88,31 +89,31 @@
             .unwrap();
     }
     drop(client);
-    pass(Instant::now(), GONE);
-    seen.delay_greetings.store(false, Ordering::SeqCst);
-    wait_until("it is settled", || settled(&seen));
+    wait_past(Instant::now(), DISCONNECT_GRACE);
+    db.delay_greetings.store(false, Ordering::SeqCst);
+    wait_until("all connections have ended or a query has arrived", || is_settled(&db));
     assert_eq!(
-        seen.count(),
+        db.count(),
         0,
-        "it began though its client had gone: {:?}",
-        seen.queries.lock().unwrap()
+        "sent after the client had disconnected: {:?}",
+        db.queries.lock().unwrap()
     );
     let mut other = Client::connect(gateway.address);
     assert_eq!(
         other.query(&query(class)),
         Answer::Value("x1".into()),
-        "the id is free again"
+        "the id is still in use"
     );
 }
 
 #[rstest]
-fn nothing_begins_at_a_member_that_was_told_to_drain_while_its_dial_was_late(
+fn endpoint_drains_during_late_dial_nothing_is_sent_to_it(
     #[values("leaving", "left")] state: &str,
 ) {
-    let (old, seen) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
+    let (old, db) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
     let (new, _) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
     let (primary, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    seen.delay_greetings.store(true, Ordering::SeqCst);
+    db.delay_greetings.store(true, Ordering::SeqCst);
     let known = [
         target("s-00000000", primary, "read-write", "active"),
         target("s-00000001", old, "read-only", "active"),
@@ -120,37 +121,37 @@
     let gateway = start_gateway(&known.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&read(1, 4_000));
-    wait_until("its database is dialled", || {
-        seen.delayed_greetings.load(Ordering::SeqCst) > 0
+    wait_until("the database is dialed", || {
+        db.delayed_greetings.load(Ordering::SeqCst) > 0
     });
     gateway.discovery.changes.lock().unwrap().extend([
         target("s-00000001", old, "read-only", state),
         target("s-00000002", new, "read-only", "active"),
     ]);
-    wait_until("that is told", || {
+    wait_until("the drain is announced", || {
         !gateway.discovery.update_times.lock().unwrap().is_empty()
     });
-    pass(Instant::now(), GRACE);
-    seen.delay_greetings.store(false, Ordering::SeqCst);
+    wait_past(Instant::now(), DRAIN_GRACE);
+    db.delay_greetings.store(false, Ordering::SeqCst);
     assert_eq!(
         client.answer(),
         Answer::Value("x1".into()),
-        "the other member serves it"
+        "not served by the other endpoint"
     );
-    wait_until("it is settled", || settled(&seen));
+    wait_until("all connections have ended or a query has arrived", || is_settled(&db));
     assert_eq!(
-        seen.count(),
+        db.count(),
         0,
-        "sent after the grace: {:?}",
-        seen.queries.lock().unwrap()
+        "sent after the drain grace: {:?}",
+        db.queries.lock().unwrap()
     );
 }
 
 #[test]
-fn a_repeat_does_not_begin_behind_its_window_however_late_its_dial_came_up() {
+fn dial_completes_after_retry_window_retry_is_not_sent() {
     const WINDOW: Duration = Duration::from_millis(600);
-    // The first one runs, and its answer is lost; from then on dials come up late.
-    let (at, seen) = stub_database("read-write", |n, q| {
+    // The first attempt runs and its answer is lost; from then on dials complete late.
+    let (db_address, db) = stub_database("read-write", |n, q| {
         if n == 0 {
             Reply::CloseAndDelayNew
         } else {
@@ -158,69 +159,69 @@
         }
     });
     let gateway = start_gateway_with_config(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         false,
         |text| text.replace("\"window-ms\":5000.0", "\"window-ms\":600.0"),
     );
     let mut client = Client::connect(gateway.address);
     client.send(&write("book", 1, 4_000));
-    wait_until("its repeat is dialled", || {
-        seen.delayed_greetings.load(Ordering::SeqCst) > 0
+    wait_until("the retry is dialed", || {
+        db.delayed_greetings.load(Ordering::SeqCst) > 0
     });
-    let ran = seen.queries.lock().unwrap()[0].0;
-    pass(ran, WINDOW);
-    seen.delay_greetings.store(false, Ordering::SeqCst);
+    let ran = db.queries.lock().unwrap()[0].0;
+    wait_past(ran, WINDOW);
+    db.delay_greetings.store(false, Ordering::SeqCst);
     let answer = client.answer();
     assert!(
         matches!(&answer, Answer::Error(code, _) if code != "53300"),
-        "it may have run: {answer:?}"
+        "refused although it may have run: {answer:?}"
     );
     assert_eq!(
-        seen.count(),
+        db.count(),
         1,
-        "repeated behind the window: {:?}",
-        seen.queries.lock().unwrap()
+        "retried after the window: {:?}",
+        db.queries.lock().unwrap()
     );
 }
 
 #[test]
-fn what_is_dialled_late_tells_its_database_what_the_client_has_left() {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    seen.delay_greetings.store(true, Ordering::SeqCst);
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn dial_is_late_query_states_remaining_time() {
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    db.delay_greetings.store(true, Ordering::SeqCst);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    let asked = Instant::now();
+    let sent = Instant::now();
     client.send(&write("book", 1, 3_000));
-    wait_until("its database is dialled", || {
-        seen.delayed_greetings.load(Ordering::SeqCst) > 0
+    wait_until("the database is dialed", || {
+        db.delayed_greetings.load(Ordering::SeqCst) > 0
     });
-    pass(asked, Duration::from_millis(700));
-    seen.delay_greetings.store(false, Ordering::SeqCst);
+    wait_past(sent, Duration::from_millis(700));
+    db.delay_greetings.store(false, Ordering::SeqCst);
     assert_eq!(client.answer(), Answer::Value("x1".into()));
-    let (when, passed, _) = seen.queries.lock().unwrap()[0].clone();
-    let left = Duration::from_millis(3_000).saturating_sub(when - asked);
-    assert!(told(&passed) <= left + MORE, "{passed}: {left:?} are left");
+    let (when, passed, _) = db.queries.lock().unwrap()[0].clone();
+    let left = Duration::from_millis(3_000).saturating_sub(when - sent);
+    assert!(stated_deadline(&passed) <= left + DEADLINE_TOLERANCE, "{passed}: {left:?} left");
 }
 
 #[test]
-fn a_dial_that_outlives_its_request_is_not_written_to() {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    seen.delay_greetings.store(true, Ordering::SeqCst);
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn dial_outlives_request_nothing_is_sent() {
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    db.delay_greetings.store(true, Ordering::SeqCst);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    let asked = Instant::now();
+    let sent = Instant::now();
     let answer = client.query(&write("once", 1, 400));
     assert!(
         matches!(&answer, Answer::Error(code, _) if code == "53300"),
-        "it never ran: {answer:?}"
+        "not refused although it never ran: {answer:?}"
     );
     assert!(
-        asked.elapsed() < Duration::from_millis(900),
+        sent.elapsed() < Duration::from_millis(900),
         "{:?}",
-        asked.elapsed()
+        sent.elapsed()
     );
-    seen.delay_greetings.store(false, Ordering::SeqCst);
-    wait_until("it is settled", || settled(&seen));
-    assert_eq!(seen.count(), 0, "{:?}", seen.queries.lock().unwrap());
+    db.delay_greetings.store(false, Ordering::SeqCst);
+    wait_until("all connections have ended or a query has arrived", || is_settled(&db));
+    assert_eq!(db.count(), 0, "{:?}", db.queries.lock().unwrap());
 }
--- a/crates/gateway/tests/crowd.rs
+++ b/crates/gateway/tests/crowd.rs
@@ -1,4 +1,5 @@
-//! Crowds that connect and then idle or stop half way, and those who ask meanwhile, on the platform's front.
+//! Many clients that connect and then idle or stop in the middle of a message, while other clients
+//! send requests.
 
 mod support;
 
@@ -10,17 +11,17 @@
     Answer, Client, Reply, TestGateway, stub_database, message, start_gateway_with_config, row, target, wait_until,
 };
 
-/// As on a crowded day of the bench.
+/// The limits of an overloaded day of the benchmark.
 const SOCKETS: usize = 192;
 const MEMORY_MB: usize = 24;
 
 fn overloaded() -> (TestGateway, std::sync::Arc<support::StubDatabase>) {
-    let (at, seen) = stub_database("read-write", |_, q| {
-        // What the quoted key says: as long as the databases on that day take.
+    let (db_address, db) = stub_database("read-write", |_, q| {
+        // The answer is the quoted key, after as long as the databases take on that day.
         std::thread::sleep(Duration::from_millis(20));
         Reply::Send(row(&format!("x{}", q.split('\'').nth(1).unwrap())))
     });
-    let small = |text: String| {
+    let with_limits = |text: String| {
         text.replace(
             "\"sockets\":1024",
             &format!("\"sockets\":{SOCKETS},\"memory_mb\":{MEMORY_MB}"),
@@ -28,53 +29,54 @@
     };
     (
         start_gateway_with_config(
-            &target("s-00000001", at, "read-write", "active"),
+            &target("s-00000001", db_address, "read-write", "active"),
             15_000,
             false,
-            small,
+            with_limits,
         ),
-        seen,
+        db,
     )
 }
 
-fn asks(id: usize) -> Vec<u8> {
+fn session_with_request(id: usize) -> Vec<u8> {
     let query = format!(
         "/* id=r{id},c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects WHERE oid = '{id}'\0"
     );
     [Client::startup_message(), message(b'Q', query.as_bytes())].concat()
 }
 
-/// What the process holds: descriptors, threads, and kilobytes of memory of its own.
-fn holds(gateway: &TestGateway) -> [usize; 3] {
+/// Descriptors, threads and kilobytes of private memory that the process uses.
+fn resources(gateway: &TestGateway) -> [usize; 3] {
     let proc = format!("/proc/{}", gateway.program.0.id());
     let count = |what| std::fs::read_dir(format!("{proc}/{what}")).unwrap().count();
     let status = std::fs::read_to_string(format!("{proc}/status")).unwrap();
-    let own = status
+    let private_kb = status
         .lines()
         .find_map(|l| l.strip_prefix("RssAnon:"))
         .unwrap();
     [
         count("fd"),
         count("task"),
-        own.trim().trim_end_matches(" kB").parse().unwrap(),
+        private_kb.trim().trim_end_matches(" kB").parse().unwrap(),
     ]
 }
 
 #[rstest]
 #[case::silent(vec![])]
 #[case::greeted(Client::startup_message())]
-#[case::half_an_opening(Client::startup_message()[..9].to_vec())]
-#[case::half_a_request(asks(1)[..60].to_vec())]
-fn a_crowd_that_never_asks_turns_away_nobody_who_does(#[case] sent: Vec<u8>) {
+#[case::partial_startup(Client::startup_message()[..9].to_vec())]
+#[case::partial_request(session_with_request(1)[..60].to_vec())]
+fn crowd_sends_no_request_other_clients_are_served(#[case] sent: Vec<u8>) {
     let (gateway, _) = overloaded();
     assert_eq!(ask(&gateway, 0), Answer::Value("x0".into()));
-    let before = holds(&gateway);
-    // More than there are places, and as many again while others ask. Halves are let go only beyond half of the places,
-    // so of those who come with them some wait for a moment.
+    let before = resources(&gateway);
+    // More connections than descriptors, and as many again while others send requests. Partial
+    // messages are dropped only once half of the descriptors are in use, so some of these clients
+    // wait for a moment.
     let mut crowd: Vec<Client> = (0..2 * SOCKETS)
         .map(|_| Client::connect_and_send(gateway.address, &sent))
         .collect();
-    let mut most = [0; 3];
+    let mut peak = [0; 3];
     for id in 1..100 {
         crowd.extend((0..2).map(|_| Client::connect_and_send(gateway.address, &sent)));
         assert_eq!(
@@ -82,118 +84,119 @@
             Answer::Value(format!("x{id}")),
             "request {id}"
         );
-        let now = holds(&gateway);
-        most = std::array::from_fn(|n| most[n].max(now[n]));
+        let now = resources(&gateway);
+        peak = std::array::from_fn(|n| peak[n].max(now[n]));
     }
-    println!("descriptors, threads, kB: {before:?}, at the most {most:?}");
-    // Who has begun something has a thread that reads on; a crowd that rests has none.
+    println!("descriptors, threads, kB: {before:?}, peak {peak:?}");
+    // A client with a partial message has a thread that reads on; an idle one has none.
     let threads = if sent.len() == Client::startup_message().len() || sent.is_empty() {
         40
     } else {
         SOCKETS + 30
     };
     assert!(
-        most[0] <= SOCKETS && most[1] <= threads && most[2] <= MEMORY_MB * 1024 / 2,
-        "{most:?}"
+        peak[0] <= SOCKETS && peak[1] <= threads && peak[2] <= MEMORY_MB * 1024 / 2,
+        "{peak:?}"
     );
 }
 
 fn ask(gateway: &TestGateway, id: usize) -> Answer {
-    let mut client = Client::connect_and_send(gateway.address, &asks(id));
+    let mut client = Client::connect_and_send(gateway.address, &session_with_request(id));
     client.read_until_ready();
     client.answer()
 }
 
 #[test]
-fn those_who_ask_once_and_stay_are_all_served_and_make_way() {
-    let (gateway, seen) = overloaded();
-    // Ten at a time, since each member's connection carries one request.
-    let (mut stay, mut coming) = (vec![], VecDeque::new());
+fn clients_stay_after_one_request_all_are_served_and_oldest_are_closed() {
+    let (gateway, db) = overloaded();
+    // Ten at a time, since a database connection carries one request.
+    let (mut open, mut coming) = (vec![], VecDeque::new());
     for id in 0..1_000 {
-        coming.push_back((id, Client::connect_and_send(gateway.address, &asks(id))));
+        coming.push_back((id, Client::connect_and_send(gateway.address, &session_with_request(id))));
         if coming.len() == 10 || id == 999 {
             for (id, mut client) in coming.drain(..) {
                 client.read_until_ready();
                 assert_eq!(client.answer(), Answer::Value(format!("x{id}")));
-                stay.push(client);
+                open.push(client);
             }
         }
     }
-    let [descriptors, threads, own] = holds(&gateway);
-    println!("{descriptors} descriptors, {threads} threads, {own} kB");
+    let [descriptors, threads, memory_kb] = resources(&gateway);
+    println!("{descriptors} descriptors, {threads} threads, {memory_kb} kB");
     assert!(
-        descriptors <= SOCKETS && own <= MEMORY_MB * 1024 / 2,
-        "{descriptors} descriptors, {own} kB"
+        descriptors <= SOCKETS && memory_kb <= MEMORY_MB * 1024 / 2,
+        "{descriptors} descriptors, {memory_kb} kB"
     );
     assert!(threads <= 40, "{threads} threads");
-    // A read may be sent again where the machine is slow to connect.
-    let queries = seen.queries.lock().unwrap();
+    // A read may be retried where the machine is slow to connect.
+    let queries = db.queries.lock().unwrap();
     let ran: BTreeSet<&str> = queries
         .iter()
         .filter_map(|q| q.1.split("id=").nth(1)?.split(',').next())
         .collect();
     println!("{} attempts", queries.len());
-    assert_eq!(ran.len(), 1_000, "each ran");
+    assert_eq!(ran.len(), 1_000, "requests that ran");
     drop(queries);
-    // Whoever was ended reads why, and an end that is none by force.
-    let told = stay.iter_mut().take(100).map(Client::answer);
+    // A closed client reads a refusal, and its connection is not reset.
+    let last = open.iter_mut().take(100).map(Client::answer);
     assert!(
-        told.into_iter()
+        last.into_iter()
             .all(|a| matches!(a, Answer::Error(code, Some(_)) if code == "53300"))
     );
 }
 
-/// Clients hold a third of the descriptors at the most to ask on: when those who stay hold them all, nobody can ask.
+/// At most a third of the descriptors are for clients with requests: once idle clients hold all of
+/// them, no other client can send a request.
 #[test]
-fn who_asks_once_and_stays_makes_way_before_clients_can_ask_no_more() {
+fn idle_clients_fill_their_descriptors_some_are_closed_early() {
     let (gateway, _) = overloaded();
-    let mut kept = Client::connect_and_send(gateway.address, &asks(1_000));
+    let mut kept = Client::connect_and_send(gateway.address, &session_with_request(1_000));
     kept.read_until_ready();
-    let mut ask_again = |id: usize| {
-        let query = asks(id).split_off(Client::startup_message().len());
+    let mut request_again = |id: usize| {
+        let query = session_with_request(id).split_off(Client::startup_message().len());
         std::io::Write::write_all(&mut kept.0, &query).unwrap();
         kept.answer()
     };
-    assert_eq!(ask_again(1_001), Answer::Value("x1000".into()));
-    assert_eq!(ask_again(1_002), Answer::Value("x1001".into()));
-    // Sooner than those end that rest for long, 2 s; where the machine was busy for as long, once more.
+    assert_eq!(request_again(1_001), Answer::Value("x1000".into()));
+    assert_eq!(request_again(1_002), Answer::Value("x1001".into()));
+    // Earlier than the idle limit of 2 s; repeated if the machine was too busy to show that.
     wait_until(
-        "enough of them make way while more than half of all descriptors are free",
+        "enough idle clients are closed while more than half of all descriptors are free",
         || {
             let began = Instant::now();
-            let mut stay: Vec<Client> = (0..SOCKETS / 3 - 1)
-                .map(|id| Client::connect_and_send(gateway.address, &asks(id)))
+            let mut open: Vec<Client> = (0..SOCKETS / 3 - 1)
+                .map(|id| Client::connect_and_send(gateway.address, &session_with_request(id)))
                 .collect();
-            for (id, client) in stay.iter_mut().enumerate() {
+            for (id, client) in open.iter_mut().enumerate() {
                 client.read_until_ready();
                 assert_eq!(client.answer(), Answer::Value(format!("x{id}")));
             }
-            let gone = || stay.iter().filter(|c| ended(c)).count();
-            while gone() < SOCKETS / 3 / 4 && began.elapsed() < Duration::from_secs(2) {
+            let closed = || open.iter().filter(|c| is_closed(c)).count();
+            while closed() < SOCKETS / 3 / 4 && began.elapsed() < Duration::from_secs(2) {
                 std::thread::yield_now();
             }
-            began.elapsed() < Duration::from_secs(2) && gone() < SOCKETS / 3 - 1
+            began.elapsed() < Duration::from_secs(2) && closed() < SOCKETS / 3 - 1
         },
     );
     assert_eq!(
-        ask_again(1_003),
+        request_again(1_003),
         Answer::Value("x1002".into()),
-        "who came back to ask again stays"
+        "a client that sends requests again was closed"
     );
 }
 
-fn ended(client: &Client) -> bool {
+fn is_closed(client: &Client) -> bool {
     client.0.set_nonblocking(true).unwrap();
-    let ended = client.0.peek(&mut [0]).is_ok();
+    let closed = client.0.peek(&mut [0]).is_ok();
     client.0.set_nonblocking(false).unwrap();
-    ended
+    closed
 }
 
 #[test]
-fn a_request_written_in_pieces_is_served_while_a_crowd_wants_its_place() {
+fn request_arrives_in_pieces_it_is_served_despite_a_crowd() {
     let (gateway, _) = overloaded();
-    let bytes = asks(7);
-    // The first piece ends where the opening does: the client has been greeted, and seems to ask nothing.
+    let bytes = session_with_request(7);
+    // The second piece ends with the startup message, so that the client seems to be idle.
     let pieces = [
         &bytes[..20],
         &bytes[20..Client::startup_message().len()],
@@ -202,8 +205,8 @@
     let mut slow = Client::connect_and_send(gateway.address, pieces[0]);
     let crowd: Vec<Client> = (0..SOCKETS).map(|_| Client::connect_raw(gateway.address)).collect();
     for piece in &pieces[1..] {
-        wait_until("some of the crowd have made way", || {
-            crowd.iter().filter(|c| ended(c)).count() > 8
+        wait_until("some of the crowd are closed", || {
+            crowd.iter().filter(|c| is_closed(c)).count() > 8
         });
         std::io::Write::write_all(&mut slow.0, piece).unwrap();
     }
--- a/crates/gateway/tests/database.rs
+++ b/crates/gateway/tests/database.rs
@@ -1,4 +1,5 @@
-//! Databases whose answers come to no end: the attempt is over at once, memory and the connection are given back.
+//! Databases whose answers never end: the attempt fails at once, and memory and connection are
+//! released.
 
 mod support;
 
@@ -28,47 +29,47 @@
 }
 
 #[rstest]
-#[case::before_the_answer(vec![], notice())]
-#[case::before_the_answer_in_small_ones(vec![], message(b'N', b"\0"))]
-#[case::behind_the_row(row("spoilt"), notice())]
+#[case::notices_before_the_answer(vec![], notice())]
+#[case::short_notices_before_the_answer(vec![], message(b'N', b"\0"))]
+#[case::notices_after_the_row(row("broken"), notice())]
 #[case::parameters(vec![], mode_status("read-write"))]
-fn an_answer_that_never_ends_fails_its_attempt_at_once(
+fn answer_never_ends_attempt_fails_at_once(
     #[case] first: Vec<u8>,
     #[case] endless: Vec<u8>,
 ) {
-    let (at, seen) = stub_database("read-write", move |n, q| {
+    let (db_address, db) = stub_database("read-write", move |n, q| {
         if n == 0 {
             Reply::SendEndlessly([first.clone(), endless.repeat(100)].concat())
         } else {
             Reply::Send(echo(q))
         }
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    let asked = Instant::now();
+    let sent = Instant::now();
     assert_eq!(
         client.query(&read(1, 4_000)),
         Answer::Value("x1".into()),
-        "a read may be sent again"
+        "the read is retried"
     );
     assert!(
-        asked.elapsed() < Duration::from_secs(2),
+        sent.elapsed() < Duration::from_secs(2),
         "{:?}",
-        asked.elapsed()
+        sent.elapsed()
     );
-    wait_until("the connection is given up", || {
-        seen.closed.load(Ordering::SeqCst) > 0
+    wait_until("the gateway closes the connection", || {
+        db.closed.load(Ordering::SeqCst) > 0
     });
 }
 
 #[test]
-fn a_greeting_that_never_ends_is_no_connection() {
-    let greeted = Arc::new(AtomicUsize::new(0));
-    let ended = Arc::clone(&greeted);
+fn greeting_never_ends_another_endpoint_serves() {
+    let closed = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&closed);
     let endless = spawn_server(move |mut stream| {
         let greeting = mode_status("read-only").repeat(100);
         while stream.write_all(&greeting).is_ok() {}
-        ended.fetch_add(1, Ordering::SeqCst);
+        count.fetch_add(1, Ordering::SeqCst);
     });
     let (good, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = [
@@ -77,18 +78,18 @@
     ];
     let gateway = start_gateway(&list.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
-    let asked = Instant::now();
+    let sent = Instant::now();
     assert_eq!(
         client.query(&read(1, 4_000)),
         Answer::Value("x1".into()),
-        "the other member has it"
+        "the other endpoint serves the read"
     );
     assert!(
-        asked.elapsed() < Duration::from_secs(1),
+        sent.elapsed() < Duration::from_secs(1),
         "{:?}",
-        asked.elapsed()
+        sent.elapsed()
     );
-    wait_until("the connection is given up", || {
-        greeted.load(Ordering::SeqCst) > 0
+    wait_until("the gateway closes the connection", || {
+        closed.load(Ordering::SeqCst) > 0
     });
 }
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery in every trouble: the program as a process, between stand-ins. What a change binds is counted where it is
-//! felt: by the times at which the member that is told to leave is still sent something.
+//! Discovery under all kinds of faults, with the gateway as a process and stub databases. Whether a
+//! change has taken effect is measured at the database: by when the draining endpoint was last sent
+//! a request.
 
 mod support;
 
@@ -11,20 +12,23 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::scripted_discovery::{Asked, End, Form, HangingListener, CallReply, ScriptedDiscovery, answer};
+use support::scripted_discovery::{Call, AfterReply, Form, HangingListener, CallReply, ScriptedDiscovery, answer};
 use support::*;
 
-/// A member that is told to leave may be sent to for so long.
-const GRACE: Duration = Duration::from_millis(500);
-/// What discovery has counts as told so much later; after a new address.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_ELSEWHERE: Duration = Duration::from_secs(4);
-/// The same of a call that may wait, after its wait.
-const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// The member that stays, and the one that is told to leave.
-const STAYS: &str = "s-00000001";
-const LEAVES: &str = "s-00000002";
-
+/// How long a draining endpoint may still be sent requests.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// How late a change that discovery has may take effect.
+const UPDATE_BOUND: Duration = Duration::from_secs(6);
+/// The same after a change of the address of discovery.
+const UPDATE_BOUND_NEW_ADDRESS: Duration = Duration::from_secs(4);
+/// The same for a long-polling call, after the end of its wait.
+const UPDATE_BOUND_AFTER_WAIT: Duration = Duration::from_secs(2);
+/// Uid of the endpoint that stays active.
+const STAYING: &str = "s-00000001";
+/// Uid of the endpoint that is drained.
+const LEAVING: &str = "s-00000002";
+
+/// The setting `membership-mode`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mode {
     Push,
@@ -32,56 +36,56 @@
 }
 
 impl Mode {
-    /// How late what discovery could tell may bind.
-    fn told(self) -> Duration {
+    /// How late a change that discovery could send may take effect.
+    fn update_bound(self) -> Duration {
         if self == Self::Push {
             Duration::ZERO
         } else {
-            TOLD
+            UPDATE_BOUND
         }
     }
 }
 
-/// Two members, and a list of them.
+/// Two endpoints, and lists of them.
 struct Members {
-    stays: (SocketAddr, Arc<StubDatabase>),
-    leaves: (SocketAddr, Arc<StubDatabase>),
+    staying: (SocketAddr, Arc<StubDatabase>),
+    leaving: (SocketAddr, Arc<StubDatabase>),
 }
 
 impl Members {
     fn start() -> Self {
         let echo = |query: &str| Reply::Send(row_with_tag(query.split('\'').nth(1).unwrap(), "SELECT 1"));
-        let stays = stub_database("read-write", move |_, q| echo(q));
+        let staying = stub_database("read-write", move |_, q| echo(q));
         Self {
-            stays,
-            leaves: stub_database("read-only", move |_, q| echo(q)),
+            staying,
+            leaving: stub_database("read-only", move |_, q| echo(q)),
         }
     }
 
-    fn one(&self, uid: &str, state: &str) -> String {
-        if uid == STAYS {
-            target(uid, self.stays.0, "read-write", state)
+    fn entry(&self, uid: &str, state: &str) -> String {
+        if uid == STAYING {
+            target(uid, self.staying.0, "read-write", state)
         } else {
-            // The larger by far, so that most goes there for as long as it may.
-            target(uid, self.leaves.0, "read-only", state)
+            // By far the larger, so that it gets most requests for as long as it may.
+            target(uid, self.leaving.0, "read-only", state)
                 .replace("\"capacity_hint\":1.0", "\"capacity_hint\":20.0")
         }
     }
 
-    fn list(&self, leaves: &str) -> [(&'static str, String); 2] {
+    fn list(&self, leaving_state: &str) -> [(&'static str, String); 2] {
         [
-            (STAYS, self.one(STAYS, "active")),
-            (LEAVES, self.one(LEAVES, leaves)),
+            (STAYING, self.entry(STAYING, "active")),
+            (LEAVING, self.entry(LEAVING, leaving_state)),
         ]
     }
 
-    fn body(&self, rev: u64, all: bool, leaves: &str) -> String {
-        let told = self.list(leaves).map(|(_, text)| text).join(",");
-        format!(r#"{{"rev":{rev},"all":{all},"targets":[{told}]}}"#)
+    fn body(&self, rev: u64, all: bool, leaving_state: &str) -> String {
+        let targets = self.list(leaving_state).map(|(_, text)| text).join(",");
+        format!(r#"{{"rev":{rev},"all":{all},"targets":[{targets}]}}"#)
     }
 }
 
-/// Clients that go on asking.
+/// Clients that send requests until this is dropped.
 struct Load(Arc<AtomicBool>, Vec<JoinHandle<()>>);
 
 impl Load {
@@ -112,8 +116,8 @@
     }
 }
 
-/// A gateway under load that watches a scripted discovery.
-struct Scene {
+/// A gateway under load that watches a scripted discovery service.
+struct Scenario {
     members: Members,
     discovery: Arc<ScriptedDiscovery>,
     config: PathBuf,
@@ -122,14 +126,14 @@
     began: Instant,
 }
 
-impl Scene {
+impl Scenario {
     fn start(mode: Mode, fleet: u32) -> Self {
         let members = Members::start();
         let discovery = ScriptedDiscovery::start(&members.list("active"));
         Self::start_with(mode, fleet, members, discovery, |text| text)
     }
 
-    /// Which knows both members as active at version 0.
+    /// Starts a gateway that has both endpoints as active at version 0.
     fn start_with(
         mode: Mode,
         fleet: u32,
@@ -164,70 +168,73 @@
         }
     }
 
-    /// The member that is to leave is sent to, and the watch goes on.
+    /// Waits until the watch is open and the endpoint that will drain gets requests.
     fn settled(self) -> Self {
         wait_until("the watch is open", || self.discovery.count() > 1);
-        self.used();
+        self.wait_until_leaving_is_used();
         self
     }
 
-    fn used(&self) {
-        let leaves = self.members.leaves.1.count();
-        wait_until("the member that may leave is sent to", || {
-            self.members.leaves.1.count() > leaves + 2
+    fn wait_until_leaving_is_used(&self) {
+        let before = self.members.leaving.1.count();
+        wait_until("the endpoint that may drain gets requests", || {
+            self.members.leaving.1.count() > before + 2
         });
     }
 
-    fn leaves(&self) -> Instant {
+    /// Publishes the drain; returns when.
+    fn drain(&self) -> Instant {
         self.discovery
-            .tell(LEAVES, self.members.one(LEAVES, "leaving"))
+            .publish(LEAVING, self.members.entry(LEAVING, "leaving"))
     }
 
-    /// From so long after a moment on, nothing is sent to the member that leaves, while the other one serves.
-    fn owed(&self, since: Instant, bound: Duration) {
+    /// Asserts that the draining endpoint gets nothing later than `bound` after `since`, while the
+    /// other endpoint serves.
+    fn assert_drained(&self, since: Instant, bound: Duration) {
         let end = since + bound;
         let until_then = end.saturating_duration_since(Instant::now());
-        wait_until_within(TEST_TIMEOUT + until_then, "the time after it", || {
+        wait_until_within(TEST_TIMEOUT + until_then, "the bound has passed", || {
             Instant::now() > end + Duration::from_millis(700)
         });
-        let served = self.members.stays.1.count();
-        wait_until("the other one serves", || {
-            self.members.stays.1.count() > served + 20
+        let served = self.members.staying.1.count();
+        wait_until("the other endpoint serves", || {
+            self.members.staying.1.count() > served + 20
         });
-        let sent = self.members.leaves.1.queries.lock().unwrap();
+        let sent = self.members.leaving.1.queries.lock().unwrap();
         let last = sent.iter().map(|q| q.0).max();
         let after = last.map(|at| at.saturating_duration_since(since));
-        println!("last sent {after:?} after it, allowed {bound:?}");
+        println!("last request {after:?} after the change, allowed {bound:?}");
         let late = sent.iter().filter(|q| q.0 > end).count();
         assert_eq!(
             late, 0,
-            "sent to a member that leaves, the last {after:?} after it, allowed {bound:?}"
+            "sent to a draining endpoint: last request {after:?} after the change, allowed {bound:?}"
         );
     }
 
-    /// SIGHUP with another address: since when.
-    fn moves(&self, to: SocketAddr) -> Instant {
+    /// Changes the address of discovery in the configuration and sends SIGHUP; returns when.
+    fn change_discovery(&self, to: SocketAddr) -> Instant {
         let text = std::fs::read_to_string(&self.config).unwrap();
-        let own = text
+        let current = text
             .split("\"discovery\":\"")
             .nth(1)
             .unwrap()
             .split('"')
             .next()
             .unwrap();
-        std::fs::write(&self.config, text.replace(own, &to.to_string())).unwrap();
+        std::fs::write(&self.config, text.replace(current, &to.to_string())).unwrap();
         let at = Instant::now();
         self.program.signal("HUP");
         self.program.wait_for_log(&format!("discovery={to}"));
         at
     }
 
-    fn stops(&self) {
+    /// Sends SIGSTOP and waits until every thread has stopped.
+    fn pause(&self) {
         self.program.signal("STOP");
         let tasks = procfs::process::Process::new(self.program.0.id().cast_signed()).unwrap();
-        let stands = |t: procfs::process::Task| t.stat().is_ok_and(|s| s.state == 'T');
-        wait_until("it stands still", || {
-            tasks.tasks().unwrap().flatten().all(stands)
+        let is_stopped = |t: procfs::process::Task| t.stat().is_ok_and(|s| s.state == 'T');
+        wait_until("all threads of the gateway are stopped", || {
+            tasks.tasks().unwrap().flatten().all(is_stopped)
         });
     }
 }
@@ -236,81 +243,81 @@
     support::config(address, discovery, known, 15_000)
 }
 
-/// What becomes of calls.
+/// A fault of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
-    /// Open watches and new connections say nothing, now and later.
+enum Outage {
+    /// Open watches and new connections never get an answer, even after the outage.
     Silent,
-    /// Open watches are reset, and new connections refused.
+    /// Open watches are reset and new connections refused.
     Refused,
-    /// Status 503.
-    TurnedAway,
+    /// Calls are answered with status 503.
+    Unavailable,
     /// Each call is reset.
     Reset,
     /// Half a list, then a reset.
-    HalfReset,
-    /// Half a list, then the end of the connection, with no length told.
-    HalfClosed,
-    /// Half a list, then silence.
-    HalfHung,
-    /// A list in pieces that has no end.
-    Drips,
-    /// A whole list that is none of discovery's, with no length told, then a reset.
-    WholeReset,
-}
-
-/// As long as the pieces of an answer that has no end are dripped.
-const DRIPS: usize = 2_000;
-
-impl Trouble {
-    /// All calls that are open or come from now on have it.
-    fn begins(self, discovery: &ScriptedDiscovery, members: &Members) {
+    PartialThenReset,
+    /// Half a list without a length, then the end of the connection.
+    PartialThenClose,
+    /// Half a list, then nothing more.
+    PartialThenSilent,
+    /// An endless list in small pieces.
+    Dripping,
+    /// A complete but wrong list without a length, then a reset.
+    WrongListThenReset,
+}
+
+/// Number of pieces of an endless answer.
+const PIECES: usize = 2_000;
+
+impl Outage {
+    /// Applies the fault to all open and later calls.
+    fn begin(self, discovery: &ScriptedDiscovery, members: &Members) {
         let body = members.body(1_000, true, "active");
-        let half = |form: Form| {
+        let partial = |form: Form| {
             let (pieces, _) = answer(&body, form);
             let bytes = pieces.concat_bytes();
             bytes[..bytes.len() - body.len() / 2].to_vec()
         };
         let soon = Duration::from_millis(20);
         let (bytes, end) = match self {
-            Self::Silent => return discovery.falls_silent(),
-            Self::Refused => return discovery.goes(),
-            Self::TurnedAway => (
+            Self::Silent => return discovery.go_silent(),
+            Self::Refused => return discovery.go_down(),
+            Self::Unavailable => (
                 vec![(
                     soon,
                     b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_vec(),
                 )],
-                End::Keep,
+                AfterReply::Keep,
             ),
-            Self::Reset => (vec![], End::Reset),
-            Self::HalfReset => (vec![(soon, half(Form::Plain)), (soon, vec![])], End::Reset),
-            Self::HalfClosed => (vec![(soon, half(Form::NoLength))], End::Close),
-            Self::HalfHung => (vec![(soon, half(Form::Plain))], End::Silent),
-            Self::Drips => {
+            Self::Reset => (vec![], AfterReply::Reset),
+            Self::PartialThenReset => (vec![(soon, partial(Form::Plain)), (soon, vec![])], AfterReply::Reset),
+            Self::PartialThenClose => (vec![(soon, partial(Form::NoLength))], AfterReply::Close),
+            Self::PartialThenSilent => (vec![(soon, partial(Form::Plain))], AfterReply::Silent),
+            Self::Dripping => {
                 let head = b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n".to_vec();
-                let drop = (Duration::from_millis(40), b" ".to_vec());
+                let piece = (Duration::from_millis(40), b" ".to_vec());
                 (
-                    [vec![(soon, head)], vec![drop; DRIPS]].concat(),
-                    End::Silent,
+                    [vec![(soon, head)], vec![piece; PIECES]].concat(),
+                    AfterReply::Silent,
                 )
             }
-            Self::WholeReset => {
-                // Which leaves out the one that is active yet.
-                let only = members.one(STAYS, "active");
+            Self::WrongListThenReset => {
+                // The list lacks the endpoint that is still active.
+                let only = members.entry(STAYING, "active");
                 let body = format!(r#"{{"rev":1000,"all":true,"targets":[{only}]}}"#);
                 let (pieces, _) = answer(&body, Form::NoLength);
-                ([pieces, vec![(soon, vec![])]].concat(), End::Reset)
+                ([pieces, vec![(soon, vec![])]].concat(), AfterReply::Reset)
             }
         };
-        discovery.script(move |_| CallReply::Bytes(bytes.clone(), end));
-        discovery.reset();
+        discovery.set_script(move |_| CallReply::Bytes(bytes.clone(), end));
+        discovery.reset_open_connections();
     }
 
-    /// New calls are answered; since when.
-    fn ends(self, discovery: &ScriptedDiscovery) -> Instant {
-        discovery.form(Form::Plain);
+    /// Ends the fault for new calls; returns when.
+    fn end(self, discovery: &ScriptedDiscovery) -> Instant {
+        discovery.set_form(Form::Plain);
         if matches!(self, Self::Silent | Self::Refused) {
-            discovery.returns()
+            discovery.come_back()
         } else {
             Instant::now()
         }
@@ -323,26 +330,26 @@
 
 impl Pieces for Vec<(Duration, Vec<u8>)> {
     fn concat_bytes(&self) -> Vec<u8> {
-        self.iter().flat_map(|(_, some)| some.clone()).collect()
+        self.iter().flat_map(|(_, bytes)| bytes.clone()).collect()
     }
 }
 
-// ---- Watches that break ----
+// ---- Broken watches ----
 
-/// An agent has what it has, whether or not a watch is open; a service that is asked is to be asked anew.
+/// An agent has its changes whether or not a watch is open; a service has to be called again.
 #[rstest]
-fn a_watch_that_falls_silent_is_asked_anew(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
-    let scene = Scene::start(mode, 1).settled();
-    scene.discovery.mute();
-    let told = scene.leaves();
-    scene.owed(told, mode.told() + GRACE);
+fn watch_gets_no_answer_it_is_repeated(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
+    let scenario = Scenario::start(mode, 1).settled();
+    scenario.discovery.mute_open_connections();
+    let changed = scenario.drain();
+    scenario.assert_drained(changed, mode.update_bound() + DRAIN_GRACE);
 }
 
-/// In a fleet of a hundred a watch waits for 20 s.
+/// In a fleet of a hundred gateways a watch waits for 20 s.
 #[test]
-fn a_long_watch_that_falls_silent_is_made_up_for_soon_after_its_wait() {
-    let scene = Scene::start(Mode::Ask, 100).settled();
-    let watch = scene
+fn long_watch_gets_no_answer_it_is_repeated_soon_after_its_wait() {
+    let scenario = Scenario::start(Mode::Ask, 100).settled();
+    let watch = scenario
         .discovery
         .calls
         .lock()
@@ -350,86 +357,90 @@
         .last()
         .cloned()
         .unwrap();
-    scene.discovery.mute();
-    scene.leaves();
-    let bound = (watch.hold + TOLD_AFTER_WAIT).max(TOLD);
+    scenario.discovery.mute_open_connections();
+    scenario.drain();
+    let bound = (watch.hold + UPDATE_BOUND_AFTER_WAIT).max(UPDATE_BOUND);
     assert!(watch.hold >= Duration::from_secs(10), "{watch:?}");
-    scene.owed(watch.at, bound + GRACE);
+    scenario.assert_drained(watch.at, bound + DRAIN_GRACE);
 }
 
 #[rstest]
-fn a_watch_that_is_reset_is_opened_anew(
+fn watch_is_reset_it_is_reopened(
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
     #[values(1, 100)] fleet: u32,
 ) {
-    let scene = Scene::start(mode, fleet).settled();
-    scene.discovery.reset();
-    let told = scene.leaves();
-    scene.owed(told, mode.told() + GRACE);
+    let scenario = Scenario::start(mode, fleet).settled();
+    scenario.discovery.reset_open_connections();
+    let changed = scenario.drain();
+    scenario.assert_drained(changed, mode.update_bound() + DRAIN_GRACE);
 }
 
-/// Whatever failed before: an agent's word binds as soon as it is back, a service's 6 s later.
+/// After any outage, changes of an agent take effect as soon as it is back, those of a service
+/// within 6 s.
 #[rstest]
-fn what_discovery_has_binds_after_an_outage(
+fn outage_ends_changes_take_effect_in_time(
     #[values(
-        Trouble::Silent,
-        Trouble::Refused,
-        Trouble::TurnedAway,
-        Trouble::Reset,
-        Trouble::HalfReset,
-        Trouble::HalfClosed,
-        Trouble::HalfHung,
-        Trouble::Drips,
-        Trouble::WholeReset
+        Outage::Silent,
+        Outage::Refused,
+        Outage::Unavailable,
+        Outage::Reset,
+        Outage::PartialThenReset,
+        Outage::PartialThenClose,
+        Outage::PartialThenSilent,
+        Outage::Dripping,
+        Outage::WrongListThenReset
     )]
-    trouble: Trouble,
+    outage: Outage,
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
 ) {
-    let scene = Scene::start(mode, 100).settled();
-    // A long watch that falls silent is another matter: here it is reset, and the calls after it fail.
-    scene.discovery.reset();
-    trouble.begins(&scene.discovery, &scene.members);
-    scene.leaves();
-    // So that pauses have grown, and that it ends somewhere in the middle of one, or of a call.
+    let scenario = Scenario::start(mode, 100).settled();
+    // The open watch is reset and the calls after it fail; a long watch without an answer is tested
+    // above.
+    scenario.discovery.reset_open_connections();
+    outage.begin(&scenario.discovery, &scenario.members);
+    scenario.drain();
+    // Long enough for the pauses to have grown, and so that the outage ends in the middle of a
+    // pause or of a call.
     thread::sleep(Duration::from_millis(8_030));
-    scene.used();
-    let back = trouble.ends(&scene.discovery);
-    // What drips goes on until its caller hangs up: that is no part of being back.
-    let drips = if trouble == Trouble::Drips {
+    scenario.wait_until_leaving_is_used();
+    let back = outage.end(&scenario.discovery);
+    // A dripping answer goes on until the gateway gives it up, which may take until after the
+    // outage.
+    let dripping = if outage == Outage::Dripping {
         Duration::from_secs(1)
     } else {
         Duration::ZERO
     };
-    scene.owed(back, mode.told().max(drips) + GRACE);
+    scenario.assert_drained(back, mode.update_bound().max(dripping) + DRAIN_GRACE);
 }
 
-/// One call after the other gets no answer on a connection that stays open; then one does.
+/// Several calls in turn get no answer on a connection that stays open; then one does.
 #[rstest]
-fn calls_that_were_given_up_are_made_up_for(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
-    let scene = Scene::start(mode, 1).settled();
-    let mut left = 3;
-    scene.discovery.script(move |_| {
-        left -= 1;
-        if left >= 0 {
+fn calls_get_no_answer_they_are_repeated(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
+    let scenario = Scenario::start(mode, 1).settled();
+    let mut unanswered = 3;
+    scenario.discovery.set_script(move |_| {
+        unanswered -= 1;
+        if unanswered >= 0 {
             CallReply::NoReply
         } else {
             CallReply::Update(Form::Plain)
         }
     });
-    scene.discovery.reset();
-    let told = scene.leaves();
-    // Three calls, each to be given up by itself.
+    scenario.discovery.reset_open_connections();
+    let changed = scenario.drain();
+    // Three calls, each of which times out.
     let each = if mode == Mode::Push {
         Duration::from_millis(200)
     } else {
-        TOLD
+        UPDATE_BOUND
     };
-    scene.owed(told, each * 3 + mode.told() + GRACE);
+    scenario.assert_drained(changed, each * 3 + mode.update_bound() + DRAIN_GRACE);
 }
 
-/// Whatever else holds, no call goes on for ever.
+/// No call goes on forever.
 #[rstest]
-fn an_answer_that_comes_in_pieces_and_has_no_end_is_given_up(
+fn answer_in_pieces_never_ends_it_is_given_up(
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
     #[values(
         "HTTP/1.1 200 OK\r\nX: ",
@@ -439,32 +450,33 @@
     )]
     head: &'static str,
 ) {
-    let scene = Scene::start(mode, 1).settled();
+    let scenario = Scenario::start(mode, 1).settled();
     let mut first = true;
-    scene.discovery.script(move |_| {
+    scenario.discovery.set_script(move |_| {
         if !std::mem::take(&mut first) {
             return CallReply::Update(Form::Plain);
         }
-        let drop = (Duration::from_millis(40), b" ".to_vec());
+        let piece = (Duration::from_millis(40), b" ".to_vec());
         CallReply::Bytes(
-            [vec![(Duration::ZERO, head.into())], vec![drop; DRIPS]].concat(),
-            End::Silent,
+            [vec![(Duration::ZERO, head.into())], vec![piece; PIECES]].concat(),
+            AfterReply::Silent,
         )
     });
-    scene.discovery.reset();
-    let calls = scene.discovery.count();
-    wait_until("the endless answer has begun", || {
-        scene.discovery.count() > calls
+    scenario.discovery.reset_open_connections();
+    let calls = scenario.discovery.count();
+    wait_until("the endless answer has started", || {
+        scenario.discovery.count() > calls
     });
-    let told = scene.leaves();
-    scene.owed(told, TOLD + GRACE);
+    let changed = scenario.drain();
+    scenario.assert_drained(changed, UPDATE_BOUND + DRAIN_GRACE);
 }
 
-// ---- Forms ----
+// ---- Forms of answers ----
 
-/// In each form a change binds at once, on a connection that is used again where it may be, and nothing is said to be wrong.
+/// In each form a change takes effect at once, the connection is reused where the form allows it,
+/// and no problem is logged.
 #[rstest]
-fn answers_come_in_all_forms(
+fn answer_has_any_valid_form_change_takes_effect_at_once(
     #[values(
         Form::Plain,
         Form::Indented,
@@ -484,31 +496,31 @@
 ) {
     let members = Members::start();
     let discovery = ScriptedDiscovery::start(&members.list("active"));
-    discovery.form(form);
-    let scene = Scene::start_with(Mode::Push, 1, members, discovery, |text| text).settled();
-    scene.owed(scene.leaves(), GRACE);
-    scene
+    discovery.set_form(form);
+    let scenario = Scenario::start_with(Mode::Push, 1, members, discovery, |text| text).settled();
+    scenario.assert_drained(scenario.drain(), DRAIN_GRACE);
+    scenario
         .discovery
-        .tell(LEAVES, scene.members.one(LEAVES, "active"));
-    scene.used();
-    scene.owed(scene.leaves(), GRACE);
-    let calls = scene.discovery.count();
-    wait_until("some more are told", || {
-        scene
+        .publish(LEAVING, scenario.members.entry(LEAVING, "active"));
+    scenario.wait_until_leaving_is_used();
+    scenario.assert_drained(scenario.drain(), DRAIN_GRACE);
+    let calls = scenario.discovery.count();
+    wait_until("more calls are answered", || {
+        scenario
             .discovery
-            .tell(STAYS, scene.members.one(STAYS, "active"));
-        scene.discovery.count() > calls + 40
+            .publish(STAYING, scenario.members.entry(STAYING, "active"));
+        scenario.discovery.count() > calls + 40
     });
-    let (calls, connections) = (scene.discovery.count(), scene.discovery.connections());
+    let (calls, connections) = (scenario.discovery.count(), scenario.discovery.connections());
     println!("{calls} calls on {connections} connections");
-    let ends = matches!(form, Form::NoLength | Form::ConnectionHeader(_) | Form::Http10);
+    let closes = matches!(form, Form::NoLength | Form::ConnectionHeader(_) | Form::Http10);
     assert!(
-        ends || connections * 5 <= calls,
+        closes || connections * 5 <= calls,
         "{calls} calls took {connections} connections"
     );
-    // A machine that is busy may keep an answer for long; anything else that is said would be wrong.
-    let said = scene.program.log();
-    let wrong = said
+    // On a busy machine a call may time out; any other problem in the log is an error.
+    let log = scenario.program.log();
+    let wrong = log
         .lines()
         .filter(|l| !l.contains("no response"))
         .find(|l| {
@@ -518,225 +530,228 @@
 }
 
 #[rstest]
-fn a_whole_list_replaces_what_was_held(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
-    let scene = Scene::start(mode, 1).settled();
-    scene.discovery.form(Form::FullList);
-    let told = scene.discovery.forget(LEAVES);
-    // Only the next call's answer is whole.
-    scene.owed(told, mode.told() + GRACE);
+fn full_list_lacks_endpoint_endpoint_is_removed(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
+    let scenario = Scenario::start(mode, 1).settled();
+    scenario.discovery.set_form(Form::FullList);
+    let changed = scenario.discovery.remove(LEAVING);
+    // Only the answer to the next call is a full list.
+    scenario.assert_drained(changed, mode.update_bound() + DRAIN_GRACE);
 }
 
-/// Nothing of these is a list, and the watch goes on behind each of them.
+/// None of these is a list, and the watch goes on after each of them.
 #[rstest]
-#[case::a_chunk_beyond_all_bounds(
+#[case::oversized_chunk(
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"rev\r\nffffffffffffffff\r\n"
 )]
-#[case::a_body_beyond_all_bounds("HTTP/1.1 200 OK\r\nContent-Length: 18446744073709551615\r\n\r\n")]
-#[case::no_http("SSH-2.0-x\r\n\r\n")]
-#[case::no_list("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")]
-#[case::nothing("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")]
+#[case::oversized_body("HTTP/1.1 200 OK\r\nContent-Length: 18446744073709551615\r\n\r\n")]
+#[case::not_http("SSH-2.0-x\r\n\r\n")]
+#[case::not_a_list("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")]
+#[case::empty_body("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")]
 #[case::another_status("HTTP/1.1 204 No Content\r\n\r\n")]
-fn nonsense_is_no_list_and_no_end_of_the_watch(#[case] bytes: &'static str) {
-    let scene = Scene::start(Mode::Push, 1).settled();
+fn answer_is_invalid_it_is_ignored_and_watch_goes_on(#[case] bytes: &'static str) {
+    let scenario = Scenario::start(Mode::Push, 1).settled();
     let mut first = true;
-    scene
+    scenario
         .discovery
-        .script(move |_| match std::mem::take(&mut first) {
-            true => CallReply::Bytes(vec![(Duration::ZERO, bytes.into())], End::Silent),
+        .set_script(move |_| match std::mem::take(&mut first) {
+            true => CallReply::Bytes(vec![(Duration::ZERO, bytes.into())], AfterReply::Silent),
             false => CallReply::Update(Form::Plain),
         });
-    scene.discovery.reset();
-    scene.program.wait_for_log("keeping the cached endpoint list");
-    scene.owed(scene.leaves(), GRACE);
-    scene.program.wait_for_log("discovery poll succeeded again");
+    scenario.discovery.reset_open_connections();
+    scenario.program.wait_for_log("keeping the cached endpoint list");
+    scenario.assert_drained(scenario.drain(), DRAIN_GRACE);
+    scenario.program.wait_for_log("discovery poll succeeded again");
 }
 
 // ---- Versions ----
 
-/// An older version is no news: what it says is not taken, and the whole list is asked for.
+/// An answer of an older version is not applied, and the full list is requested.
 #[rstest]
-fn a_stale_answer_makes_no_drained_member_active_again(#[values(true, false)] whole: bool) {
-    let scene = Scene::start(Mode::Push, 1).settled();
-    let told = scene.leaves();
-    scene.owed(told, GRACE);
-    let stale = scene.members.body(1, whole, "active");
+fn stale_answer_lists_drained_endpoint_as_active_it_stays_drained(#[values(true, false)] full: bool) {
+    let scenario = Scenario::start(Mode::Push, 1).settled();
+    let changed = scenario.drain();
+    scenario.assert_drained(changed, DRAIN_GRACE);
+    let stale = scenario.members.body(1, full, "active");
     let mut first = true;
-    scene.discovery.script(move |asked: &Asked| {
-        if asked.from.is_some() && std::mem::take(&mut first) {
+    scenario.discovery.set_script(move |call: &Call| {
+        if call.from.is_some() && std::mem::take(&mut first) {
             let (pieces, end) = answer(&stale, Form::Plain);
             return CallReply::Bytes(pieces, end);
         }
         CallReply::Update(Form::Plain)
     });
-    let asks = |call: &Asked| call.from.is_none() && call.at > told;
-    wait_until("the whole list is asked for", || {
-        scene.discovery.calls.lock().unwrap().iter().any(asks)
+    let is_full_request = |call: &Call| call.from.is_none() && call.at > changed;
+    wait_until("the full list is requested", || {
+        scenario.discovery.calls.lock().unwrap().iter().any(is_full_request)
     });
-    scene.owed(told, GRACE);
+    scenario.assert_drained(changed, DRAIN_GRACE);
 }
 
-/// It has nothing newer than the version that is held, and changes are not told as long as that is asked from.
+/// A discovery service whose version count restarts has nothing newer than the version the gateway
+/// has, so it sends no changes as long as the gateway asks from that version.
 #[rstest]
-fn a_discovery_that_counts_anew_is_followed(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
-    let scene = Scene::start(mode, 1).settled();
+fn discovery_restarts_its_versions_changes_still_take_effect(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
+    let scenario = Scenario::start(mode, 1).settled();
     for _ in 0..5 {
-        scene
+        scenario
             .discovery
-            .tell(STAYS, scene.members.one(STAYS, "active"));
+            .publish(STAYING, scenario.members.entry(STAYING, "active"));
     }
-    let held = |call: &Asked| call.from == Some(6);
+    let is_at_6 = |call: &Call| call.from == Some(6);
     wait_until("the watch is at version 6", || {
-        scene.discovery.calls.lock().unwrap().iter().any(held)
+        scenario.discovery.calls.lock().unwrap().iter().any(is_at_6)
     });
-    let told = scene
+    let changed = scenario
         .discovery
-        .counts_anew(1, LEAVES, scene.members.one(LEAVES, "leaving"));
-    scene.owed(told, mode.told() + GRACE);
-    scene
+        .restart_versions(1, LEAVING, scenario.members.entry(LEAVING, "leaving"));
+    scenario.assert_drained(changed, mode.update_bound() + DRAIN_GRACE);
+    scenario
         .discovery
-        .tell(LEAVES, scene.members.one(LEAVES, "active"));
-    scene.used();
+        .publish(LEAVING, scenario.members.entry(LEAVING, "active"));
+    scenario.wait_until_leaving_is_used();
 }
 
-// ---- Another address ----
+// ---- Change of the discovery address ----
 
-/// SIGHUP in the middle of each trouble: what the new address has counts 4 s later.
+/// SIGHUP during each kind of outage: changes at the new address take effect within 4 s.
 #[rstest]
-fn a_new_address_is_asked_in_every_trouble_of_the_old_one(
+fn address_changes_during_outage_new_address_is_used(
     #[values(
-        Trouble::Silent,
-        Trouble::Refused,
-        Trouble::TurnedAway,
-        Trouble::Reset,
-        Trouble::HalfReset,
-        Trouble::HalfClosed,
-        Trouble::HalfHung,
-        Trouble::Drips,
-        Trouble::WholeReset
+        Outage::Silent,
+        Outage::Refused,
+        Outage::Unavailable,
+        Outage::Reset,
+        Outage::PartialThenReset,
+        Outage::PartialThenClose,
+        Outage::PartialThenSilent,
+        Outage::Dripping,
+        Outage::WrongListThenReset
     )]
-    trouble: Trouble,
+    outage: Outage,
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
 ) {
-    let scene = Scene::start(mode, 100).settled();
-    let new = ScriptedDiscovery::start(&scene.members.list("leaving"));
-    scene.discovery.reset();
-    trouble.begins(&scene.discovery, &scene.members);
+    let scenario = Scenario::start(mode, 100).settled();
+    let new = ScriptedDiscovery::start(&scenario.members.list("leaving"));
+    scenario.discovery.reset_open_connections();
+    outage.begin(&scenario.discovery, &scenario.members);
     thread::sleep(Duration::from_millis(1_500));
-    let moved = scene.moves(new.address);
-    scene.owed(moved, TOLD_ELSEWHERE + GRACE);
+    let changed = scenario.change_discovery(new.address);
+    scenario.assert_drained(changed, UPDATE_BOUND_NEW_ADDRESS + DRAIN_GRACE);
     assert_eq!(
         new.calls.lock().unwrap()[0].from,
         None,
-        "the old one's version is nothing to the new one"
+        "the first call to the new address must not name a version of the old one"
     );
 }
 
 #[rstest]
-fn a_connect_that_hangs_is_no_part_of_a_new_address(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
-    let scene = Scene::start(mode, 100).settled();
+fn connect_to_previous_address_hangs_new_address_is_used(#[values(Mode::Push, Mode::Ask)] mode: Mode) {
+    let scenario = Scenario::start(mode, 100).settled();
     let (hangs, new) = (
         HangingListener::start(),
-        ScriptedDiscovery::start(&scene.members.list("leaving")),
+        ScriptedDiscovery::start(&scenario.members.list("leaving")),
     );
-    scene.moves(hangs.0);
+    scenario.change_discovery(hangs.0);
     thread::sleep(Duration::from_millis(200));
-    let moved = scene.moves(new.address);
-    scene.owed(moved, TOLD_ELSEWHERE + GRACE);
+    let changed = scenario.change_discovery(new.address);
+    scenario.assert_drained(changed, UPDATE_BOUND_NEW_ADDRESS + DRAIN_GRACE);
 }
 
-/// The old address answers what it was asked before the move after it: it is the new one's word that goes.
+/// The old address answers a call only after the change of address; the list of the new address
+/// counts.
 #[rstest]
-fn what_the_old_address_says_after_the_move_is_not_the_last_word(
+fn old_address_answers_after_change_its_list_does_not_apply(
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
 ) {
-    let scene = Scene::start(mode, 1).settled();
-    let late = answer(&scene.members.body(1_000, true, "active"), Form::Plain)
+    let scenario = Scenario::start(mode, 1).settled();
+    let late = answer(&scenario.members.body(1_000, true, "active"), Form::Plain)
         .0
         .concat_bytes();
     let pause = Duration::from_millis(90);
-    scene
+    scenario
         .discovery
-        .script(move |_| CallReply::Bytes(vec![(pause, late.clone())], End::Keep));
-    let calls = scene.discovery.count();
-    scene.discovery.reset();
-    wait_until("the old one is asked", || scene.discovery.count() > calls);
-    let new = ScriptedDiscovery::start(&scene.members.list("leaving"));
-    let moved = scene.moves(new.address);
-    scene.owed(moved, TOLD_ELSEWHERE + GRACE);
-    let old = scene.discovery.count();
-    scene.used_only_one();
+        .set_script(move |_| CallReply::Bytes(vec![(pause, late.clone())], AfterReply::Keep));
+    let calls = scenario.discovery.count();
+    scenario.discovery.reset_open_connections();
+    wait_until("the old address is called", || scenario.discovery.count() > calls);
+    let new = ScriptedDiscovery::start(&scenario.members.list("leaving"));
+    let changed = scenario.change_discovery(new.address);
+    scenario.assert_drained(changed, UPDATE_BOUND_NEW_ADDRESS + DRAIN_GRACE);
+    let old_calls = scenario.discovery.count();
+    scenario.wait_until_staying_serves();
     assert_eq!(
-        scene.discovery.count(),
-        old,
-        "the old one is not asked any more"
+        scenario.discovery.count(),
+        old_calls,
+        "the old address is still called"
     );
 }
 
-// ---- Starts and stops ----
+// ---- Starts and pauses of the process ----
 
-/// What the agent has binds from the first moment of a process; what a service has, 6 s later.
+/// Changes of an agent take effect from the start of the process, those of a service within 6 s.
 #[rstest]
-fn what_changed_since_the_known_list_binds_from_the_start(
+fn configured_list_is_stale_change_takes_effect_from_start(
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
     #[values(1, 100)] fleet: u32,
 ) {
     let members = Members::start();
     let discovery = ScriptedDiscovery::start(&members.list("leaving"));
-    let scene = Scene::start_with(mode, fleet, members, discovery, |text| text);
-    scene.owed(scene.began, mode.told() + GRACE);
+    let scenario = Scenario::start_with(mode, fleet, members, discovery, |text| text);
+    scenario.assert_drained(scenario.began, mode.update_bound() + DRAIN_GRACE);
 }
 
 #[test]
-fn an_agent_that_is_silent_at_the_start_binds_as_it_returns() {
+fn agent_is_silent_at_start_its_change_takes_effect_as_it_returns() {
     let members = Members::start();
     let discovery = ScriptedDiscovery::start(&members.list("leaving"));
-    discovery.falls_silent();
-    let scene = Scene::start_with(Mode::Push, 100, members, discovery, |text| text);
+    discovery.go_silent();
+    let scenario = Scenario::start_with(Mode::Push, 100, members, discovery, |text| text);
     thread::sleep(Duration::from_millis(3_040));
-    scene.used();
-    scene.owed(scene.discovery.returns(), GRACE);
+    scenario.wait_until_leaving_is_used();
+    scenario.assert_drained(scenario.discovery.come_back(), DRAIN_GRACE);
 }
 
-/// The list of the configuration may be empty, in part or no list at all: discovery's own replaces it.
+/// The list in the configuration may be empty, partial or no list at all; the one of discovery
+/// replaces it.
 #[rstest]
 #[case::empty(r#"{"rev":7,"all":true,"targets":[]}"#)]
 #[case::changes(r#"{"rev":7,"all":false,"targets":[]}"#)]
 #[case::null("null")]
 #[case::text(r#""s-00000001""#)]
 #[case::no_versions(r#"{"all":true,"targets":[]}"#)]
-fn without_a_known_list_the_whole_one_is_asked_for(#[case] known: &'static str) {
+fn configured_list_is_unusable_full_list_is_requested(#[case] known: &'static str) {
     let members = Members::start();
     let discovery = ScriptedDiscovery::start(&members.list("active"));
-    let scene = Scene::start_with(Mode::Push, 1, members, discovery, |text| {
+    let scenario = Scenario::start_with(Mode::Push, 1, members, discovery, |text| {
         let (before, rest) = text.split_once("\"known\":").unwrap();
         let (_, after) = rest.split_once("\"settings\"").unwrap();
         format!("{before}\"known\":{known},\"settings\"{after}")
     });
-    let scene = scene.settled();
-    assert_eq!(scene.discovery.calls.lock().unwrap()[0].from, None);
-    scene.owed(scene.leaves(), GRACE);
+    let scenario = scenario.settled();
+    assert_eq!(scenario.discovery.calls.lock().unwrap()[0].from, None);
+    scenario.assert_drained(scenario.drain(), DRAIN_GRACE);
 }
 
-/// The process stands still while the change is written to it.
+/// The process is paused while the change is sent to it.
 #[rstest]
-fn a_change_that_came_while_the_process_stood_still_binds_as_it_goes_on(
+fn change_arrives_while_process_is_paused_it_takes_effect_on_resume(
     #[values(Mode::Push, Mode::Ask)] mode: Mode,
     #[values(1_000, 3_500)] ms: u64,
 ) {
-    let scene = Scene::start(mode, 1).settled();
-    scene.stops();
-    scene.leaves();
+    let scenario = Scenario::start(mode, 1).settled();
+    scenario.pause();
+    scenario.drain();
     thread::sleep(Duration::from_millis(ms));
-    let goes = Instant::now();
-    scene.program.signal("CONT");
-    scene.owed(goes, GRACE);
+    let resumed = Instant::now();
+    scenario.program.signal("CONT");
+    scenario.assert_drained(resumed, DRAIN_GRACE);
 }
 
-impl Scene {
-    fn used_only_one(&self) {
-        let served = self.members.stays.1.count();
-        wait_until("the other one serves", || {
-            self.members.stays.1.count() > served + 50
+impl Scenario {
+    fn wait_until_staying_serves(&self) {
+        let served = self.members.staying.1.count();
+        wait_until("the other endpoint serves", || {
+            self.members.staying.1.count() > served + 50
         });
     }
 }
--- a/crates/gateway/tests/door.rs
+++ b/crates/gateway/tests/door.rs
@@ -1,4 +1,5 @@
-//! The door of the real program: tenants by their shares, shares changed in service, nobody forgotten at a stop.
+//! Admission control of the gateway process: tenants get their shares, shares can be changed at run
+//! time, and a planned stop answers all waiting requests.
 
 mod support;
 
@@ -24,12 +25,13 @@
     program: GatewayProcess,
 }
 
-/// A gateway over one database that takes 5 ms for each request, one after another, with shares of 0.8 and 0.2.
+/// A gateway over one database that takes 5 ms for each request, one at a time, with two tenants
+/// that have shares of 0.8 and 0.2. `door` is the text of the section `[door]`.
 fn gateway(door: &str) -> Gateway {
-    // One at a time: what is sent beyond that waits there, and takes ever longer.
+    // One at a time: further requests wait in the database and take ever longer.
     let core = Mutex::new(());
     let serve = move |_: usize, _: &str| {
-        let _held = core.lock().unwrap();
+        let _guard = core.lock().unwrap();
         thread::sleep(Duration::from_millis(5));
         Reply::Send(row("x"))
     };
@@ -57,7 +59,8 @@
     }
 }
 
-/// So many connections of a tenant ask as often as they can; a refused one comes back at once. How many were served.
+/// Sends requests on this many connections of a tenant as fast as possible until `stop` is set, and
+/// counts those served. A refused client sends its next request after 50 ms.
 fn flood(
     address: SocketAddr,
     tenant: &str,
@@ -82,13 +85,13 @@
                     };
                     match answer {
                         Answer::Value(_) => drop(served.fetch_add(1, Ordering::Relaxed)),
-                        // It had asked once and rested for long: it comes back.
+                        // Closed while idle after one request: connects again.
                         Answer::Ended => client = Client::connect(address),
-                        // The machine had no time for it.
+                        // The machine was too busy to serve the request in time.
                         Answer::Error(code, None) if code == "57014" => {}
                         Answer::Error(code, hint) => {
                             assert_eq!(code, "53300");
-                            let hint: u64 = hint.expect("a time to come back").parse().unwrap();
+                            let hint: u64 = hint.expect("a retry hint").parse().unwrap();
                             assert!((1..=2000).contains(&hint), "{hint}");
                             thread::sleep(Duration::from_millis(50));
                         }
@@ -100,35 +103,38 @@
     });
 }
 
-/// Both tenants flood until so many are served, however long a loaded machine takes for that: how many each was served.
-fn both(gateway: &Gateway, enough: usize) -> (usize, usize) {
+/// Floods with both tenants until `enough` requests are served, however long a loaded machine
+/// takes, and returns the number served for each.
+fn flood_both(gateway: &Gateway, enough: usize) -> (usize, usize) {
     let (stop, large, small) = (
         AtomicBool::new(false),
         AtomicUsize::new(0),
         AtomicUsize::new(0),
     );
     thread::scope(|scope| {
-        let _stops = StopOnDrop(&stop);
+        let _stop_guard = StopOnDrop(&stop);
         scope.spawn(|| flood(gateway.address, "large", 40, &stop, &large));
         scope.spawn(|| flood(gateway.address, "small", 40, &stop, &small));
         let count = || large.load(Ordering::Relaxed) + small.load(Ordering::Relaxed);
-        // A member that a starved machine could not reach is spared for 17 s before it is asked as before.
-        wait_until_within(3 * TEST_TIMEOUT, "enough are served", || count() >= enough);
+        // After an overloaded machine could not reach an endpoint, the endpoint gets less load for 17 s.
+        wait_until_within(3 * TEST_TIMEOUT, "enough requests are served", || count() >= enough);
     });
     (large.into_inner(), small.into_inner())
 }
 
 #[test]
-fn tenants_get_their_shares_and_other_shares_hold_once_they_are_read() {
+fn shares_are_changed_on_sighup_tenants_get_the_new_shares() {
     let gateway = gateway("[door]");
-    both(&gateway, 100);
-    let (large, small) = both(&gateway, 400);
-    assert!(large > small * 2, "{large} to {small}, of 0.8 to 0.2");
+    flood_both(&gateway, 100);
+    let (large, small) = flood_both(&gateway, 400);
+    assert!(large > small * 2, "large {large}, small {small}; shares 0.8 and 0.2");
     let walk = Walk::fetch(&mut v2c(gateway.agent), &vh_oid(&[8])).unwrap();
-    let of = |column: u32, tenant: &str| {
+    let value = |column: u32, tenant: &str| {
         walk.counters[&[vh_oid(&[8, 1, column]), text_index("bookings"), text_index(tenant)].concat()]
     };
-    assert!(of(17, "large") >= of(18, "large") && of(18, "large") > 0 && of(20, "small") > 0);
+    assert!(value(17, "large") >= value(18, "large")
+            && value(18, "large") > 0
+            && value(20, "small") > 0);
     let swapped = gateway
         .text
         .replace("0.8", "0.02")
@@ -136,12 +142,12 @@
     std::fs::write(&gateway.file, swapped).unwrap();
     gateway.program.signal("HUP");
     gateway.program.wait_for_log("configuration file read again");
-    let (large, small) = both(&gateway, 400);
-    assert!(small > large * 2, "{large} to {small}, of 0.02 to 0.8");
+    let (large, small) = flood_both(&gateway, 400);
+    assert!(small > large * 2, "large {large}, small {small}; shares 0.02 and 0.8");
 }
 
 #[test]
-fn a_planned_stop_answers_all_that_wait_at_the_door() {
+fn planned_stop_answers_all_waiting_requests() {
     let mut gateway = gateway("[door]");
     let answered = AtomicUsize::new(0);
     thread::scope(|scope| {
@@ -154,12 +160,12 @@
                 ));
                 assert!(
                     !matches!(answer, Answer::Ended),
-                    "each has an answer: {answer:?}"
+                    "request {n} has no answer: {answer:?}"
                 );
                 answered.fetch_add(1, Ordering::SeqCst);
             });
         }
-        wait_until("some are answered", || answered.load(Ordering::SeqCst) > 0);
+        wait_until("some requests are answered", || answered.load(Ordering::SeqCst) > 0);
         gateway.program.terminate();
     });
     assert_eq!(answered.into_inner(), 60);
@@ -167,7 +173,7 @@
 }
 
 #[test]
-fn shares_that_do_not_fit_change_nothing_and_say_why() {
+fn changed_shares_are_invalid_they_are_rejected_with_the_reason() {
     let gateway = gateway("[door]\nmost = 100");
     let fewer = gateway.text.replace(
         "[[budget]]\nname = \"small\"\nshare = 0.2\nallowance-per-s = 1000\n",
@@ -176,6 +182,6 @@
     std::fs::write(&gateway.file, fewer).unwrap();
     gateway.program.signal("HUP");
     gateway.program.wait_for_log("1 shares for 2 tenants");
-    let (large, small) = both(&gateway, 100);
+    let (large, small) = flood_both(&gateway, 100);
     assert!(large > 0 && small > 0);
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process, between stand-ins for clients, databases and discovery.
+//! The gateway as a process, with scripted clients, stub databases and a stub discovery service.
 
 mod support;
 
@@ -26,7 +26,7 @@
     Answer::Value(text.into())
 }
 
-/// The oid of a query as the value, so that an answer shows whose it is.
+/// An answer whose value is the oid in the query, which identifies the request.
 fn echo(query: &str) -> Vec<u8> {
     row_with_tag(
         query.split('\'').nth(1).unwrap(),
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn a_query_right_behind_the_startup_message_is_served_and_passed_on_with_the_time_left() {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn query_follows_startup_message_at_once_it_is_forwarded_with_remaining_time() {
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect_raw(gateway.address);
     let query = write("book", 1, 3000);
     client
@@ -56,7 +56,7 @@
         .unwrap();
     client.read_until_ready();
     assert_eq!(client.answer(), value("x1"));
-    let passed = seen.query(0);
+    let passed = db.query(0);
     let d: u32 = passed
         .split(",d=")
         .nth(1)
@@ -70,14 +70,14 @@
     assert_eq!(
         passed,
         query.replace("d=3000", &format!("d={d}")),
-        "all but d stays as it was"
+        "more than d was changed"
     );
 }
 
 #[test]
-fn the_ready_check_and_settings_are_answered_at_once_and_answers_keep_their_order() {
-    let (at, _) = stub_database("read-write", |_, q| {
-        // The first takes longer than the second, which must wait for it.
+fn empty_query_and_set_are_answered_locally_and_answers_keep_their_order() {
+    let (db_address, _) = stub_database("read-write", |_, q| {
+        // The first takes longer than the second, whose answer must wait for it.
         std::thread::sleep(Duration::from_millis(if q.contains("x1'") {
             80
         } else {
@@ -85,13 +85,13 @@
         }));
         Reply::Send(echo(q))
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     assert_eq!(client.query(""), Answer::Empty);
     assert_eq!(
         client.query("SET a = 1"),
         Answer::Ended,
-        "a completion and nothing else"
+        "expected a completion and nothing else"
     );
     client.send(&read(1, 3000));
     client.send(&read(2, 3000));
@@ -103,31 +103,31 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_read_called_off() {
-    let (at, seen) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn client_disconnects_its_read_is_cancelled() {
+    let (db_address, db) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&read(1, 5000));
-    wait_until("the database has it", || seen.count() == 1);
-    let closed = seen.closed.load(Ordering::SeqCst);
+    wait_until("the database has the request", || db.count() == 1);
+    let closed = db.closed.load(Ordering::SeqCst);
     drop(client);
-    wait_until("its connection ends", || {
-        seen.closed.load(Ordering::SeqCst) > closed
+    wait_until("the database connection is closed", || {
+        db.closed.load(Ordering::SeqCst) > closed
     });
-    assert_eq!(seen.count(), 1, "nobody waits: it is not sent again");
+    assert_eq!(db.count(), 1, "sent again although no client waits");
 }
 
 #[test]
-fn after_a_time_out_the_connection_is_closed_and_late_bytes_reach_no_one() {
-    let (at, seen) = stub_database("read-write", |n, q| {
+fn attempt_times_out_connection_is_closed_and_late_answer_reaches_nobody() {
+    let (db_address, db) = stub_database("read-write", |n, q| {
         if n == 0 {
-            // Answers long after the gateway has stopped waiting.
+            // Answers long after the gateway has given up.
             std::thread::sleep(Duration::from_millis(500));
             return Reply::SendThenClose([row("late"), mode_status("read-write"), ready_for_query()].concat());
         }
         Reply::Send(echo(q))
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
     assert!(
@@ -135,7 +135,7 @@
     );
     assert!(
         began.elapsed() < Duration::from_millis(2_500),
-        "by its own deadline, not by its class's"
+        "ended by the deadline of its class, not by its own"
     );
     for id in 2..6 {
         assert_eq!(
@@ -143,7 +143,7 @@
             value(&format!("x{id}"))
         );
     }
-    let queries = seen.queries.lock().unwrap();
+    let queries = db.queries.lock().unwrap();
     assert!(
         queries[1..]
             .iter()
@@ -155,38 +155,38 @@
 #[case::in_the_row(row("half")[..40].to_vec())]
 #[case::before_the_completion(row("half")[..row("half").len() - 14].to_vec())]
 #[case::with_nothing(vec![])]
-fn half_an_answer_is_never_served(#[case] half: Vec<u8>) {
-    let cut = half.clone();
-    let (at, seen) = stub_database("read-write", move |n, q| {
+fn answer_is_truncated_keyed_write_is_retried_and_unsafe_write_fails(#[case] truncated: Vec<u8>) {
+    let first = truncated.clone();
+    let (db_address, db) = stub_database("read-write", move |n, q| {
         if n == 0 {
-            Reply::SendThenClose(cut.clone())
+            Reply::SendThenClose(first.clone())
         } else {
             Reply::Send(echo(q))
         }
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    // It may have run: a keyed write is sent again inside its window, an unsafe one is not.
+    // The write may have run: a keyed one is retried within its window, an unsafe one is not.
     assert_eq!(client.query(&write("book", 1, 4000)), value("x1"));
-    assert_eq!(seen.count(), 2);
-    let (at, seen) = stub_database("read-write", move |_, _| Reply::SendThenClose(half.clone()));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    assert_eq!(db.count(), 2);
+    let (db_address, db) = stub_database("read-write", move |_, _| Reply::SendThenClose(truncated.clone()));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     assert!(
         matches!(client.query(&write("once", 1, 4000)), Answer::Error(code, _) if code == "58000")
     );
-    assert_eq!(seen.count(), 1);
+    assert_eq!(db.count(), 1);
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran_and_a_refusal_says_when_to_come_back() {
+fn endpoint_refuses_connections_write_is_refused_with_retry_hint() {
     let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
     );
     let mut client = Client::connect(gateway.address);
     let Answer::Error(code, Some(after)) = client.query(&write("once", 1, 600)) else {
-        panic!("no refusal")
+        panic!("expected a refusal")
     };
     assert_eq!(code, "53300");
     assert!(
@@ -196,9 +196,9 @@
 }
 
 #[test]
-fn a_write_finds_the_primary_by_the_role_that_this_answer_told() {
-    let (one, wrong) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
-    let (two, right) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+fn replica_rejects_write_it_is_retried_at_the_primary() {
+    let (one, replica) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
+    let (two, primary) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = [
         target("s-00000001", one, "read-write", "active"),
         target("s-00000002", two, "read-only", "active"),
@@ -212,13 +212,13 @@
         );
     }
     assert!(
-        wrong.count() <= 1 && right.count() == 3,
-        "the miss is not repeated"
+        replica.count() <= 1 && primary.count() == 3,
+        "the replica was tried more than once"
     );
 }
 
 #[test]
-fn a_draining_database_gets_nothing_new_and_the_watch_is_armed_again_in_time() {
+fn endpoint_drains_it_gets_no_new_requests_and_watch_is_rearmed_in_time() {
     let (one, drained) = stub_database("read-only", |_, q| Reply::Send(echo(q)));
     let (two, other) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let list = [
@@ -237,15 +237,15 @@
         .lock()
         .unwrap()
         .push(change.clone());
-    wait_until("the change is told", || {
+    wait_until("the change is sent", || {
         assert_eq!(client.query(&read(2, 4000)), value("x2"));
         !gateway.discovery.update_times.lock().unwrap().is_empty()
     });
-    let told = gateway.discovery.update_times.lock().unwrap()[0];
-    while told.elapsed() < Duration::from_millis(900) {
+    let drained_at = gateway.discovery.update_times.lock().unwrap()[0];
+    while drained_at.elapsed() < Duration::from_millis(900) {
         assert_eq!(client.query(&read(3, 4000)), value("x3"));
     }
-    let late = |at: &Instant| at.duration_since(told) > Duration::from_millis(500);
+    let late = |at: &Instant| at.duration_since(drained_at) > Duration::from_millis(500);
     assert!(
         drained
             .queries
@@ -255,7 +255,8 @@
             .all(|(at, ..)| !late(at))
             && other.count() > 0
     );
-    // The watch goes on only when the next call comes within 200 ms: most do, however the machine is loaded.
+    // The watch goes on only if the next call comes within 200 ms. Most calls do, whatever the load
+    // of the machine.
     for n in 2..=8 {
         gateway
             .discovery
@@ -263,7 +264,7 @@
             .lock()
             .unwrap()
             .push(change.clone());
-        wait_until("the watch was armed again", || {
+        wait_until("the watch is armed again", || {
             gateway.discovery.update_times.lock().unwrap().len() == n
         });
     }
@@ -276,33 +277,33 @@
 }
 
 #[test]
-fn while_discovery_is_silent_the_known_list_serves() {
-    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+fn discovery_is_silent_configured_list_is_used() {
+    let (db_address, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let gateway = start_gateway_with(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         true,
     );
     let mut client = Client::connect(gateway.address);
     assert_eq!(client.query(&read(1, 4000)), value("x1"));
     gateway.discovery.silent.store(false, Ordering::SeqCst);
-    wait_until("the watch is taken up", || {
+    wait_until("the gateway watches discovery", || {
         gateway.discovery.watches.load(Ordering::SeqCst) > 0
     });
 }
 
 #[test]
-fn a_pooled_connection_is_retired_before_the_database_would_close_it() {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 5000);
+fn pooled_connection_is_idle_it_is_closed_before_the_idle_limit_of_the_database() {
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 5000);
     assert_eq!(
         Client::connect(gateway.address).query(&read(1, 4000)),
         value("x1")
     );
-    wait_until("it is closed", || {
-        seen.closed.load(Ordering::SeqCst) == seen.opened.load(Ordering::SeqCst)
+    wait_until("the pooled connection is closed", || {
+        db.closed.load(Ordering::SeqCst) == db.opened.load(Ordering::SeqCst)
     });
-    let used = seen.queries.lock().unwrap()[0].0;
+    let used = db.queries.lock().unwrap()[0].0;
     assert!(
         used.elapsed() < Duration::from_millis(5000),
         "{:?}",
@@ -311,27 +312,27 @@
 }
 
 #[test]
-fn a_connection_that_the_database_closed_while_idle_costs_no_attempt() {
-    let (at, seen) = stub_database("read-write", |_, q| {
+fn database_closes_idle_connection_no_attempt_is_spent_on_it() {
+    let (db_address, db) = stub_database("read-write", |_, q| {
         Reply::SendThenClose([echo(q), mode_status("read-write"), ready_for_query()].concat())
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..6 {
         assert_eq!(
             client.query(&write("once", id, 4000)),
             value(&format!("x{id}"))
         );
-        wait_until("its end has come", || {
-            seen.closed.load(Ordering::SeqCst) >= id as usize
+        wait_until("the database has closed the connection", || {
+            db.closed.load(Ordering::SeqCst) >= id as usize
         });
     }
-    assert_eq!(seen.count(), 5);
+    assert_eq!(db.count(), 5);
 }
 
 #[test]
-fn a_planned_stop_serves_on_answers_all_closes_what_is_idle_and_ends() {
-    let (at, seen) = stub_database("read-write", |_, q| {
+fn planned_stop_serves_clients_closes_connections_and_exits_in_time() {
+    let (db_address, db) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(if q.contains("x1'") {
             1200
         } else {
@@ -339,16 +340,16 @@
         }));
         Reply::Send(echo(q))
     });
-    let mut gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let mut gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut idle = Client::connect(gateway.address);
     let mut busy = Client::connect(gateway.address);
     busy.send(&read(1, 4000));
-    wait_until("the database has it", || seen.count() == 1);
+    wait_until("the database has the request", || db.count() == 1);
     let (over, pause) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
-    let ends = Arc::clone(&over);
+    let finished = Arc::clone(&over);
     let late_by = std::thread::spawn(move || {
         let mut late_by = Duration::ZERO;
-        while !ends.load(Ordering::SeqCst) {
+        while !finished.load(Ordering::SeqCst) {
             let began = Instant::now();
             std::thread::sleep(pause);
             late_by += began.elapsed() - pause;
@@ -360,37 +361,37 @@
     assert_eq!(
         late.query(&read(2, 4000)),
         value("x2"),
-        "new connections are still taken"
+        "new connections are still accepted"
     );
-    // It is one that comes back to ask again: one that asked once would be closed meanwhile.
+    // A second request, since an idle connection with only one request would be closed meanwhile.
     assert_eq!(late.query(&read(4, 4000)), value("x4"));
-    let told = Instant::now();
+    let asked = Instant::now();
     assert_eq!(busy.answer(), value("x1"));
-    // The other gateways may be down as well: connections that clients have go on to be served.
-    while told.elapsed() < Duration::from_millis(2000) {
+    // Open connections go on being served, since the other gateways may be down as well.
+    while asked.elapsed() < Duration::from_millis(2000) {
         assert_eq!(late.query(&read(3, 4000)), value("x3"));
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(parted(&idle.answer()), "closed between requests");
-    assert!(parted(&late.answer()));
+    assert!(is_refusal(&idle.answer()), "not closed between requests");
+    assert!(is_refusal(&late.answer()));
     assert!(gateway.program.wait_for_exit().success());
-    let took = told.elapsed();
+    let took = asked.elapsed();
     over.store(true, Ordering::SeqCst);
-    // It may be later by as much as this machine keeps threads from going on.
+    // Allows for the time by which this machine delays threads.
     let most = Duration::from_millis(3700) + late_by.join().unwrap();
     assert!(
         took < most,
-        "the platform would kill it: {took:?} of {most:?}"
+        "the platform would have killed the process: {took:?} of {most:?}"
     );
 }
 
 #[test]
-fn what_is_open_when_the_platform_is_about_to_kill_the_program_is_answered_before() {
-    let (at, seen) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
-    let mut gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn planned_stop_runs_out_of_time_open_request_is_answered_before_exit() {
+    let (db_address, db) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
+    let mut gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 5000));
-    wait_until("the database has it", || seen.count() == 1);
+    wait_until("the database has the request", || db.count() == 1);
     gateway.program.terminate();
     assert!(matches!(client.answer(), Answer::Error(code, _) if code == "57014"));
     assert!(gateway.program.wait_for_exit().success());
@@ -448,23 +449,23 @@
 fn malformed_input_gets_an_error(
     #[case] input: Vec<u8>,
     #[case] code: &str,
-    #[case] goes_on: bool,
+    #[case] stays_open: bool,
 ) {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.0.write_all(&input).unwrap();
     assert!(matches!(client.answer(), Answer::Error(got, _) if got == code));
-    if goes_on && code != "0A000" {
+    if stays_open && code != "0A000" {
         assert_eq!(client.query(&read(1, 4000)), value("x1"));
     }
     assert_eq!(
         Client::connect(gateway.address).query(&read(2, 4000)),
         value("x2"),
-        "others are served"
+        "another client is not served"
     );
     assert!(
-        seen.queries
+        db.queries
             .lock()
             .unwrap()
             .iter()
@@ -475,7 +476,7 @@
 #[rstest]
 #[case::startup_too_long(vec![0x7f, 0xff, 0xff, 0xff], "08P01")]
 #[case::old_version(vec![0, 0, 0, 8, 0, 2, 0, 0], "0A000")]
-fn a_malformed_start_gets_an_error(#[case] input: Vec<u8>, #[case] code: &str) {
+fn malformed_startup_gets_an_error(#[case] input: Vec<u8>, #[case] code: &str) {
     let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
@@ -501,7 +502,7 @@
 )]
 #[case("\"tick-ms\":5.0,", "", "tick-ms")]
 #[case("\"fleet-size\":1", "\"fleet-size\":0", "fleet-size")]
-fn a_bad_configuration_is_told_by_its_key(
+fn invalid_configuration_error_names_the_key(
     #[case] good: &str,
     #[case] bad: &str,
     #[case] key: &str,
@@ -512,28 +513,28 @@
     std::fs::write(&path, text.replace(good, bad)).unwrap();
     let program = std::process::Command::new(env!("CARGO_BIN_EXE_valehatch"));
     let out = { program }.env("BALANCER_CONFIG", &path).output().unwrap();
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && said.contains(key), "{said}");
+    let errors = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(!out.status.success() && errors.contains(key), "{errors}");
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_up_no_one() {
-    // Its answers fill every buffer on the way; the core must not wait for them.
-    let (at, _) = stub_database("read-write", |_, q| {
+fn client_does_not_read_its_answers_others_are_served() {
+    // The unread answers fill every buffer on the way; the core must not wait for them.
+    let (db_address, _) = stub_database("read-write", |_, q| {
         if q.contains("x1'") {
             Reply::Send(row(&"v".repeat(64 * 1024)))
         } else {
             Reply::Send(echo(q))
         }
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
-    let mut deaf = Client::connect(gateway.address);
-    deaf.0
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
+    let mut unread = Client::connect(gateway.address);
+    unread.0
         .set_write_timeout(Some(Duration::from_millis(300)))
         .unwrap();
-    // So many that its own requests stand still, too.
+    // Sends until its own requests are no longer read either.
     let query = message(b'Q', format!("{}\0", read(1, 5000)).as_bytes());
-    while deaf.0.write_all(&query.repeat(200)).is_ok() {}
+    while unread.0.write_all(&query.repeat(200)).is_ok() {}
     let mut client = Client::connect(gateway.address);
     for id in 2..20 {
         assert_eq!(client.query(&read(id, 4000)), value(&format!("x{id}")));
@@ -541,14 +542,14 @@
 }
 
 #[test]
-fn beyond_the_budget_of_descriptors_connections_are_refused_and_the_others_served() {
-    let (at, seen) = stub_database("read-write", |_, q| {
+fn descriptor_limit_is_reached_some_requests_are_refused_and_others_served() {
+    let (db_address, db) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(200));
         Reply::Send(echo(q))
     });
-    let list = target("s-00000001", at, "read-write", "active");
-    // Of 64 descriptors 16 are kept back, 24 are for clients, 24 for databases.
-    let gateway = start_gateway_with_config(&list, 15_000, false, small);
+    let list = target("s-00000001", db_address, "read-write", "active");
+    // Of 64 descriptors, 16 are reserved, 24 are for clients and 24 for databases.
+    let gateway = start_gateway_with_config(&list, 15_000, false, with_64_descriptors);
     let ask = |id| {
         [
             Client::startup_message(),
@@ -568,23 +569,25 @@
             .all(|a| refused(a) || matches!(a, Answer::Value(_))),
         "{answers:?}"
     );
-    assert!(answers.iter().any(|a| !refused(a)) && seen.opened.load(Ordering::SeqCst) <= 24);
+    assert!(answers.iter().any(|a| !refused(a)) && db.opened.load(Ordering::SeqCst) <= 24);
 }
 
-fn small(text: String) -> String {
+fn with_64_descriptors(text: String) -> String {
     text.replace("\"sockets\":1024", "\"sockets\":64")
 }
 
 #[test]
-fn clients_that_keep_their_connections_for_ever_make_room_for_others() {
-    // Connections that asked once and stay took every place within seconds: nobody else was served.
-    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let list = target("s-00000001", at, "read-write", "active");
-    let gateway = start_gateway_with_config(&list, 15_000, false, small);
-    // What was answered only now is not ended for room: who comes then is refused, and comes again.
-    let (mut stay, mut id) = (vec![], 0);
-    let mut served = |stay: &mut Vec<Client>| {
-        wait_until("what has rested makes room", || {
+fn clients_keep_their_connections_new_clients_are_served() {
+    // Guards against connections that stay open after one request, took every descriptor within
+    // seconds and kept all other clients out.
+    let (db_address, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let list = target("s-00000001", db_address, "read-write", "active");
+    let gateway = start_gateway_with_config(&list, 15_000, false, with_64_descriptors);
+    // A connection that has just been answered is not closed to make room: a client that comes then
+    // is refused and connects again.
+    let (mut open, mut id) = (vec![], 0);
+    let mut served = |open: &mut Vec<Client>| {
+        wait_until("a new client is served", || {
             id += 1;
             let mut client = Client::connect(gateway.address);
             let answer = client.query(&read(id, 4000));
@@ -593,23 +596,23 @@
                 served || matches!(&answer, Answer::Error(code, _) if code == "53300"),
                 "{answer:?}"
             );
-            stay.extend(served.then_some(client));
+            open.extend(served.then_some(client));
             served
         });
     };
-    (0..60).for_each(|_| served(&mut stay));
+    (0..60).for_each(|_| served(&mut open));
     let silent: Vec<Client> = (0..100).map(|_| Client::connect_raw(gateway.address)).collect();
-    served(&mut stay);
-    let has = |what| {
+    served(&mut open);
+    let entries = |what| {
         std::fs::read_dir(format!("/proc/{}/{what}", gateway.program.0.id()))
             .unwrap()
             .count()
     };
     assert!(
-        has("fd") <= 64 && has("task") <= 140,
+        entries("fd") <= 64 && entries("task") <= 140,
         "{} descriptors, {} threads",
-        has("fd"),
-        has("task")
+        entries("fd"),
+        entries("task")
     );
     drop(silent);
 }
@@ -619,7 +622,7 @@
 #[case::greeted(Client::startup_message())]
 #[case::half_a_command([Client::startup_message(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
 #[case::half_an_opening(Client::startup_message()[..9].to_vec())]
-fn a_connection_that_asks_nothing_is_closed_within_3_s(#[case] sent: Vec<u8>) {
+fn connection_sends_no_request_it_is_closed(#[case] sent: Vec<u8>) {
     let gateway = start_gateway(
         &target("s-00000001", free_address(), "read-write", "active"),
         15_000,
@@ -635,21 +638,22 @@
     );
 }
 
-/// What bad clients are owed (LATER, STANDING): an error or a close within 3 s of connecting.
+/// Clients that stop in the middle of a message get an error or a close within 3 s of connecting
+/// (LATER, STANDING).
 #[rstest]
 #[case::command([Client::startup_message(), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
 #[case::command_behind_whole_ones([Client::startup_message(), pipelined_reads(1..3, 1_000), b"Q\0\0\x01\0/* id=".to_vec()].concat())]
 #[case::opening(Client::startup_message()[..9].to_vec())]
-fn client_that_stops_half_way_is_ended_within_3_s(#[case] sent: Vec<u8>) {
-    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn client_stops_mid_message_it_gets_error_or_close_within_3_s(#[case] sent: Vec<u8>) {
+    let (db_address, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let began = Instant::now();
     let mut client = Client::connect_and_send(gateway.address, &sent);
     let (mut last, mut at) = (None, began.elapsed());
     while let Some((kind, _)) = read_message(&mut client.0) {
         (last, at) = (Some(kind), began.elapsed());
     }
-    // The last word, if there is one, comes before the close.
+    // An error, if there is one, precedes the close.
     let ended = if last == Some(b'E') {
         at
     } else {
@@ -659,9 +663,9 @@
 }
 
 #[test]
-fn who_asks_once_and_stays_is_let_go_long_before_who_comes_back() {
-    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn idle_client_with_one_request_is_closed_before_one_with_several() {
+    let (db_address, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let (mut once, mut twice) = (
         Client::connect(gateway.address),
         Client::connect(gateway.address),
@@ -670,21 +674,22 @@
     assert_eq!(twice.query(&read(2, 3000)), value("x2"));
     assert_eq!(once.query(&read(3, 3000)), value("x3"));
     let began = Instant::now();
-    assert!(parted(&once.answer()), "though its place is not needed");
+    assert!(is_refusal(&once.answer()), "not closed although idle");
     assert!(
         began.elapsed() < Duration::from_secs(5),
-        "half of what the other may: {:?}",
+        "more than half of the idle time of the other client: {:?}",
         began.elapsed()
     );
     assert_eq!(twice.query(&read(4, 3000)), value("x4"));
 }
 
-/// The last word on a connection that is ended: nothing ran, and when to come back.
-fn parted(answer: &Answer) -> bool {
+/// Whether the answer is a refusal: nothing was executed, and the hint says when to retry. It is
+/// also the last message on a connection that the gateway closes.
+fn is_refusal(answer: &Answer) -> bool {
     matches!(answer, Answer::Error(code, Some(after)) if code == "53300" && after != "0")
 }
 
-fn asks(ids: std::ops::Range<u32>) -> Vec<u8> {
+fn reads(ids: std::ops::Range<u32>) -> Vec<u8> {
     ids.flat_map(|id| message(b'Q', format!("{}\0", read(id, 4000)).as_bytes()))
         .collect()
 }
@@ -692,17 +697,18 @@
 #[rstest]
 #[case::behind_the_opening(true)]
 #[case::one_behind_the_other(false)]
-fn what_came_in_before_its_connection_was_ended_is_answered_all_of_it(#[case] new: bool) {
-    // The gateway stands still while the time for silence passes, and finds both the end of that time and what came
-    // in meanwhile when it goes on: only the first message used to be taken, and the request behind it was lost.
-    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn requests_arrive_before_idle_close_all_are_answered(#[case] new: bool) {
+    // The gateway is paused beyond the idle limit and then finds both the limit exceeded and
+    // messages received. Guards against taking only the first message and losing the requests after
+    // it.
+    let (db_address, _) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = if new {
         Client::connect_raw(gateway.address)
     } else {
         Client::connect(gateway.address)
     };
-    // Its connection is among those that the gateway has taken in.
+    // Shows that the gateway has accepted the connection.
     assert_eq!(
         Client::connect(gateway.address).query(&read(9, 4000)),
         value("x9")
@@ -710,7 +716,7 @@
     gateway.program.signal("STOP");
     std::thread::sleep(Duration::from_millis(2300));
     let opening = if new { Client::startup_message() } else { vec![] };
-    client.0.write_all(&[opening, asks(1..4)].concat()).unwrap();
+    client.0.write_all(&[opening, reads(1..4)].concat()).unwrap();
     gateway.program.signal("CONT");
     if new {
         client.read_until_ready();
@@ -722,59 +728,60 @@
 }
 
 #[test]
-fn what_a_client_asks_before_it_can_know_that_its_connection_ends_is_refused_and_not_lost() {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn request_crosses_idle_close_it_is_refused_and_connection_is_not_reset() {
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    // The end is on its way, and here; the client has not looked.
+    // The close has arrived, but the client has not read it.
     client.0.peek(&mut [0]).unwrap();
-    client.0.write_all(&asks(1..2)).unwrap();
-    assert!(parted(&client.answer()), "its final answer: nothing ran");
+    client.0.write_all(&reads(1..2)).unwrap();
+    assert!(is_refusal(&client.answer()), "expected a refusal as the final answer");
     assert!(
         matches!(client.0.read(&mut [0]), Ok(0)),
-        "and an end, not a reset"
+        "expected a close without a reset"
     );
-    assert_eq!(seen.count(), 0);
+    assert_eq!(db.count(), 0);
 }
 
 #[test]
-fn what_was_asked_before_half_a_message_is_answered_before_that_ends_its_connection() {
-    let (at, seen) = stub_database("read-write", |_, q| {
-        // Longer than the half may stay half: its end used to take this answer along.
+fn partial_message_times_out_earlier_request_is_answered_first() {
+    let (db_address, db) = stub_database("read-write", |_, q| {
+        // Longer than a message may stay incomplete. Guards against the close of the connection
+        // dropping this answer.
         std::thread::sleep(Duration::from_millis(2_700));
         Reply::Send(echo(q))
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client
         .0
-        .write_all(&[&asks(1..2)[..], b"Q\0\0\x01\0/* id="].concat())
+        .write_all(&[&reads(1..2)[..], b"Q\0\0\x01\0/* id="].concat())
         .unwrap();
     assert_eq!(client.answer(), value("x1"));
     assert!(
-        parted(&client.answer()),
-        "then the half is ended as silence is"
+        is_refusal(&client.answer()),
+        "the partial message is not ended like an idle connection"
     );
     assert!(matches!(client.0.read(&mut [0]), Ok(0)));
-    assert_eq!(seen.count(), 1);
+    assert_eq!(db.count(), 1);
 }
 
 #[test]
-fn a_request_behind_others_that_has_no_room_is_refused_after_they_are_answered() {
-    let (at, _) = stub_database("read-write", |_, q| {
+fn pipelined_request_exceeds_memory_it_is_refused_after_earlier_answers() {
+    let (db_address, _) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(100));
         Reply::Send(echo(q))
     });
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
     let gateway = start_gateway_with_config(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         false,
         edit,
     );
     let mut client = Client::connect(gateway.address);
     let large = write("once", 2, 5000).replace("'1'", &format!("'{}'", "9".repeat(120_000)));
-    client.0.write_all(&asks(1..2)).unwrap();
+    client.0.write_all(&reads(1..2)).unwrap();
     (0..30).for_each(|_| client.send(&large));
     assert_eq!(client.answer(), value("x1"));
     let rest: Vec<Answer> = (0..30)
@@ -789,16 +796,17 @@
 }
 
 #[test]
-fn an_open_request_outlasts_the_idle_time_and_a_process_that_is_stopped_for_a_while() {
-    // A timed read comes back interrupted after SIGCONT, which must not pass for the connection's end.
-    let (at, seen) = stub_database("read-write", |_, q| {
+fn request_outlasts_idle_limit_and_pause_of_the_process_it_is_answered() {
+    // After SIGCONT a read with a timeout returns EINTR, which must not count as the end of the
+    // connection.
+    let (db_address, db) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(2600));
         Reply::Send(echo(q))
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 5000));
-    wait_until("the database has it", || seen.count() == 1);
+    wait_until("the database has the request", || db.count() == 1);
     gateway.program.signal("STOP");
     std::thread::sleep(Duration::from_millis(300));
     gateway.program.signal("CONT");
@@ -806,7 +814,7 @@
 }
 
 #[test]
-fn sighup_moves_the_watch_and_loses_neither_the_list_nor_a_request() {
+fn sighup_changes_discovery_address_watch_moves_and_no_request_is_lost() {
     let (one, first) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(600));
         Reply::Send(echo(q))
@@ -814,21 +822,22 @@
     let (two, second) = stub_database("read-write", |_, q| Reply::Send(echo(q)));
     let known = target("s-00000001", one, "read-write", "active");
     let gateway = start_gateway(&known, 15_000);
-    wait_until("the watch runs", || {
+    wait_until("the gateway watches discovery", || {
         gateway.discovery.watches.load(Ordering::SeqCst) > 0
     });
-    // Only now: the watch begins after two seconds, which is as long as a connection that asks nothing may stay.
+    // Connects only now: the watch starts after two seconds, which is as long as a connection may
+    // stay without a request.
     let mut client = Client::connect(gateway.address);
     client.send(&write("once", 1, 4000));
-    wait_until("the database has it", || first.count() == 1);
-    // A file that is no good changes nothing, however often it is read.
+    wait_until("the database has the request", || first.count() == 1);
+    // An invalid file changes nothing, however often it is read.
     let good = std::fs::read_to_string(&gateway.config).unwrap();
     std::fs::write(&gateway.config, good.replace("\"discovery\"", "\"disco\"")).unwrap();
     (0..3).for_each(|_| gateway.program.signal("HUP"));
     gateway.program.wait_for_log("discovery is missing");
     assert_eq!(client.answer(), value("x1"));
     assert_eq!(client.query(&write("once", 2, 4000)), value("x2"));
-    let (moved, new) = Discovery::start(target("s-00000002", two, "read-write", "active"));
+    let (new_address, new) = Discovery::start(target("s-00000002", two, "read-write", "active"));
     let old = good
         .split("\"discovery\":\"")
         .nth(1)
@@ -836,7 +845,7 @@
         .split('"')
         .next()
         .unwrap();
-    std::fs::write(&gateway.config, good.replace(old, &moved.to_string())).unwrap();
+    std::fs::write(&gateway.config, good.replace(old, &new_address.to_string())).unwrap();
     gateway.program.signal("HUP");
     wait_until("the new address is watched", || {
         new.watches.load(Ordering::SeqCst) > 0 || {
@@ -849,48 +858,48 @@
     assert_eq!(
         (first.count(), second.count() > 0),
         (before, true),
-        "the old list is gone"
+        "the old list is still in use"
     );
 }
 
-fn cut(bytes: &[u8], at: usize, with: &[u8]) -> Vec<u8> {
+fn patched(bytes: &[u8], at: usize, with: &[u8]) -> Vec<u8> {
     [&bytes[..at], with, &bytes[at + with.len()..]].concat()
 }
 
-/// Where the row begins in an answer, behind the description of its column.
+/// Offset of the data row in an answer, after the row description.
 const ROW: usize = 30;
 
 #[rstest]
-#[case::noise(b"\xff\x00noise that is no message at all\r\n\r\n".to_vec())]
+#[case::garbage(b"\xff\x00noise that is no message at all\r\n\r\n".to_vec())]
 #[case::endless(vec![b'x'; 200_000])]
-#[case::a_value_said_to_have_3_gb(cut(&row("spoilt"), ROW + 1, &[0xb2, 0xd0, 0x5e, 0]))]
-#[case::a_column_said_to_have_2_gb(cut(&row("spoilt"), ROW + 7, &[0x7f, 0xff, 0xff, 0xff]))]
-#[case::a_null(cut(&row("spoilt"), ROW + 7, &[0xff, 0xff, 0xff, 0xff]))]
-#[case::a_column_too_short(cut(&row("spoilt"), ROW + 7, &[0, 0, 0, 3]))]
-#[case::two_columns(cut(&row("spoilt"), ROW + 5, &[0, 2]))]
-#[case::another_type(cut(&row("spoilt"), ROW, b"q"))]
-#[case::a_row_that_never_ends(cut(&row("spoilt"), ROW + 1, &[0, 0, 1, 0]))]
-#[case::no_description(row("spoilt")[ROW..].to_vec())]
-#[case::two_rows([&row("spoilt")[..ROW + 17], &row("spoilt")[ROW..]].concat())]
-#[case::the_answer_to_a_write(row_with_tag("spoilt", "INSERT 0 1"))]
-#[case::nothing_but_ready(vec![])]
-#[case::an_error_without_a_code(message(b'E', b"Mnothing\0\0"))]
-fn a_spoilt_answer_fails_its_attempt_at_once_and_takes_its_connection_along(
-    #[case] spoilt: Vec<u8>,
+#[case::row_length_of_3_gb(patched(&row("broken"), ROW + 1, &[0xb2, 0xd0, 0x5e, 0]))]
+#[case::column_length_of_2_gb(patched(&row("broken"), ROW + 7, &[0x7f, 0xff, 0xff, 0xff]))]
+#[case::a_null(patched(&row("broken"), ROW + 7, &[0xff, 0xff, 0xff, 0xff]))]
+#[case::a_column_too_short(patched(&row("broken"), ROW + 7, &[0, 0, 0, 3]))]
+#[case::two_columns(patched(&row("broken"), ROW + 5, &[0, 2]))]
+#[case::unknown_message_type(patched(&row("broken"), ROW, b"q"))]
+#[case::row_is_incomplete(patched(&row("broken"), ROW + 1, &[0, 0, 1, 0]))]
+#[case::no_description(row("broken")[ROW..].to_vec())]
+#[case::two_rows([&row("broken")[..ROW + 17], &row("broken")[ROW..]].concat())]
+#[case::command_tag_of_a_write(row_with_tag("broken", "INSERT 0 1"))]
+#[case::ready_for_query_only(vec![])]
+#[case::error_without_code(message(b'E', b"Mnothing\0\0"))]
+fn answer_is_malformed_attempt_fails_at_once_and_connection_is_closed(
+    #[case] malformed: Vec<u8>,
 ) {
-    // The database goes on: it answers the next query on the same connection, if there is one.
-    let (at, seen) = stub_database("read-write", move |n, q| {
-        Reply::Send(if n == 0 { spoilt.clone() } else { echo(q) })
+    // The database keeps the connection and would answer the next query on it.
+    let (db_address, db) = stub_database("read-write", move |n, q| {
+        Reply::Send(if n == 0 { malformed.clone() } else { echo(q) })
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
-    // At its deadline it would be too late to send it again.
+    // The retry shows that the attempt failed before its deadline.
     assert_eq!(
         client.query(&read(1, 4000)),
         value("x1"),
-        "a read may be sent again"
+        "the read was not retried"
     );
-    let queries = seen.queries.lock().unwrap();
+    let queries = db.queries.lock().unwrap();
     assert!(
         queries.len() == 2 && queries[0].2 != queries[1].2,
         "{queries:?}"
@@ -899,12 +908,12 @@
 
 #[rstest]
 #[case::a_second_copy(|q: &str| echo(q))]
-#[case::noise(|_: &str| b"\x07\xffnoise\r\n".to_vec())]
-fn what_comes_behind_a_good_answer_spoils_only_the_connection(#[case] more: fn(&str) -> Vec<u8>) {
-    let (at, seen) = stub_database("read-write", move |_, q| {
+#[case::garbage(|_: &str| b"\x07\xffnoise\r\n".to_vec())]
+fn bytes_follow_valid_answer_only_the_connection_is_closed(#[case] more: fn(&str) -> Vec<u8>) {
+    let (db_address, db) = stub_database("read-write", move |_, q| {
         Reply::Send([echo(q), mode_status("read-write"), ready_for_query(), more(q)].concat())
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     for id in 1..6 {
         assert_eq!(
@@ -912,7 +921,7 @@
             value(&format!("x{id}"))
         );
     }
-    let mut connections: Vec<_> = seen
+    let mut connections: Vec<_> = db
         .queries
         .lock()
         .unwrap()
@@ -929,33 +938,33 @@
 #[case("x0=,x1=1,util=0.1")]
 #[case("x0=12,x1=1,util=0.1")]
 #[case("\u{fffd};;x1=1")]
-fn a_report_that_cannot_be_read_is_ignored(#[case] stats: &'static str) {
-    // The second member claims to be the primary, in a report of which a part makes no sense.
-    let (one, right) = stub_database("read-write", |_, q| {
+fn probe_reply_is_malformed_it_is_ignored(#[case] stats: &'static str) {
+    // The second endpoint claims to be the primary in a reply that is partly invalid.
+    let (one, primary) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(20));
         Reply::Send(echo(q))
     });
-    let (two, wrong) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
-    *wrong.probe_reply.lock().unwrap() = Some(stats.into());
+    let (two, replica) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
+    *replica.probe_reply.lock().unwrap() = Some(stats.into());
     let list = [
         target("s-00000001", one, "read-write", "active"),
         target("s-00000002", two, "read-only", "active"),
     ];
-    // Reads that must not be too stale have members of unknown position probed.
+    // Reads with a staleness bound cause endpoints of unknown position to be probed.
     let edit = |text: String| {
         text.replace("[\"eventual\"", "[\"lag_bound\"")
-            .replace("\"position-zero-ms\"", BOUND)
+            .replace("\"position-zero-ms\"", WITH_STALENESS_BOUND)
     };
     let gateway = start_gateway_with_config(&list.join(","), 15_000, false, edit);
     let mut client = Client::connect(gateway.address);
-    wait_until("the member was probed", || {
+    wait_until("the endpoint was probed", || {
         assert!(matches!(
             client.query(&read(1, 4000)),
             Answer::Value(_) | Answer::Error(..)
         ));
-        wrong.probes.load(Ordering::SeqCst) > 1
+        replica.probes.load(Ordering::SeqCst) > 1
     });
-    let before = wrong.count();
+    let before = replica.count();
     for id in 2..6 {
         assert_eq!(
             client.query(&write("once", id, 4000)),
@@ -963,58 +972,58 @@
         );
     }
     assert!(
-        wrong.count() == before && right.count() > 4,
-        "no write went where nothing is known of"
+        replica.count() == before && primary.count() > 4,
+        "a write went to the endpoint with the malformed reply"
     );
 }
 
-const BOUND: &str = "\"staleness-bound-ms\":[300.0,0.0,0.0],\"position-zero-ms\"";
+const WITH_STALENESS_BOUND: &str = "\"staleness-bound-ms\":[300.0,0.0,0.0],\"position-zero-ms\"";
 
 #[test]
-fn the_id_of_an_open_request_is_turned_away_and_the_open_one_served() {
-    let turned_away = Arc::new(AtomicBool::new(false));
-    let goes_on = Arc::clone(&turned_away);
-    let (at, seen) = stub_database("read-write", move |_, q| {
-        wait_until("the second was turned away", || {
-            goes_on.load(Ordering::SeqCst)
+fn request_id_is_in_use_duplicate_is_rejected_and_first_is_served() {
+    let rejected = Arc::new(AtomicBool::new(false));
+    let released = Arc::clone(&rejected);
+    let (db_address, db) = stub_database("read-write", move |_, q| {
+        wait_until("the duplicate is rejected", || {
+            released.load(Ordering::SeqCst)
         });
         Reply::Send(echo(q))
     });
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let (mut first, mut second) = (
         Client::connect(gateway.address),
         Client::connect(gateway.address),
     );
     first.send(&read(7, 4000));
-    wait_until("the database has it", || seen.count() == 1);
+    wait_until("the database has the request", || db.count() == 1);
     assert!(matches!(second.query(&read(7, 4000)), Answer::Error(code, _) if code == "42710"));
-    turned_away.store(true, Ordering::SeqCst);
+    rejected.store(true, Ordering::SeqCst);
     assert_eq!(first.answer(), value("x7"));
-    // On a connection of its own: one that asked once and rests is let go.
+    // On a new connection, since an idle one with a single request may be closed.
     let again = Client::connect(gateway.address).query(&read(7, 4000));
-    assert_eq!((again, seen.count()), (value("x7"), 2), "it is free again");
+    assert_eq!((again, db.count()), (value("x7"), 2), "the id is still in use");
 }
 
 #[rstest]
 #[case("42601")]
 #[case("08P01")]
-fn a_statement_that_databases_cannot_use_fails_at_once_and_is_not_sent_again(
+fn statement_is_invalid_it_fails_without_retry(
     #[case] code: &'static str,
 ) {
-    let (at, seen) = stub_database("read-write", move |_, _| Reply::Send(error(code)));
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    let (db_address, db) = stub_database("read-write", move |_, _| Reply::Send(error(code)));
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect(gateway.address);
     assert!(matches!(client.query(&read(1, 4000)), Answer::Error(got, _) if got == code));
-    assert_eq!(seen.count(), 1);
+    assert_eq!(db.count(), 1);
 }
 
 #[test]
-fn requests_that_are_open_take_bounded_memory() {
-    // An eighth of 16 MB is for the bytes of open requests: what is beyond that is refused, not held.
-    let (at, _) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
+fn open_requests_exceed_their_memory_excess_is_refused() {
+    // An eighth of 16 MB is for the bytes of open requests; requests beyond that are refused.
+    let (db_address, _) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":1024,\"memory_mb\":16");
     let gateway = start_gateway_with_config(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         false,
         edit,
--- a/crates/gateway/tests/leave.rs
+++ b/crates/gateway/tests/leave.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while the gateway has requests of theirs: what has not begun is not sent on, and what they held is given
-//! back.
+//! Clients that disconnect with requests outstanding: requests not yet sent to a database are
+//! dropped, and the resources of the client are released.
 
 mod support;
 
@@ -14,15 +14,16 @@
 use rstest::rstest;
 use support::*;
 
-/// Requests that the gateway takes from one connection before it has answered the first.
-const PIPELINE: u32 = 256;
-/// Queries from here on come from clients that stay.
-const STAYS: u32 = 1_000;
+/// Requests that the gateway accepts from one connection before it has answered the first.
+const PIPELINE_LIMIT: u32 = 256;
+/// Ids from here on are of clients that stay connected.
+const FIRST_STAYING_ID: u32 = 1_000;
 
-/// A database that holds what is asked by those who leave, until the gateway gives it up.
-fn holding() -> (SocketAddr, Arc<StubDatabase>) {
+/// A stub database that stalls the queries of disconnecting clients until the gateway gives them
+/// up.
+fn stalling_database() -> (SocketAddr, Arc<StubDatabase>) {
     stub_database("read-write", |_, q| {
-        if query_id(q) < STAYS {
+        if query_id(q) < FIRST_STAYING_ID {
             Reply::SendThenStall(vec![])
         } else {
             Reply::Send(echo_oid(q))
@@ -30,8 +31,8 @@
     })
 }
 
-fn ids(seen: &StubDatabase) -> Vec<u32> {
-    seen.queries
+fn received_ids(db: &StubDatabase) -> Vec<u32> {
+    db.queries
         .lock()
         .unwrap()
         .iter()
@@ -39,9 +40,10 @@
         .collect()
 }
 
-/// Asks for something by a client that stays, and is served; a refusal may come first where the only member was just hung.
-fn serves(gateway: &TestGateway, id: u32) {
-    wait_until("who stays is served", || {
+/// Asserts that a client that stays connected is served. A refusal may come first where the only
+/// database has just stalled.
+fn assert_served(gateway: &TestGateway, id: u32) {
+    wait_until("a client that stays connected is served", || {
         let answer = Client::connect(gateway.address).query(&read_query(id, 4000));
         assert!(
             answer == Answer::Value(format!("x{id}")) || is_retryable_refusal(&answer),
@@ -51,27 +53,27 @@
     });
 }
 
-/// Writes that must not be repeated: what has begun of them is answered only at its time limit.
+/// Writes that must not be retried: those sent to the database are answered only at their deadline.
 fn pipelined_writes(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
     ids.flat_map(|id| message(b'Q', format!("{}\0", unsafe_write_query(id, d)).as_bytes()))
         .collect()
 }
 
 #[rstest]
-fn nothing_waiting_behind_the_pipelines_bound_is_sent_on_for_a_client_that_has_left(
+fn client_disconnects_with_full_pipeline_queued_requests_are_not_sent(
     #[values(Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset)] how: Disconnect,
-    #[values(PIPELINE + 4, 2 * PIPELINE)] commands: u32,
+    #[values(PIPELINE_LIMIT + 4, 2 * PIPELINE_LIMIT)] commands: u32,
 ) {
-    let (at, seen) = holding();
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
-    serves(&gateway, STAYS);
-    let held = || {
-        let open = seen.opened.load(Ordering::SeqCst) - seen.closed.load(Ordering::SeqCst);
+    let (db_address, db) = stalling_database();
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
+    assert_served(&gateway, FIRST_STAYING_ID);
+    let held_descriptors = || {
+        let open = db.opened.load(Ordering::SeqCst) - db.closed.load(Ordering::SeqCst);
         gateway.program.descriptors().saturating_sub(open)
     };
     let mut before = 0;
-    wait_until("only the database's connections are left", || {
-        std::mem::replace(&mut before, held()) == held()
+    wait_until("the number of descriptors is steady", || {
+        std::mem::replace(&mut before, held_descriptors()) == held_descriptors()
     });
     let mut client = Client::connect_and_send(gateway.address, &Client::startup_message());
     if how != Disconnect::Reset {
@@ -81,38 +83,39 @@
         .0
         .write_all(&pipelined_writes(1..commands + 1, 2_500))
         .unwrap();
-    wait_until("the database has the first", || seen.count() > 1);
-    let left = Instant::now();
+    wait_until("the database has the first write", || db.count() > 1);
+    let disconnected = Instant::now();
     let _half = client.disconnect(how);
-    wait_until("its end is noticed, and its place given back", || {
-        held() <= before
+    wait_until("the gateway releases the connection", || {
+        held_descriptors() <= before
     });
     assert!(
-        left.elapsed() < Duration::from_millis(1_500),
-        "only by a time limit: {:?}",
-        left.elapsed()
+        disconnected.elapsed() < Duration::from_millis(1_500),
+        "released only by a time limit: {:?}",
+        disconnected.elapsed()
     );
-    // What has begun may run, since it must not be repeated.
-    wait_until("nothing of it is left", || {
-        seen.closed.load(Ordering::SeqCst) + 1 >= seen.count()
+    // A write that was sent goes on, since it must not be retried.
+    wait_until("no write of the client is open", || {
+        db.closed.load(Ordering::SeqCst) + 1 >= db.count()
     });
-    let began = seen.count();
-    serves(&gateway, STAYS + 1);
-    let sent = ids(&seen);
+    let before_probe = db.count();
+    assert_served(&gateway, FIRST_STAYING_ID + 1);
+    let sent = received_ids(&db);
     assert_eq!(
         sent.len(),
-        began + 1,
-        "nothing is sent on any more: {sent:?}"
+        before_probe + 1,
+        "queued writes were sent later: {sent:?}"
     );
-    let begun = sent.iter().filter(|id| **id < STAYS);
+    let of_client = sent.iter().filter(|id| **id < FIRST_STAYING_ID);
     assert!(
-        begun.into_iter().all(|id| *id <= PIPELINE),
-        "none of those behind the bound: {sent:?}"
+        of_client.into_iter().all(|id| *id <= PIPELINE_LIMIT),
+        "writes beyond the limit were sent: {sent:?}"
     );
 }
 
-/// Whether the end of a client's connection has reached the gateway's side of it. On a busy machine
-/// the kernel delivers it some time after the client's call has returned. A reset leaves no socket.
+/// Whether the end of a client's connection has reached the socket of the gateway. On a busy
+/// machine the kernel delivers it some time after the call of the client has returned. A reset
+/// leaves no socket.
 fn end_has_arrived(how: Disconnect, gateway: SocketAddr, client: SocketAddr) -> bool {
     let sockets = procfs::net::tcp().unwrap();
     let side = sockets
@@ -125,20 +128,20 @@
 }
 
 #[rstest]
-fn messages_that_arrive_together_with_their_clients_end_do_not_begin(
+fn requests_arrive_together_with_disconnect_none_is_sent(
     #[values(Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset)] how: Disconnect,
     #[values(1, 10)] commands: u32,
 ) {
-    // The gateway stands still until both are there.
-    let (at, seen) = holding();
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+    // The gateway is paused until both the requests and the disconnect have arrived.
+    let (db_address, db) = stalling_database();
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let mut client = Client::connect_and_send(gateway.address, &Client::startup_message());
     if how == Disconnect::Reset {
         client.0.peek(&mut [0]).unwrap();
     } else {
         client.read_until_ready();
     }
-    serves(&gateway, STAYS);
+    assert_served(&gateway, FIRST_STAYING_ID);
     gateway.program.pause();
     let from = client.0.local_addr().unwrap();
     client
@@ -151,35 +154,35 @@
     } else {
         client.disconnect(how)
     };
-    wait_until("the end is there as well", || {
+    wait_until("the disconnect has arrived", || {
         end_has_arrived(how, gateway.address, from)
     });
     gateway.program.signal("CONT");
-    (1..10).for_each(|n| serves(&gateway, STAYS + n));
-    let sent = ids(&seen);
+    (1..10).for_each(|n| assert_served(&gateway, FIRST_STAYING_ID + n));
+    let sent = received_ids(&db);
     assert!(
-        sent.iter().all(|id| *id >= STAYS),
-        "nobody waits for what was sent on: {sent:?}"
+        sent.iter().all(|id| *id >= FIRST_STAYING_ID),
+        "requests without a client were sent: {sent:?}"
     );
 }
 
 #[rstest]
-fn a_request_that_waits_for_a_member_is_not_sent_on_once_its_client_has_left(
+fn client_disconnects_while_request_waits_for_endpoint_request_is_not_sent(
     #[values(Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset)] how: Disconnect,
 ) {
-    // The only member ends each connection before it says a word: that proves that nothing ran.
+    // The only endpoint closes each connection without a greeting, which proves that nothing ran.
     let tried = Arc::new(AtomicUsize::new(0));
-    let counts = Arc::clone(&tried);
-    let nobody = spawn_server(move |stream| {
-        counts.fetch_add(1, Ordering::SeqCst);
+    let dials = Arc::clone(&tried);
+    let closing = spawn_server(move |stream| {
+        dials.fetch_add(1, Ordering::SeqCst);
         drop(stream);
     });
-    let (at, seen) = holding();
+    let (db_address, db) = stalling_database();
     let gateway = start_gateway(
-        &target("s-00000001", nobody, "read-write", "active"),
+        &target("s-00000001", closing, "read-write", "active"),
         15_000,
     );
-    wait_until("the watch runs", || {
+    wait_until("the gateway watches discovery", || {
         gateway.discovery.watches.load(Ordering::SeqCst) > 0
     });
     let mut client = Client::connect_and_send(gateway.address, &Client::startup_message());
@@ -187,45 +190,45 @@
         client.read_until_ready();
     }
     client.send(&unsafe_write_query(1, 5_000));
-    wait_until("it was taken, and found no member", || {
+    wait_until("the request was accepted and found no endpoint", || {
         tried.load(Ordering::SeqCst) > 0
     });
     let _half = client.disconnect(how);
-    // Behind its end: whoever comes now is dealt with after it.
+    // A connection opened now is processed after the disconnect.
     let mut next = Client::connect(gateway.address);
     (0..3).for_each(|_| assert_eq!(next.query(""), Answer::Empty));
     gateway.discovery.changes.lock().unwrap().push(
         [
-            target("s-00000001", nobody, "read-write", "left"),
-            target("s-00000002", at, "read-write", "active"),
+            target("s-00000001", closing, "read-write", "left"),
+            target("s-00000002", db_address, "read-write", "active"),
         ]
         .join(","),
     );
-    let mut id = STAYS;
-    wait_until("the new member is used", || {
+    let mut id = FIRST_STAYING_ID;
+    wait_until("the new endpoint is used", || {
         id += 1;
         Client::connect(gateway.address).query(&unsafe_write_query(id, 1_000)) == Answer::Value(format!("x{id}"))
     });
-    let sent = ids(&seen);
-    assert!(sent.iter().all(|id| *id > STAYS), "{sent:?}");
+    let sent = received_ids(&db);
+    assert!(sent.iter().all(|id| *id > FIRST_STAYING_ID), "{sent:?}");
 }
 
 #[rstest]
-fn what_a_client_held_is_given_back_once_when_it_leaves(
+fn clients_disconnect_descriptors_and_memory_are_released(
     #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
-    // An eighth of 16 MB is for open requests: those who leave hold all of it.
-    let (at, seen) = holding();
+    // An eighth of 16 MB is for open requests; the disconnecting clients use all of it.
+    let (db_address, db) = stalling_database();
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":256,\"memory_mb\":16");
     let gateway = start_gateway_with_config(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         false,
         edit,
     );
     let large =
         |id| read_query(id, 5_000).replace("WHERE", &format!("/*{}*/ WHERE", "v".repeat(100_000)));
-    serves(&gateway, STAYS);
+    assert_served(&gateway, FIRST_STAYING_ID);
     let before = gateway.program.descriptors();
     for round in 1..4 {
         let mut leaving = vec![];
@@ -237,42 +240,42 @@
             client.send(&large(round * 100 + id));
             leaving.push(client);
         }
-        wait_until("the database has one", || {
-            ids(&seen).iter().any(|id| id / 100 == round)
+        wait_until("the database has a request of this round", || {
+            received_ids(&db).iter().any(|id| id / 100 == round)
         });
         leaving.into_iter().for_each(|client| {
-            // One that was refused has been told so, and may have been ended.
+            // The answer to a refused request waits unread; its connection may have been closed.
             if how == Disconnect::Reset {
                 client.0.peek(&mut [0]).unwrap();
             }
             drop(client);
         });
-        wait_until("their descriptors come back", || {
+        wait_until("the descriptors are released", || {
             gateway.program.descriptors() <= before + 2
         });
         let mut client = Client::connect(gateway.address);
-        let id = STAYS + round;
+        let id = FIRST_STAYING_ID + round;
         assert_eq!(
             client.query(&large(id)),
             Answer::Value(format!("x{id}")),
-            "so does what their bytes took"
+            "the memory of the requests is released"
         );
     }
-    let sent: Vec<u32> = ids(&seen);
+    let sent: Vec<u32> = received_ids(&db);
     let distinct: BTreeSet<&u32> = sent.iter().collect();
     assert_eq!(
         distinct.len(),
         sent.len(),
-        "nothing is sent on twice: {sent:?}"
+        "a request was sent twice: {sent:?}"
     );
 }
 
 #[test]
-fn half_a_message_of_a_client_that_leaves_is_nothing() {
-    let (at, seen) = holding();
-    let gateway = start_gateway(&target("s-00000001", at, "read-write", "active"), 15_000);
+fn client_disconnects_mid_message_nothing_is_sent() {
+    let (db_address, db) = stalling_database();
+    let gateway = start_gateway(&target("s-00000001", db_address, "read-write", "active"), 15_000);
     let whole = pipelined_reads(1..2, 5_000);
-    // At each kind of place: in the head, behind it, in the text, before the last byte.
+    // In the header, after it, in the text, and before the last byte.
     for cut in [1, 4, 5, 40, whole.len() - 1] {
         for how in [Disconnect::Close, Disconnect::HalfClose] {
             let mut client = Client::connect(gateway.address);
@@ -281,37 +284,37 @@
             half.iter_mut().for_each(Client::expect_clean_close);
         }
     }
-    serves(&gateway, STAYS);
-    assert_eq!(ids(&seen), [STAYS]);
+    assert_served(&gateway, FIRST_STAYING_ID);
+    assert_eq!(received_ids(&db), [FIRST_STAYING_ID]);
 }
 
 #[test]
-fn many_that_send_much_at_once_and_go_leave_room_for_who_stays() {
-    let (at, seen) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
+fn clients_flood_and_disconnect_remaining_clients_are_served() {
+    let (db_address, db) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
     let edit = |text: String| text.replace("\"sockets\":1024", "\"sockets\":192,\"memory_mb\":24");
     let gateway = start_gateway_with_config(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         false,
         edit,
     );
-    serves(&gateway, STAYS);
+    assert_served(&gateway, FIRST_STAYING_ID);
     let before = gateway.program.descriptors();
     let (over, next) = (AtomicBool::new(false), AtomicUsize::new(1));
     let mut served = 0;
     std::thread::scope(|scope| {
-        let _stops = StopOnDrop(&over);
+        let _stop_guard = StopOnDrop(&over);
         for _ in 0..8 {
             scope.spawn(|| {
                 while !over.load(Ordering::SeqCst) {
                     let id = 1 + u32::try_from(next.fetch_add(1, Ordering::SeqCst)).unwrap() % 800;
                     let all = [Client::startup_message(), pipelined_reads(id..id + 60, 1_000)].concat();
-                    // It may have been turned away meanwhile.
+                    // Fails if the gateway has refused the connection meanwhile.
                     let _ = Client::connect_raw(gateway.address).0.write_all(&all);
                 }
             });
         }
-        for id in STAYS + 1..STAYS + 101 {
+        for id in FIRST_STAYING_ID + 1..FIRST_STAYING_ID + 101 {
             let answer = Client::connect(gateway.address).query(&read_query(id, 4_000));
             let value = Answer::Value(format!("x{id}"));
             assert!(answer == value || is_retryable_refusal(&answer), "{answer:?}");
@@ -319,15 +322,15 @@
         }
     });
     assert!(served >= 95, "{served} of 100 were served");
-    wait_until("all is given back", || {
+    wait_until("the descriptors are released", || {
         gateway.program.descriptors() <= before + 2
     });
-    let began = seen.count();
-    serves(&gateway, STAYS + 200);
-    // Who stays may have been refused and have asked once more.
-    let since = ids(&seen).split_off(began);
+    let before_probe = db.count();
+    assert_served(&gateway, FIRST_STAYING_ID + 200);
+    // A request of a remaining client may have been refused and sent again.
+    let since = received_ids(&db).split_off(before_probe);
     assert!(
-        since.iter().all(|id| *id == STAYS + 200),
-        "nothing of theirs waits any more: {since:?}"
+        since.iter().all(|id| *id == FIRST_STAYING_ID + 200),
+        "requests of disconnected clients were still waiting: {since:?}"
     );
 }
--- a/crates/gateway/tests/pipeline.rs
+++ b/crates/gateway/tests/pipeline.rs
@@ -1,4 +1,5 @@
-//! Many requests on one connection at once: each begins as it comes, whatever is before it, and is answered in its turn.
+//! Pipelined requests on one connection: each is sent on as it arrives, whatever precedes it, and
+//! the answers keep the order of the requests.
 
 mod support;
 
@@ -8,8 +9,8 @@
 
 use support::*;
 
-/// STANDING: an attempt that tells its database so much more than its client has left is at fault.
-const MORE: Duration = Duration::from_millis(150);
+/// STANDING: by how much the deadline sent to the database may exceed the time the client has left.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 
 fn read(id: u32, d: u32) -> String {
     format!(
@@ -17,13 +18,13 @@
     )
 }
 
-/// The oid of a query as the value, so that an answer shows whose it is.
+/// An answer whose value is the oid in the query, which identifies the request.
 fn echo(query: &str) -> Vec<u8> {
     row(query.split('\'').nth(1).unwrap())
 }
 
-/// What a query was told that its client will wait.
-fn told(query: &str) -> Duration {
+/// The time left that a query states in its comment.
+fn stated_deadline(query: &str) -> Duration {
     let d = query
         .split(",d=")
         .nth(1)
@@ -35,38 +36,40 @@
 }
 
 #[test]
-fn what_is_asked_behind_a_slow_request_begins_at_once_and_is_told_what_is_left() {
-    const ASKED: usize = 40;
+fn slow_request_is_first_later_ones_are_sent_at_once_with_remaining_time() {
+    const REQUESTS: usize = 40;
     let go = Arc::new(AtomicBool::new(false));
-    let may = Arc::clone(&go);
-    let (at, seen) = stub_database("read-only", move |_, q| {
+    let released = Arc::clone(&go);
+    let (db_address, db) = stub_database("read-only", move |_, q| {
         if q.contains("id=1,") {
-            wait_until("the first may be answered", || may.load(Ordering::SeqCst));
+            wait_until("the first answer is released", || {
+                released.load(Ordering::SeqCst)
+            });
         }
         Reply::Send(echo(q))
     });
     let members: Vec<_> = (1..=8)
-        .map(|n| target(&format!("s-{n:08x}"), at, "read-only", "active"))
+        .map(|n| target(&format!("s-{n:08x}"), db_address, "read-only", "active"))
         .collect();
     let gateway = start_gateway(&members.join(","), 15_000);
     let mut client = Client::connect(gateway.address);
-    let asked = Instant::now();
-    for id in 1..=ASKED {
+    let sent = Instant::now();
+    for id in 1..=REQUESTS {
         client.send(&read(u32::try_from(id).unwrap(), 4_000));
     }
-    wait_until("all have begun though the first has no answer", || {
-        seen.count() == ASKED
+    wait_until("all requests are sent although the first has no answer", || {
+        db.count() == REQUESTS
     });
     go.store(true, Ordering::SeqCst);
-    for id in 1..=ASKED {
+    for id in 1..=REQUESTS {
         assert_eq!(
             client.answer(),
             Answer::Value(format!("x{id}")),
-            "in their order"
+            "answers in the order of the requests"
         );
     }
-    for (when, passed, _) in &*seen.queries.lock().unwrap() {
-        let left = Duration::from_millis(4_000).saturating_sub(*when - asked);
-        assert!(told(passed) <= left + MORE, "{passed}: {left:?} are left");
+    for (when, passed, _) in &*db.queries.lock().unwrap() {
+        let left = Duration::from_millis(4_000).saturating_sub(*when - sent);
+        assert!(stated_deadline(passed) <= left + DEADLINE_TOLERANCE, "{passed}: {left:?} left");
     }
 }
--- a/crates/gateway/tests/support/cql.rs
+++ b/crates/gateway/tests/support/cql.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that speak the Cassandra native protocol: nodes, and a client.
+//! Stub nodes and a client that speak the Cassandra native protocol.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -47,7 +47,7 @@
             body,
         })
     }
-    /// Code and message of an error, behind a custom payload if there is one.
+    /// Code and message of an error, which follow the custom payload if there is one.
     pub(crate) fn error(&self) -> (u32, String) {
         assert_eq!(self.op, ERROR, "{self:?}");
         let mut at = &self.body[..];
@@ -81,11 +81,12 @@
     .concat()
 }
 
+/// Opcode and body of a QUERY.
 pub(crate) fn query(text: &str) -> (u8, Vec<u8>) {
     (0x07, [&long(text)[..], &[0, 1, 0]].concat())
 }
 
-/// A page of rows: one row of one column, which is not described.
+/// Body of a rows result: one row of one column, without metadata.
 pub(crate) fn rows_body(value: &str) -> Vec<u8> {
     [
         &[0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 1, 0, 0, 0, 1][..],
@@ -98,32 +99,38 @@
     [&code.to_be_bytes()[..], &short(b"no"), more].concat()
 }
 
+/// How a stub node replies to a request.
 pub(crate) enum Reply {
+    /// A frame with this opcode and body.
     Send(u8, Vec<u8>),
-    /// Part of an answer, then the end of the connection.
+    /// Part of a frame, then the end of the connection.
     PartialThenClose,
-    /// Ends the connection before anything is said.
+    /// Closes the connection without a reply.
     Close,
-    /// Part of an answer, then silence, whatever else is asked on the connection.
+    /// Part of a frame, then nothing more on this connection, whatever is requested.
     PartialThenStall,
-    /// No answer, while the connection goes on.
+    /// No reply to this request; the connection stays in use.
     NoReply,
 }
 
+/// What a stub node has recorded.
 #[derive(Default)]
 pub(crate) struct StubNode {
-    /// Requests with their time, connection and stream.
+    /// Each request with its arrival time and the number of its connection.
     pub requests: Mutex<Vec<(Instant, usize, Frame)>>,
+    /// Number of connections accepted.
     pub opened: AtomicUsize,
+    /// Number of connections that have ended.
     pub closed: AtomicUsize,
 }
 
-/// A node as real ones are: what is asked on one connection is worked on at the same time, and answered in any order.
+/// Starts a stub node that, like a real one, processes the requests of a connection concurrently
+/// and answers them in any order.
 pub(crate) fn stub_node(
-    does: impl Fn(&Frame, &StubNode) -> Reply + Send + Sync + 'static,
+    reply_to: impl Fn(&Frame, &StubNode) -> Reply + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<StubNode>) {
     let node = Arc::new(StubNode::default());
-    let (shared, does) = (Arc::clone(&node), Arc::new(does));
+    let (shared, reply_to) = (Arc::clone(&node), Arc::new(reply_to));
     let address = spawn_server(move |mut stream| {
         let connection = shared.opened.fetch_add(1, Ordering::SeqCst);
         let out = Arc::new(Mutex::new(stream.try_clone().unwrap()));
@@ -135,8 +142,12 @@
                     .unwrap()
                     .push((Instant::now(), connection, frame.clone()));
             }
-            let (shared, does, out) = (Arc::clone(&shared), Arc::clone(&does), Arc::clone(&out));
-            std::thread::spawn(move || answer(&frame, &shared, &*does, &out));
+            let (shared, reply_to, out) = (
+                Arc::clone(&shared),
+                Arc::clone(&reply_to),
+                Arc::clone(&out),
+            );
+            std::thread::spawn(move || answer(&frame, &shared, &*reply_to, &out));
         }
         shared.closed.fetch_add(1, Ordering::SeqCst);
     });
@@ -146,10 +157,10 @@
 fn answer(
     frame: &Frame,
     node: &StubNode,
-    does: &dyn Fn(&Frame, &StubNode) -> Reply,
+    reply_to: &dyn Fn(&Frame, &StubNode) -> Reply,
     out: &Mutex<TcpStream>,
 ) {
-    let whole = |op, body| {
+    let response = |op, body| {
         Frame {
             version: 0x84,
             flags: 0,
@@ -159,20 +170,20 @@
         }
         .bytes()
     };
-    let does = match frame.op {
+    let reply = match frame.op {
         0x01 => Reply::Send(READY, vec![]),
         0x05 => Reply::Send(SUPPORTED, vec![0, 0]),
-        _ => does(frame, node),
+        _ => reply_to(frame, node),
     };
     let mut out = out.lock().unwrap();
-    let (bytes, ends) = match does {
+    let (bytes, closes) = match reply {
         Reply::NoReply => return,
-        Reply::Send(op, body) => (whole(op, body), false),
+        Reply::Send(op, body) => (response(op, body), false),
         Reply::Close => (vec![], true),
-        Reply::PartialThenClose => (whole(RESULT, rows_body("never whole"))[..14].to_vec(), true),
+        Reply::PartialThenClose => (response(RESULT, rows_body("incomplete"))[..14].to_vec(), true),
         Reply::PartialThenStall => {
-            let _ = out.write_all(&whole(RESULT, rows_body("never whole"))[..14]);
-            // Nothing more is said before the other side ends the connection.
+            let _ = out.write_all(&response(RESULT, rows_body("incomplete"))[..14]);
+            // Holds the output, so that nothing more is sent before the peer closes the connection.
             while out.peek(&mut [0; 4096]).is_ok_and(|n| n > 0) {
                 std::thread::sleep(std::time::Duration::from_millis(5));
             }
@@ -180,11 +191,12 @@
         }
     };
     let _ = out.write_all(&bytes);
-    if ends {
+    if closes {
         let _ = out.shutdown(std::net::Shutdown::Both);
     }
 }
 
+/// Replies with a row that holds the body of the request.
 pub(crate) fn echo_query(frame: &Frame, _: &StubNode) -> Reply {
     let text = String::from_utf8_lossy(&frame.body).into_owned();
     Reply::Send(RESULT, rows_body(&text))
--- a/crates/gateway/tests/support/manager.rs
+++ b/crates/gateway/tests/support/manager.rs
@@ -1,4 +1,5 @@
-//! A manager over a client library that was not written here, and the request log as an auditor reads it.
+//! An SNMP manager on a third-party client library, and a count of the request log to compare it
+//! with.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -12,7 +13,7 @@
 
 pub(crate) const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
 
-/// What a walk found: numbers and texts by name.
+/// Result of a walk: numbers and texts by OID.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Walk {
     pub counters: BTreeMap<Vec<u32>, u64>,
@@ -20,6 +21,7 @@
     pub texts: BTreeMap<Vec<u32>, Vec<u8>>,
 }
 
+/// An OID in the MIB of the gateway.
 pub(crate) fn vh_oid(more: &[u32]) -> Vec<u32> {
     [&ROOT[..], &[1], more].concat()
 }
@@ -33,7 +35,7 @@
     SyncSession::new_v2c(agent, b"stays", Some(Duration::from_secs(5)), 1).unwrap()
 }
 
-/// A user with the password of `keys`.
+/// Credentials of a user whose keys `snmp_keys` made from this password.
 pub(crate) fn security(user: &str, password: &[u8]) -> Security {
     Security::new(user.as_bytes(), password)
         .with_auth_protocol(AuthProtocol::Sha256)
@@ -49,22 +51,23 @@
 }
 
 impl Walk {
-    /// Everything below a name, by GETBULK; a v3 session learns the engine's time when it is told.
+    /// Walks everything below an OID by GETBULK. A v3 session learns the time of the engine from
+    /// its first report.
     pub(crate) fn fetch(session: &mut SyncSession, below: &[u32]) -> Result<Self, snmp2::Error> {
         let mut walk = Self::default();
         let mut last = below.to_vec();
-        let mut again = 0;
+        let mut retries = 0;
         loop {
             let from = oid(&last);
             let pdu = match session.getbulk(&[&from], 0, 40) {
                 Ok(pdu) => pdu,
-                Err(snmp2::Error::AuthUpdated) if again < 3 => {
-                    again += 1;
+                Err(snmp2::Error::AuthUpdated) if retries < 3 => {
+                    retries += 1;
                     continue;
                 }
                 Err(e) => return Err(e),
             };
-            let mut some = false;
+            let mut progress = false;
             for (name, value) in pdu.varbinds {
                 let name: Vec<u32> = name
                     .iter()
@@ -74,8 +77,8 @@
                 if !name.starts_with(below) || matches!(value, Value::EndOfMibView) {
                     return Ok(walk);
                 }
-                assert!(name > last, "a walk goes forward");
-                some = true;
+                assert!(name > last, "{name:?} after {last:?}");
+                progress = true;
                 last.clone_from(&name);
                 match value {
                     Value::Counter64(n) => drop(walk.counters.insert(name, n)),
@@ -88,11 +91,11 @@
                     other => panic!("{name:?}: {other:?}"),
                 }
             }
-            assert!(some, "an answer without anything behind {last:?}");
+            assert!(progress, "an answer without variables after {last:?}");
         }
     }
 
-    /// The request tables only: what outlives the process.
+    /// Counters of the request tables, which survive a restart.
     pub(crate) fn request_counters(&self) -> impl Iterator<Item = (&Vec<u32>, &u64)> {
         let within = |name: &&Vec<u32>| (3..=12).contains(&name[ROOT.len() + 1]);
         self.counters
@@ -100,7 +103,7 @@
             .filter(move |(name, _)| name.starts_with(&vh_oid(&[])) && within(name))
     }
 
-    /// That no counter of the request tables is below what an earlier walk saw.
+    /// Checks that no counter of the request tables is lower than in an earlier walk.
     pub(crate) fn check_not_below(&self, before: &Self) -> Result<(), String> {
         for (name, n) in before.request_counters() {
             let now = self.counters.get(name).copied();
@@ -111,6 +114,7 @@
         Ok(())
     }
 
+    /// The number at an OID of the gateway.
     pub(crate) fn value(&self, more: &[u32]) -> u64 {
         let name = vh_oid(more);
         *self
@@ -121,14 +125,15 @@
     }
 }
 
-/// The index of a text.
+/// A text as a table index: its length and its bytes.
 pub(crate) fn text_index(text: &str) -> Vec<u32> {
     std::iter::once(u32::try_from(text.len()).unwrap())
         .chain(text.bytes().map(u32::from))
         .collect()
 }
 
-/// What the request log comes to, by counting its lines; each number must be there once and in its order.
+/// Counts the lines of the request log; asserts that their sequence numbers have no gap and no
+/// duplicate. Returns the counters and the number of lines.
 pub(crate) fn audit_request_log(dir: &Path) -> (Counters, u64) {
     let mut names: Vec<_> = std::fs::read_dir(dir)
         .unwrap()
@@ -147,7 +152,7 @@
             assert_eq!(
                 seq,
                 last + 1,
-                "{}: a record is missing, or there twice",
+                "{}: a record is missing or duplicated",
                 path.display()
             );
             (last, lines) = (seq, lines + 1);
@@ -157,7 +162,7 @@
     (counters, lines)
 }
 
-/// What a walk must show for some counters: every cell of the request tables by its name.
+/// What a walk must show for these counters: each cell of the request tables by OID.
 pub(crate) fn expected_counters(counters: &Counters, rows: &[RowKey]) -> BTreeMap<Vec<u32>, u64> {
     let empty = CounterRow::default();
     let mut all = BTreeMap::new();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the gateway's tests stand on: the program as a process, and small stand-ins for those it talks to.
+//! Fixtures of the end-to-end tests: the gateway as a process, stub databases, a stub discovery
+//! service and scripted clients, all on loopback.
 #![allow(dead_code)]
 
 pub(crate) mod cql;
@@ -16,23 +17,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Upper bound on a wait for one condition, and the read timeout of clients.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds; that it never does fails the test.
-pub(crate) fn wait_until(what: &str, holds: impl FnMut() -> bool) {
-    wait_until_within(TEST_TIMEOUT, what, holds);
+/// Polls until the condition holds; fails the test after [`TEST_TIMEOUT`].
+pub(crate) fn wait_until(condition: &str, holds: impl FnMut() -> bool) {
+    wait_until_within(TEST_TIMEOUT, condition, holds);
 }
 
-/// The same where it may take longer.
-pub(crate) fn wait_until_within(wait: Duration, what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + wait;
+/// Polls until the condition holds; fails the test after `timeout`.
+pub(crate) fn wait_until_within(timeout: Duration, condition: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + timeout;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(
+            Instant::now() < end,
+            "condition not met within {timeout:?}: {condition}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Tells threads to stop when it goes: a test that fails must not wait for them for ever.
+/// Sets a stop flag when dropped, so that a failing test does not wait forever for its threads.
 pub(crate) struct StopOnDrop<'a>(pub &'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -41,8 +46,9 @@
     }
 }
 
-/// On an address of its own, with a port that the machine gives nobody: one that it may give can be taken by the
-/// very connection that looks whether the gateway listens there yet.
+/// A loopback address that no other caller gets, with a port outside the ephemeral range. An
+/// ephemeral port could be taken by the very connection that checks whether the gateway listens
+/// yet.
 pub(crate) fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -55,7 +61,7 @@
     address.parse().expect("an address")
 }
 
-/// A folder of the test's own.
+/// Creates a temporary folder that no other caller gets.
 pub(crate) fn temp_folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -64,23 +70,24 @@
     path
 }
 
-/// The gateway as a process, and what it logs; it is ended with the test.
+/// The gateway as a child process, with its captured log. Dropping it kills the process.
 pub(crate) struct GatewayProcess(pub Child, Arc<Mutex<String>>);
 
 impl GatewayProcess {
+    /// Spawns the gateway and waits until it accepts connections at `address`.
     pub(crate) fn start(args: &[&str], config: Option<&PathBuf>, address: SocketAddr) -> Self {
         let mut program = Self::spawn(args, config, &[]);
         wait_until("the gateway listens", || {
             assert!(
                 program.0.try_wait().unwrap().is_none(),
-                "the gateway ended at its start"
+                "the gateway exited during start-up"
             );
             TcpStream::connect(address).is_ok()
         });
         program
     }
 
-    /// Starts it, with these variables, and does not wait for it.
+    /// Spawns the gateway with these environment variables and returns without waiting for it.
     pub(crate) fn spawn(
         args: &[&str],
         config: Option<&PathBuf>,
@@ -101,13 +108,13 @@
             child.stderr.take().unwrap(),
             Arc::<Mutex<String>>::default(),
         );
-        let said = Arc::clone(&log);
+        let sink = Arc::clone(&log);
         thread::spawn(move || {
-            let mut some = [0; 1024];
-            while let Ok(n @ 1..) = errors.read(&mut some) {
-                said.lock()
+            let mut buffer = [0; 1024];
+            while let Ok(n @ 1..) = errors.read(&mut buffer) {
+                sink.lock()
                     .unwrap()
-                    .push_str(&String::from_utf8_lossy(&some[..n]));
+                    .push_str(&String::from_utf8_lossy(&buffer[..n]));
             }
         });
         Self(child, log)
@@ -124,36 +131,37 @@
         self.signal("TERM");
     }
 
-    /// Stops it, and waits until all its threads stand still: a signal is on its way for a moment.
+    /// Sends SIGSTOP and waits until every thread has stopped, since a signal takes a moment to
+    /// arrive.
     pub(crate) fn pause(&self) {
         self.signal("STOP");
-        let stands = |task: std::io::Result<std::fs::DirEntry>| {
+        let is_stopped = |task: std::io::Result<std::fs::DirEntry>| {
             let stat =
                 std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
             stat.rsplit(") ")
                 .next()
                 .is_none_or(|rest| rest.starts_with('T') || rest.is_empty())
         };
-        wait_until("it stands still", || {
+        wait_until("all threads of the gateway are stopped", || {
             std::fs::read_dir(format!("/proc/{}/task", self.0.id()))
                 .unwrap()
-                .all(stands)
+                .all(is_stopped)
         });
     }
 
-    /// What it has logged.
+    /// The log output so far.
     pub(crate) fn log(&self) -> String {
         self.1.lock().unwrap().clone()
     }
 
-    /// Waits until the log holds something.
-    pub(crate) fn wait_for_log(&self, what: &str) {
-        wait_until(what, || self.1.lock().unwrap().contains(what));
+    /// Waits until the log contains `text`.
+    pub(crate) fn wait_for_log(&self, text: &str) {
+        wait_until(text, || self.1.lock().unwrap().contains(text));
     }
 
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("the gateway ends", || {
+        wait_until("the gateway exits", || {
             status = self.0.try_wait().unwrap();
             status.is_some()
         });
@@ -164,14 +172,14 @@
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if thread::panicking() {
-            eprintln!("the gateway had said: {}", self.1.lock().unwrap());
+            eprintln!("log of the gateway: {}", self.1.lock().unwrap());
         }
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Accepts connections in a thread each.
+/// Accepts connections on a free port and serves each one in a thread of its own.
 pub(crate) fn spawn_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().unwrap();
@@ -229,33 +237,38 @@
     message(b'Z', b"I")
 }
 
-/// What a stand-in does with a query.
+/// How a stub database replies to a query.
 pub(crate) enum Reply {
-    /// Writes this and goes on.
+    /// Writes the bytes, then its role and `ReadyForQuery`, and reads the next query.
     Send(Vec<u8>),
-    /// Writes this in pieces of so many bytes, with a pause between them, and goes on.
+    /// Like `Send`, but in pieces of this many bytes with a pause between them.
     SendSlowly(Vec<u8>, usize, Duration),
-    /// Writes this and ends the connection.
+    /// Writes the bytes and closes the connection.
     SendThenClose(Vec<u8>),
-    /// The same, and from then on connections come up late.
+    /// Closes the connection unanswered and sets `delay_greetings` for all later connections.
     CloseAndDelayNew,
-    /// Writes this over and over, until the other side ends the connection.
+    /// Writes the bytes over and over until the peer closes the connection.
     SendEndlessly(Vec<u8>),
-    /// Writes this and nothing more, until the other side ends the connection.
+    /// Writes the bytes and nothing more until the peer closes the connection.
     SendThenStall(Vec<u8>),
 }
 
+/// What a stub database has recorded, and the switches that change how it behaves.
 #[derive(Default)]
 pub(crate) struct StubDatabase {
-    /// The queries, with the time, and the number of their connection.
+    /// Each query with its arrival time and the number of its connection, without probes.
     pub queries: Mutex<Vec<(Instant, String, usize)>>,
-    /// What probes are told instead of the truth, and how many came.
+    /// If set, the reply to probes in place of the actual status.
     pub probe_reply: Mutex<Option<String>>,
+    /// Number of probes received.
     pub probes: AtomicUsize,
+    /// Number of connections accepted.
     pub opened: AtomicUsize,
+    /// Number of connections that have ended.
     pub closed: AtomicUsize,
-    /// While set no connection is greeted: dials come up late. How many have waited for that.
+    /// While set, new connections get no greeting, so that dials complete late.
     pub delay_greetings: AtomicBool,
+    /// Number of connections whose greeting was delayed.
     pub delayed_greetings: AtomicUsize,
 }
 
@@ -268,13 +281,14 @@
     }
 }
 
-/// A database: probes are answered, other queries as `does` says.
+/// Starts a stub database that answers probes itself and other queries by `reply_to`, which gets
+/// the number of the query, counted from 0, and its text.
 pub(crate) fn stub_database(
     role: &'static str,
-    does: impl Fn(usize, &str) -> Reply + Send + Sync + 'static,
+    reply_to: impl Fn(usize, &str) -> Reply + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<StubDatabase>) {
-    let seen = Arc::new(StubDatabase::default());
-    let shared = Arc::clone(&seen);
+    let database = Arc::new(StubDatabase::default());
+    let shared = Arc::clone(&database);
     let address = spawn_server(move |mut stream| {
         let connection = shared.opened.fetch_add(1, Ordering::SeqCst);
         let mut head = [0; 4];
@@ -308,18 +322,18 @@
                     queries.push((Instant::now(), query.clone(), connection));
                     queries.len() - 1
                 };
-                match does(n, &query) {
+                match reply_to(n, &query) {
                     Reply::Send(bytes) => {
                         let _ = stream.write_all(&[bytes, mode_status(role), ready_for_query()].concat());
                     }
                     Reply::SendSlowly(bytes, piece, pause) => {
-                        for (n, some) in [bytes, mode_status(role), ready_for_query()]
+                        for (n, part) in [bytes, mode_status(role), ready_for_query()]
                             .concat()
                             .chunks(piece)
                             .enumerate()
                         {
                             thread::sleep(if n > 0 { pause } else { Duration::ZERO });
-                            if stream.write_all(some).is_err() {
+                            if stream.write_all(part).is_err() {
                                 break;
                             }
                         }
@@ -344,22 +358,26 @@
                 }
             }
         }
-        // Whoever sees it counted finds it ended.
+        // The connection is closed before it is counted as closed.
         drop(stream);
         shared.closed.fetch_add(1, Ordering::SeqCst);
     });
-    (address, seen)
+    (address, database)
 }
 
-/// A client's session.
+/// A PostgreSQL client session.
 pub(crate) struct Client(pub TcpStream);
 
-/// What a query was answered: the value, or code and detail of the error.
+/// Answer to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
+    /// Value of the only column of the only row.
     Value(String),
+    /// SQLSTATE and detail of an error; the detail of a refusal is the retry hint in milliseconds.
     Error(String, Option<String>),
+    /// `EmptyQueryResponse`.
     Empty,
+    /// A completion without a row, or the end of the connection.
     Ended,
 }
 
@@ -379,13 +397,14 @@
         Self(stream)
     }
 
-    /// The bytes leave with the connection.
+    /// Connects and sends the bytes at once.
     pub(crate) fn connect_and_send(address: SocketAddr, bytes: &[u8]) -> Self {
         let mut client = Self::connect_raw(address);
         client.0.write_all(bytes).unwrap();
         client
     }
 
+    /// Opens a session: connects, sends the startup message and reads up to `ReadyForQuery`.
     pub(crate) fn connect(address: SocketAddr) -> Self {
         let mut client = Self::connect_and_send(address, &Self::startup_message());
         client.read_until_ready();
@@ -431,29 +450,29 @@
     }
 }
 
-// ---- Queries, and how connections end ----
+// ---- Queries, and how clients disconnect ----
 
-/// A read that any member serves; the oid shows whose answer it is.
+/// A read that any endpoint serves; the oid in the answer identifies the request.
 pub(crate) fn read_query(id: u32, d: u32) -> String {
     format!(
         "/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
     )
 }
 
-/// A write that must not be repeated.
+/// A write that must not be retried.
 pub(crate) fn unsafe_write_query(id: u32, d: u32) -> String {
     format!(
         "/* id={id},c=once,t=acme,d={d},cluster=0 */ INSERT INTO objects (oid, body) VALUES ('x{id}', '1') RETURNING body"
     )
 }
 
-/// Reads one behind the other, as a client sends them that does not wait for answers.
+/// Reads with these ids, as a client sends them that does not wait for answers.
 pub(crate) fn pipelined_reads(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
     ids.flat_map(|id| message(b'Q', format!("{}\0", read_query(id, d)).as_bytes()))
         .collect()
 }
 
-/// The oid of a query as the value.
+/// An answer whose value is the oid in the query.
 pub(crate) fn echo_oid(query: &str) -> Vec<u8> {
     let tag = if query.contains("INSERT") {
         "INSERT 0 1"
@@ -463,7 +482,7 @@
     row_with_tag(query.split('\'').nth(1).unwrap(), tag)
 }
 
-/// The number of a query.
+/// The id in the comment of a query.
 pub(crate) fn query_id(query: &str) -> u32 {
     query
         .split("id=")
@@ -476,24 +495,25 @@
         .unwrap()
 }
 
-/// The last word on a connection that is ended: nothing ran, and when to come back.
+/// Whether the answer is a refusal: nothing was executed, and the hint says when to retry. It is
+/// also the last message on a connection that the gateway closes.
 pub(crate) fn is_retryable_refusal(answer: &Answer) -> bool {
     matches!(answer, Answer::Error(code, Some(after)) if code == "53300" && after != "0")
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Disconnect {
-    /// It closes its connection, with nothing unread.
+    /// Closes its connection with nothing unread.
     Close,
-    /// It ends its sending, and still listens.
+    /// Shuts down its sending side and can still read.
     HalfClose,
-    /// It closes over bytes that it has not read, which resets the connection.
+    /// Closes with bytes unread, which resets the connection.
     Reset,
 }
 
 impl Client {
-    /// Goes; what is given back keeps a connection that is only half closed.
+    /// Disconnects; returns the client if its connection is only half closed.
     pub(crate) fn disconnect(mut self, how: Disconnect) -> Option<Self> {
         match how {
             Disconnect::Close => None,
@@ -502,7 +522,7 @@
                 Some(self)
             }
             Disconnect::Reset => {
-                // The answer to an empty query waits unread, or what came before it.
+                // Leaves the answer to an empty query, or what came before it, unread.
                 self.send("");
                 self.0.peek(&mut [0]).unwrap();
                 None
@@ -510,40 +530,45 @@
         }
     }
 
-    /// Nothing more comes but the end, and that is no reset.
+    /// Asserts that nothing more arrives and that the connection ends without a reset.
     pub(crate) fn expect_clean_close(&mut self) {
         let end = self.0.read(&mut [0]);
         assert!(
             matches!(end, Ok(0)),
-            "{end:?} where the connection was to end"
+            "expected the end of the connection, got {end:?}"
         );
     }
 }
 
 impl GatewayProcess {
-    /// Descriptors that it has open.
+    /// Number of open file descriptors.
     pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.0.id())).map_or(0, Iterator::count)
     }
 }
 
-// ---- Discovery and the platform's configuration ----
+// ---- Discovery and the JSON configuration ----
 
+/// A stub discovery service.
 #[derive(Default)]
 pub(crate) struct Discovery {
+    /// The changes to the list, each of which makes a newer version.
     pub changes: Mutex<Vec<String>>,
+    /// While set, no call is answered.
     pub silent: AtomicBool,
-    /// If not 0, the only connection, counted from 1, on which changes are told.
+    /// If not 0, the only connection, counted from 1, that gets the changes.
     pub only_connection: AtomicUsize,
-    /// From the end of each answer to the next call.
+    /// Time from the end of each answer to the next call on its connection.
     pub rearm_delays: Mutex<Vec<Duration>>,
-    /// When each answer with news was written.
+    /// When each answer with changes was written.
     pub update_times: Mutex<Vec<Instant>>,
+    /// Number of watch calls answered.
     pub watches: AtomicUsize,
-    /// Connections on which something was asked.
+    /// Number of connections with at least one call.
     pub connections_used: AtomicUsize,
 }
 
+/// An entry of the list that discovery serves.
 pub(crate) fn target(uid: &str, address: SocketAddr, mode: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0,"mode":"{mode}"}}"#
@@ -551,10 +576,11 @@
 }
 
 impl Discovery {
-    /// Serves the list; each change pushed to `changes` is a newer version.
+    /// Starts the service with this list as version 0; each change pushed to `changes` makes a
+    /// newer version.
     pub(crate) fn start(list: String) -> (SocketAddr, Arc<Self>) {
-        let all = Arc::new(Self::default());
-        let shared = Arc::clone(&all);
+        let discovery = Arc::new(Self::default());
+        let shared = Arc::clone(&discovery);
         let count = AtomicUsize::new(0);
         let address = spawn_server(move |mut stream| {
             let number = 1 + count.fetch_add(1, Ordering::SeqCst);
@@ -582,28 +608,28 @@
                     .split_once("hold_ms=")
                     .map(|(_, r)| r.split(' ').next().unwrap().parse().unwrap());
                 let end = Instant::now() + Duration::from_millis(hold.unwrap_or(0));
-                let mut news;
+                let mut changed;
                 let body = loop {
                     let changes = shared.changes.lock().unwrap();
                     let only = shared.only_connection.load(Ordering::SeqCst);
-                    let deaf = only != 0 && only != number;
-                    let rev = if deaf {
+                    let excluded = only != 0 && only != number;
+                    let rev = if excluded {
                         from.unwrap_or(0)
                     } else {
                         changes.len()
                     };
-                    news = from.is_some_and(|from| rev > from);
+                    changed = from.is_some_and(|from| rev > from);
                     if shared.silent.load(Ordering::SeqCst) {
                         drop(changes);
                         thread::sleep(Duration::from_millis(5));
                         continue;
                     }
                     match from {
-                        // The list as it was at first: what has changed since is told to the watch that follows.
+                        // The initial list: the watch that follows gets the later changes.
                         None => break format!(r#"{{"rev":0,"all":true,"targets":[{list}]}}"#),
                         Some(from) if rev > from || Instant::now() >= end => {
-                            let news = changes[from..].join(",");
-                            break format!(r#"{{"rev":{rev},"all":false,"targets":[{news}]}}"#);
+                            let targets = changes[from..].join(",");
+                            break format!(r#"{{"rev":{rev},"all":false,"targets":[{targets}]}}"#);
                         }
                         Some(_) => drop(changes),
                     }
@@ -621,15 +647,16 @@
                     .update_times
                     .lock()
                     .unwrap()
-                    .extend(answered.filter(|_| news));
+                    .extend(answered.filter(|_| changed));
             }
         });
-        (address, all)
+        (address, discovery)
     }
 }
 
-/// A machine that is slow to connect is no member that is away: that has 2 s.
-/// Classes: `read` (any member), `book` (a keyed write), `once` (a write that must not be repeated).
+/// A JSON configuration with the classes `read` (any endpoint), `book` (a keyed write) and `once`
+/// (a write that must not be retried). The connect timeout is 2 s, so that an endpoint on a slow
+/// machine does not count as unreachable.
 pub(crate) fn config(
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -662,6 +689,7 @@
     )
 }
 
+/// A running gateway with its stub discovery service.
 pub(crate) struct TestGateway {
     pub address: SocketAddr,
     pub config: PathBuf,
@@ -669,16 +697,17 @@
     pub discovery: Arc<Discovery>,
 }
 
-/// A gateway between databases, listed as `known` says, and the clients of a test.
+/// Starts a gateway whose initial list is `known`.
 pub(crate) fn start_gateway(known: &str, conn_idle_ms: u32) -> TestGateway {
     start_gateway_with(known, conn_idle_ms, false)
 }
 
+/// Like [`start_gateway`], with a discovery service that answers no call if `silent` is set.
 pub(crate) fn start_gateway_with(known: &str, conn_idle_ms: u32, silent: bool) -> TestGateway {
     start_gateway_with_config(known, conn_idle_ms, silent, |text| text)
 }
 
-/// The same with another configuration.
+/// Like [`start_gateway_with`], with an edited configuration.
 pub(crate) fn start_gateway_with_config(
     known: &str,
     conn_idle_ms: u32,
--- a/crates/gateway/tests/support/monitored.rs
+++ b/crates/gateway/tests/support/monitored.rs
@@ -1,4 +1,5 @@
-//! A gateway of an operators' file with both fronts, an agent and a state folder, and load on it.
+//! A gateway on a TOML configuration with both fronts, an SNMP agent and a state folder, and load
+//! generators for it.
 #![allow(dead_code)]
 
 use std::net::{SocketAddr, TcpStream};
@@ -15,6 +16,7 @@
 
 pub(crate) const PASSWORD: &str = "a long password";
 
+/// A running gateway with the addresses of its fronts and of its agent.
 pub(crate) struct MonitoredGateway {
     pub pg: SocketAddr,
     pub cql: SocketAddr,
@@ -24,7 +26,7 @@
     pub program: GatewayProcess,
 }
 
-/// Localized keys of `PASSWORD`, made by the program itself.
+/// The localized keys of a password, as `valehatch snmp key` prints them.
 pub(crate) fn snmp_keys(gateway: &str, password: &str) -> String {
     use std::io::Write;
     use std::process::{Command, Stdio};
@@ -53,7 +55,7 @@
     )
 }
 
-/// The file. `state` and `snmp` are put into the parts of these names, `end` behind everything.
+/// What goes into the configuration file: `state` into its section of this name, `more` at the end.
 pub(crate) struct GatewayConfig {
     pub pg: Vec<(&'static str, SocketAddr, bool)>,
     pub cql: Vec<(&'static str, SocketAddr, bool)>,
@@ -113,8 +115,8 @@
     }
 
     pub(crate) fn start(&self) -> MonitoredGateway {
-        let (pg, cql, agent, place) = (free_address(), free_address(), free_address(), temp_folder());
-        let (dir, file) = (place.join("state"), place.join("gateway.toml"));
+        let (pg, cql, agent, folder) = (free_address(), free_address(), free_address(), temp_folder());
+        let (dir, file) = (folder.join("state"), folder.join("gateway.toml"));
         std::fs::write(&file, self.to_toml(pg, cql, agent, &dir)).unwrap();
         let program = run_gateway(&file, if self.pg.is_empty() { cql } else { pg });
         MonitoredGateway {
@@ -128,33 +130,35 @@
     }
 }
 
-pub(crate) fn run_gateway(file: &std::path::Path, listens: SocketAddr) -> GatewayProcess {
-    GatewayProcess::start(&["serve", file.to_str().unwrap()], None, listens)
+/// Starts the gateway on a configuration file and waits until it listens at `address`.
+pub(crate) fn run_gateway(file: &std::path::Path, address: SocketAddr) -> GatewayProcess {
+    GatewayProcess::start(&["serve", file.to_str().unwrap()], None, address)
 }
 
-/// Members as a plan names them.
+/// Name, address and whether it is the primary, for each member of a front.
 pub(crate) type Members = Vec<(&'static str, SocketAddr, bool)>;
 
-/// Databases and nodes some of whose answers are late, errors, breaks or silence, by the request's text.
+/// Stub databases that answer late, with errors, partly or not at all where the text of the query
+/// says so.
 pub(crate) fn database_members() -> Members {
     stub_databases().0
 }
 
-/// The same, with what they see.
+/// Like [`database_members`], with what each database records.
 pub(crate) fn stub_databases() -> (Members, [Arc<StubDatabase>; 2]) {
     let serve = |_: usize, query: &str| {
         let insert = query.contains("INSERT");
         let tag = if insert { "INSERT 0 1" } else { "SELECT 1" };
-        let word = |w: &str| query.contains(w);
-        if word("'slow'") {
+        let has = |marker: &str| query.contains(marker);
+        if has("'slow'") {
             thread::sleep(Duration::from_millis(230));
         }
         match query {
-            _ if word("'error'") => Reply::Send(super::error("XX000")),
-            _ if word("'fault'") => Reply::Send(super::error("42601")),
-            _ if word("'full'") => Reply::Send(super::error("53300")),
-            _ if word("'cut'") => Reply::SendThenClose(vec![]),
-            _ if word("'stall'") => Reply::SendThenStall(vec![]),
+            _ if has("'error'") => Reply::Send(super::error("XX000")),
+            _ if has("'fault'") => Reply::Send(super::error("42601")),
+            _ if has("'full'") => Reply::Send(super::error("53300")),
+            _ if has("'cut'") => Reply::SendThenClose(vec![]),
+            _ if has("'stall'") => Reply::SendThenStall(vec![]),
             _ => Reply::Send(row_with_tag("x", tag)),
         }
     };
@@ -165,23 +169,25 @@
     )
 }
 
+/// Stub nodes with the faults of [`database_members`].
 pub(crate) fn node_members() -> Members {
     stub_nodes().0
 }
 
+/// Like [`node_members`], with what each node records.
 pub(crate) fn stub_nodes() -> (Members, [Arc<cql::StubNode>; 2]) {
     let serve = |frame: &cql::Frame, _: &cql::StubNode| {
         let text = String::from_utf8_lossy(&frame.body).into_owned();
-        let word = |w: &str| text.contains(w);
-        if word("'slow'") {
+        let has = |marker: &str| text.contains(marker);
+        if has("'slow'") {
             thread::sleep(Duration::from_millis(230));
         }
         match () {
-            () if word("'error'") => cql::Reply::Send(cql::ERROR, cql::error_body(0, &[])),
-            () if word("'fault'") => cql::Reply::Send(cql::ERROR, cql::error_body(0x2000, &[])),
-            () if word("'full'") => cql::Reply::Send(cql::ERROR, cql::error_body(0x1001, &[])),
-            () if word("'cut'") => cql::Reply::PartialThenClose,
-            () if word("'stall'") => cql::Reply::PartialThenStall,
+            () if has("'error'") => cql::Reply::Send(cql::ERROR, cql::error_body(0, &[])),
+            () if has("'fault'") => cql::Reply::Send(cql::ERROR, cql::error_body(0x2000, &[])),
+            () if has("'full'") => cql::Reply::Send(cql::ERROR, cql::error_body(0x1001, &[])),
+            () if has("'cut'") => cql::Reply::PartialThenClose,
+            () if has("'stall'") => cql::Reply::PartialThenStall,
             () => cql::Reply::Send(cql::RESULT, cql::rows_body("x")),
         }
     };
@@ -192,7 +198,7 @@
     )
 }
 
-/// A word that decides what becomes of a request: most are served.
+/// The marker in the text of the n-th request that selects its fault; most are served.
 pub(crate) fn marker(n: usize) -> &'static str {
     match n % 97 {
         7 => "'slow'",
@@ -205,9 +211,10 @@
     }
 }
 
-/// Numbers of requests: no two that are open share one.
+/// The next request id: no two open requests share one.
 static NEXT: AtomicUsize = AtomicUsize::new(0);
 
+/// The n-th query of the generated load.
 pub(crate) fn workload_query(n: usize) -> String {
     let (class, statement) = if n.is_multiple_of(3) {
         ("once", format!("INSERT INTO o (a) VALUES ({})", marker(n)))
@@ -223,39 +230,40 @@
     format!("/* id={id:016x},c={class},t={tenant},d=500,cluster=0 */ {statement}")
 }
 
-/// Asks over PostgreSQL until it is told to stop; now and then a client leaves before its answer. How many were asked.
+/// Sends queries over PostgreSQL until `stop` is set; now and then a client disconnects before its
+/// answer. Returns the number of queries sent.
 pub(crate) fn load_pg(address: SocketAddr, seed: usize, stop: &AtomicBool) -> usize {
-    let mut asked = 0;
+    let mut sent = 0;
     let mut client: Option<Client> = None;
     for n in seed.. {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        let Some(mut own) = client.take().or_else(|| pg_client(address)) else {
+        let Some(mut current) = client.take().or_else(|| connect_pg(address)) else {
             thread::sleep(Duration::from_millis(1));
             continue;
         };
         use std::io::Write;
         let query = workload_query(n);
-        if own
+        if current
             .0
             .write_all(&super::message(b'Q', format!("{query}\0").as_bytes()))
             .is_err()
         {
             continue;
         }
-        asked += 1;
+        sent += 1;
         if n % 211 == 0 {
-            continue; // It leaves.
+            continue; // Drops the client, which disconnects.
         }
-        if own.answer() != super::Answer::Ended {
-            client = Some(own);
+        if current.answer() != super::Answer::Ended {
+            client = Some(current);
         }
     }
-    asked
+    sent
 }
 
-fn pg_client(address: SocketAddr) -> Option<Client> {
+fn connect_pg(address: SocketAddr) -> Option<Client> {
     use std::io::Write;
     let stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(super::TEST_TIMEOUT)).ok()?;
@@ -265,16 +273,16 @@
     Some(client)
 }
 
-/// The same over the Cassandra native protocol.
+/// Like [`load_pg`], over the Cassandra native protocol.
 pub(crate) fn load_cql(address: SocketAddr, seed: usize, stop: &AtomicBool) -> usize {
     use std::io::Write;
-    let mut asked = 0;
+    let mut sent = 0;
     let mut client: Option<cql::Client> = None;
     for n in seed.. {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        let Some(mut own) = client.take().or_else(|| cql_client(address)) else {
+        let Some(mut current) = client.take().or_else(|| connect_cql(address)) else {
             thread::sleep(Duration::from_millis(1));
             continue;
         };
@@ -291,19 +299,19 @@
             op,
             body,
         };
-        if own.0.write_all(&frame.bytes()).is_err() {
+        if current.0.write_all(&frame.bytes()).is_err() {
             continue;
         }
-        asked += 1;
+        sent += 1;
         if n % 211 == 0 {
             continue;
         }
-        client = cql::Frame::read(&mut own.0).map(|_| own);
+        client = cql::Frame::read(&mut current.0).map(|_| current);
     }
-    asked
+    sent
 }
 
-fn cql_client(address: SocketAddr) -> Option<cql::Client> {
+fn connect_cql(address: SocketAddr) -> Option<cql::Client> {
     use std::io::Write;
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(super::TEST_TIMEOUT)).ok()?;
@@ -328,7 +336,7 @@
     (cql::Frame::read(&mut stream)?.op == cql::READY).then_some(cql::Client(stream))
 }
 
-/// All rows of the request tables.
+/// The keys of all rows of the request tables for these fronts.
 pub(crate) fn request_rows(fronts: &[&str]) -> Vec<RowKey> {
     let key = |scope, front: &str, name: &str| RowKey {
         scope,
@@ -348,7 +356,7 @@
     all
 }
 
-/// For so long.
+/// Sleeps for this time in steps of 1 ms.
 pub(crate) fn sleep_for(time: Duration) {
     let end = Instant::now() + time;
     while Instant::now() < end {
