--- a/crates/gateway/tests/support/scripted_discovery.rs
+++ b/crates/gateway/tests/support/scripted_discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery that does with each call what the test's script says, and keeps when which call came.
+//! A stub discovery service that replies to each call as the test's script says and records the
+//! calls.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -10,84 +11,86 @@
 
 use super::{free_address, wait_until};
 
-/// How often what holds a call is looked at again.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which a waiting call checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A call as it came.
+/// A call as it was received.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct Call {
     pub at: Instant,
-    /// Of its connection, counted from 1.
+    /// Number of its connection, counted from 1.
     pub connection: usize,
+    /// The version from which changes are requested; `None` requests the full list.
     pub from: Option<u64>,
+    /// How long the call may wait for changes.
     pub hold: Duration,
 }
 
-/// The form in which an answer comes.
+/// The form of an HTTP answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Form {
     Plain,
     Indented,
-    /// The whole list, whatever it was asked from.
+    /// The full list, whichever version the call names.
     FullList,
     Chunked,
-    /// With fields behind the last chunk.
+    /// Chunked, with trailer fields.
     Trailers,
-    /// With an extension of so many bytes behind the size of the chunk.
+    /// Chunked, with a chunk extension of this many bytes.
     Extension(usize),
-    /// Without a length: the connection's end is the answer's.
+    /// Without a length: the answer ends with the connection.
     NoLength,
-    /// With this word on the connection, which ends behind the answer.
+    /// With this value of the `Connection` header; the connection is closed after the answer.
     ConnectionHeader(&'static str),
     Http10,
-    /// Behind interim answers.
+    /// After interim (1xx) answers.
     Interim,
-    /// In pieces of so many bytes, with a pause of so many milliseconds before each.
+    /// In pieces of this many bytes, with a pause of this many milliseconds before each.
     Pieces(usize, u64),
 }
 
-/// What a call meets.
+/// How a call is replied to.
 pub(crate) enum CallReply {
-    /// What there is to tell, when there is.
+    /// The changes as soon as there are some, or an empty answer when the wait is over.
     Update(Form),
-    /// Nothing, on an open connection.
+    /// No reply; the connection stays open.
     NoReply,
-    /// These bytes with a pause before each piece, then this end.
-    Bytes(Vec<(Duration, Vec<u8>)>, End),
+    /// These bytes, with a pause before each piece; then the connection goes on like this.
+    Bytes(Vec<(Duration, Vec<u8>)>, AfterReply),
 }
 
-/// How a connection goes on.
+/// What happens to the connection after a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum End {
+pub(crate) enum AfterReply {
     Keep,
     Close,
     Reset,
-    /// It stays open, and nothing more comes.
+    /// The connection stays open, and nothing more is sent.
     Silent,
 }
 
-type Script = Box<dyn FnMut(&Asked) -> CallReply + Send>;
+type Script = Box<dyn FnMut(&Call) -> CallReply + Send>;
 
 struct List {
     rev: u64,
-    /// What is listed, with the version that it is of.
+    /// Each entry with the version that last changed it, by uid.
     entries: BTreeMap<String, (u64, String)>,
 }
 
 impl List {
-    fn json(&self, from: Option<u64>, whole: bool) -> String {
-        let new = |of: u64| whole || from.is_none_or(|from| of > from);
-        let told: Vec<_> = self
+    fn json(&self, from: Option<u64>, full: bool) -> String {
+        let is_new = |rev: u64| full || from.is_none_or(|from| rev > from);
+        let targets: Vec<_> = self
             .entries
             .values()
-            .filter(|e| new(e.0))
+            .filter(|e| is_new(e.0))
             .map(|e| e.1.as_str())
             .collect();
-        let all = whole || from.is_none();
+        let all = full || from.is_none();
         format!(
             r#"{{"rev":{},"all":{all},"targets":[{}]}}"#,
             self.rev,
-            told.join(",")
+            targets.join(",")
         )
     }
 }
@@ -96,82 +99,87 @@
     pub address: SocketAddr,
     list: Mutex<List>,
     script: Mutex<Script>,
-    pub calls: Mutex<Vec<Asked>>,
-    /// When each right answer with news was written.
+    pub calls: Mutex<Vec<Call>>,
+    /// When each update with changes was written.
     pub update_times: Mutex<Vec<Instant>>,
     connections: AtomicUsize,
-    /// Connections up to this number say nothing more; up to that one they are reset.
-    muted: AtomicUsize,
-    reset: AtomicUsize,
-    /// New connections say nothing at all.
+    /// Connections up to this number get no more replies.
+    muted_up_to: AtomicUsize,
+    /// Connections up to this number are reset.
+    reset_up_to: AtomicUsize,
+    /// New connections get no reply at all.
     silent: AtomicBool,
-    refuses: AtomicBool,
+    /// Whether new connections are to be refused.
+    refuse: AtomicBool,
+    /// Whether new connections are refused, as no listener is open.
     refusing: AtomicBool,
 }
 
 impl ScriptedDiscovery {
-    /// Lists these at version 1.
+    /// Starts the service with these entries as version 1.
     pub(crate) fn start(entries: &[(&str, String)]) -> Arc<Self> {
         let entries = entries
             .iter()
             .map(|(uid, text)| ((*uid).to_owned(), (1, text.clone())))
             .collect();
         let script: Script = Box::new(|_| CallReply::Update(Form::Plain));
-        let all = Arc::new(Self {
+        let discovery = Arc::new(Self {
             address: free_address(),
             list: Mutex::new(List { rev: 1, entries }),
             script: Mutex::new(script),
             calls: Mutex::default(),
             update_times: Mutex::default(),
             connections: AtomicUsize::new(0),
-            muted: AtomicUsize::new(0),
-            reset: AtomicUsize::new(0),
+            muted_up_to: AtomicUsize::new(0),
+            reset_up_to: AtomicUsize::new(0),
             silent: AtomicBool::new(false),
-            refuses: AtomicBool::new(false),
+            refuse: AtomicBool::new(false),
             refusing: AtomicBool::new(true),
         });
-        let listens = Arc::clone(&all);
-        thread::spawn(move || listens.listen());
-        wait_until("it listens", || !all.refusing.load(SeqCst));
-        all
+        let listening = Arc::clone(&discovery);
+        thread::spawn(move || listening.listen());
+        wait_until("the discovery service listens", || {
+            !discovery.refusing.load(SeqCst)
+        });
+        discovery
     }
 
     fn listen(self: Arc<Self>) {
         loop {
-            let listener = TcpListener::bind(self.address).expect("an address of the test's own");
+            let listener = TcpListener::bind(self.address).expect("the address is free");
             listener.set_nonblocking(true).unwrap();
             self.refusing.store(false, SeqCst);
-            while !self.refuses.load(SeqCst) {
+            while !self.refuse.load(SeqCst) {
                 let Ok((stream, _)) = listener.accept() else {
-                    thread::sleep(LOOK);
+                    thread::sleep(POLL_INTERVAL);
                     continue;
                 };
                 stream.set_nonblocking(false).unwrap();
                 stream.set_nodelay(true).unwrap();
-                let (number, serves) =
+                let (number, shared) =
                     (1 + self.connections.fetch_add(1, SeqCst), Arc::clone(&self));
-                thread::spawn(move || serves.serve(stream, number));
+                thread::spawn(move || shared.serve(stream, number));
             }
             drop(listener);
             self.refusing.store(true, SeqCst);
-            while self.refuses.load(SeqCst) {
-                thread::sleep(LOOK);
+            while self.refuse.load(SeqCst) {
+                thread::sleep(POLL_INTERVAL);
             }
         }
     }
 
-    /// What the calls from now on meet.
-    pub(crate) fn script(&self, script: impl FnMut(&Asked) -> CallReply + Send + 'static) {
+    /// Sets how calls are replied to from now on.
+    pub(crate) fn set_script(&self, script: impl FnMut(&Call) -> CallReply + Send + 'static) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
-    /// The same for all of them.
-    pub(crate) fn form(&self, form: Form) {
-        self.script(move |_| CallReply::Update(form));
+    /// Replies to all calls from now on with updates in this form.
+    pub(crate) fn set_form(&self, form: Form) {
+        self.set_script(move |_| CallReply::Update(form));
     }
 
-    /// A newer version, with this entry; what watches is told. Since when it can be told.
-    pub(crate) fn tell(&self, uid: &str, entry: String) -> Instant {
+    /// Publishes a newer version with this entry, and returns when it became available.
+    pub(crate) fn publish(&self, uid: &str, entry: String) -> Instant {
         let mut list = self.list.lock().unwrap();
         list.rev += 1;
         let rev = list.rev;
@@ -179,16 +187,18 @@
         Instant::now()
     }
 
-    /// A newer version without this one, which only whole lists show.
-    pub(crate) fn forget(&self, uid: &str) -> Instant {
+    /// Publishes a newer version without this entry, which only full lists show, and returns when
+    /// it became available.
+    pub(crate) fn remove(&self, uid: &str) -> Instant {
         let mut list = self.list.lock().unwrap();
         list.rev += 1;
         list.entries.remove(uid);
         Instant::now()
     }
 
-    /// Counts anew from this version on, of which everything is, this entry among it. Since when it can be told.
-    pub(crate) fn counts_anew(&self, rev: u64, uid: &str, entry: String) -> Instant {
+    /// Restarts the version count at `rev`, to which all entries then belong, this one among them;
+    /// returns when that became available.
+    pub(crate) fn restart_versions(&self, rev: u64, uid: &str, entry: String) -> Instant {
         let mut list = self.list.lock().unwrap();
         list.rev = rev;
         list.entries.insert(uid.to_owned(), (rev, entry));
@@ -196,35 +206,38 @@
         Instant::now()
     }
 
-    /// Open connections say nothing more.
-    pub(crate) fn mute(&self) {
-        self.muted.store(self.connections.load(SeqCst), SeqCst);
+    /// Sends nothing more on the open connections.
+    pub(crate) fn mute_open_connections(&self) {
+        self.muted_up_to.store(self.connections.load(SeqCst), SeqCst);
     }
 
-    /// Open connections are reset.
-    pub(crate) fn reset(&self) {
-        self.reset.store(self.connections.load(SeqCst), SeqCst);
+    /// Resets the open connections.
+    pub(crate) fn reset_open_connections(&self) {
+        self.reset_up_to.store(self.connections.load(SeqCst), SeqCst);
     }
 
-    /// Is silent, on connections that are open and on those that come meanwhile, also later.
-    pub(crate) fn falls_silent(&self) {
+    /// Sends nothing on open connections, nor on those accepted before `come_back`, even
+    /// afterwards.
+    pub(crate) fn go_silent(&self) {
         self.silent.store(true, SeqCst);
-        self.mute();
+        self.mute_open_connections();
     }
 
-    /// Refuses connections, and resets those that are open.
-    pub(crate) fn goes(&self) {
-        self.refuses.store(true, SeqCst);
-        self.reset();
-        wait_until("it refuses", || self.refusing.load(SeqCst));
+    /// Refuses new connections and resets the open ones.
+    pub(crate) fn go_down(&self) {
+        self.refuse.store(true, SeqCst);
+        self.reset_open_connections();
+        wait_until("the discovery service refuses connections", || self.refusing.load(SeqCst));
     }
 
-    /// Is there again, for new connections.
-    pub(crate) fn returns(&self) -> Instant {
-        self.mute();
+    /// Serves new connections again, and returns since when.
+    pub(crate) fn come_back(&self) -> Instant {
+        self.mute_open_connections();
         self.silent.store(false, SeqCst);
-        self.refuses.store(false, SeqCst);
-        wait_until("it listens again", || !self.refusing.load(SeqCst));
+        self.refuse.store(false, SeqCst);
+        wait_until("the discovery service listens again", || {
+            !self.refusing.load(SeqCst)
+        });
         Instant::now()
     }
 
@@ -238,7 +251,7 @@
 
     fn serve(&self, mut stream: TcpStream, connection: usize) {
         if self.silent.load(SeqCst) {
-            return rest(&mut stream);
+            return read_until_closed(&mut stream);
         }
         while let Some(head) = read_head(&mut stream) {
             let field = |name: &str| -> Option<u64> {
@@ -249,27 +262,27 @@
                 field("from="),
                 Duration::from_millis(field("hold_ms=").unwrap_or(0)),
             );
-            let asked = Asked {
+            let call = Call {
                 at: Instant::now(),
                 connection,
                 from,
                 hold,
             };
-            self.calls.lock().unwrap().push(asked.clone());
-            let says = (self.script.lock().unwrap())(&asked);
-            let end = match says {
-                CallReply::Update(form) => self.tells(&mut stream, &asked, form),
-                CallReply::NoReply => End::Silent,
-                CallReply::Bytes(pieces, end) => {
-                    write(&mut stream, &pieces).map_or(End::Close, |()| end)
+            self.calls.lock().unwrap().push(call.clone());
+            let reply = (self.script.lock().unwrap())(&call);
+            let after = match reply {
+                CallReply::Update(form) => self.send_update(&mut stream, &call, form),
+                CallReply::NoReply => AfterReply::Silent,
+                CallReply::Bytes(pieces, after) => {
+                    write(&mut stream, &pieces).map_or(AfterReply::Close, |()| after)
                 }
             };
-            match end {
-                End::Keep => {}
-                End::Silent => return rest(&mut stream),
-                // The byte of the request that was left unread makes a reset of the close.
-                End::Reset => return,
-                End::Close => {
+            match after {
+                AfterReply::Keep => {}
+                AfterReply::Silent => return read_until_closed(&mut stream),
+                // Closing with the last byte of the request unread resets the connection.
+                AfterReply::Reset => return,
+                AfterReply::Close => {
                     let _ = stream.read(&mut [0]);
                     return;
                 }
@@ -277,35 +290,36 @@
         }
     }
 
-    /// Waits until there is news, or until the wait is over, and tells it.
-    fn tells(&self, stream: &mut TcpStream, asked: &Asked, form: Form) -> End {
-        let end = asked.at + asked.hold;
-        let (body, news) = loop {
-            if asked.connection <= self.reset.load(SeqCst) {
-                return End::Reset;
+    /// Waits until there are changes or the wait of the call is over, and sends them.
+    fn send_update(&self, stream: &mut TcpStream, call: &Call, form: Form) -> AfterReply {
+        let end = call.at + call.hold;
+        let (body, changed) = loop {
+            if call.connection <= self.reset_up_to.load(SeqCst) {
+                return AfterReply::Reset;
             }
-            if asked.connection <= self.muted.load(SeqCst) {
-                return End::Silent;
+            if call.connection <= self.muted_up_to.load(SeqCst) {
+                return AfterReply::Silent;
             }
             let list = self.list.lock().unwrap();
-            let news = asked.from.is_none_or(|from| list.rev > from);
-            if news || Instant::now() >= end {
-                break (list.json(asked.from, matches!(form, Form::FullList)), news);
+            let changed = call.from.is_none_or(|from| list.rev > from);
+            if changed || Instant::now() >= end {
+                break (list.json(call.from, matches!(form, Form::FullList)), changed);
             }
             drop(list);
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         };
         let (pieces, end) = answer(&body, form);
         if write(stream, &pieces).is_none() {
-            return End::Close;
+            return AfterReply::Close;
         }
-        self.update_times.lock().unwrap().extend(news.then(Instant::now));
+        self.update_times.lock().unwrap().extend(changed.then(Instant::now));
         end
     }
 }
 
-/// An answer in this form, and what becomes of the connection behind it.
-pub(crate) fn answer(body: &str, form: Form) -> (Vec<(Duration, Vec<u8>)>, End) {
+/// An answer in this form, in pieces with the pause before each, and what happens to the connection
+/// after it.
+pub(crate) fn answer(body: &str, form: Form) -> (Vec<(Duration, Vec<u8>)>, AfterReply) {
     let sized =
         |head: &str, body: &str| format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let ok = "HTTP/1.1 200 OK";
@@ -321,28 +335,28 @@
         )
     };
     let (text, end) = match form {
-        Form::Plain | Form::FullList | Form::Pieces(..) => (sized(ok, body), End::Keep),
-        Form::Indented => (sized(ok, &indented(body)), End::Keep),
-        Form::Chunked => (chunks("", ""), End::Keep),
-        Form::Trailers => (chunks("", "X-Rev: 1\r\nX-More: a, b\r\n"), End::Keep),
-        Form::Extension(length) => (chunks(&format!(";x={}", "y".repeat(length)), ""), End::Keep),
-        Form::NoLength => (format!("{ok}\r\n\r\n{body}"), End::Close),
-        Form::ConnectionHeader(word) => (
-            sized(&format!("{ok}\r\nConnection: {word}"), body),
-            End::Close,
+        Form::Plain | Form::FullList | Form::Pieces(..) => (sized(ok, body), AfterReply::Keep),
+        Form::Indented => (sized(ok, &indented(body)), AfterReply::Keep),
+        Form::Chunked => (chunks("", ""), AfterReply::Keep),
+        Form::Trailers => (chunks("", "X-Rev: 1\r\nX-More: a, b\r\n"), AfterReply::Keep),
+        Form::Extension(length) => (chunks(&format!(";x={}", "y".repeat(length)), ""), AfterReply::Keep),
+        Form::NoLength => (format!("{ok}\r\n\r\n{body}"), AfterReply::Close),
+        Form::ConnectionHeader(value) => (
+            sized(&format!("{ok}\r\nConnection: {value}"), body),
+            AfterReply::Close,
         ),
-        Form::Http10 => (sized("HTTP/1.0 200 OK", body), End::Close),
+        Form::Http10 => (sized("HTTP/1.0 200 OK", body), AfterReply::Close),
         Form::Interim => {
             let interim =
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n";
-            (interim.to_owned() + &sized(ok, body), End::Keep)
+            (interim.to_owned() + &sized(ok, body), AfterReply::Keep)
         }
     };
     let pieces = match form {
         Form::Pieces(size, ms) => text
             .as_bytes()
             .chunks(size)
-            .map(|some| (Duration::from_millis(ms), some.to_vec()))
+            .map(|part| (Duration::from_millis(ms), part.to_vec()))
             .collect(),
         _ => vec![(Duration::ZERO, text.into_bytes())],
     };
@@ -357,19 +371,19 @@
 }
 
 fn write(stream: &mut TcpStream, pieces: &[(Duration, Vec<u8>)]) -> Option<()> {
-    for (pause, some) in pieces {
+    for (pause, bytes) in pieces {
         thread::sleep(*pause);
-        stream.write_all(some).ok()?;
+        stream.write_all(bytes).ok()?;
     }
     Some(())
 }
 
-/// Says nothing until the other side ends the connection.
-fn rest(stream: &mut TcpStream) {
+/// Reads and sends nothing until the peer closes the connection.
+fn read_until_closed(stream: &mut TcpStream) {
     while matches!(stream.read(&mut [0; 256]), Ok(1..)) {}
 }
 
-/// A request but its last byte: a connection that is closed over it is reset.
+/// Reads a request except for its last byte, so that closing the connection resets it.
 fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = vec![];
     while !head.ends_with(b"\r\n\r") {
@@ -382,17 +396,17 @@
     String::from_utf8(head).ok()
 }
 
-/// An address at which connects hang: its queue is full, and nobody takes anything from it.
+/// An address at which connection attempts hang, since the accept queue is full and never drained.
 pub(crate) struct HangingListener(pub SocketAddr, TcpListener, Vec<TcpStream>);
 
 impl HangingListener {
     pub(crate) fn start() -> Self {
         let listener = TcpListener::bind(free_address()).unwrap();
-        let (address, mut held) = (listener.local_addr().unwrap(), vec![]);
+        let (address, mut queued) = (listener.local_addr().unwrap(), vec![]);
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-            held.push(stream);
-            assert!(held.len() < 10_000, "the queue is never full");
+            queued.push(stream);
+            assert!(queued.len() < 10_000, "the accept queue never fills up");
         }
-        Self(address, listener, held)
+        Self(address, listener, queued)
     }
 }
