--- a/crates/gateway/tests/support/watched.rs
+++ b/crates/gateway/tests/support/monitored.rs
@@ -1,4 +1,5 @@
-//! A gateway of an operators' file with both fronts, an agent and a state folder, and load on it.
+//! A gateway on a TOML configuration with both fronts, an SNMP agent and a state folder, and load
+//! generators for it.
 #![allow(dead_code)]
 
 use std::net::{SocketAddr, TcpStream};
@@ -11,21 +12,25 @@
 use valehatch_request_log::{RowKey, Scope};
 
 use super::cql;
-use super::{Client, Does, Program, Seen, database, folder, free_address, tagged};
+use super::{
+    Client, GatewayProcess, Reply, StubDatabase, free_address, row_with_tag, stub_database,
+    temp_folder,
+};
 
 pub(crate) const PASSWORD: &str = "a long password";
 
-pub(crate) struct Watched {
+/// A running gateway with the addresses of its fronts and of its agent.
+pub(crate) struct MonitoredGateway {
     pub pg: SocketAddr,
     pub cql: SocketAddr,
     pub agent: SocketAddr,
     pub dir: PathBuf,
     pub file: PathBuf,
-    pub program: Program,
+    pub program: GatewayProcess,
 }
 
-/// Localized keys of `PASSWORD`, made by the program itself.
-pub(crate) fn keys(gateway: &str, password: &str) -> String {
+/// The localized keys of a password, as `valehatch snmp key` prints them.
+pub(crate) fn snmp_keys(gateway: &str, password: &str) -> String {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_valehatch"))
@@ -53,8 +58,8 @@
     )
 }
 
-/// The file. `state` and `snmp` are put into the parts of these names, `end` behind everything.
-pub(crate) struct Plan {
+/// What goes into the configuration file: `state` into its section of this name, `more` at the end.
+pub(crate) struct GatewayConfig {
     pub pg: Vec<(&'static str, SocketAddr, bool)>,
     pub cql: Vec<(&'static str, SocketAddr, bool)>,
     pub state: String,
@@ -62,8 +67,8 @@
     pub user: bool,
 }
 
-impl Plan {
-    pub(crate) fn text(
+impl GatewayConfig {
+    pub(crate) fn to_toml(
         &self,
         pg: SocketAddr,
         cql: SocketAddr,
@@ -105,19 +110,24 @@
         if self.user {
             text += &format!(
                 "[[snmp.user]]\nname = \"facilities\"\n{}",
-                keys("watched", PASSWORD)
+                snmp_keys("watched", PASSWORD)
             );
         }
         text + "[snmp.limits]\nper-source-per-s = 100000\ntotal-per-s = 100000\ncpu-share = 1.0\n"
             + &self.more
     }
 
-    pub(crate) fn start(&self) -> Watched {
-        let (pg, cql, agent, place) = (free_address(), free_address(), free_address(), folder());
-        let (dir, file) = (place.join("state"), place.join("gateway.toml"));
-        std::fs::write(&file, self.text(pg, cql, agent, &dir)).unwrap();
-        let program = run(&file, if self.pg.is_empty() { cql } else { pg });
-        Watched {
+    pub(crate) fn start(&self) -> MonitoredGateway {
+        let (pg, cql, agent, folder) = (
+            free_address(),
+            free_address(),
+            free_address(),
+            temp_folder(),
+        );
+        let (dir, file) = (folder.join("state"), folder.join("gateway.toml"));
+        std::fs::write(&file, self.to_toml(pg, cql, agent, &dir)).unwrap();
+        let program = run_gateway(&file, if self.pg.is_empty() { cql } else { pg });
+        MonitoredGateway {
             pg,
             cql,
             agent,
@@ -128,72 +138,79 @@
     }
 }
 
-pub(crate) fn run(file: &std::path::Path, listens: SocketAddr) -> Program {
-    Program::start(&["serve", file.to_str().unwrap()], None, listens)
+/// Starts the gateway on a configuration file and waits until it listens at `address`.
+pub(crate) fn run_gateway(file: &std::path::Path, address: SocketAddr) -> GatewayProcess {
+    GatewayProcess::start(&["serve", file.to_str().unwrap()], None, address)
 }
 
-/// Members as a plan names them.
+/// Name, address and whether it is the primary, for each member of a front.
 pub(crate) type Members = Vec<(&'static str, SocketAddr, bool)>;
 
-/// Databases and nodes some of whose answers are late, errors, breaks or silence, by the request's text.
-pub(crate) fn databases() -> Members {
-    seen_databases().0
+/// Stub databases that answer late, with errors, partly or not at all where the text of the query
+/// says so.
+pub(crate) fn database_members() -> Members {
+    stub_databases().0
 }
 
-/// The same, with what they see.
-pub(crate) fn seen_databases() -> (Members, [Arc<Seen>; 2]) {
+/// Like [`database_members`], with what each database records.
+pub(crate) fn stub_databases() -> (Members, [Arc<StubDatabase>; 2]) {
     let serve = |_: usize, query: &str| {
         let insert = query.contains("INSERT");
         let tag = if insert { "INSERT 0 1" } else { "SELECT 1" };
-        let word = |w: &str| query.contains(w);
-        if word("'slow'") {
+        let has = |marker: &str| query.contains(marker);
+        if has("'slow'") {
             thread::sleep(Duration::from_millis(230));
         }
         match query {
-            _ if word("'error'") => Does::Say(super::error("XX000")),
-            _ if word("'fault'") => Does::Say(super::error("42601")),
-            _ if word("'full'") => Does::Say(super::error("53300")),
-            _ if word("'cut'") => Does::Cut(vec![]),
-            _ if word("'stall'") => Does::Stall(vec![]),
-            _ => Does::Say(tagged("x", tag)),
+            _ if has("'error'") => Reply::Send(super::error("XX000")),
+            _ if has("'fault'") => Reply::Send(super::error("42601")),
+            _ if has("'full'") => Reply::Send(super::error("53300")),
+            _ if has("'cut'") => Reply::SendThenClose(vec![]),
+            _ if has("'stall'") => Reply::SendThenStall(vec![]),
+            _ => Reply::Send(row_with_tag("x", tag)),
         }
     };
-    let (one, two) = (database("read-write", serve), database("read-only", serve));
+    let (one, two) = (
+        stub_database("read-write", serve),
+        stub_database("read-only", serve),
+    );
     (
         vec![("db-1", one.0, true), ("db-2", two.0, false)],
         [one.1, two.1],
     )
 }
 
-pub(crate) fn nodes() -> Members {
-    seen_nodes().0
+/// Stub nodes with the faults of [`database_members`].
+pub(crate) fn node_members() -> Members {
+    stub_nodes().0
 }
 
-pub(crate) fn seen_nodes() -> (Members, [Arc<cql::Node>; 2]) {
-    let serve = |frame: &cql::Frame, _: &cql::Node| {
+/// Like [`node_members`], with what each node records.
+pub(crate) fn stub_nodes() -> (Members, [Arc<cql::StubNode>; 2]) {
+    let serve = |frame: &cql::Frame, _: &cql::StubNode| {
         let text = String::from_utf8_lossy(&frame.body).into_owned();
-        let word = |w: &str| text.contains(w);
-        if word("'slow'") {
+        let has = |marker: &str| text.contains(marker);
+        if has("'slow'") {
             thread::sleep(Duration::from_millis(230));
         }
         match () {
-            () if word("'error'") => cql::Does::Say(cql::ERROR, cql::fault(0, &[])),
-            () if word("'fault'") => cql::Does::Say(cql::ERROR, cql::fault(0x2000, &[])),
-            () if word("'full'") => cql::Does::Say(cql::ERROR, cql::fault(0x1001, &[])),
-            () if word("'cut'") => cql::Does::Cut,
-            () if word("'stall'") => cql::Does::Stall,
-            () => cql::Does::Say(cql::RESULT, cql::rows("x")),
+            () if has("'error'") => cql::Reply::Send(cql::ERROR, cql::error_body(0, &[])),
+            () if has("'fault'") => cql::Reply::Send(cql::ERROR, cql::error_body(0x2000, &[])),
+            () if has("'full'") => cql::Reply::Send(cql::ERROR, cql::error_body(0x1001, &[])),
+            () if has("'cut'") => cql::Reply::PartialThenClose,
+            () if has("'stall'") => cql::Reply::PartialThenStall,
+            () => cql::Reply::Send(cql::RESULT, cql::rows_body("x")),
         }
     };
-    let (one, two) = (cql::node(serve), cql::node(serve));
+    let (one, two) = (cql::stub_node(serve), cql::stub_node(serve));
     (
         vec![("node-1", one.0, true), ("node-2", two.0, false)],
         [one.1, two.1],
     )
 }
 
-/// A word that decides what becomes of a request: most are served.
-pub(crate) fn word(n: usize) -> &'static str {
+/// The marker in the text of the n-th request that selects its fault; most are served.
+pub(crate) fn marker(n: usize) -> &'static str {
     match n % 97 {
         7 => "'slow'",
         19 | 57 => "'error'",
@@ -205,14 +222,15 @@
     }
 }
 
-/// Numbers of requests: no two that are open share one.
+/// The next request id: no two open requests share one.
 static NEXT: AtomicUsize = AtomicUsize::new(0);
 
-pub(crate) fn statement(n: usize) -> String {
+/// The n-th query of the generated load.
+pub(crate) fn workload_query(n: usize) -> String {
     let (class, statement) = if n.is_multiple_of(3) {
-        ("once", format!("INSERT INTO o (a) VALUES ({})", word(n)))
+        ("once", format!("INSERT INTO o (a) VALUES ({})", marker(n)))
     } else {
-        ("read", format!("SELECT a FROM o WHERE a = {}", word(n)))
+        ("read", format!("SELECT a FROM o WHERE a = {}", marker(n)))
     };
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
     let tenant = if n.is_multiple_of(4) {
@@ -223,65 +241,66 @@
     format!("/* id={id:016x},c={class},t={tenant},d=500,cluster=0 */ {statement}")
 }
 
-/// Asks over PostgreSQL until it is told to stop; now and then a client leaves before its answer. How many were asked.
+/// Sends queries over PostgreSQL until `stop` is set; now and then a client disconnects before its
+/// answer. Returns the number of queries sent.
 pub(crate) fn load_pg(address: SocketAddr, seed: usize, stop: &AtomicBool) -> usize {
-    let mut asked = 0;
+    let mut sent = 0;
     let mut client: Option<Client> = None;
     for n in seed.. {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        let Some(mut own) = client.take().or_else(|| pg_client(address)) else {
+        let Some(mut current) = client.take().or_else(|| connect_pg(address)) else {
             thread::sleep(Duration::from_millis(1));
             continue;
         };
         use std::io::Write;
-        let query = statement(n);
-        if own
+        let query = workload_query(n);
+        if current
             .0
             .write_all(&super::message(b'Q', format!("{query}\0").as_bytes()))
             .is_err()
         {
             continue;
         }
-        asked += 1;
+        sent += 1;
         if n % 211 == 0 {
-            continue; // It leaves.
+            continue; // Drops the client, which disconnects.
         }
-        if own.answer() != super::Answer::Ended {
-            client = Some(own);
+        if current.answer() != super::Answer::Ended {
+            client = Some(current);
         }
     }
-    asked
+    sent
 }
 
-fn pg_client(address: SocketAddr) -> Option<Client> {
+fn connect_pg(address: SocketAddr) -> Option<Client> {
     use std::io::Write;
     let stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(super::WAIT)).ok()?;
+    stream.set_read_timeout(Some(super::TEST_TIMEOUT)).ok()?;
     let mut client = Client(stream);
-    client.0.write_all(&Client::opening()).ok()?;
+    client.0.write_all(&Client::startup_message()).ok()?;
     while super::read_message(&mut client.0)?.0 != b'Z' {}
     Some(client)
 }
 
-/// The same over the Cassandra native protocol.
+/// Like [`load_pg`], over the Cassandra native protocol.
 pub(crate) fn load_cql(address: SocketAddr, seed: usize, stop: &AtomicBool) -> usize {
     use std::io::Write;
-    let mut asked = 0;
+    let mut sent = 0;
     let mut client: Option<cql::Client> = None;
     for n in seed.. {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        let Some(mut own) = client.take().or_else(|| cql_client(address)) else {
+        let Some(mut current) = client.take().or_else(|| connect_cql(address)) else {
             thread::sleep(Duration::from_millis(1));
             continue;
         };
         let text = match n % 5 {
-            0 => format!("INSERT INTO s (a) VALUES ({})", word(n)),
+            0 => format!("INSERT INTO s (a) VALUES ({})", marker(n)),
             1 if n % 45 == 1 => "DELETE FROM s".into(),
-            _ => format!("SELECT a FROM s WHERE a = {}", word(n)),
+            _ => format!("SELECT a FROM s WHERE a = {}", marker(n)),
         };
         let (op, body) = cql::query(&text);
         let frame = cql::Frame {
@@ -291,22 +310,22 @@
             op,
             body,
         };
-        if own.0.write_all(&frame.bytes()).is_err() {
+        if current.0.write_all(&frame.bytes()).is_err() {
             continue;
         }
-        asked += 1;
+        sent += 1;
         if n % 211 == 0 {
             continue;
         }
-        client = cql::Frame::read(&mut own.0).map(|_| own);
+        client = cql::Frame::read(&mut current.0).map(|_| current);
     }
-    asked
+    sent
 }
 
-fn cql_client(address: SocketAddr) -> Option<cql::Client> {
+fn connect_cql(address: SocketAddr) -> Option<cql::Client> {
     use std::io::Write;
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(super::WAIT)).ok()?;
+    stream.set_read_timeout(Some(super::TEST_TIMEOUT)).ok()?;
     let body = [
         &[0, 1][..],
         &cql::short(b"CQL_VERSION"),
@@ -328,8 +347,8 @@
     (cql::Frame::read(&mut stream)?.op == cql::READY).then_some(cql::Client(stream))
 }
 
-/// All rows of the request tables.
-pub(crate) fn rows(fronts: &[&str]) -> Vec<RowKey> {
+/// The keys of all rows of the request tables for these fronts.
+pub(crate) fn request_rows(fronts: &[&str]) -> Vec<RowKey> {
     let key = |scope, front: &str, name: &str| RowKey {
         scope,
         front: front.into(),
@@ -348,8 +367,8 @@
     all
 }
 
-/// For so long.
-pub(crate) fn wait(time: Duration) {
+/// Sleeps for this time in steps of 1 ms.
+pub(crate) fn sleep_for(time: Duration) {
     let end = Instant::now() + time;
     while Instant::now() < end {
         thread::sleep(Duration::from_millis(1));
