--- a/crates/net/src/clients.rs
+++ b/crates/net/src/clients.rs
@@ -1,11 +1,11 @@
 //! Downstream connections: accepts clients, reads their requests, writes their responses and closes
 //! idle connections.
 //!
-//! One thread accepts. A few threads wait for all idle connections at once; the one that a
-//! connection becomes readable on runs the protocol's [`RequestHandler`] until nothing more has
-//! come. Responses are written by the thread that has them; a client that cannot take a response at
-//! once gets a thread for the rest. State: one connection object a client, in the registry, bounded
-//! by the connection limiter.
+//! One thread accepts connections. A few threads wait for input on all idle connections at once;
+//! the thread that finds a connection readable runs the protocol's [`RequestHandler`] until no more
+//! input is available. A response is written by the thread that produced it; if the client cannot
+//! receive all of it at once, a separate thread writes the rest. State: one connection object per
+//! client, kept in the registry and bounded in number by the connection limiter.
 
 mod buffer_budget;
 mod connection;
@@ -39,20 +39,21 @@
 use idle::{IdleConnection, IdleConnections};
 use registry::Registry;
 
-/// How long the exit waits for requests that are being read and responses that are being written.
+/// Maximum time that the exit waits for requests being read and responses being written.
 const EXIT_GRACE: Duration = Duration::from_millis(50);
-/// How long the exit waits after the last closing error. A request that crosses it is discarded
-/// until then; as unread bytes it would reset the connection, and the error could be lost.
+/// How long the exit waits after the last closing error. Requests that arrive in this time are
+/// discarded: left unread, their bytes would make the kernel reset the connection, and the client
+/// could lose the error.
 const EXIT_LINGER_TIME: Duration = Duration::from_millis(20);
 
 /// The client side of one protocol. One handler serves all connections of a front, from several
 /// threads at once.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Reads messages until nothing more has come. Called by one thread at a time for each
-    /// connection, with the progress that the last call left.
+    /// Reads messages until no more input is available. Called by one thread at a time for each
+    /// connection; `progress` is kept between the calls.
     ///
     /// # Errors
-    /// The connection failed; it is closed without a closing error.
+    /// Returns an error if the connection failed; it is then closed without a closing error.
     fn serve(
         &self,
         progress: &mut SessionProgress,
@@ -61,64 +62,64 @@
     ) -> io::Result<SessionStatus>;
     /// Encodes the final answer to the request with this ticket.
     fn encode(&self, ticket: u64, answer: FinalAnswer) -> Vec<u8>;
-    /// Whether responses leave in the order of their requests, by ticket from 0.
+    /// Whether responses are sent in the order of their requests, by ticket from 0.
     fn has_ordered_responses(&self) -> bool;
-    /// How many responses a connection may be owed; further requests stay unread.
+    /// Maximum number of pending responses per connection; further requests stay unread.
     fn pipeline_limit(&self) -> usize;
-    /// The error that closes an idle connection. A client that has sent a request meanwhile takes
-    /// it for the response: nothing ran, and it may retry after this time. Empty where the protocol
-    /// has no such error.
+    /// Encodes the error that closes an idle connection. A client that has sent a request in the
+    /// meantime takes it for the response: the request was not executed, and the client may retry
+    /// it after `retry_after`. Empty if the protocol has no such error.
     fn closing_error(&self, retry_after: Span) -> Vec<u8>;
 }
 
-/// Where a session stands between two messages.
+/// State of a session that is kept between two messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionProgress {
-    /// The protocol's handshake is complete.
+    /// Set once the protocol's handshake is complete.
     pub handshake_complete: bool,
-    /// The ticket of the next message, where responses are ordered.
+    /// The ticket of the next message, if responses are ordered.
     pub next_ticket: u64,
-    /// Messages that could not be understood.
+    /// Number of messages that could not be parsed.
     pub malformed_messages: usize,
 }
 
-/// How a session goes on after [`RequestHandler::serve`].
+/// How a session continues after [`RequestHandler::serve`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionStatus {
-    /// Nothing more has come; the connection waits for the next message.
+    /// No more input is available; the connection waits for the next message.
     Idle,
     /// The client has closed the connection or violated the protocol.
     Closed,
 }
 
-/// What a client has sent next.
+/// Input that is available from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextInput {
-    /// At least a part of a message.
+    /// At least part of a message.
     Message,
-    /// Nothing yet.
+    /// No input has arrived yet.
     Pending,
-    /// Nothing more: the connection is over.
+    /// The connection is closed: no further input will arrive.
     Closed,
 }
 
-/// Who takes the connections that are still in the listener's backlog once accepting stops.
+/// The process that accepts the connections left in the listener's backlog when accepting stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BacklogOwner {
     /// This process accepts them before it stops.
     ThisProcess,
-    /// Another process has the same listening socket and accepts them.
+    /// Another process shares the listening socket and accepts them.
     OtherProcess,
 }
 
-/// Memory and reporting of a front's clients.
+/// Memory limits and reporting options of a front's clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Bytes that requests in flight may take; responses that wait to be written may take as many
-    /// again.
+    /// Limit in bytes for requests in flight. Responses that wait to be written have a separate
+    /// limit of the same size.
     pub memory_bytes: usize,
     /// Whether requests that are rejected or abandoned before they reach the core are reported to
-    /// it.
+    /// the core.
     pub reports_rejections: bool,
 }
 
@@ -126,21 +127,21 @@
 pub struct Clients {
     registry: Arc<Registry>,
     idle: IdleConnections,
-    /// No further connections are to be accepted.
+    /// Set once no further connections are to be accepted.
     accepting_stopped: AtomicBool,
-    /// Connections in the backlog are another process's.
+    /// Set if another process accepts the connections in the backlog.
     backlog_handed_over: AtomicBool,
-    /// The accepting thread runs.
+    /// Set while the accepting thread runs.
     accepting: AtomicBool,
-    /// When the program first asked whether it may exit.
+    /// When [`Clients::can_exit`] was first called.
     exit_requested_at: Mutex<Option<Instant>>,
 }
 
 impl Clients {
-    /// A front without connections; [`Clients::listen`] accepts them.
+    /// Creates a front without connections; [`Clients::listen`] accepts them.
     ///
     /// # Errors
-    /// The machine has no descriptor for the epoll instance.
+    /// Returns an error if no descriptor is available for the epoll instance.
     pub fn new(
         handler: Arc<dyn RequestHandler>,
         events: Sender<Event>,
@@ -160,13 +161,14 @@
         }))
     }
 
-    /// Removes a connection that is over and frees its descriptor.
+    /// Removes a closed connection and frees its descriptor.
     fn remove(&self, connection: &IdleConnection) {
         self.registry.remove(connection.session.client());
         connection.session.connection().abort();
     }
 
-    /// Queues the final answer to a request. Never waits; a client that has disconnected gets none.
+    /// Queues the final answer to a request. Never blocks; if the client has disconnected, the
+    /// answer is dropped.
     pub fn answer(&self, client: ClientId, ticket: u64, answer: FinalAnswer, after: AfterAnswer) {
         let Some(connection) = self.registry.get(client) else {
             return;
@@ -189,32 +191,33 @@
         }
     }
 
-    /// Opens a streamed response; `None` if the client has disconnected.
+    /// Opens a streamed response. Returns `None` if the client has disconnected.
     pub fn response_body(&self, client: ClientId, ticket: u64) -> Option<ResponseBody> {
         let connection = self.registry.get(client)?;
         let events = self.registry.events.clone();
         Some(ResponseBody::new(connection, ticket, events))
     }
 
-    /// Closes a connection gracefully if it is idle and [`ANSWER_SETTLE_TIME`] has passed: right
-    /// after a response the client would take the closing error for a second response.
+    /// Gracefully closes a connection that is idle and was last used more than
+    /// [`ANSWER_SETTLE_TIME`] ago: immediately after a response, the client would take the closing
+    /// error for a second response.
     pub fn close_if_idle(&self, client: ClientId) {
         if let Some(connection) = self.registry.get(client) {
             self.close_if_settled(&connection, ANSWER_SETTLE_TIME);
         }
     }
 
-    /// Closes all connections that are idle and whose clients have had time to read their last
-    /// response, since the program is about to exit. The others stay open: what their clients send
-    /// is rejected.
+    /// Closes all idle connections whose clients have had time to read their last response, because
+    /// the program is about to exit. The other connections stay open, and requests on them are
+    /// rejected.
     pub fn close_all_idle(&self) {
         for connection in self.registry.all() {
             self.close_if_settled(&connection, EXIT_SETTLE_TIME);
         }
     }
 
-    /// Does nothing where the protocol has no closing error: a request that crosses the close would
-    /// have no answer, so such connections stay open until the exit.
+    /// Does nothing if the protocol has no closing error: a request that crosses the close would
+    /// get no answer, so such connections stay open until the exit.
     fn close_if_settled(&self, connection: &Arc<ClientConnection>, settle_time: Span) {
         let handler = &self.registry.handler;
         if handler.closing_error(CLOSING_ERROR_RETRY_AFTER).is_empty() {
@@ -227,8 +230,8 @@
     }
 
     /// Whether the program may exit: every request is answered or rejected, all responses are
-    /// written, every client has had time to read its response, and no connection was closed a
-    /// moment ago. True after 70 ms in any case, since the caller asks again and again.
+    /// written, every client has had time to read its response, and no connection was closed within
+    /// the last 20 ms. Callers poll this method; it returns true after 70 ms in any case.
     pub fn can_exit(&self) -> bool {
         let requested_at = *lock(&self.exit_requested_at).get_or_insert_with(Instant::now);
         let connections = self.registry.all();
--- a/crates/net/src/clients/buffer_budget.rs
+++ b/crates/net/src/clients/buffer_budget.rs
@@ -1,16 +1,17 @@
-//! How many bytes of responses may wait to be written, over all connections of a front.
+//! Budget for the bytes of responses that wait to be written, over all connections of a front.
 //!
-//! State: the limit and the bytes in use, both atomic; any thread may use it.
+//! State: the limit and the bytes in use, both atomic, so any thread may use the budget.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bytes of a streamed response that are read at once while the budget allows it.
+/// Bytes of a streamed response that are read at once, if the budget allows it.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The same when it does not: every streamed response makes progress, however many there are.
+/// Bytes that are read at once if the budget is short: every streamed response makes progress,
+/// regardless of their number.
 const MIN_CHUNK_BYTES: usize = 4 * 1024;
 
-/// Bytes of complete responses, and of chunks of streamed ones, against their limit.
+/// Bytes held by complete responses and by chunks of streamed responses, with their limit.
 #[derive(Debug)]
 pub(super) struct BufferBudget {
     limit: AtomicUsize,
@@ -29,7 +30,7 @@
         self.limit.store(limit, Ordering::Relaxed);
     }
 
-    /// Counts bytes that wait to be written, also beyond the limit.
+    /// Counts bytes that wait to be written, even beyond the limit.
     pub(super) fn add(&self, bytes: usize) {
         self.used.fetch_add(bytes, Ordering::Relaxed);
     }
@@ -39,13 +40,13 @@
         self.used.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Whether the response to a new request would not fit any more.
+    /// Whether the budget has no room for the response to a new request.
     pub(super) fn is_exhausted(&self) -> bool {
         self.used.load(Ordering::Relaxed) >= self.limit.load(Ordering::Relaxed)
     }
 
-    /// Reserves one chunk of a streamed response. Beyond half of the limit only the smallest chunk
-    /// is given, which leaves the other half to complete responses.
+    /// Reserves one chunk of a streamed response. Beyond half of the limit, only the smallest chunk
+    /// is granted, which leaves the other half to complete responses.
     pub(super) fn reserve_chunk(self: &Arc<Self>) -> ChunkReservation {
         let used = self.used.load(Ordering::Relaxed);
         let fits = used + CHUNK_BYTES <= self.limit.load(Ordering::Relaxed) / 2;
@@ -66,7 +67,7 @@
 }
 
 impl ChunkReservation {
-    /// The largest chunk, in bytes.
+    /// Maximum size of the chunk in bytes.
     pub(super) const fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/net/src/clients/buffer_budget/tests.rs
+++ b/crates/net/src/clients/buffer_budget/tests.rs
@@ -1,9 +1,9 @@
-//! Chunks against the budget of responses.
+//! Tests of chunk reservations in the response budget.
 
 use super::*;
 
 #[test]
-fn chunks_leave_half_of_the_budget_and_never_fail() {
+fn chunks_leave_half_of_the_budget_to_complete_responses_and_are_always_granted() {
     let budget = Arc::new(BufferBudget::new(8 * CHUNK_BYTES));
     let mut chunks: Vec<_> = (0..6).map(|_| budget.reserve_chunk()).collect();
     let lengths: Vec<_> = chunks.iter().map(ChunkReservation::bytes).collect();
--- a/crates/net/src/clients/connection.rs
+++ b/crates/net/src/clients/connection.rs
@@ -1,12 +1,13 @@
-//! One client connection: its state, its reads and writes, and how this side closes it.
+//! A client connection: its state, its reads and writes, and how the gateway closes it.
 //!
-//! Closing is graceful with a lingering close: queued responses are written, then the closing
-//! error; sending is shut down; what the client still sends is discarded until it closes too or a
-//! bound is reached; only then is the descriptor freed. Closing a socket with unread bytes makes
-//! the kernel send a reset, and the client would lose what was written last.
+//! A connection is closed gracefully, with a lingering close: the queued responses and then the
+//! closing error are written, and the sending side is shut down. Input is then discarded until the
+//! client closes its side or a limit is reached, and only then is the descriptor freed. If a socket
+//! is closed with unread bytes, the kernel sends a reset, and the client could lose the last bytes
+//! written.
 //!
-//! Any thread may use a connection. Its state is under one lock, its write queue under another; the
-//! write queue's lock is never held while the state's is taken.
+//! Any thread may use a connection. Its state and its write queue have a lock each; the state's
+//! lock is never taken while the write queue's is held.
 
 mod exit;
 mod reader;
@@ -34,31 +35,34 @@
 use crate::connection_limits::SharedConnectionLimiter;
 use crate::{Clock, lock, spawn};
 
-/// When a client may retry a request that met a closing connection: nothing is overloaded.
+/// Delay after which a client may retry a request that met a closing connection. Short, because the
+/// close is not due to overload.
 pub(super) const CLOSING_ERROR_RETRY_AFTER: Span = Span::from_millis(1);
-/// How long received bytes are discarded after the closing error.
+/// How long input is discarded after the closing error.
 const LINGER_TIMEOUT: Span = Span::from_millis(300);
-/// How many received bytes are discarded after the closing error.
+/// How many bytes of input are discarded after the closing error.
 const LINGER_BYTES: usize = 1024 * 1024;
 /// How often a thread that waits for responses to be written checks whether the client has
-/// disconnected: a request must not begin more than 0.1 s after that.
+/// disconnected. A request must not start more than 0.1 s after its client has disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often a thread that waits for the rest of a message checks the connection's state.
+/// Read timeout of the socket: how often a thread that waits for the rest of a message checks the
+/// connection's state.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(100);
-/// Closes a connection whose client has taken no bytes for this long; some take seconds to read.
+/// Write timeout of the socket: a connection whose client has received no bytes for this long is
+/// closed. Some clients take seconds to read.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const NO_WAIT: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
 };
 
-/// What waits in the socket's receive buffer.
+/// State of the socket's receive buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReceiveStatus {
     Empty,
     Data,
-    /// The client has closed or half-closed the connection, or it was reset, whether or not bytes
-    /// are left. A half-close counts as well: no response is written after it.
+    /// The client has closed or half-closed the connection, or the connection was reset; unread
+    /// bytes may remain. A half-close counts as a close: no response is written after it.
     PeerClosed,
 }
 
@@ -68,8 +72,8 @@
     pub id: ClientId,
     pub stream: TcpStream,
     state: Mutex<ConnectionState>,
-    /// Fewer responses are owed, or the connection was aborted.
-    responses_written: Condvar,
+    /// Signalled when fewer responses are pending or the connection was aborted.
+    pending_decreased: Condvar,
     write_queue: WriteQueue,
     handler: Arc<dyn RequestHandler>,
     clock: Clock,
@@ -90,7 +94,7 @@
             id,
             stream,
             state: Mutex::new(ConnectionState::new(now)),
-            responses_written: Condvar::new(),
+            pending_decreased: Condvar::new(),
             write_queue: WriteQueue::new(budget),
             handler,
             clock,
@@ -102,7 +106,7 @@
         lock(&self.state)
     }
 
-    /// Since when this side is closing it.
+    /// When this side began to close the connection, if it has.
     pub(super) fn closing_since(&self) -> Option<Time> {
         self.state().closing_since()
     }
@@ -111,8 +115,8 @@
         self.write_queue.reserve_chunk()
     }
 
-    /// Reports a changed activity to the limiter; under the state's lock, so that the limiter sees
-    /// changes in order.
+    /// Reports a changed activity to the limiter. Called with the state's lock held, so that the
+    /// limiter receives the changes in order.
     pub(super) fn report_activity(&self, state: &mut ConnectionState) {
         let activity = state.activity();
         if activity != state.reported_activity {
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Changes the state because the connection was used.
+    /// Changes the state and records that the connection was used.
     pub(super) fn update(&self, change: impl FnOnce(&mut ConnectionState)) {
         let mut state = self.state();
         change(&mut state);
@@ -130,16 +134,16 @@
         self.report_activity(&mut state);
         let has_waiting_reader = state.has_waiting_reader;
         drop(state);
-        // A notification is a system call even if no thread waits.
+        // Notifying is a system call even if no thread waits.
         if has_waiting_reader {
-            self.responses_written.notify_all();
+            self.pending_decreased.notify_all();
         }
     }
 }
 
-/// Reading.
+/// Reading from the client.
 impl ClientConnection {
-    /// What waits to be read; takes nothing and does not block.
+    /// Checks the receive buffer; consumes nothing and does not block.
     pub(super) fn receive_status(&self) -> ReceiveStatus {
         let mut socket = [PollFd::new(&self.stream, PollFlags::IN | PollFlags::RDHUP)];
         let _ = poll(&mut socket, Some(&NO_WAIT));
@@ -153,13 +157,14 @@
         }
     }
 
-    /// Whether bytes or the client's close wait to be read.
+    /// Whether bytes or the client's close are waiting to be read.
     pub(super) fn has_received(&self) -> bool {
         self.receive_status() != ReceiveStatus::Empty
     }
 
-    /// Discards what was received after the closing error, so that no reset destroys that error.
-    /// Returns [`NextInput::Closed`] once the client has closed or `remaining` is used up.
+    /// Discards input received after the closing error: left unread, it would cause a reset, and
+    /// the client could lose that error. Returns [`NextInput::Closed`] once the client has closed
+    /// or `remaining` is used up.
     pub(super) fn discard_received(&self, remaining: &mut usize) -> NextInput {
         let mut buffer = [std::mem::MaybeUninit::uninit(); 16 * 1024];
         let socket = SockRef::from(&self.stream);
@@ -174,56 +179,57 @@
         NextInput::Closed
     }
 
-    /// Waits until fewer than `limit` responses are owed.
+    /// Waits until fewer than `limit` responses are pending.
     ///
     /// # Errors
-    /// `ConnectionAborted` if the client disconnects meanwhile, `BrokenPipe` if this side has
-    /// closed the connection.
-    pub(super) fn wait_until_owed_less_than(
+    /// Returns `ConnectionAborted` if the client disconnects during the wait, and `BrokenPipe` if
+    /// this side has closed the connection.
+    pub(super) fn wait_for_pending_below(
         &self,
         limit: usize,
     ) -> io::Result<MutexGuard<'_, ConnectionState>> {
         let mut state = self.state();
         loop {
             state.has_waiting_reader = false;
-            // A request that arrived while the connection was closed is answered by the closing
-            // error: it does not run.
+            // A request that arrived during the close is answered by the closing error and is not
+            // executed.
             if state.phase != ConnectionPhase::Open {
                 return Err(ErrorKind::BrokenPipe.into());
             }
-            if state.responses_owed < limit {
+            if state.pending_responses < limit {
                 return Ok(state);
             }
-            // No other thread notices a disconnect while the connection's own thread waits here.
+            // While the connection's own thread waits here, no other thread would notice a
+            // disconnect.
             if self.receive_status() == ReceiveStatus::PeerClosed {
                 state.set_disconnected();
                 return Err(ErrorKind::ConnectionAborted.into());
             }
             state.has_waiting_reader = true;
             state = self
-                .responses_written
+                .pending_decreased
                 .wait_timeout(state, DISCONNECT_CHECK_INTERVAL)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
     }
 
-    /// Notes one more response that the client is owed; waits while it is owed too many.
+    /// Counts one more pending response; waits while the pipeline limit is reached.
     ///
     /// # Errors
-    /// As [`ClientConnection::wait_until_owed_less_than`].
+    /// See [`ClientConnection::wait_for_pending_below`].
     pub(super) fn reserve_response(&self) -> io::Result<()> {
-        let mut state = self.wait_until_owed_less_than(self.handler.pipeline_limit())?;
-        state.responses_owed += 1;
+        let mut state = self.wait_for_pending_below(self.handler.pipeline_limit())?;
+        state.pending_responses += 1;
         self.report_activity(&mut state);
         Ok(())
     }
 }
 
-/// Writing.
+/// Writing to the client.
 impl ClientConnection {
-    /// Queues a response and writes what the client takes at once. Never blocks: a thread writes
-    /// the rest.
+    /// Queues a response and writes as much as the client receives at once. Never blocks: a
+    /// separate thread writes the rest.
     pub(super) fn enqueue(self: &Arc<Self>, ticket: Option<u64>, response: Vec<u8>) {
         let ticket = ticket.filter(|_| self.handler.has_ordered_responses());
         let outcome = self.write_queue.enqueue(&self.stream, ticket, response);
@@ -234,7 +240,7 @@
         match outcome {
             WriteOutcome::NothingToDo => {}
             WriteOutcome::Written { responses } => {
-                self.update(|state| state.responses_owed -= responses);
+                self.update(|state| state.pending_responses -= responses);
             }
             WriteOutcome::WouldBlock => {
                 let connection = Arc::clone(self);
@@ -246,12 +252,12 @@
         }
     }
 
-    /// Writes to a client that is slow to read, until nothing is left.
+    /// Writes the rest of the queue to a client that is slow to read.
     fn write_rest(&self) {
         loop {
             match self.write_queue.write_next(&self.stream) {
                 Ok(RestOutcome::Written { responses }) => {
-                    self.update(|state| state.responses_owed -= responses);
+                    self.update(|state| state.pending_responses -= responses);
                 }
                 Ok(RestOutcome::Drained(status)) => return self.on_writer_stopped(status),
                 Err(_) => return self.abort(),
@@ -261,8 +267,7 @@
 
     fn on_writer_stopped(&self, status: QueueStatus) {
         if status == QueueStatus::Closed {
-            // The linger timeout runs from the end of writing, not from when the closing error was
-            // queued.
+            // The linger timeout starts when writing ends, not when the closing error was queued.
             let now = self.clock.now();
             let mut state = self.state();
             if state.closing_since().is_some() {
@@ -271,8 +276,8 @@
         }
     }
 
-    /// Writes a part of a streamed response, in its turn; blocks for as long as the client is slow
-    /// to read.
+    /// Writes part of a streamed response once the response is next in order; blocks while the
+    /// client is slow to read.
     ///
     /// # Errors
     /// The connection failed or was closed.
@@ -287,9 +292,9 @@
         written
     }
 
-    /// A streamed response is written completely: those that waited for it follow.
+    /// Completes a streamed response and writes the responses that waited for it.
     pub(super) fn finish_streamed_response(self: &Arc<Self>) {
-        self.update(|state| state.responses_owed -= 1);
+        self.update(|state| state.pending_responses -= 1);
         let outcome = self.write_queue.finish_streamed_response(&self.stream);
         self.on_written(outcome);
         self.write_queue.notify_progress();
@@ -305,17 +310,17 @@
     pub(super) fn is_busy(&self) -> bool {
         let state = self.state();
         let admitting = state.input == RequestInput::Complete && state.closing_since().is_none();
-        let busy = !state.is_aborted() && (admitting || state.responses_owed > 0);
+        let busy = !state.is_aborted() && (admitting || state.pending_responses > 0);
         drop(state);
         busy || self.is_writing()
     }
 }
 
-/// Closing.
+/// Closing the connection.
 impl ClientConnection {
-    /// Closes the connection gracefully if it is idle, nothing was received, and `condition` holds;
-    /// says whether it did. A request that the client sends before it sees the close is answered by
-    /// the closing error, which says when to retry.
+    /// Gracefully closes the connection if it is idle, nothing was received, and `condition` holds.
+    /// Returns whether it was closed. A request that the client sends before it sees the close is
+    /// answered by the closing error, which says when to retry.
     pub(super) fn close_idle_if(
         self: &Arc<Self>,
         retry_after: Span,
@@ -323,10 +328,10 @@
     ) -> bool {
         let state = self.state();
         let idle = state.input == RequestInput::None
-            && state.responses_owed == 0
+            && state.pending_responses == 0
             && state.closing_since().is_none();
-        // The reading thread takes bytes from the socket under the same lock: none are between its
-        // buffer and `input`.
+        // The reading thread reads from the socket under the same lock, so there are no bytes in
+        // its buffer that `input` does not reflect.
         if !idle || !condition(&state) || self.has_received() {
             return false;
         }
@@ -334,8 +339,8 @@
         true
     }
 
-    /// Closes the connection to free its descriptor, if it still does what it was chosen for;
-    /// otherwise tells the limiter what it does.
+    /// Closes the connection to free its descriptor, if its activity is still the one for which it
+    /// was chosen; otherwise reports its current activity to the limiter.
     pub(super) fn evict(self: &Arc<Self>, chosen_for: ConnectionActivity) {
         let mut state = self.state();
         let now = self.clock.now();
@@ -355,15 +360,15 @@
             .set_activity(self.id.0, state.reported_activity, now);
     }
 
-    /// Begins a lingering close: queues the closing error, if there is one, and shuts sending down
-    /// once all is written.
+    /// Begins a lingering close: queues the closing error, if there is one, and shuts down the
+    /// sending side once everything is written.
     pub(super) fn graceful_close(
         self: &Arc<Self>,
         mut state: MutexGuard<'_, ConnectionState>,
         closing_error: Vec<u8>,
     ) {
         state.set_closing_since(self.clock.now());
-        state.responses_owed += usize::from(!closing_error.is_empty());
+        state.pending_responses += usize::from(!closing_error.is_empty());
         self.report_activity(&mut state);
         drop(state);
         if !closing_error.is_empty() {
@@ -372,8 +377,8 @@
         self.write_queue.close(&self.stream);
     }
 
-    /// Shuts sending down in the middle of a streamed response that cannot be completed, so that
-    /// the client notices.
+    /// Shuts down the sending side in the middle of a streamed response that cannot be completed,
+    /// so that the client notices the truncation.
     pub(super) fn truncate_response(&self) {
         let mut state = self.state();
         let now = self.clock.now();
@@ -383,10 +388,10 @@
         self.report_activity(&mut state);
         drop(state);
         self.write_queue.close(&self.stream);
-        self.responses_written.notify_all();
+        self.pending_decreased.notify_all();
     }
 
-    /// Closes the connection without a lingering close: nothing can be written any more.
+    /// Closes the connection without a lingering close, because nothing can be written any more.
     pub(super) fn abort(&self) {
         let mut state = self.state();
         state.abort();
@@ -394,12 +399,12 @@
         drop(state);
         self.write_queue.mark_closed();
         let _ = self.stream.shutdown(Shutdown::Both);
-        self.responses_written.notify_all();
+        self.pending_decreased.notify_all();
         self.write_queue.notify_progress();
     }
 
-    /// Whether the lingering close has lasted long enough. It has not begun while the closing error
-    /// is being written.
+    /// Whether the lingering close has lasted long enough. Its timeout does not run while the
+    /// closing error is still being written.
     pub(super) fn has_lingered(&self, now: Time) -> bool {
         let timed_out = self
             .closing_since()
--- a/crates/net/src/clients/connection/exit.rs
+++ b/crates/net/src/clients/connection/exit.rs
@@ -1,11 +1,11 @@
-//! How a connection is closed as the program is about to exit.
+//! Closing of connections when the program is about to exit.
 //!
-//! A request that has arrived is owed an answer, so a connection is only closed with one: the
-//! rejection of its last request, or the closing error, which a client that has just sent a request
-//! takes for the answer. Right after a response a client would take the closing error for a second
-//! one; such a connection stays open until its client has had time to read the response. Input:
-//! rejections by the core, and the steps of the exit. Nothing is read behind a close without an
-//! answer: the client may send that request again.
+//! A request that has arrived must be answered, so a connection is only closed together with an
+//! answer: the rejection of its last request, or the closing error, which a client that has just
+//! sent a request takes for the answer. Shortly after a response, a client would take the closing
+//! error for a second response; such a connection stays open until its client has had time to read
+//! the response. Input: rejections by the core, and the steps of the exit. After a close without an
+//! answer nothing more is read, so the client may send its request again.
 
 use std::sync::{Arc, MutexGuard};
 
@@ -16,34 +16,35 @@
     RequestInput,
 };
 
-/// How long a client may take to read a response before the program exits. Shorter than
-/// [`valehatch_connection_limits::ANSWER_SETTLE_TIME`]: open requests are failed 150 ms before.
+/// Time that a client has to read a response before the program exits. Shorter than
+/// [`valehatch_connection_limits::ANSWER_SETTLE_TIME`], because open requests are failed 150 ms
+/// before the exit.
 pub(in crate::clients) const EXIT_SETTLE_TIME: Span = Span::from_millis(150);
 
-/// The rejection of a request on a connection that is to be closed.
+/// Rejection of a request on a connection that is to be closed.
 pub(in crate::clients) struct LastRejection {
-    /// The ticket of the request.
     pub(in crate::clients) ticket: u64,
-    /// The response where the connection stays open.
+    /// The encoded response if the connection stays open.
     pub(in crate::clients) response: Vec<u8>,
-    /// The response that closes it.
+    /// The encoded response that closes the connection.
     pub(in crate::clients) closing_error: Vec<u8>,
 }
 
 impl ClientConnection {
-    /// Rejects a request, and closes the connection with that if its client is owed nothing else
-    /// and has sent nothing more; otherwise the connection stays open.
+    /// Rejects a request. Closes the connection with the rejection if no other response is pending
+    /// and the client has sent nothing more; otherwise the connection stays open.
     pub(in crate::clients) fn reject_and_close(self: &Arc<Self>, rejection: LastRejection) {
         let mut state = self.state();
-        // The reading thread has yet to see whether more was received along with the request.
-        if state.input == RequestInput::Complete && state.responses_owed == 1 {
+        // The reading thread has not yet determined whether more input was received with the
+        // request.
+        if state.input == RequestInput::Complete && state.pending_responses == 1 {
             state.last_rejection = Some(rejection);
             return;
         }
         self.write_rejection(state, rejection);
     }
 
-    /// The reading thread has handled a message, and `input` is what follows it.
+    /// Called when the reading thread has handled a message; `input` is the state of the next one.
     pub(in crate::clients) fn finish_message(self: &Arc<Self>, input: RequestInput) {
         let mut last_rejection = None;
         self.update(|state| {
@@ -55,8 +56,9 @@
         }
     }
 
-    /// The reading thread closes the connection once all responses are written, and does not come
-    /// back for a rejection: one that waits for it is written now, and none will wait.
+    /// Called when the reading thread is about to close the connection once all responses are
+    /// written. It does not call [`ClientConnection::finish_message`] again, so a rejection held
+    /// for that call is written now, and later ones are not held.
     pub(in crate::clients) fn begin_close_by_reader(self: &Arc<Self>) {
         let mut state = self.state();
         state.input = RequestInput::Partial;
@@ -73,7 +75,7 @@
         rejection: LastRejection,
     ) {
         let is_last = state.input == RequestInput::None
-            && state.responses_owed == 1
+            && state.pending_responses == 1
             && state.phase == ConnectionPhase::Open
             && !self.has_received();
         if !is_last {
@@ -93,12 +95,12 @@
         state.phase == ConnectionPhase::Open && state.is_client_connected()
     }
 
-    /// Closes the connection with the closing error unless a request is in flight or a response was
-    /// written a moment ago.
+    /// Closes the connection with the closing error. Does nothing while a request is in flight, or
+    /// if the connection was used within [`EXIT_SETTLE_TIME`] and no input has arrived since.
     pub(in crate::clients) fn close_for_exit(self: &Arc<Self>) {
         let state = self.state();
         if state.input == RequestInput::Complete
-            || state.responses_owed > 0
+            || state.pending_responses > 0
             || state.closing_since().is_some()
         {
             return;
@@ -112,10 +114,10 @@
         }
     }
 
-    /// The last step before the exit, which closes the socket. With unread bytes in its receive
-    /// buffer the kernel sends a reset, and the client would lose what was written last: what comes
-    /// behind a closing error is discarded. An open connection is ended first, so that its client
-    /// sees the end before a reset.
+    /// Last step before the exit, which closes the socket. Unread bytes in its receive buffer would
+    /// make the kernel send a reset, and the client could lose the last bytes written; input after
+    /// a closing error is therefore discarded. On an open connection, the sending side is shut down
+    /// first, so that the client sees the end of the stream before a reset.
     pub(in crate::clients) fn finish_for_exit(&self) {
         if self.closing_since().is_some() {
             self.discard_received(&mut { LINGER_BYTES });
--- a/crates/net/src/clients/connection/reader.rs
+++ b/crates/net/src/clients/connection/reader.rs
@@ -1,7 +1,7 @@
-//! Reads from a client's socket, under the lock under which its connection is closed.
+//! Reads from a client's socket while holding the lock under which the connection is closed.
 //!
-//! Used by the one thread that serves the connection. State: how much a lingering close may still
-//! discard.
+//! Used by the thread that serves the connection. State: the number of bytes that a lingering close
+//! may still discard.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use super::super::NextInput;
 use super::{CLOSING_ERROR_RETRY_AFTER, ClientConnection, LINGER_BYTES, RequestInput};
 
-/// Closes a connection whose request is still incomplete; the protocol allows 3 s from connecting,
-/// and some clients take 2 s.
+/// Timeout of an incomplete request. The protocol allows 3 s from connecting, and some clients take
+/// 2 s.
 const PARTIAL_REQUEST_TIMEOUT: Span = Span::from_millis(2_500);
 
-/// Reads from the socket for as long as the connection's timeouts allow it.
+/// Reads from the socket within the connection's timeouts.
 pub(in crate::clients) struct ConnectionReader {
     pub connection: Arc<ClientConnection>,
-    /// Bytes that a lingering close still discards.
+    /// Bytes that a lingering close may still discard.
     discardable: usize,
 }
 
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Discards what was received; [`NextInput::Closed`] once the client has closed or enough was
-    /// discarded.
+    /// Discards received input. Returns [`NextInput::Closed`] once the client has closed or the
+    /// limit is used up.
     pub(in crate::clients) fn discard_received(&mut self) -> NextInput {
         self.connection.discard_received(&mut self.discardable)
     }
@@ -41,21 +41,22 @@
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         let connection = &self.connection;
         loop {
-            // Waits without taking bytes: those are taken under the lock under which connections
+            // Waits without consuming bytes: they are read under the lock under which connections
             // are closed.
             let peeked = connection.stream.peek(&mut [0]);
             let now = connection.clock.now();
             let mut state = connection.state();
-            // The lingering close discards what arrives from now on.
+            // The lingering close discards all further input.
             if state.closing_since().is_some() {
                 return Err(ErrorKind::ConnectionAborted.into());
             }
             // The peek has shown that there are bytes, so the read does not block.
             let read = peeked.and_then(|_| (&connection.stream).read(into));
-            // A partial request is closed after its timeout, however it trickles in. Requests
-            // before it are answered first, and each response starts the timeout anew.
+            // Closes the connection if a request is still partial after its timeout, even if bytes
+            // keep arriving. Earlier requests are answered first, and each response restarts the
+            // timeout.
             if state.input != RequestInput::None
-                && state.responses_owed == 0
+                && state.pending_responses == 0
                 && state.last_used + PARTIAL_REQUEST_TIMEOUT < now
             {
                 let closing_error = connection.handler.closing_error(CLOSING_ERROR_RETRY_AFTER);
@@ -79,8 +80,8 @@
     }
 }
 
-/// Whether a timed read found nothing yet. A process that was stopped for a while comes back from
-/// it interrupted.
+/// Whether a read with a timeout failed only because nothing has arrived yet. After the process was
+/// stopped for a while, the read returns as interrupted.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/net/src/clients/connection/state.rs
+++ b/crates/net/src/clients/connection/state.rs
@@ -1,26 +1,26 @@
-//! What a client connection is doing, kept so that it is never closed under a request that has been
-//! read. Plain data: the connection guards it by a mutex.
+//! State of a client connection, kept so that the connection is not closed while a request that was
+//! read from it is unanswered. Plain data, guarded by the connection's mutex.
 
 use valehatch_connection_limits::ConnectionActivity;
 use valehatch_policy::{Span, Time};
 
 use super::LastRejection;
 
-/// Closes an idle connection that has sent one request at most.
+/// Idle timeout of a connection that has sent at most one request.
 const IDLE_TIMEOUT: Span = Span::from_millis(2_000);
-/// Closes an idle connection that has sent several requests. Longer, since a new connection costs
-/// more than an idle one, and clients may have no other gateway to connect to while gateways
-/// restart in turn.
+/// Idle timeout of a connection that has sent several requests. Longer, because a new connection
+/// costs more than an idle one, and because clients may have no other gateway to connect to while
+/// gateways restart in turn.
 const REUSED_IDLE_TIMEOUT: Span = Span::from_millis(10_000);
 
-/// How far the message that is being read has come.
+/// How much of the current message has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::clients) enum RequestInput {
-    /// No byte of it.
+    /// Nothing.
     None,
     /// At least one byte.
     Partial,
-    /// It is a complete request, which is about to be admitted or rejected.
+    /// A complete request, which is about to be admitted or rejected.
     Complete,
 }
 
@@ -28,46 +28,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::clients) enum ConnectionPhase {
     Open,
-    /// A lingering close is under way: received bytes are discarded, and no request runs.
+    /// A lingering close is in progress: input is discarded, and no request is executed.
     Closing {
         since: Time,
     },
-    /// Nothing can be written any more. A lingering close that was under way goes on.
+    /// Nothing can be written any more. A lingering close that was in progress continues.
     Aborted {
         closing_since: Option<Time>,
     },
 }
 
-/// Whether the client is still there.
+/// Whether the client is still connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::clients) enum ClientPresence {
     Connected,
-    /// It has closed the connection: requests that it had sent before are counted, and do not run.
+    /// The client has closed the connection: requests that it sent before are counted, but not
+    /// executed.
     Disconnected,
-    /// The same, and the core knows it.
+    /// As [`ClientPresence::Disconnected`], and the disconnect was reported to the core.
     DisconnectReported,
 }
 
-/// What a connection is doing, kept so that it is never closed under a request that has been read.
+/// State of a client connection.
 pub(in crate::clients) struct ConnectionState {
     pub input: RequestInput,
     pub phase: ConnectionPhase,
     pub presence: ClientPresence,
-    /// Responses that are not completely written, a closing error among them.
-    pub responses_owed: usize,
-    /// Requests so far.
+    /// Responses that are not completely written, including a closing error.
+    pub pending_responses: usize,
+    /// Number of requests received.
     pub requests: u32,
-    /// The client writes its first message in pieces.
+    /// Set if the client sends its first message in pieces.
     pub writes_in_pieces: bool,
-    /// The limiter's view of the connection.
+    /// The activity that was last reported to the limiter.
     pub reported_activity: ConnectionActivity,
     /// When the connection was accepted or last used.
     pub last_used: Time,
-    /// How long it may be idle.
+    /// How long the connection may be idle.
     pub idle_timeout: Span,
-    /// A thread waits until fewer responses are owed.
+    /// Set while a thread waits for fewer pending responses.
     pub has_waiting_reader: bool,
-    /// A rejection that waits for the reading thread to have handled its request.
+    /// Rejection that is held until the reading thread has handled its request.
     pub last_rejection: Option<LastRejection>,
 }
 
@@ -77,7 +78,7 @@
             input: RequestInput::None,
             phase: ConnectionPhase::Open,
             presence: ClientPresence::Connected,
-            responses_owed: 0,
+            pending_responses: 0,
             requests: 0,
             writes_in_pieces: false,
             reported_activity: ConnectionActivity::Unused,
@@ -95,7 +96,7 @@
                 ..
             } => ConnectionActivity::Closing,
             Self {
-                responses_owed: 1..,
+                pending_responses: 1..,
                 ..
             }
             | Self {
@@ -108,7 +109,7 @@
             } => ConnectionActivity::PartialRequest,
             Self { requests: 1, .. } => ConnectionActivity::IdleAfterOne,
             Self { requests: 2.., .. } => ConnectionActivity::IdleReused,
-            // The next piece is on its way.
+            // The next piece of the message is expected soon.
             Self {
                 writes_in_pieces: true,
                 ..
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Since when a lingering close is under way.
+    /// When the lingering close in progress began.
     pub(in crate::clients) const fn closing_since(&self) -> Option<Time> {
         match self.phase {
             ConnectionPhase::Open => None,
@@ -134,7 +135,7 @@
         matches!(self.presence, ClientPresence::Connected)
     }
 
-    /// Begins a lingering close, or dates the one that is under way anew.
+    /// Begins a lingering close, or restarts the timeout of the one in progress.
     pub(in crate::clients) const fn set_closing_since(&mut self, now: Time) {
         self.phase = match self.phase {
             ConnectionPhase::Open | ConnectionPhase::Closing { .. } => {
@@ -158,12 +159,12 @@
         }
     }
 
-    /// Notes that the core learns of the disconnect; returns the presence before.
+    /// Records that the disconnect is reported to the core; returns the previous presence.
     pub(in crate::clients) const fn set_disconnect_reported(&mut self) -> ClientPresence {
         std::mem::replace(&mut self.presence, ClientPresence::DisconnectReported)
     }
 
-    /// Notes one more request.
+    /// Counts a request. From the second one on, the longer idle timeout applies.
     pub(in crate::clients) fn count_request(&mut self) {
         self.requests = self.requests.saturating_add(1);
         if self.requests > 1 {
--- a/crates/net/src/clients/connection/tests.rs
+++ b/crates/net/src/clients/connection/tests.rs
@@ -1,4 +1,4 @@
-//! Client connections without a protocol: closing, writing and noticing a disconnect.
+//! Tests of client connections without a protocol: closing, writing and detecting a disconnect.
 
 use std::io::Read;
 use std::net::TcpListener;
@@ -71,7 +71,7 @@
     (connection, reader, client)
 }
 
-/// Counts the connection as used just now, however long this thread was not scheduled.
+/// Marks the connection as just used, however long this thread is not scheduled.
 fn mark_used_now(connection: &ClientConnection) {
     connection.state().last_used = connection.clock.now() + Span::from_millis(60_000);
 }
@@ -120,7 +120,7 @@
         !connection.close_idle_if(CLOSING_ERROR_RETRY_AFTER, |state| !state.is_aborted()),
         "the messages are in the receive buffer"
     );
-    // The reader takes both from the socket and handles the first.
+    // The reader reads both from the socket and handles the first.
     assert_eq!(reader.next_input().unwrap(), NextInput::Message);
     assert!(!connection.close_idle_if(CLOSING_ERROR_RETRY_AFTER, |state| !state.is_aborted()));
     reader.read_exact(&mut [0; 3]).unwrap();
@@ -135,7 +135,7 @@
     assert!(connection.close_idle_if(CLOSING_ERROR_RETRY_AFTER, |state| !state.is_aborted()));
     assert!(
         !connection.close_idle_if(CLOSING_ERROR_RETRY_AFTER, |_| true),
-        "only once"
+        "a connection is closed only once"
     );
 }
 
@@ -175,7 +175,7 @@
     let is_closing = || connection.closing_since().is_some();
     mark_used_now(&connection);
     connection.evict(ConnectionActivity::IdleAfterOne);
-    assert!(!is_closing(), "it was used just now");
+    assert!(!is_closing(), "the connection was just used");
     settle();
     client.write_all(b"ask").unwrap();
     while !connection.has_received() {
@@ -194,7 +194,7 @@
     assert!(is_closing());
     assert!(
         connection.reserve_response().is_err(),
-        "a request received during the close does not run"
+        "a request received during the close is not executed"
     );
 }
 
@@ -233,8 +233,8 @@
     let socket = SockRef::from(&connection.stream);
     socket.set_send_buffer_size(4096).unwrap();
     let (mut sent, mut full_rounds) = (0, 0);
-    // Bytes in transit make room in the send buffer again, late on a busy machine: it is full once
-    // it has been so for 100 ms.
+    // Bytes in transit free space in the send buffer, after a delay on a busy machine: the buffer
+    // counts as full once nothing could be written for 100 ms.
     while full_rounds < 20 {
         full_rounds += 1;
         while let Ok(n) = socket.send_with_flags(&[b'v'; 1000], libc::MSG_DONTWAIT) {
@@ -273,7 +273,7 @@
         std::thread::spawn(move || {
             results.send(
                 connection
-                    .wait_until_owed_less_than(limit)
+                    .wait_for_pending_below(limit)
                     .map(drop)
                     .is_err(),
             )
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn messages_before_disconnect_are_read_but_do_not_run() {
+fn messages_before_disconnect_are_read_but_not_executed() {
     let (connection, mut reader, mut client) = connection();
     client.write_all(b"askask").unwrap();
     while !connection.has_received() {
@@ -306,9 +306,9 @@
     assert_eq!(
         reader.next_input().unwrap(),
         NextInput::Message,
-        "it was received with the first"
+        "the second message was received with the first"
     );
-    assert!(!connection.state().is_client_connected(), "it does not run");
+    assert!(!connection.state().is_client_connected(), "the second message is not executed");
     reader.read_exact(&mut [0; 3]).unwrap();
     reader.finish_message();
     assert_eq!(reader.next_input().unwrap(), NextInput::Closed);
@@ -321,17 +321,17 @@
     connection.reserve_response().unwrap();
     connection.enqueue(None, b"answer;".to_vec());
     assert_eq!(
-        reader.close_gracefully(b"word".to_vec()),
+        reader.close_gracefully(b"error".to_vec()),
         SessionStatus::Idle
     );
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
-    assert_eq!(all, "answer;word");
+    assert_eq!(all, "answer;error");
     client.write_all(&[b'v'; 100_000]).unwrap();
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "no reset");
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "the connection is not reset");
     assert!(
         connection.reserve_response().is_err(),
-        "no later request runs"
+        "no later request is executed"
     );
     client.shutdown(std::net::Shutdown::Write).unwrap();
     while reader.close_gracefully(vec![]) == SessionStatus::Idle {
@@ -339,16 +339,16 @@
     }
 }
 
-/// A rejection of the only request that a client is owed, as the core sends it at the end of the process.
+/// The rejection of a client's only pending request, as the core sends it before the process exits.
 fn last_rejection() -> LastRejection {
     LastRejection {
         ticket: 0,
         response: b"rejected;".to_vec(),
-        closing_error: b"last word".to_vec(),
+        closing_error: b"closing error".to_vec(),
     }
 }
 
-/// A connection of which one request has been submitted and not yet answered.
+/// A connection on which one request was submitted and not yet answered.
 fn connection_with_request(
     input: RequestInput,
 ) -> (Arc<ClientConnection>, RequestReader, TcpStream) {
@@ -364,18 +364,18 @@
     connection.reject_and_close(last_rejection());
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
-    assert_eq!(all, "last word");
+    assert_eq!(all, "closing error");
 }
 
 #[test]
 fn rejection_waits_for_reader_and_closes_connection() {
     let (connection, reader, mut client) = connection_with_request(RequestInput::Complete);
     connection.reject_and_close(last_rejection());
-    assert!(connection.is_open(), "more may have come with the request");
+    assert!(connection.is_open(), "more input may have arrived with the request");
     reader.finish_message();
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
-    assert_eq!(all, "last word");
+    assert_eq!(all, "closing error");
 }
 
 #[test]
@@ -392,30 +392,30 @@
     assert!(connection.is_open());
 }
 
-// Guards against a rejection that is never written, for which the close would wait.
+// Guards against a held rejection that is never written, so that the close waits for it forever.
 #[test]
 fn rejection_that_waits_for_reader_is_written_before_reader_closes() {
     let (connection, mut reader, mut client) = connection_with_request(RequestInput::Complete);
     connection.reject_and_close(last_rejection());
-    let closing = std::thread::spawn(move || reader.close_gracefully(b"word".to_vec()));
+    let closing = std::thread::spawn(move || reader.close_gracefully(b"error".to_vec()));
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
-    assert_eq!(all, "rejected;word");
+    assert_eq!(all, "rejected;error");
     assert_eq!(closing.join().unwrap(), SessionStatus::Idle);
 }
 
-// The same if the rejection comes while the reader waits for it.
+// As above, with a rejection that arrives while the reader already waits for pending responses.
 #[test]
 fn rejection_is_written_while_reader_closes() {
     let (connection, mut reader, mut client) = connection_with_request(RequestInput::Complete);
-    let closing = std::thread::spawn(move || reader.close_gracefully(b"word".to_vec()));
+    let closing = std::thread::spawn(move || reader.close_gracefully(b"error".to_vec()));
     while !connection.state().has_waiting_reader {
         std::thread::yield_now();
     }
     connection.reject_and_close(last_rejection());
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
-    assert_eq!(all, "rejected;word");
+    assert_eq!(all, "rejected;error");
     assert_eq!(closing.join().unwrap(), SessionStatus::Idle);
 }
 
@@ -426,16 +426,17 @@
     connection.close_for_exit();
     assert!(
         connection.is_open(),
-        "the closing error may count as a second answer"
+        "the client could take the closing error for a second response"
     );
     connection.finish_for_exit();
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "an end without an error");
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "the stream ends without a closing error");
 }
 
-// Guards against a reset that destroys the closing error: a request that crosses it would stay unread at the exit.
+// Guards against a reset that destroys the closing error: a request that crosses the error would
+// otherwise stay unread at the exit.
 #[test]
-fn exit_waits_after_the_closing_error() {
-    const LONGEST_WAIT: Duration = Duration::from_secs(10);
+fn request_crossing_closing_error_at_exit_does_not_reset_connection() {
+    const MAX_WAIT: Duration = Duration::from_secs(10);
     let (events, _inbox) = crossbeam_channel::bounded(8);
     let limits = ClientLimits {
         memory_bytes: 1024,
@@ -452,11 +453,11 @@
     .unwrap();
     lock(&clients.registry.connections).insert(ClientId(1), Arc::clone(&connection));
     connection.state().last_used = connection.clock.now() - ANSWER_SETTLE_TIME;
-    assert!(!clients.can_exit(), "the connection is closed just now");
-    let closed = std::time::Instant::now();
+    assert!(!clients.can_exit(), "the connection was just closed");
+    let closed_at = std::time::Instant::now();
     client.write_all(b"ask").unwrap();
     while !clients.can_exit() {
-        assert!(closed.elapsed() < LONGEST_WAIT);
+        assert!(closed_at.elapsed() < MAX_WAIT);
         sleep(Duration::from_millis(1));
     }
     drop(clients);
--- a/crates/net/src/clients/idle.rs
+++ b/crates/net/src/clients/idle.rs
@@ -1,9 +1,8 @@
-//! Connections that wait for their next message, and the few threads that wait for all of them at
-//! once.
+//! Connections that wait for their next message, and the threads that wait for input on them.
 //!
-//! A connection that becomes readable belongs to the thread that took it, until it is idle again.
-//! State: the idle connections by id, an epoll instance that watches them, and the number of
-//! threads that wait.
+//! A few threads wait for all idle connections at once. The thread that finds a connection readable
+//! owns it until it is idle again. State: the idle connections by id, an epoll instance with their
+//! sockets, and the number of waiting threads.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,8 +28,8 @@
     tv_sec: 0,
     tv_nsec: 50_000_000,
 };
-/// Threads that wait while nothing happens: the second one serves the next connection while the
-/// first is blocked.
+/// Number of waiting threads while there is no input: the second one serves the next connection
+/// while the first is blocked.
 const WAITING_THREADS: usize = 2;
 
 /// A connection between two messages.
@@ -38,7 +37,7 @@
     pub reader: RequestReader,
     pub session: Session,
     pub progress: SessionProgress,
-    /// The epoll instance knows its socket.
+    /// Set once the socket is registered with the epoll instance.
     pub registered: bool,
 }
 
@@ -61,7 +60,7 @@
         })
     }
 
-    /// Takes the next connection that becomes readable, if one does within [`EPOLL_TIMEOUT`].
+    /// Takes the next connection that becomes readable within [`EPOLL_TIMEOUT`], if there is one.
     fn take_readable(&self) -> Option<IdleConnection> {
         let mut events = Vec::with_capacity(1);
         epoll::wait(
@@ -78,7 +77,7 @@
         lock(&self.connections).remove(&id)
     }
 
-    /// Watches a connection for one event, so that one thread takes it.
+    /// Waits for a single event of a connection, so that only one thread takes it.
     fn watch(&self, connection: &ClientConnection, registered: bool) -> io::Result<()> {
         let events = EventFlags::IN | EventFlags::RDHUP | EventFlags::ONESHOT;
         let data = EventData::new_u64(connection.id.0);
@@ -118,8 +117,8 @@
             let Some(connection) = readable else {
                 continue;
             };
-            // The last waiting thread starts another one first: a client that is slow to send would
-            // hold up all others.
+            // The last waiting thread first starts another one: otherwise a client that is slow to
+            // send would block all others.
             let was_last = waiting.fetch_sub(1, Ordering::Relaxed) == 1;
             if was_last && self.start_waiting_thread().is_err() {
                 tracing::warn!("no thread left to wait for idle client connections");
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Handles what has come on a connection.
+    /// Handles the input of a connection.
     fn serve(&self, mut connection: IdleConnection) {
         let status = self.registry.handler.serve(
             &mut connection.progress,
@@ -151,7 +150,7 @@
         }
     }
 
-    /// Waits for the next message on a connection, or for its end.
+    /// Waits for the next message on a connection, or for its close.
     pub(super) fn wait_for_input(&self, mut idle: IdleConnection) {
         let connection = Arc::clone(idle.session.connection());
         let registered = std::mem::replace(&mut idle.registered, true);
--- a/crates/net/src/clients/listener.rs
+++ b/crates/net/src/clients/listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket and the thread that accepts from it.
 //!
-//! State: the id of the last connection, and when accepting was asked to stop.
+//! State: the id of the last connection, and when accepting was requested to stop.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,19 +20,18 @@
 use super::{Clients, SessionProgress};
 use crate::{lock, spawn};
 
-/// Connections that the kernel queues until they are accepted; a burst beyond it is refused by the
-/// kernel.
+/// Number of connections that the kernel queues until they are accepted; it refuses further ones.
 const BACKLOG: i32 = 1024;
-/// How often the accepting thread checks whether it is to stop.
+/// How often the accepting thread checks whether it has to stop.
 const ACCEPT_POLL_INTERVAL: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 50_000_000,
 };
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How long connections that keep coming are still accepted once accepting was asked to stop.
-/// Closing a listener resets what is in its backlog; waiting for longer would take connections from
-/// a process that waits for the same address.
+/// How long incoming connections are still accepted after accepting was requested to stop. Closing
+/// a listener resets the connections in its backlog; accepting for longer would take connections
+/// from a process that waits for the same address.
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Whether another process may listen on the same address.
@@ -44,10 +43,10 @@
     SameUser,
 }
 
-/// Listens on an address.
+/// Binds and listens on an address.
 ///
 /// # Errors
-/// The address is in use, or is none of this machine's.
+/// Returns an error if the address is in use or does not belong to this machine.
 pub fn bind_listener(address: SocketAddr, sharing: AddressSharing) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -58,11 +57,11 @@
 }
 
 impl Clients {
-    /// Starts the threads that accept connections and wait for requests; returns the address that
-    /// is listened on.
+    /// Starts the threads that accept connections and wait for requests. Returns the local address
+    /// of the listener.
     ///
     /// # Errors
-    /// The machine has no thread for them.
+    /// Returns an error if the threads cannot be started.
     pub fn listen(self: &Arc<Self>, listener: TcpListener) -> io::Result<SocketAddr> {
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
@@ -82,8 +81,8 @@
         let mut stopping_since: Option<Instant> = None;
         loop {
             self.wait_until_admittable();
-            // Read before the next accept: connections that the kernel has completed by now are
-            // served, since closing the listener would reset them.
+            // Checked before the next accept: connections that the kernel has established by now
+            // are served, since closing the listener would reset them.
             if self.accepting_stopped.load(Ordering::Relaxed) {
                 stopping_since.get_or_insert_with(Instant::now);
                 if self.backlog_handed_over.load(Ordering::Relaxed) {
@@ -121,7 +120,8 @@
         }
     }
 
-    /// Waits until the limiter admits one more connection, or another process takes the backlog.
+    /// Waits until the limiter admits one more connection, or the backlog is handed over to another
+    /// process.
     fn wait_until_admittable(&self) {
         while !self.registry.limiter.can_admit()
             && !self.backlog_handed_over.load(Ordering::Relaxed)
--- a/crates/net/src/clients/registry.rs
+++ b/crates/net/src/clients/registry.rs
@@ -1,8 +1,7 @@
-//! What all client connections of a front share: the connections by id, the limiter and the memory
-//! budgets.
+//! State shared by all client connections of a front: the connections by id, the limiter and the
+//! memory budgets.
 //!
-//! Any thread may use it; the lock on the connections is taken for a moment only, but for the
-//! encoding of a final answer.
+//! Any thread may use it; the lock on the connections is held only briefly.
 
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -28,7 +27,7 @@
     pub connections: Mutex<HashMap<ClientId, Arc<ClientConnection>>>,
     pub limiter: Arc<SharedConnectionLimiter>,
     pub reports_rejections: bool,
-    /// Bytes of requests in flight, and their limit.
+    /// Bytes of requests in flight.
     request_bytes: Arc<AtomicUsize>,
     request_bytes_limit: AtomicUsize,
     response_budget: Arc<BufferBudget>,
@@ -55,8 +54,8 @@
         }
     }
 
-    /// Wraps an accepted socket. It counts against the limiter from here on, and until the last
-    /// reference is dropped.
+    /// Wraps an accepted socket. The connection counts against the limiter from now on until its
+    /// last reference is dropped.
     pub(super) fn accept(&self, id: ClientId, stream: TcpStream) -> Arc<ClientConnection> {
         let now = self.clock.now();
         self.limiter.admit(id.0, now);
@@ -84,7 +83,7 @@
         lock(&self.connections).remove(&id);
     }
 
-    /// Closes idle connections for as long as others need their descriptors.
+    /// Closes idle connections for as long as their descriptors are needed elsewhere.
     pub(super) fn evict_idle(&self) {
         while let Some(Eviction { id, activity }) = self.limiter.evict_idle() {
             if let Some(connection) = self.get(ClientId(id)) {
@@ -96,7 +95,8 @@
     /// Reserves memory for a request that has been read completely.
     ///
     /// # Errors
-    /// Requests in flight hold all descriptors, or they or the responses hold all memory.
+    /// Returns why the request has to be rejected: requests in flight hold all descriptors, or they
+    /// or the responses hold all memory.
     pub(super) fn reserve(&self, bytes: usize) -> Result<MemoryReservation, RejectionReason> {
         self.evict_idle();
         if self.limiter.decide_request() == AdmissionDecision::Reject {
--- a/crates/net/src/clients/session.rs
+++ b/crates/net/src/clients/session.rs
@@ -1,5 +1,5 @@
-//! What a protocol's [`RequestHandler`](super::RequestHandler) works with: a reader of messages,
-//! and the session that takes requests and responses.
+//! The types that a protocol's [`RequestHandler`](super::RequestHandler) works with: a reader of
+//! messages, and the session that accepts requests and responses.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use super::registry::Registry;
 use super::{NextInput, SessionStatus};
 
-/// Bytes that are read from a client at once.
+/// Size of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// What a client sends. [`Read::read`] blocks until bytes arrive or a timeout closes the
+/// Reads the messages of a client. [`Read::read`] blocks until bytes arrive or a timeout closes the
 /// connection, so a handler reads only after [`RequestReader::next_input`] has returned
 /// [`NextInput::Message`].
 pub struct RequestReader {
@@ -36,11 +36,11 @@
         &self.buffered.get_ref().connection
     }
 
-    /// Whether a message has begun to arrive; takes nothing and does not block. Messages that a
-    /// client had sent before it disconnected are still read, and do not run.
+    /// Checks whether a message has begun to arrive; consumes nothing and does not block. Messages
+    /// that a client sent before it disconnected are still returned, but are not executed.
     ///
     /// # Errors
-    /// The connection failed.
+    /// Returns an error if the connection failed.
     pub fn next_input(&mut self) -> io::Result<NextInput> {
         if self.connection().closing_since().is_some() {
             return Ok(self.discard_received());
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The message that was read has been handled. The next one may have been received along with
-    /// it.
+    /// Reports that the message that was read has been handled. Part of the next one may have been
+    /// received with it.
     pub fn finish_message(&self) {
         let input = if self.buffered.buffer().is_empty() {
             RequestInput::None
@@ -72,15 +72,15 @@
     }
 
     /// Closes the connection gracefully: waits until all responses are written, sends the closing
-    /// error, and discards what the client still sends. Returns [`SessionStatus::Closed`] if the
-    /// client has closed the connection too.
+    /// error, and discards further input. Returns [`SessionStatus::Closed`] if the client has
+    /// closed the connection too.
     pub fn close_gracefully(&mut self, closing_error: Vec<u8>) -> SessionStatus {
         let connection = Arc::clone(self.connection());
         connection.begin_close_by_reader();
-        // Where nothing can be written any more, only the client's close is left to be read.
+        // If nothing can be written any more, only the client's close remains to be read.
         if connection.closing_since().is_none()
             && connection.receive_status() != ReceiveStatus::PeerClosed
-            && let Ok(state) = connection.wait_until_owed_less_than(1)
+            && let Ok(state) = connection.wait_for_pending_below(1)
         {
             connection.graceful_close(state, closing_error);
         }
@@ -95,10 +95,11 @@
         self.buffered.get_mut().discard_received()
     }
 
-    /// Writes at once, past the write queue; only before any response is queued.
+    /// Writes directly to the socket, bypassing the write queue. Only allowed before any response
+    /// is queued.
     ///
     /// # Errors
-    /// The connection failed.
+    /// Returns an error if the connection failed.
     pub fn write_unqueued(&self, bytes: &[u8]) -> io::Result<()> {
         (&self.connection().stream).write_all(bytes)
     }
@@ -110,7 +111,7 @@
     }
 }
 
-/// A client connection as its protocol's handler sees it.
+/// A client connection as seen by its protocol's handler.
 pub struct Session {
     connection: Arc<ClientConnection>,
     registry: Arc<Registry>,
@@ -132,10 +133,11 @@
         self.connection.id
     }
 
-    /// Reserves memory for a request that has been read completely, in bytes of its message.
+    /// Reserves memory for a request that has been read completely; `bytes` is the size of its
+    /// message.
     ///
     /// # Errors
-    /// Why the request has to be rejected.
+    /// Returns why the request has to be rejected.
     pub fn reserve(&self, bytes: usize) -> Result<MemoryReservation, RejectionReason> {
         let mut state = self.connection.state();
         state.input = RequestInput::Complete;
@@ -144,16 +146,16 @@
         self.registry.reserve(bytes)
     }
 
-    /// The connection's number, which is all that tells clients apart.
+    /// The connection's number, which is the only identification of a client.
     pub fn client_number(&self) -> u64 {
         self.client().0
     }
 
-    /// Hands a request to the core, unless its client has disconnected. Blocks while the client is
-    /// owed too many responses.
+    /// Passes a request to the core, unless its client has disconnected. Blocks while the pipeline
+    /// limit is reached.
     ///
     /// # Errors
-    /// The connection is closed, or the core has ended.
+    /// Returns an error if the connection is closed or the core has ended.
     pub fn submit(&self, ticket: u64, request: IncomingRequest) -> io::Result<()> {
         let connected = self.connection.state().is_client_connected();
         let reserved = if connected {
@@ -180,11 +182,11 @@
             .map_err(|_| ErrorKind::BrokenPipe.into())
     }
 
-    /// The client has disconnected: this request does not run, and the core cancels those in
-    /// flight.
+    /// Drops a request of a client that has disconnected. Reports the disconnect, so that the core
+    /// cancels the client's requests in flight.
     fn abandon(&self, request: &IncomingRequest) {
         let before = self.connection.state().set_disconnect_reported();
-        // A core that has ended counts nothing any more.
+        // A core that has ended counts nothing, so send errors are ignored.
         if before != ClientPresence::DisconnectReported {
             let disconnected = Event::ClientDisconnected(self.client());
             let _ = self.registry.events.send(disconnected);
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Reports a request that the handler has rejected itself, by its class, tenant and group.
+    /// Reports a request that the handler itself has rejected, with its class, tenant and group.
     pub fn report_rejection(
         &self,
         class: usize,
@@ -216,13 +218,13 @@
         }
     }
 
-    /// Answers a request without the core. Blocks while the client is owed too many responses.
+    /// Answers a request without the core. Blocks while the pipeline limit is reached.
     ///
     /// # Errors
-    /// This side has closed the connection.
+    /// Returns an error if this side has closed the connection.
     pub fn reply(&self, ticket: u64, response: Vec<u8>) -> io::Result<()> {
         match self.connection.reserve_response() {
-            // The client has disconnected while it was owed too many responses.
+            // The client disconnected while the pipeline limit was reached.
             Err(e) if e.kind() == ErrorKind::ConnectionAborted => return Ok(()),
             other => other?,
         }
@@ -230,18 +232,18 @@
         Ok(())
     }
 
-    /// Sends a message that answers no request, such as the end of a handshake.
+    /// Sends a message that does not answer a request, such as the end of a handshake.
     ///
     /// # Errors
-    /// The client has disconnected, or this side has closed the connection.
+    /// Returns an error if the client has disconnected or this side has closed the connection.
     pub fn send(&self, message: Vec<u8>) -> io::Result<()> {
         self.connection.reserve_response()?;
         self.connection.enqueue(None, message);
         Ok(())
     }
 
-    /// Sets how long the connection may be idle, where the protocol's clients keep theirs for
-    /// longer.
+    /// Sets how long the connection may be idle, for protocols whose clients keep idle connections
+    /// for longer.
     pub fn set_idle_timeout(&self, timeout: Span) {
         self.connection.state().idle_timeout = timeout;
     }
--- a/crates/net/src/clients/write_queue.rs
+++ b/crates/net/src/clients/write_queue.rs
@@ -1,8 +1,8 @@
-//! The responses that wait to be written to one client, in the order in which they leave.
+//! The queue of responses to be written to one client, in sending order.
 //!
-//! The queue writes to the socket that it is given, and says what came of it; the connection draws
-//! the consequences. One thread at a time writes. State, under one lock: bytes that are ready, and
-//! responses whose turn has not come.
+//! The queue writes to the socket that it is given and returns the outcome, which the connection
+//! handles. One thread writes at a time. State, under one lock: bytes that are ready to be sent,
+//! and responses that wait for earlier ones.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Write};
@@ -16,34 +16,36 @@
 
 pub(super) struct WriteQueue {
     state: Mutex<QueueState>,
-    /// A response was written, or the queue was closed.
+    /// Signalled when a response was written or the queue was closed.
     progressed: Condvar,
     budget: Arc<BufferBudget>,
 }
 
 #[derive(Default)]
 struct QueueState {
-    /// Where responses are ordered: the ticket whose response leaves next, and the responses that
-    /// wait for it.
+    /// If responses are ordered: the ticket of the response to be sent next.
     next_ticket: u64,
+    /// Responses that wait for earlier ones, by ticket.
     out_of_order: BTreeMap<u64, Vec<u8>>,
-    /// Bytes that leave next, and how many responses they are.
+    /// Bytes to be sent next.
     ready: Vec<u8>,
+    /// Number of responses in `ready`.
     ready_responses: usize,
     /// Bytes of complete responses that count against the budget.
     buffered_bytes: usize,
-    /// A thread is writing: the client did not take all bytes at once, or gets a streamed response.
+    /// Set while a thread writes: the client did not receive all bytes at once, or a streamed
+    /// response is being written.
     writing: bool,
-    /// No further responses are queued.
+    /// Set once no further responses are accepted.
     closed: bool,
 }
 
-/// What came of writing without waiting.
+/// Result of writing without blocking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
     /// Nothing was ready, or another thread is writing.
     NothingToDo,
-    /// All that was ready is written: so many responses.
+    /// Everything that was ready is written: this number of responses.
     Written { responses: usize },
     /// The client's receive buffer is full: the caller has to write the rest with
     /// [`WriteQueue::write_next`].
@@ -52,26 +54,26 @@
     Failed,
 }
 
-/// What a thread that writes the rest has written.
+/// Result of [`WriteQueue::write_next`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RestOutcome {
-    /// So many responses; there may be more.
+    /// This number of responses was written; there may be more.
     Written { responses: usize },
-    /// Nothing is left. The thread no longer writes.
+    /// Nothing is left to write, and the thread no longer counts as writing.
     Drained(QueueStatus),
 }
 
 /// Whether further responses may be queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueStatus {
-    /// They may.
+    /// Further responses may be queued.
     Open,
-    /// They may not, and sending was shut down.
+    /// No further responses may be queued, and the sending side was shut down.
     Closed,
 }
 
 impl QueueState {
-    /// Makes those responses ready whose turn has come.
+    /// Moves the responses that are next in order to `ready`.
     fn take_in_order(&mut self) {
         while let Some(response) = self.out_of_order.remove(&self.next_ticket) {
             self.ready.extend_from_slice(&response);
@@ -94,7 +96,8 @@
         self.budget.reserve_chunk()
     }
 
-    /// Queues a response, in its turn if it has a ticket, and writes what the client takes at once.
+    /// Queues a response, in ticket order if it has a ticket, and writes as much as the client
+    /// receives at once.
     pub(super) fn enqueue(
         &self,
         stream: &TcpStream,
@@ -146,16 +149,17 @@
         state.ready.clear();
         let responses = std::mem::take(&mut state.ready_responses);
         drop(state);
-        // It may be a streamed response's turn.
+        // A streamed response may be next in order.
         self.progressed.notify_all();
         WriteOutcome::Written { responses }
     }
 
-    /// Writes what is ready and waits until the client has taken it; for the thread that
-    /// [`WriteOutcome::WouldBlock`] asks for.
+    /// Writes everything that is ready and blocks until the client has received it. Called by the
+    /// thread that is started on [`WriteOutcome::WouldBlock`].
     ///
     /// # Errors
-    /// The connection failed, or the client took nothing for the socket's write timeout.
+    /// Returns an error if the connection failed, or the client received nothing within the
+    /// socket's write timeout.
     pub(super) fn write_next(&self, stream: &TcpStream) -> io::Result<RestOutcome> {
         let mut state = lock(&self.state);
         let ready = std::mem::take(&mut state.ready);
@@ -187,11 +191,11 @@
         status
     }
 
-    /// Waits until it is the turn of the streamed response with this ticket and no other thread
-    /// writes; the caller may then write to the socket itself, until [`WriteQueue::end_streaming`].
+    /// Waits until the streamed response with this ticket is next in order and no other thread
+    /// writes. The caller may then write to the socket itself, until [`WriteQueue::end_streaming`].
     ///
     /// # Errors
-    /// The queue is closed.
+    /// Returns an error if the queue is closed.
     pub(super) fn begin_streaming(&self, ticket: u64) -> io::Result<()> {
         let must_wait = |state: &mut QueueState| {
             !state.closed && (state.writing || state.next_ticket != ticket)
@@ -207,14 +211,14 @@
         Ok(())
     }
 
-    /// The caller of [`WriteQueue::begin_streaming`] has written its bytes.
+    /// Ends the writing that [`WriteQueue::begin_streaming`] has permitted.
     pub(super) fn end_streaming(&self, stream: &TcpStream) -> QueueStatus {
         self.stop_writing(stream, lock(&self.state))
     }
 
-    /// The streamed response whose turn it is has been written completely: writes those that waited
-    /// for it. The caller reports the outcome before [`WriteQueue::notify_progress`] wakes the next
-    /// streamed response.
+    /// Completes the current streamed response and writes the responses that waited for it. The
+    /// caller reports the outcome before it calls [`WriteQueue::notify_progress`], which wakes the
+    /// next streamed response.
     pub(super) fn finish_streamed_response(&self, stream: &TcpStream) -> WriteOutcome {
         let mut state = lock(&self.state);
         state.next_ticket += 1;
@@ -226,7 +230,8 @@
         self.progressed.notify_all();
     }
 
-    /// Takes no further responses, and shuts sending down once all queued ones are written.
+    /// Accepts no further responses, and shuts down the sending side once all queued ones are
+    /// written.
     pub(super) fn close(&self, stream: &TcpStream) {
         let mut state = lock(&self.state);
         state.closed = true;
@@ -237,7 +242,7 @@
         self.progressed.notify_all();
     }
 
-    /// Takes no further responses; the caller shuts the socket down and then calls
+    /// Accepts no further responses; the caller shuts down the socket and then calls
     /// [`WriteQueue::notify_progress`].
     pub(super) fn mark_closed(&self) {
         lock(&self.state).closed = true;
--- a/crates/net/src/connection_limits.rs
+++ b/crates/net/src/connection_limits.rs
@@ -1,5 +1,5 @@
-//! The descriptor budget of a front, shared by its threads. [`valehatch_connection_limits`]
-//! decides; this adds the lock, the clock, and the waiting.
+//! The descriptor budget of a front, shared by its threads. [`valehatch_connection_limits`] makes
+//! the decisions; this module adds the lock, the clock, and the waiting.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
@@ -17,16 +17,17 @@
 /// How long an upstream connection waits for a descriptor while idle clients are evicted.
 const UPSTREAM_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A front's connection limiter. Its lock is held for moments only, and no other is taken under it.
+/// A front's connection limiter. Its lock is held only briefly, and no other lock is taken under
+/// it.
 pub struct SharedConnectionLimiter {
     clock: Clock,
     limiter: Mutex<ConnectionLimiter>,
-    /// A descriptor was freed, or the limits have changed.
+    /// Signalled when a descriptor was freed or the limits have changed.
     freed: Condvar,
 }
 
 impl SharedConnectionLimiter {
-    /// A limiter without connections.
+    /// Creates a limiter without connections.
     pub fn new(clock: Clock, limits: ConnectionLimits) -> Arc<Self> {
         Arc::new(Self {
             clock,
@@ -35,18 +36,20 @@
         })
     }
 
-    /// Replaces the limits. Connections beyond smaller ones are evicted once they are idle.
+    /// Replaces the limits. If they are lowered, connections beyond them are evicted once they are
+    /// idle.
     pub fn resize(&self, limits: ConnectionLimits) {
         lock(&self.limiter).resize(limits);
         self.freed.notify_all();
     }
 
-    /// How many connections count against the budget now.
+    /// Number of connections that currently count against the budget.
     pub fn counts(&self) -> ConnectionCounts {
         lock(&self.limiter).counts()
     }
 
-    /// Whether one more client connection may be accepted; waits a moment for a descriptor if not.
+    /// Whether one more client connection may be accepted. If not, waits up to
+    /// [`ADMIT_RETRY_INTERVAL`] for a descriptor before it returns.
     pub(crate) fn can_admit(&self) -> bool {
         let mut limiter = lock(&self.limiter);
         let admits = limiter.can_admit(self.clock.now());
@@ -81,8 +84,8 @@
         lock(&self.limiter).decide_request()
     }
 
-    /// Reserves the descriptor of an upstream connection; waits for one for up to
-    /// [`UPSTREAM_TIMEOUT`].
+    /// Reserves the descriptor of an upstream connection; waits up to [`UPSTREAM_TIMEOUT`] for one.
+    /// Returns `None` if there is none by then.
     pub(crate) fn acquire_upstream(self: &Arc<Self>) -> Option<UpstreamSlot> {
         let is_exhausted = |limiter: &mut ConnectionLimiter| !limiter.try_acquire_upstream();
         let (_limiter, waited) = self
@@ -96,7 +99,7 @@
     }
 }
 
-/// The descriptor of an upstream connection; dropping it gives it back.
+/// The reserved descriptor of an upstream connection, which is released on drop.
 pub(crate) struct UpstreamSlot(Arc<SharedConnectionLimiter>);
 
 impl Drop for UpstreamSlot {
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -1,9 +1,9 @@
-//! Endpoint discovery: where the endpoint list of a front comes from.
+//! Endpoint discovery: the sources of a front's endpoint list.
 //!
-//! Either the operators' file names the endpoints ([`configured`]), or a discovery service is
-//! polled over HTTP ([`DiscoveryPoller`]). Either way the list goes to the core as
-//! [`valehatch_core::Event::EndpointList`]; a list from discovery is also cached in an
-//! [`EndpointListStore`] for gossip, for the next process and for restarts.
+//! The operators' configuration file either names the endpoints ([`configured`]), or names a
+//! discovery service that is polled over HTTP ([`DiscoveryPoller`]). In both cases the list is sent
+//! to the core as [`valehatch_core::Event::EndpointList`]; a list from discovery is also cached in
+//! an [`EndpointListStore`] for gossip, for the next process and for restarts.
 
 pub mod configured;
 mod endpoint_list;
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -1,7 +1,7 @@
-//! Endpoints that the operators' file names: reads the file again whenever it changes, and hands
-//! the endpoints to the cores.
+//! Endpoints that the operators' configuration file names: reloads the file whenever it changes,
+//! and sends the endpoints to the cores.
 //!
-//! One thread. State: when the file was last modified as of the last read.
+//! Runs one thread. State: the file's modification time at the last read.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -17,11 +17,11 @@
 
 use crate::spawn;
 
-/// How often the file is checked: well within the grace period that a draining endpoint has for
-/// requests already on their way, which is some hundred milliseconds at least.
+/// How often the file is checked. Well within the grace period that a draining endpoint has for
+/// requests already on their way, which is at least some hundred milliseconds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A front whose endpoints the file names.
+/// A front whose endpoints the configuration file names.
 pub struct ConfiguredEndpoints {
     /// The front's name in the file.
     pub front: Arc<str>,
@@ -29,12 +29,12 @@
     pub events: Sender<Event>,
 }
 
-/// Hands the endpoints to the cores now, whenever the file changes, and when `reload_requested` is
-/// set; then calls `on_reload` with what was read. All other settings stay as at the start. A file
-/// that is not valid changes nothing.
+/// Sends the endpoints to the cores now, whenever the file changes, and when `reload_requested` is
+/// set; each reloaded configuration is then passed to `on_reload`. All other settings stay as they
+/// were at the start. An invalid file changes nothing.
 ///
 /// # Errors
-/// The machine has no thread for it.
+/// Returns an error if the thread cannot be started.
 pub fn watch(
     path: PathBuf,
     first: &OperatorConfig,
@@ -44,8 +44,7 @@
 ) -> io::Result<()> {
     send_endpoints(&fronts, first);
     spawn("file watch", move || {
-        // The file may have changed since the caller has read it, so the first check reads it
-        // again.
+        // The file may have changed since the caller read it, so the first check reads it again.
         let mut last_modified: Option<SystemTime> = None;
         loop {
             sleep(CHECK_INTERVAL);
--- a/crates/net/src/discovery/endpoint_list.rs
+++ b/crates/net/src/discovery/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list of one front: takes lists from discovery, from the gateway's other process and
-//! from gossip, caches them, and hands them to the core.
+//! The endpoint list of one front: accepts lists from discovery, from the gateway's other process
+//! and from gossip, caches them, and sends them to the core.
 //!
 //! Shared by the poller's thread, the gossip transport and the hot restart, behind one mutex.
-//! State: the cached list and the numbers of its endpoints.
+//! State: the cached list and the ids of its endpoints.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -21,12 +21,12 @@
 
 use crate::Clock;
 
-/// A list as discovery sends it.
+/// A list as sent by discovery.
 #[derive(Deserialize)]
 pub(super) struct ListResponse {
     #[serde(rename = "rev")]
     pub version: u64,
-    /// It names all endpoints; otherwise those that have changed.
+    /// Set if the list names all endpoints; otherwise it names those that have changed.
     #[serde(rename = "all")]
     pub complete: bool,
     #[serde(rename = "targets")]
@@ -34,22 +34,22 @@
 }
 
 impl ListResponse {
-    /// Whether it says more than that nothing has changed.
+    /// Whether the list says anything except that nothing has changed.
     pub(super) fn has_changes(&self) -> bool {
         self.complete || !self.endpoints.is_empty()
     }
 }
 
-/// The endpoint list of a front, whoever it came from.
+/// The endpoint list of a front, regardless of its source.
 pub struct EndpointListStore {
     site: Site,
     clock: Clock,
     events: Sender<Event>,
     ids: HashMap<String, EndpointId>,
     cache: EndpointListCache,
-    /// When discovery itself has last confirmed the list.
+    /// When discovery itself last confirmed the list.
     confirmed_at: Option<Time>,
-    /// How far the other process of this gateway has brought the list.
+    /// Version up to which the gateway's other process has forwarded the list.
     forwarded: Option<ForwardedListGuard>,
 }
 
@@ -66,25 +66,25 @@
         }
     }
 
-    /// The list as it is cached.
+    /// The cached list.
     pub const fn cache(&self) -> &EndpointListCache {
         &self.cache
     }
 
-    /// How long ago discovery has confirmed the list; `None` if it has not, or the time is not
-    /// known any more.
+    /// Time since discovery confirmed the list; `None` if it has not, or if the time is no longer
+    /// known.
     pub fn confirmation_age(&self) -> Option<Span> {
         Some(self.clock.now() - self.confirmed_at?)
     }
 
-    /// Forgets when discovery has confirmed the list, after the clock may have stood still: the
-    /// list is not gossiped until discovery confirms it again.
+    /// Forgets when discovery confirmed the list, because the clock may have stood still: the list
+    /// is not gossiped until discovery confirms it again.
     pub const fn forget_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// Takes a list that the other process of this gateway has received from discovery, if it is
-    /// ahead of the cached one.
+    /// Applies a list that the gateway's other process received from discovery, if it is ahead of
+    /// the cached one.
     pub fn apply_forwarded(&mut self, list: &EndpointListCache) {
         let Some(version) = list.version else {
             return;
@@ -97,8 +97,8 @@
         self.apply(version.source, complete_list(version.revision, endpoints));
     }
 
-    /// Takes a list from another gateway or a former process, unless one is cached already; says
-    /// whether it did.
+    /// Applies a list from another gateway or a previous process, unless one is cached already.
+    /// Returns whether it was applied.
     pub fn apply_unconfirmed(
         &mut self,
         endpoints: Vec<DiscoveredEndpoint>,
@@ -111,9 +111,9 @@
         true
     }
 
-    /// Takes a list from discovery, unless the other process has forwarded it already; returns the
-    /// version that was reached. `None` for changes that do not fit the cached list, because
-    /// discovery has begun to count anew.
+    /// Applies a list from discovery, unless the other process has forwarded it already. Returns
+    /// the version reached, or `None` for changes that do not fit the cached list because discovery
+    /// has restarted its version count.
     pub(super) fn apply_discovered(
         &mut self,
         source: SocketAddr,
@@ -140,7 +140,7 @@
         self.confirmed_at = Some(now);
     }
 
-    /// Caches a list and hands it to the core; returns its version.
+    /// Caches a list and sends it to the core; returns its version.
     pub(super) fn apply(&mut self, source: SocketAddr, list: ListResponse) -> u64 {
         let version = ListVersion {
             source,
@@ -155,8 +155,8 @@
         if !list.has_changes() {
             return list.version;
         }
-        // Endpoints come and go all day: the numbers of those that a complete list does not name
-        // are forgotten.
+        // Endpoints come and go continually, so the ids of those that a complete list no longer
+        // names are dropped.
         if list.complete {
             let named: HashSet<&str> = list.endpoints.iter().map(|e| e.uid.as_str()).collect();
             self.ids.retain(|uid, _| named.contains(uid.as_str()));
@@ -208,7 +208,7 @@
         })
     }
 
-    /// The endpoint's number: the same at every gateway, unless two names have the same hash.
+    /// The endpoint's id: the same at every gateway, unless two names have the same hash.
     fn endpoint_id(&mut self, uid: String) -> EndpointId {
         if let Some(id) = self.ids.get(&uid) {
             return *id;
@@ -233,7 +233,7 @@
     }
 }
 
-/// The index of a name among those that the settings know; `u8::MAX` for an unknown one.
+/// The index of a name among those in the settings; `u8::MAX` for an unknown one.
 fn index_of(known: &[String], name: &str) -> u8 {
     let index = known.iter().position(|other| other == name);
     index.map_or(u8::MAX, |index| index as u8)
--- a/crates/net/src/discovery/error.rs
+++ b/crates/net/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a poll of discovery failed.
+//! Errors of a discovery poll.
 
 use std::error::Error;
 use std::fmt;
@@ -6,27 +6,28 @@
 
 use super::http::HttpError;
 
-/// A poll that brought no endpoint list.
+/// Reason why a poll returned no endpoint list.
 #[derive(Debug)]
 pub(super) enum PollError {
     /// Discovery has moved to another address.
     Moved,
-    /// The latest call has not been answered in time. It may still be.
+    /// The latest call was not answered in time. The answer may still arrive.
     NoResponse,
     /// The connection failed.
     Io(io::Error),
-    /// The bytes are no usable HTTP response.
+    /// The received bytes are not a usable HTTP response.
     Http(HttpError),
-    /// The response's body is no endpoint list.
+    /// The response's body is not an endpoint list.
     InvalidList(serde_json::Error),
-    /// Discovery has answered a call for changes with an older version than the call named.
+    /// Discovery answered a call for changes with an older version than the call named.
     VersionWentBack { version: u64, since: u64 },
-    /// Changes to an older version than the other process of this gateway has forwarded.
+    /// The changes lead to an older version than the gateway's other process has forwarded.
     OlderThanForwarded,
 }
 
 impl PollError {
-    /// Whether discovery is silent, as opposed to answering wrongly or refusing the connection.
+    /// Whether discovery did not respond, as opposed to responding wrongly or refusing the
+    /// connection.
     pub(super) fn is_timeout(&self) -> bool {
         match self {
             Self::NoResponse => true,
--- a/crates/net/src/discovery/http.rs
+++ b/crates/net/src/discovery/http.rs
@@ -1,16 +1,18 @@
-//! HTTP/1.1 responses (RFC 9112), as far as a client that reads short ones needs them. No I/O and
-//! no state: a response is parsed anew from its first byte whenever more bytes have arrived.
+//! Parser for HTTP/1.1 responses (RFC 9112), limited to what a client that reads short responses
+//! needs. Without I/O and without state: a response is parsed again from its first byte whenever
+//! more bytes have arrived.
 
 use std::error::Error;
 use std::fmt;
 
-/// The longest body, in bytes.
+/// Maximum length of a body, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// The longest head, and the longest line between chunks, in bytes.
+/// Maximum length of the head, and of a line between chunks, in bytes.
 const MAX_LINE_BYTES: usize = 16 * 1024;
-/// The longest response, in bytes: enough for the longest body in chunks of a reasonable size.
+/// Maximum length of a response, in bytes: enough for the longest body in chunks of a reasonable
+/// size.
 const MAX_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES + MAX_LINE_BYTES;
-/// The most header fields of a response.
+/// Maximum number of header fields of a response.
 const MAX_FIELDS: usize = 64;
 
 /// A complete response with status 200.
@@ -18,8 +20,8 @@
 pub struct Response {
     /// The body, with its chunks joined.
     pub body: Vec<u8>,
-    /// Whether the connection can carry another request: it stays open, and no bytes follow this
-    /// response.
+    /// Whether the connection can carry another request: the server keeps it open, and no bytes
+    /// follow this response.
     pub reusable: bool,
 }
 
@@ -28,26 +30,27 @@
 pub enum Sending {
     /// More bytes may follow.
     Open,
-    /// The server has closed the connection regularly.
+    /// The server has closed the connection without a reset.
     Ended,
 }
 
-/// Why bytes are not a usable response.
+/// Reason why bytes are not a usable response.
 #[derive(Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// The response or its body exceeds the bounds of this module (1 MiB of body, 16 KiB of head).
+    /// The response or its body exceeds the limits of this module (1 MiB of body, 16 KiB of head).
     TooLong,
     /// The connection was closed in the middle of the response.
     Incomplete,
     /// The head is not HTTP/1.
     Malformed(httparse::Error),
-    /// The status is another one than 200.
+    /// The status is not 200; `None` if there is no status.
     Status(Option<u16>),
-    /// `Content-Length` is no number, or several that differ: the values, joined by commas.
+    /// `Content-Length` is not a number, or has several values that differ: the values, joined by
+    /// commas.
     ContentLength(String),
-    /// A chunk's size is no hexadecimal number: the line.
+    /// The size of a chunk is not a hexadecimal number: the line with the size.
     ChunkSize(String),
-    /// A chunk is longer than its size.
+    /// A chunk's data is longer than its declared size.
     ChunkTooLong,
 }
 
@@ -77,11 +80,11 @@
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 enum Framing {
     Chunked,
     ContentLength(usize),
-    /// The server closes the connection regularly; a reset is no end.
+    /// The server closes the connection without a reset; a reset does not end a body.
     ConnectionClose,
 }
 
@@ -90,22 +93,23 @@
     keep_alive: bool,
 }
 
-/// A part of a response, and how many bytes of the input it takes.
+/// A parsed part of a response, and the number of input bytes that it occupies.
 struct Parsed<T> {
     value: T,
     bytes: usize,
 }
 
-/// Whether these are more bytes than any response may have.
+/// Whether there are more bytes than a response may have.
 #[must_use]
 pub const fn is_too_long(bytes: &[u8]) -> bool {
     bytes.len() > MAX_RESPONSE_BYTES
 }
 
-/// Parses the response that these bytes begin with; `None` while more bytes are needed.
+/// Parses the response at the beginning of `bytes`. Returns `None` while more bytes are needed.
 ///
 /// # Errors
-/// The bytes are no response, have another status than 200, are too long, or end in the middle.
+/// Returns an error if the bytes are not a response, have a status other than 200, are too long, or
+/// end in the middle of a response.
 pub fn parse_response(bytes: &[u8], sending: Sending) -> Result<Option<Response>, HttpError> {
     if is_too_long(bytes) {
         return Err(HttpError::TooLong);
@@ -153,7 +157,7 @@
     }
 }
 
-/// Parses the head of the final response, and skips interim ones.
+/// Parses the head of the final response, skipping interim ones.
 fn parse_head(bytes: &[u8]) -> Result<Option<Parsed<Head>>, HttpError> {
     let mut position = 0;
     loop {
@@ -188,7 +192,7 @@
     let transfer_encoding = field_values(response, "transfer-encoding");
     let content_length = field_values(response, "content-length");
     let has_option = |option: &str| connection.iter().any(|value| value == option);
-    // HTTP/1.1 keeps connections alive unless told otherwise, HTTP/1.0 only if told so.
+    // HTTP/1.1 keeps connections alive by default, HTTP/1.0 only if the server says so.
     let keep_alive =
         !has_option("close") && (response.version == Some(1) || has_option("keep-alive"));
     let framing = match (transfer_encoding.last(), content_length.first()) {
@@ -202,8 +206,8 @@
     })
 }
 
-/// All values of a header field in lower case. A field may come more than once, and each may be a
-/// list.
+/// All values of a header field in lower case. A field may occur more than once, and each
+/// occurrence may be a list.
 fn field_values(response: &httparse::Response, name: &str) -> Vec<String> {
     let mut values = vec![];
     for field in response.headers.iter() {
@@ -229,7 +233,7 @@
     length.ok_or_else(|| HttpError::ContentLength(all.join(",")))
 }
 
-/// Parses the line that these bytes begin with; its value is without the line end.
+/// Parses the line at the beginning of `bytes`; its value excludes the line end.
 fn parse_line(bytes: &[u8]) -> Result<Option<Parsed<&[u8]>>, HttpError> {
     let end = bytes
         .iter()
@@ -285,14 +289,14 @@
 fn read_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let without_extensions = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = without_extensions.trim_ascii();
-    // `from_str_radix` alone would take a sign.
+    // `from_str_radix` alone would accept a sign.
     let is_hex = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| is_hex);
     let size = text.and_then(|text| usize::from_str_radix(text, 16).ok());
     size.ok_or_else(|| HttpError::ChunkSize(String::from_utf8_lossy(line).into_owned()))
 }
 
-/// The length of the trailer fields after the last chunk, with the empty line that ends them.
+/// The length of the trailer fields after the last chunk, including the empty line that ends them.
 fn trailer_bytes(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
     let mut position = 0;
     while let Some(line) = parse_line(&bytes[position..])? {
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -1,9 +1,9 @@
 //! Polls discovery for the endpoint list over HTTP.
 //!
-//! One thread, which drives all calls. A call without news waits at discovery for a change; the
-//! next one begins when it is answered, has failed or is late, so that a change arrives in time
-//! whatever becomes of single calls. State: the calls in flight, an idle connection, the version
-//! that was reached, and the backoff after failures.
+//! One thread drives all calls. A call without news waits at discovery for a change; the next one
+//! begins when it is answered, has failed or is late, so that a change arrives in time even if
+//! single calls fail. State: the calls in flight, an idle connection, the version reached, and the
+//! backoff after failures.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -29,20 +29,21 @@
 };
 use crate::{Clock, lock, spawn};
 
-/// How often all gateways together may call a discovery service that has no news.
+/// Maximum rate at which all gateways together call a discovery service that has no news.
 const FLEET_CALLS_PER_SECOND: u32 = 5;
 /// The shortest wait for news that a call asks a service for.
 const MIN_WATCH_WAIT: Span = Span::from_millis(2_000);
 /// The longest wait for news that a call asks a service for, in a large fleet.
 const MAX_WATCH_WAIT: Span = Span::from_millis(20_000);
-/// The same of an agent on this machine. Calls to it cost nothing, and short ones notice sooner
-/// that it has fallen silent and come back during a call.
+/// How long a call waits for news at an agent on this machine. Calls to it cost nothing, and short
+/// ones detect sooner that it has stopped responding and come back during a call.
 const AGENT_WATCH_WAIT: Duration = Duration::from_millis(100);
-/// When a call to an agent, which answers at once, is late.
+/// Time after which a call to an agent is late; an agent answers at once.
 const AGENT_STALLED_AFTER: Duration = Duration::from_millis(100);
-/// When a call to a service is late, or an outage of an agent or a service is logged.
+/// Time after which a call to a service is late, and an outage of an agent or a service is logged.
 const STALLED_AFTER: Duration = Duration::from_millis(700);
-/// Calls in flight at once: as many as become late one after the other until [`STALLED_AFTER`].
+/// Maximum number of calls in flight: as many as become late one after the other until
+/// [`STALLED_AFTER`].
 const MAX_CALLS: usize = 7;
 /// Shortest pause after a failed call.
 const MIN_BACKOFF: Span = Span::from_millis(50);
@@ -51,43 +52,43 @@
 /// Longest pause after failed calls to a service that pushes lists.
 const MAX_PUSH_BACKOFF: Span = Span::from_millis(2_500);
 
-/// Where the discovery that pushes lists runs.
+/// Location of the discovery that pushes lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentLocation {
-    /// It is an agent on this machine, which no other gateway calls.
+    /// An agent on this machine, which no other gateway calls.
     ThisMachine,
-    /// It is a service elsewhere.
+    /// A service on another machine.
     Remote,
 }
 
-/// What answers the calls.
+/// The kind of discovery that answers the calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DiscoverySource {
-    /// An agent on this machine: calls cost nothing, and its list counts at once.
+    /// An agent on this machine: calls cost nothing, and its list is valid at once.
     Agent,
     /// A service that answers calls as soon as the list changes.
     PushService,
-    /// A service for all gateways, which answers a limited number of calls a second: a call waits
-    /// for its turn.
+    /// A service for all gateways, which answers a limited number of calls per second: a call is
+    /// queued until then.
     PollService,
 }
 
-/// How long calls may take, so that a change arrives in time.
+/// Time limits of calls, chosen so that a change arrives in time.
 #[derive(Clone, Copy, Debug)]
 struct PropagationDeadlines {
     complete_list: CallTimeouts,
     changes: CallTimeouts,
     min_backoff: Span,
     max_backoff: Span,
-    /// How long after the beginning of a call that failed the next one may begin, at the latest.
+    /// Maximum time from the beginning of a failed call to the beginning of the next one.
     max_call_interval: Span,
 }
 
 impl PropagationDeadlines {
     fn new(source: DiscoverySource, site: &Site) -> Self {
         let max_poll_interval = site.settings.rules.max_poll_interval;
-        // Whatever failed before, a change has to arrive within `PROPAGATION_DEADLINE`: the next
-        // call begins earlier by as much as its response may take.
+        // A change has to arrive within `PROPAGATION_DEADLINE`, regardless of earlier failures: the
+        // next call begins earlier by the time that its response may take.
         let max_call_interval = (PROPAGATION_DEADLINE - PROPAGATION_DEADLINE_AFTER_WAIT)
             .min(max_poll_interval.times(0.4));
         let total = duration(PROPAGATION_DEADLINE_AFTER_WAIT);
@@ -121,18 +122,20 @@
                 }
             }
             DiscoverySource::PollService => {
-                // Abandoning a call that waits for its turn would only waste the turn.
-                let turn = duration(max_poll_interval.times(0.25).min(max_call_interval));
+                // Abandoning a call that is queued at the service would only waste its place in the
+                // queue.
+                let queue_timeout =
+                    duration(max_poll_interval.times(0.25).min(max_call_interval));
                 let complete_list = CallTimeouts {
-                    stalled: turn,
-                    trickling: turn,
-                    total: turn,
+                    stalled: queue_timeout,
+                    trickling: queue_timeout,
+                    total: queue_timeout,
                 };
                 let changes = CallTimeouts {
-                    stalled: STALLED_AFTER.min(turn),
+                    stalled: STALLED_AFTER.min(queue_timeout),
                     ..complete_list
                 };
-                let fleet_round = valehatch_backoff::fleet_call_interval(
+                let fleet_call_interval = valehatch_backoff::fleet_call_interval(
                     site.settings.routers,
                     FLEET_CALLS_PER_SECOND,
                 )
@@ -140,7 +143,7 @@
                 Self {
                     complete_list,
                     changes,
-                    min_backoff: fleet_round.max(MIN_BACKOFF),
+                    min_backoff: fleet_call_interval.max(MIN_BACKOFF),
                     max_backoff: max_call_interval,
                     max_call_interval,
                 }
@@ -160,21 +163,21 @@
     Duration::from_micros(span.0.unsigned_abs())
 }
 
-/// What a poller is made of.
+/// Settings and dependencies of a poller.
 pub struct PollerConfig {
-    /// Where discovery is; it may move while the poller runs.
+    /// Address of discovery, which may change while the poller runs.
     pub address: Arc<DiscoveryAddress>,
-    /// Where a discovery that pushes lists runs; of no account for one that is polled.
+    /// Location of a discovery that pushes lists; ignored for one that is polled.
     pub agent: AgentLocation,
     /// The front's settings.
     pub site: Site,
     /// The gateway's clock.
     pub clock: Clock,
-    /// The core that gets the lists.
+    /// Sends the lists to the front's core.
     pub events: Sender<Event>,
-    /// How many gateways call the same service; may change while the poller runs.
+    /// Number of gateways that call the same service; may change while the poller runs.
     pub gateway_count: Arc<AtomicU32>,
-    /// Seeds the jitter of the backoff.
+    /// Seed for the jitter of the backoff.
     pub seed: u64,
 }
 
@@ -191,22 +194,22 @@
     on_changed: Box<dyn Fn(EndpointListCache) + Send>,
 }
 
-/// What the poller's thread works with.
+/// State of the poller's thread.
 struct PollState {
     calls: Vec<DiscoveryCall>,
     idle_connection: Option<DiscoveryConnection>,
-    /// The version that was reached with the discovery that is polled.
+    /// The version reached with the discovery that is currently polled.
     reached: Option<ListVersion>,
 }
 
-/// A list, what it was asked for with, and the connection if that can be used again.
+/// A list, the version from which it was requested, and the connection if it can be reused.
 struct PollResponse {
     list: ListResponse,
     since: Option<u64>,
     connection: Option<DiscoveryConnection>,
 }
 
-/// A time without successful polls.
+/// A period without successful polls.
 #[derive(Default)]
 struct Outage {
     since: Option<Instant>,
@@ -214,8 +217,8 @@
 }
 
 impl Outage {
-    /// Logs each outage once: at once if discovery fails, and after [`STALLED_AFTER`] if it is
-    /// silent.
+    /// Logs each outage once: at once if discovery fails, and after [`STALLED_AFTER`] if it does
+    /// not respond.
     fn on_failure(&mut self, error: &PollError, address: SocketAddr) {
         let lasted = self.since.get_or_insert_with(Instant::now).elapsed();
         if !self.logged && (!error.is_timeout() || lasted >= STALLED_AFTER) {
@@ -232,7 +235,7 @@
 }
 
 impl DiscoveryPoller {
-    /// A poller that does not poll yet.
+    /// Creates a poller that does not poll yet.
     pub fn new(config: PollerConfig) -> Self {
         let source = match (config.site.settings.discovery_mode, config.agent) {
             (DiscoveryMode::Poll, _) => DiscoverySource::PollService,
@@ -260,26 +263,27 @@
         Arc::clone(&self.store)
     }
 
-    /// Calls this on the poller's thread whenever discovery has confirmed the list.
+    /// Sets a callback that runs on the poller's thread whenever discovery has confirmed the list.
     #[must_use]
     pub fn on_confirmed(mut self, callback: impl Fn() + Send + 'static) -> Self {
         self.on_confirmed = Box::new(callback);
         self
     }
 
-    /// Calls this on the poller's thread with the list whenever discovery has changed it.
+    /// Sets a callback that runs on the poller's thread, with the list, whenever discovery has
+    /// changed it.
     #[must_use]
     pub fn on_changed(mut self, callback: impl Fn(EndpointListCache) + Send + 'static) -> Self {
         self.on_changed = Box::new(callback);
         self
     }
 
-    /// Starts with the list of a former process, as it had it from this address at this version:
-    /// polls for changes since then if discovery is still there, and for the complete list
-    /// otherwise.
+    /// Starts with the list of a previous process, which had it from `version.source` at this
+    /// version. Polls for changes since then if discovery is still at that address, and for the
+    /// complete list otherwise.
     ///
     /// # Errors
-    /// The machine has no thread for the poller.
+    /// Returns an error if the poller's thread cannot be started.
     pub fn resume(
         self,
         endpoints: Vec<DiscoveredEndpoint>,
@@ -293,10 +297,10 @@
         self.spawn(is_current.then_some(reached))
     }
 
-    /// Starts with the list that the configuration has, which may be null.
+    /// Starts with the list in the configuration, which may be null.
     ///
     /// # Errors
-    /// The machine has no thread for the poller.
+    /// Returns an error if the poller's thread cannot be started.
     pub fn start(self, known: &Value) -> std::io::Result<()> {
         let reached = self.apply_known(known);
         self.spawn(reached)
@@ -313,7 +317,7 @@
                 return None;
             }
         };
-        // Changes alone, or an empty list, are nothing to ask for further changes from.
+        // Changes alone or an empty list are no base from which to request further changes.
         let is_base = list.complete && !list.endpoints.is_empty();
         let source = self.address.current();
         let revision = lock(&self.store).apply(source, list);
@@ -343,7 +347,7 @@
             let kind = self.next_call(&state, address, &outage);
             match self.poll(&mut state, address, kind) {
                 Ok(()) => {
-                    // Calls that are still in flight were begun earlier: their responses would be
+                    // Calls that are still in flight began earlier, so their responses would be
                     // older.
                     state.calls.clear();
                     outage.on_success(address);
@@ -359,8 +363,8 @@
         }
     }
 
-    /// What the next call asks for. Versions belong to the address that counted them: another one
-    /// is asked for the complete list first.
+    /// Determines what the next call requests. Versions are specific to the address that counted
+    /// them, so the complete list is requested first from another address.
     fn next_call(&self, state: &PollState, address: SocketAddr, outage: &Outage) -> CallKind {
         let max_wait = self.max_wait(outage);
         match state.reached {
@@ -372,8 +376,8 @@
         }
     }
 
-    /// How long a call may wait for news; short in an outage, so that the next call is not held up
-    /// for long either.
+    /// How long a call may wait for news; short during an outage, so that the next call is not
+    /// delayed for long either.
     fn max_wait(&self, outage: &Outage) -> Duration {
         if self.source == DiscoverySource::Agent {
             return AGENT_WATCH_WAIT;
@@ -389,7 +393,7 @@
         ))
     }
 
-    /// Makes one more call and takes the first list that arrives.
+    /// Makes one more call and applies the first list that arrives.
     fn poll(
         &self,
         state: &mut PollState,
@@ -399,9 +403,9 @@
         let connection = state.idle_connection.take();
         let response = self.call(&mut state.calls, connection, address, kind)?;
         state.idle_connection = response.connection;
-        // A version below the one that was asked from comes from a discovery that counts anew or
-        // lags behind. The complete list, which is asked for next, decides: it counts whatever its
-        // version.
+        // A version below the one in the request comes from a discovery that has restarted its
+        // count or lags behind. The complete list, which is requested next, resolves this: it is
+        // accepted regardless of its version.
         state.reached = None;
         let version = response.list.version;
         if let Some(since) = response.since.filter(|since| version < *since) {
@@ -415,7 +419,8 @@
         Ok(())
     }
 
-    /// Begins a call beside those in flight and waits for the first response to any of them.
+    /// Begins a call in addition to those in flight and waits for the first response to any of
+    /// them.
     fn call(
         &self,
         calls: &mut Vec<DiscoveryCall>,
@@ -444,7 +449,7 @@
         })
     }
 
-    /// Takes a list from discovery; returns the version that was reached.
+    /// Applies a list from discovery; returns the version reached.
     fn apply(&self, address: SocketAddr, list: ListResponse) -> Result<u64, PollError> {
         let has_changes = list.has_changes();
         let mut store = lock(&self.store);
@@ -460,7 +465,7 @@
         Ok(version)
     }
 
-    /// Pauses between a call that failed and the next one.
+    /// Pauses between a failed call and the next one.
     fn pause_after_failure(
         &mut self,
         address: SocketAddr,
@@ -468,20 +473,20 @@
         began_at: Instant,
         kind: CallKind,
     ) {
-        // An agent that is late has been waited for, and calls to it cost nothing.
+        // A late agent has already been waited for, and calls to it cost nothing.
         if self.source == DiscoverySource::Agent && error.is_timeout() {
             return;
         }
-        // The next call has to begin early enough for changes from before this call began, and from
-        // before it failed.
+        // The next call has to begin early enough to report changes made before this call began,
+        // and before it failed, in time.
         let max_interval = duration(self.deadlines.max_call_interval);
         let after_wait = kind.max_wait() + duration(PROPAGATION_DEADLINE_AFTER_WAIT) / 2;
         let latest = began_at + max_interval.max(after_wait);
-        let left = latest
+        let remaining = latest
             .saturating_duration_since(Instant::now())
             .min(max_interval);
-        let left = Span(i64::try_from(left.as_micros()).unwrap_or(i64::MAX));
-        let pause = self.backoff.next_pause_within(left);
+        let remaining = Span(i64::try_from(remaining.as_micros()).unwrap_or(i64::MAX));
+        let pause = self.backoff.next_pause_within(remaining);
         self.address.pause(address, duration(pause));
     }
 }
--- a/crates/net/src/discovery/watch.rs
+++ b/crates/net/src/discovery/watch.rs
@@ -1,8 +1,8 @@
-//! Calls to discovery. Several may be in flight at once, each on a connection of its own; the first
-//! response counts.
+//! Calls to discovery. Several may be in flight at once, each on its own connection; the first
+//! response is used.
 //!
-//! All calls of a poller are driven by its one thread. State: a call's unsent request, and what of
-//! its response has arrived.
+//! All calls of a poller are driven by its one thread. State: the unsent part of a call's request,
+//! and the received part of its response.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -17,10 +17,10 @@
 use super::http::{self, Response, Sending};
 use crate::lock;
 
-/// Buffer of a connection to discovery; responses may be longer.
+/// Size of the read buffer, in bytes; responses may be longer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Where discovery is. A change of the address ends the latest call and any pause at once.
+/// The address of discovery. A change of the address ends the latest call and any pause at once.
 pub struct DiscoveryAddress {
     state: Mutex<AddressState>,
     changed: Condvar,
@@ -33,7 +33,7 @@
 }
 
 impl DiscoveryAddress {
-    /// Discovery is at this address for now.
+    /// Creates an address that [`DiscoveryAddress::set`] may change.
     pub const fn new(address: SocketAddr) -> Self {
         Self {
             state: Mutex::new(AddressState {
@@ -48,7 +48,8 @@
         lock(&self.state).address
     }
 
-    /// Polls another address from now on; the cached endpoint list stays in use until that answers.
+    /// Sets another address to poll; the cached endpoint list stays in use until discovery answers
+    /// there.
     pub fn set(&self, address: SocketAddr) {
         let mut state = lock(&self.state);
         if state.address == address {
@@ -61,7 +62,7 @@
         self.changed.notify_all();
     }
 
-    /// Pauses for as long as discovery stays at this address.
+    /// Pauses while discovery stays at this address, for at most `pause`.
     pub(super) fn pause(&self, address: SocketAddr, pause: Duration) {
         let unchanged = |state: &mut AddressState| state.address == address;
         drop(
@@ -70,7 +71,7 @@
         );
     }
 
-    /// Lets a change of the address end this connection.
+    /// Registers a connection to be closed when the address changes.
     fn track(&self, connection: &DiscoveryConnection) -> Result<(), PollError> {
         let mut state = lock(&self.state);
         if state.address != connection.address {
@@ -88,8 +89,8 @@
 }
 
 impl DiscoveryConnection {
-    /// Begins to connect and does not wait: a connect that hangs is abandoned like a call that
-    /// does.
+    /// Starts to connect without waiting: a connect that hangs is abandoned in the same way as a
+    /// call.
     pub(super) fn connect(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -112,23 +113,24 @@
     }
 }
 
-/// How long a call is waited for, counted from the end of the wait that it asks discovery for.
+/// Timeouts of a call, counted from the end of the wait that it requests from discovery.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallTimeouts {
-    /// Without a further byte for this long the call is late: the next one may begin beside it.
+    /// The call is late if no further byte arrives for this long: the next one may then begin
+    /// beside it.
     pub stalled: Duration,
-    /// The call is late after this long also while its response trickles in.
+    /// The call is late after this long even while its response trickles in.
     pub trickling: Duration,
-    /// The call is abandoned.
+    /// The call is abandoned after this long.
     pub total: Duration,
 }
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CallKind {
     /// The complete list.
     CompleteList,
-    /// Changes since a version; discovery may wait this long for one.
+    /// Changes since a version; discovery may wait up to `max_wait` for one.
     Changes { since: u64, max_wait: Duration },
 }
 
@@ -164,8 +166,8 @@
     unsent: Vec<u8>,
     received: Vec<u8>,
     last_received_at: Option<Instant>,
-    /// When the wait that it asks for is over.
-    due: Instant,
+    /// When the wait that the call requests from discovery ends.
+    wait_ends_at: Instant,
     timeouts: CallTimeouts,
 }
 
@@ -188,7 +190,7 @@
             unsent: request.into_bytes(),
             received: vec![],
             last_received_at: None,
-            due: Instant::now() + kind.max_wait(),
+            wait_ends_at: Instant::now() + kind.max_wait(),
             timeouts,
         })
     }
@@ -197,24 +199,24 @@
         self.connection.is_to(address)
     }
 
-    /// The connection, for the next call.
+    /// Returns the connection, for use by the next call.
     pub(super) fn into_connection(self) -> DiscoveryConnection {
         self.connection
     }
 
-    /// When the call is late, if nothing more arrives.
+    /// When the call becomes late, if nothing more arrives.
     fn late_at(&self) -> Instant {
-        let silent_until = self.due + self.timeouts.stalled;
+        let silent_until = self.wait_ends_at + self.timeouts.stalled;
         let Some(received_at) = self.last_received_at else {
             return silent_until;
         };
         let stalled_at = received_at + self.timeouts.stalled;
-        let trickling_until = self.due + self.timeouts.trickling;
+        let trickling_until = self.wait_ends_at + self.timeouts.trickling;
         stalled_at.min(trickling_until).max(silent_until)
     }
 
     fn abandoned_at(&self) -> Instant {
-        self.due + self.timeouts.total
+        self.wait_ends_at + self.timeouts.total
     }
 
     fn poll_fd(&self) -> PollFd<'_> {
@@ -226,7 +228,7 @@
         PollFd::new(&*self.connection.stream, flags)
     }
 
-    /// Writes and reads as far as it goes without blocking.
+    /// Writes and reads as much as possible without blocking.
     fn advance(&mut self) -> Result<Option<Response>, PollError> {
         if !self.unsent.is_empty() {
             self.write()?;
@@ -257,7 +259,8 @@
             Err(_) => Sending::Open,
         };
         let response = http::parse_response(&self.received, sending).map_err(PollError::Http)?;
-        // A reset ends no response, but one that was complete before it counts.
+        // A reset does not end a response, but a response that was complete before the reset is
+        // valid.
         match (response, received) {
             (response, Ok(_)) => Ok(response),
             (Some(response), Err(_)) => Ok(Some(Response {
@@ -268,7 +271,7 @@
         }
     }
 
-    /// Reads what has arrived.
+    /// Reads the bytes that have arrived.
     fn receive(&mut self) -> io::Result<Sending> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
@@ -293,22 +296,22 @@
     error.kind() == io::ErrorKind::WouldBlock
 }
 
-/// A call that was answered.
+/// An answered call and its response.
 pub(super) struct AnsweredCall {
     pub call: DiscoveryCall,
     pub response: Response,
 }
 
-/// Waits until one of these calls is answered, or until the last of them has failed or is late.
-/// Calls that have failed or are abandoned are removed.
+/// Waits until one of the calls is answered, or until the last of them has failed or is late.
+/// Failed and abandoned calls are removed.
 ///
 /// # Errors
-/// Why the last call failed, or that it is late.
+/// Returns why the last call failed, or [`PollError::NoResponse`] if it is late.
 pub(super) fn first_response(calls: &mut Vec<DiscoveryCall>) -> Result<AnsweredCall, PollError> {
     loop {
         let ready = wait_until_ready(calls)?;
         let mut last_failure = None;
-        // From the last on: removing a call leaves the indices of those before it as they are.
+        // In reverse order: removing a call does not change the indices of those before it.
         for index in (0..ready.len()).rev() {
             if !ready[index] {
                 continue;
@@ -340,8 +343,8 @@
     }
 }
 
-/// Waits until one of these calls can advance, the last is late, or one is to be abandoned; returns
-/// for each call whether it can advance.
+/// Waits until one of the calls can advance, the last one is late, or one has to be abandoned.
+/// Returns for each call whether it can advance.
 fn wait_until_ready(calls: &[DiscoveryCall]) -> io::Result<Vec<bool>> {
     let abandoned_at = calls.iter().map(DiscoveryCall::abandoned_at);
     let until = abandoned_at
@@ -358,8 +361,8 @@
                 let is_ready = |socket: &PollFd<'_>| !socket.revents().is_empty();
                 return Ok(sockets.iter().map(is_ready).collect());
             }
-            // Also after the process was stopped: what has arrived meanwhile is read before a call
-            // counts as late.
+            // Also occurs after the process was stopped: what has arrived in the meantime is read
+            // before a call counts as late.
             Err(Errno::INTR) => {}
             Err(e) => return Err(e.into()),
         }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop of a front's core, which runs on the caller's thread.
 //!
-//! Each turn takes the events that have arrived, reads the clock once, lets the core reduce them,
-//! and carries out the effects.
+//! Each turn takes the events that have arrived, reads the clock once, has the core reduce the
+//! events, and carries out the effects.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 
 use crate::Clock;
 
-/// Events that one turn takes, but for the one that it waited for.
+/// Maximum number of events that one turn takes, in addition to the one that it waited for.
 const MAX_BATCH: usize = 512;
 /// The longest wait for an event, in microseconds.
 const MAX_WAIT_MICROS: i64 = 1_000_000;
 
-/// What the event loop has for its caller.
+/// What the event loop passes to its caller.
 pub enum TurnStep {
     /// An effect to carry out.
     Effect(Effect),
-    /// All effects of the turn are carried out: writes that were collected leave now.
+    /// All effects of the turn have been carried out: collected writes are to be sent now.
     EndOfTurn,
 }
 
-/// Whether the event loop goes on.
+/// Whether the event loop continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopControl {
-    /// It does.
+    /// The loop continues.
     Continue,
-    /// It returns at once; further effects are dropped.
+    /// The loop returns at once; further effects are dropped.
     Exit,
 }
 
-/// Runs a core until `execute` says to exit, or no thread can send events any more. What
-/// `execute` returns at the end of a turn is of no account.
+/// Runs a core until `execute` returns [`LoopControl::Exit`], or until no thread can send events
+/// any more. The value that `execute` returns for [`TurnStep::EndOfTurn`] is ignored.
 pub fn run(
     state: &mut State,
     clock: Clock,
--- a/crates/net/src/gossip_transport.rs
+++ b/crates/net/src/gossip_transport.rs
@@ -1,13 +1,13 @@
 //! Gossip between gateways over UDP: membership, and endpoint lists for gateways that have none.
 //!
-//! A datagram has 256 bytes at most: a header with a version, a channel and the fleet, then a
-//! message. Messages are opaque here, and the packages that encode them know neither sockets nor
-//! the header. A datagram of another version or fleet, or from an address that no gateway may have,
-//! is counted and dropped.
+//! A datagram has at most 256 bytes: a header with a version, a channel and the fleet, followed by
+//! a message. Messages are opaque to this module, and the packages that encode them know neither
+//! sockets nor the header. A datagram of another version or fleet, or from an address that is not
+//! allowed for gateways, is counted and dropped.
 //!
-//! One thread receives and runs the timers; any thread may report something, and sends what follows
-//! from it. State: the membership and the requests for lists, each behind a mutex that is not held
-//! while a datagram is sent.
+//! One thread receives datagrams and runs the timers. Any thread may report a change, and sends the
+//! resulting datagrams itself. State: the membership and the requests for lists, each behind a
+//! mutex that is not held while a datagram is sent.
 
 use std::error::Error;
 use std::fmt;
@@ -35,9 +35,9 @@
 
 /// The longest datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The version of the header; datagrams of others are dropped.
+/// The version of the header; datagrams with another version are dropped.
 const VERSION: u8 = 2;
-/// Version, channel, and four bytes for the fleet.
+/// Length of the header: version, channel, and four bytes for the fleet.
 const HEADER_BYTES: usize = 6;
 /// The channel of membership datagrams.
 const MEMBERSHIP_CHANNEL: u8 = 1;
@@ -45,70 +45,73 @@
 const LISTS_CHANNEL: u8 = 2;
 /// The shortest wait for a datagram.
 const MIN_WAIT: Span = Span::from_millis(1);
-/// The longest wait for a datagram: other threads may have started an earlier timer.
+/// The longest wait for a datagram; bounded because other threads may have started an earlier
+/// timer.
 const MAX_WAIT: Span = Span::from_millis(100);
-/// Pause after a receive that failed.
+/// Pause after a failed receive.
 const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Datagrams that were dropped, by reason.
+/// Numbers of dropped datagrams, by reason.
 #[derive(Debug, Default)]
 pub struct DroppedDatagrams {
-    /// Received from an address that no gateway may have.
+    /// Received from an address that is not allowed for gateways.
     pub foreign: AtomicU64,
     /// Received with too many or too few bytes.
     pub size: AtomicU64,
     /// Received with another version or fleet, or an unknown channel.
     pub other: AtomicU64,
-    /// Not sent: the kernel refused it, or no gateway may have the address.
+    /// Not sent, because the kernel refused it or the address is not allowed for gateways.
     pub unsent: AtomicU64,
 }
 
-/// A front whose endpoint list is requested from other gateways, and given to them.
+/// A front whose endpoint list is requested from other gateways and sent to them.
 pub struct GossipedList {
-    /// The front's name, by which gateways know it.
+    /// The front's name, which identifies it among gateways.
     pub front: Arc<str>,
-    /// Its list.
+    /// The front's endpoint list.
     pub store: Arc<Mutex<EndpointListStore>>,
 }
 
-/// What a gossip transport is made of.
+/// Settings and dependencies of a gossip transport.
 pub struct GossipConfig {
-    /// The operators' settings.
+    /// Peer settings of the operators' configuration.
     pub peers: PeerSettings,
-    /// Gateways by the operators' settings: the least that shared budgets are divided by.
+    /// Number of gateways by the operators' settings; shared budgets are divided by at least this
+    /// number.
     pub configured_gateways: u32,
-    /// Seeds all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Cores that learn the number of gateways when it changes.
+    /// Cores that are notified when the number of gateways changes.
     pub cores: Vec<Sender<Event>>,
-    /// The number of gateways that shared budgets are divided by; kept up to date.
+    /// The number of gateways by which shared budgets are divided; kept up to date by the
+    /// transport.
     pub gateway_count: Arc<AtomicU32>,
     /// The fronts whose lists are gossiped.
     pub lists: Vec<GossipedList>,
 }
 
-/// How good this gateway's service is, as it tells the others.
+/// Quality of this gateway's service, as announced to other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServicePhase {
-    /// It has been started and does not know all that it knew before.
+    /// The gateway was started and has not recovered all of its earlier state.
     Starting,
-    /// It serves as well as before the start.
+    /// The gateway serves as well as before the start.
     Full,
 }
 
-/// Why gossip could not be started.
+/// Reason why gossip could not be started.
 #[derive(Debug)]
 pub enum GossipStartError {
-    /// The membership protocol cannot work with the settings.
+    /// The membership protocol does not accept the settings.
     Settings(InvalidSettings),
     /// The address cannot be bound.
     Bind {
-        /// The address by the settings.
+        /// The address in the settings.
         address: SocketAddr,
-        /// Why not.
+        /// The cause of the failure.
         error: io::Error,
     },
-    /// The machine has no thread for it.
+    /// The transport's thread cannot be started.
     Thread(io::Error),
 }
 
@@ -131,14 +134,15 @@
     }
 }
 
-/// Time that goes on while the machine sleeps: a gateway that was suspended has to notice it.
+/// The boot-time clock, which continues while the machine sleeps: a gateway that was suspended has
+/// to detect it.
 fn now() -> Time {
     let now = clock_gettime(ClockId::Boottime);
     let micros = now.tv_sec.saturating_mul(1_000_000);
     Time(micros.saturating_add(now.tv_nsec / 1000))
 }
 
-/// A hash by which a name is known over gateways.
+/// The hash that identifies a name among gateways.
 fn name_hash(name: &str) -> u32 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
@@ -157,18 +161,18 @@
     message: &'a [u8],
 }
 
-/// The gossip of one gateway.
+/// The gossip transport of one gateway.
 pub struct GossipTransport {
     socket: UdpSocket,
     peers: PeerSettings,
     membership: Mutex<Membership>,
-    /// The version of the membership view whose changes were logged last.
+    /// The version of the membership view up to which changes were logged.
     logged_view: AtomicU64,
     list_requests: Mutex<ListExchange>,
     lists: Vec<GossipedList>,
     cores: Vec<Sender<Event>>,
     gateway_count: Arc<AtomicU32>,
-    /// Datagrams that were dropped since the start.
+    /// Numbers of datagrams dropped since the start.
     pub dropped: DroppedDatagrams,
 }
 
@@ -228,12 +232,12 @@
         Ok(transport)
     }
 
-    /// Tells the others that this gateway is about to end.
+    /// Announces to the other gateways that this one is about to exit.
     pub fn leave(&self) {
         self.with_membership(|membership, effects| membership.leave(now(), effects));
     }
 
-    /// Tells the others how good this gateway's service is.
+    /// Announces the quality of this gateway's service to the others.
     pub fn set_service_phase(&self, phase: ServicePhase) {
         let phase = match phase {
             ServicePhase::Starting => Phase::Starting,
@@ -242,12 +246,12 @@
         self.with_membership(|membership, effects| membership.set_phase(phase, now(), effects));
     }
 
-    /// The other gateways that are taken to be alive.
+    /// The other gateways that are considered alive.
     pub fn live_gateways(&self) -> Vec<SocketAddr> {
         lock(&self.membership).live_members().collect()
     }
 
-    /// Lets the membership do something, and carries out what follows from it.
+    /// Runs an action on the membership, and carries out the resulting effects.
     fn with_membership(&self, action: impl FnOnce(&mut Membership, &mut Vec<Effect>)) {
         let mut effects = vec![];
         let mut membership = lock(&self.membership);
@@ -255,7 +259,7 @@
         let logged = self
             .logged_view
             .swap(membership.view_status().version, Ordering::Relaxed);
-        // All other changes have an event of their own.
+        // All other changes are logged by an event of their own.
         let phase_changes: Vec<ViewChange> = membership
             .changes_since(logged)
             .filter(|change| change.reason == ChangeReason::MetadataChanged)
@@ -273,7 +277,7 @@
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let received = self.receive(&mut buffer);
-            // Before all else the membership checks whether this gateway was suspended.
+            // The membership first checks whether this gateway was suspended.
             self.with_membership(|membership, effects| {
                 if membership.next_due() <= now() {
                     membership.tick(now(), effects);
@@ -281,7 +285,7 @@
             });
             match received {
                 Ok((length, from)) => self.on_datagram(&buffer[..length], from),
-                Err(e) if is_silence(&e) => {}
+                Err(e) if is_transient(&e) => {}
                 Err(e) => {
                     tracing::warn!(error = %e, address = %self.peers.listen, "gateway gossip receive failed");
                     sleep(RECEIVE_RETRY_INTERVAL);
@@ -292,7 +296,7 @@
         }
     }
 
-    /// Waits for a datagram until the next timer is due.
+    /// Waits for a datagram, until the next timer is due.
     fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         let lists_due = lock(&self.list_requests).next_due();
         let membership_due = lock(&self.membership).next_due();
@@ -374,7 +378,7 @@
         }
     }
 
-    /// Checks a datagram's sender and header.
+    /// Checks the sender and the header of a datagram, and returns its message.
     fn open<'a>(&self, datagram: &'a [u8], from: SocketAddr) -> Option<Received<'a>> {
         let drop_as = |reason: &AtomicU64| {
             reason.fetch_add(1, Ordering::Relaxed);
@@ -410,7 +414,7 @@
                 Effect::Send { to, bytes } => self.send(MEMBERSHIP_CHANNEL, to, &bytes),
                 Effect::Event(event) => {
                     if matches!(event, MembershipEvent::ProcessPaused(_)) {
-                        // The clock that dates the lists may have stood still too.
+                        // The clock that timestamps the lists may have stood still too.
                         for list in &self.lists {
                             lock(&list.store).forget_confirmation();
                         }
@@ -422,9 +426,9 @@
     }
 }
 
-/// Whether a receive brought nothing. An unreachable peer shows as a refused connection, and is
-/// noticed by its silence anyway.
-fn is_silence(error: &io::Error) -> bool {
+/// Whether a receive failed only because there is no datagram. An unreachable peer causes a refused
+/// connection, and is detected by its silence anyway.
+fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::ConnectionRefused
@@ -442,8 +446,8 @@
     }
 }
 
-/// The number of a build such as 1.2.3: its last two parts, which differ between the builds of one
-/// fleet.
+/// The number of a build such as 1.2.3, made of its last two parts: these differ between the builds
+/// of one fleet.
 fn build_number(version: &str) -> u16 {
     let mut parts = version
         .split('.')
--- a/crates/net/src/gossip_transport/tests.rs
+++ b/crates/net/src/gossip_transport/tests.rs
@@ -1,4 +1,4 @@
-//! The header of a datagram.
+//! Tests of the datagram header and the build number.
 
 use super::*;
 
--- a/crates/net/src/hot_restart.rs
+++ b/crates/net/src/hot_restart.rs
@@ -1,10 +1,10 @@
-//! Hot restart: a new process of the same gateway takes over the listening socket and what the old
-//! one knows.
+//! Hot restart: a new process of the same gateway takes over the listening socket and the state of
+//! the old process.
 //!
-//! The processes meet at a Unix socket. The new one imports from the old one when it starts
-//! ([`request_handoff`]), and then offers the same to its own successor ([`HotRestart::start`]).
-//! [`valehatch_hot_restart`] decides each step; here its actions are carried out by one thread, and
-//! one more thread reads from each peer.
+//! The processes communicate over a Unix socket. A new process imports the state of the old one
+//! when it starts ([`request_handoff`]), and then offers the same to its own successor
+//! ([`HotRestart::start`]). [`valehatch_hot_restart`] decides each step; this module carries out
+//! its actions on one thread, and reads from each peer on another.
 
 mod exporter;
 mod importer;
@@ -19,25 +19,26 @@
 
 use crate::clients::BacklogOwner;
 
-/// Between tries, while another hot restart is under way or the machine has no thread or
-/// descriptor.
+/// Pause between attempts, while another hot restart is in progress or no thread or descriptor is
+/// available.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the old process may take to answer a request for a handoff; it asks its core first.
+/// How long the old process may take to answer a handoff request; it queries its core first.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a peer may take to read a message.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a process does at the steps of a hot restart. Called on the hot restart's thread.
+/// Callbacks of a process for the steps of a hot restart. Called on the hot restart's thread.
 pub trait HandoffHandler: Send + 'static {
-    /// The descriptors and the memory that this process uses now.
+    /// Returns the descriptors and the memory that this process currently uses.
     fn usage(&self) -> ProcessLimits;
-    /// What this process knows, as a snapshot, if one can be encoded; may take some milliseconds.
+    /// Returns a snapshot of this process's state, if one can be encoded; may take some
+    /// milliseconds.
     fn snapshot(&self) -> Option<Vec<u8>>;
-    /// Limits this process, and divides what the fleet shares by this many processes for each
-    /// gateway.
+    /// Sets this process's limits, and divides the budgets that the fleet shares by this many
+    /// processes per gateway.
     fn set_limits(&self, limits: ProcessLimits, processes: u32);
-    /// Takes the encoded endpoint list that the other process has from discovery.
+    /// Handles the encoded endpoint list that the other process has received from discovery.
     fn on_list_forwarded(&self, list: &[u8]);
-    /// Stops accepting connections, for good.
+    /// Stops accepting connections permanently.
     fn stop_accepting(&self, backlog: BacklogOwner);
 }
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -1,7 +1,7 @@
-//! The side of a hot restart that a serving process has: hands over to its successor, and shares
-//! the gateway's limits with its predecessor and its successor while they live.
+//! The serving process's side of a hot restart: hands over to its successor, and shares the
+//! gateway's limits with its predecessor and its successor while they run.
 //!
-//! One thread carries out what the state machine says; it alone has the connections to both.
+//! One thread carries out the state machine's actions; it alone writes to the connections to both.
 //! Further threads read from the predecessor, accept successors, and read from each of them.
 
 use std::fs;
@@ -28,17 +28,17 @@
 
 /// How often this process's usage is reported to the state machine.
 const USAGE_INTERVAL: Duration = Duration::from_millis(50);
-/// Successors whose messages are read at once: one, and others that are asked to retry.
+/// Maximum number of successors that are read from at once: one, and others that are told to retry.
 const MAX_SUCCESSORS: usize = 4;
-/// Events that may wait for the thread.
+/// Maximum number of events that wait for the thread.
 const EVENT_QUEUE: usize = 64;
 
 enum ExporterEvent {
     StateMachine(HandoffEvent),
     SuccessorConnected(Successor),
-    /// This process has an endpoint list from discovery.
+    /// This process has received an endpoint list from discovery.
     ListDiscovered(Vec<u8>),
-    /// The other process has forwarded one.
+    /// The other process has forwarded an endpoint list.
     ListForwarded(Vec<u8>),
 }
 
@@ -47,13 +47,13 @@
     connection: UnixStream,
 }
 
-/// A process's part in hot restarts.
+/// A process's part in hot restarts: its settings and what it hands over.
 pub struct HotRestart {
-    /// Where the processes of the gateway meet.
+    /// Path of the Unix socket at which the processes of the gateway find each other.
     pub path: PathBuf,
-    /// The gateway's name.
+    /// The gateway's name; handoff requests for another name are refused.
     pub gateway: String,
-    /// The listening socket, which is handed over, or closed with a planned shutdown.
+    /// The listening socket, which is handed over to a successor, or closed on a planned shutdown.
     pub listener: Option<TcpListener>,
     /// The limits of both processes together.
     pub total_limits: ProcessLimits,
@@ -64,7 +64,7 @@
 pub struct HandoffHandle(Sender<ExporterEvent>);
 
 impl HandoffHandle {
-    /// A planned shutdown has begun. Never blocks.
+    /// Reports that a planned shutdown has begun. Never blocks.
     pub fn stop(&self) {
         let stop = ExporterEvent::StateMachine(HandoffEvent::ShutdownRequested);
         let _ = self.0.try_send(stop);
@@ -84,7 +84,7 @@
     events: Sender<ExporterEvent>,
     predecessor: Option<UnixStream>,
     successor: Option<Successor>,
-    /// Who has the backlog of the listening socket once this process stops accepting.
+    /// The process that accepts the listening socket's backlog once this process stops accepting.
     backlog: BacklogOwner,
     accepts_successors: bool,
     /// The stage that was logged last.
@@ -92,12 +92,12 @@
 }
 
 impl HotRestart {
-    /// Starts the threads. The process serves, and once this returns a successor finds it.
-    /// `predecessor` is the connection to the old process, if there is one; it is notified that
-    /// this one is ready.
+    /// Starts the threads. When this function returns, the process serves, and a successor can find
+    /// it. `predecessor` is the connection to the old process, if there is one; the old process is
+    /// notified that this one is ready.
     ///
     /// # Errors
-    /// The machine has no thread or descriptor.
+    /// Returns an error if no thread or descriptor is available.
     pub fn start(
         self,
         predecessor: Option<UnixStream>,
@@ -137,14 +137,15 @@
     }
 }
 
-/// Tells the predecessor that this process is ready, and reads its messages from then on.
+/// Notifies the predecessor that this process is ready, and reads its messages from then on.
 fn start_reading_predecessor(
     predecessor: UnixStream,
     events: Sender<ExporterEvent>,
 ) -> io::Result<()> {
     predecessor.set_read_timeout(None)?;
     predecessor.set_write_timeout(Some(WRITE_TIMEOUT))?;
-    // Before this process takes over the path: the predecessor takes it back if this process ends.
+    // Sent before this process takes over the path: the predecessor takes it back if this process
+    // ends.
     let _ = send(&predecessor, &HandoffMessage::Ready);
     spawn("hot restart", move || {
         while let Ok(message) = receive(&predecessor) {
@@ -162,7 +163,7 @@
                         phase: OldProcessPhase::Draining,
                     })
                 }
-                // A predecessor that hung hands over after all: too late.
+                // A handoff by a predecessor that had hung is too late.
                 _ => continue,
             };
             let _ = events.send(event);
@@ -192,8 +193,8 @@
         match event {
             ExporterEvent::StateMachine(event) => {
                 match event {
-                    // Connections in its backlog would never be accepted if this process kept it
-                    // open.
+                    // If this process kept the listening socket open, connections in its backlog
+                    // would never be accepted.
                     HandoffEvent::ShutdownRequested => self.restart.listener = None,
                     HandoffEvent::NewProcessGone(peer) => {
                         drop(self.successor.take_if(|successor| successor.peer == peer));
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Logs limits once a stage; they change with the usage every few milliseconds.
+    /// Logs the limits once per stage; they change with the usage every few milliseconds.
     fn log_limits(&mut self, limits: ProcessLimits, processes: u32) {
         let stage = discriminant(&self.state_machine.stage());
         if self.logged_stage.replace(stage) == Some(stage) {
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Sends the snapshot and the listening socket, unless that is closed, to the successor.
+    /// Sends the snapshot to the successor, together with the listening socket unless it is closed.
     fn hand_over(&mut self) -> io::Result<()> {
         let Some(successor) = &self.successor else {
             return Err(ErrorKind::NotConnected.into());
@@ -307,8 +308,8 @@
         Ok(())
     }
 
-    /// Listens under a name of its own, once, and links the path to it in place of the
-    /// predecessor's.
+    /// Binds a socket with a name of its own on the first call, and links the path to it in place
+    /// of the predecessor's.
     fn take_over_path(&mut self) -> io::Result<()> {
         let process = std::process::id();
         let own = self.path_with_suffix(&format!("{process}"));
@@ -338,9 +339,9 @@
     }
 }
 
-/// Accepts successors for as long as the process lives.
+/// Accepts successors until the process exits.
 fn accept_successors(listener: &UnixListener, gateway: &str, events: &Sender<ExporterEvent>) {
-    // One reference is held by each thread that reads from a successor.
+    // Each thread that reads from a successor holds one reference.
     let readers = Arc::new(());
     for (peer, connection) in (1..).zip(listener.incoming()) {
         let Ok(connection) = connection else {
@@ -378,9 +379,9 @@
     match receive(connection)? {
         HandoffMessage::Request(name) if name == gateway => {}
         HandoffMessage::Request(name) => {
-            return Err(invalid_data(format!("it is gateway {name:?}")));
+            return Err(invalid_data(format!("the request is for gateway {name:?}")));
         }
-        other => return Err(invalid_data(format!("{other:?} instead of a request"))),
+        other => return Err(invalid_data(format!("received {other:?} instead of a request"))),
     }
     connection.set_read_timeout(None)?;
     let send_event = |event| {
@@ -400,7 +401,7 @@
                 )))?;
             }
             HandoffMessage::EndpointList(list) => send_event(ExporterEvent::ListForwarded(list))?,
-            other => return Err(invalid_data(format!("unexpected {other:?}"))),
+            other => return Err(invalid_data(format!("unexpected message {other:?}"))),
         }
     }
 }
--- a/crates/net/src/hot_restart/importer.rs
+++ b/crates/net/src/hot_restart/importer.rs
@@ -1,4 +1,4 @@
-//! The new process's side of a hot restart, on the thread that starts the gateway.
+//! The new process's side of a hot restart. Runs on the thread that starts the gateway.
 
 use std::io::{self, ErrorKind};
 use std::net::TcpListener;
@@ -12,33 +12,33 @@
 use super::socket::{invalid_data, receive_with_listener, send};
 use super::{HANDOFF_TIMEOUT, RETRY_INTERVAL, WRITE_TIMEOUT};
 
-/// How long a handoff is requested again while another hot restart is under way, which ends within
-/// this time.
+/// How long a handoff request is repeated while another hot restart is in progress, which ends
+/// within this time.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the old process has handed over.
+/// State that the old process has handed over.
 pub struct InheritedState {
     /// The listening socket; `None` if the old process is ending and has closed it.
     pub listener: Option<TcpListener>,
-    /// What the old process knows, as a snapshot; may be empty.
+    /// The old process's encoded snapshot; may be empty.
     pub snapshot: Vec<u8>,
     /// The connection to the old process, for [`super::HotRestart::start`].
     pub connection: UnixStream,
 }
 
-/// What came of requesting a handoff.
+/// Result of a handoff request.
 pub enum HandoffOutcome {
-    /// No old process listens.
+    /// No old process listens at the path.
     NoProcess,
     /// The old process has handed over.
     Inherited(Box<InheritedState>),
-    /// Another hot restart has been under way for 5 s.
+    /// Another hot restart was still in progress after 5 s.
     Busy,
-    /// There is a process, but it has handed nothing over.
+    /// There is an old process, but it has not handed anything over.
     Failed {
-        /// Why not.
+        /// The cause of the failure.
         error: io::Error,
-        /// The connection to it, if there is one.
+        /// The connection to the old process, if it was established.
         connection: Option<UnixStream>,
     },
 }
@@ -51,8 +51,8 @@
     Busy,
 }
 
-/// Requests a handoff from the process that listens at this path for the gateway of this name.
-/// Blocks for 5 s at the most while another hot restart is under way, and 1.5 s for each answer.
+/// Requests a handoff from the process that listens at `path` for the gateway of this name. Blocks
+/// for at most 5 s while another hot restart is in progress, and for 1.5 s for each answer.
 pub fn request_handoff(path: &Path, gateway: &str) -> HandoffOutcome {
     let until = Instant::now() + BUSY_TIMEOUT;
     loop {
@@ -61,7 +61,8 @@
             Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
                 return HandoffOutcome::NoProcess;
             }
-            // A signal for this process, which is handled once the start is complete.
+            // Interrupted by a signal for this process, which is handled once the start is
+            // complete.
             Err(e) if e.kind() == ErrorKind::Interrupted && Instant::now() < until => continue,
             Err(e) => {
                 let error = io::Error::new(e.kind(), format!("{}: {e}", path.display()));
@@ -102,6 +103,6 @@
             snapshot,
         }),
         HandoffMessage::Busy => Ok(Reply::Busy),
-        other => Err(invalid_data(format!("{other:?} instead of a handoff"))),
+        other => Err(invalid_data(format!("received {other:?} instead of a handoff"))),
     }
 }
--- a/crates/net/src/hot_restart/socket.rs
+++ b/crates/net/src/hot_restart/socket.rs
@@ -1,5 +1,5 @@
 //! Messages over the Unix socket between two processes of a gateway, and the listening socket that
-//! goes along with one.
+//! is passed with one of them.
 
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -14,7 +14,7 @@
 };
 use valehatch_hot_restart::messages::{self, HEADER_BYTES, HandoffMessage};
 
-/// A message, and the socket that came along with it.
+/// A message, and the socket that was passed with it.
 pub(super) struct MessageWithSocket {
     pub message: HandoffMessage,
     pub listener: Option<TcpListener>,
@@ -44,7 +44,7 @@
     messages::decode(&body).map_err(|e| invalid_data(e.to_string()))
 }
 
-/// Sends a message with a socket along its first byte; returns the bytes that were sent.
+/// Sends a message with the socket attached to its first byte; returns the number of bytes sent.
 pub(super) fn send_with_listener(
     mut stream: &UnixStream,
     message: &HandoffMessage,
@@ -66,12 +66,12 @@
     Ok(bytes.len())
 }
 
-/// Waits for the next message, and takes the socket that comes along with its first byte.
+/// Waits for the next message and receives the socket attached to its first byte.
 pub(super) fn receive_with_listener(mut stream: &UnixStream) -> io::Result<MessageWithSocket> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let mut head = [0; HEADER_BYTES];
-    // Any signal interrupts a read with a timeout, SIGHUP too.
+    // Any signal, including SIGHUP, interrupts a read with a timeout.
     let received = retry_on_intr(|| {
         let mut parts = [IoSliceMut::new(&mut head)];
         rustix::net::recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,13 +1,14 @@
 //! The gateway's I/O: sockets, threads, signals and the log.
 //!
-//! Nothing here decides: threads tell the core what happened ([`valehatch_core::Event`]), the event
-//! loop lets it reduce the events, and the effects are carried out here.
+//! This crate makes no decisions: its threads report events to the core
+//! ([`valehatch_core::Event`]), the event loop has the core process them, and the resulting effects
+//! are carried out here.
 //!
 //! - [`clients`]: downstream connections.
 //! - [`upstream`]: upstream connections.
-//! - [`discovery`]: where endpoint lists come from.
+//! - [`discovery`]: sources of the endpoint lists.
 //! - [`gossip_transport`]: datagrams between gateways.
-//! - [`hot_restart`]: handing over to a new process of the same gateway.
+//! - [`hot_restart`]: handover to a new process of the same gateway.
 //! - [`connection_limits`]: the descriptor budget that clients and upstreams share.
 
 #![forbid(unsafe_code)]
--- a/crates/net/src/log.rs
+++ b/crates/net/src/log.rs
@@ -13,7 +13,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use valehatch_config::operators::{LogLevel, LogSettings};
 
-/// The target of the limit's own lines, which are not limited.
+/// Target of the lines that report suppressed lines; these are not limited themselves.
 const LIMIT_TARGET: &str = "valehatch::log";
 /// The bits of [`LineLimit::window`] that count lines.
 const LINE_BITS: u32 = 24;
@@ -21,26 +21,26 @@
 
 static SUPPRESSED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were suppressed since the start.
+/// Number of lines suppressed since the start.
 pub fn suppressed_lines() -> u64 {
     SUPPRESSED.load(Ordering::Relaxed)
 }
 
-/// Lets a number of lines a second through and suppresses the rest; the first line of a later
-/// second says how many those were.
+/// Limits the number of lines per second and suppresses the rest; the first line of a later second
+/// reports how many were suppressed.
 struct LineLimit {
     lines_per_s: u64,
     started_at: Instant,
-    /// The second, and in the lower [`LINE_BITS`] the lines that were logged in it.
+    /// The current second, and in the lower [`LINE_BITS`] the number of lines logged in it.
     window: AtomicU64,
-    /// Suppressed lines that no line has mentioned yet.
+    /// Number of suppressed lines that have not been reported yet.
     unreported: AtomicU64,
 }
 
-/// What happens to a line.
+/// Whether a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LineDecision {
-    /// It is written, as the first of its second.
+    /// The line is written, as the first one of its second.
     WriteFirst,
     Write,
     Suppress,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Counts a line in a second, counted from 1.
+    /// Counts a line logged in `second`; seconds are counted from 1.
     fn decide(&self, second: u64) -> LineDecision {
         let count_line = |window: u64| {
             if window >> LINE_BITS == second {
@@ -102,7 +102,7 @@
     }
 }
 
-/// Sets up the log of the whole program; further calls change nothing.
+/// Sets up the log of the whole program; further calls have no effect.
 pub fn init(log: LogSettings) {
     let level = match log.level {
         LogLevel::Error => LevelFilter::ERROR,
@@ -118,7 +118,7 @@
     let limited = tracing_subscriber::registry()
         .with(level)
         .with(LineLimit::new(log.lines_per_s));
-    // Only a second call fails.
+    // Fails only on a second call.
     let _ = if log.json {
         let json = lines.json().flatten_event(true);
         limited.with(json).try_init()
--- a/crates/net/src/log/tests.rs
+++ b/crates/net/src/log/tests.rs
@@ -1,4 +1,4 @@
-//! The limit on lines.
+//! Tests of the limit on log lines.
 
 use super::{LineDecision, LineLimit};
 
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,7 +1,7 @@
 //! The process's signals: SIGTERM and SIGINT request a planned shutdown, SIGHUP a reload of the
 //! configuration.
 //!
-//! One thread, which waits for them.
+//! One thread waits for the signals.
 
 use std::io;
 
@@ -13,19 +13,19 @@
 
 use crate::spawn;
 
-/// Catches the signals: they no longer end the program, and wait for [`watch`].
+/// Catches the signals: they no longer end the program, and are queued for [`watch`].
 ///
 /// # Errors
-/// The handlers cannot be installed.
+/// Returns an error if the handlers cannot be installed.
 pub fn catch() -> io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Starts the thread. At SIGTERM and SIGINT it calls `on_shutdown` and then tells the cores, at
-/// SIGHUP it calls `on_reload`, each as often as the signal comes.
+/// Starts the signal thread. On SIGTERM and SIGINT, it calls `on_shutdown` and then notifies the
+/// cores; on SIGHUP, it calls `on_reload`. Each signal repeats the calls.
 ///
 /// # Errors
-/// The machine has no thread for it.
+/// Returns an error if the thread cannot be started.
 pub fn watch(
     mut signals: Signals,
     cores: Vec<Sender<Event>>,
@@ -41,7 +41,7 @@
             tracing::info!("planned shutdown requested");
             on_shutdown();
             for core in &cores {
-                // A core that has ended takes no more events.
+                // A core that has ended accepts no more events.
                 let _ = core.send(Event::ShutdownRequested);
             }
         }
--- a/crates/net/src/threads.rs
+++ b/crates/net/src/threads.rs
@@ -1,5 +1,5 @@
-//! Threads with small stacks, which are reused when the next one is needed soon, and locks that
-//! outlive a panic.
+//! Threads with small stacks that are reused for jobs arriving soon after, and locking of mutexes
+//! regardless of poisoning.
 //!
 //! State: the idle threads, shared by the whole program.
 
@@ -13,20 +13,20 @@
 /// Large data is on the heap, so threads need little stack.
 const STACK_BYTES: usize = 128 * 1024;
 /// How long an idle thread waits for its next job. Connections come and go by the hundreds, and
-/// starting a thread costs more than most of them do; each idle one keeps the allocator's memory
-/// for it.
+/// starting a thread costs more than most of them do; each idle thread, however, retains allocator
+/// memory.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Idle threads; the one that has waited for the shortest time is last.
+/// Idle threads; the one that became idle last is at the end.
 static IDLE: Mutex<Vec<Sender<Job>>> = Mutex::new(vec![]);
 
-/// Runs a job on a thread with a small stack: the one that became idle last, so that threads that
-/// are not needed end, or a new one, which gets this name.
+/// Runs a job on a thread with a small stack: on the one that became idle last, so that surplus
+/// threads end, or on a new one, which gets this name.
 ///
 /// # Errors
-/// The machine has no more threads.
+/// Returns an error if no further thread can be started.
 pub fn spawn(name: &str, job: impl FnOnce() + Send + 'static) -> io::Result<()> {
     let mut job: Job = Box::new(job);
     while let Some(idle) = lock(&IDLE).pop() {
@@ -42,7 +42,7 @@
         .map(drop)
 }
 
-/// Runs this job, and then others until none comes for [`IDLE_TIMEOUT`].
+/// Runs this job, and then further ones until none arrives for [`IDLE_TIMEOUT`].
 fn run_jobs(first: Job) {
     let (sender, receiver) = bounded(1);
     let mut job = first;
@@ -70,7 +70,7 @@
     receiver.recv().ok()
 }
 
-/// Locks a mutex, also after a thread that held it has panicked.
+/// Locks a mutex, even if a thread has panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Upstream connections: carries attempts to endpoints and their replies back to the core.
+//! Upstream connections: send attempts to endpoints and return the replies to the core.
 //!
 //! The core's thread drives all connections of a front through [`Upstream`] and never waits for any
-//! of them. In [`EndpointPools`] a connection that carries a request has a thread, and an idle one
-//! has none.
+//! of them. In [`EndpointPools`], a connection that carries a request occupies a thread, and an
+//! idle one does not.
 
 mod body;
 mod clock_check;
@@ -19,31 +19,34 @@
 
 use crate::clients::ResponseBody;
 
-/// Opens the streamed response of the client that waits for a reply; `None` if no client does. What
-/// is not finished on it is truncated when its last reference is dropped.
+/// Opens the streamed response of the client that waits for a reply; returns `None` if there is no
+/// such client. If the response is not finished, it is truncated when its last reference is
+/// dropped.
 pub type BodyOpener<'a> = &'a dyn Fn() -> Option<Arc<ResponseBody>>;
 
 /// A reply, and whether its connection can carry another request.
 pub struct ReceivedReply {
     /// The reply, or the outcome of an attempt without one.
     pub reply: UpstreamReply,
-    /// The connection is open, and no bytes follow the reply.
+    /// Set if the connection is open and no bytes follow the reply.
     pub reusable: bool,
 }
 
 /// The server side of one protocol: one request at a time on each connection. One instance serves
-/// all connections, from several threads at once; each method may block.
+/// all connections, from several threads at once; every method may block.
 pub trait Protocol: Send + Sync + 'static {
-    /// Makes a new connection ready for requests. The socket has a read timeout meanwhile.
+    /// Performs the protocol's handshake on a new connection. The socket has a read timeout during
+    /// the call.
     ///
     /// # Errors
-    /// The outcome of an attempt that needs the connection.
+    /// Returns the outcome of the attempt that needs the connection.
     fn open(&self, stream: &TcpStream) -> Result<(), Outcome>;
-    /// Encodes a job. The gateway waits this many milliseconds for the reply.
+    /// Encodes a job. The gateway waits `left_ms` milliseconds for the reply.
     fn request(&self, job: &UpstreamJob, left_ms: i64) -> Vec<u8>;
-    /// Reads the whole reply to the bytes that were sent. A body that is too long to be buffered is
-    /// written to what `open_body` opens, but for its last bytes: these are the reply's body, and
-    /// are written once the core knows that the connection is free.
+    /// Reads the complete reply to the request bytes in `sent`. A body that is too long to be
+    /// buffered is written to the response that `open_body` opens, except for its last bytes: these
+    /// are returned as the reply's body, and are written once the core knows that the connection is
+    /// free.
     fn answer(
         &self,
         stream: &TcpStream,
@@ -53,18 +56,18 @@
     ) -> ReceivedReply;
 }
 
-/// All upstream connections of a front, as the core's thread uses them. No method blocks.
+/// All upstream connections of a front, as used by the core's thread. No method blocks.
 pub trait Upstream: Send {
-    /// The core is about to use a connection to this address. It may be opened as late as the first
-    /// job.
+    /// Announces that the core is about to use a connection to this address. The connection may be
+    /// opened as late as the first job.
     fn connect(&mut self, connection: ConnectionId, address: &Arc<str>);
     /// Carries out a job on an idle connection.
     fn submit(&mut self, connection: ConnectionId, job: UpstreamJob);
-    /// The streamed response that a connection has asked for; `None` if the client has
+    /// Passes on the streamed response that a connection has requested; `None` if the client has
     /// disconnected.
     fn forward_body(&mut self, _connection: ConnectionId, _body: Option<ResponseBody>) {}
-    /// Closes a connection, whatever it carries.
+    /// Closes a connection, even if it carries a job.
     fn close(&mut self, connection: ConnectionId);
-    /// The core's turn is over: sends what was submitted in it.
+    /// Sends what was submitted. Called at the end of each turn of the core's event loop.
     fn flush(&mut self) {}
 }
--- a/crates/net/src/upstream/body.rs
+++ b/crates/net/src/upstream/body.rs
@@ -1,7 +1,7 @@
-//! The way of a streamed reply from an upstream connection's thread to its client.
+//! Passes a client's streamed response to the upstream connection whose reply is streamed to it.
 //!
-//! The thread tells the core that a reply has begun and waits; the core's thread hands it the
-//! client's response.
+//! The connection's thread reports to the core that a reply has begun, and waits; the core's thread
+//! then passes the client's response to it.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use crate::clients::{ResponseBody, STREAMING_SOCKET_BUFFER};
 
 impl UpstreamConnection {
-    /// Asks the core for the response to stream to; `None` if the client has disconnected or the
-    /// connection was closed.
+    /// Requests the response to stream to from the core. Returns `None` if the client has
+    /// disconnected or the connection was closed.
     pub(super) fn open_body(&self, stream: &TcpStream) -> Option<Arc<ResponseBody>> {
         let (sender, receiver) = bounded(1);
         {
@@ -35,8 +35,8 @@
         receiver.recv().ok().map(Arc::new)
     }
 
-    /// Hands over the response that was asked for; without one, the thread that waits for it gets
-    /// none.
+    /// Passes the requested response to the thread that waits for it; if `body` is `None`, that
+    /// thread gets none.
     pub(super) fn forward_body(&self, body: Option<ResponseBody>) {
         let waiter = self.control().body_waiter.take();
         if let (Some(waiter), Some(body)) = (waiter, body) {
--- a/crates/net/src/upstream/clock_check.rs
+++ b/crates/net/src/upstream/clock_check.rs
@@ -1,7 +1,7 @@
-//! Checks the times that endpoints report: corrects the cluster's clock by them, and drops those
-//! that cannot be true.
+//! Checks the times that endpoints report: corrects the cluster's clock by them, and discards
+//! implausible ones.
 //!
-//! Runs on the thread of the attempt, under the lock of the cluster's clock. No state of its own.
+//! Runs on the attempt's thread, with the lock of the cluster's clock held. Keeps no state.
 
 use crossbeam_channel::Sender;
 use valehatch_core::cluster_clock::{ClockSample, ClusterClock};
@@ -10,9 +10,9 @@
 
 use crate::Clock;
 
-/// How far in the future a reported time may be: it is rounded, and clocks drift.
+/// How far in the future a reported time may be: times are rounded, and clocks drift.
 const ROUNDING_TOLERANCE: Span = Span::from_millis(5);
-/// How old a reported position may be.
+/// Maximum age of a reported position.
 const MAX_POSITION_AGE: Span = Span::from_millis(86_400_000);
 
 /// When an attempt was sent and its reply received.
@@ -44,7 +44,7 @@
         let _ = events.send(Event::ClockCorrected(correction));
     }
 
-    /// The time of a reported position, if it can be true.
+    /// The time of a reported position, or `None` if it is implausible.
     fn plausible_position(self, cluster: &ClusterClock, unix_micros: i64) -> Option<Time> {
         let position = time_of(cluster, unix_micros);
         let plausible = position <= self.received_at + ROUNDING_TOLERANCE
@@ -53,14 +53,15 @@
     }
 }
 
-/// A Unix time by the cluster's clock as it is now.
+/// Converts a Unix time by the current offset of the cluster's clock.
 fn time_of(cluster: &ClusterClock, unix_micros: i64) -> Time {
     Time(unix_micros.saturating_sub(cluster.offset()))
 }
 
-/// Corrects the cluster's clock by the times in a reply, and replaces these by times on this
-/// machine's clock. Positions that cannot be true are dropped, and all of a replica while the clock
-/// has to be verified and is not: otherwise data might be taken for newer than it is.
+/// Corrects the cluster's clock by the times in a reply, and replaces them by times on this
+/// machine's clock. Implausible positions are discarded; while the clock must be verified and is
+/// not, all positions of replicas are discarded, since data could otherwise be taken for newer than
+/// it is.
 pub(super) fn check_times(
     cluster: &mut ClusterClock,
     reply: &mut UpstreamReply,
@@ -100,7 +101,7 @@
         position.filter(|_| trusts_clock)
     };
     reply.position = if from_primary {
-        // Whatever the clock says, a primary was at its position between sending and receiving.
+        // Regardless of the clock, a primary was at its position between sending and receiving.
         position.map(|unix_micros| {
             time_of(cluster, unix_micros).clamp(window.sent_at, window.received_at)
         })
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -1,8 +1,8 @@
-//! One upstream connection, which carries one job at a time.
+//! An upstream connection, which carries one job at a time.
 //!
-//! A job runs on its own thread: it connects if need be, writes the request, reads the reply and
-//! tells the core. The core's thread may close the connection meanwhile. State: the connection
-//! itself, of which the idle one is kept for the next job.
+//! A job runs on its own thread: it connects if necessary, writes the request, reads the reply and
+//! reports the outcome to the core. The core's thread may close the connection at any time. State:
+//! the open connection, which is kept for the next job while it is idle.
 
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Write};
@@ -23,14 +23,14 @@
 use crate::connection_limits::{SharedConnectionLimiter, UpstreamSlot};
 use crate::{Clock, lock};
 
-/// How long a connect that fails for want of a local resource is retried.
+/// How long a connect that fails for lack of a local resource is retried.
 const LOCAL_RETRY_TIMEOUT: Duration = Duration::from_millis(200);
-/// The first pause between such retries; it doubles each time.
+/// The first pause between such retries; doubled after each.
 const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The shortest timeout that the kernel takes for one.
+/// The shortest socket timeout: the kernel takes zero for no timeout.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What all connections of a front share.
+/// Settings and services shared by all connections of a front.
 #[derive(Clone)]
 pub(super) struct UpstreamContext {
     pub protocol: Arc<dyn Protocol>,
@@ -42,18 +42,18 @@
     pub limiter: Arc<SharedConnectionLimiter>,
 }
 
-/// What the core's thread may do at any time: close the connection, and hand over a response to
-/// stream to.
+/// State through which the core's thread controls a connection at any time: it may close the
+/// connection, and pass on a response to stream to.
 #[derive(Default)]
 pub(super) struct ConnectionControl {
     pub closed: bool,
     pub stream: Option<Arc<PooledConnection>>,
-    /// The job's thread, while it waits for a response to stream to.
+    /// Sender to the job's thread while that waits for a response to stream to.
     pub body_waiter: Option<Sender<ResponseBody>>,
 }
 
-/// An established connection. Its slot is given back after its descriptor: fields are dropped in
-/// order.
+/// An established connection. Fields are dropped in order, so the slot is released after the
+/// descriptor.
 pub(super) struct PooledConnection {
     stream: TcpStream,
     _slot: UpstreamSlot,
@@ -69,14 +69,14 @@
 pub(super) struct UpstreamConnection {
     pub id: ConnectionId,
     pub context: Arc<UpstreamContext>,
-    /// `None` if the endpoint's address is not valid: every attempt fails then.
+    /// `None` if the endpoint's address is invalid; every attempt then fails.
     address: Option<SocketAddr>,
     control: Mutex<ConnectionControl>,
-    /// The connection that the last job has left for the next.
+    /// The open connection that the last job left for the next one.
     idle: Mutex<Option<Arc<PooledConnection>>>,
 }
 
-/// What came of an attempt.
+/// Result of an attempt.
 struct Exchange {
     received: ReceivedReply,
     /// When the request was written; `None` if it was not.
@@ -84,7 +84,7 @@
 }
 
 impl Exchange {
-    /// No request was written, and the connection is of no further use.
+    /// No request was written, and the connection cannot be reused.
     const fn failed(outcome: Outcome) -> Self {
         Self {
             received: ReceivedReply {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The request must not be sent any more; the connection is ready for the next one.
+    /// The request must not be sent any more; the connection can carry the next one.
     const fn not_sent() -> Self {
         Self {
             received: ReceivedReply {
@@ -122,7 +122,7 @@
         lock(&self.control)
     }
 
-    /// Closes the connection, whatever it carries. Called by the core's thread.
+    /// Closes the connection, even if it carries a job. Called by the core's thread.
     pub(super) fn close(&self) {
         let mut control = self.control();
         control.closed = true;
@@ -132,18 +132,17 @@
         }
     }
 
-    /// Carries out a job and tells the core its outcome.
+    /// Runs a job and reports its outcome to the core.
     pub(super) fn run(&self, job: &UpstreamJob) {
-        // An endpoint that has closed an idle connection, or was restarted, shows it before
-        // anything is written: the request then goes over a new connection and has not been sent
-        // yet.
+        // If an endpoint has closed an idle connection or was restarted, this is detected before
+        // anything is written: the request has not been sent then, and uses a new connection.
         let idle = lock(&self.idle).take();
-        let connection = match idle.filter(|idle| is_quiet(idle)) {
+        let connection = match idle.filter(|idle| is_reusable(idle)) {
             Some(connection) => Ok(connection),
             None => self.open(job),
         };
-        // A streamed response that was not finished is truncated when this function returns, after
-        // the core has learnt why.
+        // An unfinished streamed response is truncated when this function returns, after the reason
+        // was reported to the core.
         let body = RefCell::new(None);
         let exchange = match connection {
             Err(outcome) => Exchange::failed(outcome),
@@ -165,9 +164,9 @@
         self.report(exchange, body.into_inner());
     }
 
-    /// Tells the core the outcome, and then writes the last bytes of a streamed response: the
-    /// client may send its next request as soon as it has them, and this connection has to be free
-    /// by then.
+    /// Reports the outcome to the core, and then writes the last bytes of a streamed response: the
+    /// client may send its next request as soon as it receives them, and this connection has to be
+    /// free by then.
     fn report(&self, exchange: Exchange, body: Option<Arc<ResponseBody>>) {
         let ReceivedReply {
             mut reply,
@@ -177,8 +176,8 @@
         if body.is_some() && reply.outcome == Outcome::Ok {
             last_bytes = reply.body.take();
         }
-        // Held until the event is queued: the core learns a correction of the clock before or after
-        // all times of this reply, and not in between.
+        // Held until the event is queued, so that the core learns of a clock correction before or
+        // after all times of this reply, but not in between.
         let mut cluster = self.context.clock.cluster();
         if let Some(sent_at) = exchange.sent_at {
             let window = ReplyWindow {
@@ -206,8 +205,8 @@
         }
     }
 
-    /// Connects and runs the protocol's handshake, both within the connect timeout and the job's
-    /// deadline.
+    /// Connects and performs the protocol's handshake, both within the connect timeout and the
+    /// job's deadline.
     fn open(&self, job: &UpstreamJob) -> Result<Arc<PooledConnection>, Outcome> {
         let failed = |_: io::Error| Outcome::ConnectFailed;
         let address = self.address.ok_or(Outcome::ConnectFailed)?;
@@ -219,8 +218,8 @@
         let began_at = self.context.clock.now();
         let job_timeout = match job {
             UpstreamJob::Request {
-                deadline: until, ..
-            } => Duration::from_micros((*until - began_at).0.max(1_000).unsigned_abs()),
+                deadline, ..
+            } => Duration::from_micros((*deadline - began_at).0.max(1_000).unsigned_abs()),
             UpstreamJob::HealthCheck => self.context.connect_timeout,
         };
         let timeout = job_timeout.min(self.context.connect_timeout);
@@ -247,8 +246,8 @@
         Ok(connection)
     }
 
-    /// Connects. A failure for want of a local resource says nothing about the endpoint and is
-    /// mostly over in a moment, so the connect is retried.
+    /// Connects to the endpoint. A failure for lack of a local resource says nothing about the
+    /// endpoint and usually does not last, so the connect is retried.
     fn connect(&self, address: &SocketAddr, timeout: Duration) -> Result<TcpStream, Outcome> {
         let began_at = Instant::now();
         let mut pause = LOCAL_RETRY_INTERVAL;
@@ -256,12 +255,12 @@
             let left = timeout.saturating_sub(began_at.elapsed()).max(MIN_TIMEOUT);
             let error = match TcpStream::connect_timeout(address, left) {
                 Ok(stream) => return Ok(stream),
-                Err(e) if !is_local(&e) => return Err(Outcome::ConnectFailed),
+                Err(e) if !is_local_failure(&e) => return Err(Outcome::ConnectFailed),
                 Err(e) => e,
             };
             let gives_up = began_at.elapsed() + pause > timeout.min(LOCAL_RETRY_TIMEOUT);
             if gives_up || self.control().closed {
-                tracing::warn!(%error, %address, "connect failed for want of a local resource");
+                tracing::warn!(%error, %address, "connect failed for lack of a local resource");
                 return Err(Outcome::LocalFailure);
             }
             sleep(pause);
@@ -273,21 +272,21 @@
     fn exchange(&self, stream: &TcpStream, job: &UpstreamJob, open_body: BodyOpener) -> Exchange {
         let sent_at = self.context.clock.now();
         let left_ms = match job {
-            // The connect may have outlived the request, the endpoint's permit or the window for a
-            // retry.
+            // The request, the endpoint's permit or the window for a retry may have expired during
+            // the connect.
             UpstreamJob::Request { permit, .. } if permit.try_acquire(sent_at).is_err() => {
                 return Exchange::not_sent();
             }
             UpstreamJob::Request {
-                deadline: until, ..
-            } => (*until - sent_at).0 / 1000,
+                deadline, ..
+            } => (*deadline - sent_at).0 / 1000,
             UpstreamJob::HealthCheck => {
                 i64::try_from(self.context.connect_timeout.as_millis()).unwrap_or(i64::MAX)
             }
         };
         let request = self.context.protocol.request(job, left_ms.max(1));
-        // A failure before the last byte is written means that nothing ran; after it, the request
-        // may have run.
+        // If writing fails before the last byte, the request was not executed; after the last byte,
+        // it may have been.
         let mut writer = stream;
         if writer.write_all(&request).is_err() {
             return Exchange::failed(Outcome::ConnectFailed);
@@ -307,9 +306,9 @@
     }
 }
 
-/// Whether a connect failed for want of a local resource: descriptors, ports, memory or a route.
-fn is_local(error: &io::Error) -> bool {
-    const LOCAL: [i32; 8] = [
+/// Whether a connect failed for lack of a local resource: descriptors, ports, memory or a route.
+fn is_local_failure(error: &io::Error) -> bool {
+    const LOCAL_ERRORS: [i32; 8] = [
         libc::EADDRNOTAVAIL,
         libc::ENETUNREACH,
         libc::ENETDOWN,
@@ -321,11 +320,11 @@
     ];
     error
         .raw_os_error()
-        .is_some_and(|number| LOCAL.contains(&number))
+        .is_some_and(|number| LOCAL_ERRORS.contains(&number))
 }
 
-/// Whether an idle connection is open and nothing was received on it that no request asked for.
-fn is_quiet(stream: &TcpStream) -> bool {
+/// Whether an idle connection is open and has received no unsolicited bytes.
+fn is_reusable(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
     }
--- a/crates/net/src/upstream/pool.rs
+++ b/crates/net/src/upstream/pool.rs
@@ -1,6 +1,6 @@
-//! Upstream connections that carry one request at a time, by the core's ids.
+//! Upstream connections that carry one request at a time, by the connection ids of the core.
 //!
-//! Used by the core's thread only; each job runs on a thread of its own. State: one
+//! Used only by the core's thread; each job runs on a thread of its own. State: one
 //! [`UpstreamConnection`] for each connection that the core has.
 
 use std::collections::HashMap;
@@ -18,15 +18,15 @@
 use crate::connection_limits::SharedConnectionLimiter;
 use crate::{Clock, spawn};
 
-/// The upstream connections of a front.
+/// The upstream connections of a front, each of which carries one request at a time.
 pub struct EndpointPools {
     context: Arc<UpstreamContext>,
     connections: HashMap<ConnectionId, Arc<UpstreamConnection>>,
 }
 
 impl EndpointPools {
-    /// Pools without connections. `connect_timeout` is for connecting and the protocol's handshake
-    /// together.
+    /// Creates pools without connections. `connect_timeout` covers connecting and the protocol's
+    /// handshake together.
     pub fn new(
         protocol: Arc<dyn Protocol>,
         events: Sender<Event>,
@@ -49,16 +49,16 @@
         }
     }
 
-    /// Whether positions count only once a primary has confirmed this machine's clock: where
-    /// endpoints do not check the age of their own data, nobody else would notice that it is taken
-    /// for newer than it is.
+    /// Sets whether positions are only accepted once a primary has confirmed this machine's clock.
+    /// Required where endpoints do not check the age of their own data: nothing else would detect
+    /// that stale data is taken for newer than it is.
     #[must_use]
     pub fn require_verified_clock(mut self, required: bool) -> Self {
         Arc::make_mut(&mut self.context).requires_verified_clock = required;
         self
     }
 
-    /// Counts attempts whose last byte was written, if there are metrics.
+    /// Counts attempts whose request was written completely, if metrics are given.
     #[must_use]
     pub fn count_attempts(mut self, metrics: Option<Arc<OutcomeMetrics>>) -> Self {
         Arc::make_mut(&mut self.context).metrics = metrics;
@@ -67,15 +67,15 @@
 }
 
 impl Upstream for EndpointPools {
-    /// Opens nothing yet: the first job does.
+    /// Opens no connection yet; the first job does.
     fn connect(&mut self, connection: ConnectionId, address: &Arc<str>) {
         let context = Arc::clone(&self.context);
         let upstream = UpstreamConnection::new(connection, address, context);
         self.connections.insert(connection, Arc::new(upstream));
     }
 
-    /// Runs the job on a thread of the shared ones. An idle connection has none, since a gateway of
-    /// a large fleet has a connection to nearly every endpoint and uses each seldom.
+    /// Runs the job on a shared thread. An idle connection has no thread, because a gateway of a
+    /// large fleet has a connection to nearly every endpoint and uses each one rarely.
     fn submit(&mut self, connection: ConnectionId, job: UpstreamJob) {
         let Some(upstream) = self.connections.get(&connection).map(Arc::clone) else {
             return;
--- a/crates/net/tests/gossip_header.rs
+++ b/crates/net/tests/gossip_header.rs
@@ -1,5 +1,5 @@
-//! Bytes in front of each datagram between gateways: version, channel, and the hash of the fleet's
-//! name.
+//! Tests of the header of each datagram between gateways: version, channel, and the hash of the
+//! fleet's name.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     let seed = UdpSocket::bind("127.0.0.1:0").unwrap();
     seed.set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    // A port that was free a moment ago: the transport has to know its own.
+    // Uses a port that was free just before, because the transport has to know its own address.
     let own = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,4 +1,5 @@
-//! HTTP responses, complete and incomplete, in all the forms of RFC 9112 that a server may choose.
+//! Tests of parsing complete and incomplete HTTP responses, in all forms of RFC 9112 that a server
+//! may choose.
 
 use valehatch_net::discovery::http::{HttpError, Response, Sending, parse_response};
 
@@ -9,7 +10,8 @@
     }))
 }
 
-/// Responses whose end does not depend on the connection's, and whether the connection is reusable.
+/// Responses whose end does not depend on the connection's close, with their bodies and whether the
+/// connection is reusable.
 const FRAMED: [(&str, &str, bool); 14] = [
     (
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
