--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -2,28 +2,29 @@
 //! are evicted.
 //!
 //! A state machine without I/O, clock or threads; the caller passes the time in. Client and
-//! upstream connections share one budget, and no part of it is set aside for either. The rules:
+//! upstream connections share one budget, and no part of it is reserved for either. The rules:
 //!
-//! - **Upstream connections follow the requests.** What requests in flight need, and a little more,
-//!   counts as used; the rest is for clients.
+//! - **Upstream connections follow the requests.** The descriptors that requests in flight need,
+//!   plus a small reserve, count as used; the rest is available to clients.
 //! - **Idle connections are evicted when descriptors run short**: first those that never sent a
 //!   request, then those that sent one, then those that were reused (a burst of one-off clients
-//!   passes through the first two, as a scan does in 2Q). Within each kind the longest idle goes
-//!   first. Eviction starts before the budget is exhausted, so that new connections need not wait
-//!   for it: early for connections that never sent a request, late for the others.
-//! - **Connections idle after one request are evicted early where few clients may send requests at
-//!   once** ([`ConnectionLimits::active_clients`]), whether or not descriptors are free.
-//! - **A connection with a partial request is kept** until the I/O side times it out. Only when
-//!   such connections hold more than half of the budget, the one that has been incomplete for the
-//!   longest is evicted.
+//!   only passes through the first two, like a scan in 2Q). Within each kind, the connection that
+//!   has been idle for the longest is evicted first. Eviction starts before the budget is
+//!   exhausted, so that new connections need not wait for it: early for connections that never sent
+//!   a request, late for the others.
+//! - **Connections idle after one request are evicted early if only few clients may send requests
+//!   at the same time** ([`ConnectionLimits::active_clients`]), even if descriptors are free.
+//! - **A connection with a partial request is kept** until the I/O layer times it out. Only if such
+//!   connections hold more than half of the budget, the one whose request has been incomplete for
+//!   the longest is evicted.
 //! - **No connection is refused at once.** While the budget is exhausted, new connections wait in
-//!   the listener's backlog. After [`OVERFLOW_DELAY`] a few more are admitted, and their requests
-//!   are rejected only if requests in flight hold the budget: where partial requests hold it,
-//!   upstream connections are idle and the request can be served.
+//!   the listener's backlog. After [`OVERFLOW_DELAY`] a few more are admitted. Their requests are
+//!   rejected only if requests in flight hold the budget: if partial requests hold it, upstream
+//!   connections are idle and the request can be served.
 //!
-//! State is one entry a client connection, [`ConnectionLimits::total`] plus
-//! [`ConnectionLimits::overflow`] at most, and a count of upstream connections. Ties are broken by
-//! time, then by connection id.
+//! State: one entry per client connection, at most [`ConnectionLimits::total`] plus
+//! [`ConnectionLimits::overflow`], and a count of upstream connections. Ties are broken by time,
+//! then by connection id.
 
 #![forbid(unsafe_code)]
 
@@ -34,47 +35,47 @@
 
 use valehatch_policy::{Span, Time};
 
-/// How soon after a response a client could still take a closing error for a second response.
+/// Time after a response within which a client could take a closing error for a second response.
 pub const ANSWER_SETTLE_TIME: Span = Span::from_millis(250);
-/// How long a new connection is not evicted: its first request may be on its way.
+/// How long a new connection is not evicted, because its first request may be on its way.
 pub const FIRST_REQUEST_GRACE: Span = Span::from_millis(50);
 /// How long new connections wait in the backlog of an exhausted budget before a few more are
 /// admitted.
 pub const OVERFLOW_DELAY: Span = Span::from_millis(50);
-/// Unused connections are evicted while less than one in this many descriptors is free.
+/// Unused connections are evicted while fewer than one in this many descriptors is free.
 const UNUSED_HEADROOM_DIVISOR: usize = 8;
 /// Connections idle after one request are evicted while less than one in this many of the active
 /// clients' share is free.
 const ACTIVE_HEADROOM_DIVISOR: usize = 4;
-/// All other connections are evicted while less than one in this many descriptors is free.
+/// All other connections are evicted while fewer than one in this many descriptors is free.
 const HEADROOM_DIVISOR: usize = 32;
 /// One in this many descriptors is reserved for upstream connections that the next requests will
 /// need.
 const UPSTREAM_HEADROOM_DIVISOR: usize = 32;
 
-/// How many connections a front may have.
+/// Limits on the connections of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Client and upstream connections together.
+    /// Maximum number of client and upstream connections together.
     pub total: usize,
     /// Upstream connections beyond `total` when many requests arrive at once; clients that waited
-    /// for [`OVERFLOW_DELAY`] may take half of it.
+    /// for [`OVERFLOW_DELAY`] may use half of them.
     pub overflow: usize,
-    /// Upstream connections; 0 where they are counted elsewhere.
+    /// Maximum number of upstream connections; 0 if they are counted elsewhere.
     pub upstream: usize,
-    /// Client connections that have sent a request, where clients can have only so many;
-    /// `usize::MAX` where they are not limited.
+    /// Maximum number of client connections that have sent a request; `usize::MAX` if they are not
+    /// limited.
     pub active_clients: usize,
-    /// How long after a response a connection is not evicted: at least [`ANSWER_SETTLE_TIME`] where
+    /// How long after a response a connection is not evicted: at least [`ANSWER_SETTLE_TIME`] if
     /// the protocol has a closing error, and otherwise until another request is unlikely to be on
     /// its way.
     pub settle_time: Span,
 }
 
-/// What a client connection is doing.
+/// Activity of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ConnectionActivity {
-    /// Idle, and no request has been sent on it: nothing at all came, or only the protocol's
+    /// Idle, and no request has been sent on it: nothing was received, or only the protocol's
     /// handshake.
     Unused,
     /// Part of a request has been read, or the client sends in small writes and more is expected.
@@ -85,41 +86,42 @@
     IdleAfterOne,
     /// Idle after more than one request.
     IdleReused,
-    /// This side is closing it; its descriptor is about to be freed.
+    /// This side is closing the connection; its descriptor is about to be freed.
     Closing,
 }
 
 const ACTIVITIES: usize = 6;
 
-/// What happens to a complete request.
+/// Decision on a complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is admitted.
+    /// The request is admitted.
     Admit,
-    /// Requests in flight hold the whole budget: the client is told when to retry.
+    /// Requests in flight hold the whole budget: the request is rejected, and the client is told
+    /// when to retry.
     Reject,
 }
 
-/// A client connection that is to be closed, and what it was doing when it was chosen.
+/// A client connection that is to be closed, and its activity when it was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Eviction {
     /// The connection's id, as given to [`ConnectionLimiter::admit`].
     pub id: u64,
-    /// Its activity until now; the limiter counts it as [`ConnectionActivity::Closing`] from here
-    /// on.
+    /// The connection's activity so far; from now on the limiter counts it as
+    /// [`ConnectionActivity::Closing`].
     pub activity: ConnectionActivity,
 }
 
-/// Connections that count against the budget.
+/// Numbers of connections that count against the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Connections of clients.
+    /// Number of client connections.
     pub clients: usize,
-    /// Connections to endpoints.
+    /// Number of upstream connections.
     pub upstream: usize,
 }
 
-/// The index by activity disagrees with the connections; a fault of this module.
+/// The index by activity disagrees with the connections, which indicates a fault of this module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InconsistentIndex;
 
@@ -137,14 +139,15 @@
     since: Time,
 }
 
-/// Orders connections of one activity: the one that has been in it for the longest comes first.
+/// Sort key of connections with the same activity: the one that has had it for the longest comes
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ActivityEntry {
     since: Time,
     id: u64,
 }
 
-/// The connections of one front against its [`ConnectionLimits`].
+/// Tracks the connections of one front against its [`ConnectionLimits`].
 #[derive(Clone, Debug)]
 pub struct ConnectionLimiter {
     limits: ConnectionLimits,
@@ -157,7 +160,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter without connections.
+    /// Creates a limiter without connections.
     #[must_use]
     pub fn new(limits: ConnectionLimits) -> Self {
         Self {
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Replaces the limits. Connections beyond smaller ones are evicted once they are idle.
+    /// Replaces the limits. If they are lowered, connections beyond them are evicted once they are
+    /// idle.
     pub const fn resize(&mut self, limits: ConnectionLimits) {
         self.limits = limits;
     }
@@ -178,14 +182,14 @@
         self.by_activity[activity as usize].len()
     }
 
-    /// Descriptors that upstream connections use, and those that they are about to need.
+    /// Descriptors that upstream connections use, and those that they are expected to need.
     fn upstream_demand(&self) -> usize {
         let in_use = self.upstream.max(self.count(ConnectionActivity::Active));
         let expected = in_use + self.limits.total / UPSTREAM_HEADROOM_DIVISOR;
         self.upstream.max(expected.min(self.limits.upstream))
     }
 
-    /// Whether one more client connection may be accepted now. Call it before
+    /// Whether one more client connection may be accepted now. To be called before
     /// [`ConnectionLimiter::admit`].
     pub fn can_admit(&mut self, now: Time) -> bool {
         let used = self.clients.len() + self.upstream_demand();
@@ -197,7 +201,7 @@
         used < self.limits.total + self.limits.overflow / 2 && since + OVERFLOW_DELAY <= now
     }
 
-    /// Adds a client connection that was accepted. An id that is already known stays as it is.
+    /// Adds an accepted client connection. An id that is already known is left unchanged.
     pub fn admit(&mut self, now: Time, id: u64) {
         if let Entry::Vacant(vacant) = self.clients.entry(id) {
             let activity = ConnectionActivity::Unused;
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Sets what a client connection has been doing since `since`. Unknown ids are ignored.
+    /// Sets the activity that a client connection has had since `since`. Unknown ids are ignored.
     pub fn set_activity(&mut self, id: u64, activity: ConnectionActivity, since: Time) {
         let Some(state) = self.clients.get_mut(&id) else {
             return;
@@ -231,11 +235,11 @@
         self.by_activity[state.activity as usize].remove(&ActivityEntry { since, id });
     }
 
-    /// The next client connection to close, if descriptors run short; call it until it returns
-    /// `None`.
+    /// Returns the next client connection to close, if descriptors run short. To be called until it
+    /// returns `None`.
     ///
-    /// The connection counts as closing from here on. A caller that cannot close it reports what it
-    /// does by [`ConnectionLimiter::set_activity`].
+    /// The connection counts as closing from now on. A caller that cannot close it reports its
+    /// activity by [`ConnectionLimiter::set_activity`].
     pub fn evict_idle(&mut self, now: Time) -> Option<Eviction> {
         let total = self.limits.total;
         let remaining = self.clients.len() - self.count(ConnectionActivity::Closing);
@@ -277,8 +281,8 @@
     /// Connections idle after one request are evicted while fewer descriptors than this are free.
     fn headroom_after_one(&self) -> usize {
         // Clients that send one request and stay connected would use up the connections on which
-        // clients may send requests, until none could send any: they go whatever number of
-        // descriptors is free.
+        // clients may send requests, until no other client could send any. They are therefore
+        // evicted regardless of the number of free descriptors.
         let active = self.count(ConnectionActivity::Active)
             + self.count(ConnectionActivity::IdleAfterOne)
             + self.count(ConnectionActivity::IdleReused);
@@ -312,8 +316,8 @@
         }
     }
 
-    /// Counts one more upstream connection, if the budget and its overflow allow it; says whether
-    /// they do.
+    /// Counts one more upstream connection, if the budget and its overflow allow it; returns
+    /// whether they do.
     pub fn try_acquire_upstream(&mut self) -> bool {
         let limit = self.limits.total + self.limits.overflow;
         let fits = self.clients.len() + self.upstream < limit;
@@ -321,12 +325,12 @@
         fits
     }
 
-    /// Gives back the descriptor of an upstream connection that was closed.
+    /// Releases the descriptor of an upstream connection that was closed.
     pub const fn release_upstream(&mut self) {
         self.upstream = self.upstream.saturating_sub(1);
     }
 
-    /// How many connections count against the budget now.
+    /// Number of connections that currently count against the budget.
     #[must_use]
     pub fn counts(&self) -> ConnectionCounts {
         ConnectionCounts {
@@ -335,11 +339,11 @@
         }
     }
 
-    /// Checks what must hold after each call: every connection is indexed once, under its own
-    /// activity.
+    /// Checks the invariant that must hold after each call: every connection is indexed once, under
+    /// its own activity.
     ///
     /// # Errors
-    /// The index disagrees with the connections.
+    /// Returns an error if the index disagrees with the connections.
     pub fn check(&self) -> Result<(), InconsistentIndex> {
         let indexed = |(id, state): (&u64, &ClientState)| {
             let since = state.since;
--- a/crates/connection-limits/tests/connection_limiter.rs
+++ b/crates/connection-limits/tests/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! Admission, eviction and the bounds of the connection limiter.
+//! Tests of admission, eviction and the limits of the connection limiter.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -35,14 +35,14 @@
     Eviction { id, activity }
 }
 
-/// Evicts until nothing is left to evict.
+/// Evicts until no further connection is chosen.
 fn evict_all(limiter: &mut ConnectionLimiter, now: Time) -> Vec<Eviction> {
     std::iter::from_fn(|| limiter.evict_idle(now)).collect()
 }
 
 #[rstest]
-// Of 64 descriptors 8 are kept free of unused connections, 2 of others; 2 are for upstream
-// connections.
+// Of 64 descriptors, 8 are kept free of unused connections and 2 of others; 2 are reserved for
+// upstream connections.
 #[case::unused_after_grace(ConnectionActivity::Unused, 57, 50, 3)]
 #[case::unused_within_grace(ConnectionActivity::Unused, 57, 49, 0)]
 #[case::unused_with_headroom(ConnectionActivity::Unused, 54, 9_000, 0)]
@@ -71,7 +71,7 @@
 }
 
 #[rstest]
-// Of 32 active clients 8 are kept free.
+// Of 32 active clients, 8 are kept free.
 #[case::headroom_is_free(ConnectionActivity::IdleAfterOne, 24, 9_000, 0)]
 #[case::one_over(ConnectionActivity::IdleAfterOne, 25, 9_000, 1)]
 #[case::many_over(ConnectionActivity::IdleAfterOne, 40, 9_000, 16)]
@@ -125,7 +125,7 @@
     assert_eq!(
         limiter.evict_idle(ms(9_000)),
         Some(eviction(62, ConnectionActivity::IdleAfterOne)),
-        "although it has idled for less"
+        "although it has been idle for less time"
     );
 }
 
@@ -149,7 +149,7 @@
     assert!(limiter.can_admit(ms(0)));
     limiter.admit(ms(0), 62);
     assert!(!limiter.can_admit(ms(0)) && !limiter.can_admit(ms(49)));
-    assert!(limiter.can_admit(ms(50)), "overflow");
+    assert!(limiter.can_admit(ms(50)), "the overflow is available after the delay");
     for id in 63..=66 {
         limiter.admit(ms(50), id);
     }
@@ -189,15 +189,15 @@
         clients += 1;
         limiter.admit(ms(0), clients);
     }
-    assert_eq!(clients, 62, "all but the upstream headroom");
+    assert_eq!(clients, 62, "all descriptors but the upstream headroom");
     for _ in 0..10 {
         assert!(limiter.try_acquire_upstream());
     }
-    assert!(!limiter.try_acquire_upstream(), "never beyond the overflow");
+    assert!(!limiter.try_acquire_upstream(), "upstream connections do not exceed the overflow");
     assert_eq!(
         evict_all(&mut limiter, ms(1_000)).len(),
         18,
-        "idle clients are evicted for them"
+        "idle clients are evicted for upstream connections"
     );
     limiter.release_upstream();
     assert_eq!(
@@ -277,8 +277,8 @@
                     upstream -= 1;
                 },
                 Step::Evict => while let Some(evicted) = limiter.evict_idle(now) {
-                    let never = [ConnectionActivity::Active, ConnectionActivity::Closing];
-                    prop_assert!(!never.contains(&evicted.activity), "{:?}", evicted);
+                    let not_evictable = [ConnectionActivity::Active, ConnectionActivity::Closing];
+                    prop_assert!(!not_evictable.contains(&evicted.activity), "{:?}", evicted);
                 },
                 Step::Wait(n) => now = now + Span::from_millis(n),
             }
--- a/crates/net/src/discovery/watch.rs
+++ b/crates/net/src/discovery/watch.rs
@@ -125,7 +125,7 @@
     pub total: Duration,
 }
 
-/// What a call requests.
+/// Kind of list that a call requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CallKind {
     /// The complete list.
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -15,7 +15,7 @@
 /// The longest wait for an event, in microseconds.
 const MAX_WAIT_MICROS: i64 = 1_000_000;
 
-/// What the event loop passes to its caller.
+/// A step of the event loop, which is passed to its caller.
 pub enum TurnStep {
     /// An effect to carry out.
     Effect(Effect),
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -28,7 +28,8 @@
 
 /// How often this process's usage is reported to the state machine.
 const USAGE_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum number of successors that are read from at once: one, and others that are told to retry.
+/// Maximum number of successors that are read from at once: one, and others that are asked to
+/// retry.
 const MAX_SUCCESSORS: usize = 4;
 /// Maximum number of events that wait for the thread.
 const EVENT_QUEUE: usize = 64;
--- a/crates/rate-limit/src/cpu_share.rs
+++ b/crates/rate-limit/src/cpu_share.rs
@@ -2,22 +2,22 @@
 
 use crate::{Micros, SECOND};
 
-/// Unused time that may be saved up, in microseconds of the clock.
+/// Maximum unused time that is saved up, in microseconds of the clock.
 const MAX_SAVED: Micros = SECOND / 10;
 
-/// A share of one core. Time used beyond the share has to pass before more is used; the share of a
-/// tenth of a second may be saved up.
+/// Limits CPU use to a share of one core. After excess use, the excess has to be earned back before
+/// more is used; the share of up to a tenth of a second may be saved up.
 #[derive(Debug)]
 pub struct CpuShare {
     /// The share in millionths.
     share: i64,
-    /// Time that may be used, in millionths of a microsecond; negative if too much was used.
+    /// CPU time that may be used, in millionths of a microsecond; negative after excess use.
     credit: i64,
     updated_at: Micros,
 }
 
 impl CpuShare {
-    /// A share of a core, above 0 and at most 1.
+    /// Creates a limit of `share` of a core, above 0 and at most 1.
     #[must_use]
     #[allow(clippy::cast_possible_truncation)]
     pub fn new(share: f64, now: Micros) -> Self {
@@ -30,7 +30,7 @@
     }
 
     /// Records microseconds of CPU time used up to now. Returns the pause in microseconds until
-    /// more may be used; 0 for none.
+    /// more may be used; 0 if there is none.
     pub fn record_used(&mut self, now: Micros, used: Micros) -> Micros {
         let elapsed = (now - self.updated_at).max(0);
         self.updated_at = self.updated_at.max(now);
--- a/crates/rate-limit/src/engine_time.rs
+++ b/crates/rate-limit/src/engine_time.rs
@@ -1,9 +1,9 @@
-//! The timeliness of SNMPv3 messages: boots and time of an authoritative engine (RFC 3414, section
+//! Timeliness of SNMPv3 messages: boots and time of an authoritative engine (RFC 3414, section
 //! 2.2).
 
 /// Seconds by which a message's time may differ from the engine's.
 pub const TIME_WINDOW_S: u32 = 150;
-/// The value at which boots stay; no message is timely any more.
+/// The maximum of snmpEngineBoots, at which it stays; no message is timely any more then.
 pub const MAX_BOOTS: u32 = 2_147_483_647;
 
 /// Boots and time of an authoritative engine (RFC 3414, section 2.2.3).
@@ -23,8 +23,8 @@
         self.boots != MAX_BOOTS && boots == self.boots && self.time.abs_diff(time) <= TIME_WINDOW_S
     }
 
-    /// What is known of another engine after an authentic message from it: the newer of both
-    /// (section 3.2, step 7b).
+    /// Updates the record of another engine after an authentic message from it: the newer of both
+    /// values (section 3.2, step 7b).
     #[must_use]
     pub const fn updated_by(self, boots: u32, time: u32) -> Self {
         let newer = boots > self.boots || boots == self.boots && time > self.time;
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,5 +1,5 @@
-//! What an agent on UDP admits, without I/O and without a clock. Times come in as microseconds of a
-//! monotonic clock; every table has its size in its constructor.
+//! Admission control of an agent on UDP, without I/O and without a clock. Times are passed in as
+//! microseconds of a monotonic clock; every table gets its maximum size from its constructor.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/rate-limit/src/snapshot_cache.rs
+++ b/crates/rate-limit/src/snapshot_cache.rs
@@ -1,4 +1,5 @@
-//! Keeps each walk over a table on one snapshot, although every step is a datagram of its own.
+//! Serves each walk over a table from a single snapshot, although every step of it is a separate
+//! datagram.
 
 use std::collections::hash_map::RandomState;
 use std::hash::Hash;
@@ -11,7 +12,7 @@
 /// A walk in progress.
 struct Walk<T> {
     snapshot: T,
-    /// The object's name that was requested last.
+    /// The object name that was requested last.
     last_name: Vec<u32>,
     /// The id of the last request.
     last_request: i32,
@@ -20,7 +21,7 @@
 }
 
 impl<T> Walk<T> {
-    /// Whether a request continues the walk. A walk only goes forward; the same name in the same
+    /// Whether a request continues the walk. A walk only moves forward; the same name in the same
     /// request is a retransmission.
     fn is_continued_by(&self, request: i32, name: &[u32]) -> bool {
         *name > *self.last_name || *name == *self.last_name && request == self.last_request
@@ -28,8 +29,8 @@
 }
 
 /// The snapshots of walks, by source. A request that does not continue its source's walk begins a
-/// new one on a new snapshot. When the table is full, the walk that has been silent longest is
-/// dropped and continues on a newer snapshot.
+/// new one on a new snapshot. When the table is full, the walk that has been inactive for the
+/// longest is dropped; its next step begins a new walk on a newer snapshot.
 pub struct SnapshotCache<K: Hash + Eq, T> {
     walks: LruCache<K, Walk<T>, RandomState>,
     max_silence: Micros,
@@ -37,8 +38,8 @@
 }
 
 impl<K: Hash + Eq, T: Clone> SnapshotCache<K, T> {
-    /// Keeps at most `max_walks`. A walk ends after `max_silence` microseconds without a step, and
-    /// `max_age` microseconds after its begin.
+    /// Creates a cache for at most `max_walks`. A walk ends after `max_silence` microseconds
+    /// without a step, and `max_age` microseconds after its start.
     #[must_use]
     pub fn new(max_walks: NonZeroUsize, max_silence: Micros, max_age: Micros) -> Self {
         Self {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The snapshot for a step: the one that the walk began with, or a new one.
+    /// Returns the snapshot for a step: the one with which the walk began, or a new one.
     pub fn step(
         &mut self,
         now: Micros,
--- a/crates/rate-limit/src/source_rate_limiter.rs
+++ b/crates/rate-limit/src/source_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token buckets, one for each source and one for all of them together.
+//! Token buckets: one per source and one for all sources together.
 
 use std::collections::hash_map::RandomState;
 use std::hash::Hash;
@@ -8,10 +8,10 @@
 
 use crate::{Micros, SECOND};
 
-/// A token bucket that holds the tokens of one second.
+/// A token bucket with a capacity of the tokens of one second.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
-    /// Tokens in millionths.
+    /// Available tokens, in millionths.
     level: i64,
     updated_at: Micros,
 }
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes a token; false if there is none.
+    /// Takes a token; returns false if there is none.
     fn try_acquire(&mut self, rate_per_s: u32, now: Micros) -> bool {
         let capacity = i64::from(rate_per_s) * SECOND;
         let elapsed = (now - self.updated_at).clamp(0, SECOND);
@@ -41,17 +41,17 @@
 /// Whether a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateLimitDecision {
-    /// Admitted.
+    /// The request is admitted.
     Granted,
-    /// Rejected: its source has sent too many in the last second.
+    /// Rejected: the request's source has sent too many in the last second.
     Source,
     /// Rejected: all sources together have sent too many in the last second.
     Total,
 }
 
-/// Bounds requests by source and in all. When its table is full, the source that has been silent
-/// longest is forgotten: its bucket is the likeliest to be full again, and the bound on all
-/// requests holds for what it gains.
+/// Limits the rate of requests by source and in total. When its table is full, the source that has
+/// been inactive for the longest is removed: its bucket is the most likely to be full again, and
+/// the limit on all requests bounds what the source gains by the removal.
 pub struct SourceRateLimiter<K: Hash + Eq> {
     source_rate_per_s: u32,
     total_rate_per_s: u32,
@@ -60,7 +60,8 @@
 }
 
 impl<K: Hash + Eq> SourceRateLimiter<K> {
-    /// Bounds requests in a second from each source and in all; tracks at most `max_sources`.
+    /// Creates a limiter with these numbers of requests per second from each source and in total;
+    /// it tracks at most `max_sources`.
     #[must_use]
     pub fn new(
         source_rate_per_s: u32,
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Decides on a request. One that its source may not send takes nothing from the others.
+    /// Decides on a request. A request rejected for its source's rate takes no token from the
+    /// total.
     pub fn admit(&mut self, now: Micros, source: K) -> RateLimitDecision {
         let rate = self.source_rate_per_s;
         let bucket = self
--- a/crates/rate-limit/tests/rate_limit.rs
+++ b/crates/rate-limit/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Each bound at its limit.
+//! Tests of each limit at its boundary.
 
 use std::num::NonZeroUsize;
 
@@ -14,9 +14,9 @@
 
     #[test]
     fn sources_stay_within_total_rate(
-        requests in prop::collection::vec((0..8_u8, 0..40_000_i64), 1..600), each in 1..20_u32, total in 1..40_u32,
+        requests in prop::collection::vec((0..8_u8, 0..40_000_i64), 1..600), source_rate in 1..20_u32, total_rate in 1..40_u32,
     ) {
-        let mut sources = SourceRateLimiter::new(each, total, size(4), 0);
+        let mut sources = SourceRateLimiter::new(source_rate, total_rate, size(4), 0);
         let (mut now, mut granted) = (0, vec![]);
         for (source, gap) in requests {
             now += gap;
@@ -25,25 +25,26 @@
             }
             prop_assert!(sources.len() <= 4);
         }
-        // Within any second: the tokens of a full bucket and those that are added.
+        // Within any second at most the tokens of a full bucket and those added in that second are
+        // granted.
         for (n, (from, _)) in granted.iter().enumerate() {
             let within = granted[n..].iter().take_while(|(at, _)| at - from < 1_000_000).count();
-            prop_assert!(within <= 2 * total as usize, "{within} of all");
+            prop_assert!(within <= 2 * total_rate as usize, "{within} requests granted within a second");
         }
     }
 
     #[test]
-    fn used_time_stays_within_cpu_share(uses in prop::collection::vec((0..50_000_i64, 0..30_000_i64), 1..200), part in 0.01..1.0_f64) {
-        let mut share = CpuShare::new(part, 0);
+    fn used_time_stays_within_cpu_share(uses in prop::collection::vec((0..50_000_i64, 0..30_000_i64), 1..200), fraction in 0.01..1.0_f64) {
+        let mut share = CpuShare::new(fraction, 0);
         let (mut now, mut used) = (0_i64, 0_i64);
         for (gap, time) in uses {
             now += gap + time;
             used += time;
             now += share.record_used(now, time);
         }
-        // The used time fits into the share of the elapsed time and what was saved at the start.
+        // The used time fits into the share of the elapsed time plus the time saved at the start.
         #[allow(clippy::cast_precision_loss)]
-        let earned = now as f64 * part + 100_000.0 * part + 1.0;
+        let earned = now as f64 * fraction + 100_000.0 * fraction + 1.0;
         #[allow(clippy::cast_precision_loss)]
         { prop_assert!(used as f64 <= earned + 200.0, "{used} of {earned}"); }
     }
@@ -65,7 +66,7 @@
     assert_eq!(
         sources.admit(200_000, 1),
         RateLimitDecision::Granted,
-        "a fifth of a second earns one"
+        "a fifth of a second earns one token"
     );
     assert_eq!(sources.admit(200_000, 1), RateLimitDecision::Source);
 }
@@ -90,11 +91,11 @@
             "{boots}, {time}"
         );
     }
-    let stuck = EngineTime {
+    let exhausted = EngineTime {
         boots: MAX_BOOTS,
         time: 5,
     };
-    assert!(!stuck.is_timely(MAX_BOOTS, 5));
+    assert!(!exhausted.is_timely(MAX_BOOTS, 5));
     assert_eq!(engine_time.updated_by(3, 999), engine_time);
     assert_eq!(
         engine_time.updated_by(4, 1),
@@ -113,20 +114,20 @@
         })
     };
     assert_eq!(step(&mut cache, 0, 1, 1, &[1]), 1);
-    assert_eq!(step(&mut cache, 10, 1, 2, &[1, 5]), 1, "forward");
+    assert_eq!(step(&mut cache, 10, 1, 2, &[1, 5]), 1, "a step forward continues the walk");
     assert_eq!(
         step(&mut cache, 20, 1, 2, &[1, 5]),
         1,
-        "the same datagram once more"
+        "a retransmission of the same datagram"
     );
-    assert_eq!(step(&mut cache, 20, 2, 9, &[1]), 2, "another source");
+    assert_eq!(step(&mut cache, 20, 2, 9, &[1]), 2, "another source has its own walk");
     assert_eq!(
         step(&mut cache, 30, 1, 3, &[1, 5]),
         3,
-        "the same name, asked anew"
+        "the same name in a new request"
     );
-    assert_eq!(step(&mut cache, 40, 1, 4, &[1]), 4, "back");
-    assert_eq!(step(&mut cache, 141, 1, 5, &[2]), 5, "after a silence");
+    assert_eq!(step(&mut cache, 40, 1, 4, &[1]), 4, "a step back begins a new walk");
+    assert_eq!(step(&mut cache, 141, 1, 5, &[2]), 5, "a walk ends after the maximum silence");
     for at in 1..12 {
         step(
             &mut cache,
@@ -139,10 +140,10 @@
     assert_eq!(
         step(&mut cache, 1230, 1, 7, &[90]),
         6,
-        "none is kept for longer than the longest"
+        "no walk is kept for longer than the maximum age"
     );
     step(&mut cache, 1230, 3, 1, &[1]);
-    assert_eq!(cache.len(), 2, "no more than its size");
+    assert_eq!(cache.len(), 2, "the cache stays within its size");
     cache.remove_ended(1331);
     assert!(cache.is_empty());
 }
--- a/crates/stream-multiplexing/src/actions.rs
+++ b/crates/stream-multiplexing/src/actions.rs
@@ -1,66 +1,67 @@
-//! Ids, actions and outcomes: the vocabulary between the multiplexer and whoever does the I/O.
+//! Ids, actions and outcomes that the multiplexer exchanges with its caller, which does the I/O.
 
 /// A connection to the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MultiplexedConnectionId(pub u64);
 
 /// A request or another exchange that a connection carries. The submitter chooses the number, and
-/// uses it again only when the job has ended.
+/// may reuse it only after the job has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// Why a job ended without an answer.
+/// Reason why a job ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// None of its bytes left: it never ran.
+    /// None of the job's bytes were written: it was not executed.
     NotSent,
-    /// The connection was lost after its bytes began to leave: it may have run.
+    /// The connection was lost after the job's bytes began to be written: it may have been
+    /// executed.
     ConnectionLost,
 }
 
-/// What is to be done.
+/// An action that the caller has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MultiplexerAction {
     /// Open this connection.
     Open(MultiplexedConnectionId),
     /// Queue the job's bytes; call [`write_started`](crate::StreamMultiplexer::write_started) when
-    /// they begin to leave.
+    /// writing them begins.
     Send {
-        /// The connection.
+        /// The connection to use.
         connection: MultiplexedConnectionId,
-        /// The stream id.
+        /// The job's stream id.
         stream: i16,
-        /// The job.
+        /// The job to send.
         job: JobId,
     },
-    /// Remove bytes from the connection's queue; they have not begun to leave.
+    /// Remove the bytes of a stream id from the connection's queue; writing them has not begun.
     Unqueue {
-        /// The connection.
+        /// The connection to use.
         connection: MultiplexedConnectionId,
-        /// Their stream id.
+        /// The stream id of the bytes.
         stream: i16,
     },
     /// Send a heartbeat.
     Heartbeat {
-        /// The connection.
+        /// The connection to use.
         connection: MultiplexedConnectionId,
-        /// Its stream id.
+        /// The heartbeat's stream id.
         stream: i16,
     },
-    /// Close this connection; nothing more is reported of it.
+    /// Close this connection; no further events of it are expected.
     Close(MultiplexedConnectionId),
-    /// The job has ended.
+    /// The job has ended without an answer.
     AttemptFailed(JobId, AttemptFailure),
 }
 
-/// What a received frame answers.
+/// The sender of the request that a received frame answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameOwner {
-    /// This job.
+    /// The frame answers this job.
     Job(JobId),
-    /// A cancelled job, or a heartbeat.
+    /// The frame answers a cancelled job or a heartbeat.
     Abandoned,
-    /// Nothing that was sent: the endpoint is out of step, and the connection must be closed
-    /// ([`connection_lost`](crate::StreamMultiplexer::connection_lost)).
+    /// The frame answers nothing that was sent: the endpoint is out of sync, and the connection
+    /// must be closed ([`connection_lost`](crate::StreamMultiplexer::connection_lost)).
     Unexpected,
 }
--- a/crates/stream-multiplexing/src/connection.rs
+++ b/crates/stream-multiplexing/src/connection.rs
@@ -1,4 +1,4 @@
-//! Stream ids and heartbeat of one connection.
+//! Stream ids and heartbeat of a connection.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -7,14 +7,14 @@
 
 use crate::actions::JobId;
 
-/// Whether a job's bytes have begun to leave.
+/// Whether writing a job's bytes has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteState {
     Queued,
     Started,
 }
 
-/// What a stream id is used for.
+/// Use of a stream id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamUse {
     Job {
@@ -22,32 +22,32 @@
         sent: Time,
         write: WriteState,
     },
-    /// A cancelled job whose answer has not come.
+    /// A cancelled job whose answer has not arrived.
     Orphan,
     Heartbeat,
 }
 
-/// One connection.
+/// State of a connection.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    /// It is open, and the handshake is done.
+    /// Set once the connection is open and the handshake is complete.
     pub(crate) ready: bool,
     pub(crate) streams: BTreeMap<i16, StreamUse>,
-    /// How many of the streams are orphans.
+    /// Number of streams that are orphans.
     pub(crate) orphans: usize,
     next_stream: u16,
-    /// When something was received last.
+    /// When data was last received.
     pub(crate) last_received: Time,
-    /// When a stream id was taken or answered last.
+    /// When a stream id was last assigned or answered.
     pub(crate) last_used: Time,
     /// When the heartbeat in flight was sent.
     pub(crate) heartbeat_sent: Option<Time>,
-    /// It may be dead: it gets no new jobs until something is received.
+    /// Set if the connection may be dead: it gets no new jobs until data is received.
     pub(crate) suspect: bool,
 }
 
 impl Connection {
-    /// A connection that is being opened.
+    /// Creates the state of a connection that is being opened.
     pub(crate) const fn opening(now: Time) -> Self {
         Self {
             ready: false,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether it may get new jobs.
+    /// Whether the connection may get new jobs.
     pub(crate) const fn accepts_jobs(&self) -> bool {
         self.ready && !self.suspect
     }
 
-    /// Takes the next free stream id.
+    /// Assigns the next free stream id.
     pub(crate) fn take_stream(
         &mut self,
         now: Time,
@@ -74,7 +74,7 @@
         stream_use: StreamUse,
     ) -> Option<i16> {
         for _ in 0..=stream_ids {
-            // Ids stay below 32,768, since the sign marks events.
+            // Ids stay below 32,768, because negative ids denote events.
             let stream = i16::try_from(self.next_stream).unwrap_or(0);
             self.next_stream = (self.next_stream + 1) % stream_ids;
             if let Entry::Vacant(free) = self.streams.entry(stream) {
--- a/crates/stream-multiplexing/src/invariants.rs
+++ b/crates/stream-multiplexing/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step; the tests check it.
+//! Invariants that hold after every step; checked by the tests.
 
 use std::error::Error;
 use std::fmt;
@@ -7,7 +7,7 @@
 use crate::connection::{Connection, StreamUse};
 use crate::multiplexer::{JobState, StreamMultiplexer};
 
-/// What does not hold although it must.
+/// Description of a violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolation(pub String);
 
@@ -20,10 +20,10 @@
 impl Error for InvariantViolation {}
 
 impl StreamMultiplexer {
-    /// Checks what must hold after every step.
+    /// Checks the invariants that must hold after every step.
     ///
     /// # Errors
-    /// What does not hold.
+    /// Returns the first violated invariant that is found.
     pub fn check(&self) -> Result<(), InvariantViolation> {
         for (id, connection) in &self.connections {
             self.check_connection(*id, connection)?;
@@ -58,7 +58,7 @@
                 "{id:?}: {orphans} orphans, {counted} counted"
             )));
         }
-        // Heartbeats and resubmitted jobs may come on top of `max_jobs`.
+        // Heartbeats and resubmitted jobs are not subject to `max_jobs`.
         let used = connection.streams.len();
         if used > usize::from(self.settings.stream_ids) {
             return Err(InvariantViolation(format!(
--- a/crates/stream-multiplexing/src/lib.rs
+++ b/crates/stream-multiplexing/src/lib.rs
@@ -1,31 +1,34 @@
-//! Many requests on few connections to one endpoint: a state machine without I/O, for protocols
-//! whose frames carry a stream id (the Cassandra native protocol, version 4, section 2.2.1).
+//! Multiplexing of many requests on few connections to one endpoint: a state machine without I/O,
+//! for protocols whose frames carry a stream id (the Cassandra native protocol, version 4, section
+//! 2.2.1).
 //!
-//! It decides which connection carries a job, when another connection is opened, under which stream
-//! id a job goes, when an id may be used again, when a connection gets a heartbeat or is given up,
-//! and what the end of a connection means for each job on it. Input: what happened, and the time.
-//! Output: [`MultiplexerAction`]s for whoever does the I/O.
+//! The state machine decides which connection carries a job, when another connection is opened,
+//! which stream id a job gets, when an id may be reused, when a connection gets a heartbeat or is
+//! closed as dead, and how the end of a connection affects each job on it. Input: events and the
+//! time. Output: [`MultiplexerAction`]s, which the caller carries out.
 //!
-//! - **Stream ids** are used in turn over the whole range of a connection, so that an id is used
-//!   again as late as possible. If a job is cancelled after its bytes began to leave, its id is an
-//!   orphan: it is not used until the answer has come.
-//! - **Too many orphans** close the connection: its endpoint answers, but not what it was sent.
-//! - **A connection is suspect** when a job on it was cancelled and nothing has been received since
+//! - **Stream ids** are assigned round-robin over the whole range of a connection, so that an id is
+//!   reused as late as possible. If a job is cancelled after its bytes have begun to be written,
+//!   its id becomes an orphan, which is not reused until the answer has arrived.
+//! - **Too many orphans** close the connection: its endpoint responds, but does not answer these
+//!   jobs.
+//! - **A connection is suspect** if a job on it was cancelled and nothing has been received since
 //!   that job was sent. It gets a heartbeat at once, and no new jobs until something is received;
-//!   without that, it is given up.
-//! - **A lost connection** means for each job on it: if its bytes had not begun to leave, it never
-//!   ran ([`AttemptFailure::NotSent`]); otherwise it may have ([`AttemptFailure::ConnectionLost`]).
-//!   Nothing is retried here: the decision module decides on retries.
+//!   if nothing is, the connection is closed.
+//! - **A lost connection** fails each job on it: if none of the job's bytes had been written, the
+//!   job was not executed ([`AttemptFailure::NotSent`]); otherwise it may have been
+//!   ([`AttemptFailure::ConnectionLost`]). Nothing is retried here: the decision module decides on
+//!   retries.
 //! - **Waiting** for a connection is bounded in number and time ([`Settings::max_waiting`],
-//!   [`Settings::max_write_delay`]), so that a draining endpoint gets nothing after its grace
+//!   [`Settings::max_write_delay`]), so that a draining endpoint receives nothing after its grace
 //!   period.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`settings`] | bounds, and their check |
+//! | [`settings`] | limits and their validation |
 //! | [`actions`] | ids, actions and outcomes |
 //! | `connection` | stream ids and heartbeat of one connection |
-//! | [`invariants`] | what must hold after every step |
+//! | [`invariants`] | invariants that hold after every step |
 //! | [`multiplexer`] | the state machine over all connections |
 
 #![forbid(unsafe_code)]
--- a/crates/stream-multiplexing/src/multiplexer.rs
+++ b/crates/stream-multiplexing/src/multiplexer.rs
@@ -10,19 +10,20 @@
 use crate::connection::{Connection, StreamUse, WriteState};
 use crate::settings::{Settings, SettingsError};
 
-/// Ticks that follow each other faster than this part of the heartbeat timeout are skipped.
-const MIN_TICK_PART: i64 = 16;
+/// Ticks that follow each other faster than the heartbeat timeout divided by this number are
+/// skipped.
+const MIN_TICK_DIVISOR: i64 = 16;
 
-/// Where a job is.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobState {
-    /// It waits for a connection.
+    /// The job waits for a connection.
     Waiting,
     InFlight {
         connection: MultiplexedConnectionId,
         stream: i16,
     },
-    /// It was answered, and is neither finished nor resubmitted yet.
+    /// The job was answered, but not finished or resubmitted yet.
     Answered { connection: MultiplexedConnectionId },
 }
 
@@ -41,32 +42,32 @@
     load: usize,
 }
 
-/// How much a multiplexer holds.
+/// Numbers of jobs and connections of a multiplexer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MultiplexerSize {
     /// Jobs that have not ended.
     pub jobs: usize,
-    /// Connections, those included that are being opened.
+    /// Connections, including those that are being opened.
     pub connections: usize,
 }
 
-/// The connections to one endpoint.
+/// Multiplexes jobs over the connections to one endpoint.
 #[derive(Debug)]
 pub struct StreamMultiplexer {
     pub(crate) settings: Settings,
     pub(crate) connections: BTreeMap<MultiplexedConnectionId, Connection>,
     pub(crate) jobs: BTreeMap<JobId, JobState>,
-    /// Oldest first.
+    /// Jobs that wait for a connection, oldest first.
     pub(crate) waiting: VecDeque<WaitingJob>,
     last_connection: u64,
     last_tick: Time,
 }
 
 impl StreamMultiplexer {
-    /// Without connections yet.
+    /// Creates a multiplexer without connections.
     ///
     /// # Errors
-    /// A setting that is out of its bounds.
+    /// Returns an error if a setting is out of its range.
     pub fn new(settings: Settings) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -79,7 +80,7 @@
         })
     }
 
-    /// How much it holds.
+    /// Numbers of current jobs and connections.
     #[must_use]
     pub fn size(&self) -> MultiplexerSize {
         MultiplexerSize {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The connection that carries the least, among those that accept jobs.
+    /// The connection with the fewest stream ids in use, among those that accept jobs.
     fn least_loaded(&self) -> Option<Candidate> {
         let accepting = self.connections.iter().filter(|(_, c)| c.accepts_jobs());
         let candidates = accepting.map(|(id, connection)| Candidate {
@@ -128,7 +129,7 @@
         out.push(MultiplexerAction::Open(id));
     }
 
-    /// Sends a job on a connection; the job fails if that has no free stream id.
+    /// Sends a job on a connection; the job fails if the connection has no free stream id.
     fn assign(
         &mut self,
         now: Time,
@@ -180,7 +181,8 @@
         }
     }
 
-    /// A connection is open and its handshake done. Returns false if it is not wanted any more.
+    /// Reports that a connection is open and its handshake complete. Returns false if the
+    /// connection is no longer needed.
     pub fn connection_opened(
         &mut self,
         now: Time,
@@ -197,7 +199,7 @@
         true
     }
 
-    /// The bytes under a stream id begin to leave.
+    /// Reports that writing the bytes of a stream id begins.
     pub fn write_started(&mut self, connection: MultiplexedConnectionId, stream: i16) {
         let Some(connection) = self.connections.get_mut(&connection) else {
             return;
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Bytes were received on a connection.
+    /// Reports that bytes were received on a connection.
     pub fn bytes_received(
         &mut self,
         now: Time,
@@ -225,8 +227,8 @@
         }
     }
 
-    /// An answer was received under a stream id. Its job stays until [`finish`](Self::finish) or
-    /// [`resubmit`](Self::resubmit).
+    /// Reports an answer received for a stream id. Its job is kept until [`finish`](Self::finish)
+    /// or [`resubmit`](Self::resubmit).
     pub fn frame_received(
         &mut self,
         now: Time,
@@ -251,7 +253,7 @@
         }
     }
 
-    /// An answered job has ended.
+    /// Ends an answered job.
     pub fn finish(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
         self.jobs.remove(&job);
         if !self.waiting.is_empty() {
@@ -259,8 +261,8 @@
         }
     }
 
-    /// An answered job sends more on the same connection. Returns false if that is lost; the job
-    /// has then ended.
+    /// Sends a further request of an answered job on the same connection. Returns false if the
+    /// connection is lost; the job has then ended.
     pub fn resubmit(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) -> bool {
         let Some(JobState::Answered { connection }) = self.jobs.get(&job).copied() else {
             return false;
@@ -273,7 +275,7 @@
         self.jobs.contains_key(&job)
     }
 
-    /// Cancels a job: nothing more is reported of it.
+    /// Cancels a job: no further action or outcome is reported for it.
     pub fn cancel(&mut self, now: Time, job: JobId, out: &mut Vec<MultiplexerAction>) {
         match self.jobs.remove(&job) {
             None | Some(JobState::Answered { .. }) => {}
@@ -322,16 +324,16 @@
         out: &mut Vec<MultiplexerAction>,
     ) {
         let stream_ids = self.settings.stream_ids;
-        let Some(quiet) = self.connections.get_mut(&connection) else {
+        let Some(target) = self.connections.get_mut(&connection) else {
             return;
         };
-        if quiet.heartbeat_sent.is_some() {
+        if target.heartbeat_sent.is_some() {
             return;
         }
-        if let Some(stream) = quiet.take_stream(now, stream_ids, StreamUse::Heartbeat) {
+        if let Some(stream) = target.take_stream(now, stream_ids, StreamUse::Heartbeat) {
             out.push(MultiplexerAction::Heartbeat { connection, stream });
         }
-        quiet.heartbeat_sent = Some(now);
+        target.heartbeat_sent = Some(now);
     }
 
     fn close(
@@ -344,8 +346,8 @@
         self.connection_lost(now, connection, out);
     }
 
-    /// A connection broke, or could not be opened. Answered jobs on it go on: their answers are
-    /// already there.
+    /// Reports that a connection was lost or could not be opened. Answered jobs on it continue,
+    /// because their answers have already arrived.
     pub fn connection_lost(
         &mut self,
         now: Time,
@@ -366,25 +368,25 @@
             }
         }
         if self.connections.is_empty() && !lost.ready {
-            // The endpoint cannot be reached: waiting for another connection would only delay the
-            // retries elsewhere.
+            // The endpoint cannot be reached: waiting for another connection would only delay
+            // retries on other endpoints.
             for waiting in std::mem::take(&mut self.waiting) {
                 self.jobs.remove(&waiting.job);
                 out.push(not_sent(waiting.job));
             }
             return;
         }
-        // A connection that could not be opened is not opened again at once: that would repeat
-        // without a pause.
+        // A connection that could not be opened is not reopened at once: that would repeat without
+        // a pause.
         let all_ready = self.connections.values().all(|c| c.ready);
         if lost.ready && !self.waiting.is_empty() && all_ready {
             self.open(now, out);
         }
     }
 
-    /// Time has passed. To be called about every tenth of [`Settings::heartbeat_timeout`].
+    /// Handles timeouts. To be called about every tenth of [`Settings::heartbeat_timeout`].
     pub fn tick(&mut self, now: Time, out: &mut Vec<MultiplexerAction>) {
-        let min_interval = Span(self.settings.heartbeat_timeout.0 / MIN_TICK_PART);
+        let min_interval = Span(self.settings.heartbeat_timeout.0 / MIN_TICK_DIVISOR);
         if now - self.last_tick < min_interval {
             return;
         }
@@ -426,13 +428,13 @@
             return;
         }
         let last_activity = ticked.last_received.max(ticked.last_used);
-        let is_quiet = last_activity + settings.heartbeat_after <= now;
-        if !is_empty && is_quiet {
+        let is_silent = last_activity + settings.heartbeat_after <= now;
+        if !is_empty && is_silent {
             self.send_heartbeat(now, connection, out);
         }
     }
 
-    /// Fails jobs whose bytes have not begun to leave in time: they must not leave any more.
+    /// Fails jobs whose bytes have not begun to be written in time: they must not be sent any more.
     fn fail_unwritten(
         &mut self,
         now: Time,
@@ -460,7 +462,7 @@
     }
 }
 
-/// The end of a job that never ran.
+/// The outcome of a job that was not executed.
 const fn not_sent(job: JobId) -> MultiplexerAction {
     MultiplexerAction::AttemptFailed(job, AttemptFailure::NotSent)
 }
--- a/crates/stream-multiplexing/src/settings.rs
+++ b/crates/stream-multiplexing/src/settings.rs
@@ -1,58 +1,58 @@
-//! Bounds of the multiplexer, and their check.
+//! Limits of the multiplexer, and their validation.
 
 use std::error::Error;
 use std::fmt;
 
 use valehatch_policy::Span;
 
-/// Most stream ids of a connection: the sign marks events.
+/// Maximum number of stream ids of a connection: negative ids denote events.
 const MAX_STREAM_IDS: u16 = 32_767;
 
-/// Bounds of the multiplexer.
+/// Limits of the multiplexer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Stream ids of a connection, from 0 on: 1 to 32,767.
+    /// Number of stream ids of a connection, starting at 0: 1 to 32,767.
     pub stream_ids: u16,
-    /// Jobs that a connection may carry at once, orphans included: 1 to `stream_ids`.
+    /// Maximum number of concurrent jobs on a connection, including orphans: 1 to `stream_ids`.
     pub max_jobs: usize,
-    /// Jobs on each connection from which another is opened, above 0.
+    /// Number of jobs on each connection from which another connection is opened; above 0.
     pub open_another_at: usize,
-    /// Connections at once, above 0.
+    /// Maximum number of connections; above 0.
     pub max_connections: usize,
-    /// Orphans of a connection; one more closes it.
+    /// Maximum number of orphans of a connection; one more closes it.
     pub max_orphans: usize,
-    /// Jobs that may wait for a connection; further ones fail at once.
+    /// Maximum number of jobs that wait for a connection; further ones fail at once.
     pub max_waiting: usize,
-    /// How long a job may wait until its bytes begin to leave, above 0.
+    /// How long a job may wait until writing its bytes begins; above 0.
     pub max_write_delay: Span,
-    /// A connection that carries jobs and has received nothing for so long gets a heartbeat; above
-    /// 0.
+    /// A connection that carries jobs and has received nothing for this long gets a heartbeat;
+    /// above 0.
     pub heartbeat_after: Span,
-    /// A connection that receives nothing for so long after a heartbeat is given up; above 0.
+    /// A connection that receives nothing for this long after a heartbeat is closed; above 0.
     pub heartbeat_timeout: Span,
-    /// A connection that carries nothing for so long is closed; above 0.
+    /// A connection that carries nothing for this long is closed; above 0.
     pub idle_timeout: Span,
 }
 
-/// A setting that is out of its bounds.
+/// A setting that is out of its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// [`Settings::stream_ids`].
+    /// [`Settings::stream_ids`] is out of range.
     StreamIds,
-    /// [`Settings::max_jobs`].
+    /// [`Settings::max_jobs`] is out of range.
     MaxJobs,
-    /// [`Settings::max_connections`] or [`Settings::open_another_at`].
+    /// [`Settings::max_connections`] or [`Settings::open_another_at`] is 0.
     Connections,
-    /// One of the times.
+    /// A time is not above 0.
     Times,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::StreamIds => "streams: ids must be from 1 to 32,767",
-            Self::MaxJobs => "streams: most must be from 1 to ids",
-            Self::Connections => "streams: links and crowded must be above 0",
+            Self::StreamIds => "streams: stream_ids must be from 1 to 32,767",
+            Self::MaxJobs => "streams: max_jobs must be from 1 to stream_ids",
+            Self::Connections => "streams: max_connections and open_another_at must be above 0",
             Self::Times => "streams: times must be above 0",
         })
     }
@@ -61,7 +61,7 @@
 impl Error for SettingsError {}
 
 impl Settings {
-    /// Bounds that fit common drivers' habits.
+    /// Default limits, which suit the habits of common drivers.
     #[must_use]
     pub const fn new(max_write_delay: Span, idle_timeout: Span) -> Self {
         Self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Checks the bounds.
+    /// Checks that all limits are within their ranges.
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
         if self.stream_ids == 0 || self.stream_ids > MAX_STREAM_IDS {
             return Err(SettingsError::StreamIds);
