--- a/crates/net/src/clients/connection.rs
+++ b/crates/net/src/clients/connection.rs
@@ -280,7 +280,7 @@
     /// client is slow to read.
     ///
     /// # Errors
-    /// The connection failed or was closed.
+    /// Returns an error if the connection failed or was closed.
     pub(super) fn forward(&self, ticket: u64, bytes: &[u8]) -> io::Result<()> {
         self.write_queue.begin_streaming(ticket)?;
         let written = (&self.stream).write_all(bytes);
--- a/crates/net/src/clients/connection/state.rs
+++ b/crates/net/src/clients/connection/state.rs
@@ -16,9 +16,9 @@
 /// How much of the current message has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::clients) enum RequestInput {
-    /// Nothing.
+    /// Nothing has been received.
     None,
-    /// At least one byte.
+    /// At least one byte has been received.
     Partial,
     /// A complete request, which is about to be admitted or rejected.
     Complete,
--- a/crates/net/src/discovery/configured.rs
+++ b/crates/net/src/discovery/configured.rs
@@ -25,7 +25,7 @@
 pub struct ConfiguredEndpoints {
     /// The front's name in the file.
     pub front: Arc<str>,
-    /// The front's core.
+    /// Sends the endpoints to the front's core.
     pub events: Sender<Event>,
 }
 
--- a/crates/net/src/upstream/clock_check.rs
+++ b/crates/net/src/upstream/clock_check.rs
@@ -53,12 +53,12 @@
     }
 }
 
-/// Converts a Unix time by the current offset of the cluster's clock.
+/// Converts a Unix time to this machine's clock by the current offset of the cluster's clock.
 fn time_of(cluster: &ClusterClock, unix_micros: i64) -> Time {
     Time(unix_micros.saturating_sub(cluster.offset()))
 }
 
-/// Corrects the cluster's clock by the times in a reply, and replaces them by times on this
+/// Corrects the cluster's clock by the times in a reply, and replaces them with times on this
 /// machine's clock. Implausible positions are discarded; while the clock must be verified and is
 /// not, all positions of replicas are discarded, since data could otherwise be taken for newer than
 /// it is.
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,9 +1,9 @@
 //! Admission control of an agent on UDP, without I/O and without a clock. Times are passed in as
 //! microseconds of a monotonic clock; every table gets its maximum size from its constructor.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`source_rate_limiter`] | bounds the rate of requests, by source and in all |
+//! | [`source_rate_limiter`] | bounds the rate of requests, by source and in total |
 //! | [`cpu_share`] | bounds the share of a core that requests take |
 //! | [`engine_time`] | the timeliness of SNMPv3 messages (RFC 3414) |
 //! | [`snapshot_cache`] | keeps a walk over many datagrams on one snapshot |
--- a/crates/stream-multiplexing/tests/stream_multiplexing.rs
+++ b/crates/stream-multiplexing/tests/stream_multiplexing.rs
@@ -419,9 +419,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Each job ends once, is answered, or was cancelled; no stream id carries two jobs. A job
-    /// answered bytes were not written does not end as `ConnectionLost`, and one answered bytes began to
-    /// be written does not end as `NotSent`. The limits hold after every step.
+    /// Each job ends once, is answered, or was cancelled; no stream id carries two jobs. A job of
+    /// which no byte was written does not end as `ConnectionLost`, and a job of which writing began
+    /// does not end as `NotSent`. The limits hold after every step.
     #[test]
     fn jobs_end_once_and_stream_ids_are_unique(steps in prop::collection::vec(step(), 1..200)) {
         let mut streams = StreamMultiplexer::new(settings()).unwrap();
