--- a/crates/connection-limits/tests/connection_limiter.rs
+++ b/crates/connection-limits/tests/connection_limiter.rs
@@ -149,7 +149,10 @@
     assert!(limiter.can_admit(ms(0)));
     limiter.admit(ms(0), 62);
     assert!(!limiter.can_admit(ms(0)) && !limiter.can_admit(ms(49)));
-    assert!(limiter.can_admit(ms(50)), "the overflow is available after the delay");
+    assert!(
+        limiter.can_admit(ms(50)),
+        "the overflow is available after the delay"
+    );
     for id in 63..=66 {
         limiter.admit(ms(50), id);
     }
@@ -193,7 +196,10 @@
     for _ in 0..10 {
         assert!(limiter.try_acquire_upstream());
     }
-    assert!(!limiter.try_acquire_upstream(), "upstream connections do not exceed the overflow");
+    assert!(
+        !limiter.try_acquire_upstream(),
+        "upstream connections do not exceed the overflow"
+    );
     assert_eq!(
         evict_all(&mut limiter, ms(1_000)).len(),
         18,
--- a/crates/net/src/clients/connection/tests.rs
+++ b/crates/net/src/clients/connection/tests.rs
@@ -271,12 +271,7 @@
     for limit in [16, 1] {
         let (connection, results) = (Arc::clone(&connection), results.clone());
         std::thread::spawn(move || {
-            results.send(
-                connection
-                    .wait_for_pending_below(limit)
-                    .map(drop)
-                    .is_err(),
-            )
+            results.send(connection.wait_for_pending_below(limit).map(drop).is_err())
         });
     }
     drop(client);
@@ -308,7 +303,10 @@
         NextInput::Message,
         "the second message was received with the first"
     );
-    assert!(!connection.state().is_client_connected(), "the second message is not executed");
+    assert!(
+        !connection.state().is_client_connected(),
+        "the second message is not executed"
+    );
     reader.read_exact(&mut [0; 3]).unwrap();
     reader.finish_message();
     assert_eq!(reader.next_input().unwrap(), NextInput::Closed);
@@ -328,7 +326,11 @@
     client.read_to_string(&mut all).unwrap();
     assert_eq!(all, "answer;error");
     client.write_all(&[b'v'; 100_000]).unwrap();
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "the connection is not reset");
+    assert_eq!(
+        client.read(&mut [0]).unwrap(),
+        0,
+        "the connection is not reset"
+    );
     assert!(
         connection.reserve_response().is_err(),
         "no later request is executed"
@@ -371,7 +373,10 @@
 fn rejection_waits_for_reader_and_closes_connection() {
     let (connection, reader, mut client) = connection_with_request(RequestInput::Complete);
     connection.reject_and_close(last_rejection());
-    assert!(connection.is_open(), "more input may have arrived with the request");
+    assert!(
+        connection.is_open(),
+        "more input may have arrived with the request"
+    );
     reader.finish_message();
     let mut all = String::new();
     client.read_to_string(&mut all).unwrap();
@@ -429,7 +434,11 @@
         "the client could take the closing error for a second response"
     );
     connection.finish_for_exit();
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "the stream ends without a closing error");
+    assert_eq!(
+        client.read(&mut [0]).unwrap(),
+        0,
+        "the stream ends without a closing error"
+    );
 }
 
 // Guards against a reset that destroys the closing error: a request that crosses the error would
--- a/crates/net/src/discovery/poller.rs
+++ b/crates/net/src/discovery/poller.rs
@@ -124,8 +124,7 @@
             DiscoverySource::PollService => {
                 // Abandoning a call that is queued at the service would only waste its place in the
                 // queue.
-                let queue_timeout =
-                    duration(max_poll_interval.times(0.25).min(max_call_interval));
+                let queue_timeout = duration(max_poll_interval.times(0.25).min(max_call_interval));
                 let complete_list = CallTimeouts {
                     stalled: queue_timeout,
                     trickling: queue_timeout,
--- a/crates/net/src/hot_restart/exporter.rs
+++ b/crates/net/src/hot_restart/exporter.rs
@@ -382,7 +382,11 @@
         HandoffMessage::Request(name) => {
             return Err(invalid_data(format!("the request is for gateway {name:?}")));
         }
-        other => return Err(invalid_data(format!("received {other:?} instead of a request"))),
+        other => {
+            return Err(invalid_data(format!(
+                "received {other:?} instead of a request"
+            )));
+        }
     }
     connection.set_read_timeout(None)?;
     let send_event = |event| {
--- a/crates/net/src/hot_restart/importer.rs
+++ b/crates/net/src/hot_restart/importer.rs
@@ -103,6 +103,8 @@
             snapshot,
         }),
         HandoffMessage::Busy => Ok(Reply::Busy),
-        other => Err(invalid_data(format!("received {other:?} instead of a handoff"))),
+        other => Err(invalid_data(format!(
+            "received {other:?} instead of a handoff"
+        ))),
     }
 }
--- a/crates/net/src/upstream/connection.rs
+++ b/crates/net/src/upstream/connection.rs
@@ -217,9 +217,9 @@
             .ok_or(Outcome::LocalFailure)?;
         let began_at = self.context.clock.now();
         let job_timeout = match job {
-            UpstreamJob::Request {
-                deadline, ..
-            } => Duration::from_micros((*deadline - began_at).0.max(1_000).unsigned_abs()),
+            UpstreamJob::Request { deadline, .. } => {
+                Duration::from_micros((*deadline - began_at).0.max(1_000).unsigned_abs())
+            }
             UpstreamJob::HealthCheck => self.context.connect_timeout,
         };
         let timeout = job_timeout.min(self.context.connect_timeout);
@@ -277,9 +277,7 @@
             UpstreamJob::Request { permit, .. } if permit.try_acquire(sent_at).is_err() => {
                 return Exchange::not_sent();
             }
-            UpstreamJob::Request {
-                deadline, ..
-            } => (*deadline - sent_at).0 / 1000,
+            UpstreamJob::Request { deadline, .. } => (*deadline - sent_at).0 / 1000,
             UpstreamJob::HealthCheck => {
                 i64::try_from(self.context.connect_timeout.as_millis()).unwrap_or(i64::MAX)
             }
--- a/crates/rate-limit/tests/rate_limit.rs
+++ b/crates/rate-limit/tests/rate_limit.rs
@@ -114,20 +114,36 @@
         })
     };
     assert_eq!(step(&mut cache, 0, 1, 1, &[1]), 1);
-    assert_eq!(step(&mut cache, 10, 1, 2, &[1, 5]), 1, "a step forward continues the walk");
+    assert_eq!(
+        step(&mut cache, 10, 1, 2, &[1, 5]),
+        1,
+        "a step forward continues the walk"
+    );
     assert_eq!(
         step(&mut cache, 20, 1, 2, &[1, 5]),
         1,
         "a retransmission of the same datagram"
     );
-    assert_eq!(step(&mut cache, 20, 2, 9, &[1]), 2, "another source has its own walk");
+    assert_eq!(
+        step(&mut cache, 20, 2, 9, &[1]),
+        2,
+        "another source has its own walk"
+    );
     assert_eq!(
         step(&mut cache, 30, 1, 3, &[1, 5]),
         3,
         "the same name in a new request"
     );
-    assert_eq!(step(&mut cache, 40, 1, 4, &[1]), 4, "a step back begins a new walk");
-    assert_eq!(step(&mut cache, 141, 1, 5, &[2]), 5, "a walk ends after the maximum silence");
+    assert_eq!(
+        step(&mut cache, 40, 1, 4, &[1]),
+        4,
+        "a step back begins a new walk"
+    );
+    assert_eq!(
+        step(&mut cache, 141, 1, 5, &[2]),
+        5,
+        "a walk ends after the maximum silence"
+    );
     for at in 1..12 {
         step(
             &mut cache,
--- a/crates/stream-multiplexing/tests/stream_multiplexing.rs
+++ b/crates/stream-multiplexing/tests/stream_multiplexing.rs
@@ -84,11 +84,11 @@
     let mut fixture = Fixture::connected();
     let mut used = vec![0];
     for n in 2..10 {
-        let FrameOwner::Job(job) =
-            fixture
-                .streams
-                .frame_received(ms(2), MultiplexedConnectionId(1), *used.last().unwrap())
-        else {
+        let FrameOwner::Job(job) = fixture.streams.frame_received(
+            ms(2),
+            MultiplexedConnectionId(1),
+            *used.last().unwrap(),
+        ) else {
             panic!()
         };
         fixture.streams.finish(ms(2), job, &mut fixture.out);
@@ -281,7 +281,10 @@
     );
     assert_eq!(fixture.tick(249), []);
     fixture.submit(249, 5);
-    assert_eq!(fixture.take_actions(), [failed_attempt(5, AttemptFailure::NotSent)]);
+    assert_eq!(
+        fixture.take_actions(),
+        [failed_attempt(5, AttemptFailure::NotSent)]
+    );
     let failed = [1, 2, 3].map(|job| failed_attempt(job, AttemptFailure::NotSent));
     // Ticks within 1/32 of a second are skipped.
     assert_eq!(fixture.tick(282), failed);
@@ -307,7 +310,10 @@
     fixture
         .streams
         .connection_lost(ms(1), MultiplexedConnectionId(1), &mut fixture.out);
-    assert_eq!(fixture.take_actions(), [failed_attempt(1, AttemptFailure::NotSent)]);
+    assert_eq!(
+        fixture.take_actions(),
+        [failed_attempt(1, AttemptFailure::NotSent)]
+    );
 }
 
 #[test]
