--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -93,12 +93,12 @@
 
 impl Load {
     fn start(address: SocketAddr) -> Self {
-        let over = Arc::<AtomicBool>::default();
+        let stop = Arc::<AtomicBool>::default();
         let client = |_| {
-            let over = Arc::clone(&over);
+            let stop = Arc::clone(&stop);
             thread::spawn(move || {
                 let mut client = Client::connect(address);
-                while !over.load(SeqCst) {
+                while !stop.load(SeqCst) {
                     let query = "/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x'";
                     if client.query(query) == Answer::Ended {
                         return;
@@ -108,7 +108,7 @@
             })
         };
         let clients = (0..3).map(client).collect();
-        Self(over, clients)
+        Self(stop, clients)
     }
 }
 
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -376,8 +376,8 @@
     let mut busy = Client::connect(gateway.address);
     busy.send(&read(1, 4000));
     wait_until("the database has the request", || db.count() == 1);
-    let (over, pause) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
-    let finished = Arc::clone(&over);
+    let (stop, pause) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
+    let finished = Arc::clone(&stop);
     let late_by = std::thread::spawn(move || {
         let mut late_by = Duration::ZERO;
         while !finished.load(Ordering::SeqCst) {
@@ -407,7 +407,7 @@
     assert!(is_refusal(&late.answer()));
     assert!(gateway.program.wait_for_exit().success());
     let took = asked.elapsed();
-    over.store(true, Ordering::SeqCst);
+    stop.store(true, Ordering::SeqCst);
     // Allows for the time by which this machine delays threads.
     let most = Duration::from_millis(3700) + late_by.join().unwrap();
     assert!(
--- a/crates/gateway/tests/leave.rs
+++ b/crates/gateway/tests/leave.rs
@@ -310,13 +310,13 @@
     );
     assert_served(&gateway, FIRST_STAYING_ID);
     let before = gateway.program.descriptors();
-    let (over, next) = (AtomicBool::new(false), AtomicUsize::new(1));
+    let (stop, next) = (AtomicBool::new(false), AtomicUsize::new(1));
     let mut served = 0;
     std::thread::scope(|scope| {
-        let _stop_guard = StopOnDrop(&over);
+        let _stop_guard = StopOnDrop(&stop);
         for _ in 0..8 {
             scope.spawn(|| {
-                while !over.load(Ordering::SeqCst) {
+                while !stop.load(Ordering::SeqCst) {
                     let id = 1 + u32::try_from(next.fetch_add(1, Ordering::SeqCst)).unwrap() % 800;
                     let all = [
                         Client::startup_message(),
--- a/crates/gateway/tests/stop.rs
+++ b/crates/gateway/tests/stop.rs
@@ -265,11 +265,11 @@
                     let pause = u64::from(id) * 7_919 % LONGEST_PAUSE_MS;
                     std::thread::sleep(Duration::from_millis(pause));
                     let sent = client.0.write_all(&pipelined_reads(id..id + 1, 4_000));
-                    let asked = began.elapsed();
+                    let sent_at = began.elapsed();
                     match sent.map_or(Outcome::Closed, |()| outcome(&mut client, id)) {
                         Outcome::Answer => {}
                         Outcome::LastAnswer => return None,
-                        Outcome::Closed => return Some(asked),
+                        Outcome::Closed => return Some(sent_at),
                     }
                 }
             })
@@ -280,7 +280,9 @@
     });
     assert!(gateway.program.wait_for_exit().success());
     println!("send times of unanswered requests: {unanswered:?}");
-    let too_early = unanswered.iter().filter(|asked| **asked < ANSWERED_UNTIL);
+    let too_early = unanswered
+        .iter()
+        .filter(|sent_at| **sent_at < ANSWERED_UNTIL);
     assert_eq!(too_early.count(), 0, "{unanswered:?}");
 }
 
