--- a/crates/admission/src/admission_queue.rs
+++ b/crates/admission/src/admission_queue.rs
@@ -1,7 +1,8 @@
-//! The admission state machine: arrivals, ends, capacity and time in; decisions out.
+//! The admission state machine. Inputs are arrivals, completions, capacity and time; outputs are
+//! decisions.
 //!
-//! Each request gets exactly one [`AdmissionDecision`], unless its client leaves first. Bounded by
-//! the settings' `max_waiting` and `max_lanes`. Times are whole microseconds.
+//! Each request gets exactly one [`AdmissionDecision`], unless its client disconnects first. Memory
+//! is bounded by `max_waiting` and `max_lanes` in the settings. Times are whole microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,11 +19,11 @@
 use crate::queue::QueuedRequest;
 use crate::settings::{QuotaCountMismatch, Settings, tenant_weights};
 
-/// Tenths of its time after which a waiting request is rejected: its client must still be able to
-/// come back, and a rejection after half of its time counts as a failure.
+/// Longest wait, in tenths of the time from arrival to deadline. A rejected client must have time
+/// left to retry, and a rejection after half of that time counts as a failure.
 const MAX_WAIT_TENTHS: i64 = 4;
 
-/// A request in flight.
+/// An admitted request that has not ended.
 #[derive(Clone, Copy, Debug)]
 struct AdmittedRequest {
     lane: LaneId,
@@ -30,7 +31,7 @@
     admitted_at: Time,
 }
 
-/// When a waiting request is rejected; ordered by time.
+/// When a waiting request is rejected; ordered by time, then by request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Time,
@@ -46,25 +47,25 @@
     }
 }
 
-/// The admission queue.
+/// The admission queue of a core, with all its lanes.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     settings: Settings,
-    /// Of each tenant, the last for requests without a known tenant.
+    /// Weights by tenant number; the last is for requests without a known tenant.
     weights: Vec<f64>,
     costs: ClassCosts,
     lanes: BTreeMap<LaneId, Lane>,
-    /// The lane of each request that waits.
+    /// Lane of each waiting request.
     waiting: BTreeMap<RequestId, LaneId>,
     expiries: BTreeSet<Expiry>,
     admitted: BTreeMap<RequestId, AdmittedRequest>,
-    /// Counters of each tenant; what waits is added as the view is drawn up.
+    /// Counters by tenant number; `tenant_views` fills in the fields about waiting requests.
     tenant_counters: Vec<TenantQueueView>,
     seed: u64,
 }
 
 impl AdmissionQueue {
-    /// An empty queue. The seed decides which clients share a bucket.
+    /// Creates an empty queue. The seed decides which clients share a bucket.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         let weights = tenant_weights(&settings.quotas);
@@ -82,10 +83,10 @@
         }
     }
 
-    /// Sets the tenants' quotas; requests that wait keep their places.
+    /// Replaces the tenants' quotas; waiting requests keep their places.
     ///
     /// # Errors
-    /// The quotas are not as many as the tenants; the old ones stay.
+    /// The number of quotas differs from the number of tenants; the old quotas stay in effect.
     pub fn set_quotas(&mut self, quotas: &[f64]) -> Result<(), QuotaCountMismatch> {
         if quotas.len() != self.settings.quotas.len() {
             return Err(QuotaCountMismatch {
@@ -98,7 +99,7 @@
         Ok(())
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests in all lanes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
@@ -110,7 +111,7 @@
         self.waiting.is_empty()
     }
 
-    /// What is published of each tenant, the last for requests without a known tenant.
+    /// Published figures by tenant number; the last are for requests without a known tenant.
     #[must_use]
     pub fn tenant_views(&self, now: Time) -> Vec<TenantQueueView> {
         let mut views = self.tenant_counters.clone();
@@ -125,7 +126,7 @@
         views
     }
 
-    /// A request asks for admission.
+    /// Admits, queues or rejects an arriving request.
     pub fn on_arrival(&mut self, now: Time, arrival: Arrival, out: &mut Vec<AdmissionDecision>) {
         let unknown_tenant = self.settings.quotas.len();
         let tenant = arrival.tenant.filter(|tenant| *tenant < unknown_tenant);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Makes sure that a lane exists. Returns false if there are too many that are in use.
+    /// Makes sure that a lane exists. Returns false if `max_lanes` lanes are in use.
     fn ensure_lane(&mut self, now: Time, id: LaneId) -> bool {
         if self.lanes.contains_key(&id) {
             return true;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// The request with its cost and expiry; uses up the reservation that its client may have.
+    /// Builds the request with its cost and expiry; uses up the reservation of its client, if any.
     fn queued_request(
         &mut self,
         now: Time,
@@ -198,8 +199,8 @@
     ) -> QueuedRequest {
         let class = &self.settings.classes[arrival.class];
         let cost = self.costs.cost(arrival.class);
-        let longest_wait = Span((arrival.deadline - now).0 / 10 * MAX_WAIT_TENTHS);
-        let wait_until = now + longest_wait;
+        let max_wait = Span((arrival.deadline - now).0 / 10 * MAX_WAIT_TENTHS);
+        let wait_until = now + max_wait;
         let useful_until = if class.late_answer_counts {
             arrival.deadline
         } else {
@@ -220,7 +221,7 @@
             client: arrival.client,
             class: arrival.class,
             arrived: now,
-            // A reservation promises admission, and no answer within the latency objective.
+            // A reservation guarantees admission, but no answer within the latency objective.
             expires_at: if reserved_at.is_some() {
                 wait_until
             } else {
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Admits a request of a group beyond the lanes: nothing is known of the group's load.
+    /// Admits a request of a group for which no lane is free: the load of the group is unknown.
     fn admit_without_lane(
         &mut self,
         now: Time,
@@ -302,8 +303,8 @@
         }
     }
 
-    /// Rejects the last request of the tenant that has most in a queue for its weight, to make
-    /// place for an arrival. Returns false if that is the arrival's own tenant in its own lane.
+    /// Makes room for an arrival by rejecting the last request of the tenant with the longest queue
+    /// relative to its weight. Returns false if that is the arrival's own tenant in its own lane.
     fn evict_for(
         &mut self,
         now: Time,
@@ -315,10 +316,10 @@
             .lanes
             .iter()
             .filter_map(|(id, lane)| Some((*id, lane.queue.longest_tenant(&self.weights)?)))
-            .max_by(|(one, a), (other, b)| {
+            .max_by(|(id_a, a), (id_b, b)| {
                 a.weighted_len
                     .total_cmp(&b.weighted_len)
-                    .then(other.cmp(one))
+                    .then(id_b.cmp(id_a))
             });
         let Some((lane_id, longest)) = longest else {
             return false;
@@ -352,7 +353,7 @@
         });
     }
 
-    /// When a rejected request should come back; reserves capacity for it.
+    /// Computes when the client of a rejected request should retry, and reserves capacity for it.
     fn retry_after_hint(
         &mut self,
         now: Time,
@@ -378,7 +379,7 @@
         }
     }
 
-    /// An admitted request has ended.
+    /// Releases the capacity of an admitted request that has ended, and admits waiting requests.
     pub fn on_finished(
         &mut self,
         now: Time,
@@ -400,7 +401,7 @@
         }
     }
 
-    /// The client of a request has left, whether the request waits or is in flight.
+    /// Removes a request whose client has disconnected, whether it waits or is in flight.
     pub fn on_client_disconnected(
         &mut self,
         now: Time,
@@ -419,7 +420,7 @@
         Some((lane_id, request))
     }
 
-    /// Sets what the endpoints can take of a lane's requests.
+    /// Sets what the endpoints can serve of a lane's requests, and admits waiting requests.
     pub fn set_capacity(
         &mut self,
         now: Time,
@@ -433,7 +434,7 @@
         }
     }
 
-    /// Rejects requests that have waited too long.
+    /// Rejects expired requests, then admits waiting requests in all lanes.
     pub fn tick(&mut self, now: Time, out: &mut Vec<AdmissionDecision>) {
         while let Some(expiry) = self.expiries.first().copied()
             && expiry.at <= now
@@ -449,10 +450,11 @@
         }
     }
 
-    /// Checks what must hold after every step. The cost grows with the requests that wait.
+    /// Checks the invariants of the queue. Takes time proportional to the number of waiting
+    /// requests.
     ///
     /// # Errors
-    /// The first invariant that does not hold.
+    /// Returns the first violated invariant.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         let queued: usize = self.lanes.values().map(|lane| lane.queue.len()).sum();
         if queued != self.waiting.len() || queued != self.expiries.len() {
--- a/crates/admission/src/codel.rs
+++ b/crates/admission/src/codel.rs
@@ -1,35 +1,35 @@
-//! When a queue has stood for too long, after CoDel (RFC 8289): once the shortest wait of an
-//! interval is above the target, requests are dropped from the head at ever shorter intervals until
-//! it no longer is.
+//! Detection of standing queues with CoDel (RFC 8289): once the shortest wait of an interval is
+//! above the target, requests are dropped from the head at ever shorter intervals until a wait is
+//! below the target again.
 //!
-//! Unlike CoDel, the last request in the queue is never dropped. Times are whole microseconds; the
-//! state has a fixed size.
+//! Unlike in CoDel, the last request in the queue is never dropped. Times are whole microseconds;
+//! the state has a fixed size.
 
 use valehatch_policy::{Span, Time};
 
-/// A wait that may stand.
+/// Acceptable wait in a standing queue.
 const TARGET: Span = Span::from_millis(100);
-/// How long the wait may stay above the target.
+/// Time that the wait may stay above the target before dropping starts.
 const INTERVAL: Span = Span::from_millis(500);
-/// Dropping that starts again within so many intervals goes on near its former rate.
+/// Dropping that restarts within this many intervals resumes near its previous rate.
 const MEMORY_INTERVALS: i64 = 16;
 
 /// The CoDel controller of a lane's queue.
 #[derive(Debug, Default)]
 pub struct CodelController {
-    /// When the wait will have been above the target for an interval.
-    above_until: Option<Time>,
+    /// When the wait will have been above the target for one interval; `None` while it is below.
+    first_above_time: Option<Time>,
     is_dropping: bool,
     next_drop: Time,
-    /// Drops since dropping began.
+    /// Drops since dropping started, which sets the drop rate.
     drops: u32,
 }
 
 impl CodelController {
-    /// A request leaves the queue after a wait, with so many behind it. Returns whether it is to be
-    /// dropped.
+    /// Whether to drop a request that leaves the queue after waiting for `waited`, with `behind`
+    /// requests left in the queue.
     pub fn should_drop(&mut self, now: Time, waited: Span, behind: usize) -> bool {
-        let is_standing = self.has_stood_for_interval(now, waited, behind);
+        let is_standing = self.is_above_target_for_interval(now, waited, behind);
         if !is_standing {
             self.is_dropping = false;
             return false;
@@ -46,14 +46,14 @@
         true
     }
 
-    fn has_stood_for_interval(&mut self, now: Time, waited: Span, behind: usize) -> bool {
+    fn is_above_target_for_interval(&mut self, now: Time, waited: Span, behind: usize) -> bool {
         let is_above_target = waited >= TARGET && behind > 0;
         if !is_above_target {
-            self.above_until = None;
+            self.first_above_time = None;
             return false;
         }
-        let above_until = *self.above_until.get_or_insert(now + INTERVAL);
-        now >= above_until
+        let first_above_time = *self.first_above_time.get_or_insert(now + INTERVAL);
+        now >= first_above_time
     }
 
     fn begin_dropping(&mut self, now: Time) {
@@ -67,7 +67,7 @@
         self.next_drop = now + Self::drop_interval(self.drops);
     }
 
-    /// Falls with the root of the drops, as CoDel's control law has it.
+    /// The CoDel control law: the interval shrinks with the square root of the number of drops.
     fn drop_interval(drops: u32) -> Span {
         Span(1).times(INTERVAL.as_f64() / f64::from(drops).sqrt())
     }
--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -1,33 +1,34 @@
-//! What a request of a class costs, learned from how long its requests take. Costs are whole
-//! microseconds of work; the state has one mean a class.
+//! Cost of a request of each class, learned from latencies. Costs are whole microseconds of work;
+//! the state is one mean for each class.
 
 use valehatch_policy::Span;
 
-/// Weight of the newest latency in a class's mean.
+/// Weight of the newest latency in the moving average of a class.
 const GAIN: f64 = 0.05;
-/// Least cost of a class, as a multiple of the cheapest class's.
+/// Lower bound of a class's cost, relative to the cheapest class.
 const MIN_COST_RATIO: f64 = 0.25;
-/// Most cost of a class in that measure: one that is slow for a while keeps a usable quota.
+/// Upper bound, relative to the cheapest class: a class that is slow for a while stays usable.
 const MAX_COST_RATIO: f64 = 64.0;
-/// Until a class is measured, its mean is its latency objective over this.
+/// The mean of a class without a measurement is its latency objective divided by this.
 const OBJECTIVE_DIVISOR: f64 = 4.0;
 
-/// The costs of all classes.
+/// Moving averages of the latency of all classes.
 #[derive(Debug)]
 pub struct ClassCosts {
     classes: Vec<MeanLatency>,
 }
 
-/// A class's mean latency, in microseconds.
+/// Mean latency of a class.
 #[derive(Clone, Copy, Debug)]
 struct MeanLatency {
+    /// Microseconds.
     mean: f64,
-    /// Whether it was measured, and not only assumed.
+    /// Whether the mean comes from measurements and not from the latency objective.
     is_measured: bool,
 }
 
 impl ClassCosts {
-    /// Costs before anything was measured, by the classes' latency objectives.
+    /// Initial costs, estimated from the latency objectives of the classes.
     #[must_use]
     pub fn new(latency_objectives: impl Iterator<Item = Span>) -> Self {
         let classes = latency_objectives.map(|objective| MeanLatency {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A request of a class was served in this time.
+    /// Adds the latency of a served request to the mean of its class.
     pub fn record_latency(&mut self, class: usize, latency: Span) {
         let latency = latency.as_f64().max(1.0);
         let class = &mut self.classes[class];
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Mean latency of a class.
+    /// Mean latency of a class, estimated until the class is measured.
     #[must_use]
     pub fn latency(&self, class: usize) -> Span {
         Span(self.classes[class].mean as i64)
     }
 
-    /// What a request of a class costs, within the bounds.
+    /// Cost of a request of a class, bounded relative to the cheapest measured class.
     #[must_use]
     pub fn cost(&self, class: usize) -> Span {
         let mean = self.classes[class].mean;
--- a/crates/admission/src/drain_rate.rs
+++ b/crates/admission/src/drain_rate.rs
@@ -1,23 +1,23 @@
-//! How fast a lane works its queue off: cost per microsecond, measured while requests wait.
+//! Rate at which a lane serves its queue: cost per microsecond, measured while requests wait.
 
 use valehatch_policy::{Span, Time};
 
 /// Time over which the rate is averaged, in microseconds.
 const AVERAGING_TIME: f64 = 2_000_000.0;
-/// Shortest time between two updates of the rate, in microseconds.
+/// Minimum time between two updates of the rate, in microseconds.
 const MIN_SAMPLE_TIME: f64 = AVERAGING_TIME / 20.0;
 
-/// A lane's drain rate.
+/// Moving average of a lane's drain rate.
 #[derive(Debug)]
 pub struct DrainRate {
     rate: f64,
-    /// Cost done in the sample that runs.
+    /// Cost served in the current sample.
     sample_cost: f64,
     sample_start: Time,
 }
 
 impl DrainRate {
-    /// An unknown rate.
+    /// Creates an estimator whose rate is unknown.
     #[must_use]
     pub const fn new(now: Time) -> Self {
         Self {
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Starts a new sample and drops the one that runs.
+    /// Discards the current sample and starts a new one.
     pub const fn restart(&mut self, now: Time) {
         self.sample_cost = 0.0;
         self.sample_start = now;
     }
 
-    /// A request of this cost has ended while others wait.
+    /// Records the completion of a request with this cost while others wait.
     pub fn record(&mut self, now: Time, cost: Span) {
         self.sample_cost += cost.as_f64();
         let elapsed = (now - self.sample_start).as_f64();
@@ -50,7 +50,7 @@
         self.restart(now);
     }
 
-    /// Cost per microsecond; 0 while it is unknown.
+    /// Cost per microsecond; 0 while the rate is unknown.
     #[must_use]
     pub const fn cost_per_microsecond(&self) -> f64 {
         self.rate
--- a/crates/admission/src/invariants.rs
+++ b/crates/admission/src/invariants.rs
@@ -1,4 +1,5 @@
-//! What must hold after every step of an admission queue; the testbed and the tests check it.
+//! Violations of the invariants of an admission queue. The testbed and the tests check the
+//! invariants after every step.
 
 use std::error::Error;
 use std::fmt;
@@ -9,32 +10,32 @@
 /// An invariant of the admission queue that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InvariantViolation {
-    /// The requests in the lanes, the index of them and their expiries are not equally many.
+    /// The numbers of requests in the lanes, of index entries and of expiries differ.
     IndexDiffers {
-        /// Requests in the lanes.
+        /// Requests in the queues of all lanes.
         queued: usize,
-        /// Requests in the index.
+        /// Entries in the index from request to lane.
         indexed: usize,
-        /// Expiries.
+        /// Scheduled expiries of waiting requests.
         expiries: usize,
     },
-    /// More requests wait than may.
+    /// More requests wait than the settings allow.
     TooManyWaiting {
-        /// Requests that wait.
+        /// Number of waiting requests.
         waiting: usize,
-        /// Requests that may wait.
+        /// Maximum number of waiting requests from the settings.
         max_waiting: usize,
     },
-    /// An invariant of a lane's fair queue does not hold.
+    /// The fair queue of a lane violates an invariant.
     FairQueue {
-        /// The lane.
+        /// Lane that owns the fair queue.
         lane: LaneId,
-        /// The invariant.
+        /// Violation that the fair queue reported.
         violation: FairQueueViolation,
     },
     /// A request waits although its lane has capacity.
     WaitsDespiteCapacity {
-        /// The lane.
+        /// Lane with a waiting request and free capacity.
         lane: LaneId,
     },
 }
@@ -48,15 +49,15 @@
                 expiries,
             } => write!(
                 f,
-                "{queued} requests are queued, {indexed} indexed, {expiries} have an expiry"
+                "{queued} requests queued, {indexed} indexed, {expiries} expiries scheduled"
             ),
             Self::TooManyWaiting {
                 waiting,
                 max_waiting,
-            } => write!(f, "{waiting} requests wait, {max_waiting} may"),
+            } => write!(f, "{waiting} requests wait, the maximum is {max_waiting}"),
             Self::FairQueue { lane, violation } => write!(f, "{lane:?}: {violation}"),
             Self::WaitsDespiteCapacity { lane } => {
-                write!(f, "{lane:?}: a request waits although there is capacity")
+                write!(f, "{lane:?}: requests wait although the lane has capacity")
             }
         }
     }
--- a/crates/admission/src/lane.rs
+++ b/crates/admission/src/lane.rs
@@ -1,7 +1,8 @@
-//! A lane: the queue of one group's reads or writes, with what limits and measures it.
+//! A lane: the queue of one group's reads or writes, with its capacity window, CoDel controller,
+//! drain rate and Retry-After calendars.
 //!
-//! Memory grows with the requests that wait, and with the reservations of each tenant's Retry-After
-//! calendar.
+//! Memory grows with the number of waiting requests and with the reservations in the Retry-After
+//! calendar of each tenant.
 
 use valehatch_policy::{Span, Time};
 
@@ -11,8 +12,8 @@
 use crate::queue::{FairQueue, QueuedRequest};
 use crate::retry_after::{Reservation, RetryAfterCalendar};
 
-/// How often the wait is estimated again with what is reserved until then: the two depend on each
-/// other.
+/// Iterations that refine the expected wait: it depends on the cost reserved during the wait, which
+/// depends on the length of the wait.
 const WAIT_REFINEMENTS: u32 = 2;
 
 #[derive(Debug)]
@@ -21,9 +22,9 @@
     pub(crate) window: CapacityWindow,
     drain_rate: DrainRate,
     pub(crate) codel: CodelController,
-    /// One a tenant.
+    /// Retry-After calendars by tenant number.
     pub(crate) calendars: Vec<RetryAfterCalendar>,
-    /// Requests that were admitted and are not over.
+    /// Admitted requests that have not ended.
     pub(crate) in_flight: u64,
 }
 
@@ -39,29 +40,29 @@
         }
     }
 
-    /// Whether one more request may be in flight.
+    /// Whether another request may be admitted.
     pub(crate) fn has_capacity(&self) -> bool {
         self.window.admits(self.in_flight)
     }
 
-    /// A request in flight has ended.
+    /// Updates the in-flight count and the drain rate when an admitted request ends.
     pub(crate) fn on_finished(&mut self, now: Time, cost: Span) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.queue.is_empty() {
-            // A lane without a queue shows its load and not what it could do.
+            // Without a queue, completions reflect the offered load and not the capacity.
             self.drain_rate.restart(now);
         } else {
             self.drain_rate.record(now, cost);
         }
     }
 
-    /// Cost per microsecond that a tenant gets while others wait too.
+    /// Cost per microsecond that a tenant gets beside the tenants with waiting requests.
     fn tenant_rate(&self, tenant: usize, weights: &[f64]) -> f64 {
         self.drain_rate.cost_per_microsecond() * self.queue.tenant_fraction(tenant, weights)
     }
 
-    /// How long a request would wait: for its tenant's queue before it and for what is reserved
-    /// until then.
+    /// Expected wait of a request: the time to serve what its tenant has queued before it and what
+    /// is reserved for returning clients during the wait.
     pub(crate) fn expected_wait(
         &self,
         now: Time,
@@ -81,8 +82,8 @@
         wait
     }
 
-    /// Reserves capacity for a rejected request. Returns its Retry-After, if there is capacity
-    /// within the longest one.
+    /// Reserves capacity for the retry of a rejected request. Returns the Retry-After, or `None` if
+    /// no capacity is free within `max_retry_after`.
     pub(crate) fn reserve(
         &mut self,
         now: Time,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,26 +1,27 @@
-//! Admission control in front of the policy: who is admitted next, who is rejected at once, and
-//! when rejected clients should come back. It never decides where a request goes.
+//! Admission control in front of the policy: which request is admitted next, which requests are
+//! rejected, and when rejected clients should retry. Routing of admitted requests is left to the
+//! policy.
 //!
-//! An [`AdmissionQueue`] has one lane for the writes and one for the reads of each group. In a
-//! lane, tenants share by weight (start-time fair queueing over cost), the clients of a tenant
-//! share evenly (deficit round robin over hashed buckets), and a client's requests go by priority
-//! weight for their cost. Inputs are arrivals, ends of requests, the capacity of the endpoints, and
-//! time in whole microseconds; outputs are decisions. All sizes are set in the constructor. There
-//! is no I/O, no clock and no undefined iteration order.
+//! An [`AdmissionQueue`] has one lane for the writes and one for the reads of each group. Within a
+//! lane, tenants share capacity by weight (start-time fair queueing over cost), the clients of a
+//! tenant share it evenly (deficit round robin over hashed buckets), and the requests of a client
+//! are ordered by priority weight divided by cost. Inputs are arrivals, completions, the capacity
+//! of the endpoints, and time in whole microseconds; outputs are decisions. All sizes are set in
+//! the constructor. The crate does no I/O, reads no clock and iterates in a defined order only.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `admission_queue` | the state machine: arrivals, decisions, timers |
-//! | `lane` | one group's writes or reads |
-//! | `messages` | what goes in and comes out |
+//! | `lane` | the writes or the reads of one group |
+//! | `messages` | inputs and outputs of the admission queue |
 //! | `settings` | sizes, quotas, classes |
-//! | `invariants` | what must hold after every step |
+//! | `invariants` | violations of conditions that hold after every step |
 //! | [`queue`] | the fair queue of a lane |
-//! | [`capacity_window`] | how many requests may be past admission |
+//! | [`capacity_window`] | limit of requests in flight |
 //! | [`retry_after`] | Retry-After hints as reservations of future capacity |
-//! | [`cost`] | what a class costs, learned from latencies |
-//! | [`drain_rate`] | how fast a lane works its queue off |
-//! | [`codel`] | when a queue has stood for too long |
+//! | [`cost`] | cost of each class, learned from latencies |
+//! | [`drain_rate`] | rate at which a lane serves its queue |
+//! | [`codel`] | detection of standing queues |
 
 #![forbid(unsafe_code)]
 
--- a/crates/admission/src/messages.rs
+++ b/crates/admission/src/messages.rs
@@ -1,78 +1,80 @@
-//! What goes into an admission queue and what comes out. Times are whole microseconds.
+//! Inputs and outputs of an admission queue. Times are whole microseconds.
 
 use valehatch_policy::{GroupId, RequestId, Span, Time};
 
 /// Which requests of a group a lane holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LaneKind {
-    /// Reads.
+    /// Reads, of any consistency.
     Reads,
-    /// Writes, which only the group's primary takes.
+    /// Writes, which only the primary serves.
     Writes,
 }
 
-/// A lane: a group's reads or its writes.
+/// Identifies a lane: the reads or the writes of one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LaneId {
-    /// The group.
+    /// Group whose requests the lane holds.
     pub group: GroupId,
-    /// Its reads or its writes.
+    /// Whether the lane holds reads or writes.
     pub kind: LaneKind,
 }
 
 /// A request that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request.
+    /// Number of the request, unique within the core.
     pub id: RequestId,
-    /// Its tenant, by number; `None` if it is not known. All unknown ones count as one tenant.
+    /// Tenant number; `None` if the tenant is not known. Requests without a known tenant share one
+    /// weight.
     pub tenant: Option<usize>,
-    /// Its client, as far as the front can tell clients apart.
+    /// Key of the client, as far as the front can distinguish clients.
     pub client: u64,
-    /// Its class, by number.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Its group.
+    /// Group that the request addresses.
     pub group: GroupId,
-    /// When its client stops waiting.
+    /// When the client stops waiting for an answer.
     pub deadline: Time,
 }
 
-/// Why a request is rejected by the queue.
+/// Why the queue rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueRejection {
-    /// It would not be served in time: the queue before it is too long.
+    /// The expected wait is too long for the request to be served in time.
     WaitTooLong,
-    /// The queue is full, and its tenant has most requests in it for its weight.
+    /// The queue is full, and the request's tenant has the most waiting requests relative to its
+    /// weight.
     QueueFull,
-    /// It waited until it could no longer be served in time.
+    /// The request waited until it could no longer be served in time.
     ExpiredInQueue,
-    /// The queue has stood for too long, and is cut at its head so that later requests are served
-    /// in time.
+    /// CoDel found a standing queue and dropped the request at its head, so that later requests are
+    /// served in time.
     StandingQueue,
 }
 
-/// When a rejected client should come back.
+/// When a rejected client should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfterHint {
-    /// After this time.
+    /// Time from the rejection to the retry.
     pub retry_after: Span,
-    /// Whether capacity is reserved for it then. If not, the longest Retry-After that clients obey
-    /// is too short.
+    /// Whether capacity is reserved for the retry. If not, none was free within the longest
+    /// Retry-After that clients obey.
     pub reserved: bool,
 }
 
-/// What becomes of a request.
+/// Outcome of admission for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is admitted.
+    /// The request is admitted.
     Admit(RequestId),
-    /// It is rejected.
+    /// The request is rejected.
     Reject {
-        /// The request.
+        /// Number of the rejected request.
         id: RequestId,
-        /// Why.
+        /// Why the queue rejects the request.
         reason: QueueRejection,
-        /// When its client should come back.
+        /// When the client should retry.
         hint: RetryAfterHint,
     },
 }
@@ -80,29 +82,29 @@
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// An endpoint answered it: its latency is learned from.
+    /// An endpoint answered the request; its latency updates the cost of its class.
     Served,
-    /// It ended in another way.
+    /// The request ended without an answer from an endpoint.
     NotServed,
 }
 
-/// What is published of a tenant, over all lanes. Counts run from the start of the process.
+/// Published figures of a tenant over all lanes. Counts run from the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantQueueView {
-    /// Requests that wait now.
+    /// Requests that are waiting.
     pub waiting: u64,
-    /// How long the oldest of them has waited.
+    /// How long the oldest waiting request has waited; zero if none waits.
     pub oldest: Span,
-    /// Requests that came in.
+    /// Requests received.
     pub received: u64,
-    /// Requests that were admitted.
+    /// Requests admitted.
     pub admitted: u64,
-    /// Their cost, in microseconds of work.
+    /// Cost of the admitted requests, in microseconds of work.
     pub admitted_cost_us: u64,
-    /// Retry-After hints that were given.
+    /// Retry-After hints given to rejected clients.
     pub hints_given: u64,
-    /// Clients that came back at the time of their hint.
+    /// Retries that arrived within the tolerance around the time of their hint.
     pub hints_honoured: u64,
-    /// By how much those clients came back later than their hint said, in all.
+    /// Total time by which those retries arrived after the time of their hint.
     pub hint_lateness: Span,
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,16 +1,17 @@
 //! The fair queue of a lane.
 //!
 //! Between tenants: start-time fair queueing. The tenant with the least virtual time is served
-//! next, and what it is served advances its virtual time by cost over weight. A tenant that was
-//! idle starts near the lane's virtual time, so idle time earns no credit.
+//! next, and each served request advances the tenant's virtual time by its cost divided by the
+//! tenant's weight. A tenant that was idle starts near the lane's virtual time, so idle time earns
+//! no credit.
 //!
-//! Between the clients of a tenant: deficit round robin over buckets. A client is hashed twice with
-//! a seed and takes the bucket with less in it (shuffle sharding), so that a flooding client blocks
-//! only clients that share both buckets with it. In a bucket, requests go by priority weight for
-//! their cost, then by expiry.
+//! Between the clients of a tenant: deficit round robin over buckets. A client is hashed with a
+//! seed to two buckets and uses the one with the smaller backlog (shuffle sharding), so that a
+//! flooding client blocks only clients that share both buckets with it. Within a bucket, requests
+//! are ordered by priority weight divided by cost, then by expiry.
 //!
-//! Costs are microseconds of work. Memory grows with the requests that wait; the admission queue
-//! bounds those.
+//! Costs are microseconds of work. Memory grows with the number of waiting requests, which the
+//! admission queue bounds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -21,37 +22,37 @@
 use siphasher::sip::SipHasher13;
 use valehatch_policy::{RequestId, Span, Time};
 
-/// Requests by which a tenant below its quota may be ahead of the others: random arrivals then
-/// rarely wait in a queue of their own tenant, and the others hardly notice.
+/// Burst, in requests, by which a tenant below its quota may be ahead of the others. Its random
+/// arrivals then rarely queue behind each other, and the effect on other tenants is negligible.
 const BURST_REQUESTS: f64 = 10.0;
-/// The bucket of requests with a reservation. It is served before the tenant's other buckets.
+/// Bucket of requests with a reservation, served before the other buckets of the tenant.
 const RESERVED_BUCKET: u32 = u32::MAX;
 
-/// A request that waits.
+/// A request that waits in a lane, or is about to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// The request.
+    /// Number of the request, unique within the core.
     pub id: RequestId,
-    /// Its tenant, by number.
+    /// Tenant number; the highest one stands for unknown tenants.
     pub tenant: usize,
-    /// Its client.
+    /// Key of the client.
     pub client: u64,
-    /// Its class, by number.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// When it came in.
+    /// Time of arrival.
     pub arrived: Time,
-    /// When it is rejected if it still waits.
+    /// When the request is rejected if it still waits.
     pub expires_at: Time,
-    /// Its cost, in microseconds of work.
+    /// Cost of the request, in microseconds of work.
     pub cost: Span,
-    /// Its class's priority weight over its cost.
+    /// Priority weight of the class divided by the cost of the request.
     pub weight_per_cost: f64,
-    /// Whether its client came back at the time of its Retry-After hint, for which capacity was
+    /// Whether the client returned at the time of its Retry-After hint, for which capacity is
     /// reserved.
     pub has_reservation: bool,
 }
 
-/// The order in a bucket: reservations first, then weight for cost, then expiry, then number.
+/// Order within a bucket: reservations first, then by weight per cost, expiry and request number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     has_reservation: Reverse<bool>,
@@ -64,7 +65,7 @@
     fn of(request: &QueuedRequest) -> Self {
         Self {
             has_reservation: Reverse(request.has_reservation),
-            // Non-negative floats have the order of their bits.
+            // The bit patterns of non-negative floats have the same order as the floats.
             weight_per_cost_bits: Reverse(request.weight_per_cost.max(0.0).to_bits()),
             expires_at: request.expires_at,
             id: request.id,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Where a request waits.
+/// Location of a waiting request.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     tenant: usize,
@@ -83,7 +84,7 @@
 #[derive(Debug, Default)]
 struct Bucket {
     requests: BTreeMap<Priority, QueuedRequest>,
-    /// Cost of what waits, in microseconds.
+    /// Cost of the waiting requests, in microseconds.
     backlog: i64,
     /// Deficit counter of the round robin, in microseconds.
     deficit: i64,
@@ -92,49 +93,49 @@
 #[derive(Debug, Default)]
 struct Tenant {
     buckets: BTreeMap<u32, Bucket>,
-    /// Buckets that are not empty, in the order in which they are served.
+    /// Non-empty buckets, in the order in which they are served.
     round_robin: VecDeque<u32>,
-    /// Cost of what waits, in microseconds.
+    /// Cost of the waiting requests, in microseconds.
     backlog: i64,
-    /// Requests that wait.
+    /// Number of waiting requests.
     len: usize,
-    /// Virtual time at which its next request starts.
+    /// Virtual time at which the tenant's next request starts.
     virtual_start: f64,
-    /// What a round adds to each bucket's deficit: the highest cost that waits, so that each bucket
-    /// is served within two rounds.
+    /// Added to the deficit of each bucket per round: the highest cost of a request since the queue
+    /// was last empty, so that each bucket is served within two rounds.
     quantum: i64,
 }
 
-/// A tenant and how long its queue is for its weight.
+/// The tenant with the longest queue relative to its weight.
 #[derive(Clone, Copy, Debug)]
 pub struct LongestTenant {
-    /// The tenant, by number.
+    /// Tenant number.
     pub tenant: usize,
-    /// Its requests that wait, over its weight.
+    /// Number of its waiting requests divided by its weight.
     pub weighted_len: f64,
 }
 
-/// An invariant of a fair queue that does not hold.
+/// A violated invariant of a fair queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FairQueueViolation {
-    /// A tenant's counters differ from what its buckets hold.
+    /// The counters of a tenant differ from the contents of its buckets.
     TenantCounters {
-        /// The tenant, by number.
+        /// Tenant number.
         tenant: usize,
-        /// Requests in its buckets.
+        /// Requests in the tenant's buckets.
         queued: usize,
-        /// Requests by its counter.
+        /// Requests according to the tenant's counter.
         counted: usize,
-        /// Cost in its buckets, in microseconds.
+        /// Cost in the tenant's buckets, in microseconds.
         queued_cost: i64,
-        /// Cost by its counter, in microseconds.
+        /// Cost according to the tenant's counter, in microseconds.
         counted_cost: i64,
     },
-    /// The index of positions differs from the buckets.
+    /// The index of positions and the buckets differ in their number of requests.
     Index {
-        /// Requests in the buckets.
+        /// Requests in the buckets of all tenants.
         queued: usize,
-        /// Requests in the index.
+        /// Entries in the index.
         indexed: usize,
     },
 }
@@ -150,10 +151,10 @@
                 counted_cost,
             } => write!(
                 f,
-                "tenant {tenant}: {queued} of {counted} requests, {queued_cost} of {counted_cost} us"
+                "tenant {tenant}: {queued} requests queued, {counted} counted; cost {queued_cost} us queued, {counted_cost} us counted"
             ),
             Self::Index { queued, indexed } => {
-                write!(f, "{queued} requests are queued, {indexed} indexed")
+                write!(f, "{queued} requests queued, {indexed} indexed")
             }
         }
     }
@@ -161,7 +162,7 @@
 
 impl Error for FairQueueViolation {}
 
-/// A lane's queue.
+/// The fair queue of a lane.
 #[derive(Debug)]
 pub struct FairQueue {
     tenants: Vec<Tenant>,
@@ -172,7 +173,8 @@
 }
 
 impl FairQueue {
-    /// An empty queue for so many tenants; the seed decides which clients share a bucket.
+    /// Creates an empty queue for this number of tenants; the seed decides which clients share a
+    /// bucket.
     #[must_use]
     pub fn new(tenants: usize, client_buckets: u32, seed: u64) -> Self {
         Self {
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.positions.len()
@@ -196,13 +198,13 @@
         self.positions.is_empty()
     }
 
-    /// Requests of a tenant that wait.
+    /// Number of waiting requests of a tenant.
     #[must_use]
     pub fn tenant_len(&self, tenant: usize) -> usize {
         self.tenants[tenant].len
     }
 
-    /// When a tenant's oldest waiting request came in.
+    /// Arrival time of the oldest waiting request of a tenant; `None` if none waits.
     #[must_use]
     pub fn oldest_arrival(&self, tenant: usize) -> Option<Time> {
         let buckets = self.tenants[tenant].buckets.values();
@@ -210,13 +212,13 @@
         requests.map(|request| request.arrived).min()
     }
 
-    /// Cost of a tenant's waiting requests.
+    /// Cost of the waiting requests of a tenant.
     #[must_use]
     pub fn backlog(&self, tenant: usize) -> Span {
         Span(self.tenants[tenant].backlog)
     }
 
-    /// The fraction of the lane that a tenant gets beside the tenants that wait now.
+    /// Fraction of the lane's capacity that a tenant gets beside the tenants with waiting requests.
     #[must_use]
     pub fn tenant_fraction(&self, tenant: usize, weights: &[f64]) -> f64 {
         let competing = self
@@ -253,29 +255,29 @@
         bucket.map_or(0, |bucket| bucket.backlog)
     }
 
-    /// Upper estimate of the cost that is served before a request that would come in now: its
-    /// bucket's backlog once for each bucket of its tenant, and one more round; at most all that
-    /// its tenant has waiting.
+    /// Upper estimate of the cost that is served before a request that arrives now: the backlog of
+    /// its bucket times the number of the tenant's buckets, plus one round; at most the tenant's
+    /// backlog.
     #[must_use]
     pub fn cost_before(&self, request: &QueuedRequest) -> Span {
         let tenant = &self.tenants[request.tenant];
-        let own = self.bucket_backlog(request.tenant, self.bucket_of(request));
+        let backlog = self.bucket_backlog(request.tenant, self.bucket_of(request));
         if request.has_reservation {
-            return Span(own);
+            return Span(backlog);
         }
         let buckets = i64::try_from(tenant.round_robin.len()).unwrap_or(i64::MAX);
         let round = buckets.saturating_mul(tenant.quantum.max(request.cost.0));
-        let rounds = own.saturating_mul(buckets.max(1)).saturating_add(round);
+        let rounds = backlog.saturating_mul(buckets.max(1)).saturating_add(round);
         Span(rounds.min(tenant.backlog))
     }
 
-    /// The earliest virtual start of a tenant that was idle.
+    /// Lower bound of the virtual start of a tenant that was idle.
     fn earliest_start(&self, request: &QueuedRequest, weights: &[f64]) -> f64 {
         let burst = BURST_REQUESTS * request.cost.as_f64() / weights[request.tenant];
         self.virtual_time - burst
     }
 
-    /// Adds a request.
+    /// Adds a request to a bucket of its tenant.
     pub fn push(&mut self, request: QueuedRequest, weights: &[f64]) {
         let bucket_number = self.bucket_of(&request);
         let earliest_start = self.earliest_start(&request, weights);
@@ -302,7 +304,7 @@
         self.positions.insert(request.id, position);
     }
 
-    /// Takes out the request that is served next.
+    /// Removes and returns the request that is served next.
     pub fn pop(&mut self) -> Option<QueuedRequest> {
         let waiting = self.tenants.iter().enumerate().filter(|(_, t)| t.len > 0);
         let (number, start) = waiting
@@ -320,10 +322,10 @@
         self.take(position)
     }
 
-    /// The next request of a tenant by deficit round robin.
+    /// Position of the next request of a tenant by deficit round robin.
     fn next_by_deficit(&mut self, number: usize) -> Option<Position> {
         let tenant = &mut self.tenants[number];
-        // Each round adds the highest cost to each deficit, so two rounds serve some bucket.
+        // Each round adds the highest cost to each deficit, so some bucket is served within two.
         for _ in 0..=2 * tenant.round_robin.len() {
             let bucket_number = *tenant.round_robin.front()?;
             let bucket = tenant.buckets.get_mut(&bucket_number)?;
@@ -343,19 +345,19 @@
         None
     }
 
-    /// Charges a tenant for a request that is admitted, whether it waited or not.
+    /// Charges a tenant for an admitted request, whether or not the request waited.
     pub fn charge(&mut self, request: &QueuedRequest, weights: &[f64]) {
         let earliest_start = self.earliest_start(request, weights);
         let tenant = &mut self.tenants[request.tenant];
         let start = tenant.virtual_start.max(earliest_start);
         tenant.virtual_start = start + request.cost.as_f64() / weights[request.tenant];
         if self.positions.is_empty() {
-            // Nobody waits, so this takes nothing from other tenants.
+            // No request waits, so the charge takes no capacity from other tenants.
             self.virtual_time = self.virtual_time.max(start);
         }
     }
 
-    /// Takes out a request, wherever it waits.
+    /// Removes and returns a waiting request; `None` if it does not wait here.
     pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let position = *self.positions.get(&id)?;
         self.take(position)
@@ -381,7 +383,7 @@
         Some(request)
     }
 
-    /// The tenant that has most requests waiting for its weight.
+    /// The tenant with the most waiting requests relative to its weight; `None` if none waits.
     #[must_use]
     pub fn longest_tenant(&self, weights: &[f64]) -> Option<LongestTenant> {
         let waiting = self.tenants.iter().enumerate().filter(|(_, t)| t.len > 0);
@@ -393,7 +395,7 @@
             .max_by(|a, b| a.weighted_len.total_cmp(&b.weighted_len))
     }
 
-    /// Takes out the request that would be served last in a tenant's longest bucket.
+    /// Removes and returns the request that would be served last in the longest bucket of a tenant.
     pub fn pop_last(&mut self, tenant: usize) -> Option<QueuedRequest> {
         let buckets = self.tenants[tenant].buckets.iter();
         let (number, bucket) =
@@ -407,10 +409,11 @@
         self.take(position)
     }
 
-    /// Checks what must hold after every step. The cost grows with the requests that wait.
+    /// Checks the invariants of the queue. Takes time proportional to the number of waiting
+    /// requests.
     ///
     /// # Errors
-    /// The first invariant that does not hold.
+    /// Returns the first violated invariant.
     pub fn check_invariants(&self) -> Result<(), FairQueueViolation> {
         let mut queued = 0;
         for (number, tenant) in self.tenants.iter().enumerate() {
@@ -426,7 +429,7 @@
 }
 
 impl Tenant {
-    /// The first request with a reservation.
+    /// Priority of the tenant's first request with a reservation.
     fn first_reserved(&self) -> Option<Priority> {
         let bucket = self.buckets.get(&RESERVED_BUCKET)?;
         bucket.requests.first_key_value().map(|(first, _)| *first)
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -1,10 +1,10 @@
 //! Retry-After hints: a calendar of a tenant's future capacity in a lane.
 //!
-//! Each hint reserves the cost of its request in the first slot with capacity behind what waits
-//! already. Hints are spread within a slot, so that clients that obey them exactly come back as a
-//! stream. A reservation that nobody uses lapses as time passes. Times are whole microseconds,
-//! costs microseconds of work. Bounded by `SLOTS` slots and `MAX_CLIENTS` clients; where more
-//! clients have a hint, the oldest hints lose their reservation.
+//! Each hint reserves the cost of its request in the first slot with free capacity after the
+//! current backlog is served. Hints are spread within a slot, so that clients that obey them
+//! exactly do not return all at once. Unused reservations lapse as time passes. Times are whole
+//! microseconds, costs microseconds of work. The calendar holds at most `SLOTS` slots and
+//! `MAX_CLIENTS` clients; beyond that, the oldest hints lose their reservation.
 
 use std::collections::VecDeque;
 use std::hash::BuildHasherDefault;
@@ -14,58 +14,58 @@
 use siphasher::sip::SipHasher13;
 use valehatch_policy::{Span, Time};
 
-/// Length of a slot.
+/// Length of a calendar slot.
 const SLOT: Span = Span::from_millis(100);
-/// The shortest hint: capacity is freed by requests that end, and a shorter hint would be off by
-/// much of itself.
+/// Shortest hint. Capacity becomes free only when requests end, so a shorter hint would have a
+/// large relative error.
 const MIN_RETRY_AFTER: Span = Span::from_millis(300);
-/// Slots that are looked at.
+/// Maximum number of slots, and so the horizon of the calendar.
 const SLOTS: usize = 128;
-/// Fraction of the capacity that is reserved; the rest is for clients without a hint.
+/// Fraction of the capacity that may be reserved; the rest is for clients without a hint.
 const RESERVED_FRACTION: f64 = 0.6;
-/// Clients whose hints are remembered.
+/// Maximum number of clients with a reservation.
 const MAX_CLIENTS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
-/// How long before its hint a client may come back and still use its reservation.
+/// How early a client may return and still use its reservation.
 const EARLY_TOLERANCE: Span = Span::from_millis(50);
-/// How long after its hint it may.
+/// How late a client may return and still use its reservation.
 const LATE_TOLERANCE: Span = Span::from_millis(1_000);
-/// Smoothing of the fraction of hints that are honoured.
+/// Smoothing factor of the fraction of hints that clients honour.
 const HONOURED_GAIN: f64 = 0.02;
-/// The estimate of that fraction before any client came back.
+/// Estimate of the honoured fraction before any client has returned.
 const INITIAL_HONOURED_FRACTION: f64 = 0.5;
-/// A hint is at most this fraction of its slot after the slot's start.
+/// Largest offset of a hint into its slot, as a fraction of the slot.
 const MAX_SLOT_OFFSET: f64 = 0.99;
 
-/// What a hint is to reserve.
+/// A request for reserved capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
-    /// Whose hint it is.
+    /// Key of the client that receives the hint.
     pub client: u64,
-    /// Cost of the request.
+    /// Cost of the request, in microseconds of work.
     pub cost: Span,
-    /// Cost of what waits before it.
+    /// Cost of the waiting requests that are served first.
     pub backlog: Span,
-    /// The tenant's rate: cost per microsecond.
+    /// Rate at which the tenant is served: cost per microsecond; 0 if unknown.
     pub cost_per_microsecond: f64,
-    /// The longest hint that the client obeys.
+    /// Longest hint that the client obeys.
     pub max_retry_after: Span,
 }
 
-/// A tenant's calendar in a lane.
+/// Calendar of a tenant's reserved capacity in a lane.
 #[derive(Debug)]
 pub struct RetryAfterCalendar {
     /// Cost reserved in each slot; slots beyond the last are free.
     slots: VecDeque<f64>,
-    /// When the first slot starts.
+    /// Start of the first slot.
     start: Time,
     /// Moving average of the fraction of hints that clients honour.
     honoured_fraction: f64,
-    /// When each client should come back, the oldest hint first.
+    /// Time of each client's hint; the least recently given hint is evicted first.
     clients: LruCache<u64, Time, BuildHasherDefault<SipHasher13>>,
 }
 
 impl RetryAfterCalendar {
-    /// An empty calendar.
+    /// Creates an empty calendar whose first slot starts at `now`.
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Drops the slots and the hints that have passed.
+    /// Drops slots that have passed and reservations that have lapsed.
     fn advance(&mut self, now: Time) {
         let passed = usize::try_from((now - self.start).0 / SLOT.0).unwrap_or(0);
         if passed > 0 {
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Reserves capacity for a client. Returns its Retry-After; `None` if nothing is free within
-    /// the longest one.
+    /// Reserves capacity for a client. Returns the Retry-After, or `None` if no capacity is free
+    /// within the longest hint or the rate is unknown.
     pub fn reserve(&mut self, now: Time, reservation: &Reservation) -> Option<Span> {
         self.advance(now);
         let rate = reservation.cost_per_microsecond;
@@ -100,10 +100,9 @@
             return None;
         }
         let slot_capacity = rate * SLOT.as_f64() * RESERVED_FRACTION;
-        // The backlog is served first, at the whole rate; a client that comes back must find it
-        // gone.
-        let backlog_done = Span(1).times(reservation.backlog.as_f64() / rate);
-        let earliest = now + backlog_done.max(MIN_RETRY_AFTER);
+        // The backlog is served first, at the full rate, and must be gone when the client returns.
+        let backlog_duration = Span(1).times(reservation.backlog.as_f64() / rate);
+        let earliest = now + backlog_duration.max(MIN_RETRY_AFTER);
         let latest = now + reservation.max_retry_after;
         let first = self.slot_at(earliest)? + 1;
         let last = SLOTS.min(self.slot_at(latest)?);
@@ -128,14 +127,14 @@
         self.slots.get(slot).copied().unwrap_or(0.0)
     }
 
-    /// Whether a slot has capacity for a cost. A cost above a slot's capacity takes a slot that is
-    /// empty, and part of those behind it.
+    /// Whether a slot has capacity for a cost. A cost above the slot capacity fits only into an
+    /// empty slot and spills into the following ones.
     fn fits(&self, slot: usize, cost: f64, slot_capacity: f64) -> bool {
         let reserved = self.reserved_in(slot);
         reserved + cost <= slot_capacity || reserved == 0.0 && cost > slot_capacity
     }
 
-    /// Adds a cost to a slot, and what exceeds its capacity to the slots behind it.
+    /// Adds a cost to a slot and spills what exceeds the slot capacity into the following slots.
     fn add_cost(&mut self, slot: usize, cost: f64, slot_capacity: f64) {
         while self.slots.len() <= slot {
             self.slots.push_back(0.0);
@@ -154,7 +153,7 @@
         }
     }
 
-    /// Cost that is reserved from now on for a span, weighed by the fraction of hints that clients
+    /// Cost reserved within `span` from `now`, weighted by the fraction of hints that clients
     /// honour.
     #[must_use]
     pub fn reserved_cost(&self, now: Time, span: Span) -> Span {
@@ -164,8 +163,9 @@
         Span(1).times(reserved * self.honoured_fraction)
     }
 
-    /// A client has come in. Returns the time of its hint if it honours one, whose reservation it
-    /// uses up.
+    /// Uses up the reservation of a client that returns within the tolerance around its hint.
+    /// Returns the time of the hint, or `None` if the client has no hint or is too early or too
+    /// late.
     pub fn use_reservation(&mut self, now: Time, client: u64) -> Option<Time> {
         self.advance(now);
         let hinted_at = *self.clients.peek(&client)?;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -5,49 +5,50 @@
 
 use valehatch_policy::Span;
 
-/// Bounds of a tenant's weight: a quota that is not a finite number counts as the least.
+/// Least weight of a tenant, also used for a quota that is not a finite number.
 const MIN_WEIGHT: f64 = 0.001;
+/// Greatest weight of a tenant.
 const MAX_WEIGHT: f64 = 1000.0;
-/// The least weight of requests without a known tenant, which share what the quotas leave of 1.
+/// Least weight of requests without a known tenant, whose weight is what the quotas leave of 1.
 const MIN_UNKNOWN_TENANT_WEIGHT: f64 = 0.01;
 
-/// What the queue knows of a request class.
+/// Properties of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Priority weight of one request.
+    /// Priority weight of one request; requests are ordered by this weight divided by their cost.
     pub priority_weight: f64,
-    /// An answer has its full value up to this long after arrival.
+    /// Time after arrival within which an answer has its full value.
     pub latency_objective: Span,
-    /// Whether an answer after the objective still has value.
+    /// Whether an answer after the latency objective still has value.
     pub late_answer_counts: bool,
-    /// Whether only the primary takes it.
+    /// Whether requests of the class are writes, which only the primary serves.
     pub write: bool,
 }
 
 /// Sizes and quotas of an admission queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The tenants' quotas: weights, which need not add up to 1. A tenant with 0 is served when no
-    /// other waits.
+    /// Weights of the tenants, by tenant number; they need not add up to 1. A tenant with quota 0
+    /// is served when no other tenant has waiting requests.
     pub quotas: Vec<f64>,
-    /// The classes, by number.
+    /// Request classes, by class number.
     pub classes: Vec<Class>,
-    /// Requests that may wait, in all lanes together.
+    /// Maximum number of waiting requests in all lanes together.
     pub max_waiting: usize,
-    /// Buckets that the clients of a tenant are hashed into, in each lane.
+    /// Number of buckets that the clients of a tenant are hashed into, in each lane.
     pub client_buckets: u32,
-    /// The longest Retry-After that clients obey.
+    /// Longest Retry-After that clients obey.
     pub max_retry_after: Span,
-    /// Lanes in use at once; requests of further groups are admitted as they come.
+    /// Maximum number of lanes in use; requests of further groups are admitted without queueing.
     pub max_lanes: usize,
 }
 
-/// New quotas are not as many as the tenants.
+/// The number of new quotas differs from the number of tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaCountMismatch {
-    /// Quotas that were given.
+    /// Number of new quotas.
     pub quotas: usize,
-    /// Tenants that there are.
+    /// Number of configured tenants.
     pub tenants: usize,
 }
 
@@ -60,7 +61,7 @@
 
 impl Error for QuotaCountMismatch {}
 
-/// The weights of the tenants, the last for requests without a known tenant.
+/// Weights by tenant number; the last is for requests without a known tenant.
 pub(crate) fn tenant_weights(quotas: &[f64]) -> Vec<f64> {
     let mut weights: Vec<f64> = quotas.iter().map(|quota| bounded_weight(*quota)).collect();
     let unassigned = 1.0 - weights.iter().sum::<f64>();
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Each rule of the admission queue at its boundary, and random loads under which its invariants
-//! hold after every step.
+//! Rules of the admission queue at their boundaries, and random loads with a check of the
+//! invariants after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,24 +18,26 @@
     }
 }
 
-/// Classes, by number: a check, a report that costs twenty checks, and a write.
+/// Class of a cheap read.
 const CHECK: usize = 0;
+/// Class of a read that costs as much as 20 checks.
 const REPORT: usize = 1;
+/// Class of writes.
 const WRITE: usize = 2;
 
 fn classes() -> Vec<Class> {
-    let class = |aim, write| Class {
+    let class = |objective_ms, write| Class {
         priority_weight: 1.0,
-        latency_objective: ms(aim),
+        latency_objective: ms(objective_ms),
         late_answer_counts: write,
         write,
     };
     vec![class(300, false), class(6000, false), class(600, true)]
 }
 
-fn settings(shares: &[f64]) -> Settings {
+fn settings(quotas: &[f64]) -> Settings {
     Settings {
-        quotas: shares.to_vec(),
+        quotas: quotas.to_vec(),
         classes: classes(),
         max_waiting: 2000,
         client_buckets: 256,
@@ -44,22 +46,22 @@
     }
 }
 
-/// A request that an endpoint runs; ordered by when it ends.
+/// A request that an endpoint is executing; ordered by its end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Running {
     ends: Time,
     id: RequestId,
 }
 
-/// What is known of a request that came in.
+/// Record of a request that has arrived.
 struct ArrivalRecord {
     tenant: usize,
     at: Time,
-    /// How long an endpoint takes for it.
+    /// Time that an endpoint needs for the request.
     service_time: Span,
 }
 
-/// A request that was rejected, and how.
+/// A rejected request with the reason and hint.
 #[derive(Clone)]
 struct Rejected {
     id: RequestId,
@@ -75,7 +77,7 @@
     class: usize,
 }
 
-/// Checks of a tenant: one a second from one client unless said otherwise.
+/// Load of one check per second from one client; the rate and the number of clients can be changed.
 const fn checks(tenant: usize) -> TenantLoad {
     TenantLoad {
         tenant,
@@ -85,7 +87,7 @@
     }
 }
 
-/// The same of reports.
+/// Load of one report per second from one client.
 const fn reports(tenant: usize) -> TenantLoad {
     TenantLoad {
         class: REPORT,
@@ -103,25 +105,25 @@
     }
 }
 
-/// A rejection with a reserved hint.
+/// A Retry-After hint with a reservation.
 #[derive(Clone, Copy)]
-struct Promise {
+struct ReservedHint {
     rejected_at: Time,
     hinted_at: Time,
 }
 
-/// A request that came back at the time of its hint.
+/// A request that was sent again at the time of its hint.
 struct ReturnedRequest {
     id: RequestId,
-    promise: Promise,
+    hint: ReservedHint,
 }
 
-/// An admission queue before endpoints that run so many requests at once, each for its class's
-/// fixed time.
-struct World {
+/// Simulation of an admission queue in front of endpoints that execute `capacity` requests at once,
+/// each for the fixed service time of its class.
+struct Simulation {
     queue: AdmissionQueue,
     now: Time,
-    /// Requests that the endpoints run at once.
+    /// Requests that the endpoints execute at once.
     capacity: f64,
     running: BTreeSet<Running>,
     next: u64,
@@ -134,10 +136,10 @@
     admitted_at: BTreeMap<RequestId, Time>,
 }
 
-/// How long an endpoint takes for a request of each class, in microseconds.
+/// Time that an endpoint needs for a request of each class, in microseconds.
 const SERVICE_TIMES: [i64; 3] = [50_000, 1_000_000, 50_000];
 
-impl World {
+impl Simulation {
     fn new(settings: Settings, capacity: usize) -> Self {
         let tenants = settings.quotas.len() + 1;
         Self {
@@ -157,7 +159,7 @@
     fn apply(&mut self, decisions: Vec<AdmissionDecision>) {
         for decision in decisions {
             let (AdmissionDecision::Admit(id) | AdmissionDecision::Reject { id, .. }) = decision;
-            assert!(self.decided.insert(id), "one decision for each");
+            assert!(self.decided.insert(id), "exactly one decision per request");
             let arrival = &self.arrivals[&id];
             match decision {
                 AdmissionDecision::Admit(_) => {
@@ -180,7 +182,7 @@
             .unwrap_or_else(|e| panic!("{e}"));
     }
 
-    fn arrive(&mut self, tenant: usize, client: u64, class: usize, patience: Span) -> RequestId {
+    fn arrive(&mut self, tenant: usize, client: u64, class: usize, timeout: Span) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         let record = ArrivalRecord {
@@ -196,7 +198,7 @@
             client,
             class,
             group: GroupId(0),
-            deadline: self.now + patience,
+            deadline: self.now + timeout,
         };
         let mut decisions = vec![];
         self.queue.on_arrival(self.now, arrival, &mut decisions);
@@ -204,8 +206,8 @@
         id
     }
 
-    /// Lets time pass up to a moment. Requests that end leave, and the queue learns the capacity
-    /// every 10 ms.
+    /// Advances the time to `end`. Running requests complete when they are due, and the queue
+    /// receives the capacity and a tick every 10 ms.
     fn advance_to(&mut self, end: Time) {
         while self.now < end {
             let next_end = self.running.first().map_or(Time(i64::MAX), |r| r.ends);
@@ -247,9 +249,9 @@
     }
 }
 
-/// Requests of tenants at steady rates for so long.
-fn load(world: &mut World, seconds: i64, tenants: &[TenantLoad]) {
-    let start = world.now;
+/// Sends requests of the tenants at steady rates for this number of seconds.
+fn load(simulation: &mut Simulation, seconds: i64, tenants: &[TenantLoad]) {
+    let start = simulation.now;
     let end = start + ms(seconds * 1000);
     let mut due: BTreeSet<(Time, usize)> = BTreeSet::new();
     for index in 0..tenants.len() {
@@ -258,23 +260,23 @@
     while let Some((at, index)) = due.pop_first()
         && at < end
     {
-        world.advance_to(at);
+        simulation.advance_to(at);
         let load = &tenants[index];
-        let client = ((load.tenant as u64) << 32) | (world.next % load.clients);
-        world.arrive(load.tenant, client, load.class, ms(1200));
+        let client = ((load.tenant as u64) << 32) | (simulation.next % load.clients);
+        simulation.arrive(load.tenant, client, load.class, ms(1200));
         due.insert((at + Span(1_000_000 / load.per_second), index));
     }
 }
 
-// One tenant sends ten times its quota. The others stay below theirs and must hardly wait, and what
-// they do not use goes to the first.
+// One tenant sends ten times its quota. The others stay below their quotas and must hardly wait;
+// the capacity that they do not use goes to the first tenant.
 #[test]
 fn flooding_tenant_does_not_delay_others() {
-    // 20 checks of 50 ms at once: 400 a second. One tenant sends ten times its quota, two less than
-    // theirs.
-    let mut world = World::new(settings(&[0.48, 0.29, 0.23]), 20);
+    // 20 checks of 50 ms run at once, which is 400 per second. One tenant sends ten times its
+    // quota, two send less than theirs.
+    let mut simulation = Simulation::new(settings(&[0.48, 0.29, 0.23]), 20);
     load(
-        &mut world,
+        &mut simulation,
         10,
         &[
             checks(0).per_second(1920).clients(500),
@@ -282,14 +284,17 @@
             checks(2).per_second(70).clients(20),
         ],
     );
-    world.advance(ms(1000));
-    let got: Vec<usize> = world.waits.iter().map(Vec::len).collect();
+    simulation.advance(ms(1000));
+    let admitted: Vec<usize> = simulation.waits.iter().map(Vec::len).collect();
     assert!(
-        got[1] >= 900 * 98 / 100 && got[2] >= 700 * 98 / 100,
-        "{got:?}"
+        admitted[1] >= 900 * 98 / 100 && admitted[2] >= 700 * 98 / 100,
+        "{admitted:?}"
     );
-    assert!(got[0] >= 2200, "what the others do not use is its: {got:?}");
-    let mut waits = world.waits[2].clone();
+    assert!(
+        admitted[0] >= 2200,
+        "the first tenant gets the unused capacity: {admitted:?}"
+    );
+    let mut waits = simulation.waits[2].clone();
     waits.sort();
     assert!(
         waits[waits.len() * 99 / 100] <= ms(60),
@@ -300,9 +305,9 @@
 
 #[test]
 fn overload_of_all_tenants_follows_quotas() {
-    let mut world = World::new(settings(&[0.48, 0.29, 0.23]), 20);
+    let mut simulation = Simulation::new(settings(&[0.48, 0.29, 0.23]), 20);
     load(
-        &mut world,
+        &mut simulation,
         20,
         &[
             checks(0).per_second(800).clients(300),
@@ -310,249 +315,289 @@
             checks(2).per_second(800).clients(300),
         ],
     );
-    let got: Vec<f64> = world.waits.iter().map(|a| a.len() as f64).collect();
-    let all: f64 = got.iter().sum();
-    assert!(all >= 20.0 * 400.0 * 0.95, "work is not left undone: {all}");
-    for (n, share) in [0.48, 0.29, 0.23].into_iter().enumerate() {
-        let part = got[n] / all;
-        assert!((part / share - 1.0).abs() < 0.05, "{n}: {part} of {share}");
+    let admitted: Vec<f64> = simulation.waits.iter().map(|a| a.len() as f64).collect();
+    let all: f64 = admitted.iter().sum();
+    assert!(
+        all >= 20.0 * 400.0 * 0.95,
+        "the capacity is fully used: {all}"
+    );
+    for (n, quota) in [0.48, 0.29, 0.23].into_iter().enumerate() {
+        let fraction = admitted[n] / all;
+        assert!(
+            (fraction / quota - 1.0).abs() < 0.05,
+            "{n}: {fraction} of {quota}"
+        );
     }
 }
 
 #[test]
 fn quotas_share_cost_not_requests() {
-    // One tenant sends reports of 1 s, the other checks of 50 ms; both want all the capacity.
-    let mut world = World::new(settings(&[0.5, 0.5]), 20);
+    // One tenant sends reports of 1 s, the other checks of 50 ms. In the measured phase, each
+    // offers more load than the full capacity.
+    let mut simulation = Simulation::new(settings(&[0.5, 0.5]), 20);
     load(
-        &mut world,
+        &mut simulation,
         5,
         &[
             reports(0).per_second(100).clients(50),
             checks(1).per_second(100).clients(50),
         ],
     );
-    let before = [world.waits[0].len(), world.waits[1].len()];
+    let before = [simulation.waits[0].len(), simulation.waits[1].len()];
     load(
-        &mut world,
+        &mut simulation,
         20,
         &[
             reports(0).per_second(100).clients(50),
             checks(1).per_second(600).clients(50),
         ],
     );
-    let cost = [0, 1].map(|n| (world.waits[n].len() - before[n]) as i64 * SERVICE_TIMES[1 - n]);
+    let cost =
+        [0, 1].map(|n| (simulation.waits[n].len() - before[n]) as i64 * SERVICE_TIMES[1 - n]);
     for n in 0..2 {
-        let kinds = |reason| world.rejections(n, reason);
+        let rejections = |reason| simulation.rejections(n, reason);
         println!(
-            "cost: tenant {n} wait {} full {} waited {} standing {} admitted {}",
-            kinds(QueueRejection::WaitTooLong),
-            kinds(QueueRejection::QueueFull),
-            kinds(QueueRejection::ExpiredInQueue),
-            kinds(QueueRejection::StandingQueue),
-            world.waits[n].len()
+            "cost: tenant {n} wait too long {} queue full {} expired {} standing {} admitted {}",
+            rejections(QueueRejection::WaitTooLong),
+            rejections(QueueRejection::QueueFull),
+            rejections(QueueRejection::ExpiredInQueue),
+            rejections(QueueRejection::StandingQueue),
+            simulation.waits[n].len()
         );
     }
-    let part = cost[0] as f64 / (cost[0] + cost[1]) as f64;
-    assert!((0.4..0.6).contains(&part), "{cost:?}");
+    let fraction = cost[0] as f64 / (cost[0] + cost[1]) as f64;
+    assert!((0.4..0.6).contains(&fraction), "{cost:?}");
 }
 
-// One client sends as much as 5,000 others together. It must not get half of the capacity.
+// One client sends as much as 5,000 others together. The test guards against that client getting
+// half of the capacity.
 #[test]
 fn flooding_client_gets_one_clients_share() {
-    let mut world = World::new(
+    let mut simulation = Simulation::new(
         Settings {
             max_waiting: 20_000,
             ..settings(&[1.0])
         },
         20,
     );
-    let begin = world.now;
-    // 5,000 clients that send one request each in turn, and one that sends as many as all of them.
-    let mut one = 0;
+    let start = simulation.now;
+    // 5,000 clients send one request each in turn, and one sends as many as all of them together.
+    let mut flooder_admitted = 0;
     for n in 0..20_000_u64 {
-        world.advance_to(begin + Span(i64::try_from(n).unwrap() * 500));
-        world.arrive(0, 100 + n % 5000, CHECK, ms(1200));
-        let id = world.arrive(0, 1, CHECK, ms(1200));
-        one += usize::from(world.is_running(id));
+        simulation.advance_to(start + Span(i64::try_from(n).unwrap() * 500));
+        simulation.arrive(0, 100 + n % 5000, CHECK, ms(1200));
+        let id = simulation.arrive(0, 1, CHECK, ms(1200));
+        flooder_admitted += usize::from(simulation.is_running(id));
     }
-    let all = world.waits[0].len();
+    let all = simulation.waits[0].len();
     assert!(all > 3000);
-    assert!(one < all / 10, "{one} of {all}: it does not get half");
+    assert!(
+        flooder_admitted < all / 10,
+        "{flooder_admitted} of {all} are the flooding client's"
+    );
 }
 
 #[test]
 fn idle_tenant_earns_no_credit() {
-    let mut world = World::new(settings(&[0.5, 0.5]), 20);
-    load(&mut world, 30, &[checks(0).per_second(600).clients(50)]);
-    let before = [world.waits[0].len(), world.waits[1].len()];
+    let mut simulation = Simulation::new(settings(&[0.5, 0.5]), 20);
+    load(
+        &mut simulation,
+        30,
+        &[checks(0).per_second(600).clients(50)],
+    );
+    let before = [simulation.waits[0].len(), simulation.waits[1].len()];
     load(
-        &mut world,
+        &mut simulation,
         2,
         &[
             checks(0).per_second(600).clients(50),
             checks(1).per_second(2000).clients(50),
         ],
     );
-    let got = [0, 1].map(|n| world.waits[n].len() - before[n]);
-    assert!(got[0] * 100 >= 42 * (got[0] + got[1]), "{got:?}");
+    let admitted = [0, 1].map(|n| simulation.waits[n].len() - before[n]);
+    assert!(
+        admitted[0] * 100 >= 42 * (admitted[0] + admitted[1]),
+        "{admitted:?}"
+    );
 }
 
 #[test]
 fn hundred_thousand_clients_stay_bounded_and_are_all_decided() {
-    let mut world = World::new(settings(&[0.5, 0.5]), 20);
+    let mut simulation = Simulation::new(settings(&[0.5, 0.5]), 20);
     for n in 0..100_000 {
-        world.arrive(usize::from(n % 10 == 0), n, CHECK, ms(1200));
+        simulation.arrive(usize::from(n % 10 == 0), n, CHECK, ms(1200));
         if n % 100 == 0 {
-            world.advance(ms(1));
+            simulation.advance(ms(1));
         }
     }
-    assert!(world.queue.len() <= 2000);
-    world.advance(ms(2000));
-    assert_eq!(world.decided.len(), 100_000);
+    assert!(simulation.queue.len() <= 2000);
+    simulation.advance(ms(2000));
+    assert_eq!(simulation.decided.len(), 100_000);
     assert!(
-        world.waits[1].len() * 2 >= world.waits[0].len(),
-        "the smaller crowd is not pushed aside"
+        simulation.waits[1].len() * 2 >= simulation.waits[0].len(),
+        "the tenant with fewer clients gets its share"
     );
 }
 
 #[test]
 fn hopeless_wait_is_rejected_on_arrival() {
-    let mut world = World::new(settings(&[1.0]), 20);
-    load(&mut world, 10, &[checks(0).per_second(2000).clients(200)]);
-    let reasons = |reason| world.rejections(0, reason);
-    let all = world.rejected[0].len();
+    let mut simulation = Simulation::new(settings(&[1.0]), 20);
+    load(
+        &mut simulation,
+        10,
+        &[checks(0).per_second(2000).clients(200)],
+    );
+    let rejections = |reason| simulation.rejections(0, reason);
+    let all = simulation.rejected[0].len();
     assert!(all > 10_000);
     assert!(
-        reasons(QueueRejection::WaitTooLong) * 10 >= all * 9,
+        rejections(QueueRejection::WaitTooLong) * 10 >= all * 9,
         "{} of {all}",
-        reasons(QueueRejection::WaitTooLong)
+        rejections(QueueRejection::WaitTooLong)
     );
 }
 
 #[test]
 fn honoured_hint_is_admitted_on_time() {
-    let mut world = World::new(settings(&[1.0]), 20);
-    // Twice what can be served, for long enough that the rate is known; then clients that obey
-    // their hints exactly.
-    load(&mut world, 5, &[checks(0).per_second(800).clients(4000)]);
-    let begin = world.now;
+    let mut simulation = Simulation::new(settings(&[1.0]), 20);
+    // Twice the capacity for long enough that the drain rate is known; then clients that obey their
+    // hints exactly.
+    load(
+        &mut simulation,
+        5,
+        &[checks(0).per_second(800).clients(4000)],
+    );
+    let start = simulation.now;
     let mut due_back: BTreeSet<(Time, u64)> = BTreeSet::new();
-    let mut promises: BTreeMap<u64, Promise> = BTreeMap::new();
+    let mut hints: BTreeMap<u64, ReservedHint> = BTreeMap::new();
     let mut returned: Vec<ReturnedRequest> = vec![];
     for step in 0..8000_u64 {
-        let at = begin + Span(i64::try_from(step).unwrap() * 1250);
+        let at = start + Span(i64::try_from(step).unwrap() * 1250);
         while let Some((due, client)) = due_back.first().copied().filter(|(due, _)| *due <= at) {
             due_back.pop_first();
-            world.advance_to(due);
-            let id = world.arrive(0, client, CHECK, ms(1200));
-            let promise = promises[&client];
-            returned.push(ReturnedRequest { id, promise });
+            simulation.advance_to(due);
+            let id = simulation.arrive(0, client, CHECK, ms(1200));
+            let hint = hints[&client];
+            returned.push(ReturnedRequest { id, hint });
         }
-        world.advance_to(at);
+        simulation.advance_to(at);
         let client = 1_000_000 + step;
-        let before = world.rejected[0].len();
-        let id = world.arrive(0, client, CHECK, ms(1200));
-        let rejected = world.rejected[0][before..].iter().find(|r| r.id == id);
+        let before = simulation.rejected[0].len();
+        let id = simulation.arrive(0, client, CHECK, ms(1200));
+        let rejected = simulation.rejected[0][before..].iter().find(|r| r.id == id);
         if let Some(rejected) = rejected.filter(|r| r.hint.reserved) {
-            let promise = Promise {
-                rejected_at: world.now,
-                hinted_at: world.now + rejected.hint.retry_after,
+            let hint = ReservedHint {
+                rejected_at: simulation.now,
+                hinted_at: simulation.now + rejected.hint.retry_after,
             };
-            promises.insert(client, promise);
-            due_back.insert((promise.hinted_at, client));
+            hints.insert(client, hint);
+            due_back.insert((hint.hinted_at, client));
         }
     }
-    // Admitted no later than 1.2 times the hinted time after the rejection.
-    let is_right = |request: &ReturnedRequest| {
-        let Promise {
+    // On time: admitted within 1.2 times the Retry-After, counted from the rejection.
+    let is_on_time = |request: &ReturnedRequest| {
+        let ReservedHint {
             rejected_at,
             hinted_at,
-        } = request.promise;
-        world
+        } = request.hint;
+        simulation
             .admitted_at
             .get(&request.id)
             .is_some_and(|at| *at - rejected_at <= (hinted_at - rejected_at).times(1.2))
     };
-    let right = returned.iter().filter(|r| is_right(r)).count();
-    let wrong = returned.len() - right;
-    let kinds = |reason| world.rejections(0, reason);
-    let reserved_hints = world.rejected[0].iter().filter(|r| r.hint.reserved).count();
+    let on_time = returned.iter().filter(|r| is_on_time(r)).count();
+    let not_on_time = returned.len() - on_time;
+    let rejections = |reason| simulation.rejections(0, reason);
+    let reserved_hints = simulation.rejected[0]
+        .iter()
+        .filter(|r| r.hint.reserved)
+        .count();
     println!(
-        "right {right} wrong {wrong} reserved_hints {reserved_hints} wait {} full {} waited {} standing {} admitted {}",
-        kinds(QueueRejection::WaitTooLong),
-        kinds(QueueRejection::QueueFull),
-        kinds(QueueRejection::ExpiredInQueue),
-        kinds(QueueRejection::StandingQueue),
-        world.waits[0].len()
+        "on time {on_time}, not on time {not_on_time}, reserved hints {reserved_hints}, wait too long {} queue full {} expired {} standing {} admitted {}",
+        rejections(QueueRejection::WaitTooLong),
+        rejections(QueueRejection::QueueFull),
+        rejections(QueueRejection::ExpiredInQueue),
+        rejections(QueueRejection::StandingQueue),
+        simulation.waits[0].len()
     );
-    assert!(right > 200, "{right}");
+    assert!(on_time > 200, "{on_time}");
     assert!(
-        right * 100 >= 95 * (right + wrong),
-        "{right} right, {wrong} wrong"
+        on_time * 100 >= 95 * (on_time + not_on_time),
+        "{on_time} on time, {not_on_time} not"
     );
 }
 
-// The primary is lost, and its group's writes wait for a new one. Reads are served by replicas and
-// must go on.
+// The primary of a group is lost, and the group's writes wait for a new one. Reads are served by
+// replicas and must not be delayed.
 #[test]
 fn primary_search_does_not_delay_reads() {
-    let mut world = World::new(settings(&[0.5, 0.5]), 20);
+    let mut simulation = Simulation::new(settings(&[0.5, 0.5]), 20);
     let mut out = vec![];
     for n in 0..50 {
-        world.arrive(0, n, WRITE, ms(5000));
+        simulation.arrive(0, n, WRITE, ms(5000));
     }
     let searching = Capacity {
         limit: 20.0,
         waiting: 8,
         searching: true,
     };
-    world
-        .queue
-        .set_capacity(world.now, lane(0, LaneKind::Writes), searching, &mut out);
-    world.apply(out);
-    assert!(world.queue.len() >= 30, "they keep their places");
+    simulation.queue.set_capacity(
+        simulation.now,
+        lane(0, LaneKind::Writes),
+        searching,
+        &mut out,
+    );
+    simulation.apply(out);
+    assert!(simulation.queue.len() >= 30, "the writes stay queued");
     let reads: Vec<_> = (0..8)
-        .map(|n| world.arrive(1, n, CHECK, ms(1200)))
+        .map(|n| simulation.arrive(1, n, CHECK, ms(1200)))
         .collect();
-    assert!(reads.iter().all(|id| world.is_running(*id)), "reads go on");
-    // Once it is found the writes are admitted in turn.
-    world.advance(ms(300));
-    assert!(world.waits[0].len() == 50, "{}", world.waits[0].len());
+    assert!(
+        reads.iter().all(|id| simulation.is_running(*id)),
+        "reads are admitted at once"
+    );
+    // Once the primary is found, the writes are admitted.
+    simulation.advance(ms(300));
+    assert!(
+        simulation.waits[0].len() == 50,
+        "{}",
+        simulation.waits[0].len()
+    );
 }
 
 #[test]
 fn new_quotas_apply_at_once_and_keep_places() {
-    let mut world = World::new(settings(&[0.9, 0.1]), 20);
+    let mut simulation = Simulation::new(settings(&[0.9, 0.1]), 20);
     load(
-        &mut world,
+        &mut simulation,
         5,
         &[
             checks(0).per_second(800).clients(50),
             checks(1).per_second(800).clients(50),
         ],
     );
-    let waiting = world.queue.len();
-    assert!(world.queue.set_quotas(&[0.1]).is_err());
-    world.queue.set_quotas(&[0.1, 0.9]).unwrap();
-    assert_eq!(world.queue.len(), waiting);
-    let before = [world.waits[0].len(), world.waits[1].len()];
+    let waiting = simulation.queue.len();
+    assert!(simulation.queue.set_quotas(&[0.1]).is_err());
+    simulation.queue.set_quotas(&[0.1, 0.9]).unwrap();
+    assert_eq!(simulation.queue.len(), waiting);
+    let before = [simulation.waits[0].len(), simulation.waits[1].len()];
     load(
-        &mut world,
+        &mut simulation,
         10,
         &[
             checks(0).per_second(800).clients(50),
             checks(1).per_second(800).clients(50),
         ],
     );
-    let got = [0, 1].map(|n| world.waits[n].len() - before[n]);
-    assert!(got[1] > got[0] * 6, "{got:?}");
+    let admitted = [0, 1].map(|n| simulation.waits[n].len() - before[n]);
+    assert!(admitted[1] > admitted[0] * 6, "{admitted:?}");
 }
 
 #[test]
 fn invalid_quotas_and_unknown_tenants_are_served() {
-    let mut world = World::new(settings(&[0.0, 3.0, f64::NAN]), 20);
+    let mut simulation = Simulation::new(settings(&[0.0, 3.0, f64::NAN]), 20);
     load(
-        &mut world,
+        &mut simulation,
         5,
         &[
             checks(0).per_second(200).clients(50),
@@ -561,13 +606,13 @@
             checks(3).per_second(200).clients(50),
         ],
     );
-    world.advance(ms(1500));
-    assert_eq!(world.decided.len(), world.arrivals.len());
-    let got: Vec<usize> = world.waits.iter().map(Vec::len).collect();
-    assert!(got[1] > 1400, "{got:?}");
+    simulation.advance(ms(1500));
+    assert_eq!(simulation.decided.len(), simulation.arrivals.len());
+    let admitted: Vec<usize> = simulation.waits.iter().map(Vec::len).collect();
+    assert!(admitted[1] > 1400, "{admitted:?}");
     assert!(
-        got[0] > 0 || got[2] > 0 || got[3] > 0,
-        "what is left is theirs: {got:?}"
+        admitted[0] > 0 || admitted[2] > 0 || admitted[3] > 0,
+        "the other tenants get the remaining capacity: {admitted:?}"
     );
 }
 
@@ -598,7 +643,10 @@
         );
     }
     assert_eq!(out.len(), 50);
-    assert!(out.iter().all(|v| matches!(v, AdmissionDecision::Admit(_))));
+    assert!(
+        out.iter()
+            .all(|decision| matches!(decision, AdmissionDecision::Admit(_)))
+    );
     for n in 1..=50 {
         queue.on_finished(Time(1), RequestId(n), Completion::Served, &mut out);
     }
@@ -610,32 +658,32 @@
 
     #[test]
     fn random_load_decides_each_request_once_and_in_time(
-        moves in prop::collection::vec((0..9_u8, 0..4_usize, 0..30_u64, 0..3_usize, 5..3000_i64), 1..400), places in 1..30_usize, most in 1..60_usize,
+        steps in prop::collection::vec((0..9_u8, 0..4_usize, 0..30_u64, 0..3_usize, 5..3000_i64), 1..400), capacity in 1..30_usize, max_waiting in 1..60_usize,
     ) {
-        let mut world = World::new(Settings { max_waiting: most, ..settings(&[0.5, 0.3, 0.2]) }, places);
-        let mut asked = vec![];
-        for (what, tenant, client, class, n) in moves {
-            match what {
-                0..=5 => asked.push((world.arrive(tenant, client, class, ms(n)), world.now + ms(n))),
-                6 => world.advance(ms(n / 20)),
+        let mut simulation = Simulation::new(Settings { max_waiting, ..settings(&[0.5, 0.3, 0.2]) }, capacity);
+        let mut sent = vec![];
+        for (action, tenant, client, class, n) in steps {
+            match action {
+                0..=5 => sent.push((simulation.arrive(tenant, client, class, ms(n)), simulation.now + ms(n))),
+                6 => simulation.advance(ms(n / 20)),
                 7 => {
-                    if let Some((id, _)) = asked.get(usize::try_from(n).unwrap() % asked.len().max(1)) {
+                    if let Some((id, _)) = sent.get(usize::try_from(n).unwrap() % sent.len().max(1)) {
                         let mut out = vec![];
-                        world.running.retain(|running| running.id != *id);
-                        world.queue.on_client_disconnected(world.now, *id, &mut out);
-                        world.decided.insert(*id);
-                        world.apply(out);
+                        simulation.running.retain(|running| running.id != *id);
+                        simulation.queue.on_client_disconnected(simulation.now, *id, &mut out);
+                        simulation.decided.insert(*id);
+                        simulation.apply(out);
                     }
                 }
-                _ => world.capacity = f64::from(u32::try_from(n % 25).unwrap()),
+                _ => simulation.capacity = f64::from(u32::try_from(n % 25).unwrap()),
             }
         }
-        world.capacity = 5.0;
-        world.advance(ms(3000));
-        prop_assert!(world.queue.is_empty());
-        prop_assert_eq!(world.decided.len(), world.arrivals.len());
-        for waits in &world.waits {
-            prop_assert!(waits.iter().all(|w| *w <= ms(1210)), "none waits for more than four tenths of its time");
+        simulation.capacity = 5.0;
+        simulation.advance(ms(3000));
+        prop_assert!(simulation.queue.is_empty());
+        prop_assert_eq!(simulation.decided.len(), simulation.arrivals.len());
+        for waits in &simulation.waits {
+            prop_assert!(waits.iter().all(|w| *w <= ms(1210)), "no request waits for more than four tenths of its timeout");
         }
     }
 }
--- a/crates/admission/tests/memory.rs
+++ b/crates/admission/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of an admission queue, counted by the allocator, under 100,000 new clients a second for
+//! Memory of an admission queue, counted by the allocator, with 100,000 new clients per second for
 //! 10 s.
 
 use std::alloc::System;
@@ -14,13 +14,13 @@
 #[global_allocator]
 static COUNTED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Requests that may wait.
+/// Maximum number of waiting requests.
 const MAX_WAITING: usize = 10_000;
-/// Bytes that a queue of that size may take: 1.5 KiB for each request, since each is of a new
-/// client, and 1 MiB.
+/// Upper bound of the queue's memory in bytes: 1.5 KiB for each request, since each comes from a
+/// new client, plus 1 MiB.
 const MAX_BYTES: usize = MAX_WAITING * 1536 + 1024 * 1024;
 
-/// Bytes that are in use beyond those at the region's beginning.
+/// Bytes allocated since the start of the region and still in use.
 fn bytes_in_use(region: &Region<'_, System>) -> usize {
     let change = region.change();
     change
@@ -55,8 +55,9 @@
     let mut decisions: Vec<AdmissionDecision> = Vec::with_capacity(4 * MAX_WAITING);
     let region = Region::new(COUNTED);
     let mut queue = AdmissionQueue::new(settings, 7);
-    let (mut seconds, mut most_waiting, mut peak) = (vec![], 0, 0);
-    // Each arrival is a new client, in one of eight groups; each group serves a hundred a second.
+    let (mut bytes_by_second, mut max_waiting_seen, mut peak) = (vec![], 0, 0);
+    // Each arrival is from a new client and for one of eight groups; each group serves 100 per
+    // second.
     for n in 0..1_000_000_u64 {
         let now = Time(1_000_000_000 + i64::try_from(n).unwrap() * 10);
         let id = RequestId(n + 1);
@@ -82,7 +83,10 @@
             queue.tick(now, &mut decisions);
             peak = peak.max(bytes_in_use(&region));
         }
-        while in_flight.front().is_some_and(|(until, _)| *until <= now) {
+        while in_flight
+            .front()
+            .is_some_and(|(ends_at, _)| *ends_at <= now)
+        {
             let Some((_, id)) = in_flight.pop_front() else {
                 break;
             };
@@ -93,26 +97,28 @@
                 in_flight.push_back((now + Span::from_millis(50), id));
             }
         }
-        most_waiting = most_waiting.max(queue.len());
+        max_waiting_seen = max_waiting_seen.max(queue.len());
         if n % 100_000 == 99_999 {
             queue.check_invariants().unwrap();
-            seconds.push(bytes_in_use(&region));
+            bytes_by_second.push(bytes_in_use(&region));
         }
     }
     assert!(
         in_flight.capacity() == 4 * MAX_WAITING && decisions.capacity() == 4 * MAX_WAITING,
-        "the test's own lists have not grown"
+        "the test's own buffers have not grown"
     );
-    println!("bytes by second {seconds:?}, {peak} at the most; {most_waiting} waited at the most");
-    assert!(most_waiting > 1_000, "there was something to hold");
-    // By then as many clients are remembered for their hints as may be.
-    let (early, late) = (seconds[5], *seconds.last().unwrap());
+    println!(
+        "bytes by second {bytes_by_second:?}, peak {peak}; at most {max_waiting_seen} waiting"
+    );
+    assert!(max_waiting_seen > 1_000, "the queue holds waiting requests");
+    // At 6 s the Retry-After calendars already hold their maximum number of clients.
+    let (early, late) = (bytes_by_second[5], *bytes_by_second.last().unwrap());
     assert!(peak <= MAX_BYTES, "{peak}");
-    assert!(late <= early + early / 10, "{seconds:?}");
+    assert!(late <= early + early / 10, "{bytes_by_second:?}");
     drop(queue);
     assert!(
         bytes_in_use(&region) < 64 * 1024,
-        "all of it is given back: {}",
+        "all memory is released: {}",
         bytes_in_use(&region)
     );
 }
--- a/crates/admission/tests/retry_after.rs
+++ b/crates/admission/tests/retry_after.rs
@@ -1,4 +1,5 @@
-//! Retry-After hints: spread over future capacity, and used within their tolerance only.
+//! Retry-After hints are spread over future capacity, and reservations are usable only within their
+//! tolerance.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
     Span::from_millis(n)
 }
 
-/// A check's cost, behind a backlog, where 400 checks a second are served.
+/// Reservation of a 50 ms check behind a backlog, at a rate of 400 checks per second.
 const fn reservation(client: u64, backlog: Span) -> Reservation {
     Reservation {
         client,
@@ -21,9 +22,9 @@
 }
 
 #[test]
-fn crowd_gets_spread_hints_until_none_is_free() {
+fn simultaneous_rejections_get_spread_hints_until_calendar_is_full() {
     let mut calendar = RetryAfterCalendar::new(Time(0));
-    // Twenty checks at once, 400 a second; a crowd of 1,000 rejected in one moment.
+    // 20 checks of 50 ms run at once, which is 400 per second; 1,000 clients are rejected together.
     let hints: Vec<Option<Span>> = (0..1000)
         .map(|n| calendar.reserve(Time(0), &reservation(n, ms(1000))))
         .collect();
@@ -35,12 +36,9 @@
     );
     assert!(
         hints[reserved_hints.len()..].iter().all(Option::is_none),
-        "the cap is too short for the rest"
-    );
-    assert!(
-        *reserved_hints.first().unwrap() >= 300_000,
-        "no hint is shorter"
+        "the longest Retry-After leaves no capacity for the rest"
     );
+    assert!(*reserved_hints.first().unwrap() >= 300_000, "shortest hint");
     let mut by_slot = BTreeMap::new();
     for hint in &reserved_hints {
         *by_slot.entry(hint / 50_000).or_insert(0) += 1;
@@ -50,11 +48,14 @@
         by_slot.values().all(|n| *n <= mean * 3 / 2 + 1),
         "{by_slot:?}"
     );
-    // A reservation that nobody uses lapses.
+    // Unused reservations lapse, so the capacity is free again.
     let later = calendar
         .reserve(Time(2_100_000), &reservation(5000, Span(0)))
         .unwrap();
-    assert!(later <= ms(400), "the least hint: {later:?}");
+    assert!(
+        later <= ms(400),
+        "hint after the reservations lapsed: {later:?}"
+    );
 }
 
 #[test]
@@ -68,5 +69,9 @@
         calendar.use_reservation(Time(0) + hint - ms(50), 1),
         Some(Time(0) + hint)
     );
-    assert_eq!(calendar.use_reservation(Time(0) + hint, 1), None, "once");
+    assert_eq!(
+        calendar.use_reservation(Time(0) + hint, 1),
+        None,
+        "used once only"
+    );
 }
--- a/crates/admission/tests/settings.rs
+++ b/crates/admission/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Quotas that do not match the tenants are refused with a typed error.
+//! Quotas that do not match the number of tenants are rejected with a typed error.
 
 use valehatch_admission::{AdmissionQueue, QuotaCountMismatch, Settings};
 use valehatch_policy::Span;
 
-// An operator reloads quotas for another number of tenants. The old quotas stay, and the log line names
-// both numbers.
+// An operator reloads quotas for a different number of tenants. The old quotas stay in effect, and
+// the log line contains both numbers.
 #[test]
 fn quota_count_differs_returns_both_counts() {
     let settings = Settings {
