--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,5 +1,6 @@
-//! Hot restart: two processes that are one gateway for a while. What each may use, what is handed
-//! over, and in which order. No I/O, no clock, no threads.
+//! Hot restart: an old and a new process act as one gateway until the old one ends. This crate
+//! defines the resource limits of each process, the messages between them and the order of the
+//! handoff. It does no I/O, reads no clock and starts no threads.
 //!
 //! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s; the caller owns the sockets and
 //! the timers. Usage and limits are counted in file descriptors and bytes of memory
--- a/crates/hot-restart/src/limits.rs
+++ b/crates/hot-restart/src/limits.rs
@@ -1,23 +1,23 @@
-//! Resource limits of each of two processes, chosen so that both together stay under the limit of
-//! one gateway.
+//! Resource limits of the old and the new process, chosen so that both together stay under the
+//! limit of one gateway.
 //!
 //! Inputs are the gateway's limit and the usage that the old process reported; all quantities are
 //! file descriptors and bytes of memory. Pure functions, no state.
 //!
 //! | step | old process | new process |
 //! | --- | --- | --- |
-//! | one process | everything | - |
+//! | only one process | everything | - |
 //! | new process does not serve yet | everything but the minimum | the minimum |
-//! | both serve | half | at most half, less if the old one uses more |
-//! | old process drains | a quarter | everything the old one does not use |
-//! | old process has not reported | counts as half | half |
+//! | both serve | half | half, or less if the old process uses more than half |
+//! | old process drains | a quarter | everything the old process does not use |
+//! | old process has not reported usage | assumed to use half | half |
 //!
-//! The minimum is [`MIN_PROCESS_LIMITS`]. Usage above a limit is released as connections become
-//! idle.
+//! The minimum is [`MIN_PROCESS_LIMITS`]. A process above its limit releases resources as its
+//! connections become idle.
 
 use serde::{Deserialize, Serialize};
 
-/// Resources that a process uses, or may use at most.
+/// Amount of each resource: the usage of a process, or its limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessLimits {
     /// File descriptors of every kind.
@@ -26,28 +26,28 @@
     pub bytes: usize,
 }
 
-/// What a process needs to start, and the least that it is left with: its own files, the management
-/// connections and discovery.
+/// Least limit of a process, enough to start: its own files, the management connections and
+/// discovery.
 pub const MIN_PROCESS_LIMITS: ProcessLimits = ProcessLimits {
     descriptors: 40,
     bytes: 6 * 1024 * 1024,
 };
 
-/// Whether the old process still takes new work.
+/// Whether the old process still accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldProcessPhase {
-    /// It accepts connections, so its usage may grow up to its limit.
+    /// The old process accepts connections, so its usage may grow up to its limit.
     Serving,
-    /// It accepts no connections, so its usage only falls.
+    /// The old process accepts no connections, so its usage only falls.
     Draining,
 }
 
-/// Where the old process is in the handoff.
+/// Progress of the handoff, as seen by the old process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OldProcessStep {
-    /// It has handed its state over; the new process does not serve yet.
+    /// The old process has handed its state over; the new process does not serve yet.
     HandingOver,
-    /// The new process serves beside it.
+    /// The new process serves beside the old one.
     Superseded(OldProcessPhase),
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// The old process's limit after it has handed its state over, out of the gateway's `total`.
+/// Limit of the old process after it has handed its state over, as a part of the gateway's `total`.
 ///
 /// A draining process needs upstream connections only for requests in flight, so a quarter is
 /// enough for it.
@@ -85,8 +85,9 @@
     }
 }
 
-/// The new process's limit out of the gateway's `total`, beside an old process with this usage;
-/// `None` if it has not reported any. Never below [`MIN_PROCESS_LIMITS`] unless `total` is.
+/// Limit of the new process as a part of the gateway's `total`. `old_usage` is the last usage that
+/// the old process reported, or `None` before its first report. The result is never below
+/// [`MIN_PROCESS_LIMITS`] unless `total` is.
 #[must_use]
 pub fn new_process_limits(
     total: ProcessLimits,
--- a/crates/hot-restart/src/messages.rs
+++ b/crates/hot-restart/src/messages.rs
@@ -2,51 +2,52 @@
 //!
 //! A message is a header of [`HEADER_BYTES`] bytes, then a postcard body of at most
 //! [`MAX_MESSAGE_BYTES`] bytes. The header is the length of the body (four bytes) and the protocol
-//! version (two bytes), both big-endian. Pure functions, no state. The order of the variants of
-//! [`HandoffMessage`] is part of the byte form.
+//! version (two bytes), both big-endian. The order of the variants of [`HandoffMessage`] is part of
+//! the byte form. Pure functions, no state.
 
 use serde::{Deserialize, Serialize};
 
 use crate::limits::ProcessLimits;
 
-/// Version of the byte form. A process that gets another version closes the connection, and the new
-/// process starts as after a crash.
+/// Version of the byte form. A process that receives another version closes the connection, and the
+/// new process starts as after a crash.
 pub const PROTOCOL_VERSION: u16 = 2;
-/// Longest body, in bytes: the largest snapshot and its envelope.
+/// Longest body, in bytes: the largest snapshot plus its encoding overhead.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024 + 1024;
-/// Bytes of the header.
+/// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 6;
 
 /// A message from one process to the other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoffMessage {
-    /// New to old: hand over the state of the gateway with this name.
+    /// New to old: requests the state of the gateway with this name.
     Request(String),
-    /// Old to new: a snapshot of the old process's state. The listening socket comes as ancillary
-    /// data, if it is still open.
+    /// Old to new: a snapshot of the old process's state. The listening socket is attached as
+    /// ancillary data if it is still open.
     State(Vec<u8>),
-    /// Old to new: another handoff is in progress, request again later.
+    /// Old to new: another handoff is in progress; the new process may retry later.
     Busy,
-    /// Old to new: resources in use; the old process still accepts connections.
+    /// Old to new: resources that the old process uses while it still accepts connections.
     Usage(ProcessLimits),
-    /// Old to new: resources in use; the old process accepts no connections any more.
+    /// Old to new: resources that the old process uses after it has stopped accepting connections.
     DrainingUsage(ProcessLimits),
     /// New to old: the new process serves.
     Ready,
-    /// Either way: the endpoint list after a discovery update, encoded by `valehatch_recovery`.
+    /// In both directions: the endpoint list after a discovery update, encoded by
+    /// `valehatch_recovery`.
     EndpointList(Vec<u8>),
 }
 
-/// Why bytes are not a message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     /// The header has this protocol version instead of [`PROTOCOL_VERSION`].
     UnsupportedVersion(u16),
     /// The header announces a body of this many bytes, more than [`MAX_MESSAGE_BYTES`].
     TooLong(u32),
-    /// The body continues after the end of the message.
+    /// The body has bytes after the end of the message.
     TrailingBytes,
-    /// The body is no message.
+    /// The body is not a valid postcard encoding of a message.
     Malformed(postcard::Error),
 }
 
@@ -54,11 +55,17 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::UnsupportedVersion(version) => {
-                write!(f, "it speaks version {version}, not {PROTOCOL_VERSION}")
+                write!(
+                    f,
+                    "unsupported protocol version {version}, expected {PROTOCOL_VERSION}"
+                )
             }
-            Self::TooLong(length) => write!(f, "a message of {length} bytes"),
-            Self::TrailingBytes => f.write_str("bytes after the end of a message"),
-            Self::Malformed(e) => write!(f, "not a message: {e}"),
+            Self::TooLong(length) => write!(
+                f,
+                "message body of {length} bytes exceeds the maximum of {MAX_MESSAGE_BYTES}"
+            ),
+            Self::TrailingBytes => f.write_str("trailing bytes after the end of the message"),
+            Self::Malformed(e) => write!(f, "malformed message: {e}"),
         }
     }
 }
@@ -72,7 +79,7 @@
     }
 }
 
-/// The header and body of a message.
+/// Encodes a message with its header.
 #[must_use]
 pub fn encode(message: &HandoffMessage) -> Vec<u8> {
     let body = postcard::to_stdvec(message).unwrap_or_default();
@@ -85,10 +92,10 @@
     .concat()
 }
 
-/// Length in bytes of the body that follows this header.
+/// Decodes a header. Returns the length of the body in bytes.
 ///
 /// # Errors
-/// [`DecodeError::UnsupportedVersion`] and [`DecodeError::TooLong`].
+/// Returns [`DecodeError::UnsupportedVersion`] or [`DecodeError::TooLong`].
 pub fn decode_length(header: [u8; HEADER_BYTES]) -> Result<usize, DecodeError> {
     let [a, b, c, d, v, w] = header;
     let version = u16::from_be_bytes([v, w]);
@@ -105,7 +112,7 @@
 /// Decodes the body of exactly one message.
 ///
 /// # Errors
-/// [`DecodeError::TrailingBytes`] and [`DecodeError::Malformed`].
+/// Returns [`DecodeError::TrailingBytes`] or [`DecodeError::Malformed`].
 pub fn decode(body: &[u8]) -> Result<HandoffMessage, DecodeError> {
     let (message, rest) = postcard::take_from_bytes(body).map_err(DecodeError::Malformed)?;
     if rest.is_empty() {
--- a/crates/hot-restart/src/state_machine.rs
+++ b/crates/hot-restart/src/state_machine.rs
@@ -1,24 +1,24 @@
-//! The steps of one process, from its start to its end. Both processes of a hot restart run this
-//! state machine, one as the old process and one as the new.
+//! The handoff state machine of one process, from its start to its end. Both processes of a hot
+//! restart run it, one as the old process and one as the new.
 //!
-//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s in the order in which they are to
-//! be done; there is no clock. At most two processes are one gateway: a third that requests a
-//! handoff is rejected. No step waits for the other process, and every step ends when that process
-//! dies (its socket closes).
+//! Inputs are [`HandoffEvent`]s, outputs are [`HandoffAction`]s in the order of execution; there is
+//! no clock. At most two processes form one gateway: a third that requests a handoff is rejected.
+//! No step waits for the other process, and every step ends when that process dies (its socket
+//! closes).
 //!
-//! Who holds what:
+//! Resources by stage:
 //!
 //! | stage | this process | the other process |
 //! | --- | --- | --- |
 //! | `Sole` | listening socket, all resources | - |
-//! | `HandingOver` | listening socket, nearly all resources | new: socket, minimum resources |
+//! | `HandingOver` | listening socket, all but the minimum | new: socket, the minimum |
 //! | `Superseded` | listening socket, half of the resources | new: socket, the rest |
 //! | `Superseded`, draining | a quarter of the resources | new: socket, the rest |
-//! | `Successor` | listening socket, what the old process leaves | old: see above |
+//! | `Successor` | listening socket, what the old process leaves | old: see the rows above |
 //!
-//! The socket is not handed over if a shutdown request has closed it before.
+//! The socket is not handed over if a shutdown request has already closed it.
 //!
-//! Which events lead where:
+//! Transitions:
 //!
 //! | stage | event | next stage | actions |
 //! | --- | --- | --- | --- |
@@ -31,23 +31,23 @@
 //! | `Successor` | `OldProcessGone` | `Sole` | `ApplyLimits` |
 //! | all but `Sole` | `HandoffRequested` | the same | `RejectBusy` |
 //! | `HandingOver`, `Superseded` | `UsageSampled` | the same | `ReportUsage` [^2] |
-//! | all but `Superseded` | `ShutdownRequested` | the same | none; it is remembered |
+//! | all but `Superseded` | `ShutdownRequested` | the same | none; the request is stored |
 //!
 //! [^1]: only after a shutdown request.
 //!
-//! [^2]: unless the last report was the same.
+//! [^2]: unless the usage and phase equal those of the last report.
 //!
-//! `ApplyLimits` is left out if a change of stage leaves the limits as they were. Events that are
-//! not listed for a stage are ignored.
+//! `ApplyLimits` is omitted if a change of stage does not change the limits. Events that are not
+//! listed for a stage are ignored.
 //!
-//! What a death means:
+//! Effect of the death of the other process:
 //!
-//! | death of | in stage | means |
+//! | process that died | stage | effect |
 //! | --- | --- | --- |
 //! | new process | `HandingOver`, `Superseded` | this process is the only one again |
 //! | old process | `Successor` | this process is the only one |
 //!
-//! After the death of a new process this one accepts the next handoff request, also while it
+//! After the death of a new process, this process accepts the next handoff request, even while it
 //! drains.
 
 use crate::limits::{
@@ -60,27 +60,27 @@
 /// How a process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessStart {
-    /// There was no process to take over from, or it handed nothing over and is gone.
+    /// No old process runs: there was none, or it ended without handing its state over.
     Sole,
-    /// An old process still runs.
+    /// An old process still runs, whether or not it has handed its state over.
     Successor,
 }
 
 /// The role of a process in a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoffStage {
-    /// The only process.
+    /// The only process of the gateway.
     Sole,
-    /// The new process, beside an old one.
+    /// The new process, while the old one still runs.
     Successor {
-        /// What the old process uses; `None` before its first report.
+        /// Usage of the old process; `None` before its first report.
         old_usage: Option<ProcessLimits>,
-        /// Whether the old process still takes new work.
+        /// Whether the old process still accepts new work.
         old_phase: OldProcessPhase,
     },
-    /// The old process; it has handed its state to this peer, which does not serve yet.
+    /// The old process, after it has handed its state to this peer, which does not serve yet.
     HandingOver(PeerId),
-    /// The old process; this peer serves.
+    /// The old process, while this peer serves.
     Superseded(PeerId),
 }
 
@@ -89,64 +89,64 @@
 pub enum HandoffEvent {
     /// The old process reported its usage.
     OldProcessReported {
-        /// What it uses.
+        /// Resources that the old process uses.
         usage: ProcessLimits,
-        /// Whether it still takes new work.
+        /// Whether the old process still accepts new work.
         phase: OldProcessPhase,
     },
-    /// The connection to the old process closed: it ended, or cannot be reached any more.
+    /// The connection to the old process closed: the process ended or cannot be reached any more.
     OldProcessGone,
-    /// A new process requested a handoff, whether or not this process is to shut down.
+    /// A new process requested a handoff, whether or not this process is shutting down.
     HandoffRequested(PeerId),
-    /// The new process serves.
+    /// The new process reported that it serves.
     NewProcessReady(PeerId),
     /// The connection to the new process closed.
     NewProcessGone(PeerId),
     /// A graceful shutdown was requested.
     ShutdownRequested,
-    /// Usage of this process, sampled at an interval that the caller chooses.
+    /// Current usage of this process, sampled at an interval that the caller chooses.
     UsageSampled(ProcessLimits),
 }
 
 /// An output of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoffAction {
-    /// Send the snapshot and the listening socket to the peer; without the socket if a shutdown has
+    /// Send the snapshot and the listening socket to the peer; omit the socket if a shutdown has
     /// closed it.
     HandOver(PeerId),
-    /// Answer the peer that it must request again later.
+    /// Tell the peer that another handoff is in progress.
     RejectBusy(PeerId),
     /// Send this process's usage to the new process.
     ReportUsage {
-        /// The new process.
+        /// New process that receives the report.
         peer: PeerId,
-        /// What this process uses.
+        /// Resources that this process uses.
         usage: ProcessLimits,
-        /// Whether this process still takes new work.
+        /// Whether this process still accepts new work.
         phase: OldProcessPhase,
     },
     /// Change the limits of this process.
     ApplyLimits {
-        /// What this process may use from now on.
+        /// Limits of this process from now on.
         limits: ProcessLimits,
-        /// Processes that are this gateway: fleet-wide quotas are divided by this number per
-        /// gateway.
+        /// Number of processes that form this gateway. The gateway's part of fleet-wide quotas is
+        /// divided by it.
         processes: u32,
     },
-    /// Accept no more connections; the new process accepts them from the same queue.
+    /// Stop accepting connections; the new process accepts them from the same socket queue.
     StopAccepting,
-    /// Listen for handoff requests in place of any other process.
+    /// Listen for handoff requests, replacing any other process that does.
     ListenForSuccessor,
 }
 
-/// A usage report as it was sent.
+/// Contents of a usage report, kept to detect changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct UsageReport {
     usage: ProcessLimits,
     phase: OldProcessPhase,
 }
 
-/// The state of one process; see the table of steps in the module documentation.
+/// The handoff state of one process; see the tables in the module documentation.
 #[derive(Clone, Debug)]
 pub struct HandoffStateMachine {
     /// Limits of the whole gateway.
@@ -157,7 +157,7 @@
 }
 
 impl HandoffStateMachine {
-    /// The state of a process that has just started; `total` is the limit of the whole gateway.
+    /// Creates the state of a process that has just started; `total` is the limit of the gateway.
     #[must_use]
     pub const fn new(total: ProcessLimits, start: ProcessStart) -> Self {
         let stage = match start {
@@ -175,13 +175,13 @@
         }
     }
 
-    /// The current stage.
+    /// Current stage of the handoff.
     #[must_use]
     pub const fn stage(&self) -> HandoffStage {
         self.stage
     }
 
-    /// What this process may use now.
+    /// Current resource limits of this process.
     #[must_use]
     pub fn limits(&self) -> ProcessLimits {
         match self.stage {
@@ -199,13 +199,13 @@
         }
     }
 
-    /// The first actions of a process. Called once, when it serves.
+    /// Appends the first actions of a process. Called once, when the process starts to serve.
     pub fn start_serving(&self, actions: &mut Vec<HandoffAction>) {
         actions.push(self.apply_limits());
         actions.push(HandoffAction::ListenForSuccessor);
     }
 
-    /// Handles one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, event: HandoffEvent, actions: &mut Vec<HandoffAction>) {
         match (event, self.stage) {
             (HandoffEvent::OldProcessReported { usage, phase }, HandoffStage::Successor { .. }) => {
@@ -252,7 +252,7 @@
                 HandoffEvent::UsageSampled(usage),
                 HandoffStage::HandingOver(peer) | HandoffStage::Superseded(peer),
             ) => self.report_usage(peer, usage, actions),
-            // Late or repeated events of a process that is not the current peer.
+            // Late or repeated events from a process that is not the current peer.
             (
                 HandoffEvent::OldProcessReported { .. }
                 | HandoffEvent::OldProcessGone
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Changes the stage, and the limits if they differ in it.
+    /// Changes the stage; applies the new limits if they differ from the old ones.
     fn enter(&mut self, stage: HandoffStage, actions: &mut Vec<HandoffAction>) {
         let before = self.apply_limits();
         self.stage = stage;
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Reports the usage to the new process unless the last report says the same.
+    /// Reports the usage to the new process unless it equals the last report.
     fn report_usage(
         &mut self,
         peer: PeerId,
--- a/crates/hot-restart/tests/state_machine.rs
+++ b/crates/hot-restart/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! Both processes of a hot restart, event by event, and the limits that they keep together.
+//! Events and resulting actions of both processes of a hot restart, and their combined limits.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -58,9 +58,9 @@
     }
 }
 
-/// The old process hands its state to a new one. A shutdown request may come at any step, and the
-/// new process may die at any step: then the old one is the only process again. A third process is
-/// rejected.
+/// The old process hands its state to a new one. A shutdown request may arrive at any step, and the
+/// new process may die at any step, after which the old process is the only one again. A third
+/// process is rejected.
 #[rstest]
 #[case::usual_order(
     vec![HandoffEvent::HandoffRequested(1), HandoffEvent::NewProcessReady(1), HandoffEvent::ShutdownRequested],
@@ -97,15 +97,14 @@
     assert_eq!((actions, machine.stage()), (expected, stage));
 }
 
-/// The new process takes what the old one leaves. The old process dies at the end, so the new one
-/// gets everything.
+/// The new process gets what the old one does not use, and everything once the old one has ended.
 #[test]
 fn new_process_gets_the_rest_then_everything() {
     let mut machine = HandoffStateMachine::new(TOTAL, ProcessStart::Successor);
     assert_eq!(
         machine.limits(),
         TOTAL.half(),
-        "no report of the old process yet"
+        "no usage report from the old process yet"
     );
     assert_eq!(
         handle(&mut machine, HandoffEvent::HandoffRequested(7)),
@@ -202,16 +201,16 @@
 }
 
 proptest! {
-    /// Both together stay under the limit, whatever the old process uses, once that is no more than
-    /// its limit.
+    /// Both processes together stay under the limit of one gateway for any usage of the old process
+    /// within its own limit.
     #[test]
-    fn two_processes_stay_under_one_limit(total in 64_usize..2_000, part in 0.0_f64..1.0, grows: bool) {
+    fn two_processes_stay_under_one_limit(total in 64_usize..2_000, used_fraction in 0.0_f64..1.0, is_serving: bool) {
         let total = ProcessLimits { descriptors: total, bytes: total << 18 };
-        let fraction = |n: usize| (n as f64 * part) as usize;
+        let fraction = |n: usize| (n as f64 * used_fraction) as usize;
         let old_usage = ProcessLimits { descriptors: fraction(total.descriptors), bytes: fraction(total.bytes) };
-        let phase = if grows { OldProcessPhase::Serving } else { OldProcessPhase::Draining };
+        let phase = if is_serving { OldProcessPhase::Serving } else { OldProcessPhase::Draining };
         let new = new_process_limits(total, Some(old_usage), phase);
-        let old = if grows { old_usage.descriptors.max(old_process_limits(total, OldProcessStep::Superseded(OldProcessPhase::Serving)).descriptors) } else { old_usage.descriptors };
+        let old = if is_serving { old_usage.descriptors.max(old_process_limits(total, OldProcessStep::Superseded(OldProcessPhase::Serving)).descriptors) } else { old_usage.descriptors };
         prop_assert!(old + new.descriptors <= total.descriptors || new.descriptors == MIN_PROCESS_LIMITS.descriptors);
         prop_assert!(old_process_limits(total, OldProcessStep::HandingOver).descriptors + MIN_PROCESS_LIMITS.descriptors <= total.descriptors.max(2 * MIN_PROCESS_LIMITS.descriptors));
         prop_assert!(new.descriptors <= total.descriptors && new.bytes <= total.bytes);
--- a/crates/hot-restart/tests/wire_forms.rs
+++ b/crates/hot-restart/tests/wire_forms.rs
@@ -1,6 +1,6 @@
 //! Byte forms of the messages between the two processes of a hot restart. The file in `fixtures/`
-//! holds one of each kind as version 0.4.0 wrote them, one after the other; later versions must
-//! read them and write the same bytes.
+//! contains one message of each kind, concatenated, as written by version 0.4.0. Later versions
+//! must decode these messages and encode them to the same bytes.
 
 use valehatch_hot_restart::ProcessLimits;
 use valehatch_hot_restart::messages::{
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn stored_messages_are_read_and_written_unchanged() {
+fn stored_messages_decode_and_encode_unchanged() {
     assert_eq!(PROTOCOL_VERSION, 2);
-    let (mut rest, mut read) = (MESSAGES, vec![]);
-    while let Some((head, behind)) = rest.split_first_chunk::<HEADER_BYTES>() {
-        let (body, next) = behind.split_at(decode_length(*head).unwrap());
-        read.push(decode(body).unwrap());
+    let (mut rest, mut decoded) = (MESSAGES, vec![]);
+    while let Some((header, body_and_rest)) = rest.split_first_chunk::<HEADER_BYTES>() {
+        let (body, next) = body_and_rest.split_at(decode_length(*header).unwrap());
+        decoded.push(decode(body).unwrap());
         rest = next;
     }
-    assert_eq!((read, rest), (messages(), &[][..]));
+    assert_eq!((decoded, rest), (messages(), &[][..]));
     assert_eq!(
         messages().iter().flat_map(encode).collect::<Vec<u8>>(),
         MESSAGES
