--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -1,9 +1,9 @@
-//! Poll intervals and backoff of a whole fleet, so that all gateways together call no more often
-//! than can be answered. No I/O, no clock, no threads.
+//! Poll intervals and backoff for a fleet of gateways, so that all of them together make no more
+//! calls than the called service can answer. No I/O, no clock, no threads.
 //!
 //! Inputs are the results of calls, outputs are pauses in whole microseconds ([`Span`]). The state
-//! has a fixed size. It guards against gateways that fail together, call again after the same
-//! pause, and so fail together again.
+//! has a fixed size. Jitter prevents gateways that fail together from retrying after the same pause
+//! and failing together again.
 
 #![forbid(unsafe_code)]
 
@@ -11,8 +11,8 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use valehatch_policy::Span;
 
-/// Capped exponential backoff with full jitter: the nth pause in a row is drawn evenly from 0 to
-/// `first * 2^n`, and to no more than `longest`.
+/// Capped exponential backoff with full jitter: the nth pause in a row, counted from 0, is drawn
+/// uniformly from 0 to the lesser of `first * 2^n` and `longest`.
 #[derive(Debug)]
 pub struct Backoff {
     first: Span,
@@ -23,7 +23,8 @@
 }
 
 impl Backoff {
-    /// `first` is at least a microsecond, `longest` at least `first`; smaller values are raised.
+    /// Creates a backoff whose pauses are drawn with this seed. `first` is raised to at least one
+    /// microsecond, and `longest` to at least `first`.
     #[must_use]
     pub fn new(first: Span, longest: Span, seed: u64) -> Self {
         let first = Span(first.0.max(1));
@@ -36,21 +37,21 @@
         }
     }
 
-    /// The pause before the first call, so that gateways that start together do not call together.
+    /// Pause before the first call, which spreads the first calls of gateways that start together.
     pub fn initial_pause(&mut self) -> Span {
         let fraction = self.draw_fraction();
         self.first.times(fraction)
     }
 
-    /// The pause after a call that failed.
+    /// Pause after a failed call.
     pub fn next_pause(&mut self) -> Span {
         self.next_pause_within(self.longest)
     }
 
-    /// The pause after a call that failed, where the next call must go out within `limit`.
+    /// Pause after a failed call, where the next call must be made within `limit`.
     ///
-    /// The pause is drawn evenly from the shorter range. Cutting a longer one off would make all
-    /// late gateways call at the same moment.
+    /// The pause is drawn uniformly from the shorter range. Truncating a longer pause to `limit`
+    /// would make all gateways with longer pauses call at the same moment.
     pub fn next_pause_within(&mut self, limit: Span) -> Span {
         let bound = self.bound.min(limit).max(Span(0));
         let fraction = self.draw_fraction();
@@ -58,26 +59,33 @@
         bound.times(fraction)
     }
 
-    /// A number from 0 to below 1.
+    /// Uniformly distributed number in the range [0, 1).
     fn draw_fraction(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// A call was answered: the next pause is drawn from the first bound again.
+    /// Resets the bound after an answered call, so that the next pause is at most `first`.
     pub const fn reset(&mut self) {
         self.bound = self.first;
     }
 }
 
-/// How long `gateways` take for one call each, at `calls_per_second` of all together.
+/// Interval in which each of `gateways` makes one call if all of them together make
+/// `calls_per_second`.
 #[must_use]
 pub fn fleet_call_interval(gateways: u32, calls_per_second: u32) -> Span {
     Span(i64::from(gateways) * 1_000_000 / i64::from(calls_per_second.max(1)))
 }
 
-/// How long a long poll of one gateway may wait for changes, so that `gateways` make no more than
-/// `calls_per_second` calls together while there are none: from `least` to `most`.
+/// How long a long poll of one gateway waits for changes, so that `gateways` together make no more
+/// than `calls_per_second` calls while nothing changes. The result is between `min_wait` and
+/// `max_wait`.
 #[must_use]
-pub fn long_poll_wait(gateways: u32, calls_per_second: u32, least: Span, most: Span) -> Span {
-    fleet_call_interval(gateways, calls_per_second).clamp(least, most.max(least))
+pub fn long_poll_wait(
+    gateways: u32,
+    calls_per_second: u32,
+    min_wait: Span,
+    max_wait: Span,
+) -> Span {
+    fleet_call_interval(gateways, calls_per_second).clamp(min_wait, max_wait.max(min_wait))
 }
--- a/crates/backoff/tests/backoff.rs
+++ b/crates/backoff/tests/backoff.rs
@@ -1,5 +1,5 @@
-//! Backoff of many gateways side by side, each with its own seed: how many calls they make
-//! together.
+//! Backoff of many gateways at the same time, each with its own seed, and the number of calls that
+//! they make together.
 
 use std::collections::BTreeSet;
 
@@ -10,65 +10,70 @@
 const FIRST: Span = Span::from_millis(50);
 const LONGEST: Span = Span::from_millis(2_500);
 
-/// What the simulated service saw.
-struct Calls {
-    /// Calls in each 100 ms.
-    asked: Vec<u32>,
-    /// When each gateway had its answer, in microseconds.
-    answered: Vec<Option<i64>>,
+/// Observations of the simulated service.
+struct SimulationResult {
+    /// Number of calls in each window of 100 ms.
+    calls_per_window: Vec<u32>,
+    /// When each gateway was answered, in microseconds; `None` if it was not.
+    answered_at: Vec<Option<i64>>,
 }
 
-/// A service that answers one call in each 20 ms and rejects calls that come meanwhile; all
-/// gateways start at once. Returns the calls in each 100 ms of a minute, and when each gateway had
-/// its answer.
-fn simulate(gateways: u64) -> Calls {
+/// Simulates one minute of a service that answers one call per 20 ms and rejects calls that arrive
+/// in between. All gateways make their first call at the same time.
+fn simulate(gateways: u64) -> SimulationResult {
     let mut backoffs: Vec<Backoff> = (0..gateways)
         .map(|n| Backoff::new(FIRST, LONGEST, n))
         .collect();
     let mut calls: BTreeSet<(i64, u64)> = (0..gateways).map(|n| (0, n)).collect();
-    let mut asked = vec![0; 600];
-    let mut answered = vec![None; backoffs.len()];
+    let mut calls_per_window = vec![0; 600];
+    let mut answered_at = vec![None; backoffs.len()];
     let mut busy_until = 0;
     while let Some((at, n)) = calls.pop_first() {
         if at >= 60_000_000 {
             break;
         }
-        asked[usize::try_from(at / 100_000).unwrap()] += 1;
+        calls_per_window[usize::try_from(at / 100_000).unwrap()] += 1;
         let index = usize::try_from(n).unwrap();
         if at >= busy_until {
             busy_until = at + 20_000;
-            answered[index] = Some(at);
+            answered_at[index] = Some(at);
         } else {
             calls.insert((at + backoffs[index].next_pause().0, n));
         }
     }
-    Calls { asked, answered }
+    SimulationResult {
+        calls_per_window,
+        answered_at,
+    }
 }
 
-/// All gateways of a fleet fail together, for instance when discovery restarts. With the same pause
-/// they would all call again together; drawn pauses spread them until each has its answer.
+/// All gateways of a fleet fail together, for instance when discovery restarts. With equal pauses
+/// they would all retry together; random pauses spread the retries until each gateway is answered.
 #[rstest]
 #[case(1)]
 #[case(3)]
 #[case(100)]
 fn gateways_failing_together_are_all_answered(#[case] gateways: u64) {
-    let Calls { asked, answered } = simulate(gateways);
-    let last = answered
+    let SimulationResult {
+        calls_per_window,
+        answered_at,
+    } = simulate(gateways);
+    let last = answered_at
         .iter()
         .map(|at| at.expect("every gateway is answered"))
         .max()
         .unwrap();
-    // At 50 answers a second, a hundred would take two if none were lost.
+    // At 50 answers per second, 100 gateways would take 2 s if no call were rejected.
     assert!(
         last <= 12_000_000,
         "the last of {gateways} is answered after {last} us"
     );
-    // Once all have failed some times, no more come in a window than twice the fleet by the longest
-    // pause.
-    let most = asked[20..].iter().max().copied().unwrap();
+    // Once the bounds have grown to the longest pause, the mean pause is half of it. A window may
+    // have 4 calls plus twice the mean of such a fleet.
+    let peak = calls_per_window[20..].iter().max().copied().unwrap();
     assert!(
-        f64::from(most) <= 4.0 + 4.0 * gateways as f64 / 25.0,
-        "{most} calls in 100 ms of {gateways}"
+        f64::from(peak) <= 4.0 + 4.0 * gateways as f64 / 25.0,
+        "{peak} calls of {gateways} gateways in 100 ms"
     );
 }
 
@@ -96,7 +101,7 @@
         early
             .iter()
             .zip([50, 100, 200, 400])
-            .all(|(p, most)| *p < Span::from_millis(most)),
+            .all(|(p, bound_ms)| *p < Span::from_millis(bound_ms)),
         "{early:?}"
     );
     let late: Vec<i64> = (0..1_000)
@@ -107,32 +112,32 @@
     let mean = late.iter().sum::<i64>() / 990;
     assert!(
         (mean - LONGEST.0 / 2).abs() < LONGEST.0 / 10,
-        "a mean pause of {mean} us"
+        "mean pause of {mean} us"
     );
     backoff.reset();
     assert!(backoff.next_pause() < FIRST);
 }
 
-/// Many gateways must call again within the same time. Cutting the pause to it would make them all
-/// call at its end.
+/// Many gateways must retry within the same limit. Truncating their pauses to the limit would make
+/// them all call at its end.
 #[test]
-fn limited_pause_is_drawn_evenly_and_bound_still_grows() {
-    let room = Span::from_millis(300);
+fn limited_pause_is_drawn_uniformly_and_bound_still_grows() {
+    let limit = Span::from_millis(300);
     let mut backoffs: Vec<Backoff> = (0..100)
         .map(|n| Backoff::new(LONGEST, LONGEST, n))
         .collect();
     let pauses: Vec<Span> = backoffs
         .iter_mut()
-        .map(|backoff| backoff.next_pause_within(room))
+        .map(|backoff| backoff.next_pause_within(limit))
         .collect();
     assert!(
-        pauses.iter().all(|p| *p >= Span(0) && *p < room),
+        pauses.iter().all(|p| *p >= Span(0) && *p < limit),
         "{pauses:?}"
     );
     assert!(
         pauses
             .iter()
-            .filter(|p| p.0 > room.0 / 2)
+            .filter(|p| p.0 > limit.0 / 2)
             .count()
             .abs_diff(50)
             < 25,
@@ -170,12 +175,12 @@
 }
 
 #[rstest]
-#[case::none(0, 2_000)]
-#[case::one(1, 2_000)]
-#[case::three(3, 2_000)]
-#[case::a_hundred(100, 20_000)]
-#[case::half(50, 10_000)]
-#[case::any_number(u32::MAX, 20_000)]
+#[case::no_gateway(0, 2_000)]
+#[case::one_gateway(1, 2_000)]
+#[case::three_gateways(3, 2_000)]
+#[case::hundred_gateways_at_maximum(100, 20_000)]
+#[case::fifty_gateways_below_maximum(50, 10_000)]
+#[case::largest_count_at_maximum(u32::MAX, 20_000)]
 fn long_poll_wait_grows_with_gateways(#[case] gateways: u32, #[case] ms: i64) {
     assert_eq!(
         long_poll_wait(
