--- a/crates/state/src/directory.rs
+++ b/crates/state/src/directory.rs
@@ -1,5 +1,5 @@
-//! The files of the request log on a disk: [`LogStorage`] over a directory that one process has for
-//! itself.
+//! The files of the request log on a disk: [`LogStorage`] over a directory that one process has
+//! locked.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
@@ -9,11 +9,11 @@
 
 use valehatch_request_log::LogStorage;
 
-/// A locked directory. Files that are appended to stay open.
+/// A locked directory. Files that were append_files to stay open.
 pub struct StateDirectory {
     path: PathBuf,
-    appended: HashMap<String, File>,
-    /// Locked for as long as this value lives.
+    append_files: HashMap<String, File>,
+    /// Open lock file; the lock is held until it is dropped.
     lock: File,
 }
 
@@ -21,23 +21,23 @@
     /// Creates the directory if it is missing, and locks it.
     ///
     /// # Errors
-    /// The error of the file system, or that another process has the lock.
+    /// Returns the file system's error, or an error if another process holds the lock.
     pub fn acquire(path: PathBuf) -> io::Result<Self> {
         fs::create_dir_all(&path)?;
         let lock = lock(&path)?;
         Ok(Self {
             path,
-            appended: HashMap::new(),
+            append_files: HashMap::new(),
             lock,
         })
     }
 
-    /// Fails if a name no longer stands for the open file.
+    /// Fails if the name no longer refers to the open file.
     ///
-    /// Writes to an open file succeed even after the file or its directory was removed, but nobody
-    /// would ever read them: their counts would be published and lost with the process. Comparing
-    /// device and inode after each write shows it before anything is published.
-    fn check_still_named(&self, name: &str, file: &File) -> io::Result<()> {
+    /// Writes to an open file succeed even after the file or its directory was removed, but the
+    /// data can never be read: the counts would be published, then lost with the process. Comparing
+    /// device and inode after each write detects this before the counts are published.
+    fn check_name_refers_to(&self, name: &str, file: &File) -> io::Result<()> {
         let named = fs::metadata(self.path.join(name))?;
         let open = file.metadata()?;
         if (named.dev(), named.ino()) == (open.dev(), open.ino()) {
@@ -60,7 +60,7 @@
     fn append_and_sync(&self, name: &str, mut file: &File, bytes: &[u8]) -> io::Result<()> {
         file.write_all(bytes)?;
         file.sync_data()?;
-        self.check_still_named(name, file)
+        self.check_name_refers_to(name, file)
     }
 }
 
@@ -99,35 +99,35 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        if !self.appended.contains_key(name) {
+        if !self.append_files.contains_key(name) {
             let file = self.open_for_append(name)?;
-            self.appended.insert(name.to_owned(), file);
+            self.append_files.insert(name.to_owned(), file);
         }
-        let Some(file) = self.appended.get(name) else {
+        let Some(file) = self.append_files.get(name) else {
             return Err(io::ErrorKind::NotFound.into());
         };
         let written = self.append_and_sync(name, file, bytes);
         if written.is_err() {
-            self.appended.remove(name);
+            self.append_files.remove(name);
         }
         written
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.appended.remove(name);
+        self.append_files.remove(name);
         let file = OpenOptions::new().write(true).open(self.path.join(name))?;
         file.set_len(length)?;
         file.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.appended.remove(from);
-        self.appended.remove(to);
+        self.append_files.remove(from);
+        self.append_files.remove(to);
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.appended.remove(name);
+        self.append_files.remove(name);
         match fs::remove_file(self.path.join(name)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
             _ => Ok(()),
--- a/crates/state/src/recorder.rs
+++ b/crates/state/src/recorder.rs
@@ -1,5 +1,5 @@
-//! A core's end of the queue. It never waits: a record that finds the queue full is counted, and
-//! not logged.
+//! The sending end of the queue, one for each core. Sending never blocks: if the queue is full, a
+//! record is counted but not logged.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,22 +9,22 @@
 
 /// An entry of the queue.
 pub(crate) enum QueueEntry {
-    /// A final answer.
+    /// Record of a final answer, to be logged and counted.
     Record(Box<RequestRecord>),
-    /// Counts of final answers that found the queue full.
+    /// Counts of records that were not logged because the queue was full.
     Unlogged(Counters),
 }
 
-/// A core's end of the queue.
+/// Sending end of the queue for one core.
 pub struct Recorder {
     queue: Sender<QueueEntry>,
-    /// Counts of records that found the queue full, not handed over yet.
+    /// Counts of records that were dropped because the queue was full, not sent to the writer yet.
     unlogged: Counters,
     dropped: Arc<AtomicU64>,
 }
 
 impl Recorder {
-    /// `dropped` counts the records that found the queue full.
+    /// Creates a recorder; `dropped` counts the records that are dropped because the queue is full.
     pub(crate) fn new(queue: Sender<QueueEntry>, dropped: Arc<AtomicU64>) -> Self {
         Self {
             queue,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Queues a record without waiting. If the queue is full, the record is counted here and not
+    /// Queues a record without blocking. If the queue is full, the record is counted but not
     /// logged.
     pub fn record(&mut self, record: Box<RequestRecord>) {
         self.send_unlogged();
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Queues the counts of records that found the queue full, if there is space now. To be called
-    /// regularly, so that they are published even if no further request comes.
+    /// Queues the counts of dropped records if the queue has space. Must be called regularly, so
+    /// that these counts are published even if no further request arrives.
     pub fn send_unlogged(&mut self) {
         if self.unlogged.is_empty() {
             return;
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,27 +1,27 @@
-//! The snapshot's file. It is written under another name, made durable and renamed: a reader finds
-//! a complete one or none.
+//! The snapshot file. A snapshot is written under a temporary name, made durable and renamed, so
+//! that a reader finds either a complete snapshot or none.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::Path;
 
-/// The file's name in the state directory.
+/// Name of the snapshot file in the state directory.
 pub const NAME: &str = "snapshot";
-/// Its name while it is written.
-const NEW_NAME: &str = "snapshot.new";
+/// Temporary name while a snapshot is written.
+const TEMPORARY_NAME: &str = "snapshot.new";
 
-/// Replaces the snapshot.
+/// Replaces the snapshot file.
 ///
 /// # Errors
-/// The error of the file system; the last snapshot is then still there.
+/// Returns the file system's error; the previous snapshot is then still in place.
 pub fn write(directory: &Path, bytes: &[u8]) -> io::Result<()> {
-    replace(directory, NEW_NAME, NAME, bytes)
+    replace(directory, TEMPORARY_NAME, NAME, bytes)
 }
 
-/// Replaces a file of the directory by way of a temporary name.
+/// Replaces a file of the directory atomically, by renaming a temporary file.
 ///
 /// # Errors
-/// The error of the file system; the file is then unchanged.
+/// Returns the file system's error; the file is then unchanged.
 pub fn replace(directory: &Path, temporary: &str, name: &str, bytes: &[u8]) -> io::Result<()> {
     let mut file = File::create(directory.join(temporary))?;
     file.write_all(bytes)?;
@@ -30,11 +30,11 @@
     File::open(directory)?.sync_all()
 }
 
-/// Reads the last snapshot; `None` if there is none. At most `max_bytes` and one byte are read, so
-/// that the caller sees that a file is too long.
+/// Reads the snapshot file; `None` if there is none. Reads at most `max_bytes` plus one byte, so
+/// that the caller can detect a file that is too long.
 ///
 /// # Errors
-/// The error of the file system.
+/// Returns the file system's error.
 pub fn read(directory: &Path, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(directory.join(NAME)) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
--- a/crates/state/src/writer.rs
+++ b/crates/state/src/writer.rs
@@ -1,8 +1,8 @@
 //! The thread that writes the request log and publishes the counters.
 //!
 //! Input: the queue that the [`Recorder`]s fill. Output: files in the state directory,
-//! [`PublishedCounters`], and lines in the program's log. Between two flushes it takes at most
-//! [`BATCH_ENTRIES`] entries.
+//! [`PublishedCounters`], and lines in the program's log. The thread takes at most [`BATCH_ENTRIES`]
+//! entries between two flushes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,60 +22,59 @@
 use crate::directory::StateDirectory;
 use crate::recorder::{QueueEntry, Recorder};
 
-/// Rows whose latency quantiles are measured.
+/// Maximum number of rows with latency quantiles.
 const MEASURED_ROWS: usize = 256;
-/// The published quantile, in thousandths.
+/// Published latency quantile, in thousandths.
 const QUANTILE_PER_MILLE: u32 = 990;
-/// How often quantiles are published.
+/// Interval at which quantiles are updated.
 const QUANTILE_INTERVAL: Duration = Duration::from_secs(1);
-/// Without a state directory: how often counters are published.
+/// Interval at which counters are published without a state directory.
 const IN_MEMORY_FLUSH_INTERVAL: Duration = Duration::from_millis(100);
-/// Without a state directory: length of the queue.
+/// Length of the queue without a state directory.
 const IN_MEMORY_QUEUE: usize = 16_384;
-/// Queue entries between two flushes, at most.
+/// Maximum number of queue entries between two flushes.
 const BATCH_ENTRIES: usize = 4096;
-/// Stack of the writer's thread, in bytes.
+/// Stack size of the writer thread, in bytes.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// Durable counters, and figures that need not be durable.
+/// Durable counters and further figures for publication.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedCounters {
-    /// The durable counters.
+    /// Counters that are durable, or held in memory without a state directory.
     pub counters: Counters,
     /// The 99th percentile of the latency of served requests over the last 30 to 60 s, in
     /// microseconds, by row.
     pub p99: Arc<BTreeMap<RowKey, u64>>,
-    /// The status of the request log.
+    /// Status of the request log.
     pub status: LogStatus,
 }
 
-/// The handle of the writer's thread.
+/// Handle of the writer thread.
 pub struct RecordWriter {
     queue: Sender<QueueEntry>,
     entries: Receiver<QueueEntry>,
-    /// What was published last.
+    /// Most recently published counters, replaced after each flush.
     pub published: Arc<ArcSwap<PublishedCounters>>,
-    /// Records that found the queue full.
+    /// Number of records that were not logged because the queue was full.
     pub dropped: Arc<AtomicU64>,
     thread: JoinHandle<()>,
 }
 
 impl RecordWriter {
-    /// A recorder for one more core.
+    /// Creates a recorder for one more core.
     #[must_use]
     pub fn recorder(&self) -> Recorder {
         Recorder::new(self.queue.clone(), Arc::clone(&self.dropped))
     }
 
-    /// A function that counts the entries in the queue. It does not keep the queue open.
+    /// Returns a function that counts the entries in the queue, without keeping the queue open.
     #[must_use]
     pub fn queue_length(&self) -> Box<dyn Fn() -> usize + Send + Sync> {
         let entries = self.entries.clone();
         Box::new(move || entries.len())
     }
 
-    /// Writes everything that is queued, then ends the thread. All recorders must be dropped
-    /// before.
+    /// Writes all queued entries, then ends the thread. All recorders must be dropped first.
     pub fn finish(self) {
         drop(self.queue);
         if self.thread.join().is_err() {
@@ -84,11 +83,12 @@
     }
 }
 
-/// Opens the request log and starts the writer's thread. Without settings, counters end with the
-/// process.
+/// Opens the request log and starts the writer thread. Without settings, counters are kept in
+/// memory and lost when the process ends.
 ///
 /// # Errors
-/// The state directory cannot be created or locked, or the thread cannot be started.
+/// Returns an error if the state directory cannot be created or locked, or if the thread cannot be
+/// started.
 pub fn start(settings: Option<&StateSettings>) -> io::Result<RecordWriter> {
     let writer = match settings {
         None => WriterThread::in_memory(),
@@ -111,7 +111,7 @@
     })
 }
 
-/// Unix time in milliseconds.
+/// Current Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -120,7 +120,7 @@
         })
 }
 
-/// Whether recorders are left that may send more.
+/// Whether any recorder is left that may send entries.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum QueueState {
     Open,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Takes batches from the queue, and flushes and publishes after each, until all recorders are
+    /// Takes batches from the queue, flushing and publishing after each, until all recorders are
     /// dropped.
     fn run(mut self, entries: &Receiver<QueueEntry>, published: &ArcSwap<PublishedCounters>) {
         let mut last_checkpoint = Instant::now();
@@ -190,7 +190,7 @@
                 self.update_quantiles();
             }
             for event in self.request_log.take_events() {
-                write_to_log(&event);
+                log_event(&event);
             }
             published.store(Arc::new(self.current()));
             if queue == QueueState::Closed {
@@ -199,12 +199,12 @@
         }
     }
 
-    /// Counts entries until the batch is full, the time comes, or the queue is closed.
+    /// Counts entries until the batch is full, `flush_at` is reached or the queue is closed.
     fn take_batch(&mut self, entries: &Receiver<QueueEntry>, flush_at: Instant) -> QueueState {
         let mut taken = 0;
         loop {
             match entries.recv_deadline(flush_at) {
-                Ok(entry) => taken += self.take_waiting(entry, entries, BATCH_ENTRIES - taken),
+                Ok(entry) => taken += self.count_available(entry, entries, BATCH_ENTRIES - taken),
                 Err(RecvTimeoutError::Timeout) => return QueueState::Open,
                 Err(RecvTimeoutError::Disconnected) => return QueueState::Closed,
             }
@@ -214,9 +214,9 @@
         }
     }
 
-    /// Counts an entry and those that wait behind it, at most `max_entries` in all. Returns how
-    /// many.
-    fn take_waiting(
+    /// Counts an entry and the entries queued behind it, at most `max_entries` in total. Returns
+    /// the number of counted entries.
+    fn count_available(
         &mut self,
         first: QueueEntry,
         entries: &Receiver<QueueEntry>,
@@ -269,13 +269,13 @@
         }
     }
 
-    /// Microseconds since the thread's start, on the monotonic clock.
+    /// Microseconds since the writer was created, on the monotonic clock.
     fn now_us(&self) -> i64 {
         i64::try_from(self.started.elapsed().as_micros()).unwrap_or(i64::MAX)
     }
 }
 
-fn write_to_log(event: &LogEvent) {
+fn log_event(event: &LogEvent) {
     match event {
         LogEvent::Opened {
             boots,
--- a/crates/state/tests/files.rs
+++ b/crates/state/tests/files.rs
@@ -1,4 +1,4 @@
-//! Names of the files in the state folder. Tools and later versions find them by these names.
+//! Names of the files in the state directory, by which tools and later versions find them.
 
 use std::path::{Path, PathBuf};
 
@@ -15,8 +15,8 @@
     names
 }
 
-/// Runs a writer on the folder for one record, until all is on the disk.
-fn run(dir: &Path) {
+/// Writes one record to the directory and waits until it is on the disk.
+fn write_record(dir: &Path) {
     let state = StateSettings {
         dir: PathBuf::from(dir),
         sync_ms: 1,
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn state_folder_holds_files_of_fixed_names() {
+fn state_directory_contains_files_with_fixed_names() {
     let dir = std::env::temp_dir().join(format!("valehatch-state-files-{}", std::process::id()));
-    run(&dir);
+    write_record(&dir);
     snapshot::write(&dir, b"snapshot").unwrap();
     let first = [
         "checkpoint",
@@ -55,7 +55,7 @@
         "snapshot",
     ];
     assert_eq!(names(&dir), first);
-    run(&dir);
+    write_record(&dir);
     let second = [&first[..5], &["requests-00000002.log", "snapshot"]].concat();
     assert_eq!(names(&dir), second);
     assert_eq!(snapshot::read(&dir, 64).unwrap().unwrap(), b"snapshot");
