--- a/crates/admission/src/cost.rs
+++ b/crates/admission/src/cost.rs
@@ -18,10 +18,10 @@
     classes: Vec<MeanLatency>,
 }
 
-/// Mean latency of a class.
+/// Moving average of the latency of one class.
 #[derive(Clone, Copy, Debug)]
 struct MeanLatency {
-    /// Microseconds.
+    /// Mean latency, in microseconds.
     mean: f64,
     /// Whether the mean comes from measurements and not from the latency objective.
     is_measured: bool,
--- a/crates/admission/src/messages.rs
+++ b/crates/admission/src/messages.rs
@@ -84,7 +84,7 @@
 pub enum Completion {
     /// An endpoint answered the request; its latency updates the cost of its class.
     Served,
-    /// The request ended without an answer from an endpoint.
+    /// The request ended in any other way.
     NotServed,
 }
 
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -25,9 +25,9 @@
 const RESERVED_FRACTION: f64 = 0.6;
 /// Maximum number of clients with a reservation.
 const MAX_CLIENTS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
-/// How early a client may return and still use its reservation.
+/// How long before its hint a client may return and still use its reservation.
 const EARLY_TOLERANCE: Span = Span::from_millis(50);
-/// How late a client may return and still use its reservation.
+/// How long after its hint a client may return and still use its reservation.
 const LATE_TOLERANCE: Span = Span::from_millis(1_000);
 /// Smoothing factor of the fraction of hints that clients honour.
 const HONOURED_GAIN: f64 = 0.02;
--- a/crates/state/src/writer.rs
+++ b/crates/state/src/writer.rs
@@ -1,8 +1,8 @@
 //! The thread that writes the request log and publishes the counters.
 //!
 //! Input: the queue that the [`Recorder`]s fill. Output: files in the state directory,
-//! [`PublishedCounters`], and lines in the program's log. The thread takes at most [`BATCH_ENTRIES`]
-//! entries between two flushes.
+//! [`PublishedCounters`], and lines in the program's log. The thread takes at most
+//! [`BATCH_ENTRIES`] entries between two flushes.
 
 use std::collections::BTreeMap;
 use std::io;
