--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -16,7 +16,7 @@
 use valehatch_net::{Clock, LoopControl, TurnStep};
 use valehatch_policy::{Consistency, RequestClass, Span};
 use valehatch_request_log::{OutcomeMetrics, RequestRecord};
-use valehatch_snmp::world::Board;
+use valehatch_snmp::instrumentation::CoreSnapshot;
 use valehatch_state::Recorder;
 
 use crate::error::StartError;
@@ -98,7 +98,7 @@
     /// Counts what the core denies, by reason.
     pub(crate) decisions: Arc<Decisions>,
     /// Where its core publishes its view.
-    pub(crate) board: Arc<ArcSwapOption<Board>>,
+    pub(crate) board: Arc<ArcSwapOption<CoreSnapshot>>,
 }
 
 /// A front that listens.
@@ -109,7 +109,7 @@
     inbox: Receiver<Event>,
     clock: Clock,
     observer: Option<Observer>,
-    board: Arc<ArcSwapOption<Board>>,
+    board: Arc<ArcSwapOption<CoreSnapshot>>,
 }
 
 impl Front {
@@ -202,7 +202,7 @@
     clients: Arc<Clients>,
     clock: Clock,
     observer: Option<Observer>,
-    board: Arc<ArcSwapOption<Board>>,
+    board: Arc<ArcSwapOption<CoreSnapshot>>,
     inbox: Receiver<Event>,
 }
 
@@ -254,7 +254,10 @@
             observer.recorder.send_unlogged();
         }
         let queue = self.inbox.len();
-        self.board.store(Some(Arc::new(Board { live, queue })));
+        self.board.store(Some(Arc::new(CoreSnapshot {
+            live,
+            queue_length: queue,
+        })));
     }
 }
 
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -26,7 +26,7 @@
 use valehatch_policy::Span;
 use valehatch_recovery::snapshot::Snapshot;
 use valehatch_snmp::Agent;
-use valehatch_snmp::world::{self, Board, World};
+use valehatch_snmp::instrumentation::{self, CoreSnapshot, Instrumentation};
 use valehatch_state::RecordWriter;
 
 use crate::error::StartError;
@@ -45,7 +45,7 @@
 struct FrontChannels {
     inbox: (Sender<Event>, Receiver<Event>),
     names: Arc<Observability>,
-    board: Arc<ArcSwapOption<Board>>,
+    board: Arc<ArcSwapOption<CoreSnapshot>>,
 }
 
 impl FrontChannels {
@@ -319,7 +319,7 @@
         }
         let Some(agent) = agent.upgrade() else { return };
         if let (Some(agent), Some(snmp)) = (&*agent, file.snmp) {
-            agent.reread(snmp);
+            agent.reload(snmp);
         }
     };
     configured::watch(
@@ -376,7 +376,7 @@
         thread::yield_now();
     }
     if let Some(agent) = Arc::into_inner(agent).flatten() {
-        agent.finish();
+        agent.shutdown();
     }
     if let Some(snapshots) = snapshots {
         snapshots.finish();
@@ -398,21 +398,21 @@
         return Ok(None);
     };
     let fronts = file.fronts.iter().zip(channels);
-    let world = World {
+    let instrumentation = Instrumentation {
         name: Arc::clone(&file.name),
         version: env!("CARGO_PKG_VERSION"),
         clock,
-        began,
+        started_at: began,
         started_ms: unix_ms(),
         fronts: fronts
             .map(|(front, channels)| agent_front(front, channels))
             .collect(),
-        shown: Arc::clone(&writer.published),
-        dropped: Arc::clone(&writer.dropped),
-        waiting: writer.queue_length(),
+        counters: Arc::clone(&writer.published),
+        dropped_records: Arc::clone(&writer.dropped),
+        queued_records: writer.queue_length(),
     };
     let engine_boots = writer.published.load().status.boots;
-    let agent = Agent::start(snmp.clone(), Arc::new(world), engine_boots);
+    let agent = Agent::start(snmp.clone(), Arc::new(instrumentation), engine_boots);
     agent.map(Some).map_err(StartError::resource(format!(
         "snmp.listen: {}",
         snmp.listen
@@ -420,17 +420,20 @@
 }
 
 /// A front as the agent shows it; a tenant's rate is this gateway's part of it.
-fn agent_front(front: &operators::FrontSettings, channels: &FrontChannels) -> world::Front {
+fn agent_front(
+    front: &operators::FrontSettings,
+    channels: &FrontChannels,
+) -> instrumentation::Front {
     let settings = &front.site.settings;
     let gateways = f64::from(settings.routers.max(1));
     let rates = settings.tenants.iter().map(|t| t.allowance / gateways);
     let names = &channels.names;
-    world::Front {
+    instrumentation::Front {
         name: Arc::clone(&names.front),
         protocol: front.protocol.name(),
         listen: front.listen.to_string(),
         classes: names.classes.clone(),
         tenants: names.tenants.iter().cloned().zip(rates).collect(),
-        board: Arc::clone(&channels.board),
+        core_snapshot: Arc::clone(&channels.board),
     }
 }
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -24,7 +24,7 @@
 use valehatch_policy::StaleReadPolicy;
 use valehatch_recovery::endpoint_list::ListVersion;
 use valehatch_request_log::OutcomeMetrics;
-use valehatch_snmp::world::Board;
+use valehatch_snmp::instrumentation::CoreSnapshot;
 
 use crate::error::StartError;
 use crate::front::{Front, FrontParts, admission_settings};
@@ -161,7 +161,7 @@
     discovery_address: Arc<DiscoveryAddress>,
     handoff: LateHandoffHandle,
     connections: Arc<SharedConnectionLimiter>,
-    board: Arc<ArcSwapOption<Board>>,
+    board: Arc<ArcSwapOption<CoreSnapshot>>,
 }
 
 impl Platform {
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -24,7 +24,7 @@
 use valehatch_recovery::trust::{KnowledgeKind, KnowledgeSource, TrustLevel, trust};
 use valehatch_recovery::{RestoredState, restore, slow_start_began_ms};
 use valehatch_request_log::FinalOutcome;
-use valehatch_snmp::world::Board;
+use valehatch_snmp::instrumentation::CoreSnapshot;
 use valehatch_state::snapshot;
 
 /// Gateways of the last run that are contacted beside the seeds.
@@ -133,7 +133,7 @@
     /// Its endpoint list; `None` where the configuration names the endpoints.
     pub(crate) endpoint_list: Option<SharedEndpointList>,
     /// Where its core publishes its view.
-    pub(crate) board: Arc<ArcSwapOption<Board>>,
+    pub(crate) board: Arc<ArcSwapOption<CoreSnapshot>>,
     /// The settings of its decision module.
     pub(crate) settings: Settings,
 }
--- a/crates/gateway/src/snmp.rs
+++ b/crates/gateway/src/snmp.rs
@@ -77,8 +77,8 @@
 ) -> Result<Option<String>, StartError> {
     let Some(line) = line else { return Ok(None) };
     let text = line.map_err(StartError::resource(name))?;
-    if text.len() < usm::SHORTEST {
-        let least = usm::SHORTEST;
+    if text.len() < usm::MIN_PASSWORD_LENGTH {
+        let least = usm::MIN_PASSWORD_LENGTH;
         let error = format!("the {name} password is shorter than {least} characters");
         return Err(StartError::configuration(error));
     }
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -12,11 +12,11 @@
 use valehatch_notifications::DeliveryCounts;
 use valehatch_rate_limit::{EngineTime, SnapshotCache};
 
+use crate::instrumentation::{Instrumentation, ProcessStatus};
 use crate::message::{
     self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb,
 };
 use crate::picture::{Layout, Oid, Own, Picture, Value};
-use crate::world::{Process, World};
 
 /// Errors of a response (RFC 3416, section 3).
 const TOO_BIG: u32 = 1;
@@ -103,7 +103,7 @@
 /// What the agent and the notifier share.
 pub struct Shared {
     /// What is looked at.
-    pub world: Arc<World>,
+    pub instrumentation: Arc<Instrumentation>,
     /// `[snmp]`, which SIGHUP may replace.
     pub access: ArcSwap<SnmpSettings>,
     /// Counters.
@@ -118,7 +118,8 @@
     /// The engine's boots and time now (RFC 3414, section 2.2.1).
     #[must_use]
     pub fn window(&self) -> EngineTime {
-        let time = u32::try_from(self.world.began.elapsed().as_secs() % (1 << 31)).unwrap_or(0);
+        let time = u32::try_from(self.instrumentation.started_at.elapsed().as_secs() % (1 << 31))
+            .unwrap_or(0);
         EngineTime {
             boots: self.boots,
             time,
@@ -164,7 +165,7 @@
     layout: Arc<Layout>,
     pins: SnapshotCache<(SocketAddr, Vec<u8>), Arc<Picture>>,
     latest: Option<(i64, Arc<Picture>)>,
-    process: Option<(i64, Process)>,
+    process: Option<(i64, ProcessStatus)>,
     salt: Salt,
     began: Instant,
 }
@@ -173,7 +174,7 @@
     /// For what is shared with the notifier.
     #[must_use]
     pub fn new(shared: Arc<Shared>) -> Self {
-        let layout = Arc::new(Layout::new(&shared.world, &ROOT));
+        let layout = Arc::new(Layout::new(&shared.instrumentation, &ROOT));
         Self {
             shared,
             layout,
@@ -457,7 +458,7 @@
         let process = match self.process {
             Some((at, process)) if now - at <= PROCESS => process,
             _ => {
-                let process = Process::read();
+                let process = ProcessStatus::read();
                 self.process = Some((now, process));
                 process
             }
@@ -467,7 +468,11 @@
             receivers: self.shared.receivers.load().to_vec(),
             process,
         };
-        let picture = Arc::new(Picture::take(&self.shared.world, &self.layout, own));
+        let picture = Arc::new(Picture::take(
+            &self.shared.instrumentation,
+            &self.layout,
+            own,
+        ));
         self.latest = Some((now, Arc::clone(&picture)));
         picture
     }
@@ -475,7 +480,11 @@
     /// Values that only the engine knows.
     fn scalars(&self) -> Vec<(&'static str, u32, Value)> {
         let access = self.shared.access.load();
-        let (stats, world, window) = (&self.shared.stats, &self.shared.world, self.shared.window());
+        let (stats, instrumentation, window) = (
+            &self.shared.stats,
+            &self.shared.instrumentation,
+            self.shared.window(),
+        );
         let text = |t: &str| Value::Bytes(t.as_bytes().to_vec());
         let mut all = vec![
             (
@@ -483,13 +492,13 @@
                 1,
                 text(&format!(
                     "valehatch {}, a gateway to database groups",
-                    world.version
+                    instrumentation.version
                 )),
             ),
             ("system", 2, Value::Name(ROOT.to_vec())),
-            ("system", 3, Value::Ticks(world.up_ticks())),
+            ("system", 3, Value::Ticks(instrumentation.uptime_ticks())),
             ("system", 4, text(&access.contact)),
-            ("system", 5, text(&world.name)),
+            ("system", 5, text(&instrumentation.name)),
             ("system", 6, text(&access.location)),
             // Layer 7: an application.
             ("system", 7, Value::Integer(64)),
--- a/crates/snmp/src/world.rs
+++ b/crates/snmp/src/instrumentation.rs
@@ -11,11 +11,11 @@
 
 /// What a core published last, and what stood in its queue then.
 #[derive(Debug)]
-pub struct Board {
+pub struct CoreSnapshot {
     /// Beliefs and burdens.
     pub live: LiveView,
     /// Events that wait for the core.
-    pub queue: usize,
+    pub queue_length: usize,
 }
 
 /// A front, as the agent knows it from the start on.
@@ -32,11 +32,11 @@
     /// Its tenants, with this gateway's part of their allowance, in requests a second.
     pub tenants: Vec<(Arc<str>, f64)>,
     /// What its core published last.
-    pub board: Arc<ArcSwapOption<Board>>,
+    pub core_snapshot: Arc<ArcSwapOption<CoreSnapshot>>,
 }
 
 /// All of it.
-pub struct World {
+pub struct Instrumentation {
     /// The gateway's name.
     pub name: Arc<str>,
     /// The program's version.
@@ -44,36 +44,36 @@
     /// The clock that boards are dated by.
     pub clock: Clock,
     /// When the program started.
-    pub began: Instant,
+    pub started_at: Instant,
     /// The same in Unix milliseconds.
     pub started_ms: u64,
     /// The fronts.
     pub fronts: Vec<Front>,
     /// Durable counters.
-    pub shown: Arc<ArcSwap<PublishedCounters>>,
+    pub counters: Arc<ArcSwap<PublishedCounters>>,
     /// Records that found the ledger's queue full.
-    pub dropped: Arc<AtomicU64>,
+    pub dropped_records: Arc<AtomicU64>,
     /// Records that wait for the ledger.
-    pub waiting: Box<dyn Fn() -> usize + Send + Sync>,
+    pub queued_records: Box<dyn Fn() -> usize + Send + Sync>,
 }
 
-impl World {
+impl Instrumentation {
     /// sysUpTime: hundredths of a second since the start.
     #[must_use]
-    pub fn up_ticks(&self) -> u32 {
-        u32::try_from(self.began.elapsed().as_millis() / 10 % (1 << 32)).unwrap_or(0)
+    pub fn uptime_ticks(&self) -> u32 {
+        u32::try_from(self.started_at.elapsed().as_millis() / 10 % (1 << 32)).unwrap_or(0)
     }
 
     /// Records that found the queue full.
     #[must_use]
-    pub fn dropped(&self) -> u64 {
-        self.dropped.load(Ordering::Relaxed)
+    pub fn dropped_record_count(&self) -> u64 {
+        self.dropped_records.load(Ordering::Relaxed)
     }
 }
 
 /// The process's own figures, as of a second or so.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Process {
+pub struct ProcessStatus {
     /// Resident memory in kilobytes.
     pub memory_kb: u64,
     /// Open descriptors.
@@ -84,7 +84,7 @@
     pub cpu_ms: u64,
 }
 
-impl Process {
+impl ProcessStatus {
     /// Reads them. What the system does not tell is 0.
     #[must_use]
     pub fn read() -> Self {
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -8,18 +8,18 @@
 //! | [`usm`] | keys, digests, encryption |
 //! | [`engine`] | a datagram in, an answer out: versions, users, views, walks |
 //! | [`notify`] | traps and informs |
-//! | [`world`] | what is looked at |
+//! | [`instrumentation`] | what is looked at |
 
 #![forbid(unsafe_code)]
 #![expect(clippy::too_many_lines, reason = "not yet split and documented")]
 
 pub mod engine;
+pub mod instrumentation;
 pub mod message;
 pub mod notify;
 pub mod picture;
 pub mod schema;
 pub mod usm;
-pub mod world;
 
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr, UdpSocket};
@@ -36,8 +36,8 @@
 use valehatch_rate_limit::{CpuShare, RateLimitDecision, SourceRateLimiter};
 
 use engine::{Engine, Shared, Stat};
+use instrumentation::Instrumentation;
 use notify::Notifier;
-use world::World;
 
 /// The agent's threads take whole messages apart. 16 KiB were found to be enough in a release build
 /// (`cargo run --release --example stack -p valehatch-snmp`); this leaves room for others.
@@ -63,12 +63,16 @@
     ///
     /// # Errors
     /// That it cannot listen, or that the system has no thread for it.
-    pub fn start(snmp: SnmpSettings, world: Arc<World>, boots: u32) -> io::Result<Self> {
+    pub fn start(
+        snmp: SnmpSettings,
+        instrumentation: Arc<Instrumentation>,
+        boots: u32,
+    ) -> io::Result<Self> {
         let socket = UdpSocket::bind(snmp.listen)?;
         socket.set_read_timeout(Some(LOOK))?;
         info!("the agent listens on {}", socket.local_addr()?);
         let shared = Arc::new(Shared {
-            world,
+            instrumentation,
             access: ArcSwap::from_pointee(snmp),
             stats: engine::Stats::default(),
             boots,
@@ -94,7 +98,7 @@
     }
 
     /// Takes over users, communities, views, receivers, thresholds and limits; where it listens stays.
-    pub fn reread(&self, snmp: SnmpSettings) {
+    pub fn reload(&self, snmp: SnmpSettings) {
         let old = self.shared.access.load();
         if (old.listen, &old.engine) != (snmp.listen, &snmp.engine) {
             warn!("snmp: listen and engine-id are read at the start only");
@@ -111,7 +115,7 @@
     }
 
     /// Says the last word and ends.
-    pub fn finish(self) {
+    pub fn shutdown(self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
             if thread.join().is_err() {
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -373,9 +373,13 @@
 
     fn look(&mut self) {
         let shared = Arc::clone(&self.shared);
-        let world = &shared.world;
-        let boards: Vec<_> = world.fronts.iter().map(|f| f.board.load_full()).collect();
-        let fronts: Vec<FrontStatus<'_>> = world
+        let instrumentation = &shared.instrumentation;
+        let boards: Vec<_> = instrumentation
+            .fronts
+            .iter()
+            .map(|f| f.core_snapshot.load_full())
+            .collect();
+        let fronts: Vec<FrontStatus<'_>> = instrumentation
             .fronts
             .iter()
             .zip(&boards)
@@ -388,17 +392,21 @@
             })
             .collect();
         // Before every core has published there is nothing to compare.
-        if fronts.len() < world.fronts.len() {
+        if fronts.len() < instrumentation.fronts.len() {
             return;
         }
-        let (now, shown) = (world.clock.now(), world.shown.load());
+        let (now, shown) = (instrumentation.clock.now(), instrumentation.counters.load());
         let notices =
             self.alarms
                 .look(now, &fronts, &shown.counters, shown.status.fault.as_deref());
         for notice in notices {
             info!(notice = %notice.kind(), "{}", told(&notice));
             shared.stats.add(Stat::Notices);
-            let list = Arc::new(bindings(&notice, &world.name, world.up_ticks()));
+            let list = Arc::new(bindings(
+                &notice,
+                &instrumentation.name,
+                instrumentation.uptime_ticks(),
+            ));
             self.lines
                 .iter_mut()
                 .for_each(|line| line.queue.push(now, Arc::clone(&list)));
@@ -406,7 +414,7 @@
     }
 
     fn send(&mut self) {
-        let now = self.shared.world.clock.now();
+        let now = self.shared.instrumentation.clock.now();
         for line in &mut self.lines {
             for post in line.queue.due(now) {
                 let Some(bytes) =
@@ -463,7 +471,7 @@
                 let _ = socket.set_read_timeout(Some(part));
                 match socket.recv_from(&mut datagram) {
                     Ok((length, from)) => {
-                        let now = self.shared.world.clock.now();
+                        let now = self.shared.instrumentation.clock.now();
                         let lines = self.lines.iter_mut().filter(|l| l.receiver.address == from);
                         lines.for_each(|line| line.take(now, &datagram[..length]));
                         self.send();
--- a/crates/snmp/src/picture.rs
+++ b/crates/snmp/src/picture.rs
@@ -12,8 +12,8 @@
 use valehatch_request_log::{Counter, CounterRow, RowKey, Scope};
 use valehatch_state::PublishedCounters;
 
+use crate::instrumentation::{CoreSnapshot, Instrumentation, ProcessStatus};
 use crate::schema::{self, At, Object, Rows, Scalars, TABLES, Table};
-use crate::world::{Board, Process, World};
 
 /// A value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -79,9 +79,9 @@
 }
 
 impl Layout {
-    /// For what the world has, below a root.
+    /// For what the instrumentation has, below a root.
     #[must_use]
-    pub fn new(world: &World, root: &[u32]) -> Self {
+    pub fn new(instrumentation: &Instrumentation, root: &[u32]) -> Self {
         let mut objects = vec![];
         for scalars in schema::SCALARS {
             let under = match scalars.at {
@@ -100,7 +100,7 @@
             }
         }
         objects.sort_by(|a, b| a.0.cmp(&b.0));
-        let names = |front: &crate::world::Front, scope| -> Vec<Arc<str>> {
+        let names = |front: &crate::instrumentation::Front, scope| -> Vec<Arc<str>> {
             match scope {
                 Scope::Class => front.classes.clone(),
                 Scope::Tenant => front
@@ -111,7 +111,7 @@
             }
         };
         let keys = [Scope::Class, Scope::Tenant].map(|scope| {
-            let of = |front: &crate::world::Front| {
+            let of = |front: &crate::instrumentation::Front| {
                 let key = |name: Arc<str>| RowKey {
                     scope,
                     front: Arc::clone(&front.name),
@@ -119,9 +119,9 @@
                 };
                 names(front, scope).into_iter().map(key).collect()
             };
-            world.fronts.iter().map(of).collect()
+            instrumentation.fronts.iter().map(of).collect()
         });
-        let mut fronts: Vec<(Oid, usize)> = world
+        let mut fronts: Vec<(Oid, usize)> = instrumentation
             .fronts
             .iter()
             .enumerate()
@@ -130,7 +130,7 @@
         fronts.sort();
         let rows = |scope: Option<Scope>, parts: usize| -> Fixed {
             let mut all = vec![];
-            for (n, front) in world.fronts.iter().enumerate() {
+            for (n, front) in instrumentation.fronts.iter().enumerate() {
                 let items = scope.map_or_else(|| vec![Arc::from("")], |s| names(front, s));
                 for (item, name) in items.iter().enumerate() {
                     let mut index = text_index(&front.name);
@@ -211,15 +211,15 @@
     /// Of each receiver: its address, what waits, and what became of the rest.
     pub receivers: Vec<(String, usize, valehatch_notifications::DeliveryCounts)>,
     /// The process.
-    pub process: Process,
+    pub process: ProcessStatus,
 }
 
 /// All that is shown, at one moment.
 pub struct Picture {
-    world: Arc<World>,
+    instrumentation: Arc<Instrumentation>,
     layout: Arc<Layout>,
     shown: Arc<PublishedCounters>,
-    boards: Vec<Option<Arc<Board>>>,
+    boards: Vec<Option<Arc<CoreSnapshot>>>,
     own: Own,
     now: Time,
 }
@@ -248,12 +248,16 @@
 impl Picture {
     /// What is shown now.
     #[must_use]
-    pub fn take(world: &Arc<World>, layout: &Arc<Layout>, own: Own) -> Self {
+    pub fn take(instrumentation: &Arc<Instrumentation>, layout: &Arc<Layout>, own: Own) -> Self {
         Self {
-            shown: world.shown.load_full(),
-            boards: world.fronts.iter().map(|f| f.board.load_full()).collect(),
-            now: world.clock.now(),
-            world: Arc::clone(world),
+            shown: instrumentation.counters.load_full(),
+            boards: instrumentation
+                .fronts
+                .iter()
+                .map(|f| f.core_snapshot.load_full())
+                .collect(),
+            now: instrumentation.clock.now(),
+            instrumentation: Arc::clone(instrumentation),
             layout: Arc::clone(layout),
             own,
         }
@@ -319,11 +323,11 @@
     fn next_row(&self, rows: Rows, after: Option<&[u32]>) -> Option<Oid> {
         match rows {
             Rows::Group => {
-                let count = |b: &Board| b.live.groups.len();
+                let count = |b: &CoreSnapshot| b.live.groups.len();
                 self.next_numbered(after, count, |b, n| u32::from(b.live.groups[n].group.0) + 1)
             }
             Rows::Member => {
-                let count = |b: &Board| b.live.endpoints.len();
+                let count = |b: &CoreSnapshot| b.live.endpoints.len();
                 self.next_numbered(after, count, |b, n| b.live.endpoints[n].view.endpoint.0)
             }
             Rows::Receiver => {
@@ -352,8 +356,8 @@
     fn next_numbered(
         &self,
         after: Option<&[u32]>,
-        count: impl Fn(&Board) -> usize,
-        number: impl Fn(&Board, usize) -> u32,
+        count: impl Fn(&CoreSnapshot) -> usize,
+        number: impl Fn(&CoreSnapshot, usize) -> u32,
     ) -> Option<Oid> {
         for (index, front) in &self.layout.fronts {
             let Some(board) = &self.boards[*front] else {
@@ -377,7 +381,7 @@
     }
 
     /// A front's row, and the number behind its name.
-    fn numbered(&self, index: &[u32]) -> Option<(&Board, u32)> {
+    fn numbered(&self, index: &[u32]) -> Option<(&CoreSnapshot, u32)> {
         let (last, name) = index.split_last()?;
         let front = self
             .layout
@@ -477,7 +481,13 @@
     }
 
     fn budget(&self, column: &Object, at: Place) -> Option<Value> {
-        let allowance = self.world.fronts.get(at.front)?.tenants.get(at.item)?.1;
+        let allowance = self
+            .instrumentation
+            .fronts
+            .get(at.front)?
+            .tenants
+            .get(at.item)?
+            .1;
         let rate = self.boards[at.front]
             .as_ref()
             .and_then(|b| b.live.request_rates.get(at.item))
@@ -510,7 +520,7 @@
     }
 
     fn front(&self, column: &Object, n: usize) -> Value {
-        let front = &self.world.fronts[n];
+        let front = &self.instrumentation.fronts[n];
         let board = self.boards[n].as_deref();
         let open = board.map_or_else(OpenCounts::default, |b| b.live.open);
         match column.arc {
@@ -519,7 +529,7 @@
             4 => gauge(open.requests as u64),
             5 => gauge(open.upstream_connections as u64),
             6 => gauge(open.client_connections as u64),
-            7 => gauge(board.map_or(0, |b| b.queue as u64)),
+            7 => gauge(board.map_or(0, |b| b.queue_length as u64)),
             8 => Value::Counter64(board.map_or(0, |b| b.live.turns)),
             9 => gauge(board.map_or(u64::MAX, |b| millis(self.now - b.live.taken_at))),
             _ => truth(board.is_some_and(|b| b.live.shutting_down)),
@@ -549,9 +559,9 @@
             return Some(value.clone());
         }
         Some(match (scalars.name, object.arc) {
-            ("vhGateway", 1) => text(&self.world.name),
-            ("vhGateway", 2) => text(self.world.version),
-            ("vhGateway", 3) => Value::Counter64(self.world.started_ms),
+            ("vhGateway", 1) => text(&self.instrumentation.name),
+            ("vhGateway", 2) => text(self.instrumentation.version),
+            ("vhGateway", 3) => Value::Counter64(self.instrumentation.started_ms),
             ("vhGateway", 4) => Value::Counter64(status.since_ms),
             ("vhState", 1) => truth(status.durable),
             ("vhState", 2) => text(status.fault.as_deref().unwrap_or("")),
@@ -561,9 +571,9 @@
             ("vhState", 6) => Value::Counter64(status.bytes_written),
             ("vhState", 7) => gauge(status.segment),
             ("vhState", 8) => Value::Counter64(status.checkpoints_written),
-            ("vhState", 9) => Value::Counter64(self.world.dropped()),
+            ("vhState", 9) => Value::Counter64(self.instrumentation.dropped_record_count()),
             ("vhState", 10) => Value::Counter64(self.shown.counters.unlogged),
-            ("vhState", 11) => gauge((self.world.waiting)() as u64),
+            ("vhState", 11) => gauge((self.instrumentation.queued_records)() as u64),
             ("vhLog", _) => Value::Counter64(valehatch_net::log::suppressed_lines()),
             ("vhProcess", 1) => gauge(self.own.process.memory_kb),
             ("vhProcess", 2) => gauge(self.own.process.descriptors),
@@ -610,7 +620,7 @@
     }
 }
 
-fn group(column: &Object, group: &GroupView, board: &Board) -> Value {
+fn group(column: &Object, group: &GroupView, board: &CoreSnapshot) -> Value {
     let at = board.live.taken_at;
     match column.arc {
         3 => gauge(group.primary.map_or(0, |p| u64::from(p.0))),
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -12,7 +12,7 @@
 /// Bytes that a password is drawn out to before it is hashed (RFC 3414, section 2.6).
 const STRETCHED: usize = 1_048_576;
 /// The shortest password (RFC 3414, section 11.2).
-pub const SHORTEST: usize = 8;
+pub const MIN_PASSWORD_LENGTH: usize = 8;
 
 /// A password's key, localized to an engine (RFC 3414, section 2.6 and appendix A.2, with SHA-256). The first 16 bytes
 /// are the key for AES-128.
--- a/crates/snmp/tests/support/mod.rs
+++ b/crates/snmp/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A world for the engine's tests, and a manager that writes and reads messages.
+//! A instrumentation for the engine's tests, and a manager that writes and reads messages.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use valehatch_net::Clock;
 use valehatch_policy::*;
 use valehatch_snmp::engine::{Engine, Shared, Stats};
+use valehatch_snmp::instrumentation::{CoreSnapshot, Front, Instrumentation};
 use valehatch_snmp::message::{self, AUTH, Incoming, PRIV, Sealing};
 use valehatch_snmp::picture::Value;
 use valehatch_snmp::usm;
-use valehatch_snmp::world::{Board, Front, World};
 use valehatch_state::PublishedCounters;
 
 pub(crate) const ROOT: [u32; 10] = valehatch_config::snmp::ROOT;
@@ -101,7 +101,7 @@
 pub(crate) struct Scene {
     pub engine: Engine,
     pub shared: Arc<Shared>,
-    pub boards: Vec<Arc<ArcSwapOption<Board>>>,
+    pub boards: Vec<Arc<ArcSwapOption<CoreSnapshot>>>,
     pub now: i64,
     id: i32,
 }
@@ -109,27 +109,27 @@
 impl Scene {
     pub(crate) fn new(snmp: SnmpSettings, boots: u32, members: u32) -> Self {
         let boards: Vec<_> = (0..2).map(|_| Arc::new(ArcSwapOption::empty())).collect();
-        let front = |(name, board): (&str, &Arc<ArcSwapOption<Board>>)| Front {
+        let front = |(name, board): (&str, &Arc<ArcSwapOption<CoreSnapshot>>)| Front {
             name: name.into(),
             protocol: "postgresql",
             listen: "127.0.0.1:5433".into(),
             classes: vec!["write".into(), "read".into()],
             tenants: vec![("acme".into(), 10.0)],
-            board: Arc::clone(board),
+            core_snapshot: Arc::clone(board),
         };
-        let world = World {
+        let instrumentation = Instrumentation {
             name: "test".into(),
             version: "0",
             clock: Clock::start(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             started_ms: 5,
             fronts: ["bb", "a"].into_iter().zip(&boards).map(front).collect(),
-            shown: Arc::new(ArcSwap::from_pointee(PublishedCounters::default())),
-            dropped: Arc::default(),
-            waiting: Box::new(|| 0),
+            counters: Arc::new(ArcSwap::from_pointee(PublishedCounters::default())),
+            dropped_records: Arc::default(),
+            queued_records: Box::new(|| 0),
         };
         let shared = Arc::new(Shared {
-            world: Arc::new(world),
+            instrumentation: Arc::new(instrumentation),
             access: ArcSwap::from_pointee(snmp),
             stats: Stats::default(),
             boots,
@@ -149,7 +149,10 @@
     }
 
     pub(crate) fn publish(&self, front: usize, live: LiveView) {
-        self.boards[front].store(Some(Arc::new(Board { live, queue: 0 })));
+        self.boards[front].store(Some(Arc::new(CoreSnapshot {
+            live,
+            queue_length: 0,
+        })));
     }
 
     /// Time passes: longer than a picture is fresh.
