--- a/crates/notifications/src/delivery_queue.rs
+++ b/crates/notifications/src/delivery_queue.rs
@@ -1,4 +1,4 @@
-//! What a receiver has not taken yet.
+//! The queue of notifications for one receiver.
 //!
 //! Traps are sent once. Informs stay until they are acknowledged: each is sent again after a pause
 //! that doubles, up to a number of times, and only [`MAX_IN_FLIGHT`] are in flight at once, so that
@@ -21,7 +21,7 @@
 struct QueuedNotification<T> {
     content: T,
     id: i32,
-    /// How often it was sent.
+    /// How often the notification was sent.
     sent: u32,
     due: Time,
 }
@@ -31,34 +31,35 @@
 pub struct Delivery<T> {
     /// What to send.
     pub content: T,
-    /// Its id, the same each time it is sent.
+    /// The request ID, which stays the same when an inform is sent again.
     pub id: i32,
 }
 
-/// What became of a receiver's notifications.
+/// Counts of a receiver's notifications by their fate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeliveryCounts {
     /// Datagrams sent, retransmissions included.
     pub sent: u64,
     /// Informs that were acknowledged.
     pub acknowledged: u64,
-    /// Informs that were given up.
+    /// Informs given up after the last retransmission was not acknowledged in time.
     pub given_up: u64,
-    /// Notifications dropped since the queue was full.
+    /// Notifications dropped because the queue was full.
     pub dropped: u64,
 }
 
-/// How informs are sent again.
+/// How unacknowledged informs are sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retransmission {
-    /// Pause before the first time; each further one is twice as long.
+    /// Pause before the first retransmission; each further pause is twice as long,
+    /// up to 60 s or the first pause, whichever is longer.
     pub first_pause: Span,
-    /// How often an inform is sent again.
+    /// Maximum number of retransmissions of an inform.
     pub retries: u32,
 }
 
 impl Retransmission {
-    /// The pause after an inform was sent, which had been sent so often before.
+    /// Returns the pause after a transmission of an inform that `sent_before` others preceded.
     fn pause(&self, sent_before: u32) -> Span {
         let doublings = sent_before.min(MAX_DOUBLINGS);
         let pause = Span(self.first_pause.0.saturating_mul(1 << doublings));
@@ -108,7 +109,7 @@
         });
     }
 
-    /// What is to be sent now.
+    /// Returns the notifications to be sent now. Removes traps, and informs that are given up.
     pub fn due(&mut self, now: Time) -> Vec<Delivery<T>> {
         let deliveries = match self.informs {
             None => self.take_traps(),
@@ -185,7 +186,7 @@
         self.queue.is_empty()
     }
 
-    /// What became of the notifications so far.
+    /// Returns the counts since the queue was created.
     #[must_use]
     pub const fn counts(&self) -> DeliveryCounts {
         self.counts
--- a/crates/notifications/src/groups.rs
+++ b/crates/notifications/src/groups.rs
@@ -32,7 +32,7 @@
     changes: u64,
     search: Option<LastingCondition>,
     without_primary: Option<LastingCondition>,
-    /// The number of the last look that saw the group.
+    /// The number of the last look at which the group was listed.
     pub(crate) seen: u64,
 }
 
--- a/crates/notifications/src/lib.rs
+++ b/crates/notifications/src/lib.rs
@@ -1,21 +1,22 @@
-//! Notifications of the SNMP agent: which one, when, and queued for whom. No I/O, no clock.
+//! Decides when the SNMP agent notifies its receivers of what, and queues the notifications for
+//! each receiver. This crate does no I/O and reads no clock.
 //!
 //! Input: what each front publishes, the durable counters, and the time. Output: notifications,
 //! each at the change that it reports and not again. Thresholds have a rising and a falling edge,
 //! so that a value that wavers around one edge is not reported again and again; what exceeds the
 //! limit of a window is reported as one [`Notification::Storm`].
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
 //! | [`notification`] | the notifications and what they carry |
-//! | [`thresholds`] | when conditions begin and end |
-//! | [`monitor`] | compares each look with the one before |
+//! | [`thresholds`] | conditions with a rising and a falling edge |
+//! | [`monitor`] | the comparison of each look at the gateway with the one before |
 //! | `groups` | conditions of an endpoint group: primary, search |
-//! | `storm` | limits notifications within a window |
-//! | [`delivery_queue`] | what a receiver has not taken yet |
+//! | `storm` | the limit of notifications within a window |
+//! | [`delivery_queue`] | the queue of each receiver, with retransmission of informs |
 //!
-//! Bounds: the monitor holds one entry for each group, endpoint, class and tenant that it last saw;
-//! a delivery queue has its size in its constructor.
+//! Memory: the monitor holds one entry for each group, endpoint, class and tenant of the last look;
+//! a delivery queue is limited to the size given to its constructor.
 
 #![forbid(unsafe_code)]
 
--- a/crates/notifications/src/monitor.rs
+++ b/crates/notifications/src/monitor.rs
@@ -12,14 +12,14 @@
 use crate::storm::StormFilter;
 use crate::thresholds::{Condition, Crossing, RateWindow, Thresholds};
 
-/// A front at a look.
+/// The state of a front at a look.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontStatus<'a> {
-    /// Its name.
+    /// The front's name.
     pub name: &'a Arc<str>,
-    /// What its core published last.
+    /// The state that its core published last.
     pub live: &'a LiveView,
-    /// Its tenants, with this gateway's part of their quota in requests a second.
+    /// Its tenants, each with this gateway's share of the quota in requests per second.
     pub tenants: &'a [(Arc<str>, f64)],
 }
 
@@ -41,9 +41,9 @@
 
 #[derive(Debug)]
 struct EndpointStatus {
-    /// What a notification of the endpoint would carry.
+    /// The endpoint's state at the last look, as a notification carries it.
     last: EndpointNotification,
-    /// The number of the last look that saw the endpoint.
+    /// The number of the last look at which the endpoint was listed.
     seen: u64,
 }
 
@@ -53,11 +53,11 @@
     condition: Condition,
 }
 
-/// Compares each look with the one before.
+/// Compares each look at the gateway with the one before.
 #[derive(Debug)]
 pub struct NotificationMonitor {
     thresholds: Thresholds,
-    /// Number of looks.
+    /// Number of looks so far.
     looks: u64,
     groups: BTreeMap<(Arc<str>, GroupId), GroupState>,
     endpoints: BTreeMap<(Arc<str>, EndpointId), EndpointStatus>,
@@ -72,7 +72,7 @@
 }
 
 impl NotificationMonitor {
-    /// Before the first look, which reports the start and what is already wrong.
+    /// Creates a monitor. Its first look reports the start and all conditions that hold already.
     #[must_use]
     pub fn new(thresholds: Thresholds) -> Self {
         Self {
@@ -96,8 +96,8 @@
         self.thresholds = thresholds;
     }
 
-    /// Takes a look; returns what is to be sent. `state_fault` is the current fault of the request
-    /// log, if it has one.
+    /// Takes a look; returns the notifications to be sent. `state_fault` is the current fault of
+    /// the request log, if it has one.
     pub fn look(
         &mut self,
         now: Time,
@@ -261,8 +261,8 @@
         });
     }
 
-    /// Forgets groups and endpoints that have left the list. An unavailable endpoint that has left
-    /// is no longer waited for, so its condition ends.
+    /// Removes groups and endpoints that have left the list. For an endpoint that was unavailable,
+    /// this ends the condition.
     fn remove_unseen(&mut self) {
         let look = self.looks;
         self.groups.retain(|_, group| group.seen == look);
--- a/crates/notifications/src/notification.rs
+++ b/crates/notifications/src/notification.rs
@@ -1,11 +1,11 @@
-//! The notifications and what they carry.
+//! The notifications and their contents.
 
 use std::fmt;
 use std::sync::Arc;
 
 use valehatch_policy::{EndpointHealth, EndpointId, GroupId, PrimaryEvidence};
 
-/// Something that receivers are notified of.
+/// A notification to the receivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notification {
     /// The gateway serves.
@@ -36,7 +36,7 @@
     QuotaExceeded(QuotaUse),
     /// A tenant's use of its quota fell below the falling threshold.
     QuotaRecovered(QuotaUse),
-    /// Counters cannot be made durable: the fault.
+    /// The request log cannot be written, with the fault: counters are not durable.
     StateFault(Arc<str>),
     /// Counters are durable again.
     StateRecovered,
@@ -48,12 +48,12 @@
     QueueShort(TenantWait),
 }
 
-/// What notifications of a group carry.
+/// Content of a notification about a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupNotification {
-    /// The front.
+    /// The name of the front.
     pub front: Arc<str>,
-    /// The group.
+    /// The number of the group.
     pub group: GroupId,
     /// The primary's name, empty if there is none.
     pub primary: Arc<str>,
@@ -69,27 +69,27 @@
     pub lasted_ms: u64,
 }
 
-/// What notifications of an endpoint carry.
+/// Content of a notification about an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointNotification {
-    /// The front.
+    /// The name of the front.
     pub front: Arc<str>,
-    /// The endpoint.
+    /// The ID of the endpoint.
     pub endpoint: EndpointId,
-    /// Its name.
+    /// The name of the endpoint.
     pub name: Arc<str>,
-    /// Its group.
+    /// The group of the endpoint.
     pub group: GroupId,
-    /// Whether it can be used.
+    /// Whether the endpoint can be used.
     pub health: EndpointHealth,
 }
 
 /// Rejections of a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassRate {
-    /// The front.
+    /// The name of the front.
     pub front: Arc<str>,
-    /// The request class.
+    /// The name of the request class.
     pub class: Arc<str>,
     /// Rejections in 1,000 seconds.
     pub per_1000_s: u64,
@@ -98,27 +98,27 @@
 /// A tenant's use of its quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaUse {
-    /// The front.
+    /// The name of the front.
     pub front: Arc<str>,
-    /// The tenant.
+    /// The name of the tenant.
     pub tenant: Arc<str>,
-    /// Thousandths of the quota.
+    /// The request rate in thousandths of the quota.
     pub per_mille: u64,
 }
 
 /// The longest wait in a tenant's admission queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantWait {
-    /// The front.
+    /// The name of the front.
     pub front: Arc<str>,
-    /// The tenant.
+    /// The name of the tenant.
     pub tenant: Arc<str>,
-    /// The wait in milliseconds.
+    /// How long the oldest request has waited, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// The kind of a notification. Its number is that of the MIB, its text is sent to receivers:
-/// neither changes.
+/// The kind of a notification. The number is its subidentifier in the MIB and the text is sent to
+/// receivers, so that neither may change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NotificationKind {
     /// [`Notification::Started`].
@@ -188,7 +188,7 @@
 }
 
 impl Notification {
-    /// Its kind.
+    /// Returns the kind of the notification.
     #[must_use]
     pub const fn kind(&self) -> NotificationKind {
         match self {
--- a/crates/notifications/src/storm.rs
+++ b/crates/notifications/src/storm.rs
@@ -1,5 +1,5 @@
-//! Limits notifications within a window. What exceeds the limit is counted by kind and reported as
-//! one when the window has ended.
+//! Limits the number of notifications within a window. Those beyond the limit are counted by kind
+//! and reported as one when the window has ended.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 /// The window in progress.
 #[derive(Debug, Default)]
 pub(crate) struct StormFilter {
-    /// The window began with its first notification.
+    /// When the window began, with its first notification; `None` before that.
     window_began: Option<Time>,
     passed: usize,
     suppressed: BTreeMap<NotificationKind, u64>,
 }
 
 impl StormFilter {
-    /// Passes on what the window has capacity for. Start and stop are always passed on.
+    /// Returns the notifications that are within the window's limit. Start and stop are exempt.
     pub(crate) fn filter(
         &mut self,
         now: Time,
--- a/crates/notifications/src/thresholds.rs
+++ b/crates/notifications/src/thresholds.rs
@@ -1,10 +1,10 @@
-//! When conditions begin and end.
+//! Thresholds at which conditions begin and end.
 
 use std::collections::VecDeque;
 
 use valehatch_policy::{Span, Time};
 
-/// Two edges of a condition: it begins at `rising` and ends below `falling`.
+/// The two edges of a condition, which begins at `rising` and ends below `falling`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hysteresis {
     /// The value from which the condition holds.
--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -1,5 +1,5 @@
-//! Notifications are reported once, at their edges; storms as one; informs are sent again with growing pauses, and not
-//! for ever.
+//! Conditions are reported once at each edge and storms as one notification; informs are sent again
+//! with growing pauses, up to a limit.
 
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
 }
 
 /// A front with one group of three endpoints.
-struct World {
+struct GatewayFixture {
     monitor: NotificationMonitor,
     live: LiveView,
     counters: Counters,
@@ -59,7 +59,7 @@
     tenants: Vec<(Arc<str>, f64)>,
 }
 
-impl World {
+impl GatewayFixture {
     fn new(thresholds: Thresholds) -> Self {
         let group = GroupView {
             group: GroupId(0),
@@ -127,21 +127,21 @@
         self.look(at_ms).iter().map(Notification::kind).collect()
     }
 
-    fn lose(&mut self, at_ms: i64) {
+    fn lose_primary(&mut self, at_ms: i64) {
         let group = &mut self.live.groups[0];
         (group.primary, group.known, group.searching) =
             (None, PrimaryEvidence::Unknown, Some(Time(at_ms * 1000)));
         group.changes += 1;
     }
 
-    fn find(&mut self, endpoint: u32) {
+    fn find_primary(&mut self, endpoint: u32) {
         let group = &mut self.live.groups[0];
         (group.primary, group.known, group.searching) =
             (Some(EndpointId(endpoint)), PrimaryEvidence::Search, None);
         group.changes += 1;
     }
 
-    fn refuse(&mut self, times: usize) {
+    fn reject_requests(&mut self, times: usize) {
         for _ in 0..times {
             self.counters.count(&RequestRecord {
                 front: "a".into(),
@@ -158,24 +158,24 @@
 }
 
 #[test]
-fn primary_change_is_reported_from_begin_to_end() {
-    let mut world = World::new(thresholds());
-    assert_eq!(world.kinds(0), [NotificationKind::Started]);
-    world.lose(100);
+fn lost_primary_is_reported_from_search_to_recovery() {
+    let mut gateway = GatewayFixture::new(thresholds());
+    assert_eq!(gateway.kinds(0), [NotificationKind::Started]);
+    gateway.lose_primary(100);
     assert_eq!(
-        world.kinds(200),
+        gateway.kinds(200),
         [
             NotificationKind::PrimaryChanged,
             NotificationKind::SearchStarted
         ]
     );
-    assert_eq!(world.kinds(2000), []);
-    assert_eq!(world.kinds(2100), [NotificationKind::SearchLasting]);
-    assert_eq!(world.kinds(3000), []);
-    assert_eq!(world.kinds(5199), []);
-    assert_eq!(world.kinds(5200), [NotificationKind::NoPrimary]);
-    world.find(2);
-    let notifications = world.look(11_000);
+    assert_eq!(gateway.kinds(2000), []);
+    assert_eq!(gateway.kinds(2100), [NotificationKind::SearchLasting]);
+    assert_eq!(gateway.kinds(3000), []);
+    assert_eq!(gateway.kinds(5199), []);
+    assert_eq!(gateway.kinds(5200), [NotificationKind::NoPrimary]);
+    gateway.find_primary(2);
+    let notifications = gateway.look(11_000);
     let [
         Notification::PrimaryChanged(changed),
         Notification::SearchEnded(ended),
@@ -193,39 +193,39 @@
         ("", "m2", PrimaryEvidence::Search)
     );
     assert_eq!((ended.lasted_ms, back.lasted_ms), (10_900, 10_800));
-    assert_eq!(world.kinds(11_100), []);
+    assert_eq!(gateway.kinds(11_100), []);
 }
 
 #[test]
-fn primary_changes_back_between_looks_are_reported() {
-    let mut world = World::new(thresholds());
-    world.look(0);
-    world.lose(10);
-    world.find(1);
-    assert_eq!(world.kinds(100), [NotificationKind::PrimaryChanged]);
+fn primary_lost_and_restored_between_looks_is_reported() {
+    let mut gateway = GatewayFixture::new(thresholds());
+    gateway.look(0);
+    gateway.lose_primary(10);
+    gateway.find_primary(1);
+    assert_eq!(gateway.kinds(100), [NotificationKind::PrimaryChanged]);
 }
 
 #[test]
 fn primary_change_before_first_look_is_reported() {
-    let mut world = World::new(thresholds());
-    world.lose(0);
-    world.find(2);
+    let mut gateway = GatewayFixture::new(thresholds());
+    gateway.lose_primary(0);
+    gateway.find_primary(2);
     assert_eq!(
-        world.kinds(0),
+        gateway.kinds(0),
         [NotificationKind::Started, NotificationKind::PrimaryChanged]
     );
-    assert_eq!(world.kinds(100), []);
+    assert_eq!(gateway.kinds(100), []);
 }
 
 #[test]
 fn rejections_are_reported_at_both_edges_only() {
-    let mut world = World::new(thresholds());
+    let mut gateway = GatewayFixture::new(thresholds());
     let mut reported = vec![];
     // Ten seconds with 12 rejections each, ten with 5 (between the edges), ten with none.
     for second in 0..30 {
-        world.refuse([12, 5, 0][second / 10]);
+        gateway.reject_requests([12, 5, 0][second / 10]);
         let at = i64::try_from(second).unwrap() * 1000;
-        reported.extend(world.kinds(at).into_iter().map(|k| (second, k)));
+        reported.extend(gateway.kinds(at).into_iter().map(|k| (second, k)));
     }
     assert_eq!(
         reported[1..],
@@ -238,16 +238,16 @@
 }
 
 #[test]
-fn quota_wavering_at_its_edge_is_reported_once() {
-    let mut world = World::new(thresholds());
+fn quota_use_fluctuating_between_edges_is_reported_once() {
+    let mut gateway = GatewayFixture::new(thresholds());
     let mut reported = vec![];
     for (n, rate) in [90, 110, 109, 111, 100, 111, 99, 90]
         .into_iter()
         .enumerate()
     {
-        world.live.request_rates = vec![rate];
+        gateway.live.request_rates = vec![rate];
         reported.extend(
-            world
+            gateway
                 .kinds(i64::try_from(n).unwrap() * 1000)
                 .into_iter()
                 .map(|k| (n, k)),
@@ -264,14 +264,14 @@
 
 #[test]
 fn long_queue_wait_is_reported_at_both_edges() {
-    let mut world = World::new(thresholds());
+    let mut gateway = GatewayFixture::new(thresholds());
     let mut reported = vec![];
     for (n, waited) in [0, 390, 410, 150, 399, 99, 0].into_iter().enumerate() {
-        world.live.tenant_queues = vec![valehatch_admission::TenantQueueView {
+        gateway.live.tenant_queues = vec![valehatch_admission::TenantQueueView {
             oldest: ms(waited),
             ..Default::default()
         }];
-        reported.extend(world.look(i64::try_from(n).unwrap() * 1000));
+        reported.extend(gateway.look(i64::try_from(n).unwrap() * 1000));
     }
     assert_eq!(
         reported[1..],
@@ -284,38 +284,38 @@
 
 #[test]
 fn endpoint_state_and_stop_are_reported() {
-    let mut world = World::new(thresholds());
-    world.look(0);
-    world.live.endpoints[1].view.health = EndpointHealth::Unreachable;
-    assert_eq!(world.kinds(100), [NotificationKind::EndpointUnavailable]);
-    world.live.endpoints[1].view.health = EndpointHealth::Unresponsive;
-    assert_eq!(world.kinds(200), [], "it still cannot be used");
-    world.live.endpoints.remove(1);
-    assert_eq!(world.kinds(300), [NotificationKind::EndpointAvailable]);
-    world.state_fault = Some("disk full");
+    let mut gateway = GatewayFixture::new(thresholds());
+    gateway.look(0);
+    gateway.live.endpoints[1].view.health = EndpointHealth::Unreachable;
+    assert_eq!(gateway.kinds(100), [NotificationKind::EndpointUnavailable]);
+    gateway.live.endpoints[1].view.health = EndpointHealth::Unresponsive;
+    assert_eq!(gateway.kinds(200), [], "the endpoint is still unavailable");
+    gateway.live.endpoints.remove(1);
+    assert_eq!(gateway.kinds(300), [NotificationKind::EndpointAvailable]);
+    gateway.state_fault = Some("disk full");
     assert_eq!(
-        world.look(400),
+        gateway.look(400),
         [Notification::StateFault("disk full".into())]
     );
-    world.state_fault = None;
-    assert_eq!(world.kinds(500), [NotificationKind::StateRecovered]);
-    world.live.shutting_down = true;
-    assert_eq!(world.kinds(600), [NotificationKind::Stopping]);
-    assert_eq!(world.kinds(700), []);
+    gateway.state_fault = None;
+    assert_eq!(gateway.kinds(500), [NotificationKind::StateRecovered]);
+    gateway.live.shutting_down = true;
+    assert_eq!(gateway.kinds(600), [NotificationKind::Stopping]);
+    assert_eq!(gateway.kinds(700), []);
 }
 
 #[test]
 fn storm_is_reported_as_one_notification() {
-    let mut world = World::new(thresholds());
+    let mut gateway = GatewayFixture::new(thresholds());
     let members: Vec<LiveEndpoint> = (10..210)
         .map(|n| {
-            let mut member = world.live.endpoints[0].clone();
+            let mut member = gateway.live.endpoints[0].clone();
             (member.view.endpoint, member.name) = (EndpointId(n), format!("n{n}").into());
             member
         })
         .collect();
-    world.live.endpoints = members;
-    world.look(0);
+    gateway.live.endpoints = members;
+    gateway.look(0);
     let mut reported = vec![];
     for look in 1..100 {
         let health = if look % 2 == 1 {
@@ -323,21 +323,21 @@
         } else {
             EndpointHealth::Healthy
         };
-        for member in &mut world.live.endpoints {
+        for member in &mut gateway.live.endpoints {
             member.view.health = health;
         }
-        reported.extend(world.look(look * 100));
+        reported.extend(gateway.look(look * 100));
     }
     assert_eq!(reported.len(), 5, "200 endpoints flap for ten seconds");
-    let mut after = world.look(10_000);
+    let mut after = gateway.look(10_000);
     assert_eq!(after.len(), 1);
     let Some(Notification::Storm(kinds)) = after.pop() else {
         panic!()
     };
-    let left_out: u64 = kinds.iter().map(|(_, n)| n).sum();
-    assert_eq!(left_out, 99 * 200 - 5, "each is counted once: {kinds:?}");
-    world.live.endpoints[0].view.health = EndpointHealth::Healthy;
-    assert_eq!(world.kinds(10_100), [NotificationKind::EndpointAvailable]);
+    let suppressed: u64 = kinds.iter().map(|(_, n)| n).sum();
+    assert_eq!(suppressed, 99 * 200 - 5, "each suppressed notification is counted once: {kinds:?}");
+    gateway.live.endpoints[0].view.health = EndpointHealth::Healthy;
+    assert_eq!(gateway.kinds(10_100), [NotificationKind::EndpointAvailable]);
 }
 
 #[test]
@@ -351,7 +351,7 @@
     assert_eq!(
         sent,
         [(0, 1), (2, 1), (6, 1), (14, 1)],
-        "after 0, 1, 3 and 7 s, under one number"
+        "sent at 0, 1, 3 and 7 s with the same ID"
     );
     assert_eq!((queue.counts().given_up, queue.len()), (1, 0));
     queue.push(Time(0), "y");
@@ -361,15 +361,15 @@
 }
 
 #[test]
-fn dead_receiver_has_bounded_queue_and_few_informs_in_flight() {
+fn unreachable_receiver_has_bounded_queue_and_few_informs_in_flight() {
     let mut queue = DeliveryQueue::new(20, Some(informs(5)), 0);
-    let mut most = 0;
+    let mut max_due = 0;
     for n in 0..1000 {
         queue.push(Time(n * 1000), n);
-        most = most.max(queue.due(Time(n * 1000)).len());
+        max_due = max_due.max(queue.due(Time(n * 1000)).len());
         assert!(queue.len() <= 20);
     }
-    assert_eq!(most, 1);
+    assert_eq!(max_due, 1);
     assert_eq!(queue.counts().sent, 8, "few are in flight at once");
     assert_eq!(queue.counts().dropped, 980);
     let mut traps = DeliveryQueue::new(3, None, 0);
--- a/crates/snmp/examples/stack.rs
+++ b/crates/snmp/examples/stack.rs
@@ -1,5 +1,5 @@
-//! How much stack the deepest use of a thread takes: the agent's engine, and a line of the log as JSON. Each is done in
-//! child processes on ever smaller stacks, until one no longer survives it.
+//! Measures the stack that the agent's engine and a JSON log line need. Each runs in child
+//! processes on stacks of growing size, until one survives.
 //!
 //! `cargo run --release --example stack -p valehatch-snmp`
 
@@ -9,19 +9,19 @@
 use std::process::{Command, Stdio};
 use std::thread::Builder;
 
-use support::{Scene, Secure, Verb, request, snmp};
+use support::{AgentFixture, Operation, V3Sender, request, snmp};
 use valehatch_config::operators::{LogLevel, LogSettings};
 
 fn agent() {
-    // What is made beforehand is made on the main thread; the engine's own work is what counts.
-    let mut scene = Scene::new(snmp(""), 1, 500);
+    // The fixture is created on the main thread, so that only the engine's work is measured.
+    let mut agent = AgentFixture::new(snmp(""), 1, 500);
     let run = move || {
         for id in 0..200 {
-            scene.later();
-            let walk = request(Verb::Bulk(0, 1000), id, &[vec![1, 3, 6, 1]]);
-            let with = Secure::user("secret", 1);
-            assert!(scene.raw(&with.write(walk)).is_some());
-            scene.raw(&[0x30; 1400]);
+            agent.advance_past_cache();
+            let walk = request(Operation::GetBulk(0, 1000), id, &[vec![1, 3, 6, 1]]);
+            let with = V3Sender::user("secret", 1);
+            assert!(agent.send_datagram(&with.write(walk)).is_some());
+            agent.send_datagram(&[0x30; 1400]);
         }
     };
     on_stack(run);
@@ -41,8 +41,8 @@
     });
 }
 
-/// Uses 60 KiB, so that it can be seen that the measurement finds what it should.
-fn known() {
+/// Uses 60 KiB, to verify the measurement itself.
+fn known_use() {
     on_stack(|| {
         let large = std::hint::black_box([1_u8; 60 * 1024]);
         assert_eq!(large.iter().filter(|b| **b == 1).count(), large.len());
@@ -66,7 +66,7 @@
     match std::env::args().nth(1).as_deref() {
         Some("agent") => agent(),
         Some("log") => log(),
-        Some("known") => known(),
+        Some("known") => known_use(),
         _ => {
             for what in ["agent", "log", "known"] {
                 let survives = |kib: usize| {
--- a/crates/snmp/src/engine.rs
+++ b/crates/snmp/src/engine.rs
@@ -1,4 +1,5 @@
-//! The engine: a datagram in, an answer out or none. It does no I/O; the time comes in.
+//! The SNMP engine: takes a request datagram and returns the response datagram, if any. It does no
+//! I/O; the caller passes the time.
 
 use std::net::SocketAddr;
 use std::num::NonZeroUsize;
@@ -14,27 +15,30 @@
 
 use crate::instrumentation::{Instrumentation, ProcessStatus};
 use crate::message::{
-    self, AUTH, Incoming, PRIV, REPORTABLE, Request, Said, Sealing, Secured, Verb,
+    self, AUTH, Incoming, Operation, PRIV, PduContent, REPORTABLE, Request, V3Message, V3Security,
 };
-use crate::picture::{Layout, Oid, Own, Picture, Value};
+use crate::snapshot::{AgentState, MibLayout, MibSnapshot, Oid, Value};
 
-/// Errors of a response (RFC 3416, section 3).
+/// Values of error-status in a response (RFC 3416, section 3).
 const TOO_BIG: u32 = 1;
 const NOT_WRITABLE: u32 = 17;
-/// What a message needs beside its bindings, at the most: heads, engine ids, names, digest, salt.
-const FRAME: usize = 220;
-/// Walks that pictures are kept for; a walk that is silent for longer has ended; none keeps one for longer.
-const WALKS: NonZeroUsize = NonZeroUsize::new(16).unwrap();
-const SILENT: i64 = 5_000_000;
-const LONGEST: i64 = 60_000_000;
-/// A picture may be as old as this when a walk begins or a question comes, in microseconds.
-const FRESH: i64 = 10_000;
-/// How often the process's own figures are read, in microseconds.
-const PROCESS: i64 = 1_000_000;
-/// Bindings that one answer has at the most, whatever was asked.
-const MOST_BINDINGS: u32 = 100_000;
+/// Upper bound of a message's size without its variable bindings: headers, engine IDs, user and
+/// context names, digest, salt.
+const MESSAGE_OVERHEAD: usize = 220;
+/// Maximum number of walks with a snapshot of their own.
+const MAX_WALKS: NonZeroUsize = NonZeroUsize::new(16).unwrap();
+/// Time without a request after which a walk has ended, in microseconds.
+const MAX_WALK_SILENCE_US: i64 = 5_000_000;
+/// Maximum time for which a walk keeps its snapshot, in microseconds.
+const MAX_WALK_AGE_US: i64 = 60_000_000;
+/// Maximum age of the snapshot from which a new walk or a GET is answered, in microseconds.
+const MAX_SNAPSHOT_AGE_US: i64 = 10_000;
+/// Minimum interval between two reads of the process's status, in microseconds.
+const PROCESS_READ_INTERVAL_US: i64 = 1_000_000;
+/// Upper bound of the repetitions of a GETBULK, whatever max-repetitions it requests.
+const MAX_REPETITIONS: u32 = 100_000;
 
-/// What the engine counts. The order is that of the objects.
+/// Events that the engine counts, in the order of the objects that show them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Stat {
@@ -56,19 +60,19 @@
     UnknownContexts,
     Answered,
     LimitedBySource,
-    LimitedInAll,
+    LimitedInTotal,
     PausedMicros,
-    TooMany,
+    TooManyBindings,
     BadSources,
     Restarts,
-    Notices,
+    Notifications,
 }
 
-const STATS: usize = Stat::Notices as usize + 1;
+const STAT_COUNT: usize = Stat::Notifications as usize + 1;
 
-/// Counters of the engine, which outlive its thread.
+/// The engine's counters. They keep their values when its thread is restarted.
 #[derive(Debug)]
-pub struct Stats([AtomicU64; STATS]);
+pub struct Stats([AtomicU64; STAT_COUNT]);
 
 impl Default for Stats {
     fn default() -> Self {
@@ -77,47 +81,47 @@
 }
 
 impl Stats {
-    /// Counts one.
+    /// Counts one event.
     pub fn add(&self, stat: Stat) {
-        self.more(stat, 1);
+        self.add_many(stat, 1);
     }
 
-    /// Counts some.
-    pub fn more(&self, stat: Stat, n: u64) {
+    /// Counts `n` events, or adds `n` microseconds to [`Stat::PausedMicros`].
+    pub fn add_many(&self, stat: Stat, n: u64) {
         self.0[stat as usize].fetch_add(n, Ordering::Relaxed);
     }
 
-    /// So many.
+    /// Returns a counter's value since the start.
     #[must_use]
     pub fn get(&self, stat: Stat) -> u64 {
         self.0[stat as usize].load(Ordering::Relaxed)
     }
 
-    /// In 32 bits, as the standard's counters wrap.
+    /// Returns a counter's value modulo 2^32, as a Counter32 wraps.
     #[allow(clippy::cast_possible_truncation)]
-    fn wrapped(&self, stat: Stat) -> u32 {
+    fn get_wrapped(&self, stat: Stat) -> u32 {
         self.get(stat) as u32
     }
 }
 
-/// What the agent and the notifier share.
+/// State shared by the agent's and the notifier's threads.
 pub struct Shared {
-    /// What is looked at.
+    /// The sources of the managed values.
     pub instrumentation: Arc<Instrumentation>,
-    /// `[snmp]`, which SIGHUP may replace.
-    pub access: ArcSwap<SnmpSettings>,
-    /// Counters.
+    /// The `[snmp]` section, replaced by [`Agent::reload`](crate::Agent::reload).
+    pub settings: ArcSwap<SnmpSettings>,
+    /// The engine's counters.
     pub stats: Stats,
-    /// snmpEngineBoots.
+    /// snmpEngineBoots (RFC 3411), which grows at each start of the program.
     pub boots: u32,
-    /// How each receiver does.
+    /// Each receiver's address, number of queued notifications and delivery counts.
     pub receivers: ArcSwap<Vec<(String, usize, DeliveryCounts)>>,
 }
 
 impl Shared {
-    /// The engine's boots and time now (RFC 3414, section 2.2.1).
+    /// Returns the current snmpEngineBoots and snmpEngineTime (RFC 3414, section 2.2.1).
     #[must_use]
-    pub fn window(&self) -> EngineTime {
+    pub fn engine_time(&self) -> EngineTime {
         let time = u32::try_from(self.instrumentation.started_at.elapsed().as_secs() % (1 << 31))
             .unwrap_or(0);
         EngineTime {
@@ -127,13 +131,14 @@
     }
 }
 
-/// A salt that is never used twice by one process, and by two only if they draw the same first one.
+/// Generates the salts of encrypted messages. One process never repeats a salt, and two processes
+/// only do so if their random start values overlap.
 pub struct Salt(u64);
 
 impl Default for Salt {
     fn default() -> Self {
         let mut bytes = [0; 8];
-        // Without the system's random numbers the time will do: the salt need not be secret, only new.
+        // Without a random source, the time serves: a salt need not be secret, only unused.
         if getrandom::fill(&mut bytes).is_err() {
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
             bytes = now
@@ -145,73 +150,75 @@
 }
 
 impl Salt {
-    /// The next one.
+    /// Returns an unused salt.
     #[must_use]
-    pub fn draw(&mut self) -> [u8; 8] {
+    pub fn next_salt(&mut self) -> [u8; 8] {
         self.0 = self.0.wrapping_add(1);
         self.0.to_be_bytes()
     }
 }
 
-/// Who asks, once that is known.
-enum Asker<'a> {
+/// The authenticated sender of a request: a community, or a user with the message's security level,
+/// msgMaxSize and msgID.
+enum Principal<'a> {
     Community(&'a [u8]),
     User(&'a SnmpUser, u8, usize, i32),
 }
 
-/// Answers datagrams.
+/// Answers requests, each walk from one snapshot.
 pub struct Engine {
     shared: Arc<Shared>,
-    layout: Arc<Layout>,
-    pins: SnapshotCache<(SocketAddr, Vec<u8>), Arc<Picture>>,
-    latest: Option<(i64, Arc<Picture>)>,
+    layout: Arc<MibLayout>,
+    walk_snapshots: SnapshotCache<(SocketAddr, Vec<u8>), Arc<MibSnapshot>>,
+    cached_snapshot: Option<(i64, Arc<MibSnapshot>)>,
     process: Option<(i64, ProcessStatus)>,
     salt: Salt,
-    began: Instant,
+    created_at: Instant,
 }
 
 impl Engine {
-    /// For what is shared with the notifier.
+    /// Creates an engine on state that it shares with the notifier.
     #[must_use]
     pub fn new(shared: Arc<Shared>) -> Self {
-        let layout = Arc::new(Layout::new(&shared.instrumentation, &ROOT));
+        let layout = Arc::new(MibLayout::new(&shared.instrumentation, &ROOT));
         Self {
             shared,
             layout,
-            pins: SnapshotCache::new(WALKS, SILENT, LONGEST),
-            latest: None,
+            walk_snapshots: SnapshotCache::new(MAX_WALKS, MAX_WALK_SILENCE_US, MAX_WALK_AGE_US),
+            cached_snapshot: None,
             process: None,
             salt: Salt::default(),
-            began: Instant::now(),
+            created_at: Instant::now(),
         }
     }
 
-    /// Microseconds since the engine was made: the time that [`Self::answer`] takes.
+    /// Returns the microseconds since the engine was created, for [`Self::answer`].
     #[must_use]
     pub fn now(&self) -> i64 {
-        i64::try_from(self.began.elapsed().as_micros()).unwrap_or(i64::MAX)
+        i64::try_from(self.created_at.elapsed().as_micros()).unwrap_or(i64::MAX)
     }
 
-    /// Lets go of what ended walks held.
-    pub fn sweep(&mut self, now: i64) {
-        self.pins.remove_ended(now);
-        self.latest.take_if(|(at, _)| now - *at > SILENT);
+    /// Drops the snapshots of ended walks, and the cached snapshot once it is too old.
+    pub fn remove_ended_walks(&mut self, now: i64) {
+        self.walk_snapshots.remove_ended(now);
+        self.cached_snapshot
+            .take_if(|(at, _)| now - *at > MAX_WALK_SILENCE_US);
     }
 
-    /// The answer to a datagram, if it is owed one.
+    /// Processes a datagram; returns the response or report to be sent back, if any.
     pub fn answer(&mut self, now: i64, from: SocketAddr, datagram: &[u8]) -> Option<Vec<u8>> {
         self.shared.stats.add(Stat::InPkts);
-        let answer = match message::read(datagram) {
+        let answer = match message::decode(datagram) {
             None => {
                 self.shared.stats.add(Stat::ParseErrs);
                 None
             }
-            Some(Incoming::Version(_)) => {
+            Some(Incoming::UnsupportedVersion(_)) => {
                 self.shared.stats.add(Stat::BadVersions);
                 None
             }
             Some(Incoming::V2c(community, pdus)) => self.v2c(now, from, &community, pdus),
-            Some(Incoming::V3(secured)) => self.v3(now, from, datagram, &secured),
+            Some(Incoming::V3(message_v3)) => self.v3(now, from, datagram, &message_v3),
         };
         if answer.is_some() {
             self.shared.stats.add(Stat::Answered);
@@ -220,9 +227,9 @@
     }
 
     fn v2c(&mut self, now: i64, from: SocketAddr, community: &[u8], pdus: Pdus) -> Option<Vec<u8>> {
-        let access = self.shared.access.load_full();
+        let settings = self.shared.settings.load_full();
         let stats = &self.shared.stats;
-        let Some(known) = access
+        let Some(community_settings) = settings
             .communities
             .iter()
             .find(|c| c.name.as_bytes() == community)
@@ -230,57 +237,57 @@
             stats.add(Stat::BadCommunityNames);
             return None;
         };
-        if !known.from.holds(from.ip()) {
+        if !community_settings.from.holds(from.ip()) {
             stats.add(Stat::BadSources);
             return None;
         }
-        let Said::Request(request) = message::said(pdus) else {
+        let PduContent::Request(request) = message::parse_pdu(pdus) else {
             stats.add(Stat::UnknownPduHandlers);
             return None;
         };
-        if request.verb == Verb::Set {
+        if request.operation == Operation::Set {
             stats.add(Stat::BadCommunityUses);
         }
         self.respond(
             now,
             from,
-            &access,
-            &Asker::Community(community),
-            &known.view,
+            &settings,
+            &Principal::Community(community),
+            &community_settings.view,
             &request,
         )
     }
 
-    /// RFC 3414, section 3.2, in its order.
+    /// Checks a v3 message in the order of RFC 3414, section 3.2, and answers it.
     fn v3(
         &mut self,
         now: i64,
         from: SocketAddr,
         datagram: &[u8],
-        secured: &Secured,
+        message_v3: &V3Message,
     ) -> Option<Vec<u8>> {
-        let access = self.shared.access.load_full();
+        let settings = self.shared.settings.load_full();
         let shared = Arc::clone(&self.shared);
         let stats = &shared.stats;
-        if secured.model != 3 {
+        if message_v3.model != 3 {
             stats.add(Stat::UnknownSecurityModels);
             return None;
         }
-        let level = secured.flags & (AUTH | PRIV);
+        let level = message_v3.flags & (AUTH | PRIV);
         if level == PRIV {
             stats.add(Stat::InvalidMsgs);
             return None;
         }
-        // Discovery comes with no engine, or a wrong one.
-        if secured.engine != access.engine {
-            return self.report(&access, secured, Stat::UnknownEngineIds, None);
+        // Engine discovery sends an empty or an unknown engine ID.
+        if message_v3.engine != settings.engine {
+            return self.report(&settings, message_v3, Stat::UnknownEngineIds, None);
         }
-        let Some(user) = access
+        let Some(user) = settings
             .users
             .iter()
-            .find(|u| u.name.as_bytes() == secured.user)
+            .find(|u| u.name.as_bytes() == message_v3.user)
         else {
-            return self.report(&access, secured, Stat::UnknownUserNames, None);
+            return self.report(&settings, message_v3, Stat::UnknownUserNames, None);
         };
         let supported = match level {
             0 => false,
@@ -288,53 +295,53 @@
             _ => user.privacy_key.is_some(),
         };
         if !supported {
-            return self.report(&access, secured, Stat::UnsupportedSecLevels, None);
+            return self.report(&settings, message_v3, Stat::UnsupportedSecLevels, None);
         }
-        if !message::authentic(datagram, &secured.digest, &user.auth_key) {
-            return self.report(&access, secured, Stat::WrongDigests, None);
+        if !message::has_valid_digest(datagram, &message_v3.digest, &user.auth_key) {
+            return self.report(&settings, message_v3, Stat::WrongDigests, None);
         }
         if !shared
-            .window()
-            .is_timely(secured.window.0, secured.window.1)
+            .engine_time()
+            .is_timely(message_v3.engine_time.0, message_v3.engine_time.1)
         {
-            // This report is signed: it tells the sender the time that it needs.
-            return self.report(&access, secured, Stat::NotInTimeWindows, Some(user));
+            // This report is authenticated: from it the sender learns the engine's time.
+            return self.report(&settings, message_v3, Stat::NotInTimeWindows, Some(user));
         }
         let key = if level & PRIV != 0 {
             user.privacy_key.as_ref()
         } else {
             None
         };
-        let Some(scoped) = message::scoped(secured, key) else {
-            return self.report(&access, secured, Stat::DecryptionErrors, None);
+        let Some(scoped) = message::scoped_pdu(message_v3, key) else {
+            return self.report(&settings, message_v3, Stat::DecryptionErrors, None);
         };
         if !user.from.holds(from.ip()) {
             stats.add(Stat::BadSources);
             return None;
         }
         if !scoped.name.is_empty() {
-            return self.report(&access, secured, Stat::UnknownContexts, Some(user));
+            return self.report(&settings, message_v3, Stat::UnknownContexts, Some(user));
         }
-        if scoped.engine_id.as_ref() != access.engine.as_slice() {
-            return self.report(&access, secured, Stat::UnknownPduHandlers, Some(user));
+        if scoped.engine_id.as_ref() != settings.engine.as_slice() {
+            return self.report(&settings, message_v3, Stat::UnknownPduHandlers, Some(user));
         }
-        let Said::Request(request) = message::said(scoped.data) else {
-            return self.report(&access, secured, Stat::UnknownPduHandlers, Some(user));
+        let PduContent::Request(request) = message::parse_pdu(scoped.data) else {
+            return self.report(&settings, message_v3, Stat::UnknownPduHandlers, Some(user));
         };
-        let asker = Asker::User(user, level, secured.max_size, secured.id);
-        self.respond(now, from, &access, &asker, &user.view, &request)
+        let principal = Principal::User(user, level, message_v3.max_size, message_v3.id);
+        self.respond(now, from, &settings, &principal, &user.view, &request)
     }
 
-    /// Counts what is wrong with a message and says so, where the sender takes reports.
+    /// Counts an error, and returns a report of the counter if the message has the reportable flag.
     fn report(
         &self,
-        access: &SnmpSettings,
-        secured: &Secured,
+        settings: &SnmpSettings,
+        message_v3: &V3Message,
         stat: Stat,
-        signed: Option<&SnmpUser>,
+        signing_user: Option<&SnmpUser>,
     ) -> Option<Vec<u8>> {
         self.shared.stats.add(stat);
-        if secured.flags & REPORTABLE == 0 {
+        if message_v3.flags & REPORTABLE == 0 {
             return None;
         }
         let name: &[u32] = match stat {
@@ -347,72 +354,72 @@
             Stat::UnknownContexts => &[1, 3, 6, 1, 6, 3, 12, 1, 5, 0],
             _ => &[1, 3, 6, 1, 6, 3, 11, 2, 1, 3, 0],
         };
-        let id = match &secured.data {
+        let id = match &message_v3.data {
             rasn_snmp::v3::ScopedPduData::CleartextPdu(scoped) => message::request_id(&scoped.data),
             rasn_snmp::v3::ScopedPduData::EncryptedPdu(_) => 0,
         };
-        let pdus = message::report(id, name, self.shared.stats.wrapped(stat));
-        let window = self.shared.window();
-        let sealing = Sealing {
-            id: secured.id,
-            max_size: access.limits.max_size,
+        let pdus = message::report(id, name, self.shared.stats.get_wrapped(stat));
+        let engine_time = self.shared.engine_time();
+        let security = V3Security {
+            id: message_v3.id,
+            max_size: settings.limits.max_size,
             reportable: false,
-            engine: &access.engine,
-            window: (window.boots, window.time),
-            user: &secured.user,
-            auth: signed.map(|u| &u.auth_key),
+            engine: &settings.engine,
+            engine_time: (engine_time.boots, engine_time.time),
+            user: &message_v3.user,
+            auth: signing_user.map(|u| &u.auth_key),
             privacy: None,
         };
-        message::write_v3(&sealing, &access.engine, b"", pdus)
+        message::encode_v3(&security, &settings.engine, b"", pdus)
     }
 
     fn respond(
         &mut self,
         now: i64,
         from: SocketAddr,
-        access: &SnmpSettings,
-        asker: &Asker<'_>,
+        settings: &SnmpSettings,
+        principal: &Principal<'_>,
         view: &SnmpView,
         request: &Request,
     ) -> Option<Vec<u8>> {
-        let taken = match asker {
-            Asker::Community(_) => access.limits.max_size,
-            Asker::User(_, _, size, _) => access.limits.max_size.min(*size),
+        let max_message_size = match principal {
+            Principal::Community(_) => settings.limits.max_size,
+            Principal::User(_, _, size, _) => settings.limits.max_size.min(*size),
         };
-        let room = taken.saturating_sub(FRAME);
-        let pdus = if request.names.len() > access.limits.max_bindings {
-            self.shared.stats.add(Stat::TooMany);
+        let max_size = max_message_size.saturating_sub(MESSAGE_OVERHEAD);
+        let pdus = if request.names.len() > settings.limits.max_bindings {
+            self.shared.stats.add(Stat::TooManyBindings);
             message::response(request.id, TOO_BIG, 0, vec![])
-        } else if request.verb == Verb::Set {
-            let same = request
+        } else if request.operation == Operation::Set {
+            let unchanged = request
                 .names
                 .iter()
-                .map(|n| message::binding(n, Value::NoSuchObject))
+                .map(|n| message::var_bind(n, Value::NoSuchObject))
                 .collect();
             message::response(
                 request.id,
                 NOT_WRITABLE,
                 u32::from(!request.names.is_empty()),
-                same,
+                unchanged,
             )
         } else {
-            let picture = self.picture(now, from, asker, request);
-            match bindings(&picture, view, request, room) {
-                Some(bindings) => message::response(request.id, 0, 0, bindings),
+            let snapshot = self.snapshot(now, from, principal, request);
+            match response_bindings(&snapshot, view, request, max_size) {
+                Some(list) => message::response(request.id, 0, 0, list),
                 None => message::response(request.id, TOO_BIG, 0, vec![]),
             }
         };
-        let bytes = match asker {
-            Asker::Community(community) => message::write_v2c(community, pdus),
-            Asker::User(user, level, _, id) => {
-                let window = self.shared.window();
-                let salt = self.salt.draw();
-                let sealing = Sealing {
+        let bytes = match principal {
+            Principal::Community(community) => message::encode_v2c(community, pdus),
+            Principal::User(user, level, _, id) => {
+                let engine_time = self.shared.engine_time();
+                let salt = self.salt.next_salt();
+                let security = V3Security {
                     id: *id,
-                    max_size: access.limits.max_size,
+                    max_size: settings.limits.max_size,
                     reportable: false,
-                    engine: &access.engine,
-                    window: (window.boots, window.time),
+                    engine: &settings.engine,
+                    engine_time: (engine_time.boots, engine_time.time),
                     user: user.name.as_bytes(),
                     auth: Some(&user.auth_key),
                     privacy: user
@@ -421,7 +428,7 @@
                         .filter(|_| level & PRIV != 0)
                         .map(|key| (key, salt)),
                 };
-                message::write_v3(&sealing, &access.engine, b"", pdus)
+                message::encode_v3(&security, &settings.engine, b"", pdus)
             }
         };
         if bytes.is_none() {
@@ -430,63 +437,71 @@
         bytes
     }
 
-    /// Walks see what they began with; what is asked for by its name is what there is now.
-    fn picture(
+    /// Returns the snapshot for a request: GETNEXT and GETBULK get the one with which their walk
+    /// began, GET gets the current one.
+    fn snapshot(
         &mut self,
         now: i64,
         from: SocketAddr,
-        asker: &Asker<'_>,
+        principal: &Principal<'_>,
         request: &Request,
-    ) -> Arc<Picture> {
-        let fresh = self.fresh(now);
-        let (Verb::Next | Verb::Bulk(..), Some(first)) = (request.verb, request.names.first())
+    ) -> Arc<MibSnapshot> {
+        let current_snapshot = self.current_snapshot(now);
+        let (Operation::GetNext | Operation::GetBulk(..), Some(first)) =
+            (request.operation, request.names.first())
         else {
-            return fresh;
+            return current_snapshot;
         };
-        let who = match asker {
-            Asker::Community(community) => community.to_vec(),
-            Asker::User(user, ..) => user.name.as_bytes().to_vec(),
+        let principal_name = match principal {
+            Principal::Community(community) => community.to_vec(),
+            Principal::User(user, ..) => user.name.as_bytes().to_vec(),
         };
-        self.pins
-            .step(now, (from, who), request.id, first, || fresh)
+        self.walk_snapshots
+            .step(now, (from, principal_name), request.id, first, || {
+                current_snapshot
+            })
     }
 
-    fn fresh(&mut self, now: i64) -> Arc<Picture> {
-        if let Some((_, picture)) = self.latest.as_ref().filter(|(at, _)| now - at <= FRESH) {
-            return Arc::clone(picture);
+    fn current_snapshot(&mut self, now: i64) -> Arc<MibSnapshot> {
+        if let Some((_, snapshot)) = self
+            .cached_snapshot
+            .as_ref()
+            .filter(|(at, _)| now - at <= MAX_SNAPSHOT_AGE_US)
+        {
+            return Arc::clone(snapshot);
         }
         let process = match self.process {
-            Some((at, process)) if now - at <= PROCESS => process,
+            Some((at, process)) if now - at <= PROCESS_READ_INTERVAL_US => process,
             _ => {
                 let process = ProcessStatus::read();
                 self.process = Some((now, process));
                 process
             }
         };
-        let own = Own {
+        let state = AgentState {
             scalars: self.scalars(),
             receivers: self.shared.receivers.load().to_vec(),
             process,
         };
-        let picture = Arc::new(Picture::take(
+        let snapshot = Arc::new(MibSnapshot::take(
             &self.shared.instrumentation,
             &self.layout,
-            own,
+            state,
         ));
-        self.latest = Some((now, Arc::clone(&picture)));
-        picture
+        self.cached_snapshot = Some((now, Arc::clone(&snapshot)));
+        snapshot
     }
 
-    /// Values that only the engine knows.
+    /// Returns the scalars whose values the engine itself holds, by group and subidentifier.
     fn scalars(&self) -> Vec<(&'static str, u32, Value)> {
-        let access = self.shared.access.load();
-        let (stats, instrumentation, window) = (
+        let settings = self.shared.settings.load();
+        let (stats, instrumentation, engine_time) = (
             &self.shared.stats,
             &self.shared.instrumentation,
-            self.shared.window(),
+            self.shared.engine_time(),
         );
-        let text = |t: &str| Value::Bytes(t.as_bytes().to_vec());
-        let mut all = vec![
+        let text = |t: &str| Value::OctetString(t.as_bytes().to_vec());
+        let mut values = vec![
             (
                 "system",
                 1,
@@ -495,22 +510,26 @@
                     instrumentation.version
                 )),
             ),
-            ("system", 2, Value::Name(ROOT.to_vec())),
-            ("system", 3, Value::Ticks(instrumentation.uptime_ticks())),
-            ("system", 4, text(&access.contact)),
+            ("system", 2, Value::ObjectIdentifier(ROOT.to_vec())),
+            (
+                "system",
+                3,
+                Value::TimeTicks(instrumentation.uptime_ticks()),
+            ),
+            ("system", 4, text(&settings.contact)),
             ("system", 5, text(&instrumentation.name)),
-            ("system", 6, text(&access.location)),
-            // Layer 7: an application.
+            ("system", 6, text(&settings.location)),
+            // 2^(7-1): an application, layer 7 (RFC 3418).
             ("system", 7, Value::Integer(64)),
             ("snmp", 30, Value::Integer(2)),
             ("snmp", 32, Value::Counter32(0)),
-            ("snmpEngine", 1, Value::Bytes(access.engine.clone())),
-            ("snmpEngine", 2, Value::Integer(window.boots.into())),
-            ("snmpEngine", 3, Value::Integer(window.time.into())),
+            ("snmpEngine", 1, Value::OctetString(settings.engine.clone())),
+            ("snmpEngine", 2, Value::Integer(engine_time.boots.into())),
+            ("snmpEngine", 3, Value::Integer(engine_time.time.into())),
             (
                 "snmpEngine",
                 4,
-                Value::Integer(i64::try_from(access.limits.max_size).unwrap_or(0)),
+                Value::Integer(i64::try_from(settings.limits.max_size).unwrap_or(0)),
             ),
             (
                 "vhAgent",
@@ -520,10 +539,10 @@
             (
                 "vhAgent",
                 7,
-                Value::Gauge(u32::try_from(self.pins.len()).unwrap_or(u32::MAX)),
+                Value::Gauge32(u32::try_from(self.walk_snapshots.len()).unwrap_or(u32::MAX)),
             ),
         ];
-        for (group, arc, stat) in [
+        for (group_name, subid, stat) in [
             ("snmp", 1, Stat::InPkts),
             ("snmp", 3, Stat::BadVersions),
             ("snmp", 4, Stat::BadCommunityNames),
@@ -540,75 +559,82 @@
             ("usmStats", 5, Stat::WrongDigests),
             ("usmStats", 6, Stat::DecryptionErrors),
         ] {
-            all.push((group, arc, Value::Counter32(stats.wrapped(stat))));
+            values.push((group_name, subid, Value::Counter32(stats.get_wrapped(stat))));
         }
-        for (arc, stat) in [
+        for (subid, stat) in [
             (1, Stat::Answered),
             (2, Stat::LimitedBySource),
-            (3, Stat::LimitedInAll),
-            (5, Stat::TooMany),
+            (3, Stat::LimitedInTotal),
+            (5, Stat::TooManyBindings),
             (6, Stat::BadSources),
             (8, Stat::Restarts),
-            (9, Stat::Notices),
+            (9, Stat::Notifications),
         ] {
-            all.push(("vhAgent", arc, Value::Counter64(stats.get(stat))));
+            values.push(("vhAgent", subid, Value::Counter64(stats.get(stat))));
         }
-        all
+        values
     }
 }
 
-/// The bindings of an answer; `None` where those that must be there have no room.
-fn bindings(
-    picture: &Picture,
+/// Returns the variable bindings of a response; `None` if bindings that may not be left out do not
+/// fit into `max_size` bytes.
+fn response_bindings(
+    snapshot: &MibSnapshot,
     view: &SnmpView,
     request: &Request,
-    room: usize,
+    max_size: usize,
 ) -> Option<Vec<VarBind>> {
     let mut out = vec![];
-    let mut left = room;
-    let mut put = |name: &[u32], value: Value| -> bool {
-        let size = message::room(name, &value);
+    let mut left = max_size;
+    let mut push = |name: &[u32], value: Value| -> bool {
+        let size = message::max_encoded_size(name, &value);
         let fits = size <= left;
         if fits {
             left -= size;
-            out.push(message::binding(name, value));
+            out.push(message::var_bind(name, value));
         }
         fits
     };
-    let seen = |name: &[u32]| view.holds(name);
-    // Below an object something may be seen if the object itself may, or if a subtree of the view begins below it.
-    let any = |oid: &[u32]| {
+    let visible = |name: &[u32]| view.holds(name);
+    // An object may have visible instances if it is in the view itself, or if a subtree of the view
+    // begins below it.
+    let any_visible = |oid: &[u32]| {
         view.holds(oid) || view.include.iter().any(|subtree| subtree.starts_with(oid))
     };
-    let next = |name: &[u32]| picture.next(name, seen, any);
-    let (single, often) = match request.verb {
-        Verb::Get => {
+    let next = |name: &[u32]| snapshot.next(name, visible, any_visible);
+    let (non_repeaters, max_repetitions) = match request.operation {
+        Operation::Get => {
             for name in &request.names {
                 let value = if view.holds(name) {
-                    picture.get(name)
+                    snapshot.get(name)
                 } else {
                     Value::NoSuchObject
                 };
-                if !put(name, value) {
+                if !push(name, value) {
                     return None;
                 }
             }
             return Some(out);
         }
-        Verb::Bulk(single, often) => (usize::try_from(single).unwrap_or(usize::MAX), often),
-        Verb::Next | Verb::Set => (usize::MAX, 0),
+        Operation::GetBulk(non_repeaters, max_repetitions) => (
+            usize::try_from(non_repeaters).unwrap_or(usize::MAX),
+            max_repetitions,
+        ),
+        Operation::GetNext | Operation::Set => (usize::MAX, 0),
     };
-    let (once, repeated) = request.names.split_at(single.min(request.names.len()));
-    for name in once {
-        let (found, value) = next(name).unwrap_or_else(|| (name.clone(), Value::EndOfView));
-        if !put(&found, value) {
+    let (non_repeated, repeated) = request
+        .names
+        .split_at(non_repeaters.min(request.names.len()));
+    for name in non_repeated {
+        let (found, value) = next(name).unwrap_or_else(|| (name.clone(), Value::EndOfMibView));
+        if !push(&found, value) {
             return None;
         }
     }
-    // What has no room is asked for again; the time that this takes is bounded by the room.
+    // A manager requests again what does not fit. The time this takes is bounded by `max_size`.
     let mut names: Vec<Oid> = repeated.to_vec();
     let mut ended = vec![false; names.len()];
-    for _ in 0..often.min(MOST_BINDINGS) {
+    for _ in 0..max_repetitions.min(MAX_REPETITIONS) {
         if ended.iter().all(|e| *e) {
             break;
         }
@@ -621,10 +647,10 @@
                 }
                 None => {
                     *ended = true;
-                    Value::EndOfView
+                    Value::EndOfMibView
                 }
             };
-            if !put(name, value) {
+            if !push(name, value) {
                 return Some(out);
             }
         }
--- a/crates/snmp/src/instrumentation.rs
+++ b/crates/snmp/src/instrumentation.rs
@@ -1,4 +1,5 @@
-//! What the agent looks at: the fronts' boards, which their cores publish to, and the counters, which the ledger does.
+//! The sources of the managed values: the snapshots that the cores publish, the counters that the
+//! request log publishes, and the process's own status.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,83 +10,84 @@
 use valehatch_net::Clock;
 use valehatch_state::PublishedCounters;
 
-/// What a core published last, and what stood in its queue then.
+/// A core's last published state, with the length of its queue at that time.
 #[derive(Debug)]
 pub struct CoreSnapshot {
-    /// Beliefs and burdens.
+    /// Groups, endpoints, request rates and open requests as the core sees them.
     pub live: LiveView,
-    /// Events that wait for the core.
+    /// Number of events that waited for the core.
     pub queue_length: usize,
 }
 
-/// A front, as the agent knows it from the start on.
+/// A front: its settings, which stay the same while the program runs, and its core's last snapshot.
 #[derive(Debug)]
 pub struct Front {
-    /// Its name.
+    /// The front's name in the operators' file, an index of its tables.
     pub name: Arc<str>,
-    /// What it speaks.
+    /// The name of its client protocol.
     pub protocol: &'static str,
-    /// Where its clients connect.
+    /// The address on which it accepts clients.
     pub listen: String,
-    /// Its classes.
+    /// The names of its request classes.
     pub classes: Vec<Arc<str>>,
-    /// Its tenants, with this gateway's part of their allowance, in requests a second.
+    /// The names of its tenants, each with this gateway's share of the tenant's quota in requests
+    /// per second.
     pub tenants: Vec<(Arc<str>, f64)>,
-    /// What its core published last.
+    /// The last snapshot of its core; empty until the core first publishes.
     pub core_snapshot: Arc<ArcSwapOption<CoreSnapshot>>,
 }
 
-/// All of it.
+/// All sources of the managed values.
 pub struct Instrumentation {
-    /// The gateway's name.
+    /// The gateway's name in the operators' file.
     pub name: Arc<str>,
     /// The program's version.
     pub version: &'static str,
-    /// The clock that boards are dated by.
+    /// The clock by which core snapshots are dated.
     pub clock: Clock,
-    /// When the program started.
+    /// When the program started, by the monotonic clock.
     pub started_at: Instant,
-    /// The same in Unix milliseconds.
+    /// When the program started, in Unix milliseconds.
     pub started_ms: u64,
-    /// The fronts.
+    /// The fronts in the order of the operators' file.
     pub fronts: Vec<Front>,
-    /// Durable counters.
+    /// The counters that the request log published last.
     pub counters: Arc<ArcSwap<PublishedCounters>>,
-    /// Records that found the ledger's queue full.
+    /// Number of records dropped because the request log's queue was full.
     pub dropped_records: Arc<AtomicU64>,
-    /// Records that wait for the ledger.
+    /// Returns the number of records that wait to be written to the request log.
     pub queued_records: Box<dyn Fn() -> usize + Send + Sync>,
 }
 
 impl Instrumentation {
-    /// sysUpTime: hundredths of a second since the start.
+    /// Returns sysUpTime: hundredths of a second since the start, modulo 2^32.
     #[must_use]
     pub fn uptime_ticks(&self) -> u32 {
         u32::try_from(self.started_at.elapsed().as_millis() / 10 % (1 << 32)).unwrap_or(0)
     }
 
-    /// Records that found the queue full.
+    /// Returns the number of records dropped because the request log's queue was full.
     #[must_use]
     pub fn dropped_record_count(&self) -> u64 {
         self.dropped_records.load(Ordering::Relaxed)
     }
 }
 
-/// The process's own figures, as of a second or so.
+/// Resource use of the gateway's process, read about once a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessStatus {
     /// Resident memory in kilobytes.
     pub memory_kb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
-    /// CPU time in milliseconds.
+    /// CPU time used since the start, in milliseconds.
     pub cpu_ms: u64,
 }
 
 impl ProcessStatus {
-    /// Reads them. What the system does not tell is 0.
+    /// Reads the current values; 0 for a value that the system does not provide.
     #[must_use]
     pub fn read() -> Self {
         let Ok(own) = procfs::process::Process::myself() else {
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -1,5 +1,5 @@
-//! Notifications: what the alarms say, as traps and informs to each receiver, from a socket and a thread of their own. A
-//! receiver that is gone costs the gateway a few datagrams and nothing else.
+//! Sends notifications to each receiver as traps or informs, on a thread and sockets of its own. An
+//! unreachable receiver costs the gateway a few datagrams and nothing else.
 
 use std::io::ErrorKind;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -20,67 +20,67 @@
 use valehatch_rate_limit::EngineTime;
 
 use crate::engine::{Salt, Shared, Stat};
-use crate::message::{self, AUTH, Incoming, PRIV, Said, Sealing};
-use crate::picture::{Oid, Value, known, reach};
+use crate::message::{self, AUTH, Incoming, PRIV, PduContent, V3Security};
 use crate::schema;
+use crate::snapshot::{Oid, Value, evidence_number, health_number};
 
-/// How often what is believed is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two looks at the state of the fronts.
+const LOOK_INTERVAL: Duration = Duration::from_millis(100);
 /// sysUpTime.0 and snmpTrapOID.0 (RFC 3416, section 4.2.6).
-const UP_TIME: [u32; 9] = [1, 3, 6, 1, 2, 1, 1, 3, 0];
-const TRAP_OID: [u32; 11] = [1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0];
-/// The report that an engine answers an inform with whose time it does not take.
-const NOT_IN_WINDOW: [u32; 11] = [1, 3, 6, 1, 6, 3, 15, 1, 1, 2, 0];
-/// The last word at a planned stop waits so long for acknowledgements.
-const LAST_WORD: Duration = Duration::from_millis(300);
+const SYS_UP_TIME: [u32; 9] = [1, 3, 6, 1, 2, 1, 1, 3, 0];
+const SNMP_TRAP_OID: [u32; 11] = [1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0];
+/// usmStatsNotInTimeWindows.0: reported by a receiver's engine that rejects the time of an inform.
+const NOT_IN_TIME_WINDOWS: [u32; 11] = [1, 3, 6, 1, 6, 3, 15, 1, 1, 2, 0];
+/// Time for which a planned stop waits for informs to be acknowledged.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What is carried: objects below [`schema::CARRIED_AT`], by their number.
-type Carried = Vec<(u32, Value)>;
+/// Values of the objects below [`schema::NOTIFICATION_OBJECTS_SUBID`], by subidentifier.
+type CarriedValues = Vec<(u32, Value)>;
 
-/// Thresholds as the file has them.
+/// Converts the thresholds of the operators' file.
 #[must_use]
-pub fn thresholds(notify: &NotificationSettings) -> Thresholds {
+pub fn thresholds(settings: &NotificationSettings) -> Thresholds {
     let ms = |n: u64| Span::from_millis(i64::try_from(n).unwrap_or(i64::MAX / 1000));
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let parts = |rate: f64| (rate * 1000.0) as u64;
+    let per_mille = |rate: f64| (rate * 1000.0) as u64;
     Thresholds {
-        no_primary: ms(notify.no_primary_ms),
-        search_lasting: ms(notify.search_lasting_ms),
+        no_primary: ms(settings.no_primary_ms),
+        search_lasting: ms(settings.search_lasting_ms),
         rejections: Hysteresis {
-            rising: parts(notify.rejections_rising_per_s),
-            falling: parts(notify.rejections_falling_per_s),
+            rising: per_mille(settings.rejections_rising_per_s),
+            falling: per_mille(settings.rejections_falling_per_s),
         },
-        rejections_window: ms(notify.rejections_window_ms),
+        rejections_window: ms(settings.rejections_window_ms),
         quota: Hysteresis {
-            rising: notify.quota_rising_permille,
-            falling: notify.quota_falling_permille,
+            rising: settings.quota_rising_permille,
+            falling: settings.quota_falling_permille,
         },
         queue_wait: Hysteresis {
-            rising: notify.queue_wait_rising_ms,
-            falling: notify.queue_wait_falling_ms,
+            rising: settings.queue_wait_rising_ms,
+            falling: settings.queue_wait_falling_ms,
         },
-        storm_limit: notify.storm_limit,
-        storm_window: ms(notify.storm_window_ms),
+        storm_limit: settings.storm_limit,
+        storm_window: ms(settings.storm_window_ms),
     }
 }
 
 fn text(t: &str) -> Value {
-    Value::Bytes(t.as_bytes().to_vec())
+    Value::OctetString(t.as_bytes().to_vec())
 }
 
 fn gauge(n: u64) -> Value {
-    Value::Gauge(u32::try_from(n).unwrap_or(u32::MAX))
+    Value::Gauge32(u32::try_from(n).unwrap_or(u32::MAX))
 }
 
-/// The values of a notice that [`schema::NOTICES`] says it carries.
-fn carried(notice: &Notification, gateway: &str) -> Carried {
+/// Returns the values of a notification, of which those in [`schema::NOTIFICATION_TYPES`] are sent.
+fn carried_values(notification: &Notification, gateway: &str) -> CarriedValues {
     let group = |g: &GroupNotification| {
         vec![
             (1, text(&g.front)),
             (2, gauge(g.group.0.into())),
             (3, text(&g.primary)),
             (4, text(&g.previous_primary)),
-            (5, Value::Integer(known(g.evidence))),
+            (5, Value::Integer(evidence_number(g.evidence))),
             (6, Value::Counter64(g.changes)),
             (7, gauge(g.queued_writes)),
             (8, gauge(g.lasted_ms)),
@@ -91,10 +91,10 @@
             (1, text(&m.front)),
             (2, gauge(m.group.0.into())),
             (9, text(&m.name)),
-            (10, Value::Integer(reach(m.health))),
+            (10, Value::Integer(health_number(m.health))),
         ]
     };
-    match notice {
+    match notification {
         Notification::Started | Notification::Stopping | Notification::StateRecovered => {
             vec![(15, text(gateway))]
         }
@@ -122,229 +122,248 @@
         ],
         Notification::StateFault(why) => vec![(15, text(why))],
         Notification::Storm(kinds) => {
-            let words: Vec<String> = kinds
+            let counts: Vec<String> = kinds
                 .iter()
                 .map(|(kind, n)| format!("{n} {kind}"))
                 .collect();
             vec![
-                (15, text(&words.join(", "))),
+                (15, text(&counts.join(", "))),
                 (16, gauge(kinds.iter().map(|(_, n)| n).sum())),
             ]
         }
     }
 }
 
-/// A notice as it goes to every receiver.
-fn bindings(notice: &Notification, gateway: &str, up: u32) -> Vec<VarBind> {
-    let kind = notice.kind() as u32;
-    let carries = schema::NOTICES
+/// Builds the variable bindings of a notification, which are the same for every receiver.
+fn var_binds(notification: &Notification, gateway: &str, uptime_ticks: u32) -> Vec<VarBind> {
+    let kind = notification.kind() as u32;
+    let carried_subids = schema::NOTIFICATION_TYPES
         .iter()
-        .find(|(_, arc, ..)| *arc == kind)
+        .find(|(_, subid, ..)| *subid == kind)
         .map_or(&[][..], |n| n.2);
-    let name: Oid = [&ROOT[..], &[schema::NOTIFICATIONS, kind]].concat();
+    let name: Oid = [&ROOT[..], &[schema::NOTIFICATIONS_SUBID, kind]].concat();
     let mut all = vec![
-        message::binding(&UP_TIME, Value::Ticks(up)),
-        message::binding(&TRAP_OID, Value::Name(name)),
+        message::var_bind(&SYS_UP_TIME, Value::TimeTicks(uptime_ticks)),
+        message::var_bind(&SNMP_TRAP_OID, Value::ObjectIdentifier(name)),
     ];
-    for (arc, value) in carried(notice, gateway)
+    for (subid, value) in carried_values(notification, gateway)
         .into_iter()
-        .filter(|(arc, _)| carries.contains(arc))
+        .filter(|(subid, _)| carried_subids.contains(subid))
     {
-        let object: Oid = [&ROOT[..], &[schema::OBJECTS, schema::CARRIED_AT, arc, 0]].concat();
-        all.push(message::binding(&object, value));
+        let object: Oid = [
+            &ROOT[..],
+            &[
+                schema::OBJECTS_SUBID,
+                schema::NOTIFICATION_OBJECTS_SUBID,
+                subid,
+                0,
+            ],
+        ]
+        .concat();
+        all.push(message::var_bind(&object, value));
     }
     all
 }
 
-/// One receiver, and what it has not taken yet.
-struct Line {
-    receiver: NotificationReceiver,
+/// A receiver and its queue of notifications.
+struct ReceiverState {
+    config: NotificationReceiver,
     queue: DeliveryQueue<Arc<Vec<VarBind>>>,
-    /// What is known of the receiver's engine, where it decides over informs, and when that was learned.
+    /// Boots and time of the receiver's engine, which is authoritative for informs, and when they
+    /// were learned.
     engine: Option<(EngineTime, Time)>,
+    /// Whether the last datagram could not be sent.
     failing: bool,
 }
 
-impl Line {
-    fn new(receiver: NotificationReceiver, first: i32) -> Self {
-        let pause = Span::from_millis(i64::try_from(receiver.timeout_ms).unwrap_or(1000));
-        let informs = receiver.inform.then_some(Retransmission {
+impl ReceiverState {
+    fn new(config: NotificationReceiver, first_id: i32) -> Self {
+        let pause = Span::from_millis(i64::try_from(config.timeout_ms).unwrap_or(1000));
+        let informs = config.inform.then_some(Retransmission {
             first_pause: pause,
-            retries: receiver.retries,
+            retries: config.retries,
         });
         Self {
-            queue: DeliveryQueue::new(receiver.queue, informs, first),
-            receiver,
+            queue: DeliveryQueue::new(config.queue, informs, first_id),
+            config,
             engine: None,
             failing: false,
         }
     }
 
-    /// The message that goes out now.
+    /// Encodes a notification for the receiver.
     fn message(
         &self,
         now: Time,
         shared: &Shared,
         salt: &mut Salt,
         id: i32,
-        list: &[VarBind],
+        var_binds: &[VarBind],
     ) -> Option<Vec<u8>> {
-        let pdus = message::notification(self.receiver.inform, id, list.to_vec());
-        let access = shared.access.load();
-        match &self.receiver.credentials {
-            Credentials::Community(community) => message::write_v2c(community.as_bytes(), pdus),
+        let pdus = message::notification(self.config.inform, id, var_binds.to_vec());
+        let settings = shared.settings.load();
+        match &self.config.credentials {
+            Credentials::Community(community) => message::encode_v2c(community.as_bytes(), pdus),
             Credentials::User(user, engine) => {
-                // A trap's sender is its own authority; over an inform the receiver's engine is.
-                let (engine, window) = match engine {
-                    None => (&access.engine, shared.window()),
-                    Some(engine) => (engine, self.receivers_window(now)),
+                // The sender's engine is authoritative for a trap, the receiver's for an inform.
+                let (engine, engine_time) = match engine {
+                    None => (&settings.engine, shared.engine_time()),
+                    Some(engine) => (engine, self.receiver_engine_time(now)),
                 };
-                let sealing = Sealing {
+                let security = V3Security {
                     id,
-                    max_size: access.limits.max_size,
-                    reportable: self.receiver.inform,
+                    max_size: settings.limits.max_size,
+                    reportable: self.config.inform,
                     engine,
-                    window: (window.boots, window.time),
+                    engine_time: (engine_time.boots, engine_time.time),
                     user: user.name.as_bytes(),
                     auth: Some(&user.auth_key),
-                    privacy: user.privacy_key.as_ref().map(|key| (key, salt.draw())),
+                    privacy: user.privacy_key.as_ref().map(|key| (key, salt.next_salt())),
                 };
-                message::write_v3(&sealing, &access.engine, b"", pdus)
+                message::encode_v3(&security, &settings.engine, b"", pdus)
             }
         }
     }
 
-    /// What the receiver's engine's time is by now. Nothing is known at first: the report that comes back tells.
-    fn receivers_window(&self, now: Time) -> EngineTime {
-        let Some((window, at)) = self.engine else {
+    /// Estimates the current time of the receiver's engine; 0 until a report from it provides the
+    /// time.
+    fn receiver_engine_time(&self, now: Time) -> EngineTime {
+        let Some((engine_time, at)) = self.engine else {
             return EngineTime { boots: 0, time: 0 };
         };
         let passed = u32::try_from((now - at).0 / 1_000_000).unwrap_or(0);
         EngineTime {
-            time: window.time.saturating_add(passed),
-            ..window
+            time: engine_time.time.saturating_add(passed),
+            ..engine_time
         }
     }
 
-    /// Takes what came from the receiver's address: an acknowledgement, or the time of its engine.
-    fn take(&mut self, now: Time, datagram: &[u8]) {
-        match (message::read(datagram), &self.receiver.credentials) {
+    /// Handles a datagram from the receiver: an acknowledgement, or a report of its engine's time.
+    fn handle_datagram(&mut self, now: Time, datagram: &[u8]) {
+        match (message::decode(datagram), &self.config.credentials) {
             (Some(Incoming::V2c(community, pdus)), Credentials::Community(own)) => {
-                if let (Said::Response(id, _), true) =
-                    (message::said(pdus), community == own.as_bytes())
+                if let (PduContent::Response(id, _), true) =
+                    (message::parse_pdu(pdus), community == own.as_bytes())
                 {
                     self.queue.acknowledge(id);
                 }
             }
-            (Some(Incoming::V3(secured)), Credentials::User(user, Some(engine))) => {
+            (Some(Incoming::V3(message_v3)), Credentials::User(user, Some(engine))) => {
                 let (user, engine) = (user.clone(), engine.clone());
-                self.take_secured(now, datagram, &secured, &user, &engine);
+                self.handle_v3(now, datagram, &message_v3, &user, &engine);
             }
             _ => {}
         }
     }
 
-    fn take_secured(
+    fn handle_v3(
         &mut self,
         now: Time,
         datagram: &[u8],
-        secured: &message::Secured,
+        message_v3: &message::V3Message,
         user: &SnmpUser,
         engine: &[u8],
     ) {
-        let ours =
-            secured.model == 3 && secured.engine == engine && secured.user == user.name.as_bytes();
-        if !ours
-            || secured.flags & AUTH == 0
-            || !message::authentic(datagram, &secured.digest, &user.auth_key)
+        let is_expected = message_v3.model == 3
+            && message_v3.engine == engine
+            && message_v3.user == user.name.as_bytes();
+        if !is_expected
+            || message_v3.flags & AUTH == 0
+            || !message::has_valid_digest(datagram, &message_v3.digest, &user.auth_key)
         {
             return;
         }
-        // What is older than what is known may be a replay: nothing is learned from it, nothing acknowledged.
-        let known = self.engine.map(|_| self.receivers_window(now));
-        let (boots, time) = secured.window;
-        if known.is_some_and(|k| {
-            boots < k.boots
-                || boots == k.boots && time + valehatch_rate_limit::TIME_WINDOW_S < k.time
+        // A message with an older time may be a replay: it neither updates the time nor
+        // acknowledges an inform.
+        let current = self.engine.map(|_| self.receiver_engine_time(now));
+        let (boots, time) = message_v3.engine_time;
+        if current.is_some_and(|known| {
+            boots < known.boots
+                || boots == known.boots && time + valehatch_rate_limit::TIME_WINDOW_S < known.time
         }) {
             return;
         }
-        let learned = known
+        let learned = current
             .unwrap_or(EngineTime { boots: 0, time: 0 })
             .updated_by(boots, time);
         self.engine = Some((learned, now));
-        let key = if secured.flags & PRIV != 0 {
+        let key = if message_v3.flags & PRIV != 0 {
             user.privacy_key.as_ref()
         } else {
             None
         };
-        let Some(scoped) = message::scoped(secured, key) else {
+        let Some(scoped) = message::scoped_pdu(message_v3, key) else {
             return;
         };
-        match message::said(scoped.data) {
-            Said::Response(id, _) => drop(self.queue.acknowledge(id)),
-            Said::Report(Some(name)) if name == NOT_IN_WINDOW => self.queue.resend(now, secured.id),
+        match message::parse_pdu(scoped.data) {
+            PduContent::Response(id, _) => drop(self.queue.acknowledge(id)),
+            PduContent::Report(Some(name)) if name == NOT_IN_TIME_WINDOWS => {
+                self.queue.resend(now, message_v3.id)
+            }
             _ => {}
         }
     }
 }
 
-/// The notifier's thread.
+/// Sends the notifications, on a thread of its own.
 pub struct Notifier {
     shared: Arc<Shared>,
-    alarms: NotificationMonitor,
-    lines: Vec<Line>,
-    /// One for each family, as far as there are receivers.
+    monitor: NotificationMonitor,
+    receivers: Vec<ReceiverState>,
+    /// One socket each for IPv4 and IPv6, if there are receivers of that family.
     sockets: [Option<UdpSocket>; 2],
     salt: Salt,
-    first: i32,
+    first_id: i32,
     stop: Arc<AtomicBool>,
 }
 
 impl Notifier {
-    /// For what is shared with the agent. `stop` makes it say its last word and end.
+    /// Creates a notifier on state that it shares with the agent. `stop` makes it send what is
+    /// queued and end.
     #[must_use]
     pub fn new(shared: Arc<Shared>, stop: Arc<AtomicBool>) -> Self {
-        let alarms = NotificationMonitor::new(thresholds(&shared.access.load().notify));
-        // Numbers that no earlier start used lately: a late acknowledgement must not be taken for another.
-        let first = i32::try_from(shared.boots % 2048).unwrap_or(0) << 20;
+        let monitor = NotificationMonitor::new(thresholds(&shared.settings.load().notify));
+        // Request IDs start at a value that recent starts did not use, so that a late
+        // acknowledgement of theirs is not taken for one of these informs.
+        let first_id = i32::try_from(shared.boots % 2048).unwrap_or(0) << 20;
         let mut notifier = Self {
             shared,
-            alarms,
-            lines: vec![],
+            monitor,
+            receivers: vec![],
             sockets: [None, None],
             salt: Salt::default(),
-            first,
+            first_id,
             stop,
         };
-        notifier.reread();
+        notifier.reload();
         notifier
     }
 
-    /// Takes over receivers and thresholds from what is set now; what waits for a receiver that stays goes on to.
-    fn reread(&mut self) {
-        let access = self.shared.access.load_full();
-        self.alarms.set_thresholds(thresholds(&access.notify));
-        let mut old = std::mem::take(&mut self.lines);
-        for receiver in &access.receivers {
-            let same = old.iter().position(|line| line.receiver == *receiver);
-            let line = same.map(|at| old.swap_remove(at));
-            self.lines
-                .push(line.unwrap_or_else(|| Line::new(receiver.clone(), self.first)));
+    /// Applies the current receivers and thresholds. A receiver whose settings are unchanged keeps
+    /// its queue.
+    fn reload(&mut self) {
+        let settings = self.shared.settings.load_full();
+        self.monitor.set_thresholds(thresholds(&settings.notify));
+        let mut old = std::mem::take(&mut self.receivers);
+        for config in &settings.receivers {
+            let same = old.iter().position(|receiver| receiver.config == *config);
+            let kept = same.map(|at| old.swap_remove(at));
+            self.receivers
+                .push(kept.unwrap_or_else(|| ReceiverState::new(config.clone(), self.first_id)));
         }
-        for (family, any) in [
+        for (family, unspecified) in [
             IpAddr::from(Ipv4Addr::UNSPECIFIED),
             Ipv6Addr::UNSPECIFIED.into(),
         ]
         .into_iter()
         .enumerate()
         {
-            let wanted = access
+            let has_receiver = settings
                 .receivers
                 .iter()
                 .any(|r| usize::from(r.address.is_ipv6()) == family);
-            if wanted && self.sockets[family].is_none() {
-                match UdpSocket::bind(SocketAddr::new(any, 0)) {
+            if has_receiver && self.sockets[family].is_none() {
+                match UdpSocket::bind(SocketAddr::new(unspecified, 0)) {
                     Ok(socket) => self.sockets[family] = Some(socket),
                     Err(e) => warn!("snmp: no socket for notifications: {e}"),
                 }
@@ -352,112 +371,119 @@
         }
     }
 
-    /// Looks, tells, listens, until it is to stop.
+    /// Collects, sends and receives until a stop is requested.
     pub fn run(mut self) {
-        let mut access = self.shared.access.load_full();
+        let mut settings = self.shared.settings.load_full();
         loop {
             let stopping = self.stop.load(Ordering::Relaxed);
-            let current = self.shared.access.load_full();
-            if !Arc::ptr_eq(&access, &current) {
-                access = current;
-                self.reread();
+            let current = self.shared.settings.load_full();
+            if !Arc::ptr_eq(&settings, &current) {
+                settings = current;
+                self.reload();
             }
-            self.look();
-            self.send();
+            self.collect_notifications();
+            self.send_due();
             if stopping {
-                return self.last_word();
+                return self.flush_on_shutdown();
             }
-            self.listen(LOOK);
+            self.receive(LOOK_INTERVAL);
         }
     }
 
-    fn look(&mut self) {
+    fn collect_notifications(&mut self) {
         let shared = Arc::clone(&self.shared);
         let instrumentation = &shared.instrumentation;
-        let boards: Vec<_> = instrumentation
+        let core_snapshots: Vec<_> = instrumentation
             .fronts
             .iter()
-            .map(|f| f.core_snapshot.load_full())
+            .map(|front| front.core_snapshot.load_full())
             .collect();
         let fronts: Vec<FrontStatus<'_>> = instrumentation
             .fronts
             .iter()
-            .zip(&boards)
-            .filter_map(|(f, b)| {
+            .zip(&core_snapshots)
+            .filter_map(|(front, core)| {
                 Some(FrontStatus {
-                    name: &f.name,
-                    live: &b.as_ref()?.live,
-                    tenants: &f.tenants,
+                    name: &front.name,
+                    live: &core.as_ref()?.live,
+                    tenants: &front.tenants,
                 })
             })
             .collect();
-        // Before every core has published there is nothing to compare.
+        // The first look needs the snapshots of all cores.
         if fronts.len() < instrumentation.fronts.len() {
             return;
         }
-        let (now, shown) = (instrumentation.clock.now(), instrumentation.counters.load());
-        let notices =
-            self.alarms
-                .look(now, &fronts, &shown.counters, shown.status.fault.as_deref());
-        for notice in notices {
-            info!(notice = %notice.kind(), "{}", told(&notice));
-            shared.stats.add(Stat::Notices);
-            let list = Arc::new(bindings(
-                &notice,
+        let (now, published) = (instrumentation.clock.now(), instrumentation.counters.load());
+        let notifications = self.monitor.look(
+            now,
+            &fronts,
+            &published.counters,
+            published.status.fault.as_deref(),
+        );
+        for notification in notifications {
+            info!(notice = %notification.kind(), "{}", log_text(&notification));
+            shared.stats.add(Stat::Notifications);
+            let var_binds = Arc::new(var_binds(
+                &notification,
                 &instrumentation.name,
                 instrumentation.uptime_ticks(),
             ));
-            self.lines
+            self.receivers
                 .iter_mut()
-                .for_each(|line| line.queue.push(now, Arc::clone(&list)));
+                .for_each(|receiver| receiver.queue.push(now, Arc::clone(&var_binds)));
         }
     }
 
-    fn send(&mut self) {
+    fn send_due(&mut self) {
         let now = self.shared.instrumentation.clock.now();
-        for line in &mut self.lines {
-            for post in line.queue.due(now) {
-                let Some(bytes) =
-                    line.message(now, &self.shared, &mut self.salt, post.id, &post.content)
-                else {
-                    warn!("snmp: a notification cannot be written down");
+        for receiver in &mut self.receivers {
+            for delivery in receiver.queue.due(now) {
+                let Some(bytes) = receiver.message(
+                    now,
+                    &self.shared,
+                    &mut self.salt,
+                    delivery.id,
+                    &delivery.content,
+                ) else {
+                    warn!("snmp: a notification cannot be encoded");
                     continue;
                 };
-                let address = line.receiver.address;
+                let address = receiver.config.address;
                 let socket = self.sockets[usize::from(address.is_ipv6())].as_ref();
                 let sent = socket.is_some_and(|s| s.send_to(&bytes, address).is_ok());
-                // That a receiver is gone is said once.
-                if sent == line.failing {
-                    line.failing = !sent;
+                // A receiver that fails is logged once, until a datagram can be sent again.
+                if sent == receiver.failing {
+                    receiver.failing = !sent;
                     if !sent {
                         warn!(receiver = %address, "snmp: a notification could not be sent");
                     }
                 }
             }
         }
-        let state = |l: &Line| {
+        let state = |receiver: &ReceiverState| {
             (
-                l.receiver.address.to_string(),
-                l.queue.len(),
-                l.queue.counts(),
+                receiver.config.address.to_string(),
+                receiver.queue.len(),
+                receiver.queue.counts(),
             )
         };
         self.shared
             .receivers
-            .store(Arc::new(self.lines.iter().map(state).collect()));
+            .store(Arc::new(self.receivers.iter().map(state).collect()));
     }
 
-    /// Takes what receivers send back, for so long.
-    fn listen(&mut self, time: Duration) {
+    /// Handles datagrams from receivers for the given time.
+    fn receive(&mut self, time: Duration) {
         let end = std::time::Instant::now() + time;
         let mut datagram = [0; 4096];
-        let some: Vec<UdpSocket> = self
+        let sockets: Vec<UdpSocket> = self
             .sockets
             .iter()
             .flatten()
             .filter_map(|s| s.try_clone().ok())
             .collect();
-        if some.is_empty() {
+        if sockets.is_empty() {
             return std::thread::sleep(time);
         }
         loop {
@@ -465,104 +491,113 @@
             if left.is_zero() {
                 return;
             }
-            for socket in &some {
-                let part =
-                    (left / u32::try_from(some.len()).unwrap_or(1)).max(Duration::from_millis(1));
-                let _ = socket.set_read_timeout(Some(part));
+            for socket in &sockets {
+                let timeout = (left / u32::try_from(sockets.len()).unwrap_or(1))
+                    .max(Duration::from_millis(1));
+                let _ = socket.set_read_timeout(Some(timeout));
                 match socket.recv_from(&mut datagram) {
                     Ok((length, from)) => {
                         let now = self.shared.instrumentation.clock.now();
-                        let lines = self.lines.iter_mut().filter(|l| l.receiver.address == from);
-                        lines.for_each(|line| line.take(now, &datagram[..length]));
-                        self.send();
+                        let receivers = self
+                            .receivers
+                            .iter_mut()
+                            .filter(|receiver| receiver.config.address == from);
+                        receivers.for_each(|receiver| {
+                            receiver.handle_datagram(now, &datagram[..length])
+                        });
+                        self.send_due();
                     }
                     Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                    // A receiver that is not there: its machine says so.
+                    // The receiver's host reports by ICMP that nothing listens there.
                     Err(_) => std::thread::sleep(Duration::from_millis(1)),
                 }
             }
         }
     }
 
-    fn last_word(&mut self) {
-        let end = std::time::Instant::now() + LAST_WORD;
-        while self.lines.iter().any(|l| !l.queue.is_empty()) && std::time::Instant::now() < end {
-            self.send();
-            self.listen(Duration::from_millis(20));
+    fn flush_on_shutdown(&mut self) {
+        let end = std::time::Instant::now() + SHUTDOWN_TIMEOUT;
+        while self.receivers.iter().any(|receiver| !receiver.queue.is_empty()) && std::time::Instant::now() < end
+        {
+            self.send_due();
+            self.receive(Duration::from_millis(20));
         }
     }
 }
 
-/// A notice in words, for the log.
-fn told(notice: &Notification) -> String {
+/// Describes a notification for the log.
+fn log_text(notification: &Notification) -> String {
     let group = |g: &GroupNotification, what: &str| {
         format!(
             "front {}, group {}: {what} ({:?} -> {:?}, {:?})",
             g.front, g.group.0, g.previous_primary, g.primary, g.evidence
         )
     };
-    match notice {
-        Notification::Started => "the gateway serves".into(),
-        Notification::Stopping => "the gateway stops".into(),
-        Notification::PrimaryChanged(g) => group(g, "another primary is believed in"),
-        Notification::SearchStarted(g) => group(g, "the primary is searched for"),
-        Notification::SearchLasting(g) => group(g, "the search lasts"),
-        Notification::SearchEnded(g) => group(g, "the search is over"),
-        Notification::NoPrimary(g) => group(g, "there has been no primary for long"),
-        Notification::PrimaryRestored(g) => group(g, "there is a primary again"),
+    match notification {
+        Notification::Started => "the gateway started to serve".into(),
+        Notification::Stopping => "a planned stop was requested".into(),
+        Notification::PrimaryChanged(g) => group(g, "primary changed"),
+        Notification::SearchStarted(g) => group(g, "primary search started"),
+        Notification::SearchLasting(g) => group(g, "primary search exceeds its threshold"),
+        Notification::SearchEnded(g) => group(g, "primary search ended"),
+        Notification::NoPrimary(g) => group(g, "no primary for longer than the threshold"),
+        Notification::PrimaryRestored(g) => group(g, "primary available again"),
         Notification::EndpointUnavailable(m) => {
             format!(
-                "front {}: {} cannot be used ({:?})",
+                "front {}: endpoint {} is unavailable ({:?})",
                 m.front, m.name, m.health
             )
         }
         Notification::EndpointAvailable(m) => {
-            format!("front {}: {} is back, or gone for good", m.front, m.name)
+            format!(
+                "front {}: endpoint {} is available again or has left the list",
+                m.front, m.name
+            )
         }
         Notification::RejectionsRising(r) => {
             format!(
-                "front {}, class {}: {} refusals in 1000 s",
+                "front {}, class {}: {} rejections in 1000 s",
                 r.front, r.class, r.per_1000_s
             )
         }
         Notification::RejectionsFallen(r) => {
             format!(
-                "front {}, class {}: down to {} refusals in 1000 s",
+                "front {}, class {}: down to {} rejections in 1000 s",
                 r.front, r.class, r.per_1000_s
             )
         }
         Notification::QuotaExceeded(q) => {
             format!(
-                "front {}, tenant {}: asks for {} thousandths of its budget",
+                "front {}, tenant {}: requests {} per mille of its quota",
                 q.front, q.tenant, q.per_mille
             )
         }
         Notification::QuotaRecovered(q) => {
             format!(
-                "front {}, tenant {}: back to {} thousandths of its budget",
+                "front {}, tenant {}: back to {} per mille of its quota",
                 q.front, q.tenant, q.per_mille
             )
         }
         Notification::QueueLong(w) => {
             format!(
-                "front {}, tenant {}: the oldest has waited {} ms at the door",
+                "front {}, tenant {}: oldest request waited {} ms in the admission queue",
                 w.front, w.tenant, w.wait_ms
             )
         }
         Notification::QueueShort(w) => {
             format!(
-                "front {}, tenant {}: down to {} ms at the door",
+                "front {}, tenant {}: down to {} ms in the admission queue",
                 w.front, w.tenant, w.wait_ms
             )
         }
         Notification::StateFault(why) => format!("state: {why}"),
-        Notification::StateRecovered => "state: all is written again".into(),
+        Notification::StateRecovered => "state: request log is written again".into(),
         Notification::Storm(kinds) => {
             let counts: Vec<String> = kinds
                 .iter()
                 .map(|(kind, n)| format!("({kind}, {n})"))
                 .collect();
-            format!("notifications left out: [{}]", counts.join(", "))
+            format!("notifications suppressed: [{}]", counts.join(", "))
         }
     }
 }
--- a/crates/snmp/src/schema.rs
+++ b/crates/snmp/src/schema.rs
@@ -1,75 +1,77 @@
-//! Every object that the agent has, once: its place, its syntax, and what the MIB says of it. The agent answers from this
-//! table and `mibs/VALEHATCH-MIB.txt` is printed from it, so neither can drift from the other.
+//! The definitions of all managed objects: OID, SYNTAX and DESCRIPTION. The agent answers requests
+//! from these definitions and `mibs/VALEHATCH-MIB.txt` is printed from them, so that both agree.
 
 use valehatch_request_log::{AttemptOutcome, Counter, FailureReason, RejectionReason};
 
-/// What an object's value is.
+/// The SYNTAX clause of an object (RFC 2578, section 7.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Syntax {
-    /// Never falls but at a discontinuity, 64 bits.
+    /// Counter64: falls only at a discontinuity (vhCounterDiscontinuityTime).
     Counter64,
-    /// The same, 32 bits.
+    /// Counter32.
     Counter32,
-    /// Goes up and down, not below 0.
-    Gauge,
-    /// Hundredths of a second.
-    Ticks,
-    /// Printable text.
+    /// Gauge32.
+    Gauge32,
+    /// TimeTicks: hundredths of a second.
+    TimeTicks,
+    /// SnmpAdminString: text in UTF-8.
     Text,
-    /// Bytes.
-    Bytes,
-    /// A name in the tree.
-    Name,
-    /// One of some words.
-    Words(&'static [(&'static str, i32)]),
+    /// OCTET STRING.
+    OctetString,
+    /// OBJECT IDENTIFIER.
+    ObjectIdentifier,
+    /// INTEGER with named numbers; without any, a plain INTEGER of a standard MIB.
+    Enumeration(&'static [(&'static str, i32)]),
 }
 
-use Syntax::{Bytes, Counter32, Counter64, Gauge, Name, Text, Ticks, Words};
+use Syntax::{
+    Counter32, Counter64, Enumeration, Gauge32, ObjectIdentifier, OctetString, Text, TimeTicks,
+};
 
-/// An object: a scalar or a column.
+/// An object type: a scalar or a columnar object.
 #[derive(Clone, Copy, Debug)]
 pub struct Object {
-    /// Its descriptor.
+    /// The descriptor; of some columns without the table's name, see [`column_name`].
     pub name: &'static str,
-    /// Its last number.
-    pub arc: u32,
-    /// What it is.
+    /// The last subidentifier of its OID.
+    pub subid: u32,
+    /// The SYNTAX clause.
     pub syntax: Syntax,
-    /// In which unit, empty for none.
+    /// The UNITS clause; empty for none.
     pub units: &'static str,
-    /// What it says.
-    pub about: &'static str,
+    /// The DESCRIPTION clause; empty for objects of standard MIBs, which are not printed.
+    pub description: &'static str,
 }
 
 const fn object(
     name: &'static str,
-    arc: u32,
+    subid: u32,
     syntax: Syntax,
     units: &'static str,
-    about: &'static str,
+    description: &'static str,
 ) -> Object {
     Object {
         name,
-        arc,
+        subid,
         syntax,
         units,
-        about,
+        description,
     }
 }
 
-/// A part of an index.
+/// The type of an object in an INDEX clause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// A text, its length before it: 1 to 32 characters.
+pub enum IndexType {
+    /// A text of 1 to 32 characters, encoded with its length first.
     Text,
-    /// A number.
+    /// An unsigned number from 1 on.
     Number,
 }
 
-/// What a table has a row for.
+/// What the conceptual rows of a table represent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Rows {
+pub enum TableKind {
     Front,
     Class,
     ClassRefused,
@@ -86,94 +88,98 @@
     Receiver,
 }
 
-/// A table.
+/// A conceptual table.
 #[derive(Clone, Copy, Debug)]
 pub struct Table {
-    /// Its descriptor, without `Table`.
+    /// The descriptor without the suffix `Table`.
     pub name: &'static str,
-    /// Its last number.
-    pub arc: u32,
-    /// What it has a row for.
-    pub rows: Rows,
-    /// Its index objects: descriptor, kind, and what it is. Columns from 1 on, not accessible.
-    pub index: &'static [(&'static str, Part, &'static str)],
-    /// What it is.
-    pub about: &'static str,
-    /// Its columns.
+    /// The last subidentifier of its OID.
+    pub subid: u32,
+    /// What its rows represent.
+    pub kind: TableKind,
+    /// The INDEX clause: descriptor, type and DESCRIPTION of each object. Index objects are
+    /// not-accessible and take the column numbers from 1 on.
+    pub index: &'static [(&'static str, IndexType, &'static str)],
+    /// The DESCRIPTION clause.
+    pub description: &'static str,
+    /// The accessible columnar objects.
     pub columns: &'static [Object],
 }
 
-/// Scalars under one number.
+/// Scalars below one parent OID.
 #[derive(Clone, Copy, Debug)]
-pub struct Scalars {
-    /// The descriptor of what they stand under.
+pub struct ScalarGroup {
+    /// The descriptor of the parent.
     pub name: &'static str,
-    /// Its name in the tree: whole for other MIBs' groups, else below the project's objects.
-    pub at: At,
-    /// The objects.
+    /// The OID of the parent.
+    pub parent: Parent,
+    /// The scalars, each with one instance `.0`.
     pub objects: &'static [Object],
 }
 
-/// Where scalars stand.
+/// The parent OID of scalars.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
-    /// In another MIB, here.
-    Other(&'static [u32]),
-    /// Below the project's objects.
-    Own(u32),
+pub enum Parent {
+    /// A node of a standard MIB, as a full OID.
+    Standard(&'static [u32]),
+    /// The node with this subidentifier below vhObjects.
+    Enterprise(u32),
 }
 
-const FRONT: (&str, Part, &str) = (
+const FRONT_INDEX: (&str, IndexType, &str) = (
     "vhFrontName",
-    Part::Text,
+    IndexType::Text,
     "The front's name in the operators' file.",
 );
-const CLASS: (&str, Part, &str) = (
+const CLASS_INDEX: (&str, IndexType, &str) = (
     "vhClassName",
-    Part::Text,
+    IndexType::Text,
     "The class's name: its contract's.",
 );
-const TENANT: (&str, Part, &str) = (
+const TENANT_INDEX: (&str, IndexType, &str) = (
     "vhTenantName",
-    Part::Text,
+    IndexType::Text,
     "The tenant's name: its budget's.",
 );
-const REASON: (&str, Part, &str) = ("vhRefusedReason", Part::Number, "Why, a VhRefusal.");
-const FAULT: (&str, Part, &str) = ("vhFailedReason", Part::Number, "How, a VhFault.");
-const OUTCOME: (&str, Part, &str) = ("vhAttemptOutcome", Part::Number, "How, a VhOutcome.");
-const BUCKET: (&str, Part, &str) = (
+const REJECTION_INDEX: (&str, IndexType, &str) =
+    ("vhRefusedReason", IndexType::Number, "Why, a VhRefusal.");
+const FAILURE_INDEX: (&str, IndexType, &str) =
+    ("vhFailedReason", IndexType::Number, "How, a VhFault.");
+const OUTCOME_INDEX: (&str, IndexType, &str) =
+    ("vhAttemptOutcome", IndexType::Number, "How, a VhOutcome.");
+const BUCKET_INDEX: (&str, IndexType, &str) = (
     "vhTimeBucket",
-    Part::Number,
+    IndexType::Number,
     "The bucket, from 1 on, the shortest times first.",
 );
-const GROUP: (&str, Part, &str) = (
+const GROUP_INDEX: (&str, IndexType, &str) = (
     "vhGroupNumber",
-    Part::Number,
+    IndexType::Number,
     "The group's number and 1, since an index is not 0.",
 );
-const MEMBER: (&str, Part, &str) = (
+const ENDPOINT_INDEX: (&str, IndexType, &str) = (
     "vhMemberNumber",
-    Part::Number,
+    IndexType::Number,
     "The member's number, made from its name.",
 );
-const RECEIVER: (&str, Part, &str) = (
+const RECEIVER_INDEX: (&str, IndexType, &str) = (
     "vhReceiverNumber",
-    Part::Number,
+    IndexType::Number,
     "The receiver's place in the operators' file, from 1 on.",
 );
 
-const REACH: Syntax = Words(&[("open", 1), ("silent", 2), ("outOfReach", 3)]);
-const KNOWN: Syntax = Words(&[
+const HEALTH: Syntax = Enumeration(&[("open", 1), ("silent", 2), ("outOfReach", 3)]);
+const EVIDENCE: Syntax = Enumeration(&[
     ("unknown", 1),
     ("list", 2),
     ("answer", 3),
     ("report", 4),
     ("search", 5),
 ]);
-const TRUTH: Syntax = Words(&[("true", 1), ("false", 2)]);
+const TRUTH_VALUE: Syntax = Enumeration(&[("true", 1), ("false", 2)]);
 
-/// The columns that classes and tenants have in common.
-const ENDS: [Object; 9] = [
+/// The columns that vhClassTable and vhTenantTable have in common.
+const OUTCOME_COLUMNS: [Object; 9] = [
     object(
         "Ended",
         3,
@@ -214,24 +220,24 @@
     object(
         "P99",
         10,
-        Gauge,
+        Gauge32,
         "microseconds",
         "The time that 99 of 100 of those served in the last 30 to 60 s stayed within; 0 if none was.",
     ),
     object(
         "Share",
         11,
-        Gauge,
+        Gauge32,
         "per mille",
         "Of all that ended, the part that was served in time.",
     ),
 ];
 
-const TIMES: [Object; 2] = [
+const LATENCY_COLUMNS: [Object; 2] = [
     object(
         "Bound",
         2,
-        Gauge,
+        Gauge32,
         "microseconds",
         "The bucket's upper bound; 4294967295 for the last one, which has none.",
     ),
@@ -244,47 +250,47 @@
     ),
 ];
 
-const COUNTED: [Object; 2] = [
+const REASON_COLUMNS: [Object; 2] = [
     object("Name", 2, Text, "", "In words."),
     object("Count", 3, Counter64, "", "So many."),
 ];
 
-/// Text that stands before the names of a table's columns.
+/// All tables of VALEHATCH-MIB.
 pub const TABLES: &[Table] = &[
     Table {
         name: "vhFront",
-        arc: 2,
-        rows: Rows::Front,
-        index: &[FRONT],
-        about: "The fronts.",
+        subid: 2,
+        kind: TableKind::Front,
+        index: &[FRONT_INDEX],
+        description: "The fronts.",
         columns: &[
             object("vhFrontProtocol", 2, Text, "", "What it speaks."),
             object("vhFrontListen", 3, Text, "", "Where its clients connect."),
             object(
                 "vhFrontOpen",
                 4,
-                Gauge,
+                Gauge32,
                 "requests",
                 "Requests that are open.",
             ),
             object(
                 "vhFrontServerConnections",
                 5,
-                Gauge,
+                Gauge32,
                 "connections",
                 "Connections to members.",
             ),
             object(
                 "vhFrontClientConnections",
                 6,
-                Gauge,
+                Gauge32,
                 "connections",
                 "Connections from clients.",
             ),
             object(
                 "vhFrontQueue",
                 7,
-                Gauge,
+                Gauge32,
                 "events",
                 "Events that wait for the core.",
             ),
@@ -298,14 +304,14 @@
             object(
                 "vhFrontAge",
                 9,
-                Gauge,
+                Gauge32,
                 "milliseconds",
                 "How old is what the core told of itself: of this table's gauges, of groups and of members.",
             ),
             object(
                 "vhFrontStopping",
                 10,
-                TRUTH,
+                TRUTH_VALUE,
                 "",
                 "A planned stop was asked for.",
             ),
@@ -313,92 +319,92 @@
     },
     Table {
         name: "vhClass",
-        arc: 3,
-        rows: Rows::Class,
-        index: &[FRONT, CLASS],
-        about: "What became of the requests of each class. All counters agree with the request log.",
-        columns: &ENDS,
+        subid: 3,
+        kind: TableKind::Class,
+        index: &[FRONT_INDEX, CLASS_INDEX],
+        description: "What became of the requests of each class. All counters agree with the request log.",
+        columns: &OUTCOME_COLUMNS,
     },
     Table {
         name: "vhClassRefused",
-        arc: 4,
-        rows: Rows::ClassRefused,
-        index: &[FRONT, CLASS, REASON],
-        about: "Refusals of a class by reason.",
-        columns: &COUNTED,
+        subid: 4,
+        kind: TableKind::ClassRefused,
+        index: &[FRONT_INDEX, CLASS_INDEX, REJECTION_INDEX],
+        description: "Refusals of a class by reason.",
+        columns: &REASON_COLUMNS,
     },
     Table {
         name: "vhClassFailed",
-        arc: 5,
-        rows: Rows::ClassFailed,
-        index: &[FRONT, CLASS, FAULT],
-        about: "Failures of a class by kind.",
-        columns: &COUNTED,
+        subid: 5,
+        kind: TableKind::ClassFailed,
+        index: &[FRONT_INDEX, CLASS_INDEX, FAILURE_INDEX],
+        description: "Failures of a class by kind.",
+        columns: &REASON_COLUMNS,
     },
     Table {
         name: "vhClassAttempt",
-        arc: 6,
-        rows: Rows::ClassAttempt,
-        index: &[FRONT, CLASS, OUTCOME],
-        about: "Attempts of a class by outcome.",
-        columns: &COUNTED,
+        subid: 6,
+        kind: TableKind::ClassAttempt,
+        index: &[FRONT_INDEX, CLASS_INDEX, OUTCOME_INDEX],
+        description: "Attempts of a class by outcome.",
+        columns: &REASON_COLUMNS,
     },
     Table {
         name: "vhClassTime",
-        arc: 7,
-        rows: Rows::ClassTime,
-        index: &[FRONT, CLASS, BUCKET],
-        about: "How long the served requests of a class took, each counted in one bucket.",
-        columns: &TIMES,
+        subid: 7,
+        kind: TableKind::ClassTime,
+        index: &[FRONT_INDEX, CLASS_INDEX, BUCKET_INDEX],
+        description: "How long the served requests of a class took, each counted in one bucket.",
+        columns: &LATENCY_COLUMNS,
     },
     Table {
         name: "vhTenant",
-        arc: 8,
-        rows: Rows::Tenant,
-        index: &[FRONT, TENANT],
-        about: "What became of the requests of each tenant, over all classes, and its budget.",
+        subid: 8,
+        kind: TableKind::Tenant,
+        index: &[FRONT_INDEX, TENANT_INDEX],
+        description: "What became of the requests of each tenant, over all classes, and its budget.",
         columns: &[
-            ENDS[0],
-            ENDS[1],
-            ENDS[2],
-            ENDS[3],
-            ENDS[4],
-            ENDS[5],
-            ENDS[6],
-            ENDS[7],
-            ENDS[8],
+            OUTCOME_COLUMNS[0],
+            OUTCOME_COLUMNS[1],
+            OUTCOME_COLUMNS[2],
+            OUTCOME_COLUMNS[3],
+            OUTCOME_COLUMNS[4],
+            OUTCOME_COLUMNS[5],
+            OUTCOME_COLUMNS[6],
+            OUTCOME_COLUMNS[7],
+            OUTCOME_COLUMNS[8],
             object(
                 "Allowance",
                 12,
-                Gauge,
+                Gauge32,
                 "requests per 1000 seconds",
                 "This gateway's part of what the tenant's budget allows.",
             ),
             object(
                 "Rate",
                 13,
-                Gauge,
+                Gauge32,
                 "requests per second",
                 "Asked for in the last whole second.",
             ),
             object(
                 "Use",
                 14,
-                Gauge,
+                Gauge32,
                 "per mille",
                 "That rate as a part of the allowance.",
             ),
             object(
                 "Queue",
                 15,
-                Gauge,
+                Gauge32,
                 "requests",
                 "Requests that wait at the door; 0 where there is none.",
             ),
             object(
                 "QueueAge",
                 16,
-                Gauge,
+                Gauge32,
                 "milliseconds",
                 "How long the oldest of them has waited.",
             ),
@@ -448,47 +454,47 @@
     },
     Table {
         name: "vhTenantRefused",
-        arc: 9,
-        rows: Rows::TenantRefused,
-        index: &[FRONT, TENANT, REASON],
-        about: "Refusals of a tenant by reason.",
-        columns: &COUNTED,
+        subid: 9,
+        kind: TableKind::TenantRefused,
+        index: &[FRONT_INDEX, TENANT_INDEX, REJECTION_INDEX],
+        description: "Refusals of a tenant by reason.",
+        columns: &REASON_COLUMNS,
     },
     Table {
         name: "vhTenantFailed",
-        arc: 10,
-        rows: Rows::TenantFailed,
-        index: &[FRONT, TENANT, FAULT],
-        about: "Failures of a tenant by kind.",
-        columns: &COUNTED,
+        subid: 10,
+        kind: TableKind::TenantFailed,
+        index: &[FRONT_INDEX, TENANT_INDEX, FAILURE_INDEX],
+        description: "Failures of a tenant by kind.",
+        columns: &REASON_COLUMNS,
     },
     Table {
         name: "vhTenantAttempt",
-        arc: 11,
-        rows: Rows::TenantAttempt,
-        index: &[FRONT, TENANT, OUTCOME],
-        about: "Attempts of a tenant by outcome.",
-        columns: &COUNTED,
+        subid: 11,
+        kind: TableKind::TenantAttempt,
+        index: &[FRONT_INDEX, TENANT_INDEX, OUTCOME_INDEX],
+        description: "Attempts of a tenant by outcome.",
+        columns: &REASON_COLUMNS,
     },
     Table {
         name: "vhTenantTime",
-        arc: 12,
-        rows: Rows::TenantTime,
-        index: &[FRONT, TENANT, BUCKET],
-        about: "How long the served requests of a tenant took, each counted in one bucket.",
-        columns: &TIMES,
+        subid: 12,
+        kind: TableKind::TenantTime,
+        index: &[FRONT_INDEX, TENANT_INDEX, BUCKET_INDEX],
+        description: "How long the served requests of a tenant took, each counted in one bucket.",
+        columns: &LATENCY_COLUMNS,
     },
     Table {
         name: "vhGroup",
-        arc: 13,
-        rows: Rows::Group,
-        index: &[FRONT, GROUP],
-        about: "What the gateway believes of each group, which need not be what the list says.",
+        subid: 13,
+        kind: TableKind::Group,
+        index: &[FRONT_INDEX, GROUP_INDEX],
+        description: "What the gateway believes of each group, which need not be what the list says.",
         columns: &[
             object(
                 "vhGroupPrimary",
                 3,
-                Gauge,
+                Gauge32,
                 "",
                 "The number of the member that is believed to be the primary; 0 if none is. While vhGroupKnown is unknown it only stands in for one.",
             ),
@@ -496,14 +502,14 @@
             object(
                 "vhGroupKnown",
                 5,
-                KNOWN,
+                EVIDENCE,
                 "",
                 "How it is known: the list says so, it said so in an answer or a report, or a write found it by search.",
             ),
             object(
                 "vhGroupSince",
                 6,
-                Gauge,
+                Gauge32,
                 "seconds",
                 "For how long that is believed.",
             ),
@@ -517,28 +523,28 @@
             object(
                 "vhGroupSearching",
                 8,
-                TRUTH,
+                TRUTH_VALUE,
                 "",
                 "A search for the primary is on.",
             ),
             object(
                 "vhGroupSearchTime",
                 9,
-                Gauge,
+                Gauge32,
                 "milliseconds",
                 "For how long; 0 if none is.",
             ),
             object(
                 "vhGroupWritesHeld",
                 10,
-                Gauge,
+                Gauge32,
                 "requests",
                 "Writes that wait in the gateway.",
             ),
             object(
                 "vhGroupWaiting",
                 11,
-                Gauge,
+                Gauge32,
                 "requests",
                 "All requests that wait in the gateway.",
             ),
@@ -546,66 +552,66 @@
     },
     Table {
         name: "vhMember",
-        arc: 14,
-        rows: Rows::Member,
-        index: &[FRONT, MEMBER],
-        about: "What the gateway believes of each member.",
+        subid: 14,
+        kind: TableKind::Member,
+        index: &[FRONT_INDEX, ENDPOINT_INDEX],
+        description: "What the gateway believes of each member.",
         columns: &[
             object("vhMemberName", 3, Text, "", "Its name."),
             object("vhMemberAddress", 4, Text, "", "Where it listens."),
             object(
                 "vhMemberGroup",
                 5,
-                Gauge,
+                Gauge32,
                 "",
                 "Its group's number, as in the list: without the 1 of vhGroupNumber.",
             ),
             object(
                 "vhMemberRole",
                 6,
-                Words(&[("unknown", 1), ("primary", 2), ("replica", 3)]),
+                Enumeration(&[("unknown", 1), ("primary", 2), ("replica", 3)]),
                 "",
                 "The role that it is believed to have.",
             ),
             object(
                 "vhMemberState",
                 7,
-                Words(&[("ready", 1), ("draining", 2), ("gone", 3)]),
+                Enumeration(&[("ready", 1), ("draining", 2), ("gone", 3)]),
                 "",
                 "What the list says of it.",
             ),
             object(
                 "vhMemberReach",
                 8,
-                REACH,
+                HEALTH,
                 "",
                 "Whether it can be used: silent leaves attempts unanswered, outOfReach lets no connection come up.",
             ),
             object(
                 "vhMemberInFlight",
                 9,
-                Gauge,
+                Gauge32,
                 "attempts",
                 "Attempts that are out at it.",
             ),
             object(
                 "vhMemberLimit",
                 10,
-                Gauge,
+                Gauge32,
                 "attempts per 1000",
                 "How many may be, in thousandths.",
             ),
             object(
                 "vhMemberPositionAge",
                 11,
-                Gauge,
+                Gauge32,
                 "milliseconds",
                 "How far its position in the log is behind, at the most; 4294967295 if it is not known.",
             ),
             object(
                 "vhMemberWarm",
                 12,
-                Gauge,
+                Gauge32,
                 "per mille",
                 "The part of its capacity that it surely has; 1000 once it is warm.",
             ),
@@ -613,16 +619,16 @@
     },
     Table {
         name: "vhReceiver",
-        arc: 19,
-        rows: Rows::Receiver,
-        index: &[RECEIVER],
-        about: "Who is told of notifications.",
+        subid: 19,
+        kind: TableKind::Receiver,
+        index: &[RECEIVER_INDEX],
+        description: "Who is told of notifications.",
         columns: &[
             object("vhReceiverAddress", 2, Text, "", "Where it listens."),
             object(
                 "vhReceiverWaiting",
                 3,
-                Gauge,
+                Gauge32,
                 "notifications",
                 "What it has not taken yet.",
             ),
@@ -658,57 +664,57 @@
     },
 ];
 
-/// Scalars, the agent's own and those of the standard's MIBs.
-pub const SCALARS: &[Scalars] = &[
-    Scalars {
+/// All scalars, of VALEHATCH-MIB and of the standard MIBs that the agent implements.
+pub const SCALAR_GROUPS: &[ScalarGroup] = &[
+    ScalarGroup {
         name: "system",
-        at: At::Other(&[1, 3, 6, 1, 2, 1, 1]),
+        parent: Parent::Standard(&[1, 3, 6, 1, 2, 1, 1]),
         objects: &[
             object("sysDescr", 1, Text, "", ""),
-            object("sysObjectID", 2, Name, "", ""),
-            object("sysUpTime", 3, Ticks, "", ""),
+            object("sysObjectID", 2, ObjectIdentifier, "", ""),
+            object("sysUpTime", 3, TimeTicks, "", ""),
             object("sysContact", 4, Text, "", ""),
             object("sysName", 5, Text, "", ""),
             object("sysLocation", 6, Text, "", ""),
-            object("sysServices", 7, Words(&[]), "", ""),
+            object("sysServices", 7, Enumeration(&[]), "", ""),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "snmp",
-        at: At::Other(&[1, 3, 6, 1, 2, 1, 11]),
+        parent: Parent::Standard(&[1, 3, 6, 1, 2, 1, 11]),
         objects: &[
             object("snmpInPkts", 1, Counter32, "", ""),
             object("snmpInBadVersions", 3, Counter32, "", ""),
             object("snmpInBadCommunityNames", 4, Counter32, "", ""),
             object("snmpInBadCommunityUses", 5, Counter32, "", ""),
             object("snmpInASNParseErrs", 6, Counter32, "", ""),
-            object("snmpEnableAuthenTraps", 30, Words(&[]), "", ""),
+            object("snmpEnableAuthenTraps", 30, Enumeration(&[]), "", ""),
             object("snmpSilentDrops", 31, Counter32, "", ""),
             object("snmpProxyDrops", 32, Counter32, "", ""),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "snmpEngine",
-        at: At::Other(&[1, 3, 6, 1, 6, 3, 10, 2, 1]),
+        parent: Parent::Standard(&[1, 3, 6, 1, 6, 3, 10, 2, 1]),
         objects: &[
-            object("snmpEngineID", 1, Bytes, "", ""),
-            object("snmpEngineBoots", 2, Words(&[]), "", ""),
-            object("snmpEngineTime", 3, Words(&[]), "", ""),
-            object("snmpEngineMaxMessageSize", 4, Words(&[]), "", ""),
+            object("snmpEngineID", 1, OctetString, "", ""),
+            object("snmpEngineBoots", 2, Enumeration(&[]), "", ""),
+            object("snmpEngineTime", 3, Enumeration(&[]), "", ""),
+            object("snmpEngineMaxMessageSize", 4, Enumeration(&[]), "", ""),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "snmpMPDStats",
-        at: At::Other(&[1, 3, 6, 1, 6, 3, 11, 2, 1]),
+        parent: Parent::Standard(&[1, 3, 6, 1, 6, 3, 11, 2, 1]),
         objects: &[
             object("snmpUnknownSecurityModels", 1, Counter32, "", ""),
             object("snmpInvalidMsgs", 2, Counter32, "", ""),
             object("snmpUnknownPDUHandlers", 3, Counter32, "", ""),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "usmStats",
-        at: At::Other(&[1, 3, 6, 1, 6, 3, 15, 1, 1]),
+        parent: Parent::Standard(&[1, 3, 6, 1, 6, 3, 15, 1, 1]),
         objects: &[
             object("usmStatsUnsupportedSecLevels", 1, Counter32, "", ""),
             object("usmStatsNotInTimeWindows", 2, Counter32, "", ""),
@@ -718,9 +724,9 @@
             object("usmStatsDecryptionErrors", 6, Counter32, "", ""),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "vhGateway",
-        at: At::Own(1),
+        parent: Parent::Enterprise(1),
         objects: &[
             object(
                 "vhGatewayName",
@@ -746,14 +752,14 @@
             ),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "vhState",
-        at: At::Own(15),
+        parent: Parent::Enterprise(15),
         objects: &[
             object(
                 "vhStateDurable",
                 1,
-                TRUTH,
+                TRUTH_VALUE,
                 "",
                 "There is a state folder: what the request tables show outlives the process.",
             ),
@@ -789,7 +795,7 @@
             object(
                 "vhStateSegment",
                 7,
-                Gauge,
+                Gauge32,
                 "",
                 "The segment of the request log that is written to.",
             ),
@@ -817,15 +823,15 @@
             object(
                 "vhStateWaiting",
                 11,
-                Gauge,
+                Gauge32,
                 "records",
                 "Records that wait to be written.",
             ),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "vhLog",
-        at: At::Own(16),
+        parent: Parent::Enterprise(16),
         objects: &[object(
             "vhLogLeftOut",
             1,
@@ -834,9 +840,9 @@
             "Lines that the log's limit left out since the program's start.",
         )],
     },
-    Scalars {
+    ScalarGroup {
         name: "vhAgent",
-        at: At::Own(17),
+        parent: Parent::Enterprise(17),
         objects: &[
             object(
                 "vhAgentAnswered",
@@ -883,7 +889,7 @@
             object(
                 "vhAgentWalks",
                 7,
-                Gauge,
+                Gauge32,
                 "walks",
                 "Walks that a picture is kept for.",
             ),
@@ -903,19 +909,25 @@
             ),
         ],
     },
-    Scalars {
+    ScalarGroup {
         name: "vhProcess",
-        at: At::Own(18),
+        parent: Parent::Enterprise(18),
         objects: &[
-            object("vhProcessMemory", 1, Gauge, "kilobytes", "Resident memory."),
+            object(
+                "vhProcessMemory",
+                1,
+                Gauge32,
+                "kilobytes",
+                "Resident memory.",
+            ),
             object(
                 "vhProcessDescriptors",
                 2,
-                Gauge,
+                Gauge32,
                 "descriptors",
                 "Open descriptors.",
             ),
-            object("vhProcessThreads", 3, Gauge, "threads", "Threads."),
+            object("vhProcessThreads", 3, Gauge32, "threads", "Threads."),
             object(
                 "vhProcessCpu",
                 4,
@@ -927,13 +939,13 @@
     },
 ];
 
-/// Objects that only notifications carry, below number 20.
-pub const CARRIED: &[Object] = &[
+/// Objects with MAX-ACCESS accessible-for-notify, below [`NOTIFICATION_OBJECTS_SUBID`].
+pub const NOTIFICATION_OBJECTS: &[Object] = &[
     object("vhNotifyFront", 1, Text, "", "The front."),
     object(
         "vhNotifyGroup",
         2,
-        Gauge,
+        Gauge32,
         "",
         "The group's number, as in the list.",
     ),
@@ -945,7 +957,7 @@
         "The member that is believed to be the primary; empty if none is.",
     ),
     object("vhNotifyBefore", 4, Text, "", "The one before."),
-    object("vhNotifyKnown", 5, KNOWN, "", "How it is known."),
+    object("vhNotifyKnown", 5, EVIDENCE, "", "How it is known."),
     object(
         "vhNotifyChanges",
         6,
@@ -953,29 +965,29 @@
         "changes",
         "How often another one was believed in.",
     ),
-    object("vhNotifyHeld", 7, Gauge, "requests", "Writes that wait."),
+    object("vhNotifyHeld", 7, Gauge32, "requests", "Writes that wait."),
     object(
         "vhNotifyLasted",
         8,
-        Gauge,
+        Gauge32,
         "milliseconds",
         "For how long it has been so, or was.",
     ),
     object("vhNotifyMember", 9, Text, "", "The member's name."),
-    object("vhNotifyReach", 10, REACH, "", "Whether it can be used."),
+    object("vhNotifyReach", 10, HEALTH, "", "Whether it can be used."),
     object("vhNotifyClass", 11, Text, "", "The class."),
     object("vhNotifyTenant", 12, Text, "", "The tenant."),
     object(
         "vhNotifyRate",
         13,
-        Gauge,
+        Gauge32,
         "requests per 1000 seconds",
         "Refusals.",
     ),
     object(
         "vhNotifyUse",
         14,
-        Gauge,
+        Gauge32,
         "per mille",
         "The part of its allowance that the tenant asks for.",
     ),
@@ -983,21 +995,22 @@
     object(
         "vhNotifyLeftOut",
         16,
-        Gauge,
+        Gauge32,
         "notifications",
         "Notifications that were not sent.",
     ),
 ];
 
-/// The number below the project's node under which the objects stand, and the notifications.
-pub const OBJECTS: u32 = 1;
-/// Notifications.
-pub const NOTIFICATIONS: u32 = 0;
-/// What only notifications carry.
-pub const CARRIED_AT: u32 = 20;
+/// Subidentifier of vhObjects below vhMIB.
+pub const OBJECTS_SUBID: u32 = 1;
+/// Subidentifier of vhNotifications below vhMIB.
+pub const NOTIFICATIONS_SUBID: u32 = 0;
+/// Subidentifier of vhCarried, the objects of notifications, below vhObjects.
+pub const NOTIFICATION_OBJECTS_SUBID: u32 = 20;
 
-/// A notification: its descriptor, its number, what it carries and what it says.
-pub const NOTICES: &[(&str, u32, &[u32], &str)] = &[
+/// Notification types: descriptor, subidentifier, subidentifiers of the OBJECTS clause and
+/// DESCRIPTION.
+pub const NOTIFICATION_TYPES: &[(&str, u32, &[u32], &str)] = &[
     (
         "vhStarted",
         1,
@@ -1084,7 +1097,8 @@
     ("vhQueueShort", 19, &[1, 8, 12], "It no longer has."),
 ];
 
-/// The name of a column, which stands behind its table's where it does not carry it itself.
+/// Returns the descriptor of a column; columns that several tables share get the table's name as a
+/// prefix.
 #[must_use]
 pub fn column_name(table: &Table, column: &Object) -> String {
     if column.name.starts_with("vh") {
@@ -1094,15 +1108,15 @@
     }
 }
 
-/// The words of a reason, in the form of SMIv2's labels.
+/// Converts a name in kebab case to a label of a named number (SMIv2 allows no hyphens in labels).
 fn label(text: &str) -> String {
     let mut out = String::new();
-    let mut up = false;
+    let mut capitalize = false;
     for c in text.chars() {
         if c == '-' {
-            up = true;
+            capitalize = true;
         } else {
-            out.push(if std::mem::take(&mut up) {
+            out.push(if std::mem::take(&mut capitalize) {
                 c.to_ascii_uppercase()
             } else {
                 c
@@ -1112,109 +1126,124 @@
     out
 }
 
-/// The number of a reason in its index: its place, from 1 on.
-pub fn refusals() -> impl Iterator<Item = (u32, &'static str, Counter)> {
+/// All rejection reasons: index value from 1 on, name, counter.
+pub fn rejection_reasons() -> impl Iterator<Item = (u32, &'static str, Counter)> {
     (1..)
         .zip(RejectionReason::ALL)
         .map(|(n, r)| (n, r.name(), Counter::Rejected(*r)))
 }
 
-/// The same for kinds of failures.
-pub fn faults() -> impl Iterator<Item = (u32, &'static str, Counter)> {
+/// All failure reasons: index value from 1 on, name, counter.
+pub fn failure_reasons() -> impl Iterator<Item = (u32, &'static str, Counter)> {
     (1..)
         .zip(FailureReason::ALL)
         .map(|(n, f)| (n, f.name(), Counter::Failed(*f)))
 }
 
-/// The same for outcomes.
-pub fn outcomes() -> impl Iterator<Item = (u32, &'static str, Counter)> {
+/// All outcomes of attempts: index value from 1 on, name, counter.
+pub fn attempt_outcomes() -> impl Iterator<Item = (u32, &'static str, Counter)> {
     (1..)
         .zip(AttemptOutcome::ALL)
         .map(|(n, o)| (n, o.name(), Counter::Attempt(*o)))
 }
 
-/// `mibs/VALEHATCH-MIB.txt`.
+/// Prints the MIB module, of which `mibs/VALEHATCH-MIB.txt` is a copy.
 #[must_use]
 pub fn mib() -> String {
-    let mut out = String::from(HEAD);
-    let words = |list: &[(u32, &'static str, Counter)]| {
+    let mut out = String::from(MIB_HEADER);
+    let named_numbers = |list: &[(u32, &'static str, Counter)]| {
         let all: Vec<String> = list
             .iter()
             .map(|(n, name, _)| format!("{}({n})", label(name)))
             .collect();
         all.join(", ")
     };
-    for (name, about, list) in [
+    for (name, description, list) in [
         (
             "VhRefusal",
             "Why a request was refused.",
-            refusals().collect::<Vec<_>>(),
+            rejection_reasons().collect::<Vec<_>>(),
+        ),
+        (
+            "VhFault",
+            "How a request failed.",
+            failure_reasons().collect(),
+        ),
+        (
+            "VhOutcome",
+            "How an attempt ended.",
+            attempt_outcomes().collect(),
         ),
-        ("VhFault", "How a request failed.", faults().collect()),
-        ("VhOutcome", "How an attempt ended.", outcomes().collect()),
     ] {
         out.push_str(&format!(
-            "\n{name} ::= TEXTUAL-CONVENTION\n    STATUS current\n    DESCRIPTION \"{about}\"\n    SYNTAX INTEGER {{ {} }}\n",
-            words(&list)
+            "\n{name} ::= TEXTUAL-CONVENTION\n    STATUS current\n    DESCRIPTION \"{description}\"\n    SYNTAX INTEGER {{ {} }}\n",
+            named_numbers(&list)
         ));
     }
     out.push_str("\nvhNotifications OBJECT IDENTIFIER ::= { vhMIB 0 }\nvhObjects OBJECT IDENTIFIER ::= { vhMIB 1 }\nvhConformance OBJECT IDENTIFIER ::= { vhMIB 2 }\n");
-    let mut named = vec![];
-    for scalars in SCALARS {
-        let At::Own(arc) = scalars.at else { continue };
+    let mut object_names = vec![];
+    for group in SCALAR_GROUPS {
+        let Parent::Enterprise(subid) = group.parent else {
+            continue;
+        };
         out.push_str(&format!(
-            "\n{} OBJECT IDENTIFIER ::= {{ vhObjects {arc} }}\n",
-            scalars.name
+            "\n{} OBJECT IDENTIFIER ::= {{ vhObjects {subid} }}\n",
+            group.name
         ));
-        for object in scalars.objects {
-            put(
+        for object in group.objects {
+            write_object_type(
                 &mut out,
                 object.name,
                 object,
                 "read-only",
-                scalars.name,
-                object.arc,
+                group.name,
+                object.subid,
             );
-            named.push(object.name.to_owned());
+            object_names.push(object.name.to_owned());
         }
     }
     for table in TABLES {
-        put_table(&mut out, table, &mut named);
+        write_table(&mut out, table, &mut object_names);
     }
     out.push_str(&format!(
-        "\nvhCarried OBJECT IDENTIFIER ::= {{ vhObjects {CARRIED_AT} }}\n"
+        "\nvhCarried OBJECT IDENTIFIER ::= {{ vhObjects {NOTIFICATION_OBJECTS_SUBID} }}\n"
     ));
-    for object in CARRIED {
-        put(
+    for object in NOTIFICATION_OBJECTS {
+        write_object_type(
             &mut out,
             object.name,
             object,
             "accessible-for-notify",
             "vhCarried",
-            object.arc,
+            object.subid,
         );
-        named.push(object.name.to_owned());
+        object_names.push(object.name.to_owned());
     }
-    for (name, arc, carried, about) in NOTICES {
-        let names: Vec<&str> = carried
+    for (name, subid, object_subids, description) in NOTIFICATION_TYPES {
+        let names: Vec<&str> = object_subids
             .iter()
-            .filter_map(|arc| CARRIED.iter().find(|o| o.arc == *arc).map(|o| o.name))
+            .filter_map(|subid| {
+                NOTIFICATION_OBJECTS
+                    .iter()
+                    .find(|o| o.subid == *subid)
+                    .map(|o| o.name)
+            })
             .collect();
         out.push_str(&format!(
-            "\n{name} NOTIFICATION-TYPE\n    OBJECTS {{ {} }}\n    STATUS current\n    DESCRIPTION \"{about}\"\n    ::= {{ vhNotifications {arc} }}\n",
+            "\n{name} NOTIFICATION-TYPE\n    OBJECTS {{ {} }}\n    STATUS current\n    DESCRIPTION \"{description}\"\n    ::= {{ vhNotifications {subid} }}\n",
             names.join(", ")
         ));
     }
-    let notices: Vec<&str> = NOTICES.iter().map(|(name, ..)| *name).collect();
+    let notification_names: Vec<&str> = NOTIFICATION_TYPES.iter().map(|(name, ..)| *name).collect();
     out.push_str(&format!(
         "\nvhGroups OBJECT IDENTIFIER ::= {{ vhConformance 1 }}\nvhCompliances OBJECT IDENTIFIER ::= {{ vhConformance 2 }}\n\nvhObjectGroup OBJECT-GROUP\n    OBJECTS {{ {} }}\n    STATUS current\n    DESCRIPTION \"All objects.\"\n    ::= {{ vhGroups 1 }}\n\nvhNotificationGroup NOTIFICATION-GROUP\n    NOTIFICATIONS {{ {} }}\n    STATUS current\n    DESCRIPTION \"All notifications.\"\n    ::= {{ vhGroups 2 }}\n\nvhCompliance MODULE-COMPLIANCE\n    STATUS current\n    DESCRIPTION \"What a gateway has.\"\n    MODULE\n        MANDATORY-GROUPS {{ vhObjectGroup, vhNotificationGroup }}\n    ::= {{ vhCompliances 1 }}\n\nEND\n",
-        wrapped(&named),
-        wrapped(&notices)
+        wrap_names(&object_names),
+        wrap_names(&notification_names)
     ));
     out
 }
 
-fn wrapped(names: &[impl AsRef<str>]) -> String {
+fn wrap_names(names: &[impl AsRef<str>]) -> String {
     let all: Vec<&str> = names.iter().map(AsRef::as_ref).collect();
     all.chunks(4)
         .map(|c| c.join(", "))
@@ -1222,17 +1251,17 @@
         .join(",\n        ")
 }
 
-fn syntax(syntax: Syntax) -> String {
+fn syntax_clause(syntax: Syntax) -> String {
     match syntax {
         Counter64 => "Counter64".into(),
         Counter32 => "Counter32".into(),
-        Gauge => "Gauge32".into(),
-        Ticks => "TimeTicks".into(),
+        Gauge32 => "Gauge32".into(),
+        TimeTicks => "TimeTicks".into(),
         Text => "SnmpAdminString".into(),
-        Bytes => "OCTET STRING".into(),
-        Name => "OBJECT IDENTIFIER".into(),
-        Words(words) => {
-            let all: Vec<String> = words
+        OctetString => "OCTET STRING".into(),
+        ObjectIdentifier => "OBJECT IDENTIFIER".into(),
+        Enumeration(named_numbers) => {
+            let all: Vec<String> = named_numbers
                 .iter()
                 .map(|(name, n)| format!("{name}({n})"))
                 .collect();
@@ -1241,93 +1270,100 @@
     }
 }
 
-fn put(out: &mut String, name: &str, object: &Object, access: &str, under: &str, arc: u32) {
+fn write_object_type(
+    out: &mut String,
+    name: &str,
+    object: &Object,
+    access: &str,
+    parent: &str,
+    subid: u32,
+) {
     let units = if object.units.is_empty() {
         String::new()
     } else {
         format!("    UNITS \"{}\"\n", object.units)
     };
     out.push_str(&format!(
-        "\n{name} OBJECT-TYPE\n    SYNTAX {}\n{units}    MAX-ACCESS {access}\n    STATUS current\n    DESCRIPTION \"{}\"\n    ::= {{ {under} {arc} }}\n",
-        syntax(object.syntax),
-        object.about
+        "\n{name} OBJECT-TYPE\n    SYNTAX {}\n{units}    MAX-ACCESS {access}\n    STATUS current\n    DESCRIPTION \"{}\"\n    ::= {{ {parent} {subid} }}\n",
+        syntax_clause(object.syntax),
+        object.description
     ));
 }
 
-/// Index objects belong to the first table that has them; later ones name them.
-fn owner(name: &str) -> Option<&'static Table> {
+/// Returns the table that defines an index object: the first that has it. Later tables refer to it.
+fn defining_table(name: &str) -> Option<&'static Table> {
     TABLES
         .iter()
         .find(|t| t.index.iter().any(|(n, ..)| *n == name))
 }
 
-fn put_table(out: &mut String, table: &Table, named: &mut Vec<String>) {
+fn write_table(out: &mut String, table: &Table, object_names: &mut Vec<String>) {
     let name = table.name;
-    let row = format!("{}{}Entry", &name[..1].to_ascii_uppercase(), &name[1..]);
-    let index: Vec<&str> = table.index.iter().map(|(n, ..)| *n).collect();
+    let entry_type = format!("{}{}Entry", &name[..1].to_ascii_uppercase(), &name[1..]);
+    let index_names: Vec<&str> = table.index.iter().map(|(n, ..)| *n).collect();
     out.push_str(&format!(
-        "\n{name}Table OBJECT-TYPE\n    SYNTAX SEQUENCE OF {row}\n    MAX-ACCESS not-accessible\n    STATUS current\n    DESCRIPTION \"{}\"\n    ::= {{ vhObjects {} }}\n",
-        table.about, table.arc
+        "\n{name}Table OBJECT-TYPE\n    SYNTAX SEQUENCE OF {entry_type}\n    MAX-ACCESS not-accessible\n    STATUS current\n    DESCRIPTION \"{}\"\n    ::= {{ vhObjects {} }}\n",
+        table.description, table.subid
     ));
     out.push_str(&format!(
-        "\n{name}Entry OBJECT-TYPE\n    SYNTAX {row}\n    MAX-ACCESS not-accessible\n    STATUS current\n    DESCRIPTION \"A row.\"\n    INDEX {{ {} }}\n    ::= {{ {name}Table 1 }}\n",
-        index.join(", ")
+        "\n{name}Entry OBJECT-TYPE\n    SYNTAX {entry_type}\n    MAX-ACCESS not-accessible\n    STATUS current\n    DESCRIPTION \"A row.\"\n    INDEX {{ {} }}\n    ::= {{ {name}Table 1 }}\n",
+        index_names.join(", ")
     ));
-    let own: Vec<_> = table
+    let own_index: Vec<_> = table
         .index
         .iter()
-        .filter(|(n, ..)| owner(n).is_some_and(|t| t.name == name))
+        .filter(|(n, ..)| defining_table(n).is_some_and(|t| t.name == name))
         .collect();
-    let kind = |(n, part): (&str, Part)| match (part, n) {
-        (Part::Text, _) => ("SnmpAdminString", "SnmpAdminString (SIZE (1..32))"),
+    let index_syntax = |(n, index_type): (&str, IndexType)| match (index_type, n) {
+        (IndexType::Text, _) => ("SnmpAdminString", "SnmpAdminString (SIZE (1..32))"),
         (_, "vhRefusedReason") => ("VhRefusal", "VhRefusal"),
         (_, "vhFailedReason") => ("VhFault", "VhFault"),
         (_, "vhAttemptOutcome") => ("VhOutcome", "VhOutcome"),
         _ => ("Unsigned32", "Unsigned32 (1..4294967295)"),
     };
-    let mut fields: Vec<String> = own
+    let mut fields: Vec<String> = own_index
         .iter()
-        .map(|(n, part, _)| format!("{n} {}", kind((n, *part)).0))
+        .map(|(n, index_type, _)| format!("{n} {}", index_syntax((n, *index_type)).0))
         .collect();
-    let plain = |s: Syntax| {
-        if let Words(_) = s {
+    let sequence_type = |s: Syntax| {
+        if let Enumeration(_) = s {
             "INTEGER".into()
         } else {
-            syntax(s)
+            syntax_clause(s)
         }
     };
     fields.extend(
         table
             .columns
             .iter()
-            .map(|c| format!("{} {}", column_name(table, c), plain(c.syntax))),
+            .map(|c| format!("{} {}", column_name(table, c), sequence_type(c.syntax))),
     );
     out.push_str(&format!(
-        "\n{row} ::= SEQUENCE {{\n    {}\n}}\n",
+        "\n{entry_type} ::= SEQUENCE {{\n    {}\n}}\n",
         fields.join(",\n    ")
     ));
-    // An index object's number: its place among the columns, before those that can be read.
-    for (place, (n, part, about)) in (1..).zip(own.iter().map(|i| **i)) {
-        let syntax = kind((n, part)).1;
+    // Index objects take the first column numbers, before the accessible columns.
+    for (subid, (n, index_type, description)) in (1..).zip(own_index.iter().map(|i| **i)) {
+        let syntax = index_syntax((n, index_type)).1;
         out.push_str(&format!(
-            "\n{n} OBJECT-TYPE\n    SYNTAX {syntax}\n    MAX-ACCESS not-accessible\n    STATUS current\n    DESCRIPTION \"{about}\"\n    ::= {{ {name}Entry {place} }}\n"
+            "\n{n} OBJECT-TYPE\n    SYNTAX {syntax}\n    MAX-ACCESS not-accessible\n    STATUS current\n    DESCRIPTION \"{description}\"\n    ::= {{ {name}Entry {subid} }}\n"
         ));
     }
     for column in table.columns {
-        let full = column_name(table, column);
-        put(
+        let descriptor = column_name(table, column);
+        write_object_type(
             out,
-            &full,
+            &descriptor,
             column,
             "read-only",
             &format!("{name}Entry"),
-            column.arc,
+            column.subid,
         );
-        named.push(full);
+        object_names.push(descriptor);
     }
 }
 
-const HEAD: &str = "VALEHATCH-MIB DEFINITIONS ::= BEGIN
+const MIB_HEADER: &str = "VALEHATCH-MIB DEFINITIONS ::= BEGIN
 
 -- Printed by `valehatch snmp mib` from the table that the agent answers from; do not edit.
 
--- a/crates/snmp/tests/engine.rs
+++ b/crates/snmp/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine by datagrams: versions, users, views, walks, limits, and bytes that mean nothing.
+//! The engine, tested through datagrams: versions, users, views, walks, limits, malformed messages.
 
 mod support;
 
@@ -7,19 +7,19 @@
 use support::*;
 use valehatch_snmp::engine::Stat;
 use valehatch_snmp::message::{self, AUTH, PRIV};
-use valehatch_snmp::picture::Value;
+use valehatch_snmp::snapshot::Value;
 
 const USM: [u32; 9] = [1, 3, 6, 1, 6, 3, 15, 1, 1];
 
-fn own(more: &[u32]) -> Vec<u32> {
+fn enterprise_oid(more: &[u32]) -> Vec<u32> {
     [&ROOT[..], &[1], more].concat()
 }
 
 fn text(t: &str) -> Value {
-    Value::Bytes(t.as_bytes().to_vec())
+    Value::OctetString(t.as_bytes().to_vec())
 }
 
-/// The index of a text.
+/// Encodes a text in an index: its length, then its bytes.
 fn index(t: &str) -> Vec<u32> {
     std::iter::once(u32::try_from(t.len()).unwrap())
         .chain(t.bytes().map(u32::from))
@@ -27,19 +27,19 @@
 }
 
 #[test]
-fn a_walk_of_everything_is_in_order_and_has_every_object() {
-    let mut scene = Scene::new(snmp(""), 1, 5);
-    let all = scene.walk(&[1, 3, 6, 1], 30, |_| ());
+fn full_walk_is_ordered_and_contains_every_object() {
+    let mut agent = AgentFixture::new(snmp(""), 1, 5);
+    let all = agent.walk(&[1, 3, 6, 1], 30, |_| ());
     assert!(all.windows(2).all(|w| w[0].0 < w[1].0));
-    let some = |name: &[u32]| all.iter().any(|(n, _)| n.starts_with(name));
-    for scalars in valehatch_snmp::schema::SCALARS {
-        let under = match scalars.at {
-            valehatch_snmp::schema::At::Other(oid) => oid.to_vec(),
-            valehatch_snmp::schema::At::Own(arc) => own(&[arc]),
+    let has_object = |name: &[u32]| all.iter().any(|(n, _)| n.starts_with(name));
+    for group in valehatch_snmp::schema::SCALAR_GROUPS {
+        let base = match group.parent {
+            valehatch_snmp::schema::Parent::Standard(oid) => oid.to_vec(),
+            valehatch_snmp::schema::Parent::Enterprise(subid) => enterprise_oid(&[subid]),
         };
-        for object in scalars.objects {
+        for object in group.objects {
             assert!(
-                some(&[&under[..], &[object.arc, 0]].concat()),
+                has_object(&[&base[..], &[object.subid, 0]].concat()),
                 "{}",
                 object.name
             );
@@ -51,26 +51,26 @@
     {
         for column in table.columns {
             assert!(
-                some(&own(&[table.arc, 1, column.arc])),
+                has_object(&enterprise_oid(&[table.subid, 1, column.subid])),
                 "{}{}",
                 table.name,
                 column.name
             );
         }
     }
-    let member = own(&[14, 1, 3]);
+    let member = enterprise_oid(&[14, 1, 3]);
     assert_eq!(
         all.iter().filter(|(n, _)| n.starts_with(&member)).count(),
         8,
         "of both fronts"
     );
-    // What stands still while the agent is asked.
+    // Values that do not change while the agent is queried: not those of the front table.
     for (name, value) in all
         .iter()
         .filter(|(n, _)| n.starts_with(&ROOT) && (2..=14).contains(&n[11]))
     {
         if name[11] != 2 {
-            assert_eq!(scene.get(name), *value, "{name:?}");
+            assert_eq!(agent.get(name), *value, "{name:?}");
         }
     }
 }
@@ -82,40 +82,40 @@
 #[case(&[1, 3, 6, 1, 2, 1, 1, 5, 0], text("test"))]
 #[case(&[1, 3, 6, 1, 6, 3, 10, 2, 1, 2, 0], Value::Integer(4))]
 #[case(&[2, 5], Value::NoSuchObject)]
-fn a_get_finds_exactly_what_there_is(#[case] name: &[u32], #[case] wanted: Value) {
-    assert_eq!(Scene::new(snmp(""), 4, 1).get(name), wanted);
+fn get_returns_value_or_exception(#[case] name: &[u32], #[case] wanted: Value) {
+    assert_eq!(AgentFixture::new(snmp(""), 4, 1).get(name), wanted);
 }
 
 #[test]
-fn rows_are_named_by_front_and_name_whatever_their_place_in_the_file() {
-    let mut scene = Scene::new(snmp(""), 1, 2);
-    let name = [own(&[14, 1, 3]), index("bb"), vec![2]].concat();
-    assert_eq!(scene.get(&name), text("member-2"));
-    let ended = [own(&[3, 1, 3]), index("a"), index("read")].concat();
-    assert_eq!(scene.get(&ended), Value::Counter64(0));
-    let primary = [own(&[13, 1, 4]), index("a"), vec![1]].concat();
-    assert_eq!(scene.get(&primary), text("member-1"));
-    let allowance = [own(&[8, 1, 12]), index("a"), index("acme")].concat();
-    assert_eq!(scene.get(&allowance), Value::Gauge(10_000));
+fn row_index_is_front_and_name_independent_of_file_order() {
+    let mut agent = AgentFixture::new(snmp(""), 1, 2);
+    let name = [enterprise_oid(&[14, 1, 3]), index("bb"), vec![2]].concat();
+    assert_eq!(agent.get(&name), text("member-2"));
+    let ended = [enterprise_oid(&[3, 1, 3]), index("a"), index("read")].concat();
+    assert_eq!(agent.get(&ended), Value::Counter64(0));
+    let primary = [enterprise_oid(&[13, 1, 4]), index("a"), vec![1]].concat();
+    assert_eq!(agent.get(&primary), text("member-1"));
+    let allowance = [enterprise_oid(&[8, 1, 12]), index("a"), index("acme")].concat();
+    assert_eq!(agent.get(&allowance), Value::Gauge32(10_000));
 }
 
 #[test]
-fn a_walk_sees_one_moment_though_everything_changes_under_it() {
-    let mut scene = Scene::new(snmp(""), 1, 50);
+fn walk_is_served_from_one_snapshot_while_state_changes() {
+    let mut agent = AgentFixture::new(snmp(""), 1, 50);
     let mut turn = 0;
-    // After each datagram other members are there, and those that stay have other names.
-    let rows = scene.walk(&own(&[14]), 7, |scene| {
+    // After each datagram other endpoints are listed, under other names.
+    let rows = agent.walk(&enterprise_oid(&[14]), 7, |agent| {
         turn += 1;
         let mut live = live((1..=50).filter(|n| n % 2 == turn % 2));
         live.endpoints
             .iter_mut()
             .for_each(|m| m.name = format!("other-{turn}").into());
-        scene.publish(0, live);
-        scene.later();
+        agent.publish(0, live);
+        agent.advance_past_cache();
     });
     assert!(turn > 20);
     let of = |column: u32| {
-        let begin = [own(&[14, 1, column]), index("bb")].concat();
+        let begin = [enterprise_oid(&[14, 1, column]), index("bb")].concat();
         rows.iter()
             .filter(|(n, _)| n.starts_with(&begin))
             .cloned()
@@ -128,82 +128,82 @@
     }
     assert!(
         (4..=12).all(|column| of(column).len() == 50),
-        "each row is whole"
+        "every column has all rows"
     );
-    let again = scene.walk(&own(&[14, 1, 3]), 30, |_| ());
+    let again = agent.walk(&enterprise_oid(&[14, 1, 3]), 30, |_| ());
     assert!(
         again
             .iter()
             .any(|(_, v)| *v == text(&format!("other-{turn}"))),
-        "a new walk sees what is new"
+        "a new walk begins on a new snapshot"
     );
 }
 
 #[test]
-fn a_member_that_leaves_does_not_end_a_walk_that_asks_one_by_one() {
-    let mut scene = Scene::new(snmp(""), 1, 9);
-    let column = [own(&[14, 1, 3]), index("bb")].concat();
+fn getnext_walk_continues_after_endpoint_is_removed() {
+    let mut agent = AgentFixture::new(snmp(""), 1, 9);
+    let column = [enterprise_oid(&[14, 1, 3]), index("bb")].concat();
     let mut last = column.clone();
     let mut seen = vec![];
     for step in 0..9 {
-        let answer = scene.ask(Verb::Next, &[last.clone()]);
+        let answer = agent.query(Operation::GetNext, &[last.clone()]);
         last.clone_from(&answer.bindings[0].0);
         seen.push(*last.last().unwrap());
-        scene.publish(0, live((1..=9).filter(|n| *n > step + 2)));
-        // So long a silence that the picture is given up: the rows that are left go on all the same.
-        scene.now += if step == 4 { 6_000_000 } else { 1000 };
+        agent.publish(0, live((1..=9).filter(|n| *n > step + 2)));
+        // A silence that ends the walk: its snapshot is dropped, and the remaining rows follow.
+        agent.now += if step == 4 { 6_000_000 } else { 1000 };
     }
     assert_eq!(seen[..5], [1, 2, 3, 4, 5]);
     assert!(
-        seen[5..].is_sorted() && last.starts_with(&own(&[14, 1, 3]))
-            || last.starts_with(&own(&[14, 1, 4]))
+        seen[5..].is_sorted() && last.starts_with(&enterprise_oid(&[14, 1, 3]))
+            || last.starts_with(&enterprise_oid(&[14, 1, 4]))
     );
 }
 
 #[test]
-fn answers_stay_within_their_size_and_requests_within_their_names() {
-    let mut scene = Scene::new(
+fn response_size_and_request_bindings_are_limited() {
+    let mut agent = AgentFixture::new(
         snmp("[snmp.limits]\nmax-size = 600\nmax-bindings = 8\n"),
         1,
         100,
     );
-    let answer = scene.ask(Verb::Bulk(0, u32::MAX), &[own(&[14])]);
+    let answer = agent.query(Operation::GetBulk(0, u32::MAX), &[enterprise_oid(&[14])]);
     assert!(
         answer.size <= 600 && answer.bindings.len() > 3,
         "{}",
         answer.size
     );
     let many = vec![vec![1, 3, 6, 1, 2, 1, 1, 1, 0]; 9];
-    let answer = scene.ask(Verb::Get, &many);
+    let answer = agent.query(Operation::Get, &many);
     assert_eq!((answer.error, answer.bindings.len()), (1, 0), "tooBig");
-    assert_eq!(scene.shared.stats.get(Stat::TooMany), 1);
-    let long = scene.ask(
-        Verb::Get,
-        &vec![[own(&[14]), vec![u32::MAX; 60]].concat(); 8],
+    assert_eq!(agent.shared.stats.get(Stat::TooManyBindings), 1);
+    let long = agent.query(
+        Operation::Get,
+        &vec![[enterprise_oid(&[14]), vec![u32::MAX; 60]].concat(); 8],
     );
     assert_eq!((long.error, long.bindings.len()), (1, 0));
     assert_eq!(
-        scene
-            .ask(Verb::Bulk(1, 0), &[vec![1, 3], vec![1, 3]])
+        agent
+            .query(Operation::GetBulk(1, 0), &[vec![1, 3], vec![1, 3]])
             .bindings
             .len(),
         1
     );
-    assert_eq!(scene.ask(Verb::Get, &[]).bindings.len(), 0);
-    let end = scene.ask(Verb::Bulk(0, 5), &[vec![2, 100]]);
-    assert_eq!(end.bindings, [(vec![2, 100], Value::EndOfView)]);
+    assert_eq!(agent.query(Operation::Get, &[]).bindings.len(), 0);
+    let end = agent.query(Operation::GetBulk(0, 5), &[vec![2, 100]]);
+    assert_eq!(end.bindings, [(vec![2, 100], Value::EndOfMibView)]);
 }
 
 #[test]
-fn nothing_can_be_set() {
-    let mut scene = Scene::new(snmp(""), 1, 1);
-    let answer = scene.ask(Verb::Set, &[vec![1, 3, 6, 1, 2, 1, 1, 6, 0]]);
+fn set_is_refused_with_not_writable() {
+    let mut agent = AgentFixture::new(snmp(""), 1, 1);
+    let answer = agent.query(Operation::Set, &[vec![1, 3, 6, 1, 2, 1, 1, 6, 0]]);
     assert_eq!((answer.error, answer.index), (17, 1));
-    let with = Secure::user("plain", 1);
-    let answer = scene
+    let with = V3Sender::user("plain", 1);
+    let answer = agent
         .v3(
             &with,
-            request(Verb::Set, 5, &[vec![1, 3, 6, 1, 2, 1, 1, 6, 0]]),
+            request(Operation::Set, 5, &[vec![1, 3, 6, 1, 2, 1, 1, 6, 0]]),
         )
         .unwrap()
         .answer;
@@ -211,18 +211,18 @@
 }
 
 #[test]
-fn who_may_not_ask_gets_no_answer_and_is_counted() {
-    let mut scene = Scene::new(
+fn unauthorized_v2c_message_is_dropped_and_counted() {
+    let mut agent = AgentFixture::new(
         snmp("[[snmp.community]]\nname = \"far\"\nfrom = [\"10.0.0.0/8\"]\n"),
         1,
         1,
     );
-    let get = || request(Verb::Get, 1, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
-    assert!(scene.v2c(b"wrong", get()).is_none());
-    assert!(scene.v2c(b"far", get()).is_none());
+    let get = || request(Operation::Get, 1, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
+    assert!(agent.v2c(b"wrong", get()).is_none());
+    assert!(agent.v2c(b"far", get()).is_none());
     let trap = message::notification(false, 1, vec![]);
-    assert!(scene.v2c(b"stays", trap).is_none());
-    let stats = &scene.shared.stats;
+    assert!(agent.v2c(b"stays", trap).is_none());
+    let stats = &agent.shared.stats;
     let counted = [
         Stat::BadCommunityNames,
         Stat::BadSources,
@@ -236,18 +236,18 @@
 }
 
 #[test]
-fn a_view_shows_its_subtrees_and_nothing_else() {
+fn view_shows_only_its_subtrees() {
     let more = "[[snmp.view]]\nname = \"few\"\ninclude = [\"1.3.6.1.2.1.1\", \"1.3.6.1.4.1.8072.9999.9999.5739.1.14.1.3\"]\n\
         exclude = [\"1.3.6.1.2.1.1.4\"]\n[[snmp.community]]\nname = \"few\"\nview = \"few\"\n";
-    let mut scene = Scene::new(snmp(more), 1, 2);
+    let mut agent = AgentFixture::new(snmp(more), 1, 2);
     let (mut seen, mut last) = (vec![], vec![1, 3]);
     for id in 0..30 {
-        scene.later();
-        let answer = scene
-            .v2c(b"few", request(Verb::Next, id, &[last.clone()]))
+        agent.advance_past_cache();
+        let answer = agent
+            .v2c(b"few", request(Operation::GetNext, id, &[last.clone()]))
             .unwrap();
         let (name, value) = answer.bindings[0].clone();
-        if value == Value::EndOfView {
+        if value == Value::EndOfMibView {
             break;
         }
         last.clone_from(&name);
@@ -259,33 +259,33 @@
         .map(|n| n[7])
         .collect::<Vec<_>>();
     assert_eq!(system, [1, 2, 3, 5, 6, 7]);
-    assert_eq!(seen.len(), 6 + 5, "and the members' names");
-    let hidden = scene
+    assert_eq!(seen.len(), 6 + 5, "six scalars, and the endpoints' names");
+    let hidden = agent
         .v2c(
             b"few",
-            request(Verb::Get, 1, &[vec![1, 3, 6, 1, 2, 1, 1, 4, 0]]),
+            request(Operation::Get, 1, &[vec![1, 3, 6, 1, 2, 1, 1, 4, 0]]),
         )
         .unwrap();
     assert_eq!(hidden.bindings[0].1, Value::NoSuchObject);
 }
 
 #[test]
-fn a_user_is_answered_at_its_level_and_learns_engine_and_time_first() {
-    let mut scene = Scene::new(snmp(""), 9, 1);
-    let get = || request(Verb::Get, 3, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
+fn discovery_then_request_is_answered_at_its_security_level() {
+    let mut agent = AgentFixture::new(snmp(""), 9, 1);
+    let get = || request(Operation::Get, 3, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
     // RFC 3414, section 4: discovery, first the engine, then its boots and time.
-    let none = Secure {
+    let none = V3Sender {
         engine: vec![],
         context: vec![],
         auth: None,
         privacy: None,
-        ..Secure::user("secret", 0)
+        ..V3Sender::user("secret", 0)
     };
-    let found = scene.v3(&Secure { user: "", ..none }, get()).unwrap();
+    let found = agent.v3(&V3Sender { user: "", ..none }, get()).unwrap();
     assert_eq!(
         (
             hex::encode(&found.engine).as_str(),
-            found.window.0,
+            found.engine_time.0,
             found.flags
         ),
         (ENGINE, 9, 0)
@@ -294,25 +294,25 @@
         found.answer.bindings[0],
         ([&USM[..], &[4, 0]].concat(), Value::Counter32(1))
     );
-    let late = scene
+    let late = agent
         .v3(
-            &Secure {
+            &V3Sender {
                 privacy: None,
-                ..Secure::user("plain", 0)
+                ..V3Sender::user("plain", 0)
             },
             get(),
         )
         .unwrap();
     assert_eq!(
-        (late.flags, late.window.0),
+        (late.flags, late.engine_time.0),
         (AUTH, 9),
-        "signed, so that the time can be believed"
+        "authenticated, so that the sender can trust the time"
     );
     assert_eq!(late.answer.bindings[0].0, [&USM[..], &[2, 0]].concat());
-    let secret = scene.v3(&Secure::user("secret", 9), get()).unwrap();
+    let secret = agent.v3(&V3Sender::user("secret", 9), get()).unwrap();
     assert_eq!((secret.flags, secret.answer.id), (AUTH | PRIV, 3));
     assert_eq!(secret.answer.bindings[0].1, text("test"));
-    let plain = scene.v3(&Secure::user("plain", 9), get()).unwrap();
+    let plain = agent.v3(&V3Sender::user("plain", 9), get()).unwrap();
     assert_eq!(
         (plain.flags, &plain.answer.bindings[0].1),
         (AUTH, &text("test"))
@@ -320,86 +320,93 @@
 }
 
 #[rstest]
-#[case::another_engine(Secure { engine: vec![1, 2, 3, 4, 5], ..Secure::user("secret", 9) }, 4)]
-#[case::an_unknown_user(Secure::user("nobody", 9), 3)]
-#[case::no_authentication(Secure { auth: None, privacy: None, ..Secure::user("secret", 9) }, 1)]
-#[case::a_user_who_must_encrypt(Secure { privacy: None, ..Secure::user("secret", 9) }, 1)]
-#[case::a_user_who_cannot(Secure { privacy: Some([1; 16]), ..Secure::user("plain", 9) }, 1)]
-#[case::a_wrong_key(Secure { auth: Some([1; 32]), ..Secure::user("secret", 9) }, 5)]
-#[case::boots_of_before(Secure { window: (8, 0), ..Secure::user("secret", 9) }, 2)]
-#[case::boots_to_come(Secure { window: (10, 0), ..Secure::user("secret", 9) }, 2)]
-#[case::a_clock_that_is_wrong(Secure { window: (9, 152), ..Secure::user("secret", 9) }, 2)]
-#[case::a_wrong_key_for_encryption(Secure { privacy: Some([1; 16]), ..Secure::user("secret", 9) }, 6)]
-fn each_fault_gets_its_report_and_is_counted(#[case] with: Secure<'_>, #[case] stat: u32) {
-    let mut scene = Scene::new(snmp(""), 9, 1);
-    let get = || request(Verb::Get, 3, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
-    let report = scene.v3(&with, get()).unwrap();
+#[case::unknown_engine(V3Sender { engine: vec![1, 2, 3, 4, 5], ..V3Sender::user("secret", 9) }, 4)]
+#[case::unknown_user(V3Sender::user("nobody", 9), 3)]
+#[case::no_authentication(V3Sender { auth: None, privacy: None, ..V3Sender::user("secret", 9) }, 1)]
+#[case::unencrypted_for_user_with_mandatory_privacy(V3Sender { privacy: None, ..V3Sender::user("secret", 9) }, 1)]
+#[case::encrypted_for_user_without_privacy(V3Sender { privacy: Some([1; 16]), ..V3Sender::user("plain", 9) }, 1)]
+#[case::wrong_authentication_key(V3Sender { auth: Some([1; 32]), ..V3Sender::user("secret", 9) }, 5)]
+#[case::earlier_boots(V3Sender { engine_time: (8, 0), ..V3Sender::user("secret", 9) }, 2)]
+#[case::later_boots(V3Sender { engine_time: (10, 0), ..V3Sender::user("secret", 9) }, 2)]
+#[case::time_outside_window(V3Sender { engine_time: (9, 152), ..V3Sender::user("secret", 9) }, 2)]
+#[case::wrong_privacy_key(V3Sender { privacy: Some([1; 16]), ..V3Sender::user("secret", 9) }, 6)]
+fn invalid_v3_message_is_counted_and_reported(#[case] with: V3Sender<'_>, #[case] stat: u32) {
+    let mut agent = AgentFixture::new(snmp(""), 9, 1);
+    let get = || request(Operation::Get, 3, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
+    let report = agent.v3(&with, get()).unwrap();
     assert!(report.answer.report);
     assert_eq!(
         report.answer.bindings,
         [([&USM[..], &[stat, 0]].concat(), Value::Counter32(1))]
     );
     assert!(
-        scene
+        agent
             .v3(
-                &Secure {
+                &V3Sender {
                     reportable: false,
                     ..with
                 },
                 get()
             )
             .is_none(),
-        "to who takes no reports"
+        "no report without the reportable flag"
     );
     assert_eq!(
-        scene.get(&[&USM[..], &[stat, 0]].concat()),
+        agent.get(&[&USM[..], &[stat, 0]].concat()),
         Value::Counter32(2)
     );
 }
 
 #[test]
-fn a_message_of_before_a_restart_is_not_taken_again() {
-    let message =
-        Secure::user("secret", 3).write(request(Verb::Get, 1, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]));
-    let first = Scene::new(snmp(""), 3, 1).raw(&message).unwrap();
-    assert!(!Secured::read(&first).answer.report);
-    let replayed = Scene::new(snmp(""), 4, 1).raw(&message).unwrap();
+fn message_replayed_after_restart_is_rejected() {
+    let message = V3Sender::user("secret", 3).write(request(
+        Operation::Get,
+        1,
+        &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]],
+    ));
+    let first = AgentFixture::new(snmp(""), 3, 1)
+        .send_datagram(&message)
+        .unwrap();
+    assert!(!V3Response::read(&first).answer.report);
+    let replayed = AgentFixture::new(snmp(""), 4, 1)
+        .send_datagram(&message)
+        .unwrap();
     assert_eq!(
-        Secured::read(&replayed).answer.bindings[0].0,
+        V3Response::read(&replayed).answer.bindings[0].0,
         [&USM[..], &[2, 0]].concat()
     );
 }
 
 #[test]
-fn boots_that_are_stuck_take_nothing_any_more() {
-    let mut scene = Scene::new(snmp(""), 2_147_483_647, 1);
-    let report = scene
+fn engine_with_maximum_boots_rejects_every_message() {
+    let mut agent = AgentFixture::new(snmp(""), 2_147_483_647, 1);
+    let report = agent
         .v3(
-            &Secure::user("secret", 2_147_483_647),
-            request(Verb::Get, 1, &[]),
+            &V3Sender::user("secret", 2_147_483_647),
+            request(Operation::Get, 1, &[]),
         )
         .unwrap();
     assert!(report.answer.report);
 }
 
 #[test]
-fn another_context_or_model_is_not_served() {
-    let mut scene = Scene::new(snmp(""), 9, 1);
-    let get = || request(Verb::Get, 3, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
-    let named = Secure {
+fn unknown_context_or_context_engine_is_reported() {
+    let mut agent = AgentFixture::new(snmp(""), 9, 1);
+    let get = || request(Operation::Get, 3, &[vec![1, 3, 6, 1, 2, 1, 1, 5, 0]]);
+    let named = V3Sender {
         context_name: "x",
-        ..Secure::user("secret", 9)
+        ..V3Sender::user("secret", 9)
     };
     assert_eq!(
-        scene.v3(&named, get()).unwrap().answer.bindings[0].0,
+        agent.v3(&named, get()).unwrap().answer.bindings[0].0,
         [1, 3, 6, 1, 6, 3, 12, 1, 5, 0]
     );
-    let other = Secure {
+    let other = V3Sender {
         context: vec![1; 6],
-        ..Secure::user("secret", 9)
+        ..V3Sender::user("secret", 9)
     };
     assert_eq!(
-        scene.v3(&other, get()).unwrap().answer.bindings[0].0,
+        agent.v3(&other, get()).unwrap().answer.bindings[0].0,
         [1, 3, 6, 1, 6, 3, 11, 2, 1, 3, 0]
     );
 }
@@ -408,24 +415,24 @@
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn arbitrary_bytes_never_panic_and_get_no_answer(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut scene = Scene::new(snmp(""), 1, 1);
-        prop_assert!(scene.raw(&bytes).is_none());
+    fn arbitrary_bytes_get_no_answer(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let mut agent = AgentFixture::new(snmp(""), 1, 1);
+        prop_assert!(agent.send_datagram(&bytes).is_none());
     }
 
     #[test]
-    fn mutated_messages_never_panic_and_never_pass_for_another(
+    fn mutated_message_does_not_panic_and_v3_gets_report_only(
         which in 0..4_usize, changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..5), cut in any::<prop::sample::Index>(), cuts in any::<bool>(),
     ) {
-        let mut scene = Scene::new(snmp(""), 1, 3);
-        let names = [vec![1, 3, 6, 1, 2, 1, 1, 5, 0], own(&[14, 1, 3])];
-        let whole = match which {
-            0 => message::write_v2c(b"stays", request(Verb::Bulk(1, 9), 5, &names)).unwrap(),
-            1 => message::write_v2c(b"stays", request(Verb::Next, 5, &names)).unwrap(),
-            2 => Secure::user("plain", 1).write(request(Verb::Get, 5, &names)),
-            _ => Secure::user("secret", 1).write(request(Verb::Bulk(0, 3), 5, &names)),
+        let mut agent = AgentFixture::new(snmp(""), 1, 3);
+        let names = [vec![1, 3, 6, 1, 2, 1, 1, 5, 0], enterprise_oid(&[14, 1, 3])];
+        let original = match which {
+            0 => message::encode_v2c(b"stays", request(Operation::GetBulk(1, 9), 5, &names)).unwrap(),
+            1 => message::encode_v2c(b"stays", request(Operation::GetNext, 5, &names)).unwrap(),
+            2 => V3Sender::user("plain", 1).write(request(Operation::Get, 5, &names)),
+            _ => V3Sender::user("secret", 1).write(request(Operation::GetBulk(0, 3), 5, &names)),
         };
-        let mut bytes = whole.clone();
+        let mut bytes = original.clone();
         for (at, to) in changes {
             let at = at.index(bytes.len());
             bytes[at] = to;
@@ -433,15 +440,15 @@
         if cuts {
             bytes.truncate(cut.index(bytes.len()));
         }
-        let answer = scene.raw(&bytes);
+        let answer = agent.send_datagram(&bytes);
         if let Some(answer) = &answer {
             prop_assert!(answer.len() <= 1400);
-            // A changed v3 message is never answered but by a report: what is signed cannot be changed.
-            if which >= 2 && bytes != whole
-                && let Some(message::Incoming::V3(secured)) = message::read(answer) {
+            // A changed v3 message fails authentication: only a report may answer it.
+            if which >= 2 && bytes != original
+                && let Some(message::Incoming::V3(secured)) = message::decode(answer) {
                     prop_assert!(secured.flags & PRIV == 0);
-                    let scoped = message::scoped(&secured, None).unwrap();
-                    prop_assert!(matches!(message::said(scoped.data), message::Said::Report(_)));
+                    let scoped = message::scoped_pdu(&secured, None).unwrap();
+                    prop_assert!(matches!(message::parse_pdu(scoped.data), message::PduContent::Report(_)));
                 }
         }
     }
--- a/crates/snmp/tests/support/mod.rs
+++ b/crates/snmp/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A instrumentation for the engine's tests, and a manager that writes and reads messages.
+//! An agent on two fronts for the tests, and a manager that encodes and decodes messages.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 use valehatch_policy::*;
 use valehatch_snmp::engine::{Engine, Shared, Stats};
 use valehatch_snmp::instrumentation::{CoreSnapshot, Front, Instrumentation};
-use valehatch_snmp::message::{self, AUTH, Incoming, PRIV, Sealing};
-use valehatch_snmp::picture::Value;
+use valehatch_snmp::message::{self, AUTH, Incoming, PRIV, V3Security};
+use valehatch_snmp::snapshot::Value;
 use valehatch_snmp::usm;
 use valehatch_state::PublishedCounters;
 
@@ -27,13 +27,14 @@
 }
 
 pub(crate) fn keys() -> ([u8; 32], [u8; 16]) {
-    // A million bytes are hashed for it: once will do.
+    // Deriving the key hashes a megabyte, so it is done once.
     static KEY: LazyLock<[u8; 32]> =
         LazyLock::new(|| usm::localize(PASSWORD, &hex::decode(ENGINE).unwrap()));
     (*KEY, KEY[..16].try_into().unwrap())
 }
 
-/// `[snmp]` of a file with a community, a user who may encrypt, one who may not, and what the test adds.
+/// The `[snmp]` section with a community, a user with privacy, a user without, and the test's
+/// additions.
 pub(crate) fn snmp(more: &str) -> SnmpSettings {
     let (auth, privacy) = keys();
     let (auth, privacy) = (hex::encode(auth), hex::encode(privacy));
@@ -97,25 +98,25 @@
     }
 }
 
-/// An engine over two fronts, `a` and `bb`, with classes `read` and `write` and tenant `acme`.
-pub(crate) struct Scene {
+/// An engine on two fronts, `a` and `bb`, with classes `read` and `write` and tenant `acme`.
+pub(crate) struct AgentFixture {
     pub engine: Engine,
     pub shared: Arc<Shared>,
-    pub boards: Vec<Arc<ArcSwapOption<CoreSnapshot>>>,
+    pub core_snapshots: Vec<Arc<ArcSwapOption<CoreSnapshot>>>,
     pub now: i64,
     id: i32,
 }
 
-impl Scene {
+impl AgentFixture {
     pub(crate) fn new(snmp: SnmpSettings, boots: u32, members: u32) -> Self {
-        let boards: Vec<_> = (0..2).map(|_| Arc::new(ArcSwapOption::empty())).collect();
-        let front = |(name, board): (&str, &Arc<ArcSwapOption<CoreSnapshot>>)| Front {
+        let core_snapshots: Vec<_> = (0..2).map(|_| Arc::new(ArcSwapOption::empty())).collect();
+        let front = |(name, core_snapshot): (&str, &Arc<ArcSwapOption<CoreSnapshot>>)| Front {
             name: name.into(),
             protocol: "postgresql",
             listen: "127.0.0.1:5433".into(),
             classes: vec!["write".into(), "read".into()],
             tenants: vec![("acme".into(), 10.0)],
-            core_snapshot: Arc::clone(board),
+            core_snapshot: Arc::clone(core_snapshot),
         };
         let instrumentation = Instrumentation {
             name: "test".into(),
@@ -123,65 +124,70 @@
             clock: Clock::start(),
             started_at: Instant::now(),
             started_ms: 5,
-            fronts: ["bb", "a"].into_iter().zip(&boards).map(front).collect(),
+            fronts: ["bb", "a"]
+                .into_iter()
+                .zip(&core_snapshots)
+                .map(front)
+                .collect(),
             counters: Arc::new(ArcSwap::from_pointee(PublishedCounters::default())),
             dropped_records: Arc::default(),
             queued_records: Box::new(|| 0),
         };
         let shared = Arc::new(Shared {
             instrumentation: Arc::new(instrumentation),
-            access: ArcSwap::from_pointee(snmp),
+            settings: ArcSwap::from_pointee(snmp),
             stats: Stats::default(),
             boots,
             receivers: ArcSwap::default(),
         });
         let engine = Engine::new(Arc::clone(&shared));
-        let scene = Self {
+        let agent = Self {
             engine,
             shared,
-            boards,
+            core_snapshots,
             now: 0,
             id: 0,
         };
-        scene.publish(0, live(1..=members));
-        scene.publish(1, live(1..=3));
-        scene
+        agent.publish(0, live(1..=members));
+        agent.publish(1, live(1..=3));
+        agent
     }
 
     pub(crate) fn publish(&self, front: usize, live: LiveView) {
-        self.boards[front].store(Some(Arc::new(CoreSnapshot {
+        self.core_snapshots[front].store(Some(Arc::new(CoreSnapshot {
             live,
             queue_length: 0,
         })));
     }
 
-    /// Time passes: longer than a picture is fresh.
-    pub(crate) fn later(&mut self) {
+    /// Advances the time beyond the maximum age of the cached snapshot.
+    pub(crate) fn advance_past_cache(&mut self) {
         self.now += 20_000;
     }
 
-    pub(crate) fn raw(&mut self, datagram: &[u8]) -> Option<Vec<u8>> {
+    pub(crate) fn send_datagram(&mut self, datagram: &[u8]) -> Option<Vec<u8>> {
         self.engine.answer(self.now, from(), datagram)
     }
 
-    pub(crate) fn v2c(&mut self, community: &[u8], pdus: rasn_snmp::v2::Pdus) -> Option<Answer> {
-        let datagram = message::write_v2c(community, pdus).unwrap();
-        self.raw(&datagram).map(|bytes| Answer::read(&bytes))
+    pub(crate) fn v2c(&mut self, community: &[u8], pdus: rasn_snmp::v2::Pdus) -> Option<Response> {
+        let datagram = message::encode_v2c(community, pdus).unwrap();
+        self.send_datagram(&datagram)
+            .map(|bytes| Response::read(&bytes))
     }
 
-    pub(crate) fn ask(&mut self, verb: Verb, names: &[Vec<u32>]) -> Answer {
+    pub(crate) fn query(&mut self, operation: Operation, names: &[Vec<u32>]) -> Response {
         self.id += 1;
-        self.v2c(b"stays", request(verb, self.id, names))
+        self.v2c(b"stays", request(operation, self.id, names))
             .expect("an answer")
     }
 
     pub(crate) fn get(&mut self, name: &[u32]) -> Value {
-        self.later();
-        let answer = self.ask(Verb::Get, &[name.to_vec()]);
+        self.advance_past_cache();
+        let answer = self.query(Operation::Get, &[name.to_vec()]);
         answer.bindings.into_iter().next().unwrap().1
     }
 
-    /// Everything below a name, by steps of GETBULK; `between` is called after each.
+    /// Walks the subtree `below` by GETBULK; `between` is called after each response.
     pub(crate) fn walk(
         &mut self,
         below: &[u32],
@@ -190,13 +196,13 @@
     ) -> Vec<(Vec<u32>, Value)> {
         let (mut all, mut last) = (vec![], below.to_vec());
         loop {
-            let answer = self.ask(Verb::Bulk(0, repetitions), &[last.clone()]);
+            let answer = self.query(Operation::GetBulk(0, repetitions), &[last.clone()]);
             assert!(!answer.bindings.is_empty());
             for (name, value) in answer.bindings {
-                if value == Value::EndOfView || !name.starts_with(below) {
+                if value == Value::EndOfMibView || !name.starts_with(below) {
                     return all;
                 }
-                assert!(name > last, "{name:?} does not come behind {last:?}");
+                assert!(name > last, "{name:?} does not follow {last:?}");
                 last.clone_from(&name);
                 all.push((name, value));
             }
@@ -204,26 +210,31 @@
         }
     }
 
-    /// A v3 message, sealed as the test says.
-    pub(crate) fn v3(&mut self, with: &Secure<'_>, pdus: rasn_snmp::v2::Pdus) -> Option<Secured> {
+    /// Sends a v3 message with the sender's security parameters.
+    pub(crate) fn v3(
+        &mut self,
+        with: &V3Sender<'_>,
+        pdus: rasn_snmp::v2::Pdus,
+    ) -> Option<V3Response> {
         let datagram = with.write(pdus);
-        self.raw(&datagram).map(|bytes| Secured::read(&bytes))
+        self.send_datagram(&datagram)
+            .map(|bytes| V3Response::read(&bytes))
     }
 }
 
 #[derive(Clone, Copy)]
-pub(crate) enum Verb {
+pub(crate) enum Operation {
     Get,
-    Next,
-    Bulk(u32, u32),
+    GetNext,
+    GetBulk(u32, u32),
     Set,
 }
 
-pub(crate) fn request(verb: Verb, id: i32, names: &[Vec<u32>]) -> rasn_snmp::v2::Pdus {
+pub(crate) fn request(operation: Operation, id: i32, names: &[Vec<u32>]) -> rasn_snmp::v2::Pdus {
     use rasn_snmp::v2::*;
     let variable_bindings = names
         .iter()
-        .map(|n| message::binding(n, Value::Integer(0)))
+        .map(|n| message::var_bind(n, Value::Integer(0)))
         .collect();
     let pdu = |variable_bindings| Pdu {
         request_id: id,
@@ -231,11 +242,11 @@
         error_index: 0,
         variable_bindings,
     };
-    match verb {
-        Verb::Get => Pdus::GetRequest(GetRequest(pdu(variable_bindings))),
-        Verb::Next => Pdus::GetNextRequest(GetNextRequest(pdu(variable_bindings))),
-        Verb::Set => Pdus::SetRequest(SetRequest(pdu(variable_bindings))),
-        Verb::Bulk(non_repeaters, max_repetitions) => {
+    match operation {
+        Operation::Get => Pdus::GetRequest(GetRequest(pdu(variable_bindings))),
+        Operation::GetNext => Pdus::GetNextRequest(GetNextRequest(pdu(variable_bindings))),
+        Operation::Set => Pdus::SetRequest(SetRequest(pdu(variable_bindings))),
+        Operation::GetBulk(non_repeaters, max_repetitions) => {
             Pdus::GetBulkRequest(GetBulkRequest(BulkPdu {
                 request_id: id,
                 non_repeaters,
@@ -247,7 +258,7 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub id: i32,
     pub error: u32,
     pub index: u32,
@@ -261,20 +272,20 @@
     use rasn_snmp::v2::VarBindValue as V;
     match v {
         V::Value(O::Simple(S::Integer(n))) => Value::Integer(i64::try_from(n).unwrap()),
-        V::Value(O::Simple(S::String(s))) => Value::Bytes(s.to_vec()),
-        V::Value(O::Simple(S::ObjectId(o))) => Value::Name(o.to_vec()),
+        V::Value(O::Simple(S::String(s))) => Value::OctetString(s.to_vec()),
+        V::Value(O::Simple(S::ObjectId(o))) => Value::ObjectIdentifier(o.to_vec()),
         V::Value(O::ApplicationWide(A::Counter(n))) => Value::Counter32(n.0),
-        V::Value(O::ApplicationWide(A::Unsigned(n))) => Value::Gauge(n.0),
-        V::Value(O::ApplicationWide(A::Ticks(n))) => Value::Ticks(n.0),
+        V::Value(O::ApplicationWide(A::Unsigned(n))) => Value::Gauge32(n.0),
+        V::Value(O::ApplicationWide(A::Ticks(n))) => Value::TimeTicks(n.0),
         V::Value(O::ApplicationWide(A::BigCounter(n))) => Value::Counter64(n.0),
         V::NoSuchObject => Value::NoSuchObject,
         V::NoSuchInstance => Value::NoSuchInstance,
-        V::EndOfMibView => Value::EndOfView,
+        V::EndOfMibView => Value::EndOfMibView,
         other => panic!("{other:?}"),
     }
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn of(pdus: rasn_snmp::v2::Pdus, size: usize) -> Self {
         use rasn_snmp::v2::Pdus;
         let (pdu, report) = match pdus {
@@ -298,19 +309,19 @@
     }
 
     pub(crate) fn read(bytes: &[u8]) -> Self {
-        match message::read(bytes) {
+        match message::decode(bytes) {
             Some(Incoming::V2c(_, pdus)) => Self::of(pdus, bytes.len()),
             other => panic!("{other:?}"),
         }
     }
 }
 
-/// What a v3 manager sends with.
+/// The header and security parameters of a v3 manager.
 #[derive(Clone)]
-pub(crate) struct Secure<'a> {
+pub(crate) struct V3Sender<'a> {
     pub user: &'a str,
     pub engine: Vec<u8>,
-    pub window: (u32, u32),
+    pub engine_time: (u32, u32),
     pub auth: Option<[u8; 32]>,
     pub privacy: Option<[u8; 16]>,
     pub context: Vec<u8>,
@@ -318,7 +329,7 @@
     pub reportable: bool,
 }
 
-impl Secure<'_> {
+impl V3Sender<'_> {
     pub(crate) fn user(user: &'static str, boots: u32) -> Self {
         let engine = hex::decode(ENGINE).unwrap();
         let (auth, privacy) = keys();
@@ -326,7 +337,7 @@
             user,
             context: engine.clone(),
             engine,
-            window: (boots, 0),
+            engine_time: (boots, 0),
             auth: Some(auth),
             privacy: (user == "secret").then_some(privacy),
             context_name: "",
@@ -335,45 +346,45 @@
     }
 
     pub(crate) fn write(&self, pdus: rasn_snmp::v2::Pdus) -> Vec<u8> {
-        let sealing = Sealing {
+        let security = V3Security {
             id: 77,
             max_size: 65_507,
             reportable: self.reportable,
             engine: &self.engine,
-            window: self.window,
+            engine_time: self.engine_time,
             user: self.user.as_bytes(),
             auth: self.auth.as_ref(),
             privacy: self.privacy.as_ref().map(|key| (key, [9; 8])),
         };
-        message::write_v3(&sealing, &self.context, self.context_name.as_bytes(), pdus).unwrap()
+        message::encode_v3(&security, &self.context, self.context_name.as_bytes(), pdus).unwrap()
     }
 }
 
-/// A v3 answer, decrypted and with its digest checked where it has one.
+/// A v3 response or report, decrypted, its digest checked if it has one.
 #[derive(Debug)]
-pub(crate) struct Secured {
+pub(crate) struct V3Response {
     pub flags: u8,
-    pub window: (u32, u32),
+    pub engine_time: (u32, u32),
     pub engine: Vec<u8>,
-    pub answer: Answer,
+    pub answer: Response,
 }
 
-impl Secured {
+impl V3Response {
     pub(crate) fn read(bytes: &[u8]) -> Self {
-        let Some(Incoming::V3(secured)) = message::read(bytes) else {
+        let Some(Incoming::V3(secured)) = message::decode(bytes) else {
             panic!("{bytes:?}")
         };
         assert_eq!(secured.id, 77);
         let (auth, privacy) = keys();
         if secured.flags & AUTH != 0 {
-            assert!(message::authentic(bytes, &secured.digest, &auth));
+            assert!(message::has_valid_digest(bytes, &secured.digest, &auth));
         }
         let key = (secured.flags & PRIV != 0).then_some(&privacy);
-        let scoped = message::scoped(&secured, key).expect("a scoped PDU");
-        let answer = Answer::of(scoped.data, bytes.len());
+        let scoped = message::scoped_pdu(&secured, key).expect("a scoped PDU");
+        let answer = Response::of(scoped.data, bytes.len());
         Self {
             flags: secured.flags,
-            window: secured.window,
+            engine_time: secured.engine_time,
             engine: secured.engine.clone(),
             answer,
         }
