--- a/crates/notifications/tests/notifications.rs
+++ b/crates/notifications/tests/notifications.rs
@@ -335,7 +335,11 @@
         panic!()
     };
     let suppressed: u64 = kinds.iter().map(|(_, n)| n).sum();
-    assert_eq!(suppressed, 99 * 200 - 5, "each suppressed notification is counted once: {kinds:?}");
+    assert_eq!(
+        suppressed,
+        99 * 200 - 5,
+        "each suppressed notification is counted once: {kinds:?}"
+    );
     gateway.live.endpoints[0].view.health = EndpointHealth::Healthy;
     assert_eq!(gateway.kinds(10_100), [NotificationKind::EndpointAvailable]);
 }
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -517,7 +517,11 @@
 
     fn flush_on_shutdown(&mut self) {
         let end = std::time::Instant::now() + SHUTDOWN_TIMEOUT;
-        while self.receivers.iter().any(|receiver| !receiver.queue.is_empty()) && std::time::Instant::now() < end
+        while self
+            .receivers
+            .iter()
+            .any(|receiver| !receiver.queue.is_empty())
+            && std::time::Instant::now() < end
         {
             self.send_due();
             self.receive(Duration::from_millis(20));
--- a/crates/snmp/src/snapshot.rs
+++ b/crates/snmp/src/snapshot.rs
@@ -334,11 +334,15 @@
         match kind {
             TableKind::Group => {
                 let count = |core: &CoreSnapshot| core.live.groups.len();
-                self.next_dynamic_row(after, count, |core, n| u32::from(core.live.groups[n].group.0) + 1)
+                self.next_dynamic_row(after, count, |core, n| {
+                    u32::from(core.live.groups[n].group.0) + 1
+                })
             }
             TableKind::Member => {
                 let count = |core: &CoreSnapshot| core.live.endpoints.len();
-                self.next_dynamic_row(after, count, |core, n| core.live.endpoints[n].view.endpoint.0)
+                self.next_dynamic_row(after, count, |core, n| {
+                    core.live.endpoints[n].view.endpoint.0
+                })
             }
             TableKind::Receiver => {
                 let last = after.map_or(0, |a| a.first().copied().unwrap_or(0));
