--- a/crates/notifications/src/delivery_queue.rs
+++ b/crates/notifications/src/delivery_queue.rs
@@ -29,7 +29,7 @@
 /// A notification to be sent now.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Delivery<T> {
-    /// What to send.
+    /// The notification.
     pub content: T,
     /// The request ID, which stays the same when an inform is sent again.
     pub id: i32,
--- a/crates/notifications/src/monitor.rs
+++ b/crates/notifications/src/monitor.rs
@@ -19,7 +19,7 @@
     pub name: &'a Arc<str>,
     /// The state that its core published last.
     pub live: &'a LiveView,
-    /// Its tenants, each with this gateway's share of the quota in requests per second.
+    /// The tenants of the front, each with this gateway's share of the quota in requests per second.
     pub tenants: &'a [(Arc<str>, f64)],
 }
 
--- a/crates/snmp/src/message.rs
+++ b/crates/snmp/src/message.rs
@@ -33,7 +33,7 @@
 /// A request PDU.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The operation.
+    /// The operation, with its parameters.
     pub operation: Operation,
     /// The request-id, copied to the response.
     pub id: i32,
