--- a/crates/gateway/tests/cassandra.rs
+++ b/crates/gateway/tests/cassandra.rs
@@ -1,4 +1,4 @@
-//! The Cassandra front as a process, between stand-in clients and stand-in nodes.
+//! End-to-end tests of the Cassandra front, between scripted clients and stub nodes.
 
 mod support;
 
@@ -23,7 +23,7 @@
     program: GatewayProcess,
 }
 
-fn file(listen: SocketAddr, members: &[SocketAddr], leaving: Option<usize>) -> String {
+fn config_text(listen: SocketAddr, members: &[SocketAddr], leaving: Option<usize>) -> String {
     let mut text = format!(
         "[[budget]]\nname = \"acme\"\nshare = 1.0\nallowance-per-s = 100\n
 [[front]]\nname = \"stays\"\nprotocol = \"cassandra\"\nlisten = \"{listen}\"\n"
@@ -61,20 +61,20 @@
 "
 }
 
-fn gateway(members: &[SocketAddr]) -> Gateway {
-    edited(members, |text| text)
+fn start_gateway(members: &[SocketAddr]) -> Gateway {
+    start_gateway_with(members, |text| text)
 }
 
-/// One whose writes have so much time that a loaded machine takes none of it for a silence.
-fn patient(members: &[SocketAddr]) -> Gateway {
-    edited(members, |text| {
+/// Starts a gateway with a write deadline that a slow answer on a loaded machine does not exceed.
+fn start_gateway_with_long_deadline(members: &[SocketAddr]) -> Gateway {
+    start_gateway_with(members, |text| {
         text.replace("deadline-ms = 500\n", "deadline-ms = 2500\n")
     })
 }
 
-fn edited(members: &[SocketAddr], edit: impl Fn(String) -> String) -> Gateway {
+fn start_gateway_with(members: &[SocketAddr], edit: impl Fn(String) -> String) -> Gateway {
     let (address, path) = (free_address(), temp_folder().join("gateway.toml"));
-    std::fs::write(&path, edit(file(address, members, None))).unwrap();
+    std::fs::write(&path, edit(config_text(address, members, None))).unwrap();
     let program = GatewayProcess::start(&["serve", path.to_str().unwrap()], None, address);
     Gateway {
         address,
@@ -87,25 +87,29 @@
 impl Gateway {
     fn drain(&self, member: usize) {
         let fresh = self.path.with_extension("new");
-        std::fs::write(&fresh, file(self.address, &self.members, Some(member))).unwrap();
+        std::fs::write(
+            &fresh,
+            config_text(self.address, &self.members, Some(member)),
+        )
+        .unwrap();
         std::fs::rename(fresh, &self.path).unwrap();
     }
 }
 
 #[test]
-fn a_session_is_greeted_and_answers_come_under_their_streams() {
-    let others = Arc::new(AtomicUsize::new(0));
-    let answered = Arc::clone(&others);
-    let (at, _) = stub_node(move |f, n| {
-        // The slow one must not hold up the others of its connection: its answer waits for theirs.
+fn answers_arrive_out_of_order_under_their_stream_ids() {
+    let answered_count = Arc::new(AtomicUsize::new(0));
+    let answered = Arc::clone(&answered_count);
+    let (node_address, _) = stub_node(move |f, n| {
+        // The slow request is answered after the others, so that none of them may wait for it.
         if f.body.ends_with(b"slow\0\x01\0") {
-            wait_until("the others are answered", || {
+            wait_until("the other requests are answered", || {
                 answered.load(Ordering::SeqCst) == 20
             });
         }
         echo_query(f, n)
     });
-    let gateway = gateway(&[at]);
+    let gateway = start_gateway(&[node_address]);
     let mut client = Client::connect_raw(gateway.address);
     assert_eq!(client.request(7, (0x05, vec![])).op, SUPPORTED);
     assert_eq!(
@@ -137,7 +141,7 @@
             ))
         );
         order.push(answer.stream);
-        others.store(order.len(), Ordering::SeqCst);
+        answered_count.store(order.len(), Ordering::SeqCst);
     }
     assert_eq!(order.iter().collect::<BTreeSet<_>>().len(), 21);
     assert_eq!(order.last(), Some(&100));
@@ -152,27 +156,31 @@
 #[case::unknown_opcode(Frame { version: 4, flags: 0, stream: 9, op: 0x77, body: vec![] }.bytes(), "opcode")]
 #[case::batch_kind(Frame { version: 4, flags: 0, stream: 9, op: 0x0d, body: vec![0, 0, 1, 9] }.bytes(), "batch")]
 #[case::compressed(Frame { version: 4, flags: 1, stream: 9, op: 0x07, body: vec![] }.bytes(), "compression")]
-fn malformed_frames_get_a_protocol_error_that_says_why(#[case] input: Vec<u8>, #[case] says: &str) {
-    let (at, seen) = stub_node(echo_query);
-    let gateway = gateway(&[at]);
+fn malformed_frame_gets_a_protocol_error_with_the_cause(
+    #[case] input: Vec<u8>,
+    #[case] cause: &str,
+) {
+    let (node_address, node) = stub_node(echo_query);
+    let gateway = start_gateway(&[node_address]);
     let mut client = Client::connect(gateway.address);
     client.0.write_all(&input).unwrap();
     let answer = client.answer();
     let (code, text) = answer.error();
     assert_eq!((answer.version, answer.stream, code), (0x84, 9, 0x000a));
-    assert!(text.contains(says), "{text}");
+    assert!(text.contains(cause), "{text}");
     assert_eq!(
         Client::connect(gateway.address)
             .request(1, query("SELECT 1"))
             .op,
         RESULT,
-        "others are served"
+        "other connections are served"
     );
-    assert_eq!(seen.requests.lock().unwrap().len(), 1);
+    assert_eq!(node.requests.lock().unwrap().len(), 1);
 }
 
-/// Every node gives a statement the same id, and knows only what it was told itself.
-fn forgetful(known: &Mutex<BTreeSet<Vec<u8>>>, frame: &Frame) -> Reply {
+/// Reply of a node that derives statement ids from the text and knows only statements prepared on
+/// itself.
+fn reply_if_prepared(known: &Mutex<BTreeSet<Vec<u8>>>, frame: &Frame) -> Reply {
     match frame.op {
         0x09 => {
             known.lock().unwrap().insert(frame.body[4..].to_vec());
@@ -194,11 +202,11 @@
 }
 
 #[test]
-fn a_node_that_forgot_a_statement_is_told_it_again_and_an_id_from_elsewhere_is_unprepared() {
+fn forgotten_statement_is_prepared_again_and_unknown_id_is_unprepared() {
     let known: Arc<Mutex<BTreeSet<Vec<u8>>>> = Arc::default();
     let shared = Arc::clone(&known);
-    let (at, seen) = stub_node(move |f, _| forgetful(&shared, f));
-    let gateway = gateway(&[at]);
+    let (node_address, node) = stub_node(move |f, _| reply_if_prepared(&shared, f));
+    let gateway = start_gateway(&[node_address]);
     let mut client = Client::connect(gateway.address);
     let id = b"INSERT INTO stays.guest (id) VALUES (?)";
     let execute = || (0x0a, [&short(id)[..], &[0, 1, 0]].concat());
@@ -211,7 +219,7 @@
     );
     known.lock().unwrap().clear();
     assert_eq!(client.request(7, execute()).body, rows_body("prepared"));
-    let ops: Vec<u8> = seen
+    let ops: Vec<u8> = node
         .requests
         .lock()
         .unwrap()
@@ -221,7 +229,7 @@
     assert_eq!(
         ops,
         [0x09, 0x0a, 0x09, 0x0a],
-        "an execution that it did not know never ran"
+        "an execution of a statement unknown to the node never ran"
     );
     known.lock().unwrap().clear();
     let batch = [&[0, 0, 1, 1][..], &short(id), &[0, 0, 0, 1, 0]].concat();
@@ -233,26 +241,26 @@
 }
 
 #[test]
-fn refusals_are_overloaded_with_a_retry_after_and_a_fault_of_the_statement_is_passed_on() {
-    let (at, _) = stub_node(|_, _| Reply::Send(ERROR, error_body(0x2200, &[])));
-    let one = patient(&[at]);
+fn refusal_is_overloaded_with_retry_after_and_statement_error_is_passed_on() {
+    let (node_address, _) = stub_node(|_, _| Reply::Send(ERROR, error_body(0x2200, &[])));
+    let reachable = start_gateway_with_long_deadline(&[node_address]);
     assert_eq!(
-        Client::connect(one.address)
+        Client::connect(reachable.address)
             .request(4, query("SELECT nonsense"))
             .error()
             .0,
         0x2200
     );
     assert_eq!(
-        Client::connect(one.address)
+        Client::connect(reachable.address)
             .request(4, query("USE stays"))
             .error()
             .0,
         0x2200
     );
-    let two = patient(&[free_address()]);
-    let answer =
-        Client::connect(two.address).request(4, query("INSERT INTO stays.guest (id) VALUES (1)"));
+    let unreachable = start_gateway_with_long_deadline(&[free_address()]);
+    let answer = Client::connect(unreachable.address)
+        .request(4, query("INSERT INTO stays.guest (id) VALUES (1)"));
     let (code, text) = answer.error();
     assert!(
         code == 0x1001 && answer.flags & 4 != 0 && text.contains("retry after"),
@@ -274,69 +282,70 @@
 }
 
 #[rstest]
-#[case::half_an_answer(
+#[case::partial_answer_then_stall(
     "INSERT INTO stays.guest (id) VALUES (1)",
     Reply::PartialThenStall,
     0x0000,
     true
 )]
-#[case::silence_on_a_connection_that_goes_on(
+#[case::no_answer_on_a_live_connection(
     "INSERT INTO stays.guest (id) VALUES (1)",
     Reply::Unanswered,
     0x1100,
     false
 )]
-#[case::cut_short(
+#[case::partial_answer_then_close(
     "INSERT INTO stays.guest (id) VALUES (1)",
     Reply::PartialThenClose,
     0x0000,
     true
 )]
-#[case::unknown_counts_as_an_unsafe_write("DELETE FROM stays.guest", Reply::Close, 0x0000, true)]
-#[case::a_time_out_of_the_node_s_own(
+#[case::unknown_statement_is_an_unsafe_write("DELETE FROM stays.guest", Reply::Close, 0x0000, true)]
+#[case::write_timeout_error_of_the_node(
     "INSERT INTO stays.guest (id) VALUES (1)",
     Reply::Send(ERROR, error_body(0x1100, &[0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 6, b'S', b'I', b'M', b'P', b'L', b'E'])),
     0x1100,
     false
 )]
 #[case::server_error("TRUNCATE stays.guest", Reply::Send(ERROR, vec![0; 6]), 0x0000, false)]
-fn a_write_that_may_have_run_fails_and_is_sent_once(
+fn write_that_may_have_run_fails_and_is_sent_once(
     #[case] text: &str,
-    #[case] does: Reply,
+    #[case] reply: Reply,
     #[case] code: u32,
     #[case] broken: bool,
 ) {
-    let does = Mutex::new(Some(does));
-    let (at, seen) = stub_node(move |f, n| {
-        does.lock()
+    let reply = Mutex::new(Some(reply));
+    let (node_address, node) = stub_node(move |f, n| {
+        reply
+            .lock()
             .unwrap()
             .take()
             .unwrap_or_else(|| echo_query(f, n))
     });
-    let gateway = patient(&[at]);
+    let gateway = start_gateway_with_long_deadline(&[node_address]);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
     let answer = client.request(2, query(text));
     assert_eq!(answer.error().0, code);
     assert!(
         began.elapsed() < Duration::from_secs(5),
-        "twice its deadline: {:?}",
+        "over twice the deadline: {:?}",
         began.elapsed()
     );
-    assert_eq!(seen.requests.lock().unwrap().len(), 1);
-    // What stalled keeps its connection and its stream to itself.
-    wait_until("the connection was given up", || {
-        !broken || seen.closed.load(Ordering::SeqCst) > 0
+    assert_eq!(node.requests.lock().unwrap().len(), 1);
+    // No later request uses a broken connection or the stream of an unanswered request.
+    wait_until("the connection was closed", || {
+        !broken || node.closed.load(Ordering::SeqCst) > 0
     });
     let mut next = None;
     wait_until("the node is used again", || {
         next = Some(client.request(3, query("INSERT INTO stays.guest (id) VALUES (2)")));
         next.as_ref().unwrap().op == RESULT
     });
-    let all = seen.requests.lock().unwrap();
+    let all = node.requests.lock().unwrap();
     let first = &all[0];
     let (connection, stream) = (first.1, first.2.stream);
-    // While the node has not shown that it lives, another connection may be used.
+    // A new connection may be used until the node has answered again.
     assert!(
         all[1..]
             .iter()
@@ -345,21 +354,21 @@
 }
 
 #[test]
-fn a_paged_result_cut_by_a_drain_goes_on_elsewhere_and_the_drainer_gets_nothing_new() {
-    // A page holds its number; the paging state in the request asks for the next one.
+fn paging_continues_on_another_node_when_its_node_drains() {
+    // A page holds its number, which is the paging state of the request.
     let page = |f: &Frame, _: &StubNode| {
         Reply::Send(
             RESULT,
             rows_body(&format!("page {}", f.body.last().unwrap())),
         )
     };
-    let (a, one) = stub_node(page);
-    let (b, two) = stub_node(page);
-    let (c, three) = stub_node(page);
-    let gateway = gateway(&[a, b, c]);
+    let (first_address, first) = stub_node(page);
+    let (second_address, second) = stub_node(page);
+    let (third_address, third) = stub_node(page);
+    let gateway = start_gateway(&[first_address, second_address, third_address]);
     let mut client = Client::connect(gateway.address);
     // QUERY with a page size of 10 and a paging state.
-    let ask = |n: u8| {
+    let page_request = |n: u8| {
         (
             0x07,
             [
@@ -369,14 +378,14 @@
             .concat(),
         )
     };
-    let counts = || [&one, &two, &three].map(|n| n.requests.lock().unwrap().len());
+    let counts = || [&first, &second, &third].map(|n| n.requests.lock().unwrap().len());
     let mut n = 0;
     let mut next = |client: &mut Client| {
         n = (n + 1) % 200;
         assert_eq!(
-            client.request(1, ask(n)).body,
+            client.request(1, page_request(n)).body,
             rows_body(&format!("page {n}")),
-            "each page is whole, and the right one"
+            "each page is complete and the requested one"
         );
     };
     wait_until("both replicas serve pages", || {
@@ -384,47 +393,55 @@
         counts()[1] > 0 && counts()[2] > 0
     });
     gateway.drain(1);
-    let told = Instant::now();
-    while told.elapsed() < Duration::from_millis(1500) {
+    let drain_start = Instant::now();
+    while drain_start.elapsed() < Duration::from_millis(1500) {
         next(&mut client);
     }
-    let late = |at: &Instant| at.duration_since(told) > Duration::from_millis(500);
+    let late = |at: &Instant| at.duration_since(drain_start) > Duration::from_millis(500);
     assert!(
-        !two.requests.lock().unwrap().iter().any(|(at, ..)| late(at)),
-        "the drainer got a page too late"
+        !second
+            .requests
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|(at, ..)| late(at)),
+        "the draining node got a request too late"
     );
     assert!(
-        three
+        third
             .requests
             .lock()
             .unwrap()
             .iter()
             .any(|(at, ..)| late(at)),
-        "the pages went on"
+        "another node served pages"
     );
 }
 
-/// What the nodes did with the writes that came, and what clients heard of them.
+/// Record of what the nodes did with the writes and of the answers that clients got.
 #[derive(Debug, Default)]
-struct Book {
-    turns: usize,
-    did: BTreeMap<&'static str, usize>,
-    /// Each write that ran, with all that was done with it when it did.
+struct WriteRecord {
+    writes: usize,
+    /// Number of writes by how a node treated them.
+    treatments: BTreeMap<&'static str, usize>,
+    /// Each write that ran, with the treatment of each of its executions.
     effects: BTreeMap<String, Vec<&'static str>>,
-    heard: BTreeMap<String, u32>,
+    /// Error code that the client got for each write; `u32::MAX` for a result.
+    answers: BTreeMap<String, u32>,
 }
 
-impl Book {
-    fn does(&mut self, frame: &Frame, node: &StubNode) -> Reply {
-        let turn = self.turns;
-        self.turns += 1;
-        // Turned away, or lost before it was run: no effect. All else has one, whatever the client hears.
-        let (name, ran, does) = match turn * 7919 % 100 {
-            // All clients at once are left waiting now and then: a silence outlasts the deadline for certain only while
-            // no other write meets a reset on the same connection.
-            _ if (500..510).contains(&(turn % 1000)) => ("silent", true, Reply::Unanswered),
+impl WriteRecord {
+    fn reply_to(&mut self, frame: &Frame, node: &StubNode) -> Reply {
+        let number = self.writes;
+        self.writes += 1;
+        // A write that is refused or lost has no effect. Any other has one, whatever the client's
+        // answer.
+        let (name, ran, reply) = match number * 7919 % 100 {
+            // Now and then no client is answered: a missing answer certainly lasts past the
+            // deadline only if no other write causes a reset of the same connection.
+            _ if (500..510).contains(&(number % 1000)) => ("silent", true, Reply::Unanswered),
             0..4 => (
-                "turned away",
+                "refused",
                 false,
                 Reply::Send(ERROR, error_body(0x1001, &[])),
             ),
@@ -436,22 +453,26 @@
             18 => ("silent", true, Reply::Unanswered),
             _ => ("served", true, echo_query(frame, node)),
         };
-        *self.did.entry(name).or_default() += 1;
+        *self.treatments.entry(name).or_default() += 1;
         if ran {
             let text = String::from_utf8_lossy(&frame.body[4..frame.body.len() - 3]).into_owned();
             self.effects.entry(text).or_default().push(name);
         }
-        does
+        reply
     }
 
     fn count(&self, code: u32) -> usize {
-        self.heard.values().filter(|said| **said == code).count()
+        self.answers
+            .values()
+            .filter(|answer| **answer == code)
+            .count()
     }
 
-    /// Whether the nodes were asked so often, each trouble took place, and clients heard of all that can come of one.
+    /// Whether the nodes got this many writes, each fault has occurred and clients got each kind of
+    /// answer.
     fn enough(&self, writes: usize) -> bool {
         let kinds = [
-            "turned away",
+            "refused",
             "lost",
             "reset",
             "cut",
@@ -459,10 +480,12 @@
             "server error",
             "silent",
         ];
-        self.turns >= writes
-            && kinds
-                .iter()
-                .all(|kind| self.did.get(kind).is_some_and(|n| *n >= writes / 150))
+        self.writes >= writes
+            && kinds.iter().all(|kind| {
+                self.treatments
+                    .get(kind)
+                    .is_some_and(|n| *n >= writes / 150)
+            })
             && self.count(u32::MAX) > writes / 2
             && self.count(0) > 100
             && self.count(0x1100) > 5
@@ -470,66 +493,67 @@
 }
 
 #[test]
-fn thousands_of_writes_under_resets_and_stalls_have_no_doubled_effect() {
+fn writes_under_resets_and_stalls_take_effect_at_most_once() {
     const WRITES: usize = 3000;
     const CLIENTS: usize = 8;
-    let book: Arc<Mutex<Book>> = Arc::default();
+    let record: Arc<Mutex<WriteRecord>> = Arc::default();
     let member = || {
-        let book = Arc::clone(&book);
-        stub_node(move |f, n| book.lock().unwrap().does(f, n)).0
+        let record = Arc::clone(&record);
+        stub_node(move |f, n| record.lock().unwrap().reply_to(f, n)).0
     };
-    let gateway = gateway(&[member(), member(), member()]);
+    let gateway = start_gateway(&[member(), member(), member()]);
     let address = gateway.address;
-    let one = |c: usize| {
+    let run_client = |c: usize| {
         let mut client = Client::connect(address);
-        // How much comes of which trouble hangs on what else is under way: it goes on until enough has, but not for ever.
+        // How often each fault occurs depends on timing, so that the client continues until each
+        // has occurred often enough, up to a limit.
         for n in 0..2 * WRITES / CLIENTS {
-            if book.lock().unwrap().enough(WRITES) {
+            if record.lock().unwrap().enough(WRITES) {
                 break;
             }
             let text = format!("INSERT INTO stays.guest (id) VALUES ({c}, {n})");
             let answer = client.request(i16::try_from(n).unwrap(), query(&text));
-            let said = if answer.op == RESULT {
+            let code = if answer.op == RESULT {
                 u32::MAX
             } else {
                 answer.error().0
             };
-            book.lock().unwrap().heard.insert(text, said);
-            if said == 0x1001 {
+            record.lock().unwrap().answers.insert(text, code);
+            if code == 0x1001 {
                 thread::sleep(Duration::from_millis(20));
             }
         }
         assert_eq!(
             client.request(i16::MAX, (0x05, vec![])).op,
             SUPPORTED,
-            "one answer to each"
+            "one answer per request"
         );
     };
-    thread::scope(|scope| (0..CLIENTS).for_each(|c| drop(scope.spawn(move || one(c)))));
-    let book = book.lock().unwrap();
-    let doubled = book.effects.iter().find(|(_, did)| did.len() > 1);
-    assert!(
-        doubled.is_none(),
-        "a write had its effect twice: {doubled:?}"
-    );
-    for (text, said) in &book.heard {
-        let did = book.effects.get(text).map(|did| did[0]);
-        match *said {
-            u32::MAX => assert_eq!(did, Some("served"), "{text} was answered"),
-            0x1001 => assert_eq!(did, None, "{text} was refused and has an effect"),
+    thread::scope(|scope| (0..CLIENTS).for_each(|c| drop(scope.spawn(move || run_client(c)))));
+    let record = record.lock().unwrap();
+    let doubled = record
+        .effects
+        .iter()
+        .find(|(_, executions)| executions.len() > 1);
+    assert!(doubled.is_none(), "a write took effect twice: {doubled:?}");
+    for (text, answer) in &record.answers {
+        let treatment = record.effects.get(text).map(|executions| executions[0]);
+        match *answer {
+            u32::MAX => assert_eq!(treatment, Some("served"), "{text} was answered"),
+            0x1001 => assert_eq!(treatment, None, "{text} was refused but took effect"),
             code => assert!([0x0000, 0x1100].contains(&code), "{text}: {code:#x}"),
         }
     }
-    let heard = [u32::MAX, 0, 0x1100, 0x1001].map(|code| book.count(code));
+    let counts = [u32::MAX, 0, 0x1100, 0x1001].map(|code| record.count(code));
     assert!(
-        book.enough(WRITES),
-        "the troubles took place: heard {heard:?} of {:?}",
-        book.did
+        record.enough(WRITES),
+        "too few faults: answers {counts:?} of {:?}",
+        record.treatments
     );
 }
 
 #[test]
-fn the_file_under_deploy_is_sound_and_its_contracts_know_their_statements() {
+fn deployed_configuration_is_valid_and_classifies_statements() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/gateway.toml");
     let read = OperatorConfig::load(path.as_ref()).unwrap();
     let front = read.fronts.iter().find(|f| &*f.name == "stays").unwrap();
@@ -544,13 +568,14 @@
 }
 
 #[test]
-fn a_member_keeps_its_number_when_another_is_taken_out_of_the_file() {
-    // By its place it would take over the number, and all that is known of it, of the one before.
+fn member_keeps_its_number_when_another_is_removed_from_the_file() {
+    // Numbered by position, the member would take over the number of the removed one and everything
+    // that is known about it.
     let (path, members) = (
         temp_folder().join("members.toml"),
         [free_address(), free_address()],
     );
-    let text = file(free_address(), &members, None);
+    let text = config_text(free_address(), &members, None);
     let load = |text: &str| {
         std::fs::write(&path, text).unwrap();
         match &OperatorConfig::load(&path).unwrap().fronts[0].endpoints {
@@ -570,14 +595,14 @@
 }
 
 #[test]
-fn sighup_reads_the_members_again_and_ends_nothing_and_a_started_connection_may_stand_idle() {
-    let (at, _) = stub_node(echo_query);
-    let gateway = gateway(&[at]);
+fn sighup_reloads_members_and_keeps_idle_connections() {
+    let (node_address, _) = stub_node(echo_query);
+    let gateway = start_gateway(&[node_address]);
     let mut client = Client::connect(gateway.address);
     std::thread::sleep(Duration::from_millis(2700));
     for n in 1..=2 {
         gateway.program.signal("HUP");
-        wait_until("it has read them", || {
+        wait_until("the members are reloaded", || {
             gateway
                 .program
                 .log()
@@ -590,15 +615,15 @@
 }
 
 #[rstest]
-#[case::no_frame(None)]
-#[case::an_unknown_kind(Some(vec![0, 0, 0, 9]))]
-#[case::an_empty_body(Some(vec![]))]
-#[case::a_value_that_is_longer_than_the_body(Some([&rows_body("")[..16], &[0x7f, 0xff, 0xff, 0xff, 1]].concat()))]
-#[case::more_than_belongs_to_it(Some([rows_body("x"), vec![0; 9]].concat()))]
-#[case::rows_without_end(Some(vec![0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff]))]
-#[case::types_without_end(Some([&[0, 0, 0, 2, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0][..], &[0, 0x20].repeat(99)].concat()))]
-fn a_spoilt_result_is_not_passed_on_and_takes_its_connection_along(#[case] body: Option<Vec<u8>>) {
-    let (at, seen) = stub_node(move |f, n| {
+#[case::unexpected_opcode(None)]
+#[case::unknown_kind(Some(vec![0, 0, 0, 9]))]
+#[case::empty_body(Some(vec![]))]
+#[case::value_longer_than_the_body(Some([&rows_body("")[..16], &[0x7f, 0xff, 0xff, 0xff, 1]].concat()))]
+#[case::trailing_bytes(Some([rows_body("x"), vec![0; 9]].concat()))]
+#[case::excessive_row_count(Some(vec![0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff]))]
+#[case::deeply_nested_types(Some([&[0, 0, 0, 2, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0][..], &[0, 0x20].repeat(99)].concat()))]
+fn malformed_result_is_not_passed_on_and_closes_its_connection(#[case] body: Option<Vec<u8>>) {
+    let (node_address, node) = stub_node(move |f, n| {
         let first = n.requests.lock().unwrap().len() == 1;
         match &body {
             Some(body) if first => Reply::Send(RESULT, body.clone()),
@@ -606,39 +631,43 @@
             _ => echo_query(f, n),
         }
     });
-    let gateway = patient(&[at]);
+    let gateway = start_gateway_with_long_deadline(&[node_address]);
     let mut client = Client::connect(gateway.address);
     assert_eq!(
         client.request(1, query("INSERT INTO stays.a")).error().0,
         0x0000,
-        "it may have run"
+        "the write may have run"
     );
     assert_eq!(client.request(2, query("INSERT INTO stays.b")).op, RESULT);
-    let seen = seen.requests.lock().unwrap();
-    assert!(seen.len() == 2 && seen[0].1 != seen[1].1, "{seen:?}");
+    let requests = node.requests.lock().unwrap();
+    assert!(
+        requests.len() == 2 && requests[0].1 != requests[1].1,
+        "{requests:?}"
+    );
 }
 
-/// Guards against connections that are ended without a word as the program stops: the protocol has no error that would
-/// answer a request which is on its way then.
+/// Guards against requests lost when the gateway closes connections during a planned stop: the
+/// protocol has no error that would answer a request which is in flight at that moment.
 #[test]
-fn requests_of_a_client_that_does_not_look_for_an_end_are_answered_until_the_exit() {
-    // The program asks whether it may exit 3.6 s after the signal.
-    const ASKS_UNTIL: Duration = Duration::from_millis(3_590);
-    // So long that its connection counts as idle.
+fn requests_during_a_planned_stop_are_answered_until_the_exit() {
+    // The gateway checks 3.6 s after the signal whether it may exit.
+    const SEND_UNTIL: Duration = Duration::from_millis(3_590);
+    // Long enough for the connection to count as idle.
     const PAUSE: Duration = Duration::from_millis(280);
-    let (at, _) = stub_node(echo_query);
-    let mut gateway = gateway(&[at]);
+    let (node_address, _) = stub_node(echo_query);
+    let mut gateway = start_gateway(&[node_address]);
     let mut client = Client::connect(gateway.address);
     let began = Instant::now();
     gateway.program.terminate();
     for stream in 1.. {
         client.send(stream, query("SELECT a"));
-        let asked = began.elapsed();
-        if asked >= ASKS_UNTIL {
+        let sent_at = began.elapsed();
+        if sent_at >= SEND_UNTIL {
             break;
         }
         let answer = Frame::read(&mut client.0);
-        let answer = answer.unwrap_or_else(|| panic!("no answer to what was asked at {asked:?}"));
+        let answer =
+            answer.unwrap_or_else(|| panic!("no answer to the request sent at {sent_at:?}"));
         assert_eq!(answer.stream, stream);
         thread::sleep(PAUSE);
     }
--- a/crates/gateway/tests/cluster_test.rs
+++ b/crates/gateway/tests/cluster_test.rs
@@ -1,5 +1,5 @@
-//! Hard cases of coming back, played on the stage with several processes of the program. Each has to end with service
-//! whole again and no rule broken, as the stand-ins saw it.
+//! Recovery from severe faults, as cluster tests with several gateway processes. Each has to end
+//! with full service and without a violated invariant, as observed by the stub endpoints.
 
 use std::path::Path;
 
@@ -7,7 +7,8 @@
 use valehatch_testbed::cluster_test::{Plan, Way};
 
 fn plan(seconds: f64, events: &str) -> Result<Plan, String> {
-    // The fault waits until service is whole, and the play ends when it is whole again: on a loaded machine it takes longer.
+    // With until-full the events wait for full service and the run ends once it is restored, which
+    // takes longer on a loaded machine.
     let text = format!(
         "kind = \"stage\"\nname = \"case\"\nabout = \"\"\ngateways = [5]\ngroups = 2\nseconds = {seconds:.1}\nrate = 10.0\n\
          discovery-ms = 20\nuntil-full = true\nways = [\"kept\"]\n{events}"
@@ -20,26 +21,26 @@
 }
 
 #[rstest]
-#[case::most_killed_and_back(&[(4.0, "kill", "share = 0.7"), (4.1, "start", "")])]
-#[case::all_killed_and_back(&[(4.0, "kill", "share = 1.0"), (4.1, "start", "")])]
-#[case::all_with_every_folder_gone(&[(4.0, "kill", "share = 1.0"), (4.1, "start-bare", "")])]
-#[case::all_with_every_snapshot_spoilt(&[(4.0, "kill", "share = 1.0"), (4.1, "start-spoilt", "")])]
-#[case::while_the_primaries_change(&[(4.0, "kill", "share = 0.8"), (4.1, "primaries", ""), (4.2, "start", "")])]
-#[case::with_discovery_silent_and_then_back(
+#[case::most_killed_and_restarted(&[(4.0, "kill", "share = 0.7"), (4.1, "start", "")])]
+#[case::all_killed_and_restarted(&[(4.0, "kill", "share = 1.0"), (4.1, "start", "")])]
+#[case::all_restarted_without_state_folders(&[(4.0, "kill", "share = 1.0"), (4.1, "start-bare", "")])]
+#[case::all_restarted_with_corrupt_snapshots(&[(4.0, "kill", "share = 1.0"), (4.1, "start-spoilt", "")])]
+#[case::killed_during_a_change_of_primaries(&[(4.0, "kill", "share = 0.8"), (4.1, "primaries", ""), (4.2, "start", "")])]
+#[case::killed_while_discovery_is_silent(
     &[(4.0, "silence", ""), (4.0, "kill", "share = 1.0"), (4.1, "start", ""), (7.0, "speak", "")]
 )]
-#[case::into_a_cut(&[(4.0, "kill", "share = 1.0"), (4.0, "cut", "share = 0.4"), (4.1, "start", "share = 1.0"), (7.0, "fair", "")])]
+#[case::restarted_into_a_partition(&[(4.0, "kill", "share = 1.0"), (4.0, "cut", "share = 0.4"), (4.1, "start", "share = 1.0"), (7.0, "fair", "")])]
 #[case::one_in_a_crash_loop(
     &[
         (4.0, "kill", "share = 0.2"), (4.2, "start", ""), (4.5, "kill", ""), (4.7, "start", ""), (5.0, "kill", ""),
         (5.2, "start", ""), (5.5, "kill", ""), (5.7, "start", ""),
     ]
 )]
-#[case::stopped_as_it_comes_back(&[(4.0, "kill", "share = 0.4"), (4.1, "start", ""), (4.4, "stop", ""), (6.5, "cont", "")])]
-#[case::with_half_the_datagrams_lost_and_the_rest_late_and_doubled(
+#[case::suspended_during_recovery(&[(4.0, "kill", "share = 0.4"), (4.1, "start", ""), (4.4, "stop", ""), (6.5, "cont", "")])]
+#[case::half_of_the_datagrams_lost_and_the_rest_delayed(
     &[(3.0, "weather", "lost = 0.5\ndelay-ms = 80"), (4.0, "kill", "share = 1.0"), (4.1, "start", "")]
 )]
-fn service_is_whole_again_and_no_rule_is_broken(#[case] events: &[(f64, &str, &str)]) {
+fn full_service_is_restored_and_no_invariant_is_violated(#[case] events: &[(f64, &str, &str)]) {
     let events: String = events
         .iter()
         .map(|(at, what, more)| event(*at, what, more))
@@ -49,11 +50,15 @@
         .play(Path::new(env!("CARGO_BIN_EXE_valehatch")), Way::Kept, 5, 1)
         .unwrap();
     assert_eq!(row.broken, Vec::<String>::new());
-    assert!(row.full_s.is_some(), "never whole again: {:?}", row.curve);
+    assert!(
+        row.full_s.is_some(),
+        "full service was not restored: {:?}",
+        row.curve
+    );
 }
 
 #[test]
-fn the_stage_sees_a_fleet_that_does_not_come_back() {
+fn cluster_test_detects_gateways_that_do_not_restart() {
     let plan = plan(11.0, &event(4.0, "kill", "share = 0.6")).unwrap();
     let row = plan
         .play(Path::new(env!("CARGO_BIN_EXE_valehatch")), Way::Kept, 5, 1)
@@ -70,7 +75,7 @@
 #[case::too_late("[[event]]\nat-s = 99.0\nwhat = \"kill\"", "within seconds")]
 #[case::unknown("[[event]]\nat-s = 1.0\nwhat = \"burn\"", "burn")]
 #[case::share("[[event]]\nat-s = 1.0\nwhat = \"kill\"\nshare = 7.0", "share")]
-fn what_is_wrong_with_an_experiment_is_named(#[case] events: &str, #[case] said: &str) {
-    let fault = plan(11.0, events).unwrap_err();
-    assert!(fault.contains(said), "{fault}");
+fn invalid_experiment_is_rejected_with_the_cause(#[case] events: &str, #[case] cause: &str) {
+    let error = plan(11.0, events).unwrap_err();
+    assert!(error.contains(cause), "{error}");
 }
--- a/crates/gateway/tests/command.rs
+++ b/crates/gateway/tests/command.rs
@@ -1,4 +1,5 @@
-//! The command line and the operators' file: every fault is named with its key and its line.
+//! End-to-end tests of the command line and of the checks of the configuration file, whose errors
+//! name key and line.
 
 mod support;
 
@@ -18,11 +19,11 @@
         .unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn written(text: &str) -> PathBuf {
+fn write_config(text: &str) -> PathBuf {
     let path = temp_folder().join("gateway.toml");
     std::fs::write(&path, text).unwrap();
     path
@@ -142,56 +143,56 @@
     "[[snmp.receiver]]\naddress = \"127.0.0.1:1162\"\n# ",
     "snmp.receiver.0.community or user"
 )]
-fn a_fault_is_named_by_its_key_and_its_line(
-    #[case] good: &str,
-    #[case] bad: &str,
-    #[case] wanted: &str,
+fn invalid_setting_is_reported_with_key_and_line(
+    #[case] valid: &str,
+    #[case] invalid: &str,
+    #[case] expected: &str,
 ) {
     let text = std::fs::read_to_string(DEPLOYED).unwrap();
-    assert!(text.contains(good), "{good}");
-    let line = 1 + text[..text.find(good).unwrap()].matches('\n').count();
-    let text = text.replacen(good, bad, 1);
-    let path = written(&text);
+    assert!(text.contains(valid), "{valid}");
+    let line = 1 + text[..text.find(valid).unwrap()].matches('\n').count();
+    let text = text.replacen(valid, invalid, 1);
+    let path = write_config(&text);
     let output = run(&["check", path.to_str().unwrap()]);
-    let said = said(&output);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains(wanted), "{said}");
-    let at = format!("line {line}: {}", wanted.split(' ').next().unwrap());
-    assert!(said.contains(&at), "{at} in {said}");
+    let stderr = stderr(&output);
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert!(stderr.contains(expected), "{stderr}");
+    let location = format!("line {line}: {}", expected.split(' ').next().unwrap());
+    assert!(stderr.contains(&location), "{location} in {stderr}");
 }
 
 #[test]
-fn a_contract_whose_name_the_figures_cannot_hold_is_at_fault_only_where_they_are_told() {
+fn contract_name_that_statistics_cannot_hold_is_rejected_only_with_mgmt() {
     let text = std::fs::read_to_string(DEPLOYED)
         .unwrap()
         .replace("\"stay-read\"", "\"stay:read\"");
     assert!(
-        run(&["check", written(&text).to_str().unwrap()])
+        run(&["check", write_config(&text).to_str().unwrap()])
             .status
             .success()
     );
-    let told = text.replace("# [mgmt]", "[mgmt]\nlisten = \"127.0.0.1:9001\"\n#");
-    let said = said(&run(&["check", written(&told).to_str().unwrap()]));
+    let with_mgmt = text.replace("# [mgmt]", "[mgmt]\nlisten = \"127.0.0.1:9001\"\n#");
+    let stderr = stderr(&run(&["check", write_config(&with_mgmt).to_str().unwrap()]));
     assert!(
-        said.contains("front.1.contract.0.name is \"stay:read\": with [mgmt]"),
-        "{said}"
+        stderr.contains("front.1.contract.0.name is \"stay:read\": with [mgmt]"),
+        "{stderr}"
     );
 }
 
 #[test]
-fn all_faults_of_a_file_are_named_at_once() {
+fn all_errors_of_a_file_are_reported_together() {
     let text = std::fs::read_to_string(DEPLOYED).unwrap();
     let text = text
         .replace("sockets = 1024", "sockets = 3")
         .replace("share = 0.29", "share = 9")
         .replace("[log]", "[lag]");
-    let output = run(&["check", written(&text).to_str().unwrap()]);
-    let said = said(&output);
-    assert_eq!(said.lines().count(), 3, "{said}");
+    let output = run(&["check", write_config(&text).to_str().unwrap()]);
+    let stderr = stderr(&output);
+    assert_eq!(stderr.lines().count(), 3, "{stderr}");
     assert!(
-        said.contains("gateway.sockets")
-            && said.contains("budget.1.share")
-            && said.contains("lag is not known; is log")
+        stderr.contains("gateway.sockets")
+            && stderr.contains("budget.1.share")
+            && stderr.contains("lag is not known; is log")
     );
 }
 
@@ -202,17 +203,17 @@
     "[[front]]\nprotocol = \"cassandra\"\nlisten = \"127.0.0.1:1\"\n",
     "front.0.member is missing"
 )]
-fn a_file_that_is_hardly_one_gets_a_clear_word(#[case] text: &str, #[case] wanted: &str) {
-    let output = run(&["check", written(text).to_str().unwrap()]);
+fn malformed_or_incomplete_file_is_reported(#[case] text: &str, #[case] expected: &str) {
+    let output = run(&["check", write_config(text).to_str().unwrap()]);
     assert!(
-        output.status.code() == Some(2) && said(&output).contains(wanted),
+        output.status.code() == Some(2) && stderr(&output).contains(expected),
         "{}",
-        said(&output)
+        stderr(&output)
     );
 }
 
 #[test]
-fn users_need_a_state_folder_and_keys_are_localized_to_their_engine() {
+fn snmp_users_need_a_state_folder_and_localized_keys() {
     let key = |args: &[&str], passwords: &str| {
         use std::io::Write;
         let mut child = Command::new(env!("CARGO_BIN_EXE_valehatch"))
@@ -231,13 +232,13 @@
             .unwrap();
         child.wait_with_output().unwrap()
     };
-    let made = key(&["--gateway", "gateway-1"], "maplesyrup\nmaplesyrup\n");
-    let keys = String::from_utf8(made.stdout).unwrap();
-    let same = key(&["--file", DEPLOYED], "maplesyrup\nmaplesyrup\n");
+    let created = key(&["--gateway", "gateway-1"], "maplesyrup\nmaplesyrup\n");
+    let keys = String::from_utf8(created.stdout).unwrap();
+    let from_file = key(&["--file", DEPLOYED], "maplesyrup\nmaplesyrup\n");
     assert_eq!(
-        String::from_utf8(same.stdout).unwrap(),
+        String::from_utf8(from_file.stdout).unwrap(),
         keys,
-        "the file's gateway has that name"
+        "the file names the same gateway"
     );
     // RFC 3414, appendix A.3, with SHA-256.
     let known = key(&["--engine-id", "000000000000000000000002"], "maplesyrup\n");
@@ -251,16 +252,16 @@
     let user = format!("[[snmp.user]]\nname = \"facilities\"\n{keys}");
     let with = text.replace("# [[snmp.user]]", &user);
     assert!(
-        run(&["check", written(&with).to_str().unwrap()])
+        run(&["check", write_config(&with).to_str().unwrap()])
             .status
             .success()
     );
     let without = with
         .replace("[state] ", "# ")
         .replace("dir = \"valehatch-state\"", "");
-    let faults = said(&run(&[
+    let errors = stderr(&run(&[
         "check",
-        written(
+        write_config(
             &without
                 .replace("sync-ms", "# ")
                 .replace("checkpoint-ms", "# ")
@@ -271,18 +272,18 @@
         .unwrap(),
     ]));
     assert!(
-        faults.contains("snmp.user.0.name needs [state] dir"),
-        "{faults}"
+        errors.contains("snmp.user.0.name needs [state] dir"),
+        "{errors}"
     );
     let short = with.replace(&keys[..30], "auth-key = \"8982");
     assert!(
-        said(&run(&["check", written(&short).to_str().unwrap()]))
+        stderr(&run(&["check", write_config(&short).to_str().unwrap()]))
             .contains("snmp.user.0.auth-key is not a localized key")
     );
 }
 
 #[test]
-fn what_config_prints_is_a_file_that_comes_to_the_same() {
+fn printed_configuration_is_printed_unchanged_when_loaded() {
     let first = run(&["config", DEPLOYED]);
     let shown = String::from_utf8(first.stdout).unwrap();
     for default in [
@@ -294,13 +295,13 @@
     ] {
         assert!(shown.contains(default), "{default} in {shown}");
     }
-    let again = run(&["config", written(&shown).to_str().unwrap()]);
-    let faults = said(&again);
-    assert_eq!(String::from_utf8(again.stdout).unwrap(), shown, "{faults}");
+    let again = run(&["config", write_config(&shown).to_str().unwrap()]);
+    let stderr = stderr(&again);
+    assert_eq!(String::from_utf8(again.stdout).unwrap(), shown, "{stderr}");
 }
 
 #[test]
-fn every_command_has_help_and_without_one_the_platform_is_served() {
+fn every_command_has_help_and_missing_command_requires_balancer_config() {
     for args in [
         &["--help"][..],
         &["serve", "--help"],
@@ -318,13 +319,16 @@
     let output = run(&[]);
     assert!(
         output.status.code() == Some(2)
-            && said(&output).contains("BALANCER_CONFIG names no configuration")
+            && stderr(&output).contains("BALANCER_CONFIG names no configuration")
+    );
+    assert!(
+        !run(&["--cassandra", "x"]).status.success(),
+        "the option was removed"
     );
-    assert!(!run(&["--cassandra", "x"]).status.success(), "it has gone");
 }
 
 #[test]
-fn the_mib_under_mibs_is_the_one_that_the_agent_answers_from() {
+fn mib_file_matches_the_mib_of_the_agent() {
     let printed = String::from_utf8(run(&["snmp", "mib"]).stdout).unwrap();
     let kept = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -333,13 +337,14 @@
     assert_eq!(
         kept.unwrap(),
         printed,
-        "print it anew: valehatch snmp mib > mibs/VALEHATCH-MIB.txt"
+        "to update it: valehatch snmp mib > mibs/VALEHATCH-MIB.txt"
     );
 }
 
-/// What SMIv2 asks of a module and a table's type cannot: RFC 2578, sections 3.1, 7 and 8; RFC 2580, section 3.
+/// Checks the rules of SMIv2 that the types of the MIB tables do not enforce: RFC 2578, sections
+/// 3.1, 7 and 8; RFC 2580, section 3.
 #[test]
-fn the_mib_keeps_the_rules_of_smiv2() {
+fn mib_file_follows_the_rules_of_smiv2() {
     let text = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../mibs/VALEHATCH-MIB.txt"
@@ -347,7 +352,7 @@
     .unwrap();
     let words: Vec<&str> = text.split_whitespace().collect();
     let mut names = std::collections::BTreeSet::new();
-    let mut places = std::collections::BTreeSet::new();
+    let mut oids = std::collections::BTreeSet::new();
     let mut readable = vec![];
     for (n, word) in words.iter().enumerate() {
         let defines = [
@@ -371,11 +376,8 @@
                 rest[..end].contains(&"STATUS") && rest[..end].contains(&"DESCRIPTION"),
                 "{name}"
             );
-            let place = (rest[end + 2], rest[end + 3]);
-            assert!(
-                places.insert(place),
-                "{name} stands where another does: {place:?}"
-            );
+            let oid = (rest[end + 2], rest[end + 3]);
+            assert!(oids.insert(oid), "{name} has the OID of another: {oid:?}");
             if rest[..end].contains(&"read-only") || rest[..end].contains(&"accessible-for-notify")
             {
                 readable.push(name);
--- a/crates/gateway/tests/flood.rs
+++ b/crates/gateway/tests/flood.rs
@@ -1,4 +1,5 @@
-//! Idle crowds and slow writers that fill the descriptors while discovery is down: it is heard again, and good clients get in.
+//! Floods of idle connections and slow writers that exhaust the file descriptors while discovery is
+//! down: the gateway reaches discovery again, and well-behaved clients are answered.
 
 mod support;
 
@@ -12,12 +13,13 @@
 use support::*;
 
 const SOCKETS: usize = 192;
-/// Of new connections, one in so many may be closed with no answer (STANDING.md, days at full size).
-const CLOSED: usize = 200;
-const GOOD: u32 = 400;
+/// One in this many new connections may be closed without an answer (STANDING.md, days at full
+/// size).
+const CONNECTIONS_PER_CLOSED: usize = 200;
+const CLIENTS: u32 = 400;
 
-/// Whether a new connection was answered: served or refused.
-fn answered(gateway: &TestGateway, id: u32) -> bool {
+/// Whether a request on a new connection is answered, with a result or a refusal.
+fn request_is_answered(gateway: &TestGateway, id: u32) -> bool {
     let Ok(mut stream) = TcpStream::connect(gateway.address) else {
         return false;
     };
@@ -43,19 +45,20 @@
     false
 }
 
-/// A flood that goes on: `sent` on each connection, written in pieces of so many bytes. The crowd comes at once, and two more
-/// with each good client, however fast the machine is; at most so many are held open.
+/// Opens connections until `stop` is set and writes `sent` on each, in pieces of `piece` bytes.
+/// Opens twice [`SOCKETS`] at once and two more for each well-behaved client, so that the load does
+/// not depend on the speed of the machine; keeps at most `max_open` open.
 fn flood(
     gateway: &TestGateway,
     sent: &[u8],
     piece: usize,
-    held: usize,
-    asked: &AtomicUsize,
-    over: &AtomicBool,
+    max_open: usize,
+    clients_started: &AtomicUsize,
+    stop: &AtomicBool,
 ) {
     let (mut open, mut opened) = (VecDeque::new(), 0);
-    while !over.load(Ordering::SeqCst) {
-        if opened >= 2 * SOCKETS + 2 * asked.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
+        if opened >= 2 * SOCKETS + 2 * clients_started.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(1));
         } else if let Ok(mut stream) = TcpStream::connect(gateway.address) {
             opened += 1;
@@ -72,7 +75,7 @@
                 }
             }
         }
-        if open.len() > held {
+        if open.len() > max_open {
             open.pop_front();
         }
     }
@@ -80,15 +83,15 @@
 
 #[rstest]
 #[case::silent(vec![], usize::MAX)]
-#[case::greeted(Client::startup_message(), usize::MAX)]
-#[case::half_a_request([Client::startup_message(), pipelined_reads(1..2, 4_000)[..60].to_vec()].concat(), usize::MAX)]
+#[case::startup_only(Client::startup_message(), usize::MAX)]
+#[case::partial_request([Client::startup_message(), pipelined_reads(1..2, 4_000)[..60].to_vec()].concat(), usize::MAX)]
 #[case::slow_writers([Client::startup_message(), pipelined_reads(1..2, 4_000)[..60].to_vec()].concat(), 1)]
-#[case::many_commands_and_gone([Client::startup_message(), pipelined_reads(5_000..5_060, 500)].concat(), usize::MAX)]
-fn a_flood_while_discovery_is_down_keeps_out_neither_discovery_nor_good_clients(
+#[case::pipeline_then_close([Client::startup_message(), pipelined_reads(5_000..5_060, 500)].concat(), usize::MAX)]
+fn flood_while_discovery_is_down_blocks_neither_discovery_nor_clients(
     #[case] sent: Vec<u8>,
     #[case] piece: usize,
 ) {
-    let (at, _) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
+    let (db_address, _) = stub_database("read-write", |_, q| Reply::Send(echo_oid(q)));
     let small = |text: String| {
         text.replace(
             "\"sockets\":1024",
@@ -96,37 +99,37 @@
         )
     };
     let gateway = start_gateway_with_config(
-        &target("s-00000001", at, "read-write", "active"),
+        &target("s-00000001", db_address, "read-write", "active"),
         15_000,
         true,
         small,
     );
-    let held = if sent.len() > 1_000 { 8 } else { 2 * SOCKETS };
-    let (over, asked) = (AtomicBool::new(false), AtomicUsize::new(0));
+    let max_open = if sent.len() > 1_000 { 8 } else { 2 * SOCKETS };
+    let (stop, clients_started) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
-        let _stops = StopOnDrop(&over);
-        let (gateway, over, asked, sent) = (&gateway, &over, &asked, &sent);
-        scope.spawn(move || flood(gateway, sent, piece, held, asked, over));
-        wait_until("the crowd is there", || {
-            gateway.program.descriptors() > SOCKETS / 2 || held < SOCKETS
+        let _stop_on_drop = StopOnDrop(&stop);
+        let (gateway, stop, clients_started, sent) = (&gateway, &stop, &clients_started, &sent);
+        scope.spawn(move || flood(gateway, sent, piece, max_open, clients_started, stop));
+        wait_until("the flood holds its descriptors", || {
+            gateway.program.descriptors() > SOCKETS / 2 || max_open < SOCKETS
         });
-        let answered = |id: &u32| {
-            asked.fetch_add(1, Ordering::SeqCst);
-            answered(gateway, *id)
+        let is_answered = |id: &u32| {
+            clients_started.fetch_add(1, Ordering::SeqCst);
+            request_is_answered(gateway, *id)
         };
-        let lost = (1..=GOOD).filter(|id| !answered(id)).count();
+        let lost = (1..=CLIENTS).filter(|id| !is_answered(id)).count();
         assert!(
-            lost <= usize::try_from(GOOD).unwrap() / CLOSED,
-            "{lost} of {GOOD} closed with no answer"
+            lost <= usize::try_from(CLIENTS).unwrap() / CONNECTIONS_PER_CLOSED,
+            "{lost} of {CLIENTS} closed without an answer"
         );
         assert!(
             gateway.program.descriptors() <= SOCKETS,
             "{}",
             gateway.program.descriptors()
         );
-        // It comes back while the crowd stands.
+        // Discovery recovers during the flood.
         gateway.discovery.silent.store(false, Ordering::SeqCst);
-        wait_until("discovery is heard", || {
+        wait_until("discovery is reached", || {
             gateway.discovery.watches.load(Ordering::SeqCst) > 0
         });
     });
--- a/crates/gateway/tests/known_red.rs
+++ b/crates/gateway/tests/known_red.rs
@@ -1,6 +1,7 @@
-//! `.ci/known-red`, which judges what `cargo test` wrote: just the tests that the list names may fail.
+//! Tests of the script `.ci/known-red`, which reads the output of `cargo test`: only the tests that
+//! the list names may fail.
 //!
-//! The outputs are written by hand in the form of cargo 1.95's; nothing is run here but the script.
+//! The outputs are written by hand in the format of cargo 1.95; only the script is run.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -120,168 +121,172 @@
 
 const FORM: &str = "not `test-target::test_name | command and seed | what was seen | #issue`";
 
-/// Files of one judgement; the list is no file if there is none, and without an output it is the list that is judged.
-fn run(list: Option<&str>, output: Option<(&[&str], i32)>) -> Output {
+/// Runs the script on files with this list and this output of cargo with its exit status. No list
+/// means no such file; without an output the script checks only the list.
+fn run_script(list: Option<&str>, output: Option<(&[&str], i32)>) -> Output {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder: PathBuf =
         std::env::temp_dir().join(format!("valehatch-known-red-{}-{n}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let (known, wrote) = (folder.join("KNOWN-RED.txt"), folder.join("output"));
+    let (list_file, output_file) = (folder.join("KNOWN-RED.txt"), folder.join("output"));
     list.iter()
-        .for_each(|list| std::fs::write(&known, list).unwrap());
+        .for_each(|list| std::fs::write(&list_file, list).unwrap());
     let mut script = Command::new(SCRIPT);
-    script.arg(&known);
+    script.arg(&list_file);
     if let Some((output, status)) = output {
-        std::fs::write(&wrote, output.concat()).unwrap();
-        script.arg(&wrote).arg(status.to_string());
+        std::fs::write(&output_file, output.concat()).unwrap();
+        script.arg(&output_file).arg(status.to_string());
     }
-    let judged = script.output().unwrap();
+    let result = script.output().unwrap();
     std::fs::remove_dir_all(folder).unwrap();
-    judged
+    result
 }
 
-fn judge(list: Option<&str>, output: &[&str], status: i32) -> Output {
-    run(list, Some((output, status)))
+fn check_output(list: Option<&str>, output: &[&str], status: i32) -> Output {
+    run_script(list, Some((output, status)))
 }
 
-fn said(judged: &Output) -> String {
-    String::from_utf8_lossy(&[&judged.stdout[..], &judged.stderr].concat()).into_owned()
+fn output_text(result: &Output) -> String {
+    String::from_utf8_lossy(&[&result.stdout[..], &result.stderr].concat()).into_owned()
 }
 
 #[rstest]
 #[case::no_file(None)]
-#[case::an_empty_file(Some(""))]
-#[case::nothing_but_blanks(Some("\n  \n"))]
-fn where_nothing_is_listed_cargos_word_is_the_judgement(#[case] list: Option<&str>) {
-    let passed = judge(list, &[UNIT, PASSES, DOC], 0);
+#[case::empty_file(Some(""))]
+#[case::only_whitespace(Some("\n  \n"))]
+fn without_listed_tests_the_result_of_cargo_decides(#[case] list: Option<&str>) {
+    let passed = check_output(list, &[UNIT, PASSES, DOC], 0);
     assert!(
-        passed.status.success() && said(&passed).is_empty(),
+        passed.status.success() && output_text(&passed).is_empty(),
         "{}",
-        said(&passed)
+        output_text(&passed)
     );
-    // A failure, a crash, and code that cannot be built.
+    // A failed test, a crash and a failed build.
     for output in [&[UNIT, FAILS][..], &[UNIT, CRASHES], &[NO_BUILD]] {
-        let failed = judge(list, output, 101);
-        assert!(!failed.status.success() && said(&failed).contains("cargo test ended with 101"));
+        let failed = check_output(list, output, 101);
+        assert!(
+            !failed.status.success() && output_text(&failed).contains("cargo test ended with 101")
+        );
     }
 }
 
 #[test]
-fn a_listed_test_may_fail_and_is_printed_with_its_cause() {
-    let judged = judge(Some(LISTED), &[UNIT, FAILS, DOC, ONE], 101);
-    assert!(judged.status.success(), "{}", said(&judged));
+fn failure_of_a_listed_test_passes_and_is_printed_with_its_cause() {
+    let result = check_output(Some(LISTED), &[UNIT, FAILS, DOC, ONE], 101);
+    assert!(result.status.success(), "{}", output_text(&result));
     let line = "known red, failed: upgrade::the_new_one::case_1_killed: the old one answers late (#24), \
         seen with: cargo test --test upgrade, seed 7";
     assert!(
-        said(&judged).lines().any(|l| l == line),
+        output_text(&result).lines().any(|l| l == line),
         "{}",
-        said(&judged)
+        output_text(&result)
     );
 }
 
 #[test]
-fn a_listed_test_that_passes_is_said_so() {
-    let judged = judge(Some(LISTED), &[UNIT, PASSES, DOC], 0);
-    assert!(judged.status.success());
+fn listed_test_that_passes_is_reported() {
+    let result = check_output(Some(LISTED), &[UNIT, PASSES, DOC], 0);
+    assert!(result.status.success());
     let line =
         "known red, but passed: upgrade::the_new_one::case_1_killed: to be taken off the list";
     assert!(
-        said(&judged).lines().any(|l| l == line),
+        output_text(&result).lines().any(|l| l == line),
         "{}",
-        said(&judged)
+        output_text(&result)
     );
 }
 
 #[test]
-fn a_listed_test_that_is_not_run_is_said_so() {
-    let judged = judge(
+fn listed_test_that_is_not_run_is_reported() {
+    let result = check_output(
         Some("sample::tests::waits | cargo test | an hour | #1"),
         &[UNIT, PASSES, DOC],
         0,
     );
     assert!(
-        judged.status.success()
-            && said(&judged).contains("known red, not run: sample::tests::waits")
+        result.status.success()
+            && output_text(&result).contains("known red, not run: sample::tests::waits")
     );
 }
 
 #[test]
-fn a_doc_test_can_be_listed_too() {
+fn failure_of_a_listed_doc_test_passes() {
     let list = "sample::src/lib.rs - adds (line 3) | cargo test --doc | the page is ahead of the code | #2";
-    let told = "error: 1 target failed:\n    `-p sample --doc`\n";
-    let judged = judge(Some(list), &[UNIT, PASSES, DOC_FAILS, told], 101);
-    assert!(judged.status.success(), "{}", said(&judged));
+    let summary = "error: 1 target failed:\n    `-p sample --doc`\n";
+    let result = check_output(Some(list), &[UNIT, PASSES, DOC_FAILS, summary], 101);
+    assert!(result.status.success(), "{}", output_text(&result));
     assert!(
-        !judge(Some(LISTED), &[UNIT, FAILS, DOC_FAILS, TWO], 101)
+        !check_output(Some(LISTED), &[UNIT, FAILS, DOC_FAILS, TWO], 101)
             .status
             .success()
     );
 }
 
-/// What else fails, by what the script says of it.
+/// `message` is what the script prints about the failure.
 #[rstest]
 #[case::another_test(&[UNIT, FAILS, FAIL_TOO, DOC, TWO], 101, "failed and not listed: door::shuts")]
 #[case::another_test_only(&[UNIT, PASSES, FAIL_TOO, DOC, ONE], 101, "failed and not listed: door::shuts")]
-#[case::a_binary_that_crashes(&[UNIT, FAILS, CRASHES, DOC, TWO], 101, "came to no end: door")]
-#[case::a_crash_and_no_failure(&[UNIT, PASSES, CRASHES, DOC, ONE], 101, "came to no end: door")]
-#[case::the_last_one_crashes(&[UNIT, FAILS, DOC, CRASHES, TWO], 101, "came to no end: door")]
-#[case::code_that_cannot_be_built(&[NO_BUILD], 101, "no such test has run: upgrade::the_new_one::case_1_killed")]
-#[case::a_run_that_was_cut_off(&[UNIT, FAILS], 101, "0 targets failed, and 1 of them by their tests")]
-#[case::a_run_that_was_killed(&[UNIT, FAILS, DOC, ONE], 137, "cargo test ended with 137")]
-#[case::a_target_that_fails_without_a_test(&[UNIT, FAILS, DOC, TWO], 101, "2 targets failed, and 1 of them by their tests")]
-fn whatever_else_fails_still_fails(
-    #[case] output: &[&str],
-    #[case] status: i32,
-    #[case] what: &str,
-) {
-    let judged = judge(Some(LISTED), output, status);
+#[case::crash_of_another_target(&[UNIT, FAILS, CRASHES, DOC, TWO], 101, "came to no end: door")]
+#[case::crash_without_a_failed_test(&[UNIT, PASSES, CRASHES, DOC, ONE], 101, "came to no end: door")]
+#[case::crash_of_the_last_target(&[UNIT, FAILS, DOC, CRASHES, TWO], 101, "came to no end: door")]
+#[case::failed_build(&[NO_BUILD], 101, "no such test has run: upgrade::the_new_one::case_1_killed")]
+#[case::truncated_output(&[UNIT, FAILS], 101, "0 targets failed, and 1 of them by their tests")]
+#[case::killed_run(&[UNIT, FAILS, DOC, ONE], 137, "cargo test ended with 137")]
+#[case::failed_target_without_a_failed_test(&[UNIT, FAILS, DOC, TWO], 101, "2 targets failed, and 1 of them by their tests")]
+fn any_other_failure_fails(#[case] output: &[&str], #[case] status: i32, #[case] message: &str) {
+    let result = check_output(Some(LISTED), output, status);
     assert!(
-        !judged.status.success() && said(&judged).contains(what),
+        !result.status.success() && output_text(&result).contains(message),
         "{}",
-        said(&judged)
+        output_text(&result)
     );
 }
 
 #[test]
-fn a_failure_that_is_counted_but_not_named_fails() {
+fn failure_that_is_counted_but_not_named_fails() {
     let output = FAILS.replace("1 passed; 1 failed", "0 passed; 2 failed");
-    let judged = judge(Some(LISTED), &[UNIT, &output, DOC, ONE], 101);
+    let result = check_output(Some(LISTED), &[UNIT, &output, DOC, ONE], 101);
     assert!(
-        !judged.status.success() && said(&judged).contains("2 failures are counted, and 1 named")
+        !result.status.success()
+            && output_text(&result).contains("2 failures are counted, and 1 named")
     );
 }
 
-/// Each is found before anything is run: the script is given no output.
+/// The script reports a malformed list without any output to check.
 #[rstest]
 #[case::no_issue("upgrade::keeps_order | cargo test | late\n", FORM)]
 #[case::no_command("upgrade::keeps_order | | late | #4\n", FORM)]
 #[case::nothing_seen("upgrade::keeps_order | cargo test | | #4\n", FORM)]
-#[case::a_fifth_field("upgrade::keeps_order | cargo test | late | #4 | #5\n", FORM)]
-#[case::an_issue_without_a_number(
+#[case::five_fields("upgrade::keeps_order | cargo test | late | #4 | #5\n", FORM)]
+#[case::issue_without_a_number(
     "upgrade::keeps_order | cargo test | late | later\n",
     "not the number of an issue: later"
 )]
 #[case::no_target("keeps_order | cargo test | late | #4\n", "not a target and a test")]
-fn a_list_that_is_out_of_order_is_an_error(#[case] list: &str, #[case] what: &str) {
-    let judged = run(Some(list), None);
+fn malformed_list_is_an_error(#[case] list: &str, #[case] message: &str) {
+    let result = run_script(Some(list), None);
     assert!(
-        !judged.status.success() && said(&judged).contains(what),
+        !result.status.success() && output_text(&result).contains(message),
         "{}",
-        said(&judged)
+        output_text(&result)
+    );
+    // So it does with an output, even of a run in which all tests passed.
+    assert!(
+        !check_output(Some(list), &[UNIT, PASSES, DOC], 0)
+            .status
+            .success()
     );
-    // The same where there is an output to judge, even of a run in which all passed.
-    assert!(!judge(Some(list), &[UNIT, PASSES, DOC], 0).status.success());
 }
 
 #[test]
-fn several_lines_are_in_order_and_spaces_do_not_matter() {
+fn several_listed_tests_and_extra_spaces_are_accepted() {
     let list = "\nupgrade::the_new_one::case_1_killed|cargo test|late|#4\n upgrade::keeps_order  |  cargo test  |  late  |  #4  \n\
         sample::tests::adds | cargo test | late | #4\nsample::tests::waits | cargo test | late | #4\n";
-    let judged = judge(Some(list), &[UNIT, FAILS, DOC, ONE], 101);
-    assert!(judged.status.success(), "{}", said(&judged));
+    let result = check_output(Some(list), &[UNIT, FAILS, DOC, ONE], 101);
+    assert!(result.status.success(), "{}", output_text(&result));
     assert_eq!(
-        said(&judged)
+        output_text(&result)
             .lines()
             .filter(|l| l.starts_with("known red"))
             .count(),
@@ -290,31 +295,34 @@
 }
 
 #[rstest]
-#[case::no_such_name(
+#[case::unknown_test(
     "upgrade::the_new_one::case_2 | cargo test | late | #4",
     "no such test has run"
 )]
-#[case::the_name_in_another_target(
+#[case::test_of_another_target(
     "door::keeps_order | cargo test | late | #4",
     "no such test has run"
 )]
-fn a_name_that_no_test_has_is_an_error(#[case] list: &str, #[case] what: &str) {
+fn name_without_a_test_is_an_error(#[case] list: &str, #[case] message: &str) {
     for (output, status) in [
         (&[UNIT, PASSES, DOC][..], 0),
         (&[UNIT, FAILS, DOC, ONE][..], 101),
     ] {
-        let judged = judge(Some(list), output, status);
+        let result = check_output(Some(list), output, status);
         assert!(
-            !judged.status.success() && said(&judged).contains(what),
+            !result.status.success() && output_text(&result).contains(message),
             "{}",
-            said(&judged)
+            output_text(&result)
         );
     }
 }
 
-/// Two crates have a file of tests of the same name: which one is meant cannot be told.
+/// With test targets of the same name in two crates, the entry is ambiguous.
 #[test]
-fn a_name_that_two_tests_have_is_an_error() {
-    let judged = judge(Some(LISTED), &[UNIT, PASSES, FAILS, DOC, ONE], 101);
-    assert!(!judged.status.success() && said(&judged).contains("more than one test has this name"));
+fn name_of_two_tests_is_an_error() {
+    let result = check_output(Some(LISTED), &[UNIT, PASSES, FAILS, DOC, ONE], 101);
+    assert!(
+        !result.status.success()
+            && output_text(&result).contains("more than one test has this name")
+    );
 }
--- a/crates/gateway/tests/sites.rs
+++ b/crates/gateway/tests/sites.rs
@@ -1,4 +1,4 @@
-//! One program, and the settings of two sites that have nothing in common: it does for each what that one asks.
+//! End-to-end tests of the gateway on the settings of two deployments that have nothing in common.
 
 mod support;
 
@@ -10,14 +10,15 @@
 use serde_json::{Value, json};
 use support::*;
 
-/// A class whose name, effect, window and deadline a site chooses.
+/// Settings of a class, with times in milliseconds.
 fn class(name: &str, effect: &str, window_ms: u32, deadline_ms: u32) -> Value {
     json!({"name": name, "effect": effect, "group": "cell", "deadline-ms": deadline_ms, "slo-ms": deadline_ms / 3,
         "late-worth": 0.3, "window-ms": window_ms, "worth": 1.0})
 }
 
-/// Names with spaces and letters that ASCII lacks; its gateway stands in the second zone; probes are allowed.
-fn hall() -> Value {
+/// Settings with names that contain spaces and non-ASCII letters; the gateway is in the second zone
+/// and probes are allowed.
+fn hall_settings() -> Value {
     json!({
         "areas": ["hal a", "hal ø"], "skus": ["std 4"],
         "classes": [class("plads check", "safe", 0, 5000), class("køb & betal", "keyed", 4000, 5000),
@@ -36,8 +37,9 @@
     })
 }
 
-/// The same names for other things, no tenants, no zones, no probes, no windows, short deadlines.
-fn yard() -> Value {
+/// Settings that use the same names with other meanings, without tenants, zones, probes or retry
+/// windows, and with short deadlines.
+fn yard_settings() -> Value {
     json!({
         "classes": [class("én gang", "keyed", 0, 900), class("plads check", "unsafe", 0, 900),
             class("42", "safe", 0, 900), class("frisk læsning", "safe", 0, 900)],
@@ -56,8 +58,8 @@
     target.replace(r#""az":"a""#, &format!(r#""az":"{zone}""#))
 }
 
-/// A gateway with a site's settings, between these members.
-fn served(settings: &Value, members: &[String]) -> TestGateway {
+/// Starts a gateway with these settings and endpoints.
+fn start_with_settings(settings: &Value, members: &[String]) -> TestGateway {
     start_gateway_with_config(&members.join(","), 15_000, false, |text| {
         let mut config: Value = serde_json::from_str(&text).unwrap();
         config["settings"] = settings.clone();
@@ -75,8 +77,8 @@
     )
 }
 
-/// What a member that serves a query answers.
-fn done(query: &str) -> Reply {
+/// Reply of an endpoint that executes the query.
+fn execute(query: &str) -> Reply {
     Reply::Send(row_with_tag(
         "done",
         if query.contains("INSERT") {
@@ -87,9 +89,10 @@
     ))
 }
 
-/// A member that breaks the connection at the first query of each id, with no answer, and serves the next.
-fn breaking(role: &'static str) -> (SocketAddr, std::sync::Arc<StubDatabase>) {
-    let met = std::sync::Mutex::new(std::collections::BTreeSet::new());
+/// Starts a stub database that closes the connection at the first query of each id, without an
+/// answer, and executes the later ones.
+fn fail_first_attempts(role: &'static str) -> (SocketAddr, std::sync::Arc<StubDatabase>) {
+    let known_ids = std::sync::Mutex::new(std::collections::BTreeSet::new());
     stub_database(role, move |_, query| {
         let id = query
             .split("id=")
@@ -99,17 +102,17 @@
             .next()
             .unwrap()
             .to_owned();
-        if met.lock().unwrap().insert(id) {
+        if known_ids.lock().unwrap().insert(id) {
             Reply::SendThenClose(vec![])
         } else {
-            done(query)
+            execute(query)
         }
     })
 }
 
-fn asked(seen: &StubDatabase, id: &str) -> usize {
+fn attempts(db: &StubDatabase, id: &str) -> usize {
     let id = format!("id={id},");
-    seen.queries
+    db.queries
         .lock()
         .unwrap()
         .iter()
@@ -118,13 +121,13 @@
 }
 
 #[test]
-fn effects_are_those_of_the_site() {
+fn retries_follow_the_effects_in_the_settings() {
     let done = Answer::Value("done".into());
     let broken = Answer::Error("58000".into(), None);
-    // What is safe or, within its window, keyed is repeated; what is not is not.
-    let (primary, seen) = breaking("read-write");
-    let gateway = served(
-        &hall(),
+    // Safe requests, and keyed ones within their window, are retried; unsafe ones are not.
+    let (primary, db) = fail_first_attempts("read-write");
+    let gateway = start_with_settings(
+        &hall_settings(),
         &[target("s-00000001", primary, "read-write", "active")],
     );
     let mut client = Client::connect(gateway.address);
@@ -132,13 +135,18 @@
     assert_eq!(client.query(&write(2, "køb & betal")), done);
     assert_eq!(client.query(&write(3, "én gang")), broken);
     assert_eq!(
-        [asked(&seen, "r1"), asked(&seen, "w2"), asked(&seen, "w3")],
+        [
+            attempts(&db, "r1"),
+            attempts(&db, "w2"),
+            attempts(&db, "w3")
+        ],
         [2, 2, 1]
     );
-    // The same names stand for other things elsewhere: keyed without a window, and not to be repeated.
-    let (primary, seen) = breaking("read-write");
-    let gateway = served(
-        &yard(),
+    // Here the same names stand for a keyed class without a window and an unsafe one: neither is
+    // retried.
+    let (primary, db) = fail_first_attempts("read-write");
+    let gateway = start_with_settings(
+        &yard_settings(),
         &[target("s-00000001", primary, "read-write", "active")],
     );
     let mut client = Client::connect(gateway.address);
@@ -146,95 +154,104 @@
     assert_eq!(client.query(&write(2, "plads check")), broken);
     assert_eq!(client.query(&read(3, "42")), done);
     assert_eq!(
-        [asked(&seen, "w1"), asked(&seen, "w2"), asked(&seen, "r3")],
+        [
+            attempts(&db, "w1"),
+            attempts(&db, "w2"),
+            attempts(&db, "r3")
+        ],
         [1, 1, 2]
     );
 }
 
-/// The text of the error that a query is answered with, if it is.
-fn fault(client: &mut Client, query: &str) -> Option<String> {
+/// Sends a query and returns the text of the error in its answer, if any.
+fn query_error(client: &mut Client, query: &str) -> Option<String> {
     client.send(query);
-    let mut said = None;
+    let mut error = None;
     loop {
         match read_message(&mut client.0).expect("an answer") {
-            (b'E', body) => said = Some(String::from_utf8(body).unwrap()),
-            (b'Z', _) => return said,
+            (b'E', body) => error = Some(String::from_utf8(body).unwrap()),
+            (b'Z', _) => return error,
             _ => {}
         }
     }
 }
 
 #[test]
-fn a_name_that_no_setting_has_is_named() {
-    let (primary, seen) = stub_database("read-write", |_, query| done(query));
-    let gateway = served(
-        &hall(),
+fn unknown_class_name_is_reported_in_the_error() {
+    let (primary, db) = stub_database("read-write", |_, query| execute(query));
+    let gateway = start_with_settings(
+        &hall_settings(),
         &[target("s-00000001", primary, "read-write", "active")],
     );
     let mut client = Client::connect(gateway.address);
-    // Neither the flat form of a name nor another letter is that name.
+    // A normalized or misspelt form of a name does not match it.
     for (n, name) in ["plads_check", "plads", "Plads check", "kob", "42"]
         .into_iter()
         .enumerate()
     {
-        let said = fault(&mut client, &read(u32::try_from(n).unwrap(), name)).expect("an error");
-        assert!(said.contains(&format!("{name:?}")), "{said}");
+        let error =
+            query_error(&mut client, &read(u32::try_from(n).unwrap(), name)).expect("an error");
+        assert!(error.contains(&format!("{name:?}")), "{error}");
     }
-    assert_eq!(seen.count(), 0, "nothing of that went on");
-    assert_eq!(fault(&mut client, &read(10, "plads check")), None);
-    // A tenant that is not known has no budget; it is served like those that name none.
+    assert_eq!(db.count(), 0, "no such query was relayed");
+    assert_eq!(query_error(&mut client, &read(10, "plads check")), None);
+    // A request of an unknown tenant has no budget and is served like one without a tenant.
     assert_eq!(
-        fault(
+        query_error(
             &mut client,
             &write(11, "køb & betal").replace("strand lejren", "nobody")
         ),
         None
     );
     assert!(
-        seen.query_text(0).contains("c=plads check,d="),
-        "the names pass on as they came"
+        db.query_text(0).contains("c=plads check,d="),
+        "names are relayed unchanged"
     );
 }
 
-/// A value of the comment that looks like another name is none.
+/// Guards against a rewrite of the deadline field that matches inside a value of another field.
 #[test]
-fn a_name_that_looks_like_a_time_stays_as_it_is() {
-    let (primary, seen) = stub_database("read-write", |_, query| done(query));
-    let mut settings = hall();
+fn class_name_that_looks_like_a_deadline_is_unchanged() {
+    let (primary, db) = stub_database("read-write", |_, query| execute(query));
+    let mut settings = hall_settings();
     settings["classes"][0]["name"] = json!("plads d=7");
-    let gateway = served(
+    let gateway = start_with_settings(
         &settings,
         &[target("s-00000001", primary, "read-write", "active")],
     );
     assert_eq!(
-        fault(&mut Client::connect(gateway.address), &read(1, "plads d=7")),
+        query_error(&mut Client::connect(gateway.address), &read(1, "plads d=7")),
         None
     );
-    let query = seen.query_text(0);
+    let query = db.query_text(0);
     assert!(
         query.contains("c=plads d=7,d=") && !query.contains("d=4000"),
         "{query}"
     );
 }
 
-/// Of two replicas that are drawn with nothing out the one in the gateway's own zone goes first; one in a zone that the
-/// settings do not list is in no zone of theirs.
+/// Of two sampled replicas without open requests the one in the gateway's own zone is preferred; a
+/// zone that the settings do not list counts as another zone.
 #[rstest]
 #[case(1, "hal ø", "hal a")]
 #[case(0, "hal a", "hal ø")]
 #[case(0, "hal a", "hal c")]
-fn zones_are_told_apart_by_their_names(#[case] zone: u8, #[case] own: &str, #[case] other: &str) {
-    let (near, by_near) = stub_database("read-only", |_, _| Reply::Send(row("near")));
-    let (far, by_far) = stub_database("read-only", |_, _| Reply::Send(row("far")));
+fn replica_in_the_gateways_zone_is_preferred(
+    #[case] zone: u8,
+    #[case] own: &str,
+    #[case] other: &str,
+) {
+    let (near, near_database) = stub_database("read-only", |_, _| Reply::Send(row("near")));
+    let (far, far_database) = stub_database("read-only", |_, _| Reply::Send(row("far")));
     let (primary, _) = stub_database("read-write", |_, _| Reply::Send(row("primary")));
     let members = [
         in_zone(&target("s-00000001", primary, "read-write", "active"), own),
         in_zone(&target("s-00000002", far, "read-only", "active"), other),
         in_zone(&target("s-00000003", near, "read-only", "active"), own),
     ];
-    let mut settings = hall();
+    let mut settings = hall_settings();
     settings["zone"] = json!(zone);
-    let gateway = served(&settings, &members);
+    let gateway = start_with_settings(&settings, &members);
     let mut client = Client::connect(gateway.address);
     for id in 0..300 {
         assert!(matches!(
@@ -242,44 +259,45 @@
             Answer::Value(_)
         ));
     }
-    // Three in four, where it were one in two.
-    let (near, far) = (by_near.count(), by_far.count());
+    // Three in four are expected; without a preference it would be one in two.
+    let (near, far) = (near_database.count(), far_database.count());
     assert!(near >= 190, "{near} to its own zone, {far} to the other");
 }
 
 #[test]
-fn probes_are_sent_where_the_site_allows_them() {
-    for (settings, allowed) in [(hall(), true), (yard(), false)] {
+fn probes_are_sent_only_if_the_settings_allow_them() {
+    for (settings, allowed) in [(hall_settings(), true), (yard_settings(), false)] {
         let (primary, _) = stub_database("read-write", |_, _| Reply::Send(row("primary")));
-        let (replica, seen) = stub_database("read-only", |_, _| Reply::Send(row("replica")));
+        let (replica, db) = stub_database("read-only", |_, _| Reply::Send(row("replica")));
         let members = [
             target("s-00000001", primary, "read-write", "active"),
             target("s-00000002", replica, "read-only", "active"),
         ];
-        let gateway = served(&settings, &members);
+        let gateway = start_with_settings(&settings, &members);
         let mut client = Client::connect(gateway.address);
         let mut id = 0;
-        let mut ask = || {
+        let mut query_class = || {
             id += 1;
             client.query(&read(id, "frisk læsning"))
         };
         if allowed {
-            wait_until("a replica that was asked how far it is serves", || {
-                ask() == Answer::Value("replica".into())
-            });
+            wait_until(
+                "a replica serves whose position a probe has reported",
+                || query_class() == Answer::Value("replica".into()),
+            );
         } else {
-            // How far a replica is nobody knows, so that only the primary may serve.
-            (0..50).for_each(|_| assert_eq!(ask(), Answer::Value("primary".into())));
+            // Without probes the positions of replicas are unknown: only the primary may serve.
+            (0..50).for_each(|_| assert_eq!(query_class(), Answer::Value("primary".into())));
         }
-        assert_eq!(seen.probes.load(Ordering::SeqCst) > 0, allowed);
+        assert_eq!(db.probes.load(Ordering::SeqCst) > 0, allowed);
     }
 }
 
 #[test]
-fn a_client_waits_for_as_long_as_its_site_says() {
-    let took = |settings: &Value| {
+fn unanswered_request_fails_after_the_deadline_of_its_class() {
+    let time_to_failure = |settings: &Value| {
         let (primary, _) = stub_database("read-write", |_, _| Reply::SendThenStall(vec![]));
-        let gateway = served(
+        let gateway = start_with_settings(
             settings,
             &[target("s-00000001", primary, "read-write", "active")],
         );
@@ -294,12 +312,14 @@
         assert!(matches!(client.query(&query), Answer::Error(code, _) if code == "57014"));
         began.elapsed().as_millis()
     };
-    let (hall, yard) = (took(&hall()), took(&yard()));
-    assert!(hall >= 4_900, "{hall} ms of 5,000");
-    assert!((800..4_900).contains(&yard), "{yard} ms of 900");
+    let (hall_ms, yard_ms) = (
+        time_to_failure(&hall_settings()),
+        time_to_failure(&yard_settings()),
+    );
+    assert!(hall_ms >= 4_900, "{hall_ms} ms of 5,000");
+    assert!((800..4_900).contains(&yard_ms), "{yard_ms} ms of 900");
 }
 
-/// What nobody can mean ends the start, and its key is named.
 #[rstest]
 #[case("/zone", json!(2), "zone")]
 #[case("/classes/1/name", json!("plads check"), "classes.1.name")]
@@ -315,15 +335,15 @@
 #[case("/tenants/0/allowance-per-s", json!(null), "tenants.0.allowance-per-s")]
 #[case("/tenants", json!("strand lejren"), "tenants")]
 #[case("/over-share-worth", json!(null), "over-share-worth")]
-fn a_setting_that_nobody_can_mean_ends_the_start(
-    #[case] at: &str,
+fn invalid_setting_fails_the_start_with_its_key(
+    #[case] pointer: &str,
     #[case] value: Value,
     #[case] key: &str,
 ) {
     let text = config(free_address(), free_address(), "", 15_000);
     let mut config: Value = serde_json::from_str(&text).unwrap();
-    config["settings"] = hall();
-    *config["settings"].pointer_mut(at).unwrap() = value;
+    config["settings"] = hall_settings();
+    *config["settings"].pointer_mut(pointer).unwrap() = value;
     let path = temp_folder().join("config.json");
     std::fs::write(&path, config.to_string()).unwrap();
     let mut program = GatewayProcess::spawn(&[], Some(&path), &[]);
@@ -331,12 +351,13 @@
     program.wait_for_log(&format!("settings: {key}"));
 }
 
-/// Figures end a class's name at a colon; whoever has them told is told of such a name.
+/// The statistics end a class name at a colon, so that with a management endpoint no name may hold
+/// one.
 #[test]
-fn a_name_that_figures_cannot_tell_ends_the_start_where_they_are_told() {
+fn class_name_with_a_colon_fails_the_start_with_management() {
     let text = config(free_address(), free_address(), "", 15_000);
     let mut config: Value = serde_json::from_str(&text).unwrap();
-    config["settings"] = hall();
+    config["settings"] = hall_settings();
     config["settings"]["classes"][0]["name"] = json!("plads:check");
     let path = temp_folder().join("config.json");
     std::fs::write(&path, config.to_string()).unwrap();
@@ -349,13 +370,12 @@
     program.wait_for_log("settings: classes.0.name");
 }
 
-/// The limits of the machine are checked like the rest.
 #[rstest]
 #[case("memory_mb", json!(1e18))]
 #[case("memory_mb", json!(18_446_744_073_709_551_615_u64))]
 #[case("sockets", json!(1e300))]
 #[case("sockets", json!("1024"))]
-fn a_limit_that_no_machine_has_ends_the_start(#[case] key: &str, #[case] value: Value) {
+fn invalid_machine_limit_fails_the_start_with_its_key(#[case] key: &str, #[case] value: Value) {
     let text = config(free_address(), free_address(), "", 15_000);
     let mut config: Value = serde_json::from_str(&text).unwrap();
     config["limits"][key] = value;
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,5 +1,4 @@
-//! The fault soak with a few processes of the program, short enough for each run of the tests; `valehatch-testbed soak`
-//! plays longer ones.
+//! Short fault soaks with a few gateway processes; `valehatch-testbed soak` runs longer ones.
 
 use std::path::{Path, PathBuf};
 
@@ -32,11 +31,11 @@
     fault(500, 1_000, FaultKind::EndpointRestarts, &[2]),
     fault(700, 1_000, FaultKind::Kill, &[0]),
 ])]
-#[case::writes_are_held_up_while_clients_pipeline(&[
+#[case::writes_are_delayed_while_clients_pipeline(&[
     fault(300, 3_000, FaultKind::LateWrites, &[0, 1, 2]),
     fault(300, 3_000, FaultKind::ClientsPipeline, &[0]),
 ])]
-#[case::planned_stops_and_hot_restart_under_clients_that_do_not_look_for_an_end(&[
+#[case::planned_stops_and_hot_restart_while_clients_keep_sending(&[
     fault(300, 1_000, FaultKind::PlannedRestart, &[0, 2]),
     fault(600, 1_000, FaultKind::HotRestart, &[1]),
 ])]
@@ -67,7 +66,7 @@
     .unwrap();
     assert!(
         report.answers > 50 && report.attempts > 50,
-        "{report:?}: nothing is shown by that"
+        "{report:?}: too little traffic for a result"
     );
     assert!(
         report.violations.is_empty(),
