--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Starts after kill -9: what is taken over from the snapshot, what is not, and when service is whole.
+//! Restarts after SIGKILL: what the gateway restores from the snapshot, what it rejects, and when
+//! it reports full service.
 
 mod support;
 
@@ -14,12 +15,13 @@
 use support::*;
 use valehatch_recovery::snapshot::Snapshot;
 
-/// A gateway with a state folder, whose members discovery lists.
-struct Site {
+/// The configuration of a gateway with a state folder, and the discovery service that lists its
+/// endpoints.
+struct GatewaySetup {
     front: SocketAddr,
     discovery: Arc<Discovery>,
-    at: SocketAddr,
-    dir: PathBuf,
+    discovery_address: SocketAddr,
+    state_dir: PathBuf,
 }
 
 fn wall_ms() -> u64 {
@@ -32,32 +34,35 @@
     .unwrap()
 }
 
-impl Site {
+impl GatewaySetup {
     fn new(list: String) -> Self {
-        let (at, discovery) = Discovery::start(list);
+        let (discovery_address, discovery) = Discovery::start(list);
         Self {
             front: free_address(),
             discovery,
-            at,
-            dir: temp_folder().join("state"),
+            discovery_address,
+            state_dir: temp_folder().join("state"),
         }
     }
 
-    fn start(&self, every_ms: u32) -> GatewayProcess {
-        self.start_with(every_ms, "")
+    /// Starts the gateway, which writes a snapshot every `snapshot_ms`.
+    fn start(&self, snapshot_ms: u32) -> GatewayProcess {
+        self.start_with(snapshot_ms, "")
     }
 
-    fn start_with(&self, every_ms: u32, more: &str) -> GatewayProcess {
+    /// Like [`Self::start`], with more configuration text after the section `[state]`.
+    fn start_with(&self, snapshot_ms: u32, more: &str) -> GatewayProcess {
         let path = temp_folder().join("gateway.toml");
-        let (front, dir, at) = (self.front, self.dir.display(), self.at);
+        let (front, dir, discovery) =
+            (self.front, self.state_dir.display(), self.discovery_address);
         let contract = |name: &str, need: &str, effect: &str| {
             format!(
                 "[[front.contract]]\nname = \"{name}\"\nneed = \"{need}\"\neffect = \"{effect}\"\naim-ms = 1000\ndeadline-ms = 4000\n"
             )
         };
         let text = format!(
-            "[gateway]\nname = \"one\"\n[log]\nlines-per-s = 100000\n[state]\ndir = \"{dir}\"\nsnapshot-ms = {every_ms}\n{more}\
-             [[front]]\nname = \"f\"\nprotocol = \"postgresql\"\nlisten = \"{front}\"\ndiscovery = \"{at}\"\n{}{}",
+            "[gateway]\nname = \"one\"\n[log]\nlines-per-s = 100000\n[state]\ndir = \"{dir}\"\nsnapshot-ms = {snapshot_ms}\n{more}\
+             [[front]]\nname = \"f\"\nprotocol = \"postgresql\"\nlisten = \"{front}\"\ndiscovery = \"{discovery}\"\n{}{}",
             contract("read", "any", "safe"),
             contract("once", "write", "unsafe"),
         );
@@ -65,33 +70,39 @@
         GatewayProcess::start(&["serve", path.to_str().unwrap()], None, front)
     }
 
-    fn silence(&self, silent: bool) {
+    fn set_discovery_silent(&self, silent: bool) {
         self.discovery.silent.store(silent, Ordering::SeqCst);
     }
 
-    fn kept(&self) -> Option<Snapshot> {
-        let bytes = std::fs::read(self.dir.join("snapshot")).ok()?;
-        Some(Snapshot::decode(&bytes, "one", wall_ms() + 1000).expect("whole, or there is none"))
+    /// The snapshot file, which must be valid; `None` if there is none.
+    fn snapshot(&self) -> Option<Snapshot> {
+        let bytes = std::fs::read(self.state_dir.join("snapshot")).ok()?;
+        Some(
+            Snapshot::decode(&bytes, "one", wall_ms() + 1000)
+                .expect("the snapshot file is complete or missing"),
+        )
     }
 
-    /// Waits until what is kept is such.
-    fn keeps(&self, what: &str, such: impl Fn(&Snapshot) -> bool) {
-        wait_until(what, || self.kept().is_some_and(|s| such(&s)));
+    /// Waits until the snapshot satisfies the condition.
+    fn wait_for_snapshot(&self, what: &str, condition: impl Fn(&Snapshot) -> bool) {
+        wait_until(what, || self.snapshot().is_some_and(|s| condition(&s)));
     }
 
-    fn is(&self, state: &str, why: &str) -> bool {
-        let text = std::fs::read_to_string(self.dir.join("recovery.json")).unwrap_or_default();
-        text.contains(&format!("\"state\":\"{state}\"")) && text.contains(why)
+    /// Whether `recovery.json` has this state and contains `text`.
+    fn has_state(&self, state: &str, text: &str) -> bool {
+        let json =
+            std::fs::read_to_string(self.state_dir.join("recovery.json")).unwrap_or_default();
+        json.contains(&format!("\"state\":\"{state}\"")) && json.contains(text)
     }
 
-    /// The keys of the file that tells the state.
+    /// The keys of `recovery.json`.
     fn state_keys(&self) -> Vec<String> {
-        let text = std::fs::read_to_string(self.dir.join("recovery.json")).unwrap();
+        let text = std::fs::read_to_string(self.state_dir.join("recovery.json")).unwrap();
         let object: serde_json::Value = serde_json::from_str(&text).unwrap();
         object.as_object().unwrap().keys().cloned().collect()
     }
 
-    fn ask(&self, class: &str) -> Answer {
+    fn request(&self, class: &str) -> Answer {
         let verb = if class == "read" {
             "SELECT body FROM objects"
         } else {
@@ -107,47 +118,56 @@
     program.0.wait().unwrap();
 }
 
-fn here() -> Answer {
+fn expected_answer() -> Answer {
     Answer::Value("here".into())
 }
 
 #[test]
-fn with_discovery_silent_a_restart_serves_from_its_own_list_and_is_full_when_discovery_has_confirmed_it()
- {
+fn discovery_silent_restart_serves_from_snapshot_and_is_full_once_the_list_is_confirmed() {
     let (at, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
-    let site = Site::new(target("a", at, "read-write", "active"));
-    let program = site.start(20);
-    wait_until("served", || site.ask("read") == here());
-    wait_until("full", || site.is("full", "took-ms"));
-    assert_eq!(site.state_keys(), ["started-ms", "state", "took-ms"]);
-    site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
+    let setup = GatewaySetup::new(target("a", at, "read-write", "active"));
+    let program = setup.start(20);
+    wait_until("served", || setup.request("read") == expected_answer());
+    wait_until("recovery.json says full", || {
+        setup.has_state("full", "took-ms")
+    });
+    assert_eq!(setup.state_keys(), ["started-ms", "state", "took-ms"]);
+    setup.wait_for_snapshot("the snapshot has the list", |s| {
+        s.fronts[0].list.endpoints().count() == 1
+    });
     kill(program);
-    site.silence(true);
-    let program = site.start(20);
+    setup.set_discovery_silent(true);
+    let program = setup.start(20);
     assert_eq!(
-        site.ask("read"),
-        here(),
-        "at once: nobody has to be asked first"
+        setup.request("read"),
+        expected_answer(),
+        "served at once, without an answer of discovery"
     );
-    wait_until("recovering", || site.is("recovering", "list"));
-    assert_eq!(site.state_keys(), ["started-ms", "state", "why"]);
-    site.silence(false);
-    wait_until("full again", || site.is("full", "took-ms"));
+    wait_until("recovery.json says recovering", || {
+        setup.has_state("recovering", "list")
+    });
+    assert_eq!(setup.state_keys(), ["started-ms", "state", "why"]);
+    setup.set_discovery_silent(false);
+    wait_until("recovery.json says full again", || {
+        setup.has_state("full", "took-ms")
+    });
     kill(program);
-    // What was kept made the difference.
-    std::fs::remove_dir_all(&site.dir).unwrap();
-    site.silence(true);
-    let program = site.start(20);
-    assert!(matches!(site.ask("read"), Answer::Error(code, Some(_)) if code == "53300"));
+    // Without the snapshot the same restart cannot serve.
+    std::fs::remove_dir_all(&setup.state_dir).unwrap();
+    setup.set_discovery_silent(true);
+    let program = setup.start(20);
+    assert!(matches!(setup.request("read"), Answer::Error(code, Some(_)) if code == "53300"));
     program.wait_for_log("no snapshot found");
-    site.silence(false);
-    wait_until("served again", || site.ask("read") == here());
+    setup.set_discovery_silent(false);
+    wait_until("served again", || {
+        setup.request("read") == expected_answer()
+    });
 }
 
 #[test]
-fn a_believed_primary_is_tried_first_and_proves_itself() {
-    let (old, wrong) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
-    let (new, right) = stub_database("read-write", |_, q| {
+fn snapshot_has_the_primary_restart_sends_the_write_straight_to_it() {
+    let (listed, listed_db) = stub_database("read-only", |_, _| Reply::Send(error("25006")));
+    let (actual, actual_db) = stub_database("read-write", |_, q| {
         Reply::Send(if q.contains("INSERT") {
             row_with_tag("here", "INSERT 0 1")
         } else {
@@ -155,37 +175,42 @@
         })
     });
     let list = [
-        target("a", old, "read-write", "active"),
-        target("b", new, "read-only", "active"),
+        target("a", listed, "read-write", "active"),
+        target("b", actual, "read-only", "active"),
     ]
     .join(",");
-    let site = Site::new(list);
-    let program = site.start(20);
-    wait_until("the search has found it", || site.ask("once") == here());
-    site.keeps("the belief", |s| {
+    let setup = GatewaySetup::new(list);
+    let program = setup.start(20);
+    wait_until("the search has found the primary", || {
+        setup.request("once") == expected_answer()
+    });
+    setup.wait_for_snapshot("the snapshot has the proved primary", |s| {
         s.fronts[0]
             .primaries
             .iter()
             .any(|p| p.endpoint == "b" && p.proved)
     });
-    let before = (wrong.count(), right.count());
-    assert!(before.0 > 0, "the list's word was tried at first");
+    let before = (listed_db.count(), actual_db.count());
+    assert!(
+        before.0 > 0,
+        "the primary named by the list was tried first"
+    );
     kill(program);
-    site.silence(true);
-    let _program = site.start(20);
-    assert_eq!(site.ask("once"), here());
+    setup.set_discovery_silent(true);
+    let _program = setup.start(20);
+    assert_eq!(setup.request("once"), expected_answer());
     assert_eq!(
-        (wrong.count(), right.count()),
+        (listed_db.count(), actual_db.count()),
         (before.0, before.1 + 1),
-        "straight to it"
+        "the write went straight to the primary"
     );
 }
 
 #[test]
-fn a_primary_that_has_changed_meanwhile_is_found_and_no_write_runs_at_the_old_one() {
+fn primary_changes_while_gateway_is_down_write_runs_only_at_the_new_primary() {
     let changed = Arc::new(AtomicBool::new(false));
-    // Each tells its role with its answer, which ends the connection.
-    let member = |primary_after: bool| {
+    // Each answer reports the role and ends the connection.
+    let endpoint = |primary_after: bool| {
         let changed = Arc::clone(&changed);
         stub_database("unused", move |_, _| {
             let primary = changed.load(Ordering::SeqCst) == primary_after;
@@ -196,7 +221,7 @@
             Reply::SendThenClose([answer, mode_status(role), ready_for_query()].concat())
         })
     };
-    let ((one, first), (two, second)) = (member(false), member(true));
+    let ((one, first), (two, second)) = (endpoint(false), endpoint(true));
     let now = || UNIX_EPOCH.elapsed().unwrap().as_secs_f64();
     let stats = |primary: bool| {
         Some(format!(
@@ -214,10 +239,12 @@
         target("b", two, "read-only", "active"),
     ]
     .join(",");
-    let site = Site::new(list);
-    let program = site.start(20);
-    wait_until("served by the first", || site.ask("once") == here());
-    site.keeps("the belief", |s| {
+    let setup = GatewaySetup::new(list);
+    let program = setup.start(20);
+    wait_until("the first endpoint serves the write", || {
+        setup.request("once") == expected_answer()
+    });
+    setup.wait_for_snapshot("the snapshot has the proved primary", |s| {
         s.fronts[0]
             .primaries
             .iter()
@@ -229,19 +256,23 @@
         *first.probe_reply.lock().unwrap(),
         *second.probe_reply.lock().unwrap(),
     ) = (stats(false), stats(true));
-    site.silence(true);
+    setup.set_discovery_silent(true);
     let before = first.count();
-    let _program = site.start(20);
-    assert_eq!(site.ask("once"), here(), "the new one served it");
+    let _program = setup.start(20);
+    assert_eq!(
+        setup.request("once"),
+        expected_answer(),
+        "the new primary served the write"
+    );
     assert_eq!(
         first.count(),
         before + 1,
-        "the old one was tried once, said that it is a replica, and ran nothing"
+        "the old primary was tried once, answered as a replica and executed nothing"
     );
 }
 
 #[test]
-fn a_member_that_was_leaving_gets_nothing_after_a_restart_until_discovery_says_otherwise() {
+fn endpoint_drains_before_restart_gets_no_request_while_discovery_is_silent() {
     let (one, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
     let (two, leaving) = stub_database("read-only", |_, _| Reply::Send(row("here")));
     let list = [
@@ -249,29 +280,30 @@
         target("b", two, "read-only", "active"),
     ]
     .join(",");
-    let site = Site::new(list);
-    let program = site.start(20);
-    wait_until("served", || site.ask("read") == here());
-    site.discovery
+    let setup = GatewaySetup::new(list);
+    let program = setup.start(20);
+    wait_until("served", || setup.request("read") == expected_answer());
+    setup
+        .discovery
         .changes
         .lock()
         .unwrap()
         .push(target("b", two, "read-only", "leaving"));
-    site.keeps("that it leaves", |s| {
+    setup.wait_for_snapshot("the snapshot has the drain", |s| {
         s.fronts[0]
             .list
             .endpoints()
             .any(|m| m.uid == "b" && m.state == "leaving")
     });
     kill(program);
-    site.silence(true);
-    // What the killed process had sent it has been counted by then.
-    wait_until("its connections have ended there", || {
+    setup.set_discovery_silent(true);
+    // By then all requests of the killed process have been counted.
+    wait_until("the connections of the killed process have ended", || {
         leaving.closed.load(Ordering::SeqCst) == leaving.opened.load(Ordering::SeqCst)
     });
     let before = (leaving.count(), leaving.probes.load(Ordering::SeqCst));
-    let _program = site.start(20);
-    (0..30).for_each(|_| assert_eq!(site.ask("read"), here()));
+    let _program = setup.start(20);
+    (0..30).for_each(|_| assert_eq!(setup.request("read"), expected_answer()));
     assert_eq!(
         (leaving.count(), leaving.probes.load(Ordering::SeqCst)),
         before
@@ -279,50 +311,51 @@
 }
 
 #[rstest]
-#[case::torn(|b: &mut Vec<u8>| b.truncate(b.len() / 2), "it is not whole")]
-#[case::empty(|b: &mut Vec<u8>| b.clear(), "it is not whole")]
-#[case::flipped(|b: &mut Vec<u8>| { let at = b.len() - 3; b[at] ^= 4; }, "its checksum is wrong")]
-#[case::another_version(|b: &mut Vec<u8>| b[5] = 9, "it is of version 9")]
-#[case::no_snapshot(|b: &mut Vec<u8>| b[0] = b'X', "it is no snapshot")]
-#[case::of_another_gateway(|b: &mut Vec<u8>| edited(b, |s| s.gateway = "two".into()), "it is of the gateway \"two\"")]
-#[case::from_the_future(|b: &mut Vec<u8>| edited(b, |s| s.at_ms += 3_600_000), "the clock stands before it")]
+#[case::truncated(|b: &mut Vec<u8>| b.truncate(b.len() / 2), "snapshot truncated or longer than its header says")]
+#[case::empty(|b: &mut Vec<u8>| b.clear(), "snapshot truncated or longer than its header says")]
+#[case::bit_flipped(|b: &mut Vec<u8>| { let at = b.len() - 3; b[at] ^= 4; }, "snapshot corrupt: wrong checksum or encoding")]
+#[case::another_version(|b: &mut Vec<u8>| b[5] = 9, "snapshot has format version 9")]
+#[case::not_a_snapshot(|b: &mut Vec<u8>| b[0] = b'X', "not a snapshot: magic bytes missing")]
+#[case::of_another_gateway(|b: &mut Vec<u8>| edited(b, |s| s.gateway = "two".into()), "snapshot belongs to gateway \"two\"")]
+#[case::from_the_future(|b: &mut Vec<u8>| edited(b, |s| s.at_ms += 3_600_000), "ms ahead of the wall clock")]
 #[case::a_day_old(|b: &mut Vec<u8>| edited(b, |s| s.at_ms -= 86_400_000), "the list is too old")]
-fn nothing_is_taken_from_a_snapshot_that_is_no_good_and_service_starts(
+fn invalid_snapshot_nothing_is_restored_and_service_starts(
     #[case] spoil: fn(&mut Vec<u8>),
-    #[case] said: &str,
+    #[case] reason: &str,
 ) {
-    let (at, seen) = stub_database("read-write", |_, _| Reply::Send(row("here")));
-    let site = Site::new(target("a", at, "read-write", "active"));
-    let program = site.start(20);
-    wait_until("served", || site.ask("read") == here());
-    site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
+    let (at, database) = stub_database("read-write", |_, _| Reply::Send(row("here")));
+    let setup = GatewaySetup::new(target("a", at, "read-write", "active"));
+    let program = setup.start(20);
+    wait_until("served", || setup.request("read") == expected_answer());
+    setup.wait_for_snapshot("the snapshot has the list", |s| {
+        s.fronts[0].list.endpoints().count() == 1
+    });
     kill(program);
-    let path = site.dir.join("snapshot");
+    let path = setup.state_dir.join("snapshot");
     let mut bytes = std::fs::read(&path).unwrap();
     spoil(&mut bytes);
     std::fs::write(&path, bytes).unwrap();
-    site.silence(true);
-    let before = seen.count();
-    let program = site.start(3_600_000);
-    program.wait_for_log(said);
+    setup.set_discovery_silent(true);
+    let before = database.count();
+    let program = setup.start(3_600_000);
+    program.wait_for_log(reason);
     assert!(
-        matches!(site.ask("read"), Answer::Error(code, Some(_)) if code == "53300"),
-        "no list: refused, with a time"
+        matches!(setup.request("read"), Answer::Error(code, Some(_)) if code == "53300"),
+        "without a list requests are refused with a retry hint"
     );
-    assert_eq!(seen.count(), before);
-    site.silence(false);
-    wait_until("served", || site.ask("read") == here());
+    assert_eq!(database.count(), before);
+    setup.set_discovery_silent(false);
+    wait_until("served", || setup.request("read") == expected_answer());
 }
 
 fn edited(bytes: &mut Vec<u8>, edit: impl Fn(&mut Snapshot)) {
-    let mut read = Snapshot::decode(bytes, "one", wall_ms()).unwrap();
-    edit(&mut read);
-    *bytes = read.encode().unwrap();
+    let mut snapshot = Snapshot::decode(bytes, "one", wall_ms()).unwrap();
+    edit(&mut snapshot);
+    *bytes = snapshot.encode().unwrap();
 }
 
 #[test]
-fn with_its_folder_lost_and_discovery_silent_a_gateway_learns_the_list_and_its_drains_from_another()
-{
+fn state_folder_lost_and_discovery_silent_gateway_gets_list_and_drains_from_peer() {
     let (one, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
     let (two, leaving) = stub_database("read-only", |_, _| Reply::Send(row("here")));
     let list = [
@@ -330,91 +363,101 @@
         target("b", two, "read-only", "leaving"),
     ]
     .join(",");
-    // Each has a discovery of its own: what one knows is told only while its own confirms it.
-    let (first, second) = (Site::new(list.clone()), Site::new(list));
+    // Each gateway has its own discovery service, since a gateway shares its list only while its
+    // discovery confirms it.
+    let (first, second) = (GatewaySetup::new(list.clone()), GatewaySetup::new(list));
     let (a, b) = (free_address(), free_address());
     let peers = |own: SocketAddr, other: SocketAddr| {
         format!(
             "[peers]\nlisten = \"{own}\"\nfleet = \"test\"\nseeds = [\"{other}\"]\nprobe-ms = 150\n"
         )
     };
-    let _keeps = first.start_with(20, &peers(a, b));
-    wait_until("served", || first.ask("read") == here());
-    let lost = second.start_with(20, &peers(b, a));
-    wait_until("served by the other", || second.ask("read") == here());
-    kill(lost);
-    std::fs::remove_dir_all(&second.dir).unwrap();
-    second.silence(true);
+    let _peer = first.start_with(20, &peers(a, b));
+    wait_until("served", || first.request("read") == expected_answer());
+    let killed = second.start_with(20, &peers(b, a));
+    wait_until("the second gateway serves", || {
+        second.request("read") == expected_answer()
+    });
+    kill(killed);
+    std::fs::remove_dir_all(&second.state_dir).unwrap();
+    second.set_discovery_silent(true);
     let before = leaving.count();
     let program = second.start_with(20, &peers(b, a));
-    // It asks ever less often, and a machine that stands still answers nothing.
-    wait_until_within(3 * TEST_TIMEOUT, "it is told", || {
+    // The gateway asks at growing intervals, and a stalled machine answers nothing.
+    wait_until_within(3 * TEST_TIMEOUT, "the list of the peer is used", || {
         program.log().lines().any(|line| {
             line.contains("took the endpoint list of another gateway")
                 && line.contains("endpoints=2 version=0")
         })
     });
-    (0..20).for_each(|_| assert_eq!(second.ask("read"), here()));
+    (0..20).for_each(|_| assert_eq!(second.request("read"), expected_answer()));
     assert_eq!(
         leaving.count(),
         before,
-        "one that leaves gets nothing new, whoever told of it"
+        "a draining endpoint gets no request, whatever the source of the list"
     );
     assert!(
-        second.is("recovering", "list"),
-        "until discovery has confirmed it"
+        second.has_state("recovering", "list"),
+        "recovering until discovery has confirmed the list"
     );
-    second.silence(false);
-    wait_until("full", || second.is("full", "took-ms"));
+    second.set_discovery_silent(false);
+    wait_until("recovery.json says full", || {
+        second.has_state("full", "took-ms")
+    });
 }
 
 #[test]
-fn a_folder_that_cannot_be_written_is_said_once_and_service_goes_on() {
+fn state_folder_not_writable_logged_once_and_service_continues() {
     let (at, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
-    let site = Site::new(target("a", at, "read-write", "active"));
-    // In the way of the file that is written aside.
-    std::fs::create_dir_all(site.dir.join("snapshot.new")).unwrap();
-    let program = site.start(20);
-    wait_until("served", || site.ask("read") == here());
+    let setup = GatewaySetup::new(target("a", at, "read-write", "active"));
+    // A folder with the name of the temporary snapshot file makes every write fail.
+    std::fs::create_dir_all(setup.state_dir.join("snapshot.new")).unwrap();
+    let program = setup.start(20);
+    wait_until("served", || setup.request("read") == expected_answer());
     program.wait_for_log("snapshot write failed, service continues");
-    std::fs::remove_dir(site.dir.join("snapshot.new")).unwrap();
+    std::fs::remove_dir(setup.state_dir.join("snapshot.new")).unwrap();
     program.wait_for_log("snapshot writing works again");
-    site.keeps("the list", |s| s.fronts[0].list.endpoints().count() == 1);
+    setup.wait_for_snapshot("the snapshot has the list", |s| {
+        s.fronts[0].list.endpoints().count() == 1
+    });
     assert_eq!(program.log().matches("snapshot write failed").count(), 1);
 }
 
 #[test]
-fn killed_at_200_random_moments_of_writing_there_is_always_a_whole_snapshot_or_none() {
+fn killed_at_random_moments_of_writing_snapshot_is_complete_or_missing() {
     let (at, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
-    // Large enough that a write takes a while.
-    let many = (0..1500).map(|n| {
+    // A large list, so that writing the snapshot takes a while.
+    let endpoints = (0..1500).map(|n| {
         let (uid, group) = (format!("server-{n:05}"), n % 500);
         target(&uid, at, "read-only", "active")
             .replace("\"pod_group\":0", &format!("\"pod_group\":{group}"))
     });
-    let site = Site::new(many.collect::<Vec<_>>().join(","));
+    let setup = GatewaySetup::new(endpoints.collect::<Vec<_>>().join(","));
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
-    let (mut within, mut found) = (0, 0);
-    // Kills come within twice the time that this machine takes to the first snapshot.
-    let (program, began) = (site.start(1), Instant::now());
-    site.keeps("the first", |_| true);
-    let most = 2 * u32::try_from(began.elapsed().as_millis())
+    let (mut during_write, mut valid) = (0, 0);
+    // Kills come within twice the time that this machine takes to write the first snapshot.
+    let (program, began) = (setup.start(1), Instant::now());
+    setup.wait_for_snapshot("the first snapshot exists", |_| true);
+    let max_delay_ms = 2 * u32::try_from(began.elapsed().as_millis())
         .unwrap()
         .clamp(40, 120);
     kill(program);
-    // Where a kill falls hangs on the machine: it goes on until some fell within a write, but not for ever.
+    // Whether a kill comes during a write depends on the machine: after 200 kills the loop
+    // continues until one did, up to 2000 kills.
     for n in 0..2_000 {
-        if n >= 200 && within > 0 && found > 0 {
+        if n >= 200 && during_write > 0 && valid > 0 {
             break;
         }
-        let program = site.start(1);
-        std::thread::sleep(Duration::from_millis(u64::from(rng.next_u32() % most)));
+        let program = setup.start(1);
+        std::thread::sleep(Duration::from_millis(u64::from(
+            rng.next_u32() % max_delay_ms,
+        )));
         kill(program);
-        within += u32::from(site.dir.join("snapshot.new").exists());
-        found += u32::from(site.kept().is_some());
+        during_write += u32::from(setup.state_dir.join("snapshot.new").exists());
+        valid += u32::from(setup.snapshot().is_some());
     }
     assert!(
-        within > 0 && found > 0,
-        "{within} kills fell within a write, {found} left a snapshot"
+        during_write > 0 && valid > 0,
+        "{during_write} kills came during a write, {valid} left a snapshot"
     );
 }
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -88,15 +88,12 @@
 impl std::fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Truncated => f.write_str("it is not whole"),
-            Self::NotASnapshot => f.write_str("it is no snapshot"),
-            Self::Version(v) => write!(f, "it is of version {v}, not {VERSION}"),
-            Self::Corrupt => f.write_str("its checksum is wrong"),
-            Self::OtherGateway(name) => write!(f, "it is of the gateway {name:?}"),
-            Self::Future(ms) => write!(
-                f,
-                "it was made {ms} ms from now: the clock stands before it"
-            ),
+            Self::Truncated => f.write_str("snapshot truncated or longer than its header says"),
+            Self::NotASnapshot => f.write_str("not a snapshot: magic bytes missing"),
+            Self::Version(v) => write!(f, "snapshot has format version {v}, expected {VERSION}"),
+            Self::Corrupt => f.write_str("snapshot corrupt: wrong checksum or encoding"),
+            Self::OtherGateway(name) => write!(f, "snapshot belongs to gateway {name:?}"),
+            Self::Future(ms) => write!(f, "snapshot is dated {ms} ms ahead of the wall clock"),
         }
     }
 }
