--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What a gateway does so that a whole fleet of them can: the program as a process, between stand-ins.
+//! Behaviour that lets many gateways share discovery and one machine: tests of the gateway process
+//! between stubs.
 
 mod support;
 
@@ -10,23 +11,23 @@
 use support::*;
 
 #[test]
-fn an_overbooked_discovery_is_asked_for_what_changed_and_waited_for() {
+fn overloaded_discovery_gateway_keeps_serving_and_gets_the_update() {
     let calls = Arc::new(Mutex::new(vec![]));
     let (one, first) = stub_database("read-write", |_, _| Reply::Send(row("one")));
     let (two, _) = stub_database("read-write", |_, _| Reply::Send(row("two")));
-    let news = [
+    let update = [
         target("s-00000001", one, "read-write", "leaving"),
         target("s-00000002", two, "read-write", "active"),
     ];
-    let (news, seen) = (news.join(","), Arc::clone(&calls));
-    // Three calls are turned away, the fourth has to wait for its turn, and those after it for news.
-    let overbooked = spawn_server(move |mut stream| {
+    let (update, recorded_calls) = (update.join(","), Arc::clone(&calls));
+    // Three calls are rejected, the fourth is answered after 1.2 s, and later ones get no answer.
+    let overloaded = spawn_server(move |mut stream| {
         loop {
             let mut head = vec![];
             while !head.ends_with(b"\r\n\r\n") {
                 let mut byte = [0];
                 if stream.read_exact(&mut byte).is_err() {
-                    seen.lock().unwrap().push("hung up".to_owned());
+                    recorded_calls.lock().unwrap().push("closed".to_owned());
                     return;
                 }
                 head.push(byte[0]);
@@ -37,16 +38,16 @@
                 .nth(1)
                 .unwrap()
                 .to_owned();
-            let nth = {
-                let mut seen = seen.lock().unwrap();
-                seen.push(path);
-                seen.iter().filter(|path| *path != "hung up").count()
+            let call_number = {
+                let mut calls = recorded_calls.lock().unwrap();
+                calls.push(path);
+                calls.iter().filter(|path| *path != "closed").count()
             };
-            let answer = match nth {
+            let answer = match call_number {
                 1..=3 => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 4 => {
                     std::thread::sleep(Duration::from_millis(1_200));
-                    let body = format!(r#"{{"rev":7,"all":false,"targets":[{news}]}}"#);
+                    let body = format!(r#"{{"rev":7,"all":false,"targets":[{update}]}}"#);
                     format!(
                         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                         body.len()
@@ -65,7 +66,7 @@
         15_000,
         false,
         |text| {
-            let own = text
+            let discovery = text
                 .split("\"discovery\":\"")
                 .nth(1)
                 .unwrap()
@@ -73,30 +74,30 @@
                 .next()
                 .unwrap()
                 .to_owned();
-            text.replace(&own, &overbooked.to_string()).replace(
+            text.replace(&discovery, &overloaded.to_string()).replace(
                 "\"membership-mode\":\"push\"",
                 "\"membership-mode\":\"ask\"",
             )
         },
     );
     let mut client = Client::connect(gateway.address);
-    let mut ask =
+    let mut request =
         || client.query("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
     assert_eq!(
-        ask(),
+        request(),
         Answer::Value("one".into()),
-        "the list that is known serves meanwhile"
+        "the initial list is used meanwhile"
     );
-    wait_until("the news are acted on", || {
-        ask() == Answer::Value("two".into())
+    wait_until("the update is applied", || {
+        request() == Answer::Value("two".into())
     });
     assert!(first.count() > 0);
-    wait_until("the watch goes on", || calls.lock().unwrap().len() >= 5);
+    wait_until("the watch continues", || calls.lock().unwrap().len() >= 5);
     let calls: Vec<String> = calls
         .lock()
         .unwrap()
         .iter()
-        .filter(|c| *c != "hung up")
+        .filter(|c| *c != "closed")
         .cloned()
         .collect();
     assert!(
@@ -111,24 +112,23 @@
     );
 }
 
-/// Threads of a process.
-fn threads(process: u32) -> usize {
+fn thread_count(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/task")).map_or(0, Iterator::count)
 }
 
 #[test]
-fn connections_that_stand_idle_have_no_threads() {
-    let (at, seen) = stub_database("read-only", |_, _| Reply::Send(row("one")));
+fn idle_upstream_connections_have_no_threads() {
+    let (at, database) = stub_database("read-only", |_, _| Reply::Send(row("one")));
     let members = (1..=40).map(|n| target(&format!("s-{n:08x}"), at, "read-only", "active"));
     let gateway = start_gateway(&members.collect::<Vec<_>>().join(","), 60_000);
     let mut client = Client::connect(gateway.address);
-    let open = || seen.opened.load(Ordering::SeqCst) - seen.closed.load(Ordering::SeqCst);
-    wait_until("most members are met", || {
+    let open = || database.opened.load(Ordering::SeqCst) - database.closed.load(Ordering::SeqCst);
+    wait_until("most endpoints are connected", || {
         client.query("/* id=1,c=read,t=acme,d=4000,cluster=0 */ SELECT body FROM objects");
         open() >= 25
     });
-    wait_until("few threads are left", || {
-        threads(gateway.program.0.id()) <= 15
+    wait_until("the threads of idle connections have ended", || {
+        thread_count(gateway.program.0.id()) <= 15
     });
-    assert!(open() >= 25, "the connections stay");
+    assert!(open() >= 25, "the connections stay open");
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Several gateways as processes, with relays between them that lose, delay, double and cut.
+//! Membership of several gateway processes, with relays between them that lose, delay, duplicate
+//! and block datagrams.
 
 mod support;
 
@@ -13,10 +14,12 @@
 use support::*;
 use valehatch_testbed::relay::{Relays, Weather};
 
+/// Gateways whose peer traffic passes through relays. The n-th gateway listens for peers at
+/// `listen[n]` and advertises the address of its relay; a gateway that does not run is `None`.
 struct Fleet {
     relays: Arc<Relays>,
     fronts: Vec<SocketAddr>,
-    real: Vec<SocketAddr>,
+    listen: Vec<SocketAddr>,
     database: SocketAddr,
     programs: Vec<Option<GatewayProcess>>,
 }
@@ -32,15 +35,15 @@
 
 impl Fleet {
     fn new(size: usize) -> Self {
-        let real: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
-        let relays = Relays::start(real.clone(), 1).unwrap();
+        let listen: Vec<SocketAddr> = (0..size).map(|_| free_address()).collect();
+        let relays = Relays::start(listen.clone(), 1).unwrap();
         let fronts = (0..size).map(|_| free_address()).collect();
         let (database, _) = stub_database("read-write", |_, _| Reply::Send(row("here")));
         let programs = (0..size).map(|_| None).collect();
         let mut fleet = Self {
             relays,
             fronts,
-            real,
+            listen,
             database,
             programs,
         };
@@ -48,20 +51,23 @@
         fleet
     }
 
-    fn known(&self, n: usize) -> SocketAddr {
+    /// The peer address that a gateway advertises, which is that of its relay.
+    fn advertised(&self, n: usize) -> SocketAddr {
         self.relays.address(n).unwrap()
     }
 
     fn start(&mut self, n: usize) {
-        self.start_as(n, self.known(n));
+        self.start_as(n, self.advertised(n));
     }
 
-    fn start_as(&mut self, n: usize, known: SocketAddr) {
-        let seeds: Vec<String> = (0..2).map(|s| format!("\"{}\"", self.known(s))).collect();
+    fn start_as(&mut self, n: usize, advertised: SocketAddr) {
+        let seeds: Vec<String> = (0..2)
+            .map(|s| format!("\"{}\"", self.advertised(s)))
+            .collect();
         let peers = format!(
             "[peers]\nlisten = \"{}\"\nadvertise = \"{}\"\nfleet = \"test\"\nseeds = [{}]\nfrom = [\"127.0.0.0/8\"]\nprobe-ms = 150\n",
-            self.real[n],
-            known,
+            self.listen[n],
+            advertised,
             seeds.join(", ")
         );
         let path = temp_folder().join("gateway.toml");
@@ -71,51 +77,55 @@
         self.programs[n] = Some(program);
     }
 
-    fn kill(&mut self, which: &[usize]) {
-        for n in which {
+    fn kill(&mut self, gateways: &[usize]) {
+        for n in gateways {
             self.programs[*n].as_mut().unwrap().0.kill().unwrap();
         }
-        which.iter().for_each(|n| drop(self.programs[*n].take()));
+        gateways.iter().for_each(|n| drop(self.programs[*n].take()));
     }
 
     fn log(&self, n: usize) -> String {
         self.programs[n].as_ref().unwrap().log()
     }
 
-    /// Those that a gateway takes for living, by its log.
-    fn living(&self, n: usize) -> BTreeSet<SocketAddr> {
-        let mut living = BTreeSet::new();
+    /// The peers that a gateway considers live, according to its log.
+    fn live_peers(&self, n: usize) -> BTreeSet<SocketAddr> {
+        let mut live = BTreeSet::new();
         for line in self.log(n).lines() {
-            let Some((_, told)) = line.split_once("gateway ") else {
+            let Some((_, event)) = line.split_once("gateway ") else {
                 continue;
             };
-            let Some((what, peer)) = told.split_once(" peer=") else {
+            let Some((change, peer)) = event.split_once(" peer=") else {
                 continue;
             };
             let Ok(peer) = peer.parse() else { continue };
-            match what {
-                "joined" | "restarted" | "responds again" | "suspected" => living.insert(peer),
-                "failed" | "left" => living.remove(&peer),
+            match change {
+                "joined" | "restarted" | "responds again" | "suspected" => live.insert(peer),
+                "failed" | "left" => live.remove(&peer),
                 _ => false,
             };
         }
-        living
+        live
     }
 
-    /// Waits until each that runs takes just those for living that run.
-    fn agrees(&self, what: &str) {
+    /// Waits until each running gateway considers exactly the other running gateways live.
+    fn wait_for_agreement(&self, what: &str) {
         let running: Vec<usize> = (0..self.programs.len())
             .filter(|n| self.programs[*n].is_some())
             .collect();
         wait_until(what, || {
             running.iter().all(|n| {
-                let others = running.iter().filter(|o| *o != n).map(|o| self.known(*o));
-                self.living(*n) == others.collect::<BTreeSet<_>>()
+                let others = running
+                    .iter()
+                    .filter(|o| *o != n)
+                    .map(|o| self.advertised(*o));
+                self.live_peers(*n) == others.collect::<BTreeSet<_>>()
             })
         });
     }
 
-    /// What a gateway says last of its view, if it says that it is settled: members, and digest.
+    /// Member count and digest of a gateway's view, if its last log line about the view says that
+    /// it is settled.
     fn view(&self, n: usize) -> Option<(usize, String)> {
         let log = self.log(n);
         let last = log.lines().rfind(|l| l.contains("membership view "))?;
@@ -126,8 +136,8 @@
         Some((members.parse().ok()?, rest.split(' ').next()?.to_owned()))
     }
 
-    /// Waits until each that runs says that its view is settled, with so many in it, and the same one.
-    fn settles(&self, members: usize, what: &str) {
+    /// Waits until all running gateways report the same settled view with this number of members.
+    fn wait_for_settled_view(&self, members: usize, what: &str) {
         let running: Vec<usize> = (0..self.programs.len())
             .filter(|n| self.programs[*n].is_some())
             .collect();
@@ -137,7 +147,8 @@
         });
     }
 
-    fn serves(&self) {
+    /// Asserts that each running gateway serves a request.
+    fn expect_all_serve(&self) {
         for front in self
             .programs
             .iter()
@@ -161,39 +172,40 @@
 }
 
 #[test]
-fn most_of_a_fleet_killed_in_one_instant_comes_back_as_others_and_all_serve() {
+fn five_of_seven_gateways_killed_and_restarted_all_agree_and_serve() {
     let mut fleet = Fleet::new(7);
-    fleet.agrees("all know all");
-    // More than the three that the file says: what is shared is divided by more, at once.
+    fleet.wait_for_agreement("all gateways know each other");
+    // The configuration says 3 gateways; shared limits must be divided by the actual number at
+    // once.
     fleet.programs[3]
         .as_ref()
         .unwrap()
         .wait_for_log("gateway count changed gateways=7");
     fleet.kill(&[0, 1, 2, 4, 5]);
     [0, 1, 2, 4, 5].into_iter().for_each(|n| fleet.start(n));
-    fleet.agrees("all know all again, the seeds among them");
-    fleet.settles(7, "all hold the same after the kill");
-    fleet.serves();
-    let anew = format!("gateway restarted peer={}\n", fleet.known(4));
-    wait_until("it is told from its former self", || {
-        fleet.log(3).contains(&anew) && fleet.log(6).contains(&anew)
+    fleet.wait_for_agreement("all gateways know each other again, including the seeds");
+    fleet.wait_for_settled_view(7, "all views are equal after the restarts");
+    fleet.expect_all_serve();
+    let restarted = format!("gateway restarted peer={}\n", fleet.advertised(4));
+    wait_until("the surviving gateways log the restart", || {
+        fleet.log(3).contains(&restarted) && fleet.log(6).contains(&restarted)
     });
 }
 
 #[test]
-fn a_planned_end_is_no_death_and_silence_is() {
+fn planned_shutdown_is_logged_as_left_and_kill_as_failed() {
     let mut fleet = Fleet::new(4);
-    fleet.agrees("all know all");
+    fleet.wait_for_agreement("all gateways know each other");
     fleet.programs[2].as_ref().unwrap().terminate();
-    let left = format!("gateway left peer={}\n", fleet.known(2));
-    wait_until("they heard of its end", || {
+    let left = format!("gateway left peer={}\n", fleet.advertised(2));
+    wait_until("the others log the planned shutdown", || {
         [0, 1, 3].iter().all(|n| fleet.log(*n).contains(&left))
     });
     fleet.programs[2].as_mut().unwrap().wait_for_exit();
     fleet.programs[2] = None;
     fleet.kill(&[3]);
-    fleet.agrees("they missed the other");
-    let (planned, killed) = (fleet.known(2), fleet.known(3));
+    fleet.wait_for_agreement("the others notice the kill");
+    let (planned, killed) = (fleet.advertised(2), fleet.advertised(3));
     for n in [0, 1] {
         assert!(
             !fleet
@@ -209,61 +221,64 @@
 }
 
 #[test]
-fn one_that_stood_still_knows_it_and_blames_nobody() {
+fn gateway_resumes_after_suspension_logs_it_and_reports_no_other_as_failed() {
     let fleet = Fleet::new(4);
-    fleet.agrees("all know all");
-    let stopped = fleet.known(3);
+    fleet.wait_for_agreement("all gateways know each other");
+    let stopped = fleet.advertised(3);
     fleet.programs[3].as_ref().unwrap().signal("STOP");
-    let dead = format!("gateway failed peer={stopped}\n");
-    wait_until("the others miss it", || {
-        (0..3).all(|n| fleet.log(n).contains(&dead))
+    let failed = format!("gateway failed peer={stopped}\n");
+    wait_until("the others log the failure", || {
+        (0..3).all(|n| fleet.log(n).contains(&failed))
     });
-    // Only now: while it stands still it says nothing, and what it said just before has been read.
+    // Taken only now: the suspended gateway logs nothing, and its earlier output has been read.
     let before = fleet.log(3).len();
     fleet.programs[3].as_ref().unwrap().signal("CONT");
-    fleet.agrees("it is one of them again");
-    fleet.settles(4, "all hold the same after the sleep");
-    let said = fleet.log(3)[before..].to_owned();
-    let first = said
+    fleet.wait_for_agreement("the resumed gateway is a member again");
+    fleet.wait_for_settled_view(4, "all views are equal after the suspension");
+    let log = fleet.log(3)[before..].to_owned();
+    let first = log
         .lines()
         .find(|l| l.contains("gateway") || l.contains("membership"))
         .unwrap_or_default();
     assert!(
         first.contains("this gateway was suspended suspended_ms="),
-        "{said}"
+        "{log}"
     );
-    assert!(!said.contains("gateway failed"), "{said}");
-    fleet.serves();
+    assert!(!log.contains("gateway failed"), "{log}");
+    fleet.expect_all_serve();
 }
 
 #[rstest]
-#[case::both_ways(true)]
-#[case::one_way(false)]
-fn two_halves_cut_apart_serve_on_and_are_one_again(#[case] both: bool) {
+#[case::both_directions(true)]
+#[case::one_direction(false)]
+fn halves_partitioned_then_reconnected_both_serve_and_merge(#[case] both_directions: bool) {
     let fleet = Fleet::new(6);
-    fleet.agrees("all know all");
+    fleet.wait_for_agreement("all gateways know each other");
     let halves: Vec<(usize, usize)> = (0..3).flat_map(|a| (3..6).map(move |b| (a, b))).collect();
-    let back = halves.iter().filter(|_| both).map(|(a, b)| (*b, *a));
+    let back = halves
+        .iter()
+        .filter(|_| both_directions)
+        .map(|(a, b)| (*b, *a));
     fleet.relays.set(Weather {
         cut: halves.iter().copied().chain(back).collect(),
         ..Weather::default()
     });
-    let other_half: BTreeSet<SocketAddr> = (0..3).map(|n| fleet.known(n)).collect();
+    let other_half: BTreeSet<SocketAddr> = (0..3).map(|n| fleet.advertised(n)).collect();
     wait_until(
-        "the half that hears nothing of the other gives it up",
-        || (3..6).all(|n| fleet.living(n).is_disjoint(&other_half)),
+        "the half that receives nothing considers the other failed",
+        || (3..6).all(|n| fleet.live_peers(n).is_disjoint(&other_half)),
     );
-    wait_until("each half is settled by itself", || {
+    wait_until("each half has a settled view of itself", || {
         (0..6).all(|n| fleet.view(n).is_some_and(|v| v.0 == 3))
     });
-    fleet.serves();
+    fleet.expect_all_serve();
     fleet.relays.set(Weather::default());
-    fleet.agrees("one fleet again");
-    fleet.settles(6, "all hold the same after the cut");
+    fleet.wait_for_agreement("the halves have merged");
+    fleet.wait_for_settled_view(6, "all views are equal after the partition");
 }
 
 #[test]
-fn with_half_the_datagrams_lost_and_the_rest_late_and_doubled_a_start_of_all_finds_all() {
+fn half_of_datagrams_lost_others_late_or_duplicated_all_gateways_find_each_other() {
     let mut fleet = Fleet::new(5);
     fleet.relays.set(Weather {
         lost: 0.5,
@@ -273,19 +288,21 @@
     });
     fleet.kill(&[0, 1, 2, 3, 4]);
     (0..5).for_each(|n| fleet.start(n));
-    let found = |n: usize| {
+    let has_found_all = |n: usize| {
         (0..5).filter(|o| *o != n).all(|o| {
             fleet
                 .log(n)
-                .contains(&format!("gateway joined peer={}\n", fleet.known(o)))
+                .contains(&format!("gateway joined peer={}\n", fleet.advertised(o)))
         })
     };
-    wait_until("each has met each", || (0..5).all(found));
-    fleet.serves();
+    wait_until("all gateways have found each other", || {
+        (0..5).all(has_found_all)
+    });
+    fleet.expect_all_serve();
     fleet.relays.set(Weather::default());
-    fleet.agrees("in fair weather all is well");
-    fleet.settles(5, "and all hold the same");
-    // 256 bytes are the most that the platform's networks carry whole.
+    fleet.wait_for_agreement("all gateways agree once the faults have ended");
+    fleet.wait_for_settled_view(5, "all views are equal once the faults have ended");
+    // The platform's networks carry at most 256 bytes in one datagram.
     for n in 0..5 {
         let (sent, bytes) = (
             fleet.relays.sent[n].load(Ordering::Relaxed),
@@ -296,12 +313,12 @@
 }
 
 #[test]
-fn what_is_of_another_fleet_or_no_datagram_at_all_changes_nothing() {
+fn datagrams_of_another_fleet_or_invalid_are_ignored() {
     let fleet = Fleet::new(3);
-    fleet.agrees("all know all");
+    fleet.wait_for_agreement("all gateways know each other");
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let front = free_address();
-    let seeds: Vec<String> = fleet.real.iter().map(|a| format!("\"{a}\"")).collect();
+    let seeds: Vec<String> = fleet.listen.iter().map(|a| format!("\"{a}\"")).collect();
     let listen = free_address();
     let peers = format!(
         "[peers]\nlisten = \"{listen}\"\nfleet = \"another\"\nseeds = [{}]\nfrom = [\"127.0.0.0/8\"]\nprobe-ms = 150\n",
@@ -314,14 +331,18 @@
         let bytes: Vec<u8> = (0..n)
             .map(|b| u8::try_from((b * n) % 251).unwrap())
             .collect();
-        stranger.send_to(&bytes, fleet.real[n % 3]).unwrap();
+        stranger.send_to(&bytes, fleet.listen[n % 3]).unwrap();
     }
-    // They go on as before: one that ends is still missed, and by then the other fleet's has asked often.
+    // Failure detection still works; meanwhile the gateway of the other fleet has sent many
+    // requests.
     let mut fleet = fleet;
     fleet.kill(&[2]);
-    fleet.agrees("two of three");
-    fleet.settles(2, "the other fleet's is not in the view");
-    fleet.serves();
+    fleet.wait_for_agreement("the other two notice the kill");
+    fleet.wait_for_settled_view(
+        2,
+        "the view does not contain the gateway of the other fleet",
+    );
+    fleet.expect_all_serve();
     assert!(!other.log().contains("gateway joined"));
     let strangers = [listen, stranger.local_addr().unwrap()];
     assert!((0..2).all(|n| {
@@ -332,41 +353,41 @@
 }
 
 #[test]
-fn two_under_one_name_are_both_told_and_neither_is_harmed() {
+fn two_gateways_share_an_address_both_log_it_and_all_serve() {
     let mut fleet = Fleet::new(5);
     fleet.kill(&[4]);
-    fleet.settles(4, "four without the fifth");
+    fleet.wait_for_settled_view(4, "four gateways without the fifth");
     fleet.relays.set(Weather {
         namesake: Some((4, 3)),
         ..Weather::default()
     });
-    fleet.start_as(4, fleet.known(3));
-    wait_until("both are told", || {
+    fleet.start_as(4, fleet.advertised(3));
+    wait_until("both gateways log the duplicate address", || {
         [3, 4].iter().all(|n| {
             fleet
                 .log(*n)
                 .contains("another gateway has this one's address")
         })
     });
-    fleet.settles(4, "four names, and all five hold the same");
-    fleet.serves();
+    fleet.wait_for_settled_view(4, "all five views are equal, with four addresses");
+    fleet.expect_all_serve();
 }
 
 #[rstest]
-#[case::of_all("listen = \"0.0.0.0:7946\"", "peers.listen")]
+#[case::unspecified_address("listen = \"0.0.0.0:7946\"", "peers.listen")]
 #[case::no_port("listen = \"127.0.0.1:0\"", "peers.listen")]
-#[case::no_seed("listen = \"127.0.0.1:7946\"\nseeds = [\"here\"]", "peers.seeds")]
-#[case::nobody("listen = \"127.0.0.1:7946\"", "peers.seeds")]
-#[case::no_network("listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/99\"]", "peers.from")]
-#[case::too_fast(
+#[case::invalid_seed("listen = \"127.0.0.1:7946\"\nseeds = [\"here\"]", "peers.seeds")]
+#[case::no_seeds_and_no_networks("listen = \"127.0.0.1:7946\"", "peers.seeds")]
+#[case::invalid_network("listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/99\"]", "peers.from")]
+#[case::probe_period_too_short(
     "listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/8\"]\nprobe-ms = 1",
     "peers.probe-ms"
 )]
-#[case::unknown(
+#[case::unknown_key(
     "listen = \"127.0.0.1:7946\"\nfrom = [\"10.0.0.0/8\"]\nport = 1",
     "peers.port"
 )]
-fn what_is_wrong_with_the_peers_is_named(#[case] peers: &str, #[case] key: &str) {
+fn invalid_peer_settings_check_names_the_key(#[case] peers: &str, #[case] key: &str) {
     let path = temp_folder().join("gateway.toml");
     let text = config(
         free_address(),
@@ -378,9 +399,9 @@
         .args(["check", path.to_str().unwrap()])
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(2) && said.contains(key),
-        "{said}"
+        output.status.code() == Some(2) && stderr.contains(key),
+        "{stderr}"
     );
 }
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Two processes over one folder: upgrades under load, and each side's end at each step.
+//! Hot restarts: two processes of one gateway share a folder, under load, and either process is
+//! killed or hangs at each step.
 
 mod support;
 
@@ -17,28 +18,28 @@
     HEADER_BYTES, HandoffMessage, decode, decode_length, encode,
 };
 
-/// What a gateway's processes share.
-struct Place {
+/// The configuration, folder and discovery service that all processes of the gateway share.
+struct GatewaySetup {
     listen: SocketAddr,
     folder: PathBuf,
     config: PathBuf,
-    known: String,
-    discovery_at: SocketAddr,
+    initial_list: String,
+    discovery_address: SocketAddr,
     discovery: Arc<Discovery>,
 }
 
 struct Process {
     program: GatewayProcess,
-    door: SocketAddr,
+    management: SocketAddr,
 }
 
-impl Place {
-    fn new(known: &str) -> Self {
-        let (discovery_at, discovery) = Discovery::start(known.to_owned());
+impl GatewaySetup {
+    fn new(initial_list: &str) -> Self {
+        let (discovery_address, discovery) = Discovery::start(initial_list.to_owned());
         let (listen, folder) = (free_address(), temp_folder());
         let config = folder.join("config.json");
-        // So long that a loaded machine takes none of it for a time-out.
-        let text = support::config(listen, discovery_at, known, 15_000);
+        // Long enough that a loaded machine causes no time-outs.
+        let text = support::config(listen, discovery_address, initial_list, 15_000);
         std::fs::write(
             &config,
             text.replace("\"deadline-ms\":5000.0", "\"deadline-ms\":20000.0"),
@@ -48,28 +49,30 @@
             listen,
             folder,
             config,
-            known: known.to_owned(),
-            discovery_at,
+            initial_list: initial_list.to_owned(),
+            discovery_address,
             discovery,
         }
     }
 
-    fn begin(&self) -> Process {
-        let door = free_address();
-        let (folder, at) = (self.folder.to_str().unwrap(), door.to_string());
-        let variables = [("TMPDIR", folder), ("BALANCER_MGMT", &at)];
+    /// Spawns a process and returns without waiting for it.
+    fn spawn(&self) -> Process {
+        let management = free_address();
+        let (folder, address) = (self.folder.to_str().unwrap(), management.to_string());
+        let variables = [("TMPDIR", folder), ("BALANCER_MGMT", &address)];
         Process {
             program: GatewayProcess::spawn(&[], Some(&self.config), &variables),
-            door,
+            management,
         }
     }
 
-    /// One that has said yes.
+    /// Spawns a process and waits until it is healthy and accepts handover requests.
     fn start(&self) -> Process {
-        let process = self.begin();
-        wait_until("it says yes", || process.healthy());
-        // The next one asks there: it is found a moment behind the yes.
-        wait_until("it can be asked", || {
+        let process = self.spawn();
+        wait_until("the process is healthy", || process.is_healthy());
+        // The next process connects to this socket, which appears a moment after the process
+        // becomes healthy.
+        wait_until("the handover socket exists", || {
             self.folder
                 .join(format!("handover-{}", self.listen))
                 .exists()
@@ -79,22 +82,22 @@
 }
 
 impl Process {
-    fn healthy(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         self.get("/admin/health").starts_with("HTTP/1.1 200")
     }
 
-    /// What its door answers; nothing while it has none.
+    /// The response of the management server; empty if there is none.
     fn get(&self, path: &str) -> String {
-        let Ok(mut stream) = TcpStream::connect(self.door) else {
+        let Ok(mut stream) = TcpStream::connect(self.management) else {
             return String::new();
         };
         let mut text = String::new();
-        let asked = stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes());
-        let heard = asked.and_then(|()| stream.read_to_string(&mut text));
-        heard.map_or(String::new(), |_| text)
+        let sent = stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes());
+        let received = sent.and_then(|()| stream.read_to_string(&mut text));
+        received.map_or(String::new(), |_| text)
     }
 
-    fn resident(&self) -> u64 {
+    fn resident_bytes(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/statm", self.program.0.id()))
             .unwrap_or_default();
         status
@@ -110,20 +113,20 @@
     }
 }
 
-fn read(id: u32) -> String {
+fn read_request(id: u32) -> String {
     format!(
         "/* id={id},c=read,t=acme,d=20000,cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
     )
 }
 
-/// A write that must not be repeated, whatever became of it: it is to be seen once.
-fn once(id: u32) -> String {
+/// A write that must not be retried: a database must receive it at most once.
+fn unsafe_write(id: u32) -> String {
     format!(
         "/* id={id},c=once,t=acme,d=20000,cluster=0 */ INSERT INTO objects (oid, body) VALUES ('x{id}', '1') RETURNING body"
     )
 }
 
-fn echo(query: &str) -> Reply {
+fn echo_reply(query: &str) -> Reply {
     let tag = if query.contains("INSERT") {
         "INSERT 0 1"
     } else {
@@ -132,45 +135,51 @@
     Reply::Send(row_with_tag(query.split('\'').nth(1).unwrap(), tag))
 }
 
-/// What clients met.
+/// Results of the clients of [`start_load`], and the flag that stops them.
 #[derive(Default)]
-struct Met {
-    next: AtomicU32,
+struct LoadResults {
+    next_id: AtomicU32,
     served: AtomicUsize,
-    /// Asked as the connection ended, and told so: to be asked again.
-    crossed: AtomicUsize,
-    /// Connects that nobody took.
-    refused: AtomicUsize,
-    wrong: Mutex<Vec<String>>,
-    over: AtomicBool,
+    /// Requests refused unexecuted as the gateway closed the connection; the client sends each
+    /// again on its next connection.
+    turned_away: AtomicUsize,
+    connects_refused: AtomicUsize,
+    /// All other answers and connection errors.
+    failures: Mutex<Vec<String>>,
+    stop: AtomicBool,
 }
 
-/// Asks on a connection until it ends or was used so often; what was asked as it ended is asked again on the next.
-fn session(
-    at: SocketAddr,
-    met: &Met,
-    times: usize,
+/// Sends requests on one connection until it ends or `request_limit` is reached. A request that
+/// was turned away is stored in `pending` for the next connection.
+fn run_session(
+    address: SocketAddr,
+    results: &LoadResults,
+    request_limit: usize,
     pending: &mut Option<u32>,
 ) -> Result<(), String> {
-    let Ok(mut stream) = TcpStream::connect(at) else {
-        met.refused.fetch_add(1, SeqCst);
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        results.connects_refused.fetch_add(1, SeqCst);
         std::thread::sleep(Duration::from_millis(2));
         return Ok(());
     };
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
         .write_all(&Client::startup_message())
-        .map_err(|e| format!("no opening: {e}"))?;
+        .map_err(|e| format!("sending the startup message failed: {e}"))?;
     let mut client = Client(stream);
-    while read_message(&mut client.0).ok_or("no greeting")?.0 != b'Z' {}
-    for _ in 0..times {
+    while read_message(&mut client.0)
+        .ok_or("connection ended before the greeting")?
+        .0
+        != b'Z'
+    {}
+    for _ in 0..request_limit {
         let id = pending
             .take()
-            .unwrap_or_else(|| met.next.fetch_add(1, SeqCst));
+            .unwrap_or_else(|| results.next_id.fetch_add(1, SeqCst));
         let query = if id.is_multiple_of(3) {
-            once(id)
+            unsafe_write(id)
         } else {
-            read(id)
+            read_request(id)
         };
         let sent = client
             .0
@@ -181,11 +190,12 @@
             Answer::Ended
         } {
             Answer::Value(value) if value == format!("x{id}") => {
-                met.served.fetch_add(1, SeqCst);
+                results.served.fetch_add(1, SeqCst);
             }
-            // Its last word, or nothing: nothing of the request was read.
-            Answer::Error(code, Some(_)) if code == "53300" && times > 1 => {
-                met.crossed.fetch_add(1, SeqCst);
+            // The last message before the gateway closes the connection: the request was not
+            // executed.
+            Answer::Error(code, Some(_)) if code == "53300" && request_limit > 1 => {
+                results.turned_away.fetch_add(1, SeqCst);
                 *pending = Some(id);
                 return Ok(());
             }
@@ -195,29 +205,30 @@
     Ok(())
 }
 
-fn load(at: SocketAddr, met: &Arc<Met>) -> Vec<std::thread::JoinHandle<()>> {
-    // Some ask once on each connection, others keep theirs for as long as it stays open.
-    let times = [1, 1, 1, 50, usize::MAX, usize::MAX];
-    let client = |times: usize| {
-        let met = Arc::clone(met);
+fn start_load(address: SocketAddr, results: &Arc<LoadResults>) -> Vec<std::thread::JoinHandle<()>> {
+    // Some clients send one request per connection, others reuse the connection while it is open.
+    let request_limits = [1, 1, 1, 50, usize::MAX, usize::MAX];
+    let client = |request_limit: usize| {
+        let results = Arc::clone(results);
         std::thread::spawn(move || {
             let mut pending = None;
-            while !met.over.load(SeqCst) {
-                // A session of many uses ends with the test.
-                let times = times.min(200);
-                if let Err(what) = session(at, &met, times, &mut pending) {
-                    met.wrong.lock().unwrap().push(what);
+            while !results.stop.load(SeqCst) {
+                // Bounds a session so that the client notices the stop flag.
+                let request_limit = request_limit.min(200);
+                if let Err(failure) = run_session(address, &results, request_limit, &mut pending) {
+                    results.failures.lock().unwrap().push(failure);
                 }
             }
         })
     };
-    times.into_iter().map(client).collect()
+    request_limits.into_iter().map(client).collect()
 }
 
-/// Writes that must never be sent twice and were: when, and on which connections.
-fn doubled(wrote: &StubDatabase) -> BTreeMap<String, Vec<(Instant, usize)>> {
-    let mut booked = BTreeMap::<String, Vec<(Instant, usize)>>::new();
-    for (at, query, on) in wrote
+/// The writes that the database received more than once, by id, with the time and the connection of
+/// each arrival.
+fn duplicated_writes(database: &StubDatabase) -> BTreeMap<String, Vec<(Instant, usize)>> {
+    let mut writes = BTreeMap::<String, Vec<(Instant, usize)>>::new();
+    for (arrived, query, connection) in database
         .queries
         .lock()
         .unwrap()
@@ -231,14 +242,18 @@
             .split(',')
             .next()
             .unwrap();
-        booked.entry(id.into()).or_default().push((*at, *on));
+        writes
+            .entry(id.into())
+            .or_default()
+            .push((*arrived, *connection));
     }
-    booked.retain(|_, times| times.len() > 1);
-    booked
+    writes.retain(|_, arrivals| arrivals.len() > 1);
+    writes
 }
 
-/// `UPGRADES=100` for as many as the operators' page promises; a few are enough to find a step that is out of order.
-fn upgrades() -> usize {
+/// Number of upgrades in a row. `UPGRADES=100` runs as many as the operators' documentation
+/// promises; the default is enough to detect a wrong order of steps.
+fn upgrade_count() -> usize {
     std::env::var("UPGRADES")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -246,96 +261,106 @@
 }
 
 #[test]
-fn upgrades_under_load_lose_refuse_and_double_nothing() {
-    let (primary, wrote) = stub_database("read-write", |_, q| echo(q));
-    let (replica, read) = stub_database("read-only", |_, q| echo(q));
-    let (drained, left) = stub_database("read-only", |_, q| echo(q));
-    let known = [
+fn upgrades_under_load_no_request_lost_refused_or_duplicated() {
+    let (primary, primary_db) = stub_database("read-write", |_, q| echo_reply(q));
+    let (replica, replica_db) = stub_database("read-only", |_, q| echo_reply(q));
+    let (drained, drained_db) = stub_database("read-only", |_, q| echo_reply(q));
+    let initial_list = [
         target("s-00000001", primary, "read-write", "active"),
         target("s-00000002", replica, "read-only", "active"),
         target("s-00000003", drained, "read-only", "active"),
     ];
-    let place = Place::new(&known.join(","));
-    let (met, mut process) = (Arc::<Met>::default(), place.start());
-    let clients = load(place.listen, &met);
-    wait_until("the third is used", || left.count() > 0);
-    place.discovery.changes.lock().unwrap().push(target(
+    let setup = GatewaySetup::new(&initial_list.join(","));
+    let (results, mut process) = (Arc::<LoadResults>::default(), setup.start());
+    let clients = start_load(setup.listen, &results);
+    wait_until("the third endpoint serves requests", || {
+        drained_db.count() > 0
+    });
+    setup.discovery.changes.lock().unwrap().push(target(
         "s-00000003",
         drained,
         "read-only",
         "leaving",
     ));
-    let told = Instant::now();
-    let (mut slowest, mut descriptors, mut resident) = (Duration::ZERO, 0, 0);
-    for _ in 0..upgrades() {
+    let drain_started = Instant::now();
+    let (mut slowest_start, mut descriptors, mut resident) = (Duration::ZERO, 0, 0);
+    for _ in 0..upgrade_count() {
         let began = Instant::now();
-        let next = place.start();
-        slowest = slowest.max(began.elapsed());
+        let next = setup.start();
+        slowest_start = slowest_start.max(began.elapsed());
         process.program.terminate();
-        wait_until("the old one ends", || {
+        wait_until("the old process exits", || {
             descriptors = descriptors.max(process.descriptors() + next.descriptors());
-            resident = resident.max(process.resident() + next.resident());
+            resident = resident.max(process.resident_bytes() + next.resident_bytes());
             process.program.0.try_wait().unwrap().is_some()
         });
         assert!(process.program.wait_for_exit().success());
         process = next;
-        let before = met.served.load(SeqCst);
-        wait_until("the new one serves", || {
-            met.served.load(SeqCst) > before + 20
+        let before = results.served.load(SeqCst);
+        wait_until("the new process serves", || {
+            results.served.load(SeqCst) > before + 20
         });
     }
-    met.over.store(true, SeqCst);
+    results.stop.store(true, SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    let (served, crossed) = (met.served.load(SeqCst), met.crossed.load(SeqCst));
+    let (served, turned_away) = (
+        results.served.load(SeqCst),
+        results.turned_away.load(SeqCst),
+    );
     println!(
-        "{} upgrades: {served} served, {crossed} asked again, yes after {slowest:?} at the most, \
-         {descriptors} descriptors and {} MB together",
-        upgrades(),
+        "{} upgrades: {served} served, {turned_away} sent again, healthy after at most \
+         {slowest_start:?}, {descriptors} descriptors and {} MB in total",
+        upgrade_count(),
         resident >> 20
     );
-    assert_eq!(*met.wrong.lock().unwrap(), Vec::<String>::new());
-    assert_eq!(met.refused.load(SeqCst), 0, "connects refused");
+    assert_eq!(*results.failures.lock().unwrap(), Vec::<String>::new());
+    assert_eq!(results.connects_refused.load(SeqCst), 0, "connects refused");
     assert!(
-        crossed <= 2 * upgrades(),
-        "{crossed} asked as their connection ended"
+        turned_away <= 2 * upgrade_count(),
+        "{turned_away} requests turned away"
     );
-    let late = left
+    let late = drained_db
         .queries
         .lock()
         .unwrap()
         .iter()
-        .filter(|q| q.0 > told + Duration::from_millis(500))
+        .filter(|q| q.0 > drain_started + Duration::from_millis(500))
         .count();
-    assert_eq!(late, 0, "sent to a drained member");
-    assert_eq!(doubled(&wrote), BTreeMap::new(), "doubled");
-    assert!(descriptors <= 1024 && resident <= 192 << 20 && read.count() > 0);
+    assert_eq!(late, 0, "requests sent to a drained endpoint");
+    assert_eq!(
+        duplicated_writes(&primary_db),
+        BTreeMap::new(),
+        "duplicated writes"
+    );
+    assert!(descriptors <= 1024 && resident <= 192 << 20 && replica_db.count() > 0);
 }
 
-/// How the other side comes to its end.
+/// How a process fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
+enum Failure {
     Killed,
     Hung,
 }
 
 #[rstest]
-fn the_new_one_takes_over_from_one_that_is_dead_or_hangs(
-    #[values(End::Killed, End::Hung)] end: End,
+fn old_process_killed_or_hung_new_process_takes_over(
+    #[values(Failure::Killed, Failure::Hung)] failure: Failure,
 ) {
-    let (at, _) = stub_database("read-write", |_, q| echo(q));
-    let place = Place::new(&target("s-00000001", at, "read-write", "active"));
-    let mut old = place.start();
-    match end {
-        End::Killed => {
+    let (at, _) = stub_database("read-write", |_, q| echo_reply(q));
+    let setup = GatewaySetup::new(&target("s-00000001", at, "read-write", "active"));
+    let mut old = setup.start();
+    match failure {
+        Failure::Killed => {
             old.program.0.kill().unwrap();
             old.program.wait_for_exit();
         }
-        End::Hung => old.hangs(),
+        Failure::Hung => old.suspend(),
     }
-    let new = place.start();
-    // What came into the hung one's own queue waits there; on a new process's own there is an answer.
-    wait_until("it is served", || {
-        let mut stream = TcpStream::connect(place.listen).unwrap();
+    let new = setup.start();
+    // A connection in the accept queue of the hung process is not answered; one in the queue of the
+    // new process is.
+    wait_until("a client is served", || {
+        let mut stream = TcpStream::connect(setup.listen).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_millis(200)))
             .unwrap();
@@ -345,10 +370,10 @@
         greeted && {
             let mut client = Client(stream);
             client.read_until_ready();
-            client.query(&once(3)) == Answer::Value("x3".into())
+            client.query(&unsafe_write(3)) == Answer::Value("x3".into())
         }
     });
-    if end == End::Hung {
+    if failure == Failure::Hung {
         new.program.wait_for_log("starting as after a crash");
         old.program.0.kill().unwrap();
         old.program.wait_for_exit();
@@ -357,110 +382,112 @@
 }
 
 #[test]
-fn a_new_one_that_dies_leaves_the_old_one_as_it_was_and_the_next_upgrade_succeeds() {
-    let (at, _) = stub_database("read-write", |_, q| echo(q));
-    let place = Place::new(&target("s-00000001", at, "read-write", "active"));
-    let mut old = place.start();
+fn new_process_killed_old_process_serves_and_next_upgrade_succeeds() {
+    let (at, _) = stub_database("read-write", |_, q| echo_reply(q));
+    let setup = GatewaySetup::new(&target("s-00000001", at, "read-write", "active"));
+    let mut old = setup.start();
     for _ in 0..3 {
         let before = old.program.log().len();
-        let mut new = place.start();
-        wait_until("it is one of two", || {
+        let mut new = setup.start();
+        wait_until("the old process counts two processes", || {
             old.program.log()[before..].contains("processes=2")
         });
         new.program.0.kill().unwrap();
         new.program.wait_for_exit();
-        wait_until("it is the only one again", || {
+        wait_until("the old process counts itself alone again", || {
             let log = old.program.log();
             log[before..]
                 .rsplit_once(" processes=")
-                .is_some_and(|(_, said)| said.starts_with("1 "))
+                .is_some_and(|(_, count)| count.starts_with("1 "))
         });
-        let mut client = Client::connect(place.listen);
-        assert_eq!(client.query(&read(1)), Answer::Value("x1".into()));
+        let mut client = Client::connect(setup.listen);
+        assert_eq!(client.query(&read_request(1)), Answer::Value("x1".into()));
     }
-    let next = place.start();
+    let next = setup.start();
     next.program
         .wait_for_log("inherited the listening socket and the snapshot");
     old.program.terminate();
     assert!(old.program.wait_for_exit().success());
-    let mut client = Client::connect(place.listen);
-    assert_eq!(client.query(&once(3)), Answer::Value("x3".into()));
+    let mut client = Client::connect(setup.listen);
+    assert_eq!(client.query(&unsafe_write(3)), Answer::Value("x3".into()));
 }
 
 #[test]
-fn a_third_one_waits_for_an_upgrade_that_is_under_way() {
-    let (at, _) = stub_database("read-write", |_, q| echo(q));
-    let place = Place::new(&target("s-00000001", at, "read-write", "active"));
-    let mut old = place.start();
-    let mut new = place.start();
-    let third = place.begin();
+fn third_process_starts_during_upgrade_waits_for_its_end() {
+    let (at, _) = stub_database("read-write", |_, q| echo_reply(q));
+    let setup = GatewaySetup::new(&target("s-00000001", at, "read-write", "active"));
+    let mut old = setup.start();
+    let mut new = setup.start();
+    let third = setup.spawn();
     new.program.wait_for_log("rejected a second hot restart");
     assert!(!third.healthy());
     old.program.terminate();
     assert!(old.program.wait_for_exit().success());
-    wait_until("it says yes", || third.healthy());
+    wait_until("the third process is healthy", || third.is_healthy());
     new.program.terminate();
     assert!(new.program.wait_for_exit().success());
-    let mut client = Client::connect(place.listen);
-    assert_eq!(client.query(&read(1)), Answer::Value("x1".into()));
-    // The first two have gone, so this one has everything.
+    let mut client = Client::connect(setup.listen);
+    assert_eq!(client.query(&read_request(1)), Answer::Value("x1".into()));
+    // The first two processes have ended, so the third has all limits to itself.
     third.program.wait_for_log("processes=1 descriptors=1024");
 }
 
-/// Under load, with one request that the old process holds open until it is to be answered.
-struct Scene {
-    place: Place,
-    met: Arc<Met>,
+/// A gateway under load whose first process also has one request in flight, which the database
+/// answers only after [`Scenario::release_held_request`].
+struct Scenario {
+    setup: GatewaySetup,
+    results: Arc<LoadResults>,
     clients: Vec<std::thread::JoinHandle<()>>,
-    wrote: Arc<StubDatabase>,
-    drained: (SocketAddr, Arc<StubDatabase>),
+    primary_db: Arc<StubDatabase>,
+    replica: (SocketAddr, Arc<StubDatabase>),
     released: Arc<AtomicBool>,
-    held: Client,
+    held_client: Client,
     old: Process,
 }
 
-impl Scene {
-    fn begin() -> Self {
+impl Scenario {
+    fn start() -> Self {
         let released = Arc::<AtomicBool>::default();
-        let (waits, waits_too) = (Arc::clone(&released), Arc::clone(&released));
-        let holds = move |released: &AtomicBool, query: &str| {
+        let (at_primary, at_replica) = (Arc::clone(&released), Arc::clone(&released));
+        let reply_to = move |released: &AtomicBool, query: &str| {
             while query.contains("'held'") && !released.load(SeqCst) {
                 std::thread::sleep(Duration::from_millis(2));
             }
-            echo(query)
+            echo_reply(query)
         };
-        let (primary, wrote) = stub_database("read-write", move |_, q| holds(&waits, q));
-        let drained = stub_database("read-only", move |_, q| holds(&waits_too, q));
-        let place = Place::new(&Self::list(primary, drained.0, "active"));
-        let old = place.start();
-        let mut held = Client::connect(place.listen);
-        held.send(&once(900_000_000).replace("x900000000", "held"));
-        let met = Arc::<Met>::default();
-        let clients = load(place.listen, &met);
+        let (primary, primary_db) =
+            stub_database("read-write", move |_, q| reply_to(&at_primary, q));
+        let replica = stub_database("read-only", move |_, q| reply_to(&at_replica, q));
+        let setup = GatewaySetup::new(&Self::endpoint_list(primary, replica.0, "active"));
+        let old = setup.start();
+        let mut held_client = Client::connect(setup.listen);
+        held_client.send(&unsafe_write(900_000_000).replace("x900000000", "held"));
+        let results = Arc::<LoadResults>::default();
+        let clients = start_load(setup.listen, &results);
         let is_held = || {
-            wrote
+            primary_db
                 .queries
                 .lock()
                 .unwrap()
                 .iter()
                 .any(|q| q.1.contains("'held'"))
         };
-        wait_until("the old one holds a request open", is_held);
-        let scene = Self {
-            place,
-            met,
+        wait_until("the held request has reached the primary", is_held);
+        let scenario = Self {
+            setup,
+            results,
             clients,
-            wrote,
-            drained,
+            primary_db,
+            replica,
             released,
-            held,
+            held_client,
             old,
         };
-        scene.serves();
-        scene
+        scenario.expect_served();
+        scenario
     }
 
-    fn list(primary: SocketAddr, replica: SocketAddr, state: &str) -> String {
+    fn endpoint_list(primary: SocketAddr, replica: SocketAddr, state: &str) -> String {
         let primary = target("s-00000001", primary, "read-write", "active");
         format!(
             "{primary},{}",
@@ -468,41 +495,48 @@
         )
     }
 
-    /// Requests go on to be served.
-    fn serves(&self) {
-        let before = self.met.served.load(SeqCst);
+    /// Waits until 30 more requests of the load have been served.
+    fn expect_served(&self) {
+        let before = self.results.served.load(SeqCst);
         wait_until("requests are served", || {
-            self.met.served.load(SeqCst) > before + 30
+            self.results.served.load(SeqCst) > before + 30
         });
     }
 
-    /// Clients that connect only now are served; all of those before may be with one that hangs.
-    fn serves_others(&mut self) {
-        self.clients.extend(load(self.place.listen, &self.met));
-        self.serves();
+    /// Adds clients and waits until requests are served. All earlier clients may be connected to a
+    /// process that hangs.
+    fn expect_new_clients_served(&mut self) {
+        self.clients
+            .extend(start_load(self.setup.listen, &self.results));
+        self.expect_served();
     }
 
-    /// What was held open is answered by the old one.
-    fn releases(&mut self) {
+    /// Lets the database answer the held request, which the old process must relay.
+    fn release_held_request(&mut self) {
         self.released.store(true, SeqCst);
-        assert_eq!(self.held.answer(), Answer::Value("held".into()));
+        assert_eq!(self.held_client.answer(), Answer::Value("held".into()));
     }
 
-    /// The load's end: how many of its requests were lost with a process, and how many connects were refused.
-    fn end(self) -> (usize, usize) {
-        self.serves();
-        self.met.over.store(true, SeqCst);
+    /// Stops the load; returns the number of failures (requests lost with a process) and of refused
+    /// connects.
+    fn finish(self) -> (usize, usize) {
+        self.expect_served();
+        self.results.stop.store(true, SeqCst);
         self.clients.into_iter().for_each(|c| c.join().unwrap());
-        assert_eq!(doubled(&self.wrote), BTreeMap::new(), "doubled");
-        let wrong = self.met.wrong.lock().unwrap();
-        println!("lost: {wrong:?}");
-        // Whether a member had it, and how long before the end.
-        for id in wrong
+        assert_eq!(
+            duplicated_writes(&self.primary_db),
+            BTreeMap::new(),
+            "duplicated writes"
+        );
+        let failures = self.results.failures.lock().unwrap();
+        println!("lost: {failures:?}");
+        // Prints whether and how long ago each database received the lost request.
+        for id in failures
             .iter()
-            .filter_map(|w| w.strip_prefix("request ")?.split(':').next())
+            .filter_map(|f| f.strip_prefix("request ")?.split(':').next())
         {
-            let had = |seen: &StubDatabase| -> Vec<_> {
-                let queries = seen.queries.lock().unwrap();
+            let arrivals = |database: &StubDatabase| -> Vec<_> {
+                let queries = database.queries.lock().unwrap();
                 queries
                     .iter()
                     .filter(|q| q.1.contains(&format!("id={id},")))
@@ -511,11 +545,11 @@
             };
             println!(
                 "request {id}: sent {:?} and {:?} ago",
-                had(&self.wrote),
-                had(&self.drained.1)
+                arrivals(&self.primary_db),
+                arrivals(&self.replica.1)
             );
         }
-        (wrong.len(), self.met.refused.load(SeqCst))
+        (failures.len(), self.results.connects_refused.load(SeqCst))
     }
 }
 
@@ -525,24 +559,25 @@
         self.program.wait_for_exit();
     }
 
-    fn stops(&mut self) {
+    /// Stops the process by SIGTERM and waits for its exit.
+    fn stop(&mut self) {
         self.program.terminate();
         assert!(self.program.wait_for_exit().success());
     }
 
-    /// It stands still, with all its threads.
-    fn hangs(&self) {
+    /// Suspends the process and waits until all its threads have stopped.
+    fn suspend(&self) {
         self.program.signal("STOP");
         let tasks = procfs::process::Process::new(self.program.0.id().cast_signed()).unwrap();
-        let stands = |t: procfs::process::Task| t.stat().is_ok_and(|s| s.state == 'T');
-        wait_until("it stands still", || {
-            tasks.tasks().unwrap().flatten().all(stands)
+        let is_stopped = |t: procfs::process::Task| t.stat().is_ok_and(|s| s.state == 'T');
+        wait_until("all threads are stopped", || {
+            tasks.tasks().unwrap().flatten().all(is_stopped)
         });
     }
 
-    /// It has all limits to itself.
-    fn is_alone(&self) {
-        wait_until("it is the only one", || {
+    /// Waits until the process counts itself alone and uses the whole of the limits.
+    fn wait_until_alone(&self) {
+        wait_until("the process is the only one", || {
             let log = self.program.log();
             let last = log.lines().rfind(|line| line.contains("processes="));
             last.is_some_and(|line| line.contains("processes=1 descriptors=1024"))
@@ -550,46 +585,46 @@
     }
 }
 
-/// The clients of `load`: each may lose what it asked of a process that died.
+/// Number of clients of [`start_load`]; each may lose one request with a process that is killed.
 const CLIENTS: usize = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum When {
-    /// The new one has said yes.
+enum Phase {
+    /// The new process is healthy and the old one has not been asked to stop.
     BothServe,
-    /// The old one has been told to end, and holds a request open.
-    OldLeaves,
+    /// The old process is stopping and still has a request in flight.
+    OldStopping,
 }
 
 #[rstest]
-fn the_old_ones_end_leaves_the_new_one_alone(
-    #[values(When::BothServe, When::OldLeaves)] when: When,
-    #[values(End::Killed, End::Hung)] end: End,
+fn old_process_fails_during_upgrade_new_process_serves_alone(
+    #[values(Phase::BothServe, Phase::OldStopping)] phase: Phase,
+    #[values(Failure::Killed, Failure::Hung)] failure: Failure,
 ) {
-    let mut scene = Scene::begin();
-    let new = scene.place.start();
-    scene.serves();
-    if when == When::OldLeaves {
-        scene.old.program.terminate();
-        scene
+    let mut scenario = Scenario::start();
+    let new = scenario.setup.start();
+    scenario.expect_served();
+    if phase == Phase::OldStopping {
+        scenario.old.program.terminate();
+        scenario
             .old
             .program
             .wait_for_log("the new process accepts connections from now on");
     }
-    if end == End::Hung {
-        scene.old.hangs();
-        scene.serves_others();
-        scene.old.program.terminate();
+    if failure == Failure::Hung {
+        scenario.old.suspend();
+        scenario.expect_new_clients_served();
+        scenario.old.program.terminate();
     }
-    scene.old.kill();
+    scenario.old.kill();
     assert_eq!(
-        scene.held.answer(),
+        scenario.held_client.answer(),
         Answer::Ended,
-        "no answer was made up for what the old one held"
+        "the request held by the old process is not answered"
     );
-    new.is_alone();
-    assert!(new.healthy());
-    let (lost, refused) = scene.end();
+    new.wait_until_alone();
+    assert!(new.is_healthy());
+    let (lost, refused) = scenario.finish();
     assert!(
         lost <= CLIENTS && refused == 0,
         "{lost} lost, {refused} connects refused"
@@ -597,29 +632,31 @@
 }
 
 #[rstest]
-fn the_new_ones_end_leaves_the_old_one_as_it_was(#[values(End::Killed, End::Hung)] end: End) {
-    let mut scene = Scene::begin();
-    let mut new = scene.place.start();
-    scene.serves();
-    if end == End::Hung {
-        new.hangs();
-        scene.serves_others();
+fn new_process_fails_during_upgrade_old_process_serves_alone(
+    #[values(Failure::Killed, Failure::Hung)] failure: Failure,
+) {
+    let mut scenario = Scenario::start();
+    let mut new = scenario.setup.start();
+    scenario.expect_served();
+    if failure == Failure::Hung {
+        new.suspend();
+        scenario.expect_new_clients_served();
     }
     new.kill();
-    scene
+    scenario
         .old
         .program
         .wait_for_log("hot restart peer disconnected");
-    scene.old.is_alone();
-    scene.serves();
-    scene.releases();
-    // The next upgrade is one like any other.
-    let next = scene.place.start();
+    scenario.old.wait_until_alone();
+    scenario.expect_served();
+    scenario.release_held_request();
+    // The next upgrade succeeds as usual.
+    let next = scenario.setup.start();
     next.program
         .wait_for_log("inherited the listening socket and the snapshot");
-    scene.old.stops();
-    next.is_alone();
-    let (lost, refused) = scene.end();
+    scenario.old.stop();
+    next.wait_until_alone();
+    let (lost, refused) = scenario.finish();
     assert!(
         lost <= CLIENTS && refused == 0,
         "{lost} lost, {refused} connects refused"
@@ -627,182 +664,198 @@
 }
 
 #[rstest]
-fn after_both_have_ended_the_next_one_begins_while_the_old_one_still_answers(
-    #[values(End::Killed, End::Hung)] end: End,
+fn new_process_fails_while_old_one_stops_next_process_serves_before_the_old_exit(
+    #[values(Failure::Killed, Failure::Hung)] failure: Failure,
 ) {
-    let mut scene = Scene::begin();
-    let mut new = scene.place.start();
-    scene.serves();
-    scene.old.program.terminate();
-    scene
+    let mut scenario = Scenario::start();
+    let mut new = scenario.setup.start();
+    scenario.expect_served();
+    scenario.old.program.terminate();
+    scenario
         .old
         .program
         .wait_for_log("the new process accepts connections from now on");
-    if end == End::Hung {
-        new.hangs();
+    if failure == Failure::Hung {
+        new.suspend();
     }
     new.kill();
-    scene
+    scenario
         .old
         .program
         .wait_for_log("hot restart peer disconnected");
-    // Nobody takes connections until the next one is there; it need not wait for the old one's end.
-    let next = scene.place.start();
+    // No process accepts connections until the next one starts, which does not wait for the old
+    // process to exit.
+    let next = scenario.setup.start();
     assert!(
-        scene.old.program.0.try_wait().unwrap().is_none(),
-        "the old one still has a request open"
+        scenario.old.program.0.try_wait().unwrap().is_none(),
+        "the old process still has a request in flight"
     );
-    scene.serves();
-    scene.releases();
-    assert!(scene.old.program.wait_for_exit().success());
-    next.is_alone();
-    let refused = scene.met.refused.load(SeqCst);
-    let (lost, in_all) = scene.end();
-    // Who comes again before the old one has closed the socket is lost once more: nobody takes it.
-    let more = in_all - refused;
+    scenario.expect_served();
+    scenario.release_held_request();
+    assert!(scenario.old.program.wait_for_exit().success());
+    next.wait_until_alone();
+    let refused_before = scenario.results.connects_refused.load(SeqCst);
+    let (lost, refused_in_all) = scenario.finish();
+    // A client that reconnects before the old process has closed the socket loses a second request,
+    // since no process accepts that connection.
+    let refused = refused_in_all - refused_before;
     assert!(
-        lost <= 2 * CLIENTS && more == 0,
-        "{lost} lost, {more} connects refused once there was a next one"
+        lost <= 2 * CLIENTS && refused == 0,
+        "{lost} lost, {refused} connects refused after the next process started"
     );
 }
 
-/// A new process that has asked, and was handed everything, but does not serve yet.
-fn asks(scene: &Scene) -> UnixStream {
-    let path = scene
-        .place
+/// Requests the handover as a new process does and reads the snapshot, but does not report that it
+/// serves.
+fn request_handover(scenario: &Scenario) -> UnixStream {
+    let path = scenario
+        .setup
         .folder
-        .join(format!("handover-{}", scene.place.listen));
-    let mut line = UnixStream::connect(path).unwrap();
-    line.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    line.write_all(&encode(&HandoffMessage::Request("n0".into())))
+        .join(format!("handover-{}", scenario.setup.listen));
+    let mut connection = UnixStream::connect(path).unwrap();
+    connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    connection
+        .write_all(&encode(&HandoffMessage::Request("n0".into())))
         .unwrap();
     let mut head = [0; HEADER_BYTES];
-    line.read_exact(&mut head).unwrap();
+    connection.read_exact(&mut head).unwrap();
     let mut body = vec![0; decode_length(head).unwrap()];
-    line.read_exact(&mut body).unwrap();
-    assert!(matches!(decode(&body), Ok(HandoffMessage::State(known)) if !known.is_empty()));
-    line
+    connection.read_exact(&mut body).unwrap();
+    assert!(matches!(decode(&body), Ok(HandoffMessage::State(snapshot)) if !snapshot.is_empty()));
+    connection
 }
 
 #[rstest]
-fn a_new_one_that_ends_before_its_yes_changes_nothing(#[values(End::Killed, End::Hung)] end: End) {
-    let mut scene = Scene::begin();
-    let line = asks(&scene);
-    scene.old.program.wait_for_log("processes=2");
-    scene.serves();
-    if end == End::Hung {
-        // It says nothing, so that nobody else can begin: the platform has to end it.
-        scene.releases();
-        let mut third = scene.place.begin();
+fn new_process_fails_before_it_serves_old_process_unaffected(
+    #[values(Failure::Killed, Failure::Hung)] failure: Failure,
+) {
+    let mut scenario = Scenario::start();
+    let connection = request_handover(&scenario);
+    scenario.old.program.wait_for_log("processes=2");
+    scenario.expect_served();
+    if failure == Failure::Hung {
+        // A process that hangs before it serves blocks other upgrades until the platform kills it.
+        scenario.release_held_request();
+        let mut third = scenario.setup.spawn();
         assert_eq!(third.program.wait_for_exit().code(), Some(2));
         third.program.wait_for_log("an upgrade is under way");
-        scene.serves();
+        scenario.expect_served();
     }
-    drop(line);
-    scene
+    drop(connection);
+    scenario
         .old
         .program
         .wait_for_log("hot restart peer disconnected");
-    scene.old.is_alone();
-    let next = scene.place.start();
+    scenario.old.wait_until_alone();
+    let next = scenario.setup.start();
     next.program
         .wait_for_log("inherited the listening socket and the snapshot");
-    if end == End::Killed {
-        scene.releases();
+    if failure == Failure::Killed {
+        scenario.release_held_request();
     }
-    scene.old.stops();
-    next.is_alone();
-    assert_eq!(scene.end(), (0, 0), "lost, and connects refused");
+    scenario.old.stop();
+    next.wait_until_alone();
+    assert_eq!(scenario.finish(), (0, 0), "requests lost, connects refused");
 }
 
 #[rstest]
-fn a_configuration_read_again_during_an_upgrade_holds_for_who_was_told(
-    #[values(When::BothServe, When::OldLeaves)] when: When,
-    #[values(true, false)] old_too: bool,
+fn configuration_reloaded_during_upgrade_reloaded_processes_follow_it(
+    #[values(Phase::BothServe, Phase::OldStopping)] phase: Phase,
+    #[values(true, false)] reload_old: bool,
 ) {
-    let mut scene = Scene::begin();
-    let new = scene.place.start();
-    scene.serves();
-    if when == When::OldLeaves {
-        scene.old.program.terminate();
-        scene
+    let mut scenario = Scenario::start();
+    let new = scenario.setup.start();
+    scenario.expect_served();
+    if phase == Phase::OldStopping {
+        scenario.old.program.terminate();
+        scenario
             .old
             .program
             .wait_for_log("the new process accepts connections from now on");
     }
-    // Discovery moves; a replica begins to drain, and only the new address says so.
-    let primary = scene.place.known.clone();
-    let leaving = target("s-00000002", scene.drained.0, "read-only", "leaving");
-    let (moved, discovery) = Discovery::start(primary);
-    let config = std::fs::read_to_string(&scene.place.config).unwrap();
-    let config = config.replace(&scene.place.discovery_at.to_string(), &moved.to_string());
-    std::fs::write(&scene.place.config, config).unwrap();
-    for process in [&new, &scene.old]
+    // Discovery moves to another address; only the service there reports that the replica drains.
+    let initial_list = scenario.setup.initial_list.clone();
+    let leaving = target("s-00000002", scenario.replica.0, "read-only", "leaving");
+    let (moved, discovery) = Discovery::start(initial_list);
+    let config = std::fs::read_to_string(&scenario.setup.config).unwrap();
+    let config = config.replace(
+        &scenario.setup.discovery_address.to_string(),
+        &moved.to_string(),
+    );
+    std::fs::write(&scenario.setup.config, config).unwrap();
+    for process in [&new, &scenario.old]
         .into_iter()
-        .take(1 + usize::from(old_too))
+        .take(1 + usize::from(reload_old))
     {
         process.program.signal("HUP");
         process.program.wait_for_log("configuration read again");
     }
-    scene.releases();
-    wait_until("it asks at the new address", || {
+    scenario.release_held_request();
+    wait_until("a process watches at the new address", || {
         discovery.watches.load(SeqCst) > 0
     });
     discovery.changes.lock().unwrap().push(leaving);
-    let told = Instant::now();
-    scene.serves();
-    if when == When::BothServe {
-        scene.old.program.terminate();
+    let drain_started = Instant::now();
+    scenario.expect_served();
+    if phase == Phase::BothServe {
+        scenario.old.program.terminate();
     }
     assert!(
-        scene.old.program.wait_for_exit().success(),
-        "SIGHUP ends nobody"
+        scenario.old.program.wait_for_exit().success(),
+        "SIGHUP does not end a process"
     );
     let alone = Instant::now();
-    new.is_alone();
-    scene.serves();
-    let late = alone.max(told + Duration::from_millis(500));
-    let drained = Arc::clone(&scene.drained.1);
+    new.wait_until_alone();
+    scenario.expect_served();
+    let late = alone.max(drain_started + Duration::from_millis(500));
+    let replica_db = Arc::clone(&scenario.replica.1);
     std::thread::sleep(late.saturating_duration_since(Instant::now()));
-    scene.serves();
-    assert_eq!(scene.end(), (0, 0), "lost, and connects refused");
-    let sent = drained
+    scenario.expect_served();
+    assert_eq!(scenario.finish(), (0, 0), "requests lost, connects refused");
+    let sent = replica_db
         .queries
         .lock()
         .unwrap()
         .iter()
         .filter(|q| q.0 > late)
         .count();
-    assert_eq!(sent, 0, "sent to a member that was told to leave");
+    assert_eq!(sent, 0, "requests sent to a drained endpoint");
 }
 
-impl Scene {
-    /// Discovery moves: the configuration says so, to whoever reads it from now on.
-    fn moves(&self) -> Arc<Discovery> {
-        let (moved, discovery) = Discovery::start(self.place.known.clone());
-        let config = std::fs::read_to_string(&self.place.config).unwrap();
-        let config = config.replace(&self.place.discovery_at.to_string(), &moved.to_string());
-        std::fs::write(&self.place.config, config).unwrap();
+impl Scenario {
+    /// Starts discovery at another address and writes that address to the configuration.
+    fn move_discovery(&self) -> Arc<Discovery> {
+        let (moved, discovery) = Discovery::start(self.setup.initial_list.clone());
+        let config = std::fs::read_to_string(&self.setup.config).unwrap();
+        let config = config.replace(
+            &self.setup.discovery_address.to_string(),
+            &moved.to_string(),
+        );
+        std::fs::write(&self.setup.config, config).unwrap();
         discovery
     }
 
-    /// The replica begins to drain, and only this discovery says so: somebody hears it, and when.
-    fn drains(&self, discovery: &Discovery) -> Instant {
-        let leaving = target("s-00000002", self.drained.0, "read-only", "leaving");
+    /// Drains the replica at this discovery service alone; returns when a gateway process got the
+    /// update.
+    fn drain_replica(&self, discovery: &Discovery) -> Instant {
+        let leaving = target("s-00000002", self.replica.0, "read-only", "leaving");
         discovery.changes.lock().unwrap().push(leaving);
-        wait_until("it is told", || {
+        wait_until("a process gets the update", || {
             !discovery.update_times.lock().unwrap().is_empty()
         });
         discovery.update_times.lock().unwrap()[0]
     }
 
-    /// Nothing more is sent to the replica once its grace is over, though requests are served all along.
-    fn sends_nothing_after(&self, told: Instant) {
-        let late = told + Duration::from_millis(500);
-        wait_until("the grace is over", || Instant::now() > late);
-        self.serves();
+    /// Asserts that the replica gets no request later than 500 ms after the update, while requests
+    /// are served.
+    fn expect_replica_drained(&self, updated: Instant) {
+        let late = updated + Duration::from_millis(500);
+        wait_until("500 ms have passed since the update", || {
+            Instant::now() > late
+        });
+        self.expect_served();
         let sent = self
-            .drained
+            .replica
             .1
             .queries
             .lock()
@@ -810,201 +863,220 @@
             .iter()
             .filter(|q| q.0 > late)
             .count();
-        assert_eq!(sent, 0, "sent to a member that was told to leave");
+        assert_eq!(sent, 0, "requests sent to a drained endpoint");
     }
 }
 
-/// Who is told to read the configuration again.
+/// The process that reloads the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Reloads {
     Old,
     New,
 }
 
 #[rstest]
-fn a_configuration_read_again_by_one_process_binds_the_other(
-    #[values(Told::Old, Told::New)] who: Told,
+fn configuration_reloaded_by_one_process_other_process_follows_it(
+    #[values(Reloads::Old, Reloads::New)] reloads: Reloads,
 ) {
-    let mut scene = Scene::begin();
-    let new = scene.place.start();
-    scene.serves();
-    let discovery = scene.moves();
-    let told = if who == Told::Old { &scene.old } else { &new };
-    told.program.signal("HUP");
-    told.program.wait_for_log("configuration read again");
-    if who == Told::Old {
-        // It looks once as it begins, and once more now. Then the one that was told ends: the change is the other's to hear.
-        wait_until("the other one looks too", || {
+    let mut scenario = Scenario::start();
+    let new = scenario.setup.start();
+    scenario.expect_served();
+    let discovery = scenario.move_discovery();
+    let reloading = if reloads == Reloads::Old {
+        &scenario.old
+    } else {
+        &new
+    };
+    reloading.program.signal("HUP");
+    reloading.program.wait_for_log("configuration read again");
+    if reloads == Reloads::Old {
+        // The new process logs this once at its start and once for the reload. Then the process
+        // that reloaded ends, so that only the new one can get the update.
+        wait_until("the new process has reloaded too", || {
             new.program.log().matches("looked at with").count() > 1
         });
-        scene.releases();
-        scene.old.stops();
-        new.is_alone();
+        scenario.release_held_request();
+        scenario.old.stop();
+        new.wait_until_alone();
     } else {
-        // The second connection there is the old one's; nobody else is told of the change.
-        wait_until("both ask at the new address", || {
+        // The second connection is that of the old process; only that one gets the update.
+        wait_until("both processes watch at the new address", || {
             discovery.connections_used.load(SeqCst) > 1
         });
         discovery.only_connection.store(2, SeqCst);
     }
-    let at = scene.drains(&discovery);
-    scene.sends_nothing_after(at);
-    if who == Told::New {
-        scene.releases();
-        scene.old.stops();
-        new.is_alone();
+    let updated = scenario.drain_replica(&discovery);
+    scenario.expect_replica_drained(updated);
+    if reloads == Reloads::New {
+        scenario.release_held_request();
+        scenario.old.stop();
+        new.wait_until_alone();
     }
-    assert_eq!(scene.end(), (0, 0), "lost, and connects refused");
+    assert_eq!(scenario.finish(), (0, 0), "requests lost, connects refused");
 }
 
 #[rstest]
-fn a_configuration_read_again_before_the_new_ones_yes_holds_for_it(
-    #[values(Told::Old, Told::New)] who: Told,
+fn configuration_changed_before_new_process_serves_new_process_uses_it(
+    #[values(Reloads::Old, Reloads::New)] reloads: Reloads,
 ) {
-    let mut scene = Scene::begin();
-    // It has read the configuration, and has to ask again until another one's upgrade is over.
-    let other = asks(&scene);
-    let new = scene.place.begin();
-    scene
+    let mut scenario = Scenario::start();
+    // The new process has read the configuration and retries its request until the other handover
+    // is over.
+    let other = request_handover(&scenario);
+    let new = scenario.setup.spawn();
+    scenario
         .old
         .program
         .wait_for_log("rejected a second hot restart");
-    let discovery = scene.moves();
-    if who == Told::Old {
-        scene.old.program.signal("HUP");
-        scene.old.program.wait_for_log("configuration read again");
+    let discovery = scenario.move_discovery();
+    if reloads == Reloads::Old {
+        scenario.old.program.signal("HUP");
+        scenario
+            .old
+            .program
+            .wait_for_log("configuration read again");
     } else {
         new.program.signal("HUP");
     }
-    assert!(!new.healthy());
+    assert!(!new.is_healthy());
     drop(other);
-    wait_until("it says yes", || new.healthy());
+    wait_until("the new process is healthy", || new.is_healthy());
     new.program
         .wait_for_log("inherited the listening socket and the snapshot");
-    scene.serves();
-    scene.releases();
-    scene.old.stops();
-    new.is_alone();
-    let at = scene.drains(&discovery);
-    scene.sends_nothing_after(at);
-    assert_eq!(scene.end(), (0, 0), "lost, and connects refused");
+    scenario.expect_served();
+    scenario.release_held_request();
+    scenario.old.stop();
+    new.wait_until_alone();
+    let updated = scenario.drain_replica(&discovery);
+    scenario.expect_replica_drained(updated);
+    assert_eq!(scenario.finish(), (0, 0), "requests lost, connects refused");
 }
 
-/// A new process that waits for what is handed over is told to read its configuration again, over and over: it goes on
-/// waiting, and takes it.
+/// Reload signals arrive while a new process waits for the handover; the process must continue to
+/// wait and then use what is handed over.
 #[test]
-fn a_signal_does_not_end_the_wait_for_what_is_handed_over() {
-    let (at, _) = stub_database("read-write", |_, q| echo(q));
-    let place = Place::new(&target("s-00000001", at, "read-write", "active"));
-    let old = UnixListener::bind(place.folder.join(format!("handover-{}", place.listen))).unwrap();
-    let new = place.begin();
-    let mut line = old.accept().unwrap().0;
+fn reload_signals_while_waiting_for_handover_wait_continues() {
+    let (at, _) = stub_database("read-write", |_, q| echo_reply(q));
+    let setup = GatewaySetup::new(&target("s-00000001", at, "read-write", "active"));
+    let old = UnixListener::bind(setup.folder.join(format!("handover-{}", setup.listen))).unwrap();
+    let new = setup.spawn();
+    let mut connection = old.accept().unwrap().0;
     let mut head = [0; HEADER_BYTES];
-    line.read_exact(&mut head).unwrap();
+    connection.read_exact(&mut head).unwrap();
     let mut body = vec![0; decode_length(head).unwrap()];
-    line.read_exact(&mut body).unwrap();
+    connection.read_exact(&mut body).unwrap();
     let process = procfs::process::Process::new(new.program.0.id().cast_signed()).unwrap();
-    let waits = || process.stat().is_ok_and(|s| s.state == 'S');
+    let is_waiting = || process.stat().is_ok_and(|s| s.state == 'S');
     for _ in 0..5 {
-        // Its first thread is the one that takes signals, and the one that waits.
-        wait_until("it waits", waits);
+        // The main thread both handles signals and waits for the handover.
+        wait_until("the main thread waits", is_waiting);
         new.program.signal("HUP");
     }
-    // One that is about to end hands no socket over.
-    line.write_all(&encode(&HandoffMessage::State(vec![])))
+    // A process that is ending hands over no socket.
+    connection
+        .write_all(&encode(&HandoffMessage::State(vec![])))
         .unwrap();
-    wait_until("it says yes", || new.healthy());
+    wait_until("the new process is healthy", || new.is_healthy());
     assert!(
         !new.program.log().contains("nothing inherited"),
-        "it did not wait"
+        "the process did not wait for the handover"
     );
     new.program
         .wait_for_log("predecessor is ending, inherited its snapshot bytes=0");
     new.program.wait_for_log("configuration read again");
     assert_eq!(
-        Client::connect(place.listen).query(&read(1)),
+        Client::connect(setup.listen).query(&read_request(1)),
         Answer::Value("x1".into())
     );
 }
 
-/// A connection that never rests is served until the old process ends: what is asked on it then is not begun and cut off, but
-/// sent to the new one. Answers take so long that one is always on its way.
+/// A connection that always has a request in flight is served until the old process ends. The next
+/// request on it must be refused unexecuted rather than started and cut off, so that the client can
+/// send it to the new process.
 #[test]
-fn what_is_asked_as_the_old_process_ends_is_sent_to_the_new_one_and_not_cut_off() {
+fn connection_busy_as_old_process_ends_request_is_refused_unexecuted() {
     let (at, _) = stub_database("read-write", |_, q| {
         std::thread::sleep(Duration::from_millis(100));
-        echo(q)
+        echo_reply(q)
     });
-    let place = Place::new(&target("s-00000001", at, "read-write", "active"));
-    let mut old = place.start();
-    let mut client = Client::connect(place.listen);
-    assert_eq!(client.query(&once(1)), Answer::Value("x1".into()));
-    let new = place.start();
+    let setup = GatewaySetup::new(&target("s-00000001", at, "read-write", "active"));
+    let mut old = setup.start();
+    let mut client = Client::connect(setup.listen);
+    assert_eq!(client.query(&unsafe_write(1)), Answer::Value("x1".into()));
+    let new = setup.start();
     old.program.terminate();
     old.program
         .wait_for_log("the new process accepts connections from now on");
     let mut id = 1;
-    let turned_away = loop {
+    let last_answer = loop {
         id += 1;
-        match client.query(&once(id)) {
+        match client.query(&unsafe_write(id)) {
             Answer::Value(value) => assert_eq!(value, format!("x{id}")),
             other => break other,
         }
     };
     assert_eq!(
-        turned_away,
+        last_answer,
         Answer::Error("53300".into(), Some("1".into())),
-        "nothing of it has run"
+        "the request was not executed"
     );
-    let mut client = Client::connect(place.listen);
-    assert_eq!(client.query(&once(id)), Answer::Value(format!("x{id}")));
-    assert!(old.program.wait_for_exit().success() && new.healthy());
+    let mut client = Client::connect(setup.listen);
+    assert_eq!(
+        client.query(&unsafe_write(id)),
+        Answer::Value(format!("x{id}"))
+    );
+    assert!(old.program.wait_for_exit().success() && new.is_healthy());
 }
 
 #[test]
-fn a_second_upgrade_begins_as_the_first_one_ends() {
-    let mut scene = Scene::begin();
-    let mut second = scene.place.start();
-    scene.serves();
-    scene.old.program.terminate();
-    // The old one has a request open yet, so the third has to wait, and says yes only once it has gone.
-    let third = scene.place.begin();
+fn third_process_starts_during_upgrade_under_load_second_upgrade_follows_the_first() {
+    let mut scenario = Scenario::start();
+    let mut second = scenario.setup.start();
+    scenario.expect_served();
+    scenario.old.program.terminate();
+    // The old process still has a request in flight, so the third process becomes healthy only
+    // after the old one has exited.
+    let third = scenario.setup.spawn();
     second.program.wait_for_log("rejected a second hot restart");
-    assert!(!third.healthy() && second.healthy());
-    scene.serves();
-    scene.releases();
-    assert!(scene.old.program.wait_for_exit().success());
-    wait_until("it says yes", || third.healthy());
+    assert!(!third.is_healthy() && second.is_healthy());
+    scenario.expect_served();
+    scenario.release_held_request();
+    assert!(scenario.old.program.wait_for_exit().success());
+    wait_until("the third process is healthy", || third.is_healthy());
     third
         .program
         .wait_for_log("inherited the listening socket and the snapshot");
-    second.stops();
-    third.is_alone();
-    assert_eq!(scene.end(), (0, 0), "lost, and connects refused");
+    second.stop();
+    third.wait_until_alone();
+    assert_eq!(scenario.finish(), (0, 0), "requests lost, connects refused");
 }
 
 #[test]
-fn a_start_during_a_planned_stop_need_not_wait_for_its_end() {
-    let mut scene = Scene::begin();
-    scene.old.program.terminate();
-    scene.old.program.wait_for_log("planned shutdown requested");
-    let new = scene.place.start();
+fn process_starts_during_planned_shutdown_serves_before_the_old_exit() {
+    let mut scenario = Scenario::start();
+    scenario.old.program.terminate();
+    scenario
+        .old
+        .program
+        .wait_for_log("planned shutdown requested");
+    let new = scenario.setup.start();
     new.program
         .wait_for_log("predecessor is ending, inherited its snapshot");
-    scene
+    scenario
         .old
         .program
         .wait_for_log("the new process accepts connections from now on");
     assert!(
-        scene.old.program.0.try_wait().unwrap().is_none(),
-        "the old one still has a request open"
+        scenario.old.program.0.try_wait().unwrap().is_none(),
+        "the old process still has a request in flight"
     );
-    scene.serves();
-    scene.releases();
-    assert!(scene.old.program.wait_for_exit().success());
-    new.is_alone();
-    // Each has a queue of its own: what comes into the old one's as it closes is reset.
-    let (lost, refused) = scene.end();
+    scenario.expect_served();
+    scenario.release_held_request();
+    assert!(scenario.old.program.wait_for_exit().success());
+    new.wait_until_alone();
+    // Each process has its own accept queue: connections in that of the old process are reset when
+    // it closes.
+    let (lost, refused) = scenario.finish();
     assert!(
         lost <= 2 && refused == 0,
         "{lost} lost, {refused} connects refused"
@@ -1012,30 +1084,31 @@
 }
 
 #[test]
-fn two_processes_have_no_more_out_at_a_member_than_one_may() {
+fn two_processes_in_flight_at_endpoint_stay_within_limit_of_one() {
     let released = Arc::<AtomicBool>::default();
-    let waits = Arc::clone(&released);
-    let (at, seen) = stub_database("read-write", move |_, q| {
-        while !waits.load(SeqCst) {
+    let released_at_database = Arc::clone(&released);
+    let (at, database) = stub_database("read-write", move |_, q| {
+        while !released_at_database.load(SeqCst) {
             std::thread::sleep(Duration::from_millis(2));
         }
-        echo(q)
+        echo_reply(q)
     });
-    let place = Place::new(&target("s-00000001", at, "read-write", "active"));
-    let old = place.start();
-    let mut clients: Vec<_> = (0..20).map(|_| Client::connect(place.listen)).collect();
-    let new = place.start();
+    let setup = GatewaySetup::new(&target("s-00000001", at, "read-write", "active"));
+    let old = setup.start();
+    let mut clients: Vec<_> = (0..20).map(|_| Client::connect(setup.listen)).collect();
+    let new = setup.start();
     old.program.wait_for_log("processes=2 descriptors=512");
-    clients.extend((0..40).map(|_| Client::connect(place.listen)));
+    clients.extend((0..40).map(|_| Client::connect(setup.listen)));
     for (id, client) in (1..).zip(&mut clients) {
-        client.send(&once(id));
+        client.send(&unsafe_write(id));
     }
-    // What may go out has gone once no more comes for a while; one answer would let more out.
-    let (mut out, mut since) = (0, Instant::now());
-    wait_until("what may go out is out", || {
-        let count = seen.count();
-        if count != out {
-            (out, since) = (count, Instant::now());
+    // The limit is reached once no request has arrived for 300 ms; an answer would let the next one
+    // be sent.
+    let (mut in_flight, mut since) = (0, Instant::now());
+    wait_until("no further request arrives", || {
+        let count = database.count();
+        if count != in_flight {
+            (in_flight, since) = (count, Instant::now());
         }
         count > 1 && since.elapsed() > Duration::from_millis(300)
     });
@@ -1045,35 +1118,38 @@
         .map(Client::answer)
         .filter(|a| matches!(a, Answer::Value(_)))
         .count();
-    // A process that has learned nothing yet gives a member eight.
+    // Without measurements a process allows 8 requests in flight at an endpoint.
     assert!(
-        out <= 8 && served == 60,
-        "{out} out at once, {served} served"
+        in_flight <= 8 && served == 60,
+        "{in_flight} in flight at once, {served} served"
     );
-    assert!(new.healthy());
+    assert!(new.is_healthy());
 }
 
-/// Both are one gateway: what discovery tells one of them binds both.
 #[rstest]
-#[case::the_old_one_is_told(1)]
-#[case::the_new_one_is_told(2)]
-fn what_discovery_tells_one_of_two_processes_holds_for_both(#[case] only: usize) {
-    let (primary, _) = stub_database("read-write", |_, q| echo(q));
-    let (drained, left) = stub_database("read-only", |_, q| echo(q));
-    let list = [
+#[case::old_process(1)]
+#[case::new_process(2)]
+fn discovery_updates_one_process_both_stop_using_the_drained_endpoint(
+    #[case] only_connection: usize,
+) {
+    let (primary, _) = stub_database("read-write", |_, q| echo_reply(q));
+    let (drained, drained_db) = stub_database("read-only", |_, q| echo_reply(q));
+    let initial_list = [
         target("s-00000001", primary, "read-write", "active"),
         target("s-00000002", drained, "read-only", "active"),
     ];
-    let place = Place::new(&list.join(","));
-    let old = place.start();
-    wait_until("the old one watches", || {
-        place.discovery.watches.load(SeqCst) > 0
+    let setup = GatewaySetup::new(&initial_list.join(","));
+    let old = setup.start();
+    wait_until("the old process watches discovery", || {
+        setup.discovery.watches.load(SeqCst) > 0
     });
-    let mut first = Client::connect(place.listen);
-    place.discovery.only_connection.store(only, SeqCst);
-    let new = place.start();
-    let told = place.discovery.update_times.lock().unwrap().len();
-    // Some of these are the old one's, and some the new one's.
+    let mut first = Client::connect(setup.listen);
+    setup
+        .discovery
+        .only_connection
+        .store(only_connection, SeqCst);
+    let new = setup.start();
+    let updates_before = setup.discovery.update_times.lock().unwrap().len();
     let relayed = |process: &Process| -> u64 {
         let text = process.get("/admin/stats");
         let count = text
@@ -1084,90 +1160,101 @@
             .map_or(0, |c| c.parse().unwrap())
     };
     let mut id = 0;
-    let mut ask = |client: &mut Client| {
+    let mut request = |client: &mut Client| {
         id += 1;
-        assert_eq!(client.query(&read(id)), Answer::Value(format!("x{id}")));
+        assert_eq!(
+            client.query(&read_request(id)),
+            Answer::Value(format!("x{id}"))
+        );
     };
+    // Some of these connections are accepted by the old process and some by the new one.
     let mut clients: Vec<Client> = vec![];
-    wait_until("both serve, and send to the member", || {
-        clients.push(Client::connect(place.listen));
-        ask(clients.last_mut().unwrap());
-        ask(&mut first);
-        relayed(&old) > 2 && relayed(&new) > 2 && left.count() > 4
+    wait_until("both processes serve and use the endpoint", || {
+        clients.push(Client::connect(setup.listen));
+        request(clients.last_mut().unwrap());
+        request(&mut first);
+        relayed(&old) > 2 && relayed(&new) > 2 && drained_db.count() > 4
     });
-    place.discovery.changes.lock().unwrap().push(target(
+    setup.discovery.changes.lock().unwrap().push(target(
         "s-00000002",
         drained,
         "read-only",
         "leaving",
     ));
-    wait_until("one of them is told", || {
-        place.discovery.update_times.lock().unwrap().len() > told
+    wait_until("one process gets the update", || {
+        setup.discovery.update_times.lock().unwrap().len() > updates_before
     });
-    let at = Instant::now();
+    let updated = Instant::now();
     let before = [relayed(&old), relayed(&new)];
-    wait_until("both have served on for longer than the grace", || {
-        ask(&mut first);
-        clients.push(Client::connect(place.listen));
-        ask(clients.last_mut().unwrap());
-        at.elapsed() > Duration::from_millis(1_500)
-            && relayed(&old) > before[0] + 9
-            && relayed(&new) > before[1] + 9
-    });
-    let queries = left.queries.lock().unwrap();
+    wait_until(
+        "both processes have served for 1.5 s after the update",
+        || {
+            request(&mut first);
+            clients.push(Client::connect(setup.listen));
+            request(clients.last_mut().unwrap());
+            updated.elapsed() > Duration::from_millis(1_500)
+                && relayed(&old) > before[0] + 9
+                && relayed(&new) > before[1] + 9
+        },
+    );
+    let queries = drained_db.queries.lock().unwrap();
     let late = queries
         .iter()
-        .filter(|(when, ..)| *when > at + Duration::from_millis(500))
+        .filter(|(arrived, ..)| *arrived > updated + Duration::from_millis(500))
         .count();
     assert_eq!(
         late, 0,
-        "sent to a member that one of the two had been told is leaving"
+        "requests sent to an endpoint that one of the two processes knew to be draining"
     );
 }
 
-/// What waits for the new process at discovery is told it at once, before it serves: the old one is told too.
+/// The new process gets a pending update from discovery before it serves; the old process must
+/// follow it as well.
 #[test]
-fn what_discovery_tells_the_new_process_as_it_starts_holds_for_the_old_one() {
-    let (primary, _) = stub_database("read-write", |_, q| echo(q));
-    let (drained, left) = stub_database("read-only", |_, q| echo(q));
-    let list = [
+fn discovery_updates_starting_process_old_process_stops_using_the_drained_endpoint() {
+    let (primary, _) = stub_database("read-write", |_, q| echo_reply(q));
+    let (drained, drained_db) = stub_database("read-only", |_, q| echo_reply(q));
+    let initial_list = [
         target("s-00000001", primary, "read-write", "active"),
         target("s-00000002", drained, "read-only", "active"),
     ];
-    let place = Place::new(&list.join(","));
-    let old = place.start();
-    wait_until("the old one watches", || {
-        place.discovery.watches.load(SeqCst) > 0
+    let setup = GatewaySetup::new(&initial_list.join(","));
+    let old = setup.start();
+    wait_until("the old process watches discovery", || {
+        setup.discovery.watches.load(SeqCst) > 0
     });
-    // The old one's own watch hears nothing any more; the new one's will be the second connection.
-    place.discovery.only_connection.store(2, SeqCst);
-    place.discovery.changes.lock().unwrap().push(target(
+    // Only the second connection, that of the new process, gets the update.
+    setup.discovery.only_connection.store(2, SeqCst);
+    setup.discovery.changes.lock().unwrap().push(target(
         "s-00000002",
         drained,
         "read-only",
         "leaving",
     ));
-    let mut client = Client::connect(place.listen);
+    let mut client = Client::connect(setup.listen);
     let mut id = 0;
-    let mut ask = || {
+    let mut request = || {
         id += 1;
-        assert_eq!(client.query(&read(id)), Answer::Value(format!("x{id}")));
+        assert_eq!(
+            client.query(&read_request(id)),
+            Answer::Value(format!("x{id}"))
+        );
     };
-    wait_until("the old one sends to the member", || {
-        ask();
-        left.count() > 0
+    wait_until("the old process uses the endpoint", || {
+        request();
+        drained_db.count() > 0
     });
-    let _new = place.start();
-    wait_until("the new one is told", || {
-        !place.discovery.update_times.lock().unwrap().is_empty()
+    let _new = setup.start();
+    wait_until("the new process gets the update", || {
+        !setup.discovery.update_times.lock().unwrap().is_empty()
     });
-    let late = place.discovery.update_times.lock().unwrap()[0] + Duration::from_millis(500);
-    wait_until("the grace is over", || {
-        ask();
+    let late = setup.discovery.update_times.lock().unwrap()[0] + Duration::from_millis(500);
+    wait_until("500 ms have passed since the update", || {
+        request();
         Instant::now() > late
     });
-    (0..50).for_each(|_| ask());
-    let sent = left
+    (0..50).for_each(|_| request());
+    let sent = drained_db
         .queries
         .lock()
         .unwrap()
@@ -1176,7 +1263,7 @@
         .count();
     assert_eq!(
         sent, 0,
-        "sent by the old process to a member that the new one had been told is leaving"
+        "requests sent by the old process to an endpoint that the new one knew to be draining"
     );
-    assert!(old.healthy());
+    assert!(old.is_healthy());
 }
--- a/crates/gateway/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -1,5 +1,6 @@
-//! A machine's wall clock may be off, or be stepped while the gateway runs; its monotonic clock runs on. Positions,
-//! commit times and starts of endpoints are told as Unix times of their own clock and must be understood all the same.
+//! The gateway's wall clock may be wrong, or be stepped while the gateway runs; its monotonic clock
+//! is unaffected. Endpoints report positions, commit times and start times as Unix times of their
+//! own clock, which the gateway must interpret correctly all the same.
 
 mod support;
 
@@ -10,13 +11,16 @@
 use support::*;
 use valehatch_fault_control::Switch;
 
+/// One second in the unit of [`Switch::WallClockOffset`], microseconds.
 const SECOND: i64 = 1_000_000;
-/// How old the data of a bounded read may be, and how far the replica is behind where it is too far.
-const BOUND: Duration = Duration::from_millis(500);
-const BEHIND: Duration = Duration::from_millis(1_200);
+/// Staleness bound of reads.
+const STALENESS_BOUND: Duration = Duration::from_millis(500);
+/// Lag of a replica that must not serve such reads.
+const EXCESSIVE_LAG: Duration = Duration::from_millis(1_200);
 
-/// A gateway of a site where endpoints check nothing themselves, on a machine whose wall clock is off by so much.
-fn skewed(members: &str, offset: i64) -> FaultyGateway {
+/// Starts a gateway whose wall clock is off by `offset_us` and whose endpoints do not check
+/// staleness themselves.
+fn start_skewed_gateway(members: &str, offset_us: i64) -> FaultyGateway {
     let edit = |text: String| {
         let bounded = r#""staleness-bound-ms":[500,0,0],"needs-by-class":["lag_bound","#;
         text.replace(r#""needs-by-class":["eventual","#, bounded)
@@ -25,16 +29,16 @@
                 r#""server-checks":"off""#,
             )
     };
-    start_faulty_gateway(members, edit, Some((Switch::WallClockOffset, offset)))
+    start_faulty_gateway(members, edit, Some((Switch::WallClockOffset, offset_us)))
 }
 
-/// What an endpoint reports that is so far behind.
-fn report(primary: bool, behind: Duration) -> String {
-    let position = (UNIX_EPOCH.elapsed().unwrap() - behind).as_secs_f64();
+/// The probe reply of an endpoint that lags by `lag`.
+fn probe_reply(primary: bool, lag: Duration) -> String {
+    let position = (UNIX_EPOCH.elapsed().unwrap() - lag).as_secs_f64();
     format!("x0={position},x1={},util=0.1,inflight=0", u8::from(primary))
 }
 
-/// A group of a primary and a replica that is so far behind; how often the replica has served.
+/// A group of a primary and a lagging replica, whose probe reply a thread updates.
 struct Group {
     members: String,
     replica: std::sync::Arc<StubDatabase>,
@@ -48,7 +52,8 @@
     }
 }
 
-fn group(behind: Duration) -> Group {
+/// Starts a group whose replica lags by `replica_lag`.
+fn start_group(replica_lag: Duration) -> Group {
     let (primary_at, primary) = stub_database("read-write", |_, query| {
         std::thread::sleep(Duration::from_millis(2));
         Reply::Send(echo_oid(query))
@@ -59,14 +64,14 @@
         target("s-00000002", replica_at, "read-only", "active"),
     ];
     let stop = std::sync::Arc::<std::sync::atomic::AtomicBool>::default();
-    let (told, ends) = (
+    let (reporting_replica, stop_reports) = (
         std::sync::Arc::clone(&replica),
         std::sync::Arc::clone(&stop),
     );
-    *told.probe_reply.lock().unwrap() = Some(report(false, behind));
+    *reporting_replica.probe_reply.lock().unwrap() = Some(probe_reply(false, replica_lag));
     std::thread::spawn(move || {
-        while !ends.load(std::sync::atomic::Ordering::Relaxed) {
-            *told.probe_reply.lock().unwrap() = Some(report(false, behind));
+        while !stop_reports.load(std::sync::atomic::Ordering::Relaxed) {
+            *reporting_replica.probe_reply.lock().unwrap() = Some(probe_reply(false, replica_lag));
             std::thread::sleep(Duration::from_millis(2));
         }
     });
@@ -78,23 +83,24 @@
     }
 }
 
-/// Asks until a moment, or until the replica has served so many; how many it has.
+/// Sends reads until the replica has served `target_count` of them or `timeout` has passed; returns
+/// how many the replica has served.
 fn served_by_replica(
     gateway: &FaultyGateway,
     group: &Group,
-    enough: usize,
-    wait: Duration,
+    target_count: usize,
+    timeout: Duration,
 ) -> usize {
-    static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
+    static NEXT_ID: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
     let mut client = Client::connect(gateway.address);
-    let (before, end) = (group.replica.count(), Instant::now() + wait);
-    while Instant::now() < end && group.replica.count() - before < enough {
-        let id = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    let (before, end) = (group.replica.count(), Instant::now() + timeout);
+    while Instant::now() < end && group.replica.count() - before < target_count {
+        let id = NEXT_ID.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let answer = client.query(&read_query(id, 4_000));
         assert_eq!(
             answer,
             Answer::Value(format!("x{id}")),
-            "the primary serves what the replica must not"
+            "the primary serves reads that the replica must not serve"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -104,8 +110,8 @@
 #[test]
 fn wall_clock_off_at_start_replica_within_bound_serves() {
     for seconds in [3_600, -3_600, 2, -2] {
-        let group = group(BOUND / 5);
-        let gateway = skewed(&group.members, seconds * SECOND);
+        let group = start_group(STALENESS_BOUND / 5);
+        let gateway = start_skewed_gateway(&group.members, seconds * SECOND);
         let served = served_by_replica(&gateway, &group, 20, Duration::from_secs(10));
         assert!(
             served >= 20,
@@ -117,20 +123,22 @@
 #[test]
 fn wall_clock_off_at_start_replica_behind_bound_serves_nothing() {
     for offset_ms in [-3_600_000, -2_000, -900, -700, 900, 3_600_000] {
-        let group = group(BEHIND);
-        let gateway = skewed(&group.members, offset_ms * 1_000);
+        let group = start_group(EXCESSIVE_LAG);
+        let gateway = start_skewed_gateway(&group.members, offset_ms * 1_000);
         let served = served_by_replica(&gateway, &group, 1, Duration::from_secs(2));
         assert_eq!(
             served, 0,
-            "{offset_ms} ms off: stale reads from a replica that is {BEHIND:?} behind"
+            "{offset_ms} ms off: stale reads from a replica that is {EXCESSIVE_LAG:?} behind"
         );
     }
 }
 
 #[rstest]
-fn wall_clock_stepped_while_running_changes_nothing(#[values(3_600, -3_600, 2, -2)] seconds: i64) {
-    let group = group(BOUND / 5);
-    let gateway = skewed(&group.members, 0);
+fn wall_clock_stepped_while_running_replica_within_bound_serves(
+    #[values(3_600, -3_600, 2, -2)] seconds: i64,
+) {
+    let group = start_group(STALENESS_BOUND / 5);
+    let gateway = start_skewed_gateway(&group.members, 0);
     assert!(served_by_replica(&gateway, &group, 20, Duration::from_secs(10)) >= 20);
     gateway
         .control
