--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -420,7 +420,7 @@
     let mut new = setup.start();
     let third = setup.spawn();
     new.program.wait_for_log("rejected a second hot restart");
-    assert!(!third.healthy());
+    assert!(!third.is_healthy());
     old.program.terminate();
     assert!(old.program.wait_for_exit().success());
     wait_until("the third process is healthy", || third.is_healthy());
