--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,44 +1,41 @@
-//! Why the program cannot start, in the words that the operator reads on standard error.
+//! Errors that prevent the program from starting, with the text printed on standard error.
 
 use std::error::Error;
 
-/// Any error below one of the program's own.
+/// Underlying cause of a [`StartError`].
 pub(crate) type Source = Box<dyn Error + Send + Sync>;
 
-/// The program does not start, or has ended before its time. The process exits with 2.
+/// The program cannot start, or a front could not be run. The process exits with status 2.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
     /// `BALANCER_CONFIG` is not set.
     #[error("BALANCER_CONFIG names no configuration")]
     NoConfiguration,
-    /// An environment variable holds a value that it must not hold.
+    /// An environment variable has an invalid value.
     #[error("{variable} is {value:?}, not {expected}")]
     Environment {
-        /// The variable's name.
         variable: &'static str,
-        /// Its value.
         value: String,
-        /// What it may hold.
+        /// Description of the valid values.
         expected: &'static str,
     },
-    /// A configuration is missing a key or holds a wrong one; the text names it.
+    /// A configuration lacks a key or has an invalid one; the text names the key.
     #[error("{0}")]
     Configuration(Source),
-    /// Something that the configuration names cannot be used: an address, a folder, a thread.
+    /// A resource cannot be used: an address, a folder, a thread.
     #[error("{name}: {source}")]
     Resource {
-        /// What it is, usually the key that names it.
+        /// Name of the resource, usually its configuration key.
         name: String,
-        /// Why not.
         source: Source,
     },
-    /// Two processes of this gateway run already.
+    /// Two processes of this gateway are already running.
     #[error("an upgrade is under way, and two processes are enough for one gateway")]
     HotRestartInProgress,
 }
 
 impl StartError {
-    /// For `map_err`: the resource of this name cannot be used.
+    /// For `map_err`: wraps an error of the resource with this name.
     pub(crate) fn resource<E: Into<Source>>(name: impl Into<String>) -> impl FnOnce(E) -> Self {
         let name = name.into();
         move |error| Self::Resource {
@@ -47,7 +44,7 @@
         }
     }
 
-    /// For `map_err`: the configuration is at fault.
+    /// For `map_err`: wraps a configuration error.
     pub(crate) fn configuration<E: Into<Source>>(error: E) -> Self {
         Self::Configuration(error.into())
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! One front: its core on its event loop, and the core's effects carried out.
+//! One front: runs the core on its event loop and executes the core's effects.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -23,22 +23,22 @@
 use crate::recovery::{SharedService, count_outcome};
 use crate::resources::{request_memory, upstream_connections};
 
-/// Time-out of health checks where the configured connect time-out does not fit into a [`Span`], in
-/// milliseconds.
+/// Health check timeout in milliseconds, used if the configured connect timeout does not fit into a
+/// [`Span`].
 const DEFAULT_HEALTH_CHECK_TIMEOUT_MS: i64 = 250;
 
-/// Who observes a front: the names in its records, the request log, and whether service is
-/// complete.
+/// Receives a front's request records: the names used in them, the request log, and the tracker of
+/// service recovery.
 pub(crate) struct Observer {
     /// Names of the front, its classes and its tenants.
     pub(crate) names: Arc<Observability>,
-    /// Takes the records of requests.
+    /// Writes request records to the request log.
     pub(crate) recorder: Recorder,
-    /// Counts outcomes since the start.
+    /// Counts request outcomes towards service recovery.
     pub(crate) service: SharedService,
 }
 
-/// The settings of a front's admission queue; `quotas` are the tenants' weights.
+/// Builds the settings of a front's admission queue; `quotas` are the tenants' weights.
 pub(crate) fn admission_settings(
     sizes: AdmissionSettings,
     site: &Site,
@@ -65,43 +65,43 @@
     }
 }
 
-/// What one front is made of.
+/// Components and settings of one front.
 pub(crate) struct FrontParts {
-    /// Its settings, with the names that clients use.
+    /// Settings of the front, and the names of classes and tenants that clients use.
     pub(crate) site: Site,
-    /// Its descriptors.
+    /// Number of descriptors that the front may use.
     pub(crate) descriptors: usize,
-    /// Its memory, in MiB.
+    /// Memory that the front may use, in MiB.
     pub(crate) memory_mb: usize,
-    /// The seed of its random choices.
+    /// Seed of the core's random number generator.
     pub(crate) seed: u64,
-    /// Where its clients connect.
+    /// Socket that clients connect to.
     pub(crate) listener: TcpListener,
-    /// The process's clock.
+    /// Clock of the process.
     pub(crate) clock: Clock,
-    /// Its protocol towards clients.
+    /// Protocol towards clients.
     pub(crate) handler: Arc<dyn RequestHandler>,
-    /// Its protocol towards endpoints.
+    /// Protocol towards endpoints.
     pub(crate) upstream: Box<dyn Upstream>,
-    /// Counts its connections.
+    /// Counts and limits the front's connections.
     pub(crate) connections: Arc<SharedConnectionLimiter>,
-    /// Requests that may be in flight at once, where that is not one for each upstream connection.
+    /// Maximum of concurrent requests; `None` for one request per upstream connection.
     pub(crate) max_in_flight: Option<usize>,
-    /// The queue of its core.
+    /// Event queue of the core.
     pub(crate) inbox: (Sender<Event>, Receiver<Event>),
-    /// Who observes it, if anybody does.
+    /// Receiver of request records; `None` if nothing uses them.
     pub(crate) observer: Option<Observer>,
-    /// Its admission queue, if it has one.
+    /// Settings of the admission queue; `None` for a front without one.
     pub(crate) admission: Option<valehatch_admission::Settings>,
-    /// Its counters, if they are read.
+    /// Outcome counters; `None` without a management address.
     pub(crate) metrics: Option<Arc<OutcomeMetrics>>,
-    /// Counts what the core denies, by reason.
+    /// Counts the core's denials, by reason.
     pub(crate) decisions: Arc<Decisions>,
-    /// Where its core publishes its view.
+    /// View that the core publishes.
     pub(crate) board: Arc<ArcSwapOption<Board>>,
 }
 
-/// A front that listens.
+/// A listening front.
 pub(crate) struct Front {
     state: State,
     upstream: Box<dyn Upstream>,
@@ -113,10 +113,10 @@
 }
 
 impl Front {
-    /// Makes the core and listens.
+    /// Creates the core and starts to listen.
     ///
     /// # Errors
-    /// The settings contradict each other, or no thread can be started.
+    /// The settings are inconsistent, or a thread cannot be started.
     pub(crate) fn listen(parts: FrontParts) -> Result<Self, StartError> {
         let health_check_timeout_ms = i64::try_from(parts.site.connect_timeout_ms);
         let connection_limit = upstream_connections(parts.descriptors);
@@ -162,12 +162,12 @@
         })
     }
 
-    /// Its clients; they are served beside the event loop.
+    /// Client connections of the front; their threads run concurrently with the event loop.
     pub(crate) fn clients(&self) -> Arc<Clients> {
         Arc::clone(&self.clients)
     }
 
-    /// Serves until it has stopped.
+    /// Runs the event loop until the core exits.
     pub(crate) fn run(self) {
         let Self {
             mut state,
@@ -196,7 +196,7 @@
     }
 }
 
-/// Carries out the core's effects.
+/// Executes the core's effects.
 struct EffectRunner {
     upstream: Box<dyn Upstream>,
     clients: Arc<Clients>,
@@ -207,7 +207,6 @@
 }
 
 impl EffectRunner {
-    /// Carries out one effect.
     fn run(&mut self, effect: Effect) -> LoopControl {
         match effect {
             Effect::Connect {
@@ -260,7 +259,9 @@
 
 fn log(event: LogEvent) {
     match event {
-        LogEvent::InvalidQuotas(error) => warn!(%error, "tenant quotas rejected, keeping the old"),
+        LogEvent::InvalidQuotas(error) => {
+            warn!(%error, "tenant quotas rejected, keeping the previous ones")
+        }
         LogEvent::UpstreamConnectionsExhausted(limit) => {
             warn!(limit, "all upstream connections are in use");
         }
@@ -269,7 +270,7 @@
             request,
             endpoint,
         } => {
-            error!(%request, %endpoint, "invariant violated: {}; it was not sent", denial.name());
+            error!(%request, %endpoint, "invariant violated: {}; the request was not sent", denial.name());
         }
         LogEvent::RequestStep { request, step } => debug!(%request, "{step:?}"),
     }
--- a/crates/gateway/src/hot_restart.rs
+++ b/crates/gateway/src/hot_restart.rs
@@ -1,8 +1,9 @@
-//! Hot restart: what this process takes over from its predecessor, and what it hands on to its
-//! successor.
+//! Hot restart: takes over the listening socket and state from the predecessor process, and hands
+//! them on to the successor.
 //!
-//! The steps and who holds what at each are `valehatch_hot_restart`'s; the socket between the two
-//! processes is `valehatch_net::hot_restart`'s. This module connects them with the front.
+//! `valehatch_hot_restart` defines the steps and which process holds which resources at each step.
+//! `valehatch_net::hot_restart` implements the socket between the two processes. This module
+//! connects them with the front.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
@@ -32,36 +33,38 @@
 
 /// Name of the platform's front in snapshots.
 pub(crate) const PLATFORM_FRONT: &str = "platform";
-/// How long a handoff waits for the core's view; without it the endpoint list is handed on alone.
+/// Maximum wait of a handoff for a fresh view from the core. Without one, only the endpoint list is
+/// current in the snapshot.
 const VIEW_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause between two looks at whether the view has been published.
+/// Interval of the checks for a newly published view.
 const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Where the processes of a gateway that listens at this address meet; `None` without `TMPDIR`.
+/// Path of the handoff socket of the gateway that listens at this address; `None` if `TMPDIR` is
+/// not set.
 pub(crate) fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(PathBuf::from(folder).join(format!("handover-{listen}")))
 }
 
-/// What a process begins with.
+/// Resources that a process starts with.
 pub(crate) struct Inheritance {
     listener: TcpListener,
-    /// What the predecessor knew, if it could be used.
+    /// The predecessor's snapshot, if it is usable.
     pub(crate) snapshot: Option<Snapshot>,
-    /// The connection to the predecessor, while that lives.
+    /// Connection to the predecessor, if one is running.
     predecessor: Option<UnixStream>,
 }
 
-/// Takes over from the predecessor, or begins as after a crash.
+/// Takes over from the predecessor, or starts without one as after a crash.
 ///
 /// # Errors
-/// The address cannot be listened on, or two processes of this gateway run already.
+/// The address cannot be bound, or two processes of this gateway are already running.
 pub(crate) fn inherit(
     path: Option<&PathBuf>,
     gateway: &str,
     listen: SocketAddr,
 ) -> Result<Inheritance, StartError> {
-    let fresh = |snapshot, predecessor| {
+    let bind_new = |snapshot, predecessor| {
         let listener = bind_listener(listen, AddressSharing::SameUser)
             .map_err(StartError::resource(format!("listen: {listen}")))?;
         Ok(Inheritance {
@@ -71,10 +74,10 @@
         })
     };
     let Some(path) = path else {
-        return fresh(None, None);
+        return bind_new(None, None);
     };
     match request_handoff(path, gateway) {
-        HandoffOutcome::NoProcess => fresh(None, None),
+        HandoffOutcome::NoProcess => bind_new(None, None),
         HandoffOutcome::Inherited(inherited) => {
             let snapshot = decode_inherited(&inherited.snapshot, gateway);
             let bytes = inherited.snapshot.len();
@@ -84,7 +87,7 @@
                     bytes,
                     "hot restart: predecessor is ending, inherited its snapshot"
                 );
-                return fresh(snapshot, Some(predecessor));
+                return bind_new(snapshot, Some(predecessor));
             };
             info!(
                 bytes,
@@ -99,27 +102,27 @@
         HandoffOutcome::Busy => Err(StartError::HotRestartInProgress),
         HandoffOutcome::Failed { error, connection } => {
             warn!(%error, "hot restart: nothing inherited, starting as after a crash");
-            fresh(None, connection)
+            bind_new(None, connection)
         }
     }
 }
 
 impl Inheritance {
-    /// A second handle of the listening socket, for the front.
+    /// Duplicates the listening socket for the front.
     ///
     /// # Errors
-    /// No descriptor is left.
+    /// The descriptor cannot be duplicated.
     pub(crate) fn listener(&self) -> std::io::Result<TcpListener> {
         self.listener.try_clone()
     }
 
-    /// Whether a predecessor serves beside this process.
+    /// Whether a predecessor is connected.
     pub(crate) const fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Tells the predecessor that this process serves, and listens for a successor. `None` if there
-    /// is nowhere to listen.
+    /// Notifies the predecessor that this process is serving, and listens for a successor. `None`
+    /// without a socket path, or if the socket cannot be opened.
     pub(crate) fn announce(
         self,
         path: Option<PathBuf>,
@@ -141,31 +144,31 @@
     }
 }
 
-/// This process as the hot restart sees it: what can be divided between two processes, and what can
-/// be handed on.
+/// Handles handoff requests for this process: divides resources with the other process and takes
+/// the snapshot to hand on.
 pub(crate) struct SharedProcess {
-    /// The gateway's name; processes of another name hand nothing on to each other.
+    /// Name of the gateway; a handoff takes place only between processes of the same name.
     pub(crate) gateway: String,
-    /// What both processes may use together.
+    /// Limits for both processes together.
     pub(crate) limits: ProcessLimits,
-    /// Gateways of the deployment, this one counted once.
+    /// Number of gateways in the deployment; this gateway's two processes count as one.
     pub(crate) gateway_count: u32,
-    /// The core.
+    /// Event queue of the core.
     pub(crate) events: Sender<Event>,
-    /// The clients.
+    /// Client connections of the front.
     pub(crate) clients: Arc<Clients>,
-    /// The limiter of all connections.
+    /// Limiter of client and upstream connections.
     pub(crate) connections: Arc<SharedConnectionLimiter>,
-    /// What a snapshot is made of.
+    /// Source of the snapshot.
     pub(crate) front: RecoverableFront,
-    /// The process's clock.
+    /// Clock of the process.
     pub(crate) clock: Clock,
-    /// Reads the configuration again, for discovery's address.
+    /// Reloads discovery's address from the configuration.
     pub(crate) reload_discovery: Arc<dyn Fn() + Send + Sync>,
 }
 
 impl SharedProcess {
-    /// Asks the core for its view and waits for it, [`VIEW_TIMEOUT`] at most.
+    /// Asks the core to publish its view and waits for it, at most [`VIEW_TIMEOUT`].
     fn refresh_view(&self) {
         let (requested_at, give_up_at) = (self.clock.now(), Instant::now() + VIEW_TIMEOUT);
         let _ = self.events.try_send(Event::PublishView);
@@ -208,7 +211,7 @@
     }
 
     fn set_limits(&self, limits: ProcessLimits, processes: u32) {
-        // Connections that are open already are not cut to meet a smaller limit: they go as they
+        // Open connections are not closed to meet a smaller limit; the number falls as connections
         // become idle.
         let descriptors = limits.descriptors.max(self.usage().descriptors);
         self.connections.resize(platform_limits(descriptors));
@@ -230,9 +233,9 @@
         store.apply_forwarded(&received);
         let cached_source = store.cache().version.map(|version| version.source);
         drop(store);
-        // The other process has been sent SIGHUP and polls another address now. The signal was
-        // meant for the gateway, so this process reads the configuration too; it takes no list of
-        // the new address but from there itself.
+        // A different source means that the other process received SIGHUP and polls a new address.
+        // The signal is meant for the whole gateway, so this process reloads its configuration too.
+        // It accepts lists of the new address only by polling that address itself.
         let received_source = received.version.map(|version| version.source);
         if received_source != cached_source {
             (self.reload_discovery)();
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,19 +1,19 @@
-//! The gateway: its command line, and the wiring of configuration, cores, fronts, request log and
-//! agent.
+//! Command line of the gateway, and the wiring of configuration, cores, fronts, request log and
+//! SNMP agent.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`platform`] | `valehatch`: the platform's front, configured by the platform's JSON |
+//! | [`platform`] | `valehatch`: the platform's front, configured by the platform's JSON file |
 //! | [`operators`] | `valehatch serve`: all fronts of an operators' file, with request log, agent and membership |
-//! | [`front`] | one front: its core on its event loop, and the core's effects carried out |
-//! | [`protocols`] | PostgreSQL or Cassandra on both sides of a front |
-//! | [`resources`] | how descriptors and memory are divided |
-//! | [`hot_restart`] | what is taken over from the predecessor and handed on to the successor |
-//! | [`recovery`] | what a start takes from a snapshot, and what a front adds to the next |
-//! | [`snapshot_writer`] | the state folder's `snapshot` and `recovery.json` |
+//! | [`front`] | one front: runs the core on its event loop and executes the core's effects |
+//! | [`protocols`] | builds a front's PostgreSQL or Cassandra stack, client and endpoint side |
+//! | [`resources`] | division of descriptors and memory |
+//! | [`hot_restart`] | takes over from the predecessor process and hands on to the successor |
+//! | [`recovery`] | restores state from a snapshot, and collects a front's state for the next one |
+//! | [`snapshot_writer`] | writes `snapshot` and `recovery.json` in the state folder |
 //! | [`status`] | health and counters of all fronts, for the management address |
 //! | [`snmp`] | `valehatch snmp …` |
-//! | [`error`] | why the program cannot start |
+//! | [`error`] | errors that prevent the program from starting |
 
 #![forbid(unsafe_code)]
 
@@ -79,8 +79,8 @@
         None => platform::serve(arguments.door.then_some(platform::ADMISSION_QUEUE)),
         Some(Command::Serve { file }) => operators::serve(file),
         Some(Command::Check { file }) => {
-            let read = OperatorConfig::load(&file).map_err(StartError::configuration)?;
-            let fronts = read.fronts.len();
+            let config = OperatorConfig::load(&file).map_err(StartError::configuration)?;
+            let fronts = config.fronts.len();
             println!("{}: {fronts} front(s), no fault", file.display());
             Ok(())
         }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,8 +1,8 @@
-//! `valehatch serve FILE`: all fronts of an operators' file, each with a core of its own, and what
-//! they share: the request log, the SNMP agent, membership and the snapshot writer.
+//! `valehatch serve FILE`: runs all fronts of an operators' file, each with its own core. The
+//! fronts share the request log, the SNMP agent, membership and the snapshot writer.
 //!
-//! SIGHUP reads the file again; a change of the file is noticed as well. Endpoints, tenant quotas
-//! and the agent's users, views, receivers and limits are taken over; everything else stays as at
+//! The file is reloaded on SIGHUP and when it changes. A reload applies endpoints, tenant quotas
+//! and the agent's users, views, receivers and limits; all other settings keep their values from
 //! the start.
 
 use std::path::PathBuf;
@@ -38,10 +38,10 @@
 use crate::snapshot_writer::SnapshotWriter;
 use crate::status::ProcessStatus;
 
-/// How often a core publishes its view.
+/// Interval at which a core publishes its view.
 const PUBLISH_INTERVAL: Span = Span::from_millis(100);
 
-/// The queue of a front's core, its names, and where the core publishes its view.
+/// A front's event queue, the names used in its records, and the view that its core publishes.
 struct FrontChannels {
     inbox: (Sender<Event>, Receiver<Event>),
     names: Arc<Observability>,
@@ -50,11 +50,11 @@
 
 impl FrontChannels {
     fn new(front: &operators::FrontSettings) -> Self {
-        let all = |names: &[String]| names.iter().map(|name| Arc::from(name.as_str())).collect();
+        let shared = |names: &[String]| names.iter().map(|name| Arc::from(name.as_str())).collect();
         let names = Observability {
             front: Arc::clone(&front.name),
-            classes: all(&front.site.classes),
-            tenants: all(&front.site.tenants),
+            classes: shared(&front.site.classes),
+            tenants: shared(&front.site.tenants),
             publish_interval: PUBLISH_INTERVAL,
         };
         Self {
@@ -65,17 +65,17 @@
     }
 }
 
-/// A front that listens, with its endpoint list if it uses discovery.
+/// A listening front, with its endpoint list if it uses discovery.
 struct StartedFront {
     name: Arc<str>,
     front: Front,
     endpoint_list: Option<SharedEndpointList>,
 }
 
-/// Serves a file's fronts until they have stopped.
+/// Serves the fronts of a file until all of them have stopped.
 ///
 /// # Errors
-/// Why they cannot start; the text names the key at fault.
+/// The fronts cannot start; the error names the invalid key or the unusable resource.
 pub(crate) fn serve(path: PathBuf) -> Result<(), StartError> {
     let signals = signals::catch().map_err(StartError::resource("signals"))?;
     let file = OperatorConfig::load(&path).map_err(StartError::configuration)?;
@@ -128,7 +128,7 @@
     Ok(())
 }
 
-/// The request log's writer, if anything reads what it counts.
+/// Starts the request log's writer; `None` if neither the SNMP agent nor a state folder uses it.
 fn start_record_writer(file: &OperatorConfig) -> Result<Option<RecordWriter>, StartError> {
     if file.snmp.is_none() && file.state.is_none() {
         return Ok(None);
@@ -137,7 +137,7 @@
     writer.map(Some).map_err(StartError::resource("state.dir"))
 }
 
-/// What the start of each front needs beside the front itself.
+/// Starts fronts; holds what all of them share.
 struct FrontStarter<'a> {
     file: &'a OperatorConfig,
     clock: Clock,
@@ -145,7 +145,7 @@
     writer: Option<&'a RecordWriter>,
     snapshot: Option<&'a Snapshot>,
     service: &'a SharedService,
-    /// Gateways that are known to live; membership keeps it.
+    /// Number of gateways known to be alive; updated by membership.
     gateway_count: Arc<AtomicU32>,
 }
 
@@ -194,7 +194,7 @@
         })
     }
 
-    /// Starts discovery for a front that uses it; the endpoints of others are sent by
+    /// Starts discovery for a front that uses it. Configured endpoints are sent to the core by
     /// [`watch_file`].
     fn start_endpoint_list(
         &self,
@@ -234,7 +234,7 @@
         Ok(Some(endpoint_list))
     }
 
-    /// The place of a front among those that use discovery, as [`recovery::service`] counts them.
+    /// Index of a front among those that use discovery, in the order of [`recovery::service`].
     fn discovery_index(&self, index: usize) -> usize {
         let before = self.file.fronts[..index].iter();
         before
@@ -242,7 +242,7 @@
             .count()
     }
 
-    /// Starts the snapshot writer, if there is a state folder.
+    /// Starts the snapshot writer, if a state folder is configured.
     fn start_snapshots(
         &self,
         channels: &[FrontChannels],
@@ -255,14 +255,14 @@
             SnapshotWriter::start(self.file, recoverable, gossip.cloned(), service, self.clock)
                 .map_err(StartError::resource("recovery"))?;
         if let (None, Some(gossip)) = (&writer, gossip) {
-            // Without a state folder nothing follows how complete service is: the other gateways
-            // take it as complete.
+            // Without a state folder, service recovery is not tracked; the other gateways are told
+            // that it is complete.
             gossip.set_service_phase(ServicePhase::Full);
         }
         Ok(writer)
     }
 
-    /// Starts membership among the gateways, if the file has a section for it.
+    /// Starts membership among the gateways, if the file configures it.
     fn start_gossip(
         &self,
         fronts: &[StartedFront],
@@ -276,7 +276,8 @@
                 peers.seeds.push(address);
             }
         }
-        let seed = getrandom::u64().map_err(StartError::resource("peers: no random number"))?;
+        let seed =
+            getrandom::u64().map_err(StartError::resource("peers: cannot get a random seed"))?;
         let lists = fronts.iter().filter_map(|front| {
             Some(GossipedList {
                 front: Arc::clone(&front.name),
@@ -295,8 +296,8 @@
     }
 }
 
-/// Watches the file, and sends what may change in service. The flag that comes back has the file
-/// read again.
+/// Watches the file and applies the settings that can change at run time. Setting the returned flag
+/// requests a reload.
 fn watch_file(
     path: PathBuf,
     file: &OperatorConfig,
@@ -348,7 +349,7 @@
     recoverable.collect()
 }
 
-/// Runs each front's core on a thread of its own until all have stopped.
+/// Runs each front's core on its own thread until all have stopped.
 fn run_until_stopped(fronts: Vec<StartedFront>) -> Result<(), StartError> {
     let mut cores: Vec<(Arc<str>, std::io::Result<JoinHandle<()>>)> = vec![];
     for StartedFront { name, front, .. } in fronts {
@@ -356,22 +357,24 @@
         cores.push((name, thread.spawn(move || front.run())));
     }
     for (name, core) in cores {
-        let core = core.map_err(StartError::resource(format!("front {name}: no thread")))?;
+        let core = core.map_err(StartError::resource(format!(
+            "front {name}: cannot start its thread"
+        )))?;
         if core.join().is_err() {
-            error!(front = %name, "core ended before its time");
+            error!(front = %name, "core thread panicked");
         }
     }
     Ok(())
 }
 
-/// Ends what outlives the cores, in this order: the agent still sends its last notification, and
-/// the writers write what was recorded last.
+/// Stops what outlives the cores. The order matters: the agent first sends its last notification,
+/// then the writers write the last records.
 fn finish(
     agent: Arc<Option<Agent>>,
     snapshots: Option<SnapshotWriter>,
     writer: Option<RecordWriter>,
 ) {
-    // The file's watcher holds the agent for the moment of a reload only.
+    // The file watcher holds a reference to the agent only during a reload.
     while Arc::strong_count(&agent) > 1 {
         thread::yield_now();
     }
@@ -386,13 +389,13 @@
     }
 }
 
-/// The SNMP agent, if the file has one.
+/// Starts the SNMP agent, if the file configures one.
 fn start_agent(
     file: &OperatorConfig,
     channels: &[FrontChannels],
     writer: Option<&RecordWriter>,
     clock: Clock,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<Option<Agent>, StartError> {
     let (Some(snmp), Some(writer)) = (&file.snmp, writer) else {
         return Ok(None);
@@ -402,7 +405,7 @@
         name: Arc::clone(&file.name),
         version: env!("CARGO_PKG_VERSION"),
         clock,
-        began,
+        began: started_at,
         started_ms: unix_ms(),
         fronts: fronts
             .map(|(front, channels)| agent_front(front, channels))
@@ -419,7 +422,7 @@
     )))
 }
 
-/// A front as the agent shows it; a tenant's rate is this gateway's part of it.
+/// A front as shown by the agent. Tenants' rates are this gateway's shares of them.
 fn agent_front(front: &operators::FrontSettings, channels: &FrontChannels) -> world::Front {
     let settings = &front.site.settings;
     let gateways = f64::from(settings.routers.max(1));
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,8 +1,7 @@
-//! `valehatch` without a command: the platform's front, as the JSON file says that
+//! `valehatch` without a command: runs the platform's front, configured by the JSON file that
 //! `BALANCER_CONFIG` names.
 //!
-//! Everything is read at the start. SIGHUP reads the file again and takes over discovery's address
-//! alone.
+//! The file is read at the start. A reload on SIGHUP applies only discovery's address.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -33,25 +32,26 @@
 use crate::resources::{EVENT_QUEUE_LENGTH, platform_limits};
 use crate::status::ProcessStatus;
 
-/// The platform has one front.
-const FRONT: usize = 0;
+/// Index of the platform's only front.
+const FRONT_INDEX: usize = 0;
 
-/// Sizes of the platform's admission queue, within the smallest memory that the platform gives.
+/// Sizes of the platform's admission queue; they fit into the smallest memory that the platform
+/// gives.
 pub(crate) const ADMISSION_QUEUE: AdmissionSettings = AdmissionSettings {
     max_waiting: 4_000,
     client_buckets: 1024,
     max_active_groups: 64,
 };
 
-/// The handle to the other process of a hot restart, once it can be asked for; SIGHUP and discovery
-/// use it before that.
-type LateHandoffHandle = Arc<OnceLock<HandoffHandle>>;
+/// Handle to the other process of a hot restart. It is set only after SIGHUP and discovery
+/// callbacks that use it have been created.
+type HandoffHandleCell = Arc<OnceLock<HandoffHandle>>;
 
-/// Serves the platform until it has stopped, with an admission queue of these sizes if one is
-/// given.
+/// Serves the platform's front until it has stopped, with an admission queue of the given sizes, if
+/// any.
 ///
 /// # Errors
-/// Why it cannot start.
+/// The front cannot start.
 pub(crate) fn serve(admission: Option<AdmissionSettings>) -> Result<(), StartError> {
     let signals = signals::catch().map_err(StartError::resource("signals"))?;
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| StartError::NoConfiguration)?;
@@ -71,20 +71,20 @@
     let handle = inheritance.announce(hot_restart::socket_path(platform.config.listen), shared);
     if let Some(handle) = &handle {
         let _ = platform.handoff.set(handle.clone());
-        // A list that discovery sent before the handle existed has not been passed on; the other
-        // process may poll the same list seconds later only.
+        // A list received from discovery before the handle existed was not forwarded; the other
+        // process may not poll the same list until seconds later.
         let encoded = valehatch_net::lock(&endpoint_list).cache().encode();
         handle.forward_list(encoded);
     }
-    // Only now: whoever reads "ready" may start the next process at once, and that one has to find
-    // this one.
+    // Not earlier: once health reports "ready", the next process may be started at once, and it has
+    // to find this process's handoff socket.
     platform.status.on_listening();
     if has_predecessor {
-        // The predecessor may have been sent SIGHUP since this process read the configuration.
+        // The predecessor may have received SIGHUP after this process read the configuration.
         reloader.reload("looked at with the other process");
     }
     let (status, events) = (Arc::clone(&platform.status), platform.inbox.0.clone());
-    // The event loop has the queue now.
+    // The front's event loop owns the queue from here on.
     drop(platform);
     let on_shutdown = move || {
         status.on_shutdown();
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-/// Reads the configuration, and what the environment puts in its place.
+/// Reads the configuration and applies the environment's overrides.
 fn load_for_start(path: &str) -> Result<PlatformConfig, StartError> {
     let mut config = load(path)?;
     config.management = management_address(config.management)?;
@@ -116,7 +116,7 @@
     PlatformConfig::parse(&text).map_err(StartError::configuration)
 }
 
-/// The management address: `BALANCER_MGMT` goes before the file.
+/// Returns the management address; `BALANCER_MGMT` overrides the file.
 fn management_address(file: Option<SocketAddr>) -> Result<Option<SocketAddr>, StartError> {
     let value = std::env::var("BALANCER_MGMT").unwrap_or_default();
     if value.is_empty() {
@@ -130,7 +130,7 @@
     Ok(Some(address))
 }
 
-/// The least level that is logged: `VALEHATCH_LOG`, or info.
+/// Returns the lowest level that is logged: `VALEHATCH_LOG`, or info by default.
 fn log_level() -> Result<LogLevel, StartError> {
     match std::env::var("VALEHATCH_LOG").as_deref() {
         Err(_) | Ok("" | "info") => Ok(LogLevel::Info),
@@ -145,13 +145,13 @@
     }
 }
 
-/// Whether an endpoint list names any endpoint.
+/// Whether an endpoint list contains any endpoint.
 pub(crate) fn has_endpoints(endpoint_list: &SharedEndpointList) -> bool {
     let endpoint_list = valehatch_net::lock(endpoint_list);
     endpoint_list.cache().endpoints().next().is_some()
 }
 
-/// What the parts of the process are made of and share.
+/// Components shared by the parts of the process.
 struct Platform {
     config: PlatformConfig,
     path: String,
@@ -159,13 +159,13 @@
     inbox: (Sender<Event>, Receiver<Event>),
     status: Arc<ProcessStatus>,
     discovery_address: Arc<DiscoveryAddress>,
-    handoff: LateHandoffHandle,
+    handoff: HandoffHandleCell,
     connections: Arc<SharedConnectionLimiter>,
     board: Arc<ArcSwapOption<Board>>,
 }
 
 impl Platform {
-    /// Starts the clock and the management endpoint.
+    /// Starts the clock, and the management endpoint if one is configured.
     fn new(config: PlatformConfig, path: String) -> Result<Self, StartError> {
         let clock = Clock::start();
         let status = ProcessStatus::new([(Arc::from(config.name.as_str()), &config.site)]);
@@ -178,16 +178,16 @@
             inbox: bounded(EVENT_QUEUE_LENGTH),
             status,
             discovery_address: Arc::new(DiscoveryAddress::new(config.discovery)),
-            handoff: LateHandoffHandle::default(),
+            handoff: HandoffHandleCell::default(),
             connections: SharedConnectionLimiter::new(clock, platform_limits(config.sockets)),
             board: Arc::default(),
             config,
         })
     }
 
-    /// Takes over from the predecessor, and polls discovery from its list, or else from the one in
-    /// the configuration. Each list that discovery changes also goes to the other process of a hot
-    /// restart.
+    /// Takes over from the predecessor and starts to poll discovery. The initial list is the
+    /// predecessor's, or else that of the configuration. Each changed list is also forwarded to the
+    /// other process of a hot restart.
     fn start_discovery(&self) -> Result<(Inheritance, SharedEndpointList), StartError> {
         let config = &self.config;
         let poller = DiscoveryPoller::new(PollerConfig {
@@ -201,7 +201,7 @@
         });
         let (status, handoff) = (Arc::clone(&self.status), Arc::clone(&self.handoff));
         let poller = poller
-            .on_confirmed(move || status.on_endpoint_list(FRONT))
+            .on_confirmed(move || status.on_endpoint_list(FRONT_INDEX))
             .on_changed(move |endpoint_list| {
                 if let Some(handle) = handoff.get() {
                     handle.forward_list(endpoint_list.encode());
@@ -217,7 +217,7 @@
         };
         started.map_err(StartError::resource("list"))?;
         if has_endpoints(&endpoint_list) {
-            self.status.on_endpoint_list(FRONT);
+            self.status.on_endpoint_list(FRONT_INDEX);
         }
         Ok((inheritance, endpoint_list))
     }
@@ -229,7 +229,7 @@
     ) -> Result<FrontParts, StartError> {
         let (config, clock) = (&self.config, self.clock);
         let site = config.site.clone();
-        let metrics = config.management.map(|_| self.status.metrics(FRONT));
+        let metrics = config.management.map(|_| self.status.metrics(FRONT_INDEX));
         let listener = inheritance
             .listener()
             .map_err(StartError::resource(format!("listen: {}", config.listen)))?;
@@ -252,7 +252,7 @@
             inbox: self.inbox.clone(),
             observer: None,
             metrics,
-            decisions: self.status.decisions(FRONT),
+            decisions: self.status.decisions(FRONT_INDEX),
             board: Arc::clone(&self.board),
             site,
         })
@@ -260,8 +260,8 @@
 
     fn endpoint_pools(&self, metrics: Option<Arc<OutcomeMetrics>>) -> EndpointPools {
         let site = &self.config.site;
-        // Where replicas serve stale reads, only the position in an answer shows whether it was
-        // fresh enough.
+        // If replicas serve stale reads, only the replication position in an answer shows whether
+        // the answer is fresh enough.
         let needs_verified_clock = site.settings.stale_read_policy == StaleReadPolicy::Serve;
         let pools = EndpointPools::new(
             Arc::new(valehatch_pg::upstream::PostgresProtocol { clock: self.clock }),
@@ -284,7 +284,7 @@
         })
     }
 
-    /// This process as a hot restart sees it.
+    /// Builds the handler of handoff requests for this process.
     fn shared_process(
         &self,
         front: &Front,
@@ -314,23 +314,24 @@
     }
 }
 
-/// The tenants' weights in the admission queue: the platform gives rates, whose sum is the whole.
+/// Tenants' weights in the admission queue: each tenant's configured rate as a fraction of the sum
+/// of all rates.
 fn tenant_weights(site: &Site) -> Vec<f64> {
     let rates: Vec<f64> = site.settings.tenants.iter().map(|t| t.allowance).collect();
     let total: f64 = rates.iter().sum::<f64>().max(1e-9);
     rates.into_iter().map(|rate| rate / total).collect()
 }
 
-/// Reads the configuration again, for discovery's address.
+/// Reloads discovery's address from the configuration.
 struct Reloader {
     path: String,
     discovery_address: Arc<DiscoveryAddress>,
     endpoint_list: SharedEndpointList,
-    handoff: LateHandoffHandle,
+    handoff: HandoffHandleCell,
 }
 
 impl Reloader {
-    /// Moves discovery to the address in the file. A file at fault changes nothing.
+    /// Switches discovery to the address in the file. An unusable file changes nothing.
     fn reload(&self, cause: &str) -> Option<SocketAddr> {
         match load(&self.path) {
             Ok(config) => {
@@ -345,9 +346,10 @@
         }
     }
 
-    /// SIGHUP: the signal is meant for the gateway, so the other process of a hot restart is
-    /// notified at once, by the current list under the new address. This process may end before
-    /// that address answers.
+    /// Handles SIGHUP. The signal is meant for the whole gateway, so the other process of a hot
+    /// restart is notified at once: it is sent the current list with the new address as its source.
+    /// Waiting for the new address to answer would be unsafe, since this process may end before
+    /// then.
     fn on_sighup(&self) {
         let Some(address) = self.reload("read again") else {
             return;
@@ -363,8 +365,8 @@
         handle.forward_list(endpoint_list.encode());
     }
 
-    /// [`Self::reload`] for the hot restart, which calls it when the other process polls another
-    /// address.
+    /// Returns [`Self::reload`] as the callback that the hot restart calls when the other process
+    /// polls a different address.
     fn reload_discovery_callback(self: &Arc<Self>) -> Arc<dyn Fn() + Send + Sync> {
         let reloader = Arc::clone(self);
         Arc::new(move || {
--- a/crates/gateway/src/protocols.rs
+++ b/crates/gateway/src/protocols.rs
@@ -1,4 +1,4 @@
-//! The protocol of a front on both of its sides: towards clients and towards endpoints.
+//! Builds the protocol stack of a front: the side towards clients and the side towards endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,22 +15,23 @@
 use crate::error::Source;
 use crate::resources::{UpstreamAccounting, connection_limiter, upstream_connections};
 
-/// Both sides of a protocol, and the connections that they share.
+/// Both sides of a front's protocol, and the limiter of its connections.
 pub(crate) struct ProtocolStack {
-    /// Understands requests and encodes answers.
+    /// Decodes client requests and encodes answers.
     pub(crate) handler: Arc<dyn RequestHandler>,
-    /// Carries attempts to endpoints.
+    /// Sends attempts to endpoints.
     pub(crate) upstream: Box<dyn Upstream>,
-    /// Counts the connections.
+    /// Counts and limits the front's connections.
     pub(crate) connections: Arc<SharedConnectionLimiter>,
-    /// Requests that may be in flight at once, where one connection carries many.
+    /// Maximum of concurrent requests, if one upstream connection carries several; `None` if each
+    /// connection carries one.
     pub(crate) max_in_flight: Option<usize>,
 }
 
-/// The protocol of a front of the operators' file.
+/// Builds the protocol stack of a front from the operators' file.
 ///
 /// # Errors
-/// The settings of the connections contradict each other.
+/// The connection settings are inconsistent.
 pub(crate) fn protocol_stack(
     front: &FrontSettings,
     clock: Clock,
@@ -52,9 +53,9 @@
     let site = front.site.clone();
     let connect_timeout = Duration::from_millis(site.connect_timeout_ms);
     let connections = connection_limiter(clock, front.sockets, UpstreamAccounting::Shared);
-    let databases = Arc::new(valehatch_pg::upstream::PostgresProtocol { clock });
+    let protocol = Arc::new(valehatch_pg::upstream::PostgresProtocol { clock });
     let pools = EndpointPools::new(
-        databases,
+        protocol,
         events,
         clock,
         connect_timeout,
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -1,9 +1,9 @@
-//! What a start takes from the snapshot of an earlier process, and what a front adds to the next
-//! snapshot.
+//! Restores state from the snapshot of an earlier process, and collects a front's state for the
+//! next snapshot.
 //!
 //! Snapshots come from the state folder ([`read_snapshot`]) or from the predecessor of a hot
-//! restart ([`decode_inherited`]); how far each is trusted by its age is `valehatch_recovery`'s.
-//! Unix times are milliseconds.
+//! restart ([`decode_inherited`]). `valehatch_recovery` decides how far a snapshot of a given age
+//! is trusted. Unix times are in milliseconds.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,7 +27,7 @@
 use valehatch_snmp::world::Board;
 use valehatch_state::snapshot;
 
-/// Gateways of the last run that are contacted beside the seeds.
+/// Maximum of gateways from the last run that are contacted in addition to the seeds.
 const MAX_REMEMBERED_GATEWAYS: usize = 8;
 
 /// Whether service is complete since this start; shared by all fronts and the snapshot writer.
@@ -36,13 +36,13 @@
 /// The endpoint list of a front that uses discovery.
 pub(crate) type SharedEndpointList = Arc<Mutex<EndpointListStore>>;
 
-/// Unix time in milliseconds, by the wall clock.
+/// Current Unix time in milliseconds, from the wall clock.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// The snapshot in the state folder, unless there is none that can be used; the log says why.
+/// Reads the snapshot in the state folder. If there is no usable one, logs the reason.
 pub(crate) fn read_snapshot(folder: &Path, gateway: &str) -> Option<Snapshot> {
     let bytes = match snapshot::read(folder, MAX_BYTES) {
         Ok(Some(bytes)) => bytes,
@@ -60,14 +60,14 @@
         .ok()
 }
 
-/// The snapshot of the predecessor, if it can be used; the log says why not.
+/// Decodes the predecessor's snapshot. If it cannot be used, logs the reason.
 pub(crate) fn decode_inherited(bytes: &[u8], gateway: &str) -> Option<Snapshot> {
     Snapshot::decode(bytes, gateway, unix_ms())
         .inspect_err(|error| warn!(%error, "hot restart: inherited snapshot ignored"))
         .ok()
 }
 
-/// What of a snapshot is still trusted for a front.
+/// Returns the parts of a snapshot that are still trusted for a front.
 pub(crate) fn restore_front(snapshot: Option<&Snapshot>, front: &str) -> RestoredState {
     let Some(snapshot) = snapshot else {
         return RestoredState::default();
@@ -89,8 +89,8 @@
     restored
 }
 
-/// Gateways of the last run to contact beside the seeds; none once the snapshot is too old to guess
-/// from.
+/// Gateways of the last run to contact in addition to the seeds; empty if the snapshot is too old
+/// to serve even as a hint.
 pub(crate) fn remembered_gateways(snapshot: Option<&Snapshot>) -> Vec<SocketAddr> {
     let Some(snapshot) = snapshot else {
         return vec![];
@@ -106,8 +106,8 @@
     gateways.take(MAX_REMEMBERED_GATEWAYS).collect()
 }
 
-/// Service since this start; it is complete once every front that uses discovery has a confirmed
-/// list and serves.
+/// Creates the tracker of service recovery. Service is complete once every front that uses
+/// discovery has a confirmed list and serves.
 pub(crate) fn service(file: &OperatorConfig, clock: Clock) -> SharedService {
     let uses_discovery = |front: &&valehatch_config::operators::FrontSettings| {
         matches!(front.endpoints, EndpointSource::Discovery(_))
@@ -116,7 +116,8 @@
     Arc::new(Mutex::new(ServiceRecovery::new(waiting_for, clock.now())))
 }
 
-/// Counts a request's final outcome towards service; requests whose client left say nothing.
+/// Counts a request's final outcome towards service recovery. Requests aborted by their client are
+/// not counted.
 pub(crate) fn count_outcome(service: &SharedService, clock: Clock, outcome: &FinalOutcome) {
     let result = match outcome {
         FinalOutcome::InTime | FinalOutcome::Late => RequestResult::Served,
@@ -126,21 +127,21 @@
     lock(service).request_finished(result, clock.now());
 }
 
-/// A front as the next process is to find it.
+/// Source of a front's part of a snapshot.
 pub(crate) struct RecoverableFront {
-    /// Its name in snapshots.
+    /// Name of the front in snapshots.
     pub(crate) name: String,
-    /// Its endpoint list; `None` where the configuration names the endpoints.
+    /// Endpoint list; `None` if the configuration names the endpoints.
     pub(crate) endpoint_list: Option<SharedEndpointList>,
-    /// Where its core publishes its view.
+    /// View that the front's core publishes.
     pub(crate) board: Arc<ArcSwapOption<Board>>,
-    /// The settings of its decision module.
+    /// Settings of the front's decision module.
     pub(crate) settings: Settings,
 }
 
 impl RecoverableFront {
-    /// Its part of a snapshot; `at_ms` and `now` are the same moment by the wall clock and by the
-    /// monotonic clock.
+    /// Builds the front's part of a snapshot. `at_ms` and `now` are the same moment on the wall
+    /// clock and on the monotonic clock.
     pub(crate) fn snapshot(&self, at_ms: u64, now: Time) -> FrontSnapshot {
         let endpoint_list = self
             .endpoint_list
@@ -157,8 +158,7 @@
         }
     }
 
-    /// Endpoints in slow start, each with the time at which it would have started to be as warm as
-    /// it is.
+    /// Endpoints in slow start, each with the start time that corresponds to its present warmth.
     fn warming_endpoints(&self, view: &LiveView, at_ms: u64) -> Vec<WarmingEndpoint> {
         let rules = &self.settings.rules;
         let warming = view.endpoints.iter().filter_map(|endpoint| {
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -1,7 +1,7 @@
-//! How a process divides its descriptors and its memory between clients, upstream connections and
+//! Divides the descriptors and the memory of a process between clients, upstream connections and
 //! everything else.
 //!
-//! All sizes are counts of descriptors or bytes. A hot restart divides them again: see
+//! All sizes are in descriptors or bytes. A hot restart divides them between two processes: see
 //! [`crate::hot_restart`].
 
 use std::sync::Arc;
@@ -11,39 +11,39 @@
 use valehatch_net::connection_limits::SharedConnectionLimiter;
 use valehatch_policy::Span;
 
-/// Events that may wait for a core; whoever adds one to a full queue waits.
+/// Capacity of a core's event queue; a sender blocks while the queue is full.
 pub(crate) const EVENT_QUEUE_LENGTH: usize = 8192;
-/// Descriptors kept for everything but client and upstream connections.
+/// Descriptors reserved for everything except client and upstream connections.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 32;
-/// Open requests may take one in so many bytes of the memory.
+/// Open requests may use the memory divided by this.
 const REQUEST_MEMORY_DIVISOR: usize = 8;
-/// Clients and upstream connections may borrow one in so many of the reserved descriptors.
+/// Clients and upstream connections may borrow the reserved descriptors divided by this.
 const OVERFLOW_DESCRIPTORS_DIVISOR: usize = 4;
-/// Clients of the platform with requests open hold at most one in so many descriptors.
+/// Platform clients with open requests may hold at most the descriptors divided by this.
 const ACTIVE_CLIENTS_DIVISOR: usize = 3;
-/// How long a connection without a closing error must have been idle before it may be evicted.
+/// Minimum idle time before a connection may be evicted, for protocols without a closing error.
 const SILENT_CLOSE_SETTLE_TIME: Span = Span::from_millis(2_000);
 
-/// What counts the upstream connections of a front.
+/// How the upstream connections of a front are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpstreamAccounting {
-    /// They share the descriptors of the clients, by need.
+    /// Upstream connections share the descriptors with clients, as needed.
     Shared,
-    /// They are counted elsewhere and have half of the descriptors.
+    /// Upstream connections are counted elsewhere and have half of the descriptors.
     Separate,
 }
 
-/// Bytes that open requests may take, of the memory in bytes.
+/// Bytes that open requests may use, given the total memory in bytes.
 pub(crate) const fn request_memory(memory: usize) -> usize {
     memory / REQUEST_MEMORY_DIVISOR
 }
 
-/// Descriptors for upstream connections at most, of all.
+/// Maximum of upstream connections, given the total of descriptors.
 pub(crate) const fn upstream_connections(descriptors: usize) -> usize {
     (descriptors - reserved(descriptors)) / 2
 }
 
-/// The limiter of a front's connections.
+/// Creates the limiter of a front's connections.
 pub(crate) fn connection_limiter(
     clock: Clock,
     descriptors: usize,
@@ -52,7 +52,7 @@
     SharedConnectionLimiter::new(clock, connection_limits(descriptors, accounting))
 }
 
-/// The limits of the platform's front.
+/// Connection limits of the platform's front.
 pub(crate) fn platform_limits(descriptors: usize) -> ConnectionLimits {
     ConnectionLimits {
         active_clients: descriptors / ACTIVE_CLIENTS_DIVISOR,
@@ -79,9 +79,9 @@
             active_clients: usize::MAX,
             settle_time: ANSWER_SETTLE_TIME,
         },
-        // Only Cassandra's fronts count apart, and its protocol has no closing error: a client
-        // whose idle connection is closed just as it sends sees a reset, so the connection must
-        // have been idle for longer.
+        // Only Cassandra fronts count separately. The Cassandra protocol has no closing error: a
+        // client whose idle connection is closed just as it sends sees a reset. Connections must
+        // therefore be idle for longer before they are evicted.
         UpstreamAccounting::Separate => ConnectionLimits {
             total: upstream,
             overflow,
--- a/crates/gateway/src/snapshot_writer.rs
+++ b/crates/gateway/src/snapshot_writer.rs
@@ -1,9 +1,9 @@
-//! Writes the state folder's `snapshot` and `recovery.json`, on a thread of its own; no core waits
-//! for it.
+//! Writes `snapshot` and `recovery.json` in the state folder, on a thread of its own that no core
+//! waits for.
 //!
-//! `snapshot` is what the next start begins with, written every `state.snapshot-ms` and at the end.
-//! `recovery.json` says whether service is complete since this start, and is written when that
-//! changes.
+//! `snapshot` is the state that the next start restores; it is written every `state.snapshot-ms`
+//! and at shutdown. `recovery.json` states whether service is complete since this start; it is
+//! written whenever that changes.
 
 use std::io;
 use std::path::PathBuf;
@@ -22,19 +22,19 @@
 
 use crate::recovery::{RecoverableFront, SharedService, unix_ms};
 
-/// How often service is checked.
+/// Interval at which the service state is checked.
 const SERVICE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Stack of the writer's thread, in bytes.
+/// Stack size of the writer thread, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
-/// The running writer.
+/// Handle to the running snapshot writer.
 pub(crate) struct SnapshotWriter {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
 impl SnapshotWriter {
-    /// Starts the writer; `None` without a state folder. `fronts` are in the file's order.
+    /// Starts the writer; `None` without a state folder. `fronts` are in the order of the file.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -57,8 +57,8 @@
             service,
             clock,
             started_ms: unix_ms(),
-            snapshots: FileKind::new("snapshot"),
-            service_state: FileKind::new("state file"),
+            snapshots: WriteStatus::new("snapshot"),
+            service_state: WriteStatus::new("state file"),
         };
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
@@ -69,35 +69,35 @@
         Ok(Some(Self { stop, thread }))
     }
 
-    /// Writes the last snapshot and ends.
+    /// Writes a last snapshot and stops the thread.
     pub(crate) fn finish(self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.join();
     }
 }
 
-/// Files of one kind, and whether the last write of one failed. Only the first failure and its end
-/// are logged.
-struct FileKind {
-    name: &'static str,
+/// Tracks whether the last write of one file failed. Only the first failure and the recovery are
+/// logged.
+struct WriteStatus {
+    file: &'static str,
     failing: bool,
 }
 
-impl FileKind {
-    const fn new(name: &'static str) -> Self {
+impl WriteStatus {
+    const fn new(file: &'static str) -> Self {
         Self {
-            name,
+            file,
             failing: false,
         }
     }
 
     fn on_write(&mut self, result: io::Result<()>) {
         let was_failing = std::mem::replace(&mut self.failing, result.is_err());
-        let kind = self.name;
+        let file = self.file;
         match result {
-            Ok(()) if was_failing => info!("recovery: {kind} writing works again"),
+            Ok(()) if was_failing => info!("recovery: {file} writing works again"),
             Err(error) if !was_failing => {
-                warn!(%error, "recovery: {kind} write failed, service continues");
+                warn!(%error, "recovery: {file} write failed, service continues");
             }
             _ => {}
         }
@@ -113,8 +113,8 @@
     service: SharedService,
     clock: Clock,
     started_ms: u64,
-    snapshots: FileKind,
-    service_state: FileKind,
+    snapshots: WriteStatus,
+    service_state: WriteStatus,
 }
 
 impl Worker {
@@ -142,7 +142,7 @@
     fn write_snapshot(&mut self) {
         let result = match self.snapshot().encode() {
             Some(bytes) => snapshot::write(&self.folder, &bytes),
-            None => Err(io::Error::other("it is too large")),
+            None => Err(io::Error::other("snapshot exceeds its size limit")),
         };
         self.snapshots.on_write(result);
     }
--- a/crates/gateway/src/snapshot_writer/tests.rs
+++ b/crates/gateway/src/snapshot_writer/tests.rs
@@ -1,4 +1,4 @@
-//! Each kind of file fails and recovers on its own.
+//! Write failures of the two files are tracked independently.
 
 use std::sync::Mutex;
 
@@ -6,12 +6,12 @@
 
 use super::*;
 
-/// The folder takes `recovery.json` but no snapshot. A log line that writing works again would be
-/// wrong then: an operator would believe that the next start finds a snapshot.
+/// `recovery.json` can be written but the snapshot cannot. A logged recovery would be wrong then:
+/// an operator would expect the next start to find a snapshot.
 #[test]
 fn written_state_file_does_not_end_snapshot_failure() {
     let folder = std::env::temp_dir().join(format!("valehatch-snapshot-{}", std::process::id()));
-    // In the way of the file that is written first and renamed then.
+    // A folder in the place of the temporary file makes the write of the snapshot fail.
     std::fs::create_dir_all(folder.join("snapshot.new")).unwrap();
     let clock = Clock::start();
     let service = Arc::new(Mutex::new(ServiceRecovery::new(0, clock.now())));
@@ -24,15 +24,18 @@
         service,
         clock,
         started_ms: unix_ms(),
-        snapshots: FileKind::new("snapshot"),
-        service_state: FileKind::new("state file"),
+        snapshots: WriteStatus::new("snapshot"),
+        service_state: WriteStatus::new("state file"),
     };
     worker.write_snapshot();
-    assert!(worker.snapshots.failing, "logged");
+    assert!(worker.snapshots.failing, "the failure is logged");
     let state = lock(&worker.service).state();
     worker.on_service_state(state);
     assert!(folder.join("recovery.json").exists() && !worker.service_state.failing);
-    assert!(worker.snapshots.failing, "not over, and not logged again");
+    assert!(
+        worker.snapshots.failing,
+        "the failure continues and is not logged again"
+    );
     std::fs::remove_dir(folder.join("snapshot.new")).unwrap();
     worker.write_snapshot();
     assert!(!worker.snapshots.failing);
--- a/crates/gateway/src/snmp.rs
+++ b/crates/gateway/src/snmp.rs
@@ -1,4 +1,4 @@
-//! `valehatch snmp …`: what an operator needs to set the agent up.
+//! `valehatch snmp …`: commands for setting up the SNMP agent.
 
 use std::io::BufRead;
 use std::ops::RangeInclusive;
@@ -11,7 +11,7 @@
 
 use crate::error::StartError;
 
-/// Bytes of an engine id (RFC 3411).
+/// Length of an engine id in bytes (RFC 3411).
 const ENGINE_ID_BYTES: RangeInclusive<usize> = 5..=32;
 
 /// The commands of `valehatch snmp`.
@@ -51,26 +51,26 @@
 impl Engine {
     fn id(&self) -> Result<Vec<u8>, StartError> {
         if let Some(file) = &self.file {
-            let read = OperatorConfig::load(file).map_err(StartError::configuration)?;
+            let config = OperatorConfig::load(file).map_err(StartError::configuration)?;
             let without_agent = || format!("{}: has no [snmp]", file.display());
-            return match read.snmp {
+            return match config.snmp {
                 Some(snmp) => Ok(snmp.engine),
                 None => Err(StartError::configuration(without_agent())),
             };
         }
         if let Some(text) = &self.engine_id {
             let id = hex::decode(text).ok();
-            let wrong =
+            let invalid =
                 || format!("--engine-id: {text:?} is not 5 to 32 bytes in hexadecimal digits");
             return id
                 .filter(|id| ENGINE_ID_BYTES.contains(&id.len()))
-                .ok_or_else(|| StartError::configuration(wrong()));
+                .ok_or_else(|| StartError::configuration(invalid()));
         }
         Ok(engine_id(self.gateway.as_deref().unwrap_or_default()))
     }
 }
 
-/// Reads one password from a line of standard input; `None` at its end.
+/// Reads a password from a line of standard input; `None` at the end of the input.
 fn password(
     name: &str,
     line: Option<std::io::Result<String>>,
@@ -78,17 +78,17 @@
     let Some(line) = line else { return Ok(None) };
     let text = line.map_err(StartError::resource(name))?;
     if text.len() < usm::SHORTEST {
-        let least = usm::SHORTEST;
-        let error = format!("the {name} password is shorter than {least} characters");
+        let minimum = usm::SHORTEST;
+        let error = format!("the {name} password is shorter than {minimum} characters");
         return Err(StartError::configuration(error));
     }
     Ok(Some(text))
 }
 
-/// Runs a command and prints its result on standard output.
+/// Runs a command and prints the result on standard output.
 ///
 /// # Errors
-/// What of the input cannot be used.
+/// The input is not valid: the file, the engine id or a password.
 pub(crate) fn run(command: Command) -> Result<(), StartError> {
     match command {
         Command::Mib => print!("{}", schema::mib()),
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,5 +1,4 @@
-//! What operators read of this process at the management address: whether it is ready to serve, and
-//! its counters.
+//! Status of this process for the management address: readiness and counters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +12,7 @@
 
 use crate::error::StartError;
 
-/// One front: its counters, and whether it has an endpoint list.
+/// Counters of one front, and whether the front has an endpoint list.
 struct FrontStatus {
     name: Arc<str>,
     metrics: Arc<OutcomeMetrics>,
@@ -21,8 +20,8 @@
     has_endpoint_list: AtomicBool,
 }
 
-/// The status of all fronts of this process. It is shared with the management thread; flags only
-/// ever become true.
+/// Status of all fronts of this process, shared with the management thread. Flags are set once and
+/// never cleared.
 pub(crate) struct ProcessStatus {
     fronts: Vec<FrontStatus>,
     listening: AtomicBool,
@@ -30,7 +29,7 @@
 }
 
 impl ProcessStatus {
-    /// The status at the start, with the fronts in their order.
+    /// Creates the initial status; fronts keep their order, which gives them their indices.
     pub(crate) fn new<'a>(fronts: impl IntoIterator<Item = (Arc<str>, &'a Site)>) -> Arc<Self> {
         let fronts = fronts
             .into_iter()
@@ -48,10 +47,10 @@
         })
     }
 
-    /// Answers at this address from now on.
+    /// Starts the management endpoint at this address; `key` is the address's configuration key.
     ///
     /// # Errors
-    /// The address cannot be listened on; `key` is the configuration's name for it.
+    /// The address cannot be bound; the error names `key`.
     pub(crate) fn serve(self: &Arc<Self>, key: &str, listen: SocketAddr) -> Result<(), StartError> {
         let source: Arc<dyn Source> = Arc::clone(self) as _;
         let bound = valehatch_management::start(ManagementEndpoint::new(listen), source)
@@ -60,28 +59,28 @@
         Ok(())
     }
 
-    /// The counters of a front.
+    /// Outcome counters of a front.
     pub(crate) fn metrics(&self, front: usize) -> Arc<OutcomeMetrics> {
         Arc::clone(&self.fronts[front].metrics)
     }
 
-    /// What a front has denied, by reason.
+    /// Denials of a front's core, by reason.
     pub(crate) fn decisions(&self, front: usize) -> Arc<Decisions> {
         Arc::clone(&self.fronts[front].decisions)
     }
 
-    /// A front has an endpoint list.
+    /// Records that a front has an endpoint list.
     pub(crate) fn on_endpoint_list(&self, front: usize) {
         let front = &self.fronts[front];
         front.has_endpoint_list.store(true, Ordering::Relaxed);
     }
 
-    /// All fronts listen.
+    /// Records that all fronts listen.
     pub(crate) fn on_listening(&self) {
         self.listening.store(true, Ordering::Relaxed);
     }
 
-    /// A graceful shutdown has begun.
+    /// Records that a graceful shutdown has begun.
     pub(crate) fn on_shutdown(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
@@ -95,12 +94,14 @@
         }
         let without_list = |front: &&FrontStatus| !is_set(&front.has_endpoint_list);
         if let Some(front) = self.fronts.iter().find(without_list) {
-            let whose = if self.fronts.len() > 1 {
+            let front_suffix = if self.fronts.len() > 1 {
                 format!(" by front {}", front.name)
             } else {
                 String::new()
             };
-            return Err(format!("starting: no list of databases is held{whose}"));
+            return Err(format!(
+                "starting: no list of databases is held{front_suffix}"
+            ));
         }
         if !is_set(&self.listening) {
             return Err("starting: does not listen yet".into());
