--- a/crates/pg/src/clients.rs
+++ b/crates/pg/src/clients.rs
@@ -1,7 +1,7 @@
-//! The server side of the protocol: clients that send simple queries.
+//! The server side of the protocol: serves clients that send simple queries.
 //!
-//! [`PostgresHandler`] reads messages of a connection and hands requests to the core. It has no
-//! state of its own; what a connection needs between two messages is its [`SessionProgress`].
+//! [`PostgresHandler`] reads a connection's messages and submits requests to the core. The handler
+//! is stateless; [`SessionProgress`] holds a connection's state between two messages.
 
 mod request;
 mod request_comment;
@@ -25,35 +25,35 @@
 use crate::codec::startup::{FirstMessage, read_first_message, startup_reply};
 use responses::{fatal_error, final_response, retry_later, unqueued_response};
 
-/// Bytes of the longest message from a client: a value of 64 KiB in hexadecimal digits, and its
-/// statement.
+/// Maximum body of a client message in bytes: a value of 64 KiB as hexadecimal digits, and the
+/// statement around it.
 const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Requests that one connection may have open; further ones stay unread.
+/// Maximum of open requests per connection; further ones stay unread.
 const PIPELINE_LIMIT: usize = 256;
-/// Malformed queries that a connection may send; one more closes it.
+/// Malformed queries that are tolerated per connection; the next one closes the connection.
 const MAX_MALFORMED_QUERIES: usize = 64;
-/// A client may ask for each of the two kinds of encryption once.
+/// Maximum of encryption requests per connection: one each for TLS and GSSAPI.
 const MAX_ENCRYPTION_REQUESTS: usize = 2;
-/// Declines encryption; the client goes on without it.
+/// Reply that declines encryption; the client continues in plain text.
 const ENCRYPTION_DECLINED: &[u8] = b"N";
 
 /// Serves clients that speak PostgreSQL's protocol.
 pub struct PostgresHandler {
-    /// Names of classes and tenants, and the settings that requests are checked against.
+    /// Names of classes and tenants, and the settings that requests are validated against.
     pub site: Site,
-    /// Stamps requests with the time of their receipt.
+    /// Source of the requests' receive times.
     pub clock: Clock,
 }
 
-/// Where a session stands once the received messages were handled.
+/// State of a session after the received messages have been handled.
 enum SessionStep {
     /// The handshake is complete, and queries may follow.
     Ready,
-    /// Nothing more was received.
+    /// The next message has not been received yet.
     Pending,
-    /// The session is over.
+    /// The session has ended.
     Closed,
-    /// The session is over, and the client is sent this error.
+    /// The session has to be closed, after this error has been sent to the client.
     ClosedWithError(Vec<u8>),
 }
 
@@ -63,17 +63,17 @@
     }
 }
 
-/// What a received message asks for.
+/// A received message, by the action that it requests.
 enum ClientMessage {
-    /// To run a query, as it was received.
+    /// Runs a query; holds the message body.
     Query(Vec<u8>),
-    /// To close the session.
+    /// Closes the session.
     Terminate,
-    /// Something that is not served; the client is sent this error.
+    /// A message that is not served; holds the error to send to the client.
     Unsupported(Vec<u8>),
 }
 
-/// Runs the handshake as far as messages were received.
+/// Advances the handshake as far as received messages allow.
 fn open_session(
     progress: &mut SessionProgress,
     reader: &mut RequestReader,
@@ -148,7 +148,7 @@
 }
 
 impl PostgresHandler {
-    /// Handles queries until nothing more was received or the session is over.
+    /// Handles queries until no complete message is left or the session ends.
     fn serve_queries(
         &self,
         progress: &mut SessionProgress,
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Submits a query as a request, or responds to it at once. Returns the error that closes the
-    /// session, if it has to be closed.
+    /// Submits a query as a request, or responds to it at once. Returns an error if the session has
+    /// to be closed with it.
     fn serve_query(
         &self,
         progress: &mut SessionProgress,
@@ -250,9 +250,10 @@
         true
     }
 
-    /// A request's time runs from when it was sent. One that stays unread behind others would lose
-    /// what its client has left, and its endpoint would get a deadline that is too late. The bytes
-    /// of all open requests are bounded by [`Session::reserve`].
+    /// Many requests are read ahead because a request's deadline runs from when the client sent it.
+    /// A request left unread behind others would use up its client's remaining time unnoticed, and
+    /// its endpoint would get a deadline that is too late. [`Session::reserve`] bounds the bytes of
+    /// all open requests.
     fn pipeline_limit(&self) -> usize {
         PIPELINE_LIMIT
     }
--- a/crates/pg/src/clients/request.rs
+++ b/crates/pg/src/clients/request.rs
@@ -1,5 +1,5 @@
-//! Decodes a query into a request: checks its comment against the settings, and its statement
-//! against its class.
+//! Decodes a query into a request: validates its comment against the settings, and its statement
+//! against the request class.
 
 use std::collections::hash_map::DefaultHasher;
 use std::fmt;
@@ -12,12 +12,12 @@
 use super::PostgresHandler;
 use super::request_comment::CommentedQuery;
 
-/// Bytes that a request's name may have.
+/// Valid length of a request's name in bytes.
 const NAME_BYTES: std::ops::RangeInclusive<usize> = 1..=64;
-/// How long a client may say that it waits, in milliseconds: up to 24 hours.
+/// Valid client timeouts in milliseconds: up to 24 hours.
 const CLIENT_TIMEOUT_MS: std::ops::RangeInclusive<u32> = 1..=86_400_000;
 
-/// Why a query is not a request. Its text is sent to the client.
+/// Reasons why a query is not a valid request. The error text is sent to the client.
 #[derive(Debug)]
 pub(super) enum RequestError {
     /// The query is not UTF-8.
@@ -26,21 +26,21 @@
     MissingComment,
     /// The comment is not a list of names and values.
     MalformedComment,
-    /// The comment has a name twice.
+    /// The comment contains a name twice.
     DuplicateField,
-    /// The comment lacks this name.
+    /// The comment lacks the field with this name.
     MissingField(&'static str),
-    /// The name has no byte or too many.
+    /// The request's name is empty or too long.
     InvalidName,
-    /// No class has this name.
+    /// No request class has this name.
     UnknownClass(String),
-    /// The client's timeout is not a number, or out of its bounds.
+    /// The client timeout is not a number or out of range.
     InvalidClientTimeout,
-    /// The group is not a number.
+    /// The endpoint group is not a number.
     InvalidGroup,
     /// The idempotency key is empty.
     EmptyIdempotencyKey,
-    /// The statement does not begin with this verb, as its class requires.
+    /// The statement does not begin with this verb, which the request class requires.
     WrongStatement(&'static str),
 }
 
@@ -67,8 +67,8 @@
 impl std::error::Error for RequestError {}
 
 impl PostgresHandler {
-    /// Decodes a query; `None` if no memory could be reserved for it. `reserve` is called with the
-    /// request's class, tenant and group, once everything else has been checked.
+    /// Decodes a query; `None` if no memory could be reserved for the request. `reserve` is called
+    /// last, with the request's class, tenant and group, after all validation.
     pub(super) fn decode_request(
         &self,
         client: u64,
@@ -105,8 +105,8 @@
             group,
             session,
             received: self.clock.now(),
-            // No request is open for longer than its class's deadline, however long its client
-            // would wait.
+            // The class's deadline bounds how long a request stays open, even if the client would
+            // wait longer.
             client_timeout: client_timeout.min(contract.deadline),
             is_client_retry: commented.optional("r") == Some("1"),
             last_write_at: last_write_ms.map(|unix_ms| self.clock.at_unix_ms(unix_ms)),
@@ -120,8 +120,8 @@
         }))
     }
 
-    /// The session of a read or write: the key that its statement is about. `None` if no class
-    /// reads its session's writes, so that no session has to be remembered.
+    /// Session of a read or write, identified by the key in the statement. `None` if no class has
+    /// session consistency, since sessions then need not be tracked.
     fn session_key(&self, consistency: Consistency, statement: &str) -> Option<SessionKey> {
         let classes = &self.site.settings.classes;
         let uses_sessions = classes
@@ -149,7 +149,8 @@
         .ok_or(RequestError::InvalidClientTimeout)
 }
 
-/// Checks that a query has what its class needs: an idempotency key, and a matching statement.
+/// Checks a query against the requirements of its class: an idempotency key, if needed, and a
+/// matching statement.
 fn check_contract(class: &RequestClass, query: &CommentedQuery) -> Result<(), RequestError> {
     let needs_key = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
     if needs_key && query.required("k")?.is_empty() {
@@ -167,7 +168,7 @@
     Ok(())
 }
 
-/// The first quoted text of a statement: the key that it is about.
+/// Returns the first quoted text of a statement, which is the key that the statement accesses.
 fn first_quoted(statement: &str) -> Option<&str> {
     statement.split('\'').nth(1)
 }
--- a/crates/pg/src/clients/request_comment.rs
+++ b/crates/pg/src/clients/request_comment.rs
@@ -1,10 +1,10 @@
-//! The comment that a query begins with: `/* name=value, ... */`, each name once.
+//! The leading comment of a query: `/* name=value, ... */`, with unique names.
 //!
 //! | name | meaning |
 //! | --- | --- |
 //! | `id` | the request's name, 1 to 64 bytes |
 //! | `c` | request class, by name |
-//! | `d` | how long the client waits, 1 ms to 24 h, in milliseconds |
+//! | `d` | client timeout in milliseconds, 1 ms to 24 h |
 //! | `cluster` | number of the endpoint group |
 //! | `k` | idempotency key |
 //! | `t` | tenant, by name |
@@ -13,9 +13,10 @@
 
 use super::request::RequestError;
 
-/// Bytes that a new deadline may have more than the one it replaces; saves a reallocation.
+/// Extra capacity in bytes for a new deadline that has more digits than the replaced one; avoids a
+/// reallocation.
 const DEADLINE_GROWTH_BYTES: usize = 8;
-/// How the deadline begins in the comment.
+/// Start of the deadline field in the comment.
 const DEADLINE_PREFIX: &[u8] = b"d=";
 
 struct CommentField<'a> {
@@ -23,7 +24,7 @@
     value: &'a str,
 }
 
-/// A query's leading comment and the statement after it.
+/// Fields of a query's leading comment, and the statement after the comment.
 pub(super) struct CommentedQuery<'a> {
     fields: Vec<CommentField<'a>>,
     pub statement: &'a str,
@@ -61,8 +62,8 @@
     Some(CommentField { name, value })
 }
 
-/// The query with another deadline in its comment, in milliseconds. All else stays as it is, and a
-/// query without a deadline stays so.
+/// Returns the query with the deadline in its comment replaced by `deadline_ms`. A query without a
+/// deadline is returned unchanged.
 pub(crate) fn with_deadline(query: &[u8], deadline_ms: i64) -> Vec<u8> {
     let comment_end = query.windows(2).position(|pair| pair == b"*/").unwrap_or(0);
     let is_deadline = |at: &usize| {
--- a/crates/pg/src/clients/responses.rs
+++ b/crates/pg/src/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Encodes what the gateway itself sends to clients: errors, and replies to settings.
+//! Encodes the responses that the gateway itself sends to clients: errors, and replies to settings.
 
 use valehatch_core::{Failure, FinalAnswer};
 use valehatch_policy::Span;
@@ -9,12 +9,12 @@
 use crate::codec::message_types::backend;
 use crate::codec::put_ready_for_query;
 
-/// A Retry-After in whole milliseconds, 1 at least.
+/// Formats the time until a retry in whole milliseconds, at least 1.
 fn retry_after_ms(retry_after: Span) -> String {
     (retry_after.0 / 1000).max(1).to_string()
 }
 
-/// Appends an error that ends a query.
+/// Appends an ErrorResponse that ends the query.
 fn put_query_error(out: &mut Vec<u8>, code: &str, message: &str) {
     let error = ErrorResponse {
         severity: Severity::Error,
@@ -25,7 +25,7 @@
     error.put(out);
 }
 
-/// The error that closes the connection of a client that violated the protocol.
+/// Encodes the error sent before closing the connection of a client that violated the protocol.
 pub(super) fn fatal_error(code: &str, message: &str) -> Vec<u8> {
     let mut out = vec![];
     let error = ErrorResponse {
@@ -38,7 +38,8 @@
     out
 }
 
-/// The error that closes a connection through no fault of its client, which may retry after a time.
+/// Encodes the error sent before closing a connection through no fault of its client, which may
+/// retry after the given time.
 pub(super) fn retry_later(retry_after: Span, message: &str) -> Vec<u8> {
     let mut out = vec![];
     let error = ErrorResponse {
@@ -51,8 +52,8 @@
     out
 }
 
-/// The response to a query that is no request: settings succeed without an effect, an empty query
-/// gets an empty response, and anything else an error.
+/// Encodes the response to a query that is not a valid request: setting statements succeed without
+/// an effect, an empty query gets an EmptyQueryResponse, and any other query an error.
 pub(super) fn unqueued_response(query: &[u8], error: &RequestError) -> Vec<u8> {
     let mut out = vec![];
     let text = String::from_utf8_lossy(query);
@@ -70,7 +71,7 @@
     out
 }
 
-/// The response to a request, up to ReadyForQuery.
+/// Encodes the final response to a request, up to ReadyForQuery.
 pub(super) fn final_response(answer: FinalAnswer) -> Vec<u8> {
     let mut out = vec![];
     match answer {
--- a/crates/pg/src/codec.rs
+++ b/crates/pg/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages of the protocol to and from bytes; no state.
+//! Stateless encoding and decoding of the protocol's messages.
 
 pub(crate) mod error_response;
 pub(crate) mod framing;
--- a/crates/pg/src/codec/error_response.rs
+++ b/crates/pg/src/codec/error_response.rs
@@ -1,12 +1,12 @@
-//! ErrorResponse: its fields, and the error codes (SQLSTATE) that the gateway sends or tells
-//! apart.
+//! ErrorResponse: its fields, and the error codes (SQLSTATE) that the gateway sends or
+//! distinguishes.
 
 use super::framing::put_message;
 use super::message_types::backend;
 
-/// Field of the error code.
+/// Type of the field with the error code.
 pub(crate) const CODE_FIELD: u8 = b'C';
-/// Field of the message.
+/// Type of the field with the message.
 pub(crate) const MESSAGE_FIELD: u8 = b'M';
 
 /// Error codes of PostgreSQL.
@@ -24,12 +24,12 @@
     pub(crate) const SNAPSHOT_TOO_OLD: &str = "72000";
 }
 
-/// What an error ends.
+/// Whether an error ends the query or the connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Severity {
-    /// The query.
+    /// Ends the query; the session continues.
     Error,
-    /// The connection.
+    /// Ends the connection.
     Fatal,
 }
 
@@ -48,12 +48,12 @@
     /// SQLSTATE, five characters.
     pub code: &'a str,
     pub message: &'a str,
-    /// Of a rejected request: Retry-After in milliseconds.
+    /// For a rejected request, the time until a retry in milliseconds.
     pub detail: Option<&'a str>,
 }
 
 impl ErrorResponse<'_> {
-    /// Appends the message.
+    /// Appends the encoded ErrorResponse to `out`.
     pub(crate) fn put(&self, out: &mut Vec<u8>) {
         let severity = self.severity.name();
         let Self { code, message, .. } = self;
@@ -66,8 +66,8 @@
     }
 }
 
-/// A field of an ErrorResponse or NoticeResponse; `None` also if the body is not made of fields up
-/// to its end.
+/// Returns a field of an ErrorResponse or NoticeResponse; `None` if the field is missing or the
+/// body is malformed.
 pub(crate) fn error_field(body: &[u8], name: u8) -> Option<&str> {
     let fields = body.strip_suffix(b"\0\0")?;
     let field = fields
--- a/crates/pg/src/codec/framing.rs
+++ b/crates/pg/src/codec/framing.rs
@@ -1,24 +1,25 @@
-//! Message framing: a type byte, a length that counts itself, and a body.
+//! Message framing: a type byte, a length that includes itself, and a body.
 //!
 //! A length is checked against its limit before memory is reserved for the body.
 
 use std::fmt;
 use std::io::{self, Read};
 
-/// Bytes of a message's type and length.
+/// Size of a message header in bytes: type and length.
 pub(crate) const HEADER_BYTES: usize = 5;
-/// Bytes of a length, which it counts itself.
+/// Size of a length field in bytes; the length includes these bytes.
 const LENGTH_BYTES: usize = 4;
-/// Memory for a body is reserved at once up to this many bytes, as growing it fragments the heap.
-/// Beyond, it grows with the bytes received: a length alone must not cost memory.
+/// Maximum memory in bytes that is reserved for a body in advance, which avoids the heap
+/// fragmentation of a growing buffer. Larger bodies grow as bytes arrive, so that a length field
+/// alone cannot claim memory.
 const MAX_RESERVED_BYTES: usize = 64 * 1024;
 
-/// A message that breaks the protocol. Its text is sent to clients.
+/// A message that violates the protocol. The error text is sent to clients.
 #[derive(Debug)]
 pub(crate) enum FramingError {
-    /// The length is above its limit, or below the least that is valid.
+    /// The length exceeds its limit, or is smaller than its own field.
     InvalidLength { length: usize, limit: usize },
-    /// The startup message ends before the protocol's version.
+    /// The startup message ends before the protocol version.
     MissingVersion,
 }
 
@@ -41,13 +42,13 @@
     }
 }
 
-/// Type and body of a message.
+/// A complete message.
 pub(crate) struct Message {
     pub message_type: u8,
     pub body: Vec<u8>,
 }
 
-/// Type of a message and length of its body in bytes.
+/// Header of a message; `body_length` is in bytes.
 pub(crate) struct MessageHeader {
     pub message_type: u8,
     pub body_length: usize,
@@ -64,7 +65,7 @@
     Ok(length - LENGTH_BYTES)
 }
 
-/// Reads a message's body of `length` bytes, `limit` at most.
+/// Reads a body of `length` bytes; fails if that exceeds `limit`.
 pub(crate) fn read_body(
     reader: &mut impl Read,
     length: usize,
@@ -82,7 +83,7 @@
     Ok(body)
 }
 
-/// Reads a message whose body has `limit` bytes at most.
+/// Reads a message whose body has at most `limit` bytes.
 pub(crate) fn read_message(reader: &mut impl Read, limit: usize) -> io::Result<Message> {
     let header = read_header(reader, limit)?;
     Ok(Message {
@@ -91,7 +92,7 @@
     })
 }
 
-/// Reads the header of a message whose body has `limit` bytes at most.
+/// Reads the header of a message whose body has at most `limit` bytes.
 pub(crate) fn read_header(reader: &mut impl Read, limit: usize) -> io::Result<MessageHeader> {
     let mut message_type = [0];
     reader.read_exact(&mut message_type)?;
@@ -101,14 +102,14 @@
     })
 }
 
-/// The header of a message whose body has `body_length` bytes.
+/// Encodes the header of a message whose body has `body_length` bytes.
 pub(crate) fn header(message_type: u8, body_length: usize) -> [u8; HEADER_BYTES] {
     let mut header = [message_type, 0, 0, 0, 0];
     header[1..].copy_from_slice(&((body_length + LENGTH_BYTES) as u32).to_be_bytes());
     header
 }
 
-/// Appends a message whose body is made of these parts.
+/// Appends a message; its body is the concatenation of `parts`.
 pub(crate) fn put_message(out: &mut Vec<u8>, message_type: u8, parts: &[&[u8]]) {
     let body_length = parts.iter().map(|part| part.len()).sum();
     out.extend_from_slice(&header(message_type, body_length));
--- a/crates/pg/src/codec/message_types.rs
+++ b/crates/pg/src/codec/message_types.rs
@@ -1,4 +1,4 @@
-//! Type bytes of messages. A byte has another meaning in each direction.
+//! Type bytes of messages. The same byte has different meanings in the two directions.
 
 /// Messages that a client sends.
 pub(crate) mod frontend {
--- a/crates/pg/src/codec/startup.rs
+++ b/crates/pg/src/codec/startup.rs
@@ -1,4 +1,5 @@
-//! The start of a session: the client's first message and the reply to it.
+//! Session startup: the client's first message, the reply to it, and the startup message for
+//! endpoints.
 
 use std::io::{self, Read, Write};
 
@@ -6,29 +7,30 @@
 use super::message_types::backend;
 use super::put_ready_for_query;
 
-/// Bytes of the longest startup message, as in PostgreSQL itself.
+/// Maximum size of a startup message in bytes; the same limit as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Codes in the place of a version that ask for something else than a session.
+/// Request codes, sent in place of a protocol version, of messages that do not start a session.
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const SSL_REQUEST_CODE: u32 = 80_877_103;
 const GSSAPI_REQUEST_CODE: u32 = 80_877_104;
-/// The protocol's major version, in the upper half of the version field.
+/// Supported major version of the protocol; it is the upper half of the version field.
 const MAJOR_VERSION: u32 = 3;
 
 /// The first message of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum FirstMessage {
-    /// Opens a session.
+    /// Opens a session with a supported protocol version.
     Startup,
-    /// Asks for encryption by TLS or GSSAPI; a plain `N` declines it.
+    /// Requests encryption by TLS or GSSAPI; the reply `N` declines it.
     EncryptionRequest,
-    /// Cancels a query of another connection. The gateway issues no keys to name one by.
+    /// Requests cancellation of a query on another connection. The gateway issues no valid cancel
+    /// keys, so the request cannot name a query.
     CancelRequest,
-    /// Opens a session of another version of the protocol.
+    /// Requests a session with this unsupported protocol version.
     UnsupportedVersion(u32),
 }
 
-/// Reads the first message of a connection, or the next one after declined encryption.
+/// Reads the first message of a connection, or the next one after encryption was declined.
 pub(crate) fn read_first_message(reader: &mut impl Read) -> io::Result<FirstMessage> {
     let length = read_length(reader, MAX_STARTUP_BYTES)?;
     let body = read_body(reader, length, MAX_STARTUP_BYTES)?;
@@ -43,7 +45,7 @@
     })
 }
 
-/// The reply to a startup message, up to the first ReadyForQuery.
+/// Encodes the reply to a startup message, up to the first ReadyForQuery.
 pub(crate) fn startup_reply() -> Vec<u8> {
     let mut out = vec![];
     let authentication_ok = 0_u32.to_be_bytes();
--- a/crates/pg/src/codec/strings.rs
+++ b/crates/pg/src/codec/strings.rs
@@ -1,13 +1,13 @@
-//! Messages that are made of zero-terminated strings.
+//! Messages that consist of zero-terminated strings.
 
-/// Exactly `N` strings that each end with a zero byte, and nothing after them.
+/// Splits a body into exactly `N` zero-terminated strings; `None` if it is anything else.
 fn strings<const N: usize>(body: &[u8]) -> Option<[&str; N]> {
     let text = std::str::from_utf8(body.strip_suffix(b"\0")?).ok()?;
     let strings: Vec<_> = text.split('\0').collect();
     strings.try_into().ok()
 }
 
-/// A run-time parameter that a database reports.
+/// A run-time parameter reported by a database.
 pub(crate) struct ParameterStatus<'a> {
     pub name: &'a str,
     pub value: &'a str,
@@ -18,7 +18,7 @@
     strings(body).map(|[name, value]| ParameterStatus { name, value })
 }
 
-/// The tag of a CommandComplete.
+/// Decodes the command tag of a CommandComplete.
 pub(crate) fn command_tag(body: &[u8]) -> Option<&str> {
     strings(body).map(|[tag]| tag)
 }
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,6 +1,6 @@
-//! PostgreSQL's frontend/backend protocol, version 3, as far as simple queries need it.
+//! The subset of PostgreSQL's frontend/backend protocol, version 3, that simple queries need.
 //!
-//! - `codec`: messages to and from bytes, without state. Lengths are checked before memory is
+//! - `codec`: stateless encoding and decoding of messages. Lengths are checked before memory is
 //!   reserved.
 //! - [`clients`]: the server side of the protocol, towards the gateway's clients.
 //! - [`upstream`]: the client side of the protocol, towards endpoints.
--- a/crates/pg/src/upstream.rs
+++ b/crates/pg/src/upstream.rs
@@ -1,7 +1,7 @@
-//! The client side of the protocol: endpoints that speak it.
+//! The client side of the protocol, towards endpoints.
 //!
-//! [`PostgresProtocol`] opens connections, encodes requests and has responses read by a
-//! `ResponseReader`, one for each attempt. It has no state of its own.
+//! [`PostgresProtocol`] opens sessions, encodes requests and reads responses, with a
+//! `ResponseReader` for each attempt. The protocol object itself is stateless.
 
 mod load_report;
 mod response;
@@ -24,21 +24,22 @@
 use response::ResponseReader;
 use response_stream::ResponseStream;
 
-/// Bytes of the longest message from an endpoint, except for streamed rows: it is buffered whole.
+/// Maximum body in bytes of a message from an endpoint, which is buffered completely. Streamed rows
+/// are exempt.
 const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
-/// Bytes of notices and parameters that an endpoint may send with one response or at the start of a
-/// session: nothing else bounds their number.
+/// Maximum bytes of notices and parameters that an endpoint may send with one response or during
+/// session startup; nothing else bounds their number.
 const MAX_ASYNCHRONOUS_BYTES: usize = 64 * 1024;
-/// Bytes that are read from an endpoint at once.
+/// Size in bytes of the buffer for reading from an endpoint.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Speaks PostgreSQL's protocol with endpoints.
+/// Implements PostgreSQL's protocol towards endpoints.
 pub struct PostgresProtocol {
-    /// Converts the positions that endpoints report.
+    /// Converts the replication positions that endpoints report.
     pub clock: Clock,
 }
 
-/// The outcome of an attempt that an endpoint answered with this error code.
+/// Outcome of an attempt that an endpoint answered with an error of this SQLSTATE.
 fn outcome_of(code: &str) -> Outcome {
     match code {
         sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => Outcome::Misdirected,
@@ -52,7 +53,7 @@
         write_startup(&mut &*stream).map_err(|_| Outcome::ConnectFailed)?;
         let mut received_bytes = 0;
         while received_bytes <= MAX_ASYNCHRONOUS_BYTES {
-            // Unbuffered: what follows ReadyForQuery belongs to the first response.
+            // Unbuffered, since bytes after ReadyForQuery belong to the first response.
             let message = read_message(&mut &*stream, MAX_MESSAGE_BYTES)
                 .map_err(|_| Outcome::ConnectFailed)?;
             match message.message_type {
@@ -64,7 +65,7 @@
                         _ => Outcome::ConnectFailed,
                     });
                 }
-                // The header counts too: empty messages must not go on for ever.
+                // Headers are counted too, so that the number of empty messages is bounded.
                 _ => received_bytes += message.body.len() + HEADER_BYTES,
             }
         }
@@ -95,7 +96,7 @@
         let stream = ResponseStream::new(stream);
         let mut buffered = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         let received = ResponseReader::new(self.clock, job, open_body).read(&mut buffered);
-        // Bytes after the response would be taken for the next one.
+        // Left-over bytes would be mistaken for the start of the next response.
         let is_drained = received.reusable && buffered.buffer().is_empty();
         let is_untimed = buffered.get_ref().clear_timeout().is_ok();
         ReceivedReply {
--- a/crates/pg/src/upstream/response.rs
+++ b/crates/pg/src/upstream/response.rs
@@ -1,9 +1,9 @@
 //! Reads the response to one query, up to ReadyForQuery.
 //!
-//! Input: backend messages. State: how far the response has come, and what of it goes to the
-//! client. A response that violates the protocol counts as an error, as the query may have run, and
-//! its connection is not used again. Memory: one message, the messages kept for the client, and
-//! [`MAX_ASYNCHRONOUS_BYTES`] at most for notices and parameters.
+//! [`ResponseReader`] tracks the progress of the response and keeps the messages for the client. A
+//! response that violates the protocol counts as an error, since the query may have run, and its
+//! connection is not reused. Memory is bounded by one message, the messages kept for the client,
+//! and [`MAX_ASYNCHRONOUS_BYTES`] of notices and parameters.
 
 use std::fmt;
 use std::io::{self, BufReader, ErrorKind};
@@ -28,62 +28,62 @@
 use crate::codec::rows::{describes_one_column, only_column};
 use crate::codec::strings::{command_tag, parameter_status};
 
-/// Bytes of the longest row; values have up to 4 MiB.
+/// Maximum size of a row in bytes; values have up to 4 MiB.
 const MAX_ROW_BYTES: usize = 16 * 1024 * 1024;
-/// Length of an error code.
+/// Length of an error code (SQLSTATE) in bytes.
 const SQLSTATE_BYTES: usize = 5;
 /// Body of a ReadyForQuery outside of a transaction.
 const IDLE: &[u8] = b"I";
 
-/// How far a response has come.
+/// Progress of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No RowDescription or error yet.
+    /// Neither a RowDescription nor an error has been received.
     Start,
-    /// A RowDescription of one column.
+    /// A RowDescription of one column has been received.
     Described,
-    /// The only row.
+    /// The only row has been received.
     RowReceived,
-    /// CommandComplete: the response counts, even if the connection fails now.
+    /// CommandComplete has been received: the response is valid even if the connection fails now.
     Complete,
-    /// An ErrorResponse, which counts likewise.
+    /// An ErrorResponse has been received: it is valid even if the connection fails now.
     Failed,
 }
 
-/// Why a response is of no use.
+/// Reasons why a response was not read to its end.
 #[derive(Debug)]
 enum ResponseError {
-    /// The connection ended before ReadyForQuery.
+    /// The connection was closed before ReadyForQuery.
     Disconnected,
-    /// A message cannot be read, or the connection stalled.
+    /// A message could not be read, or the connection stalled.
     Unreadable(io::Error),
-    /// Notices and parameters above [`MAX_ASYNCHRONOUS_BYTES`].
+    /// Notices and parameters exceed [`MAX_ASYNCHRONOUS_BYTES`].
     TooManyAsynchronousBytes,
-    /// A message, by its type, that is not valid at its place.
+    /// A message of this type is not valid at this point of the response.
     UnexpectedMessage(u8),
-    /// A row that is not one column with a value.
+    /// A row does not consist of exactly one non-null column.
     MalformedRow,
-    /// An ErrorResponse without a valid code.
+    /// An ErrorResponse has no valid SQLSTATE.
     MalformedError,
-    /// A ParameterStatus that is not a name and a value.
+    /// A ParameterStatus does not consist of a name and a value.
     MalformedParameter,
-    /// A row was not streamed to its end.
+    /// A row was not streamed completely.
     StreamedRow(StreamedRowError),
 }
 
 impl fmt::Display for ResponseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Disconnected => f.write_str("the connection ended"),
-            Self::Unreadable(error) => write!(f, "a message cannot be read: {error}"),
+            Self::Disconnected => f.write_str("connection closed before ReadyForQuery"),
+            Self::Unreadable(error) => write!(f, "cannot read a message: {error}"),
             Self::TooManyAsynchronousBytes => f.write_str("too many notices and parameters"),
             Self::UnexpectedMessage(message_type) => {
                 write!(f, "unexpected message of type {message_type:#04x}")
             }
-            Self::MalformedRow => f.write_str("a row without exactly one column"),
-            Self::MalformedError => f.write_str("an error without a code"),
-            Self::MalformedParameter => f.write_str("a malformed parameter"),
-            Self::StreamedRow(error) => write!(f, "a streamed row is not complete: {error}"),
+            Self::MalformedRow => f.write_str("row does not have exactly one non-null column"),
+            Self::MalformedError => f.write_str("ErrorResponse without a valid SQLSTATE"),
+            Self::MalformedParameter => f.write_str("malformed ParameterStatus"),
+            Self::StreamedRow(error) => write!(f, "streamed row incomplete: {error}"),
         }
     }
 }
@@ -114,13 +114,13 @@
     open_body: BodyOpener<'a>,
     phase: Phase,
     reply: UpstreamReply,
-    /// Messages for the client that were not streamed.
+    /// Messages for the client that have not been streamed.
     client_messages: Vec<u8>,
-    /// The row of a health check.
+    /// Value of the row that answers a health check.
     health_check_row: Option<Vec<u8>>,
-    /// The client's response, once a row was streamed to it.
+    /// The client's response, once a row has been streamed to it.
     streamed: Option<Arc<ResponseBody>>,
-    /// Bytes of notices and parameters so far.
+    /// Bytes of notices and parameters received so far.
     asynchronous_bytes: usize,
 }
 
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Reads messages up to ReadyForQuery. The connection is reusable if that was received.
+    /// Reads messages up to ReadyForQuery. The connection is reusable only if ReadyForQuery was
+    /// received.
     pub(super) fn read(mut self, reader: &mut BufReader<ResponseStream>) -> ReceivedReply {
         let failed = |outcome| ReceivedReply {
             reply: UpstreamReply::without_details(outcome),
@@ -150,14 +151,14 @@
                 reply: self.into_reply(),
                 reusable: true,
             },
-            // A part of a response does not count; a complete one or an error does, although
-            // ReadyForQuery is missing.
+            // A complete response or an error is valid although ReadyForQuery is missing; an
+            // incomplete response is not.
             Err(ResponseError::Disconnected) => ReceivedReply {
                 reply: self.into_reply(),
                 reusable: false,
             },
             Err(error) => {
-                tracing::warn!(%error, "endpoint's response dropped");
+                tracing::warn!(%error, "response from endpoint discarded");
                 match error {
                     ResponseError::StreamedRow(error) => failed(error.outcome()),
                     _ => failed(Outcome::Error),
@@ -199,7 +200,7 @@
             && matches!(self.phase, Phase::Complete | Phase::Failed)
     }
 
-    /// Streams a row to the client, after the messages kept so far.
+    /// Streams a row to the client, preceded by the messages kept so far.
     fn stream_row(
         &mut self,
         reader: &mut BufReader<ResponseStream>,
@@ -273,7 +274,7 @@
             self.reply.outcome = outcome_of(code);
             self.reply.is_final_error = is_statement_error(code);
         } else {
-            // The statement has begun to run: the code does not prove that it had no effect.
+            // The statement had begun to run, so the code does not prove that it had no effect.
             self.reply.outcome = Outcome::Error;
         }
         if self.reply.is_final_error {
@@ -300,7 +301,7 @@
         Ok(())
     }
 
-    /// Whether a CommandComplete is that of the job's statement. A health check may get any.
+    /// Whether a CommandComplete matches the job's statement. A health check accepts any.
     fn matches_job(&self, body: &[u8]) -> bool {
         let Some(tag) = command_tag(body) else {
             return false;
@@ -325,8 +326,8 @@
         match self.job {
             UpstreamJob::Request { .. } => {
                 let mut last_messages = self.client_messages;
-                // The end of a streamed response is written as it is; that of a buffered one gets
-                // its ReadyForQuery with the final answer.
+                // The end of a streamed response is sent unchanged, so it needs ReadyForQuery here.
+                // A buffered response gets it when the final answer is encoded.
                 if self.streamed.is_some() {
                     put_ready_for_query(&mut last_messages);
                 }
@@ -344,7 +345,8 @@
     }
 }
 
-/// Whether an error's code blames the statement, so that every endpoint would report the same.
+/// Whether an error code means that the statement itself is invalid, so that every endpoint would
+/// report the same error.
 fn is_statement_error(code: &str) -> bool {
     ["08P01", "0A", "42"]
         .iter()
--- a/crates/pg/src/upstream/response_stream.rs
+++ b/crates/pg/src/upstream/response_stream.rs
@@ -1,26 +1,26 @@
-//! A connection while a response is read from it, with the timeouts of a response.
+//! Reads a response from a connection and applies the timeouts of responses.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How long a response that has begun may stall: soon enough for another attempt in its place.
+/// Maximum stall of a response that has begun; short enough to leave time for another attempt.
 const STALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// The same for a streamed response, which no attempt can replace; some endpoints take seconds for
-/// a chunk.
+/// Maximum stall of a streamed response, which another attempt cannot replace. Some endpoints take
+/// seconds for a chunk.
 const STREAMING_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where the response stands.
+/// Progress of a response, which decides its read timeout.
 enum ReadState {
-    /// Nothing was received. The core bounds this time, not the socket.
+    /// Nothing has been received. This wait is bounded by the core, not by a socket timeout.
     AwaitingFirstByte,
-    /// The first bytes were received.
+    /// The first bytes have been received; the next read sets a timeout.
     Begun,
     /// The socket has a read timeout.
     Timed,
 }
 
-/// Reads a response. Before its first byte there is no timeout; after it, every read has one.
+/// Reads a response. The first read has no timeout; every later read has one.
 pub(super) struct ResponseStream<'a> {
     stream: &'a TcpStream,
     state: ReadState,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Lets the rest of the response come slowly.
+    /// Applies the longer timeout of streamed responses to the rest of the response.
     pub(super) fn allow_slow_streaming(&mut self) -> io::Result<()> {
         self.state = ReadState::Timed;
         self.stream.set_read_timeout(Some(STREAMING_STALL_TIMEOUT))
     }
 
-    /// Leaves the connection without a timeout, for the next request.
+    /// Removes the read timeout, so that the connection can be used for the next request.
     pub(super) fn clear_timeout(&self) -> io::Result<()> {
         match self.state {
             ReadState::AwaitingFirstByte | ReadState::Begun => Ok(()),
--- a/crates/pg/src/upstream/streamed_row.rs
+++ b/crates/pg/src/upstream/streamed_row.rs
@@ -1,4 +1,4 @@
-//! Rows that are too long to be buffered: forwarded to the client as they are received.
+//! Forwards rows that are too long to be buffered to the client as they are received.
 
 use std::fmt;
 use std::io::{self, BufReader, ErrorKind, Read};
@@ -13,15 +13,15 @@
 use crate::codec::message_types::backend;
 use crate::codec::rows::{ROW_HEADER_BYTES, row_header};
 
-/// Bytes of the longest value that is buffered; a longer one is streamed.
+/// Maximum size in bytes of a buffered value; longer values are streamed.
 const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
 
-/// Why a row was not streamed to its end.
+/// Reasons why a row was not streamed completely.
 #[derive(Debug)]
 pub(super) enum StreamedRowError {
     /// The endpoint's connection failed or stalled.
     Connection(io::Error),
-    /// The row has not exactly one column with a value.
+    /// The row does not consist of exactly one non-null column.
     NotOneColumn,
     /// The client has disconnected.
     ClientDisconnected,
@@ -40,9 +40,9 @@
 impl fmt::Display for StreamedRowError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connection(error) => write!(f, "the connection failed: {error}"),
-            Self::NotOneColumn => f.write_str("a row without exactly one column"),
-            Self::ClientDisconnected => f.write_str("the client has disconnected"),
+            Self::Connection(error) => write!(f, "connection failed: {error}"),
+            Self::NotOneColumn => f.write_str("row does not have exactly one non-null column"),
+            Self::ClientDisconnected => f.write_str("client disconnected"),
         }
     }
 }
@@ -61,9 +61,10 @@
     body_length > MAX_BUFFERED_VALUE_BYTES + ROW_HEADER_BYTES
 }
 
-/// Forwards a DataRow's body of `body_length` bytes after the messages in `preceding`. Its header
-/// is checked before anything is forwarded. After an error, the client's connection is closed in
-/// the middle of the row: the client must not take a part for the whole.
+/// Forwards a DataRow's body of `body_length` bytes after the messages in `preceding`. The row's
+/// header is checked before anything is forwarded. After an error, the client's connection is
+/// closed in the middle of the row, so that the client cannot take a partial row for a complete
+/// one.
 pub(super) fn stream_row(
     reader: &mut BufReader<ResponseStream>,
     preceding: &[u8],
@@ -97,10 +98,10 @@
     response: &ResponseBody,
 ) -> Result<(), StreamedRowError> {
     let mut chunk = vec![0; response.chunk_bytes()];
-    let mut left = value_length;
-    while left > 0 {
-        let wanted = left.min(chunk.len());
-        let received = match reader.read(&mut chunk[..wanted]) {
+    let mut remaining = value_length;
+    while remaining > 0 {
+        let read_length = remaining.min(chunk.len());
+        let received = match reader.read(&mut chunk[..read_length]) {
             Ok(0) => {
                 return Err(StreamedRowError::Connection(
                     ErrorKind::UnexpectedEof.into(),
@@ -113,7 +114,7 @@
         response
             .forward(&chunk[..received])
             .map_err(|_| StreamedRowError::ClientDisconnected)?;
-        left -= received;
+        remaining -= received;
     }
     Ok(())
 }
