--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -260,7 +260,7 @@
 fn log(event: LogEvent) {
     match event {
         LogEvent::InvalidQuotas(error) => {
-            warn!(%error, "tenant quotas rejected, keeping the previous ones")
+            warn!(%error, "tenant quotas rejected, keeping the previous ones");
         }
         LogEvent::UpstreamConnectionsExhausted(limit) => {
             warn!(limit, "all upstream connections are in use");
@@ -270,7 +270,7 @@
             request,
             endpoint,
         } => {
-            error!(%request, %endpoint, "invariant violated: {}; the request was not sent", denial.name());
+            error!(%request, %endpoint, "invariant violated: {}; request not sent", denial.name());
         }
         LogEvent::RequestStep { request, step } => debug!(%request, "{step:?}"),
     }
