--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -27,7 +27,7 @@
 //! fields of eight bytes whose names end in `-ms` are finite floats, the others unsigned integers.
 //! Names that end in `-ms` or contain `-ms-` are milliseconds.
 //!
-//! A `kind` of an update is 0 or 3 for a complete list, 1 for a failed discovery, 2 for changes
+//! The `kind` of an update is 0 or 3 for a complete list, 1 for a failed discovery, 2 for changes
 //! only. The bits of `marks` are [`MARK_WORK_KNOWN`] and [`MARK_REPEAT`]; `mark` is a
 //! [`ReplicationProgress`]; `result` is an outcome as an HTTP-like status.
 
@@ -57,11 +57,11 @@
 const TIMER_EXPIRED: u8 = 7;
 /// A health check ended.
 const HEALTH_CHECK_ENDED: u8 = 8;
-/// Another instance sent something.
+/// A message from another instance.
 const GOSSIP: u8 = 9;
 /// Stops an instance.
 const STOP: u8 = 10;
-/// An endpoint table.
+/// A numbered list of endpoints.
 const ENDPOINT_TABLE: u8 = 11;
 /// Selects the instance of the records that follow.
 const SELECT_INSTANCE: u8 = 12;
@@ -77,32 +77,32 @@
     SelectInstance(InstanceId),
     /// An endpoint table, for all instances.
     EndpointTable(EndpointTable),
-    /// Starts the selected instance, in place of one that runs.
+    /// Starts the selected instance and replaces it if it is running.
     Attach {
-        /// Seed of its randomness.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Text of its settings.
+        /// Settings in text form, not parsed yet.
         settings: &'a str,
     },
-    /// Stops the selected instance, without a last step.
+    /// Stops the selected instance without stepping it again.
     Stop,
-    /// Something happened to the selected instance.
+    /// An event for the selected instance.
     Event(EventInput),
 }
 
-/// A numbered list of endpoints, for later updates to refer to.
+/// A numbered list of endpoints, to which later list updates refer.
 pub(crate) struct EndpointTable {
-    /// Its number; a later table with the same number replaces it.
+    /// Table number; a later table with the same number replaces this one.
     pub(crate) number: u16,
-    /// Its entries.
+    /// Endpoints in wire order.
     pub(crate) entries: Vec<EndpointRecord>,
 }
 
-/// What happened to an instance, before its settings are applied to it.
+/// An event as decoded from the wire, before the instance's settings are applied.
 pub(crate) enum EventInput {
     /// The endpoint list was updated, or its discovery failed.
     EndpointListUpdate {
-        /// What kind of update it is, as coded on the wire.
+        /// Kind of update as coded on the wire, not validated yet.
         kind: u8,
         /// Number of the endpoint table with the entries.
         table: u16,
@@ -119,70 +119,70 @@
     TimerExpired(u64),
     /// A health check ended.
     HealthCheckEnded(HealthCheckInput),
-    /// Another instance sent something; the decision module has no use for it.
+    /// A message from another instance; the decision module ignores it.
     Gossip,
 }
 
 /// A new request.
 pub(crate) struct RequestInput {
-    /// Its id.
+    /// Id under which later records refer to the request.
     pub(crate) id: RequestId,
-    /// Its session; 0 for none.
+    /// Key of the session; 0 for none.
     pub(crate) session_key: u64,
-    /// How long the client still waits.
+    /// Time until the client's deadline.
     pub(crate) time_left: Span,
-    /// Its replication group.
+    /// Replication group that holds the request's data.
     pub(crate) group: GroupId,
-    /// Estimated work, if known.
+    /// Estimated processing time, if known.
     pub(crate) work: Option<Span>,
-    /// Its class; not checked against the settings.
+    /// Request class; not checked against the settings yet.
     pub(crate) class: ClassId,
-    /// Index of its tenant; no tenant if the settings have fewer.
+    /// Index of the tenant; an index beyond the tenants in the settings means no tenant.
     pub(crate) tenant: u32,
-    /// Whether it is a client's retry.
+    /// Whether the client sent this request as a retry.
     pub(crate) is_client_retry: bool,
-    /// Time since the session's last write, in milliseconds; not above 0 if unknown.
+    /// Time since the session's last write, in milliseconds; 0 or less if unknown.
     pub(crate) since_last_write_ms: f64,
 }
 
 /// The end of an attempt.
 pub(crate) struct AttemptEndInput {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub(crate) request: RequestId,
-    /// The attempt, from 0.
+    /// Index of the attempt within the request, from 0.
     pub(crate) attempt: u32,
     /// Role and replication position that the endpoint reported.
     pub(crate) progress: ReplicationProgress,
-    /// The endpoint.
+    /// Endpoint that the attempt was sent to.
     pub(crate) endpoint: EndpointId,
     /// Whether the request has its final answer.
     pub(crate) request_ended: bool,
-    /// How it ended.
+    /// Result of the attempt.
     pub(crate) outcome: Outcome,
-    /// How long it took.
+    /// Duration of the attempt.
     pub(crate) latency: Span,
-    /// Values of the load report; empty without one.
+    /// Values of the load report; empty if there was none.
     pub(crate) report_values: Vec<f64>,
 }
 
 /// The end of a health check.
 pub(crate) struct HealthCheckInput {
-    /// The endpoint.
+    /// Endpoint that was checked.
     pub(crate) endpoint: EndpointId,
-    /// How long it took.
+    /// Duration of the health check.
     pub(crate) latency: Span,
-    /// How it ended.
+    /// Result of the health check.
     pub(crate) outcome: Outcome,
-    /// Values of the load report; empty without one.
+    /// Values of the load report; empty if there was none.
     pub(crate) report_values: Vec<f64>,
 }
 
-/// An endpoint's role, in the two lowest bits, and its replication position, in the others.
+/// Role of an endpoint in the two lowest bits, replication position in the other bits.
 #[derive(Clone, Copy)]
 pub(crate) struct ReplicationProgress(u32);
 
 impl ReplicationProgress {
-    /// Values of the two lowest bits.
+    /// Number of values of the two lowest bits.
     const ROLES: u32 = 4;
 
     /// The role, if the endpoint reported one.
@@ -194,8 +194,8 @@
         }
     }
 
-    /// The position as a time after the settings' zero of positions, if the endpoint reported one.
-    /// The wire has whole milliseconds.
+    /// The position as an offset from `family-info.position-zero-ms` in the settings, if the
+    /// endpoint reported one. The wire carries whole milliseconds.
     pub(crate) fn position(self) -> Option<Span> {
         let millis = self.0 / Self::ROLES;
         (millis > 0).then(|| Span::from_millis(i64::from(millis)))
@@ -205,17 +205,17 @@
 /// Decodes a record's fields.
 ///
 /// # Errors
-/// The code is unknown, a field is missing or has no usable value, or bytes are left over.
+/// The code is unknown, a field is missing or has an invalid value, or bytes follow the last field.
 pub(crate) fn decode(code: u8, fields: &[u8]) -> Result<Input<'_>, RecordError> {
     let mut reader = FieldReader::new(fields);
     let input = decode_input(code, &mut reader)?;
-    match reader.left() {
+    match reader.remaining() {
         0 => Ok(input),
-        left => Err(RecordError::TrailingBytes(left)),
+        count => Err(RecordError::TrailingBytes(count)),
     }
 }
 
-/// The input of a record with this code. Bytes after its last field are left.
+/// Decodes the record with this code and leaves bytes after its last field unread.
 fn decode_input<'a>(code: u8, reader: &mut FieldReader<'a>) -> Result<Input<'a>, RecordError> {
     let event = match code {
         ATTACH => return decode_attach(reader),
@@ -235,7 +235,6 @@
     Ok(Input::Event(event))
 }
 
-/// The start of an instance.
 fn decode_attach<'a>(reader: &mut FieldReader<'a>) -> Result<Input<'a>, RecordError> {
     let seed = reader.u64("salt")?;
     let length = reader.u32("settings length")?;
@@ -244,7 +243,7 @@
     Ok(Input::Attach { seed, settings })
 }
 
-/// An update of the endpoint list; its kind is not checked.
+/// Decodes an update of the endpoint list without checking its kind.
 fn decode_endpoint_list_update(reader: &mut FieldReader<'_>) -> Result<EventInput, FieldError> {
     let kind = reader.u8("kind")?;
     let _generation = reader.u64("gen")?;
@@ -252,7 +251,7 @@
     Ok(EventInput::EndpointListUpdate { kind, table })
 }
 
-/// A new request. A group outside of 0 to 65535 becomes the nearest of them.
+/// Decodes a new request. A group number is clamped to 0 to 65535.
 fn decode_request(reader: &mut FieldReader<'_>) -> Result<RequestInput, FieldError> {
     let id = RequestId(reader.u64("req")?);
     let session_key = reader.u64("client-key")?;
@@ -276,7 +275,6 @@
     })
 }
 
-/// The start of a response.
 fn decode_response_started(reader: &mut FieldReader<'_>) -> Result<EventInput, FieldError> {
     let request = RequestId(reader.u64("req")?);
     let _latency_ms = reader.f64("cost-time-ms")?;
@@ -285,7 +283,6 @@
     Ok(EventInput::ResponseStarted(request))
 }
 
-/// The end of an attempt.
 fn decode_attempt_end(reader: &mut FieldReader<'_>) -> Result<AttemptEndInput, RecordError> {
     let request = RequestId(reader.u64("req")?);
     let attempt = reader.u16("n")?.into();
@@ -307,7 +304,6 @@
     })
 }
 
-/// The end of a health check.
 fn decode_health_check(reader: &mut FieldReader<'_>) -> Result<HealthCheckInput, RecordError> {
     let endpoint = EndpointId(reader.u32("node")?);
     let latency = decode_span(reader, "cost-time-ms")?;
@@ -321,7 +317,6 @@
     })
 }
 
-/// What another instance sent.
 fn decode_gossip(reader: &mut FieldReader<'_>) -> Result<EventInput, FieldError> {
     let _author = reader.u16("author")?;
     let length = reader.u16("msg length")?;
@@ -329,18 +324,17 @@
     Ok(EventInput::Gossip)
 }
 
-/// An endpoint table.
 fn decode_endpoint_table(reader: &mut FieldReader<'_>) -> Result<EndpointTable, RecordError> {
     let number = reader.u16("buffer")?;
     let rows = reader.u32("rows")?;
-    // Grows row by row: a count that the record does not hold must not reserve memory.
+    // The list grows row by row: no memory may be reserved for rows that are announced but absent.
     let entries = (0..rows)
         .map(|_| decode_endpoint(reader))
         .collect::<Result<_, _>>()?;
     Ok(EndpointTable { number, entries })
 }
 
-/// An entry of an endpoint table. A start not above 0 is unknown.
+/// Decodes an entry of an endpoint table. A start time of 0 or less is unknown.
 fn decode_endpoint(reader: &mut FieldReader<'_>) -> Result<EndpointRecord, RecordError> {
     let launched_ms = reader.f64("launched-ms")?;
     let endpoint = EndpointId(reader.u32("node")?);
@@ -362,7 +356,6 @@
     })
 }
 
-/// An endpoint's state.
 fn decode_endpoint_state(reader: &mut FieldReader<'_>) -> Result<EndpointState, RecordError> {
     match reader.u8("stage-state")? {
         0 => Ok(EndpointState::Removed),
@@ -372,7 +365,7 @@
     }
 }
 
-/// The outcome of an attempt or a health check.
+/// Decodes the outcome of an attempt or a health check.
 fn decode_outcome(reader: &mut FieldReader<'_>) -> Result<Outcome, RecordError> {
     match reader.u16("result")? {
         200 => Ok(Outcome::Ok),
@@ -388,13 +381,13 @@
     }
 }
 
-/// The values of a load report, at most 255.
+/// Decodes the values of a load report, at most 255.
 fn decode_report_values(reader: &mut FieldReader<'_>) -> Result<Vec<f64>, FieldError> {
     let count = reader.u8("metrics count")?;
     (0..count).map(|_| reader.f32("metrics")).collect()
 }
 
-/// A duration that the wire has in milliseconds.
+/// Decodes a duration in milliseconds.
 fn decode_span(reader: &mut FieldReader<'_>, field: &'static str) -> Result<Span, FieldError> {
     reader.f64(field).map(|ms| Span(ms_to_micros(ms)))
 }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,6 +1,6 @@
 //! Encodes the actions of an instance as records of a reply.
 //!
-//! | code | term in the code | fields |
+//! | code | action or record | fields |
 //! | --- | --- | --- |
 //! | 66 | the instance whose records follow | instance 4 |
 //! | 68 | [`Action::Fail`] | request 8 |
@@ -19,7 +19,7 @@
 use crate::frame::Reply;
 use crate::host::InstanceId;
 
-/// Selects the instance whose records follow.
+/// Selects the instance that the following records belong to.
 const SELECT_INSTANCE: u8 = 66;
 /// [`Action::Fail`].
 const FAIL: u8 = 68;
@@ -27,7 +27,7 @@
 const HEALTH_CHECK: u8 = 69;
 /// [`Action::Send`].
 const SEND: u8 = 70;
-/// The instance crashed.
+/// Report that an instance panicked or did not start.
 const CRASH_REPORT: u8 = 71;
 /// [`Action::Reject`].
 const REJECT: u8 = 72;
@@ -38,12 +38,11 @@
 /// [`Action::Cancel`].
 const CANCEL: u8 = 77;
 
-/// Longest text of a crash report, in bytes: its length has two bytes on the wire.
+/// Maximum length of a crash report's text in bytes: the length field on the wire has two bytes.
 const MAX_CRASH_TEXT_BYTES: usize = u16::MAX as usize;
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// Appends the actions of an instance; nothing if there are none.
+/// Appends the actions of an instance; appends nothing if there are no actions.
 pub(crate) fn push_actions(reply: &mut Reply, instance: InstanceId, actions: &[Action]) {
     if actions.is_empty() {
         return;
@@ -54,8 +53,8 @@
     }
 }
 
-/// Appends a crash report of an instance. The text is cut after [`MAX_CRASH_TEXT_BYTES`] bytes, at
-/// the start of a character.
+/// Appends a crash report of an instance. The text is truncated to at most [`MAX_CRASH_TEXT_BYTES`]
+/// bytes, at a character boundary.
 pub(crate) fn push_crash_report(reply: &mut Reply, instance: InstanceId, text: &str) {
     push_instance(reply, instance);
     let mut end = text.len().min(MAX_CRASH_TEXT_BYTES);
@@ -66,7 +65,7 @@
     reply.push(CRASH_REPORT, &[&length, &text.as_bytes()[..end]]);
 }
 
-/// Selects the instance whose records follow.
+/// Appends a record that selects the instance of the records that follow.
 fn push_instance(reply: &mut Reply, instance: InstanceId) {
     reply.push(SELECT_INSTANCE, &[&instance.0.to_be_bytes()]);
 }
@@ -109,17 +108,17 @@
     }
 }
 
-/// A duration in milliseconds; 0 for none.
+/// Encodes a duration in milliseconds; 0 for `None`.
 fn span_field(span: Option<Span>) -> [u8; 8] {
     millis_field(span.map_or(0, |span| span.0))
 }
 
-/// A moment in milliseconds.
+/// Encodes a point in time in milliseconds.
 const fn time_field(time: Time) -> [u8; 8] {
     millis_field(time.0)
 }
 
-/// Microseconds as milliseconds.
+/// Encodes a number of microseconds as a float in milliseconds.
 const fn millis_field(micros: i64) -> [u8; 8] {
     (micros as f64 / MICROS_PER_MILLI).to_be_bytes()
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors of the adapter. Their texts go to stderr; only [`StartError`] goes onto the wire.
+//! Errors of the adapter. Their messages are written to stderr, except for [`StartError`], which is
+//! sent over the wire.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -7,68 +8,68 @@
 
 use crate::host::InstanceId;
 
-/// Why the adapter stops before the end of its input.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug)]
 pub(crate) enum AdapterError {
     /// The input ended inside a frame's header.
     HeaderTruncated {
-        /// The frame before it, if there was one.
+        /// Number of the preceding frame; `None` for the first frame.
         previous_frame: Option<u32>,
         /// Bytes of the header that were received.
         received: usize,
-        /// Bytes of a header.
+        /// Bytes of a complete header.
         length: usize,
     },
     /// A frame's header could not be read.
     HeaderUnreadable {
-        /// The frame before it, if there was one.
+        /// Number of the preceding frame; `None` for the first frame.
         previous_frame: Option<u32>,
-        /// Why not.
+        /// Error of the read call.
         source: io::Error,
     },
     /// A frame's clock is infinite or NaN.
     ClockNotFinite {
-        /// The frame.
+        /// Number of the frame.
         frame: u32,
-        /// The clock, in milliseconds.
+        /// Clock in the header, in milliseconds.
         clock_ms: f64,
     },
     /// The input ended inside a frame's body.
     BodyTruncated {
-        /// The frame.
+        /// Number of the frame.
         frame: u32,
         /// Bytes of the body that were received.
         received: usize,
-        /// Bytes of the body, as its header announced.
+        /// Length of the body in bytes, as announced in the header.
         length: u32,
     },
     /// A frame's body could not be read.
     BodyUnreadable(io::Error),
     /// A reply could not be written.
     ReplyUnwritable(io::Error),
-    /// A record does not fit into its frame's body.
+    /// A record exceeds its frame's body.
     RecordTruncated {
-        /// The frame.
+        /// Number of the frame.
         frame: u32,
-        /// Where the record begins, in bytes from the start of the body.
+        /// Offset of the record in the body, in bytes.
         offset: usize,
-        /// The part of the record that does not fit.
+        /// The code, length or fields, whichever is cut off.
         source: FieldError,
     },
-    /// A record is malformed or not allowed where it stands.
+    /// A record is malformed or not allowed at its position.
     Record {
-        /// The frame.
+        /// Number of the frame.
         frame: u32,
-        /// Where the record begins, in bytes from the start of the body.
+        /// Offset of the record in the body, in bytes.
         offset: usize,
-        /// The record's code.
+        /// Code of the record.
         code: u8,
-        /// What is at fault.
+        /// Reason for the rejection.
         source: RecordError,
     },
 }
 
-/// Writes which header is meant: the first frame's, or the one after `previous_frame`.
+/// Describes the position of a header: first frame, or after `previous_frame`.
 fn write_header_place(f: &mut Formatter<'_>, previous_frame: Option<u32>) -> fmt::Result {
     match previous_frame {
         None => f.write_str("header of the first frame"),
@@ -139,23 +140,23 @@
     }
 }
 
-/// Why a field cannot be read. Fields have their names of the wire.
+/// Error in a field. Fields are identified by their names on the wire.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FieldError {
-    /// The bytes end inside the field.
+    /// The bytes end before or inside the field.
     Truncated {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Bytes of the field.
+        /// Size of the field in bytes.
         needed: usize,
-        /// Bytes that are left.
+        /// Number of unread bytes.
         left: usize,
     },
     /// A number is infinite or NaN.
     NotFinite {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
 }
@@ -175,35 +176,35 @@
 
 impl Error for FieldError {}
 
-/// Why a record cannot be taken in.
+/// Error in a record that was framed correctly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RecordError {
-    /// A field cannot be read.
+    /// A field is truncated or not finite.
     Field(FieldError),
     /// The settings are not UTF-8.
     SettingsNotUtf8(Utf8Error),
-    /// No record has this code.
+    /// The record code is unknown.
     UnknownCode,
-    /// No outcome has this code.
+    /// The outcome code is unknown.
     UnknownOutcome(u16),
-    /// No endpoint state has this code.
+    /// The endpoint state code is unknown.
     UnknownEndpointState(u8),
-    /// No kind of endpoint list update has this code.
+    /// The update kind code is unknown.
     UnknownUpdateKind(u8),
-    /// The record continues after its last field, by this many bytes.
+    /// The record has this many bytes after its last field.
     TrailingBytes(usize),
     /// No endpoint table with this number has been received.
     UnknownTable(u16),
     /// The instance's settings have no such request class.
     UnknownClass {
-        /// The class.
+        /// Class number in the record.
         class: usize,
-        /// How many classes the settings have.
+        /// Number of classes in the settings.
         known: usize,
     },
-    /// No record before it in the frame selected an instance.
+    /// No earlier record in the frame selected an instance.
     NoInstanceSelected,
-    /// The instance does not run.
+    /// The instance is not running.
     NotAttached(InstanceId),
 }
 
@@ -215,13 +216,18 @@
             Self::UnknownCode => f.write_str("unknown code"),
             Self::UnknownOutcome(code) => write!(f, "unknown outcome {code}"),
             Self::UnknownEndpointState(code) => write!(f, "unknown stage-state {code}"),
-            Self::UnknownUpdateKind(code) => write!(f, "unknown kind of list {code}"),
-            Self::TrailingBytes(count) => write!(f, "{count} bytes too many"),
-            Self::UnknownTable(number) => write!(f, "no table {number} was sent"),
+            Self::UnknownUpdateKind(code) => {
+                write!(f, "unknown kind of endpoint list update {code}")
+            }
+            Self::TrailingBytes(count) => write!(f, "{count} bytes after the last field"),
+            Self::UnknownTable(number) => write!(f, "no table {number} has been received"),
             Self::UnknownClass { class, known } => {
-                write!(f, "class {class} is not among the {known} known")
+                write!(
+                    f,
+                    "class {class} is unknown, the settings have {known} classes"
+                )
             }
-            Self::NoInstanceSelected => f.write_str("no instance was named before it"),
+            Self::NoInstanceSelected => f.write_str("no instance is selected for this record"),
             Self::NotAttached(InstanceId(instance)) => {
                 write!(f, "instance {instance} was never attached")
             }
@@ -245,10 +251,10 @@
     }
 }
 
-/// Why an instance does not start. Its text is the instance's crash report.
+/// Error that prevents an instance from starting. The message becomes the instance's crash report.
 #[derive(Debug)]
 pub(crate) enum StartError {
-    /// The settings' text is at fault.
+    /// The settings' text cannot be parsed.
     Text(valehatch_config::SettingsError),
     /// The decision module rejects the settings.
     Settings(valehatch_policy::SettingsError),
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,5 +1,5 @@
-//! Turns what happened to an instance into an event of its decision module, with the instance's
-//! settings and the endpoint tables. No state.
+//! Converts decoded events to events of the decision module, with the instance's settings and the
+//! endpoint tables. The module keeps no state.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,15 @@
 use crate::decode::{AttemptEndInput, EventInput, HealthCheckInput, RequestInput};
 use crate::error::RecordError;
 
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Endpoint tables by number.
+/// Endpoint tables by table number.
 pub(crate) type EndpointTables = BTreeMap<u16, Vec<EndpointRecord>>;
 
-/// The event that an input makes; `None` if the decision module has no use for it.
+/// Converts an input to an event; `None` if the decision module ignores this kind of input.
 ///
 /// # Errors
-/// The input names a kind of update, an endpoint table or a request class that is not known.
+/// The input refers to an unknown update kind, endpoint table or request class.
 pub(crate) fn policy_event(
     input: EventInput,
     wire: &WireSettings,
@@ -41,7 +40,7 @@
     Ok(Some(event))
 }
 
-/// An update of the endpoint list, or the failure of its discovery.
+/// Builds the event for an endpoint list update or a failed discovery.
 fn endpoint_list_update(
     kind: u8,
     table: u16,
@@ -62,7 +61,8 @@
     })
 }
 
-/// A new request. A tenant that the settings don't have is none.
+/// Builds a request after checking its class. A tenant index beyond the settings' tenants gives a
+/// request without a tenant.
 fn request(input: &RequestInput, wire: &WireSettings) -> Result<Request, RecordError> {
     if input.class.0 >= wire.classes {
         return Err(RecordError::UnknownClass {
@@ -85,7 +85,6 @@
     })
 }
 
-/// The end of an attempt.
 fn attempt_end(input: &AttemptEndInput, wire: &WireSettings) -> AttemptEnd {
     AttemptEnd {
         request: input.request,
@@ -103,7 +102,6 @@
     }
 }
 
-/// The end of a health check.
 fn health_check_end(input: &HealthCheckInput, wire: &WireSettings) -> PolicyEvent {
     PolicyEvent::HealthCheckEnded {
         endpoint: input.endpoint,
@@ -113,9 +111,9 @@
     }
 }
 
-/// The load report that the values make; `None` without values. A position is in seconds after the
-/// settings' zero and is rounded down to whole microseconds: a later one would claim commits that
-/// the endpoint may not have applied.
+/// Builds a load report from its values; `None` if there are no values. A position is in seconds
+/// after the settings' position zero. It is rounded down to whole microseconds, since a later
+/// position would claim commits that the endpoint may not have applied.
 fn load_report(values: &[f64], wire: &WireSettings) -> Option<LoadReport> {
     wire.report(values, |seconds| {
         let micros = (seconds * MICROS_PER_SECOND).floor();
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,93 +1,94 @@
-//! Reads the fields of a header or record, big-endian, one after another.
+//! Reader for the big-endian fields of a record.
 
 use crate::error::FieldError;
 
-/// The bytes that have not been read yet. A field's name is its name on the wire, for errors.
+/// Cursor over the unread bytes of a record. The `field` parameters are names on the wire, used in
+/// error messages.
 pub(crate) struct FieldReader<'a> {
-    left: &'a [u8],
+    unread: &'a [u8],
 }
 
 impl<'a> FieldReader<'a> {
-    /// A reader at the start of `bytes`.
+    /// Creates a reader at the start of `bytes`.
     pub(crate) const fn new(bytes: &'a [u8]) -> Self {
-        Self { left: bytes }
+        Self { unread: bytes }
     }
 
-    /// How many bytes are left.
-    pub(crate) const fn left(&self) -> usize {
-        self.left.len()
+    /// Number of unread bytes.
+    pub(crate) const fn remaining(&self) -> usize {
+        self.unread.len()
     }
 
-    /// The next `length` bytes.
+    /// Reads the next `length` bytes.
     ///
     /// # Errors
-    /// Fewer are left.
+    /// Fewer than `length` bytes are left.
     pub(crate) const fn bytes(
         &mut self,
         length: usize,
         field: &'static str,
     ) -> Result<&'a [u8], FieldError> {
-        let Some((head, tail)) = self.left.split_at_checked(length) else {
+        let Some((head, tail)) = self.unread.split_at_checked(length) else {
             return Err(FieldError::Truncated {
                 field,
                 needed: length,
-                left: self.left.len(),
+                left: self.unread.len(),
             });
         };
-        self.left = tail;
+        self.unread = tail;
         Ok(head)
     }
 
-    /// The next `N` bytes, as an array.
+    /// Reads the next `N` bytes as an array.
     fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], FieldError> {
         let mut array = [0; N];
         array.copy_from_slice(self.bytes(N, field)?);
         Ok(array)
     }
 
-    /// An unsigned integer of one byte.
+    /// Reads an unsigned one-byte integer.
     ///
     /// # Errors
-    /// The bytes end inside it; so for the other integers.
+    /// Fewer bytes are left than the integer has. The same holds for the wider integers below.
     pub(crate) fn u8(&mut self, field: &'static str) -> Result<u8, FieldError> {
         self.array(field).map(u8::from_be_bytes)
     }
 
-    /// An unsigned integer of two bytes.
+    /// Reads an unsigned two-byte integer.
     pub(crate) fn u16(&mut self, field: &'static str) -> Result<u16, FieldError> {
         self.array(field).map(u16::from_be_bytes)
     }
 
-    /// An unsigned integer of four bytes.
+    /// Reads an unsigned four-byte integer.
     pub(crate) fn u32(&mut self, field: &'static str) -> Result<u32, FieldError> {
         self.array(field).map(u32::from_be_bytes)
     }
 
-    /// An unsigned integer of eight bytes.
+    /// Reads an unsigned eight-byte integer.
     pub(crate) fn u64(&mut self, field: &'static str) -> Result<u64, FieldError> {
         self.array(field).map(u64::from_be_bytes)
     }
 
-    /// A finite number of four bytes.
+    /// Reads a finite four-byte float.
     ///
     /// # Errors
-    /// The bytes end inside it, or it is infinite or NaN.
+    /// Fewer bytes are left than the float has, or the value is infinite or NaN.
     pub(crate) fn f32(&mut self, field: &'static str) -> Result<f64, FieldError> {
         let value = self.array(field).map(f32::from_be_bytes)?;
         finite(value.into(), field)
     }
 
-    /// A finite number of eight bytes.
+    /// Reads a finite eight-byte float.
     ///
     /// # Errors
-    /// The bytes end inside it, or it is infinite or NaN.
+    /// Fewer bytes are left than the float has, or the value is infinite or NaN.
     pub(crate) fn f64(&mut self, field: &'static str) -> Result<f64, FieldError> {
         let value = self.array(field).map(f64::from_be_bytes)?;
         finite(value, field)
     }
 }
 
-/// The value, if it is neither infinite nor NaN.
+/// Returns `value` unless it is infinite or NaN.
 const fn finite(value: f64, field: &'static str) -> Result<f64, FieldError> {
     if value.is_finite() {
         Ok(value)
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,13 +1,13 @@
-//! Frames of the wire, all numbers big-endian.
+//! Framing on the wire. All numbers are big-endian.
 //!
 //! | part | bytes |
 //! | --- | --- |
 //! | header of an input frame | number 4, length of the body 4, clock 8 (milliseconds, a float) |
-//! | header of a reply | number of the frame it answers 4, length of the body 4, records in it 4 |
+//! | header of a reply | number of the answered frame 4, length of the body 4, record count 4 |
 //! | record | code 1, length of its fields 4, fields |
 //!
-//! A body is records without gaps. Its length is bounded by its four bytes alone; memory for it is
-//! taken as it arrives.
+//! A body is a sequence of records without padding. Only the four-byte length field limits its
+//! length, so the buffer grows as bytes arrive and is not allocated from the announced length.
 
 use std::io::{self, Read};
 
@@ -17,20 +17,18 @@
 use crate::error::{AdapterError, FieldError};
 use crate::fields::FieldReader;
 
-/// Bytes of an input frame's header.
 const HEADER_BYTES: usize = 16;
-/// Bytes of a reply's header.
 const REPLY_HEADER_BYTES: usize = 12;
-/// Bytes of a record before its fields.
+/// Bytes of a record's code and length, which precede its fields.
 const RECORD_HEADER_BYTES: usize = 5;
 
-/// An input frame: what happened up to a moment.
+/// An input frame: the records of events up to the frame's clock.
 pub(crate) struct Frame {
-    /// The simulator's number for it.
+    /// Number that the simulator gave to the frame.
     pub(crate) number: u32,
-    /// The simulator's clock.
+    /// Simulator clock at which the frame's events are applied.
     pub(crate) now: Time,
-    /// Its records.
+    /// Encoded records.
     pub(crate) body: Vec<u8>,
 }
 
@@ -55,7 +53,8 @@
         }))
     }
 
-    /// The records, up to and including the first that does not fit into the body.
+    /// Iterates over the records. The first record that exceeds the body yields an error and ends
+    /// the iteration.
     pub(crate) fn records(&self) -> impl Iterator<Item = Result<Record<'_>, AdapterError>> {
         let mut offset = 0;
         std::iter::from_fn(move || {
@@ -74,16 +73,13 @@
 
 /// Header of an input frame.
 struct FrameHeader {
-    /// The frame's number.
     number: u32,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     length: u32,
-    /// The simulator's clock.
     now: Time,
 }
 
 impl FrameHeader {
-    /// Decodes a header.
     fn parse(bytes: &[u8; HEADER_BYTES]) -> Result<Self, AdapterError> {
         let [n0, n1, n2, n3, l0, l1, l2, l3, clock @ ..] = *bytes;
         let number = u32::from_be_bytes([n0, n1, n2, n3]);
@@ -133,7 +129,7 @@
     Ok(Some(header))
 }
 
-/// Reads the body that `header` announces.
+/// Reads a body of the length that `header` announces.
 fn read_body(input: &mut impl Read, header: &FrameHeader) -> Result<Vec<u8>, AdapterError> {
     let mut body = Vec::new();
     let received = input
@@ -153,24 +149,24 @@
 
 /// A record of an input frame.
 pub(crate) struct Record<'a> {
-    /// Where it begins, in bytes from the start of the body.
+    /// Offset of the record in the body, in bytes.
     pub(crate) offset: usize,
-    /// What it is.
+    /// Record code; selects the layout of the fields.
     pub(crate) code: u8,
-    /// Its fields.
+    /// Encoded fields.
     pub(crate) fields: &'a [u8],
 }
 
-/// A record that does not fit into its body.
+/// Error for a record that exceeds its frame's body.
 struct TruncatedRecord {
-    /// Where it begins, in bytes from the start of the body.
+    /// Offset of the record in the body, in bytes.
     offset: usize,
-    /// The part that does not fit.
+    /// The code, length or fields, whichever is cut off.
     source: FieldError,
 }
 
 impl TruncatedRecord {
-    /// The adapter's error, in the frame with this number.
+    /// Converts the error to an [`AdapterError`] for the frame with this number.
     const fn in_frame(self, frame: u32) -> AdapterError {
         AdapterError::RecordTruncated {
             frame,
@@ -181,7 +177,7 @@
 }
 
 impl<'a> Record<'a> {
-    /// The record at `offset` of `body`.
+    /// Parses the record at `offset` of `body`.
     fn parse(body: &'a [u8], offset: usize) -> Result<Self, TruncatedRecord> {
         let truncated = |source| TruncatedRecord { offset, source };
         let mut reader = FieldReader::new(&body[offset..]);
@@ -200,16 +196,16 @@
 
 /// A reply under construction.
 pub(crate) struct Reply {
-    /// Number of the frame it answers.
+    /// Number of the frame that this reply answers.
     number: u32,
-    /// Records in the body.
+    /// Number of records in `body`.
     record_count: u32,
-    /// The records.
+    /// Encoded records.
     body: Vec<u8>,
 }
 
 impl Reply {
-    /// An empty reply to the frame with this number.
+    /// Creates an empty reply to the frame with this number.
     pub(crate) const fn new(number: u32) -> Self {
         Self {
             number,
@@ -218,7 +214,7 @@
         }
     }
 
-    /// Appends a record.
+    /// Appends a record whose fields are the concatenation of `fields`.
     pub(crate) fn push(&mut self, code: u8, fields: &[&[u8]]) {
         let length: usize = fields.iter().map(|field| field.len()).sum();
         self.body.push(code);
@@ -229,7 +225,7 @@
         self.record_count += 1;
     }
 
-    /// The frame, with its header.
+    /// Returns the encoded reply, header included.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
         frame.extend_from_slice(&self.number.to_be_bytes());
@@ -240,7 +236,7 @@
     }
 }
 
-/// A length in bytes as four bytes, capped at what they hold.
+/// Encodes a length as a four-byte field; a greater length is written as `u32::MAX`.
 fn length_field(length: usize) -> [u8; 4] {
     u32::try_from(length).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
-//! Hosts instances of the decision module: takes in the records of a frame, steps the instances
-//! that they are for, and appends what comes back to the reply.
+//! Hosts instances of the decision module: processes the records of a frame, steps the instances
+//! that the records address, and appends their actions to the reply.
 //!
-//! State: the running instances and the endpoint tables, as many as the simulator makes. Each
-//! instance gets its events of a frame in one step, at the frame's clock.
+//! State: the running instances and the endpoint tables; the simulator determines how many of each
+//! there are. An instance receives all its events of a frame in one step, at the frame's clock.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -17,24 +17,22 @@
 use crate::event::{EndpointTables, policy_event};
 use crate::frame::{Frame, Record, Reply};
 
-/// An instance of the decision module, as the simulator numbers them.
+/// Number that the simulator gave to an instance of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InstanceId(pub(crate) u32);
 
 /// The running instances, and the endpoint tables that all of them share.
 #[derive(Default)]
 pub(crate) struct Host {
-    /// The running instances.
     instances: BTreeMap<InstanceId, Instance>,
-    /// The endpoint tables.
     tables: EndpointTables,
 }
 
 impl Host {
-    /// Takes in the frame's records, then steps each instance that they are for.
+    /// Processes the frame's records, then steps each instance that they address.
     ///
     /// # Errors
-    /// A record is malformed or not allowed where it stands; no instance has been stepped.
+    /// A record is malformed or not allowed at its position; no instance has been stepped.
     pub(crate) fn on_frame(
         &mut self,
         frame: &Frame,
@@ -55,7 +53,7 @@
         Ok(())
     }
 
-    /// Takes in a record.
+    /// Applies a record to the instances and tables, or queues its event in the batch.
     fn on_record(
         &mut self,
         record: &Record<'_>,
@@ -84,7 +82,8 @@
         Ok(())
     }
 
-    /// Starts an instance, or reports why it does not start. Either way one that ran is removed.
+    /// Starts an instance, or reports why the start failed. In both cases a running instance with
+    /// this number is removed.
     fn on_attach(
         &mut self,
         id: InstanceId,
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Queues an event for its instance. An input without an event still makes the instance step.
+    /// Queues an event for its instance. An input that maps to no event still causes a step.
     fn on_event(
         &self,
         id: InstanceId,
@@ -121,7 +120,7 @@
         Ok(())
     }
 
-    /// Steps the instances of the batch; one that panics is removed and its crash reported.
+    /// Steps the instances of the batch. An instance that panics is removed and its crash reported.
     fn step_instances(&mut self, now: Time, mut batch: Batch, reply: &mut Reply) {
         let mut actions = Vec::new();
         for id in batch.order {
@@ -143,25 +142,24 @@
     }
 }
 
-/// What the records of one frame have queued so far.
+/// Events that the records of one frame have queued so far.
 #[derive(Default)]
 struct Batch {
-    /// The instance that records are for.
+    /// Instance that the following records address.
     selected: Option<InstanceId>,
-    /// Instances in the order of their first record. One that stopped stays, to keep its turn if it
-    /// starts again.
+    /// Instances in the order of their first record. A stopped instance is not removed, so that it
+    /// keeps its position if it starts again in the same frame.
     order: Vec<InstanceId>,
-    /// Events of the instances that will be stepped.
+    /// Events by instance; an instance with an entry, even an empty one, is stepped.
     events: BTreeMap<InstanceId, Vec<PolicyEvent>>,
 }
 
 impl Batch {
-    /// The selected instance.
     fn selected(&self) -> Result<InstanceId, RecordError> {
         self.selected.ok_or(RecordError::NoInstanceSelected)
     }
 
-    /// The instance's events; from now on it will be stepped.
+    /// Returns the instance's event list and schedules the instance for a step.
     fn events(&mut self, instance: InstanceId) -> &mut Vec<PolicyEvent> {
         if !self.order.contains(&instance) {
             self.order.push(instance);
@@ -169,7 +167,7 @@
         self.events.entry(instance).or_default()
     }
 
-    /// Drops the instance's events; it will not be stepped unless it gets others.
+    /// Discards the instance's events; the instance is stepped only if more events follow.
     fn discard_events(&mut self, instance: InstanceId) {
         self.events.remove(&instance);
     }
@@ -177,14 +175,13 @@
 
 /// A running instance.
 struct Instance {
-    /// The decision module.
     router: Router,
-    /// How its load reports and sessions look on the wire.
+    /// Wire format of the instance's load reports and sessions.
     wire: WireSettings,
 }
 
 impl Instance {
-    /// Starts an instance with these settings.
+    /// Parses the settings and creates the decision module.
     fn start(seed: u64, settings: &str) -> Result<Self, StartError> {
         let (settings, wire) = settings::parse(settings).map_err(StartError::Text)?;
         let router = Router::new(settings, seed).map_err(StartError::Settings)?;
@@ -198,18 +195,18 @@
         events: &[PolicyEvent],
         actions: &mut Vec<Action>,
     ) -> Result<(), StepPanic> {
-        // A panic may leave the router half changed. The host drops it then, and never reads the
-        // actions, so no broken invariant is seen.
+        // A panic may leave the router in an inconsistent state. The host then drops the router and
+        // never reads the actions, so the inconsistency is not observable.
         let step = AssertUnwindSafe(|| self.router.step(now, events, actions));
         catch_unwind(step).map_err(StepPanic)
     }
 }
 
-/// A panic of the decision module.
+/// Payload of a panic in the decision module.
 struct StepPanic(Box<dyn Any + Send>);
 
 impl StepPanic {
-    /// Its message.
+    /// The panic message, or a generic text if the payload is not a string.
     fn message(&self) -> &str {
         if let Some(message) = self.0.downcast_ref::<String>() {
             return message;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,20 +1,20 @@
 #![forbid(unsafe_code)]
-//! Puts the decision module on the simulator's wire. It translates and hosts instances; it decides
-//! nothing.
+//! Runs the decision module on the simulator's wire. The adapter hosts instances of the module and
+//! translates between records and the module's events and actions; it makes no decisions itself.
 //!
-//! Input frames come on stdin, and each gets one reply on stdout before the next is read. The end
-//! of the input between two frames ends the process with success; a malformed frame, with exit code
-//! 2 and a line on stderr.
+//! The adapter reads input frames from stdin and writes one reply to stdout for each, before it
+//! reads the next. If the input ends between two frames, the process exits with success; after a
+//! malformed frame, it exits with code 2 and a line on stderr.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `frame` | frames and records: where they begin and end |
-//! | `fields` | numbers and bytes of a record |
-//! | `decode` | records to inputs; the wire's names and the code's terms |
+//! | `frame` | framing: boundaries of frames and records |
+//! | `fields` | numbers and byte strings in a record |
+//! | `decode` | records to inputs, with a table of the wire's field names and the code's |
 //! | `event` | inputs to events of the decision module |
-//! | `host` | the instances, and their steps |
+//! | `host` | running instances and their steps |
 //! | `encode` | actions to records |
-//! | `error` | errors and their texts |
+//! | `error` | errors and their messages |
 
 mod decode;
 mod encode;
@@ -31,9 +31,9 @@
 use frame::{Frame, Reply};
 use host::Host;
 
-/// Bytes of the buffer in front of stdin: what a pipe holds on Linux, so that one read empties it.
+/// Size of the read buffer for stdin, in bytes: the default capacity of a pipe on Linux, so that
+/// one read empties the pipe.
 const INPUT_BUFFER_BYTES: usize = 64 * 1024;
-/// Exit code after an error.
 const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter, as a process on the wire.
+//! Tests of the adapter as a process: binary frames on stdin, replies on stdout.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,7 +12,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may stop reading at a bad frame.
+    // The write fails if the adapter exits early because of a malformed frame.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -128,23 +128,22 @@
     )
 }
 
-/// A record of a reply.
 struct Record {
     code: u8,
     fields: Vec<u8>,
 }
 
-/// The records of each reply.
+/// Splits the output into replies and returns the records of each.
 fn replies(mut bytes: &[u8]) -> Vec<Vec<Record>> {
-    let integer = |b: &[u8], at: usize| u32::from_be_bytes(b[at..at + 4].try_into().unwrap());
+    let u32_at = |b: &[u8], at: usize| u32::from_be_bytes(b[at..at + 4].try_into().unwrap());
     let mut output = vec![];
     while !bytes.is_empty() {
-        let length = integer(bytes, 4) as usize;
-        let count = integer(bytes, 8);
+        let length = u32_at(bytes, 4) as usize;
+        let count = u32_at(bytes, 8);
         let (mut body, rest) = bytes[12..].split_at(length);
         let mut records = vec![];
         while !body.is_empty() {
-            let length = integer(body, 1) as usize;
+            let length = u32_at(body, 1) as usize;
             records.push(Record {
                 code: body[0],
                 fields: body[5..5 + length].to_vec(),
