--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -1,5 +1,6 @@
-//! Switches of the fault-injection library `valehatch-fault-shim`, kept in a small file. The test
-//! writes them; the library maps the file into the process under test and reads them at each call.
+//! Switches of the fault-injection library `valehatch-fault-shim`, stored in a one-page control
+//! file. A test writes the switches; the library maps the file into the process under test and
+//! reads them at each intercepted call.
 
 #![forbid(unsafe_code)]
 
@@ -9,42 +10,44 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The environment variable that names the file.
+/// Environment variable with the path of the control file.
 pub const CONTROL_FILE_VARIABLE: &str = "VALEHATCH_FAULT_CONTROL";
-/// Size of the file in bytes: one page.
+/// Size of the control file in bytes: one page.
 pub const CONTROL_FILE_BYTES: usize = 4096;
 
-/// One switch: a number of 64 bits at its own place in the file. 0 is off.
+/// A switch, stored as a signed 64-bit integer in its own slot of the control file; 0 is off.
+///
+/// Switches that make calls fail hold a rate: the number of affected calls per thousand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Switch {
-    /// Added to CLOCK_REALTIME, in microseconds.
+    /// Offset added to CLOCK_REALTIME, in microseconds.
     WallClockOffset,
-    /// How many of a thousand calls of accept fail.
+    /// Rate of accept calls that fail, per thousand.
     AcceptFails,
-    /// The same of connect, with errors of this machine.
+    /// Rate of connect calls that fail with errors of the local machine, per thousand.
     ConnectFails,
-    /// The same of socket.
+    /// Rate of socket calls that fail, per thousand.
     SocketFails,
-    /// How many of a thousand reads and writes on sockets move a single byte.
+    /// Rate of socket reads and writes that transfer a single byte, per thousand.
     ShortTransfers,
-    /// How many of a thousand reads and writes on sockets return EINTR first.
+    /// Rate of socket reads and writes that fail with EINTR before the transfer, per thousand.
     Interrupts,
-    /// How many of a thousand reads of a broken or ended connection tell ETIMEDOUT or EHOSTUNREACH
-    /// in place of it.
+    /// Rate of reads on a reset connection that fail with ETIMEDOUT or EHOSTUNREACH in place of
+    /// ECONNRESET, per thousand.
     LateErrors,
-    /// How many of a thousand writes to files fail with ENOSPC after a part was written.
+    /// Rate of file writes that fail with ENOSPC after a partial write, per thousand.
     FileWriteFails,
-    /// How many of a thousand calls of fsync and fdatasync fail with EIO.
+    /// Rate of fsync and fdatasync calls that fail with EIO, per thousand.
     SyncFails,
-    /// How many of a thousand calls of rename fail with EIO.
+    /// Rate of rename calls that fail with EIO, per thousand.
     RenameFails,
-    /// A pause before a write on a socket, in microseconds, twice a second: between reading the
-    /// clock and writing.
+    /// Pause before a socket write, in microseconds, at most twice a second. The pause falls
+    /// between the process's reading of the clock and its write.
     PauseBeforeWrite,
 }
 
 impl Switch {
-    /// All of them.
+    /// All switches, in the order of their slots.
     pub const ALL: [Self; 11] = [
         Self::WallClockOffset,
         Self::AcceptFails,
@@ -59,14 +62,14 @@
         Self::PauseBeforeWrite,
     ];
 
-    /// Its place in the file, in numbers of 64 bits.
+    /// Index of the switch's slot in the control file, in units of 64 bits.
     #[must_use]
     pub const fn index(self) -> usize {
         self as usize
     }
 }
 
-/// The file, as the test holds it.
+/// Handle of a test on the control file.
 #[derive(Debug)]
 pub struct FaultControl {
     file: File,
@@ -74,10 +77,10 @@
 }
 
 impl FaultControl {
-    /// Makes the file, with all switches off.
+    /// Creates the control file, or truncates an existing one, with all switches off.
     ///
     /// # Errors
-    /// The file cannot be made.
+    /// The file cannot be created or resized.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new()
             .create(true)
@@ -92,7 +95,7 @@
         })
     }
 
-    /// Sets a switch for the running process; it holds from its next call on.
+    /// Sets a switch. A running process observes the new value from its next intercepted call on.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -103,7 +106,8 @@
         )
     }
 
-    /// Has a command's process load the library and read this file.
+    /// Sets the environment of `command` so that its process loads the library and reads this
+    /// control file.
     pub fn apply(&self, command: &mut Command, library: &Path) {
         command
             .env("LD_PRELOAD", library)
@@ -111,18 +115,18 @@
     }
 }
 
-/// Builds the library with the cargo that runs, beside this program's own artifacts, and says where
-/// it is.
+/// Builds the fault-injection library with the running cargo, in a subfolder of this program's
+/// target folder, and returns the library's path.
 ///
 /// # Errors
-/// The build failed; what it said.
+/// This program is not in a target folder, or the build failed; the text is cargo's stderr.
 pub fn build_library() -> Result<PathBuf, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    let deep = program
+    let target_folder = program
         .ancestors()
         .find(|path| path.file_name().is_some_and(|name| name == "target"));
-    let target = deep
-        .ok_or("this program does not lie in a target folder")?
+    let target = target_folder
+        .ok_or("this program is not in a target folder")?
         .join("fault-shim");
     let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-shim/Cargo.toml");
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
