--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,9 @@
-//! Loaded into a process under test by `LD_PRELOAD`: makes system calls fail in ways that Linux
-//! documents, as the switches of `valehatch-fault-control` say. Without that file every call passes
-//! through unchanged.
+//! Fault-injection library, loaded into a process under test by `LD_PRELOAD`. The library makes
+//! system calls fail in ways that Linux documents, controlled by the switches of
+//! `valehatch-fault-control`. Without a control file every call passes through unchanged.
 //!
-//! Only calls through the C library are reached; those that a program makes directly (epoll and
-//! poll of `rustix`) are interrupted by signals instead.
+//! Only calls through the C library are intercepted. Direct system calls (epoll and poll of
+//! `rustix`) are not; signals interrupt those instead.
 
 #![allow(clippy::missing_safety_doc)]
 
@@ -17,11 +17,10 @@
 
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const NANOS_PER_MICRO: i64 = 1_000;
-/// How often a write is held up.
-const HOLD_UP_EACH: Duration = Duration::from_millis(500);
+/// Minimum interval between two pauses of [`Switch::PauseBeforeWrite`].
+const WRITE_PAUSE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Errors that concern one connection or the whole machine for a moment (accept(2), connect(2),
-/// socket(2)).
+/// Transient errors of accept(2), about one connection or the whole machine.
 const ACCEPT_ERRORS: [c_int; 6] = [
     libc::ECONNABORTED,
     libc::ENFILE,
@@ -30,23 +29,26 @@
     libc::EINTR,
     libc::EPROTO,
 ];
+/// Transient errors of connect(2) that arise on the local machine.
 const CONNECT_ERRORS: [c_int; 4] = [
     libc::EADDRNOTAVAIL,
     libc::ENETUNREACH,
     libc::ENOBUFS,
     libc::EAGAIN,
 ];
+/// Resource limits that socket(2) reports.
 const SOCKET_ERRORS: [c_int; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+/// Network errors that replace ECONNRESET.
 const LATE_ERRORS: [c_int; 2] = [libc::ETIMEDOUT, libc::EHOSTUNREACH];
 
-/// The mapped file; `None` without one.
+/// Switches in the mapped control file; `None` if no file is named or the mapping failed.
 fn switches() -> Option<&'static [AtomicI64]> {
-    static MAPPED: OnceLock<Option<&'static [AtomicI64]>> = OnceLock::new();
-    *MAPPED.get_or_init(|| {
+    static MAPPING: OnceLock<Option<&'static [AtomicI64]>> = OnceLock::new();
+    *MAPPING.get_or_init(|| {
         let path = std::env::var_os(CONTROL_FILE_VARIABLE)?;
         let path = std::ffi::CString::new(path.into_encoded_bytes()).ok()?;
-        // SAFETY: the path ends in a zero byte; the mapping is never given back, so that it lives
-        // as long as the process.
+        // SAFETY: the path is NUL-terminated, and the memory is never unmapped, so it stays valid
+        // as long as the process runs.
         unsafe {
             let file = libc::open(path.as_ptr(), libc::O_RDONLY | libc::O_CLOEXEC);
             let null = std::ptr::null_mut();
@@ -70,12 +72,12 @@
     })
 }
 
-fn value(switch: Switch) -> i64 {
+fn switch_value(switch: Switch) -> i64 {
     switches().map_or(0, |all| all[switch.index()].load(Ordering::Relaxed))
 }
 
-/// A number that differs from call to call.
-fn next_number() -> u64 {
+/// Next number of a SplitMix64 sequence. The seed is fixed, so each process draws the same numbers.
+fn next_random() -> u64 {
     static CALLS: AtomicU64 = AtomicU64::new(0);
     let mut mixed = CALLS
         .fetch_add(1, Ordering::Relaxed)
@@ -86,37 +88,37 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Whether this call is one of those that a switch makes fail.
-fn strikes(switch: Switch) -> bool {
-    let rate = value(switch);
-    rate > 0 && i64::try_from(next_number() % 1_000).unwrap_or(0) < rate
+/// Draws whether the fault of a rate switch is injected into this call.
+fn should_inject(switch: Switch) -> bool {
+    let rate = switch_value(switch);
+    rate > 0 && i64::try_from(next_random() % 1_000).unwrap_or(0) < rate
 }
 
 fn fail(error: c_int) -> c_int {
-    // SAFETY: the C library gives each thread a place for its error number.
+    // SAFETY: `__errno_location` returns a valid pointer to the calling thread's errno.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
 fn last_error() -> c_int {
-    // SAFETY: as above.
+    // SAFETY: `__errno_location` returns a valid pointer to the calling thread's errno.
     unsafe { *libc::__errno_location() }
 }
 
-fn one_of(errors: &[c_int]) -> c_int {
-    errors[usize::try_from(next_number() >> 10).unwrap_or(0) % errors.len()]
+fn choose_error(errors: &[c_int]) -> c_int {
+    errors[usize::try_from(next_random() >> 10).unwrap_or(0) % errors.len()]
 }
 
-/// The function behind a name in the libraries loaded after this one.
+/// Looks up the next definition of a symbol after this library, which is the C library's function.
 macro_rules! real {
     ($name:literal, $kind:ty) => {{
-        static FOUND: OnceLock<usize> = OnceLock::new();
+        static ADDRESS: OnceLock<usize> = OnceLock::new();
         let name: &CStr = $name;
-        // SAFETY: the name ends in a zero byte, and the C library's function of this name has this
-        // type.
+        // SAFETY: the name is NUL-terminated, and the C library's function of this name has the
+        // given type.
         unsafe {
             let address =
-                *FOUND.get_or_init(|| libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) as usize);
+                *ADDRESS.get_or_init(|| libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) as usize);
             std::mem::transmute::<usize, $kind>(address)
         }
     }};
@@ -129,21 +131,21 @@
         c"clock_gettime",
         unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
     );
-    // SAFETY: the caller's own arguments.
-    let done = unsafe { call(clock, time) };
-    let offset = if clock == libc::CLOCK_REALTIME && done == 0 {
-        value(Switch::WallClockOffset)
+    // SAFETY: the arguments are passed on unchanged; their validity is the caller's obligation.
+    let result = unsafe { call(clock, time) };
+    let offset = if clock == libc::CLOCK_REALTIME && result == 0 {
+        switch_value(Switch::WallClockOffset)
     } else {
         0
     };
     if offset != 0 {
-        // SAFETY: the call has written it.
+        // SAFETY: the successful call has written the structure, so the pointer is valid.
         let time = unsafe { &mut *time };
         let micros = time.tv_sec * MICROS_PER_SECOND + time.tv_nsec / NANOS_PER_MICRO + offset;
         time.tv_sec = micros.div_euclid(MICROS_PER_SECOND);
         time.tv_nsec = micros.rem_euclid(MICROS_PER_SECOND) * NANOS_PER_MICRO;
     }
-    done
+    result
 }
 
 /// See accept4(2).
@@ -158,10 +160,10 @@
         c"accept4",
         unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
     );
-    if strikes(Switch::AcceptFails) {
-        return fail(one_of(&ACCEPT_ERRORS));
+    if should_inject(Switch::AcceptFails) {
+        return fail(choose_error(&ACCEPT_ERRORS));
     }
-    // SAFETY: the caller's own arguments.
+    // SAFETY: the arguments are passed on unchanged; their validity is the caller's obligation.
     unsafe { call(fd, to, length, flags) }
 }
 
@@ -172,10 +174,10 @@
         c"connect",
         unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int
     );
-    if strikes(Switch::ConnectFails) {
-        return fail(one_of(&CONNECT_ERRORS));
+    if should_inject(Switch::ConnectFails) {
+        return fail(choose_error(&CONNECT_ERRORS));
     }
-    // SAFETY: the caller's own arguments.
+    // SAFETY: the arguments are passed on unchanged; their validity is the caller's obligation.
     unsafe { call(fd, to, length) }
 }
 
@@ -186,25 +188,26 @@
         c"socket",
         unsafe extern "C" fn(c_int, c_int, c_int) -> c_int
     );
-    if strikes(Switch::SocketFails) {
-        return fail(one_of(&SOCKET_ERRORS));
+    if should_inject(Switch::SocketFails) {
+        return fail(choose_error(&SOCKET_ERRORS));
     }
-    // SAFETY: the caller's own arguments.
+    // SAFETY: the arguments are passed on unchanged; their validity is the caller's obligation.
     unsafe { call(domain, kind, protocol) }
 }
 
-/// How much of a transfer is made: a single byte now and then.
-fn shortened(length: size_t) -> size_t {
-    if length > 1 && strikes(Switch::ShortTransfers) {
+/// Length of a transfer after fault injection: a single byte at the rate of
+/// [`Switch::ShortTransfers`].
+fn transfer_length(length: size_t) -> size_t {
+    if length > 1 && should_inject(Switch::ShortTransfers) {
         1
     } else {
         length
     }
 }
 
-/// Whether a transfer is interrupted: one that does not wait never is.
-fn interrupted(flags: c_int) -> bool {
-    flags & libc::MSG_DONTWAIT == 0 && strikes(Switch::Interrupts)
+/// Draws whether a transfer fails with EINTR. A non-blocking transfer (MSG_DONTWAIT) never does.
+fn should_interrupt(flags: c_int) -> bool {
+    flags & libc::MSG_DONTWAIT == 0 && should_inject(Switch::Interrupts)
 }
 
 /// See recv(2).
@@ -219,33 +222,33 @@
         c"recv",
         unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t
     );
-    if interrupted(flags) {
+    if should_interrupt(flags) {
         return fail(libc::EINTR) as ssize_t;
     }
-    // SAFETY: the caller's own buffer, of which no more is used than the caller allows.
-    let done = unsafe { call(fd, into, shortened(length), flags) };
-    let broken = done < 0 && last_error() == libc::ECONNRESET;
-    if broken && strikes(Switch::LateErrors) {
-        return fail(one_of(&LATE_ERRORS)) as ssize_t;
+    // SAFETY: the buffer is the caller's, and the length is at most the caller's.
+    let result = unsafe { call(fd, into, transfer_length(length), flags) };
+    let was_reset = result < 0 && last_error() == libc::ECONNRESET;
+    if was_reset && should_inject(Switch::LateErrors) {
+        return fail(choose_error(&LATE_ERRORS)) as ssize_t;
     }
-    done
+    result
 }
 
-/// Held up before this write, and for how long: once in [`HOLD_UP_EACH`], so that no request meets
-/// two.
-fn hold_up() -> Option<Duration> {
-    static LAST: AtomicU64 = AtomicU64::new(0);
-    let pause = u64::try_from(value(Switch::PauseBeforeWrite))
+/// Duration of the pause before this write, if one is due: at most one per
+/// [`WRITE_PAUSE_INTERVAL`], so that no request meets two pauses.
+fn pause_before_write() -> Option<Duration> {
+    static LAST_PAUSE: AtomicU64 = AtomicU64::new(0);
+    let pause = u64::try_from(switch_value(Switch::PauseBeforeWrite))
         .ok()
         .filter(|pause| *pause > 0)?;
     let now = monotonic_micros();
-    let last = LAST.load(Ordering::Relaxed);
-    let due = now >= last + HOLD_UP_EACH.as_micros() as u64;
-    let first = due
-        && LAST
+    let last = LAST_PAUSE.load(Ordering::Relaxed);
+    let due = now >= last + WRITE_PAUSE_INTERVAL.as_micros() as u64;
+    let claimed = due
+        && LAST_PAUSE
             .compare_exchange(last, now, Ordering::Relaxed, Ordering::Relaxed)
             .is_ok();
-    first.then(|| Duration::from_micros(pause))
+    claimed.then(|| Duration::from_micros(pause))
 }
 
 fn monotonic_micros() -> u64 {
@@ -253,7 +256,7 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the structure is the call's own.
+    // SAFETY: the pointer refers to a local variable.
     unsafe { clock_gettime(libc::CLOCK_MONOTONIC, &raw mut time) };
     u64::try_from(time.tv_sec * MICROS_PER_SECOND + time.tv_nsec / NANOS_PER_MICRO).unwrap_or(0)
 }
@@ -270,45 +273,46 @@
         c"send",
         unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t
     );
-    if interrupted(flags) {
+    if should_interrupt(flags) {
         return fail(libc::EINTR) as ssize_t;
     }
-    if let Some(pause) = hold_up() {
+    if let Some(pause) = pause_before_write() {
         std::thread::sleep(pause);
     }
-    // SAFETY: the caller's own buffer, of which no more is used than the caller allows.
-    unsafe { call(fd, from, shortened(length), flags) }
+    // SAFETY: the buffer is the caller's, and the length is at most the caller's.
+    unsafe { call(fd, from, transfer_length(length), flags) }
 }
 
-/// Whether a descriptor is a regular file.
-fn is_file(fd: c_int) -> bool {
-    // SAFETY: the structure is written by the call before it is read.
+/// Whether a descriptor refers to a regular file.
+fn is_regular_file(fd: c_int) -> bool {
+    // SAFETY: all-zero bytes are a valid `stat`, which the call fills in before it is read.
     unsafe {
         let mut status = std::mem::zeroed::<libc::stat>();
         libc::fstat(fd, &raw mut status) == 0 && status.st_mode & libc::S_IFMT == libc::S_IFREG
     }
 }
 
-/// See write(2). A file's write that fails makes a part first: the call says how much, and the next
-/// one that there is no space left.
+/// See write(2). A full disk is injected as two calls, as on Linux: the first writes a part of the
+/// buffer and returns its length, the next write to a file fails with ENOSPC. While the switch is
+/// on, writes of less than two bytes, which cannot be split, always fail.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, length: size_t) -> ssize_t {
-    static FULL: AtomicBool = AtomicBool::new(false);
+    static PARTIAL_WRITE_DONE: AtomicBool = AtomicBool::new(false);
     let call = real!(
         c"write",
         unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t
     );
-    if value(Switch::FileWriteFails) > 0 && is_file(fd) {
-        if FULL.swap(false, Ordering::Relaxed) || length < 2 {
+    if switch_value(Switch::FileWriteFails) > 0 && is_regular_file(fd) {
+        if PARTIAL_WRITE_DONE.swap(false, Ordering::Relaxed) || length < 2 {
             return fail(libc::ENOSPC) as ssize_t;
         }
-        if strikes(Switch::FileWriteFails) {
-            FULL.store(true, Ordering::Relaxed);
-            // SAFETY: half of the caller's own buffer.
+        if should_inject(Switch::FileWriteFails) {
+            PARTIAL_WRITE_DONE.store(true, Ordering::Relaxed);
+            // SAFETY: the buffer is the caller's, and half its length is used.
             return unsafe { call(fd, from, length / 2) };
         }
     }
-    // SAFETY: the caller's own arguments.
+    // SAFETY: the arguments are passed on unchanged; their validity is the caller's obligation.
     unsafe { call(fd, from, length) }
 }
 
@@ -316,10 +320,10 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     let call = real!(c"fsync", unsafe extern "C" fn(c_int) -> c_int);
-    if strikes(Switch::SyncFails) {
+    if should_inject(Switch::SyncFails) {
         return fail(libc::EIO);
     }
-    // SAFETY: the caller's own argument.
+    // SAFETY: the argument is passed on unchanged.
     unsafe { call(fd) }
 }
 
@@ -327,10 +331,10 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     let call = real!(c"fdatasync", unsafe extern "C" fn(c_int) -> c_int);
-    if strikes(Switch::SyncFails) {
+    if should_inject(Switch::SyncFails) {
         return fail(libc::EIO);
     }
-    // SAFETY: the caller's own argument.
+    // SAFETY: the argument is passed on unchanged.
     unsafe { call(fd) }
 }
 
@@ -341,9 +345,9 @@
         c"rename",
         unsafe extern "C" fn(*const c_char, *const c_char) -> c_int
     );
-    if strikes(Switch::RenameFails) {
+    if should_inject(Switch::RenameFails) {
         return fail(libc::EIO);
     }
-    // SAFETY: the caller's own arguments.
+    // SAFETY: the arguments are passed on unchanged; their validity is the caller's obligation.
     unsafe { call(from, to) }
 }
