--- a/crates/request-log/src/checksum_line.rs
+++ b/crates/request-log/src/checksum_line.rs
@@ -1,4 +1,4 @@
-//! JSON lines that end in their own checksum: `{…,"crc":"89abcdef"}`, CRC-32 (ISO-HDLC) of all
+//! JSON lines with a checksum as their last field: `{…,"crc":"89abcdef"}`, CRC-32 (ISO-HDLC) of all
 //! bytes before `,"crc"`.
 
 use std::fmt;
@@ -8,23 +8,23 @@
 /// Why a stored line cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CorruptRecord {
-    /// The line has no end: the write was interrupted.
+    /// The line feed at the end is missing: the write was interrupted.
     Torn,
-    /// There is no checksum where one belongs.
-    Unsealed,
+    /// The line does not end in a checksum.
+    MissingChecksum,
     /// The checksum does not match the content.
     Checksum,
-    /// The checksum matches and the content is unknown: another version wrote it.
-    Unreadable,
+    /// The checksum matches, but the content cannot be parsed: another version wrote it.
+    UnknownFormat,
 }
 
 impl fmt::Display for CorruptRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Torn => "the line has no end",
-            Self::Unsealed => "the checksum is missing",
+            Self::Torn => "the line is truncated",
+            Self::MissingChecksum => "the checksum is missing",
             Self::Checksum => "the checksum does not match",
-            Self::Unreadable => "the content is of another version",
+            Self::UnknownFormat => "the content has the format of another version",
         })
     }
 }
@@ -34,7 +34,7 @@
 /// The format of a line with a checksum.
 pub struct ChecksumLine;
 
-/// Bytes of `,"crc":"`, eight digits and `"}`.
+/// Length in bytes of `,"crc":"`, eight digits and `"}`.
 const CHECKSUM_BYTES: usize = 18;
 
 impl ChecksumLine {
@@ -46,30 +46,30 @@
             out.truncate(start);
             return;
         }
-        // Removes the closing brace, which follows the checksum.
+        // Removes the closing brace, which is written again after the checksum.
         out.pop();
         let checksum = crc32fast::hash(&out[start..]);
         out.extend_from_slice(format!(",\"crc\":\"{checksum:08x}\"}}\n").as_bytes());
     }
 
-    /// Parses a line, which must include its line end.
+    /// Parses a line, including its line feed.
     ///
     /// # Errors
-    /// Why the line cannot be used.
+    /// The line is torn, corrupt or of another version.
     pub fn parse<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, CorruptRecord> {
         let object = line.strip_suffix(b"\n").ok_or(CorruptRecord::Torn)?;
         let (content, checksum) = object
             .split_at_checked(object.len().wrapping_sub(CHECKSUM_BYTES))
-            .ok_or(CorruptRecord::Unsealed)?;
+            .ok_or(CorruptRecord::MissingChecksum)?;
         let digits = checksum
             .strip_prefix(b",\"crc\":\"")
             .and_then(|rest| rest.strip_suffix(b"\"}"))
             .and_then(|digits| std::str::from_utf8(digits).ok())
-            .ok_or(CorruptRecord::Unsealed)?;
-        let stored = u32::from_str_radix(digits, 16).map_err(|_| CorruptRecord::Unsealed)?;
+            .ok_or(CorruptRecord::MissingChecksum)?;
+        let stored = u32::from_str_radix(digits, 16).map_err(|_| CorruptRecord::MissingChecksum)?;
         if crc32fast::hash(content) != stored {
             return Err(CorruptRecord::Checksum);
         }
-        serde_json::from_slice(object).map_err(|_| CorruptRecord::Unreadable)
+        serde_json::from_slice(object).map_err(|_| CorruptRecord::UnknownFormat)
     }
 }
--- a/crates/request-log/src/counters.rs
+++ b/crates/request-log/src/counters.rs
@@ -1,6 +1,6 @@
 //! Rows of counters: one for each front and class, and one for each front and tenant. [`Counters`]
-//! is a persistent map: a copy is cheap, and a reader of one is not disturbed by what is counted
-//! meanwhile.
+//! is a persistent map: a copy is cheap, and the reader of a copy is not affected by later
+//! counting.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::outcomes::{AttemptOutcome, FailureReason, FinalOutcome, RejectionReason};
 use crate::record::RequestRecord;
 
-/// What the name of a row stands for.
+/// What the name of a row refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
@@ -23,7 +23,7 @@
 /// The key of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowKey {
-    /// What the name stands for.
+    /// What `name` refers to.
     pub scope: Scope,
     /// The front's name.
     pub front: Arc<str>,
@@ -31,7 +31,8 @@
     pub name: Arc<str>,
 }
 
-/// Upper bounds of the latency buckets, in microseconds; one more bucket takes everything above.
+/// Inclusive upper bounds of the latency buckets, in microseconds; one more bucket takes all longer
+/// latencies.
 pub const LATENCY_BOUNDS_US: [u64; 14] = [
     1_000, 2_000, 5_000, 10_000, 20_000, 50_000, 100_000, 200_000, 300_000, 500_000, 1_000_000,
     2_000_000, 5_000_000, 10_000_000,
@@ -53,7 +54,7 @@
     InTime,
     /// Requests served after the latency objective.
     Late,
-    /// Requests whose client left first.
+    /// Requests whose client disconnected before the answer.
     Aborted,
     /// Requests rejected for a reason.
     Rejected(RejectionReason),
@@ -61,13 +62,13 @@
     Failed(FailureReason),
     /// Attempts with an outcome.
     Attempt(AttemptOutcome),
-    /// Requests served within the bounds of a latency bucket; a number beyond the last means the
-    /// last.
+    /// Served requests with a latency in the bucket of this index; an index beyond the last bucket
+    /// means the last bucket.
     LatencyBucket(usize),
 }
 
 impl Counter {
-    /// Its index in a row.
+    /// The index of the counter in a row.
     #[must_use]
     pub const fn index(self) -> usize {
         match self {
@@ -95,7 +96,7 @@
             .chain(buckets)
     }
 
-    /// Its name in marks and checkpoints, which never changes.
+    /// The stored name, in marks and checkpoints; it must not change.
     #[must_use]
     pub fn name(self) -> String {
         match self {
@@ -112,14 +113,14 @@
         }
     }
 
-    /// The counter of a name, if there is one.
+    /// The counter with a stored name; `None` if the name is unknown.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         Self::all().find(|counter| counter.name() == name)
     }
 }
 
-/// The bucket of a latency in microseconds.
+/// The index of the bucket of a latency in microseconds.
 #[must_use]
 pub fn latency_bucket(us: u64) -> usize {
     LATENCY_BOUNDS_US.partition_point(|bound| *bound < us)
@@ -151,13 +152,13 @@
         *value = to.max(*value);
     }
 
-    /// Rejected requests, for whatever reason.
+    /// Rejected requests, over all reasons.
     #[must_use]
     pub fn rejected(&self) -> u64 {
         self.0[FIRST_REJECTION..FIRST_FAILURE].iter().sum()
     }
 
-    /// Failed requests, for whatever reason.
+    /// Failed requests, over all reasons.
     #[must_use]
     pub fn failed(&self) -> u64 {
         self.0[FIRST_FAILURE..FIRST_ATTEMPT].iter().sum()
@@ -169,13 +170,13 @@
         self.0[..FIRST_ATTEMPT].iter().sum()
     }
 
-    /// Attempts, whatever their outcome.
+    /// Attempts, over all outcomes.
     #[must_use]
     pub fn attempts(&self) -> u64 {
         self.0[FIRST_ATTEMPT..FIRST_BUCKET].iter().sum()
     }
 
-    /// The counters above 0, with their values.
+    /// The nonzero counters, with their values.
     pub fn nonzero(&self) -> impl Iterator<Item = (Counter, u64)> + '_ {
         Counter::all()
             .zip(self.0.iter().copied())
@@ -205,12 +206,12 @@
     }
 }
 
-/// All rows. Their number is bounded by that of the fronts, classes and tenants of the
+/// All rows of counters. The number of rows is bounded by the fronts, classes and tenants in the
 /// configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     rows: OrdMap<RowKey, CounterRow>,
-    /// Records that are counted and not in the request log.
+    /// Number of records that are counted but missing from the request log.
     pub unlogged: u64,
 }
 
@@ -253,7 +254,7 @@
         self.rows.entry(key).or_default().raise(counter, to);
     }
 
-    /// Raises each counter to that of another set: the join of two lower bounds.
+    /// Raises each counter to at least its value in another set: the join of two lower bounds.
     pub fn join(&mut self, other: &Self) {
         self.unlogged = self.unlogged.max(other.unlogged);
         for (key, row) in other.rows() {
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Whether no counter of another set is above that of this one.
+    /// Whether each counter is at least as high as in another set.
     #[must_use]
     pub fn covers(&self, other: &Self) -> bool {
         if self.unlogged < other.unlogged {
@@ -280,7 +281,7 @@
         true
     }
 
-    /// Adds the counts of another set: of other records than are counted here.
+    /// Adds the counts of another set, which must not count the same records.
     pub fn add(&mut self, other: &Self) {
         self.unlogged += other.unlogged;
         for (key, row) in other.rows() {
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Whether nothing was counted.
+    /// Whether there are no counts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty() && self.unlogged == 0
--- a/crates/request-log/src/durable.rs
+++ b/crates/request-log/src/durable.rs
@@ -1,6 +1,6 @@
-//! Marks and checkpoints as bytes. A mark holds the counters that a batch of records changed, as
-//! they stand after it; a checkpoint holds all counters and the position in the request log up to
-//! which they count. JSON keys are stored names.
+//! Marks and checkpoints as bytes. A mark holds the counters that a batch of records changed, with
+//! their values after the batch. A checkpoint holds all counters and the position in the request
+//! log up to which records are counted. The JSON keys are stored names.
 
 use std::collections::BTreeMap;
 
@@ -12,30 +12,30 @@
 /// A position in the request log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The segment's number, from 1.
+    /// Number of the segment, from 1.
     pub segment: u64,
-    /// Bytes from the segment's start.
+    /// Offset in bytes from the start of the segment.
     pub offset: u64,
 }
 
 impl LogPosition {
-    /// The start of a segment.
+    /// The position at the start of a segment.
     #[must_use]
     pub const fn start_of(segment: u64) -> Self {
         Self { segment, offset: 0 }
     }
 }
 
-/// Consecutive sequence numbers; empty if `last` is below `first`.
+/// A range of consecutive sequence numbers; empty if `last` is below `first`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SequenceRange {
     /// The first number.
     pub first: u64,
-    /// The last number, included.
+    /// The last number, inclusive.
     pub last: u64,
 }
 
-/// Rows as stored: the counters above 0, by name.
+/// Rows as stored: the nonzero counters by name.
 type StoredRows = Vec<(RowKey, BTreeMap<String, u64>)>;
 
 fn stored_rows<'a>(counters: &'a Counters, keys: impl Iterator<Item = &'a RowKey>) -> StoredRows {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The counters that a batch of records changed.
+/// A mark: the values of the counters that a batch of records changed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DurableMark {
     /// Sequence number of the first record of the batch.
@@ -94,10 +94,10 @@
         ChecksumLine::append(out, &mark);
     }
 
-    /// Parses a line.
+    /// Parses a line of the marks.
     ///
     /// # Errors
-    /// Why the line cannot be used.
+    /// The line is torn, corrupt or of another version.
     pub fn parse(line: &[u8]) -> Result<Self, CorruptRecord> {
         ChecksumLine::parse(line)
     }
@@ -108,18 +108,18 @@
     }
 }
 
-/// All that outlives the process.
+/// The state that survives a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Checkpoint {
     /// Sequence number of the last record that is counted.
     pub last_sequence: u64,
-    /// Where the next record begins.
+    /// Where a replay continues: the position after the last record that is counted.
     pub position: LogPosition,
-    /// Starts of the program so far: SNMP's engine boots (RFC 3414, section 2.2).
+    /// Number of starts of the gateway: the SNMP engine boots (RFC 3414, section 2.2).
     pub boots: u32,
-    /// Since when the counters are without a gap, as Unix time in milliseconds.
+    /// Start of the period that the counters cover without a gap, as Unix time in milliseconds.
     pub since_ms: u64,
-    /// The counters.
+    /// All counters, of every front, class and tenant.
     pub counters: Counters,
 }
 
@@ -137,11 +137,11 @@
     rows: StoredRows,
 }
 
-/// Version of the checkpoint's format.
+/// Version of the checkpoint format.
 const VERSION: u32 = 1;
 
 impl Checkpoint {
-    /// The bytes of the checkpoint's file: one line with a checksum.
+    /// The bytes of the checkpoint file: one line with a checksum.
     #[must_use]
     pub fn bytes(&self) -> Vec<u8> {
         let stored = StoredCheckpoint {
@@ -158,14 +158,14 @@
         bytes
     }
 
-    /// Parses the bytes of a checkpoint's file.
+    /// Parses the bytes of a checkpoint file.
     ///
     /// # Errors
-    /// Why the file cannot be used.
+    /// The content is torn, corrupt or of another version.
     pub fn parse(bytes: &[u8]) -> Result<Self, CorruptRecord> {
         let stored: StoredCheckpoint = ChecksumLine::parse(bytes)?;
         if stored.version != VERSION {
-            return Err(CorruptRecord::Unreadable);
+            return Err(CorruptRecord::UnknownFormat);
         }
         let mut counters = Counters::default();
         raise_to_stored(&mut counters, &stored.rows, stored.unlogged);
--- a/crates/request-log/src/events.rs
+++ b/crates/request-log/src/events.rs
@@ -1,15 +1,16 @@
-//! The status of the request log, and events for the program's log.
+//! The status of the request log, and its events for the gateway's log.
 
 use crate::replay::ReplayIssue;
 
 /// The status of the request log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogStatus {
-    /// Whether counters outlive the process: there is a state directory.
+    /// Whether counters survive a restart, which requires a state directory.
     pub durable: bool,
-    /// Since when the counters are without a gap, as Unix time in milliseconds.
+    /// Start of the period that the counters cover without a gap, as Unix time in milliseconds.
     pub since_ms: u64,
-    /// Starts of the program, this one included: SNMP's engine boots.
+    /// Number of starts of the gateway, including the current one; SNMP reports it as the engine
+    /// boots.
     pub boots: u32,
     /// Records written by this process.
     pub records_written: u64,
@@ -17,29 +18,29 @@
     pub bytes_written: u64,
     /// Sequence number of the last record.
     pub last_sequence: u64,
-    /// Number of the segment that is written to.
+    /// Number of the segment that records are appended to.
     pub segment: u64,
     /// Checkpoints written by this process.
     pub checkpoints_written: u64,
-    /// Faults found at the start, and failed writes since.
+    /// Faults found when the log was opened, plus failed writes since then.
     pub fault_count: u64,
-    /// The current fault, as operators see it; `None` while writes succeed.
+    /// The current fault, as text for operators; `None` while writes succeed.
     pub fault: Option<String>,
 }
 
-/// Something for the program's log.
+/// An event for the gateway's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// The log was opened.
     Opened {
-        /// Starts of the program, this one included.
+        /// Number of starts of the gateway, including the current one.
         boots: u32,
         /// Records counted so far.
         records: u64,
-        /// Faults found in the directory.
+        /// Faults found in the state directory.
         faults: u64,
     },
-    /// The directory or one of its files could not be read.
+    /// The state directory or one of its files could not be read.
     ReadFailed(String),
     /// Stored data is damaged.
     Replay(ReplayIssue),
@@ -50,8 +51,8 @@
         /// The error of the file system.
         error: String,
     },
-    /// Writes began to fail, with this fault. Counting goes on in memory; published counters stand
-    /// still.
+    /// Writes began to fail, with this fault. Counting continues in memory; published counters do
+    /// not change.
     WritesFailing(String),
     /// Writes succeed again.
     WritesRecovered,
--- a/crates/request-log/src/file_names.rs
+++ b/crates/request-log/src/file_names.rs
@@ -5,13 +5,13 @@
 pub(crate) const CHECKPOINT: &str = "checkpoint";
 /// The checkpoint before the newest.
 pub(crate) const OLDER_CHECKPOINT: &str = "checkpoint.old";
-/// A checkpoint while it is written.
+/// A checkpoint that is being written.
 pub(crate) const NEW_CHECKPOINT: &str = "checkpoint.new";
 /// Marks since the newest checkpoint.
 pub(crate) const MARKS: &str = "marks.log";
 /// Marks between the older checkpoint and the newest.
 pub(crate) const OLDER_MARKS: &str = "marks.old";
-/// Locks the directory for one process.
+/// Lock file: only one process may use the directory.
 pub(crate) const LOCK: &str = "lock";
 
 /// The name of a segment of the request log.
--- a/crates/request-log/src/latency_samples.rs
+++ b/crates/request-log/src/latency_samples.rs
@@ -1,8 +1,8 @@
-//! Latency quantiles of the last 30 to 60 seconds: two histograms a row, filled in turn for half of
-//! the window each.
+//! Latency quantiles of the last 30 to 60 seconds. Each row has two histograms, which are filled in
+//! turn for half of the window each.
 //!
-//! Input: latencies and times in microseconds. Rows beyond the bound of the constructor are not
-//! measured.
+//! Input: latencies and times in microseconds. Rows beyond the limit given to the constructor are
+//! not measured.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,15 @@
 
 /// Half of the window, in microseconds.
 const HALF_WINDOW_US: i64 = 30_000_000;
-/// Longer latencies count as this, in microseconds.
+/// Longest latency that is told apart, in microseconds; longer ones are recorded as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
 /// Significant digits: quantiles are off by 1 % at most, and a histogram takes about 13 KB.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 struct LatencyWindow {
-    /// Filled in even and in odd half windows.
+    /// The first is filled in even half windows, the second in odd ones.
     halves: [Histogram<u32>; 2],
-    /// Number of the half window that is filled now.
+    /// Number of the half window that is being filled.
     current: i64,
 }
 
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Goes on to a half window, and clears the histograms of those that are over.
+    /// Advances to a half window, and clears the histograms of half windows that have passed.
     fn advance_to(&mut self, half_window: i64) {
         let passed = half_window - self.current;
         if passed >= 1 {
@@ -86,8 +86,8 @@
         half.saturating_record(latency_us.clamp(1, MAX_LATENCY_US));
     }
 
-    /// The latency, in microseconds, that so many thousandths of the recent requests stayed within;
-    /// `None` if there were none.
+    /// The latency quantile of the recent requests in microseconds, for a quantile in thousandths;
+    /// `None` if there were no requests.
     pub fn quantile(&mut self, now_us: i64, key: &RowKey, per_mille: u32) -> Option<u64> {
         let window = self.rows.get_mut(key)?;
         window.advance_to(now_us / HALF_WINDOW_US);
--- a/crates/request-log/src/lib.rs
+++ b/crates/request-log/src/lib.rs
@@ -5,12 +5,12 @@
 //! marks and checkpoints through a [`LogStorage`], counters that are durable, and events for the
 //! program's log. This package has no clock, no thread and no I/O of its own.
 //!
-//! Every counter only grows. Whatever is read back after a crash is therefore a lower bound, and so
-//! is the maximum of two findings, counter by counter: counters form a join-semilattice (a
-//! grow-only counter). Published counts are stored three times: in the request log, in the marks
-//! and, later, in a checkpoint. Losing one of them loses no count.
+//! Counters only grow. Any value read back after a crash is therefore a lower bound, and so is the
+//! maximum of two recovered values of a counter: the counters form a join-semilattice (a grow-only
+//! counter, or G-counter). Published counts are stored three times: in the request log, in the
+//! marks and, later, in a checkpoint. Losing any one of the three loses no count.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
 //! | [`outcomes`] | how requests and attempts end, with the stored names |
 //! | [`record`] | the record of a request and its line in the request log |
@@ -19,15 +19,16 @@
 //! | [`durable`] | marks and checkpoints as bytes |
 //! | [`replay`] | rebuilds counters from stored bytes |
 //! | [`storage`] | the file operations the request log needs |
-//! | [`request_log`] | what is written when, and which counts may be published |
+//! | [`request_log`] | when records, marks and checkpoints are written and counts published |
 //! | `file_names` | names of the files in the state directory |
-//! | `startup` | reads the state directory at the start |
+//! | `startup` | reads the state directory when the process starts |
 //! | [`events`] | status, and events for the program's log |
 //! | [`outcome_metrics`] | metrics of the running process |
 //! | [`latency_samples`] | latency quantiles of the last minute |
 //!
-//! Bounds: counters hold one row for each front and class or tenant; metrics one set for each
-//! class; latency samples as many rows as their constructor says.
+//! Memory bounds: counters hold one row for each pair of a front and a class or tenant; metrics
+//! hold one set of counts for each class; latency samples hold at most the number of rows given to
+//! their constructor.
 
 #![forbid(unsafe_code)]
 
--- a/crates/request-log/src/outcome_metrics.rs
+++ b/crates/request-log/src/outcome_metrics.rs
@@ -1,9 +1,10 @@
-//! Metrics of the running process: counts since its start, and gauges. The metric names are scraped
-//! and never change.
+//! Metrics of the running process: counts since the process started, and gauges. Operators' tools
+//! scrape the metric names, so they must not change.
 //!
-//! Each count is taken in one place, when it becomes true: final answers by the reducer as it
-//! decides them, attempts by whoever wrote an attempt's last byte. The reducer sets the gauges once
-//! a turn. There is one set of counts for each class, whose number is fixed.
+//! Each event is counted in one place, when it happens: the reducer counts a final answer as it
+//! decides on it, and the writer of an attempt's last byte counts the attempt. The reducer sets the
+//! gauges once each turn. There is one set of counts for each class; the number of classes is
+//! fixed.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
     attempts_sent: AtomicU64,
 }
 
-/// Values of [`ClassCounts`], added up over fronts.
+/// Sums of [`ClassCounts`] over all fronts.
 struct ClassTotals<'a> {
     class: &'a str,
     served: u64,
@@ -72,7 +73,7 @@
 }
 
 impl OutcomeMetrics {
-    /// Metrics at 0 for classes of these names.
+    /// Creates metrics for classes with these names, with all values at 0.
     #[must_use]
     pub fn new(class_names: &[String]) -> Self {
         Self {
@@ -107,24 +108,24 @@
         }
     }
 
-    /// Sets the gauges: open requests, endpoints on the list, and the ejected ones among them.
+    /// Sets the gauges: open requests, endpoints on the list, and ejected endpoints on the list.
     pub fn set_gauges(&self, open: usize, listed: usize, ejected: usize) {
         self.open_requests.store(open as u64, Relaxed);
         self.listed_endpoints.store(listed as u64, Relaxed);
         self.ejected_endpoints.store(ejected as u64, Relaxed);
     }
 
-    /// One metric a line, `name:value|c` for counts and `name:value|g` for gauges, in the order of
-    /// the classes.
+    /// Renders one metric per line, `name:value|c` for counts and `name:value|g` for gauges, in the
+    /// order of the classes.
     #[must_use]
     pub fn text(&self) -> String {
         text([self])
     }
 }
 
-/// The metrics of a process with several fronts, in the form of [`OutcomeMetrics::text`]. Values
-/// are added up over the fronts; classes of the same name are one class, in the order in which the
-/// names first come.
+/// Renders the metrics of a process with several fronts in the form of [`OutcomeMetrics::text`].
+/// Values are summed over the fronts. Classes with the same name are one class; classes are in the
+/// order in which their names first occur.
 #[must_use]
 pub fn text<'a>(fronts: impl IntoIterator<Item = &'a OutcomeMetrics>) -> String {
     let mut totals: Vec<ClassTotals<'_>> = vec![];
--- a/crates/request-log/src/outcomes.rs
+++ b/crates/request-log/src/outcomes.rs
@@ -1,5 +1,5 @@
-//! How requests and attempts end. The names are stored in the request log and shown in the MIB:
-//! they never change, and the order of the variants is that of the MIB's numbers.
+//! Outcomes of requests and attempts. The names are stored in the request log and listed in the
+//! MIB, so they must not change; the variants are in the order of the MIB's numbers.
 
 use serde::{Deserialize, Serialize};
 use valehatch_policy::Outcome;
@@ -12,7 +12,7 @@
             $($(#[$variant_doc])* #[serde(rename = $text)] $variant,)*
         }
         impl $name {
-            /// All variants, in the order of their numbers.
+            /// All variants, in the order of the MIB's numbers.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
             /// The name in the request log and in the MIB.
             #[must_use]
@@ -34,10 +34,10 @@
         TooLate = "late",
         /// The deadline passed.
         DeadlineExceeded = "deadline",
-        /// All attempts are used up; another try by the client does no harm.
+        /// All attempts are used up; a retry by the client is harmless.
         AttemptsExhausted = "attempts",
-        /// The deduplication window of the idempotency key closed. Not recorded any more, as such
-        /// requests fail; kept, because names are stored.
+        /// The deduplication window of the idempotency key closed. No longer recorded, since such
+        /// requests now fail; the variant remains because stored records contain its name.
         RetryWindowClosed = "window",
         /// The limit on open requests is reached.
         TooManyOpen = "open",
@@ -53,7 +53,8 @@
         QueueFull = "queue-full",
         /// Admission queue: the request waited until it could no longer be served in time.
         QueueTimeout = "queue-waited",
-        /// Admission queue: the delay stayed above its target, so the queue is shed from its head.
+        /// Admission queue: the delay stayed above its target, so requests are dropped from the
+        /// head.
         QueueDelayPersistent = "queue-standing",
     }
 }
@@ -65,7 +66,7 @@
         Timeout = "timeout",
         /// An error or a lost connection; the request may have run.
         ConnectionLost = "broken",
-        /// An endpoint's error was forwarded; the request may have run.
+        /// The error of an endpoint was forwarded; the request may have run.
         UpstreamError = "told",
         /// The statement is invalid at every endpoint.
         InvalidStatement = "statement",
@@ -77,9 +78,9 @@
 }
 
 named_enum! {
-    /// How an attempt ended: [`Outcome`], and [`AttemptOutcome::Unfinished`].
+    /// How an attempt ended: the values of [`Outcome`], and [`AttemptOutcome::Unfinished`].
     AttemptOutcome {
-        /// Served.
+        /// The endpoint served the request.
         Ok = "ok",
         /// An error; the attempt may have had an effect.
         Error = "error",
@@ -91,13 +92,13 @@
         ConnectFailed = "connect-failed",
         /// The connection was reset.
         Reset = "reset",
-        /// Cancelled.
+        /// The gateway cancelled the attempt.
         Cancelled = "cancelled",
-        /// Never sent.
+        /// The attempt was never sent.
         NotSent = "moot",
-        /// Rejected untouched: the endpoint is not the primary, or its data is too old.
+        /// Rejected without running: the endpoint is not the primary, or its data is too old.
         Misdirected = "miss",
-        /// Still in flight when the request got its final answer, or when its client had left.
+        /// Still in flight when the request got its final answer or its client disconnected.
         Unfinished = "out",
     }
 }
@@ -126,17 +127,17 @@
     InTime,
     /// Served after the latency objective.
     Late,
-    /// Rejected without having run; a retry is harmless.
+    /// Rejected; no attempt ran, so a retry is harmless.
     #[serde(rename = "refused")]
     Rejected(RejectionReason),
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed(FailureReason),
-    /// The client left before the answer.
+    /// The client disconnected before the answer.
     Aborted,
 }
 
 impl FinalOutcome {
-    /// Whether the client was served, in time or late.
+    /// Whether the request was served, in time or late.
     #[must_use]
     pub const fn is_served(&self) -> bool {
         matches!(self, Self::InTime | Self::Late)
--- a/crates/request-log/src/record.rs
+++ b/crates/request-log/src/record.rs
@@ -16,7 +16,7 @@
     pub endpoint: Arc<str>,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// From its start to its end, in microseconds.
+    /// Time from the start of the attempt to its end, in microseconds.
     #[serde(rename = "took_us")]
     pub duration_us: u64,
 }
@@ -24,25 +24,25 @@
 /// A request at its final answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The front that received it.
+    /// Name of the front that received the request.
     pub front: Arc<str>,
-    /// Its request class.
+    /// Name of the request class.
     pub class: Arc<str>,
-    /// Its tenant, if it names a known one.
+    /// Name of the tenant; `None` if the request names no known tenant.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<Arc<str>>,
-    /// Its endpoint group.
+    /// Number of the endpoint group.
     pub group: u16,
-    /// How it ended.
+    /// How the request ended.
     #[serde(flatten)]
     pub outcome: FinalOutcome,
-    /// Its attempts, oldest first. If it was served, the last attempt's endpoint served it.
+    /// All attempts, oldest first. A served request was served by the last attempt's endpoint.
     pub attempts: Vec<AttemptRecord>,
-    /// From arrival to the first attempt, or to the final answer if there was no attempt, in
+    /// Time from arrival to the first attempt, or to the final answer if there was no attempt, in
     /// microseconds.
     #[serde(rename = "waited_us")]
     pub queued_us: u64,
-    /// From arrival to the final answer, in microseconds.
+    /// Time from arrival to the final answer, in microseconds.
     pub total_us: u64,
 }
 
@@ -69,10 +69,10 @@
         ChecksumLine::append(out, &line);
     }
 
-    /// Parses a line of the request log: the sequence number and the record.
+    /// Parses a line of the request log into the sequence number and the record.
     ///
     /// # Errors
-    /// Why the line cannot be used.
+    /// The line is torn, corrupt or of another version.
     pub fn parse_line(line: &[u8]) -> Result<(u64, Self), CorruptRecord> {
         let line: LogLine<Self> = ChecksumLine::parse(line)?;
         Ok((line.sequence, line.record))
--- a/crates/request-log/src/replay.rs
+++ b/crates/request-log/src/replay.rs
@@ -1,8 +1,8 @@
-//! Rebuilds counters from stored bytes: the newest checkpoint that can be read, the records behind
-//! it, and the marks, each of which is a lower bound of the truth.
+//! Rebuilds counters from stored bytes: the newest checkpoint that can be read, the records after
+//! it, and the marks. Each of them gives a lower bound of the counters.
 //!
 //! Input: both checkpoints, then the lines of the marks, then the lines of the log in order.
-//! Output: [`Recovered`]. The marks since the older checkpoint are held in memory, and at most
+//! Output: [`Recovered`]. Memory holds the marks since the older checkpoint and at most
 //! [`MAX_REPORTED_ISSUES`] issues.
 
 use std::fmt;
@@ -12,7 +12,7 @@
 use crate::file_names::{CHECKPOINT, OLDER_CHECKPOINT};
 use crate::record::RequestRecord;
 
-/// Something wrong with the stored data.
+/// A fault in the stored data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplayIssue {
     /// A checkpoint cannot be read.
@@ -24,26 +24,27 @@
     },
     /// Lines of the marks cannot be read.
     CorruptMarks {
-        /// How many.
+        /// Number of corrupt lines.
         count: u64,
     },
     /// A segment ends in a torn record, which begins at this position.
     TornSegment(LogPosition),
     /// A record in the middle of the log cannot be read.
     CorruptRecord {
-        /// Where it begins.
+        /// Where the record begins.
         position: LogPosition,
         /// Why it cannot be used.
         reason: CorruptRecord,
     },
-    /// Records are missing from the log; the marks have their counts.
+    /// Records are missing from the log, but the marks include their counts.
     RecordsInMarksOnly {
-        /// How many.
+        /// Number of missing records.
         records: u64,
     },
-    /// Records are missing, and so are their counts: the counters begin anew.
+    /// Records are missing from the log and the marks: their counts are lost, and the period that
+    /// the counters cover starts anew.
     RecordsLost {
-        /// How many.
+        /// Number of lost records.
         records: u64,
     },
 }
@@ -69,13 +70,13 @@
             ),
             Self::RecordsLost { records } => write!(
                 f,
-                "{records} records are missing, their counts are lost, counters begin anew"
+                "{records} records are missing, their counts are lost, the counting period restarts"
             ),
         }
     }
 }
 
-/// Issues that are reported one by one; further ones are only counted.
+/// Maximum number of issues that are reported one by one; further issues are only counted.
 pub const MAX_REPORTED_ISSUES: usize = 16;
 
 /// The result of a replay.
@@ -87,13 +88,13 @@
     pub torn_ends: Vec<LogPosition>,
     /// The first issues, at most [`MAX_REPORTED_ISSUES`].
     pub issues: Vec<ReplayIssue>,
-    /// How many issues there were.
+    /// Number of issues, including those not in `issues`.
     pub fault_count: u64,
-    /// Counts are lost for good: the counters are below what was published.
+    /// Whether counts are lost: the counters may be lower than those published.
     pub counts_lost: bool,
 }
 
-/// A line that could not be parsed. Whether it is torn or corrupt depends on what follows it.
+/// A line that could not be parsed. Whether it is torn or corrupt depends on the next line.
 #[derive(Clone, Copy, Debug)]
 struct SuspectLine {
     position: LogPosition,
@@ -105,15 +106,15 @@
 #[derive(Debug, Default)]
 pub struct Replay {
     checkpoint: Checkpoint,
-    /// The other checkpoint, which may know more of some counter.
+    /// The other checkpoint, in which some counters may be higher.
     other_checkpoint: Option<Checkpoint>,
     marks: Vec<DurableMark>,
     corrupt_marks: u64,
-    /// Sequence number of the last record that was read, or of the checkpoint's.
+    /// Sequence number of the last record known from the checkpoint, the log or a mark.
     last_sequence: u64,
-    /// Records that neither the log nor a mark had so far.
+    /// Records found so far neither in the log nor in a mark.
     gaps: Vec<SequenceRange>,
-    /// Records that only marks had.
+    /// Number of records found only in marks.
     records_from_marks: u64,
     suspect: Option<SuspectLine>,
     torn_ends: Vec<LogPosition>,
@@ -122,8 +123,8 @@
 }
 
 impl Replay {
-    /// Begins with the bytes of the newest and the older checkpoint, as far as there are such
-    /// files.
+    /// Starts a replay from the bytes of the newest and the older checkpoint; `None` for a missing
+    /// file.
     #[must_use]
     pub fn new(newest: Option<&[u8]>, older: Option<&[u8]>) -> Self {
         let mut replay = Self::default();
@@ -144,7 +145,7 @@
         replay
     }
 
-    /// Where the log has to be read from.
+    /// The position from which the log has to be read.
     #[must_use]
     pub const fn start_position(&self) -> LogPosition {
         self.checkpoint.position
@@ -163,11 +164,11 @@
         }
     }
 
-    /// Adds a line of the log, with its line end if it has one, and the position where it begins.
+    /// Adds a line of the log, including its line feed if it has one, and its position.
     pub fn add_line(&mut self, position: LogPosition, line: &[u8]) {
         if let Some(suspect) = self.suspect.take() {
-            // More follows in the same segment: the suspect line is corrupt. Otherwise a write
-            // stopped half-way, and the writer went on in a new segment.
+            // If more lines follow in the same segment, the suspect line is corrupt. Otherwise a
+            // write was interrupted, and the writer continued in a new segment.
             if suspect.position.segment == position.segment {
                 self.report_corrupt(suspect);
             } else {
@@ -226,8 +227,8 @@
         if sequence <= self.last_sequence {
             return;
         }
-        // A mark sets counters to a value, a record adds to them: marks of earlier records have to
-        // come first.
+        // A mark raises counters to a value, a record adds to them: marks of earlier records have
+        // to be applied first.
         self.join_marks_before(sequence);
         if sequence > self.last_sequence + 1 {
             self.gaps.push(SequenceRange {
@@ -256,8 +257,8 @@
     fn join_first_marks(&mut self, count: usize) {
         let marks: Vec<DurableMark> = self.marks.drain(..count).collect();
         for mark in marks {
-            // A mark within the checkpoint is joined too: it may count records that the log never
-            // had.
+            // A mark that the checkpoint covers is joined too: it may count records that were never
+            // written to the log.
             mark.join_into(&mut self.checkpoint.counters);
             if mark.last_sequence > self.last_sequence {
                 self.gaps.push(SequenceRange {
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Takes the records that a mark counts out of the gaps.
+    /// Removes the records that a mark counts from the gaps.
     fn fill_gaps(&mut self, mark: &DurableMark) {
         let missing_before = total_length(&self.gaps);
         let mut remaining = vec![];
@@ -283,9 +284,9 @@
                 first: gap.first.max(mark.last_sequence + 1),
                 last: gap.last,
             };
-            for part in [before, after] {
-                if part.first <= part.last {
-                    remaining.push(part);
+            for remainder in [before, after] {
+                if remainder.first <= remainder.last {
+                    remaining.push(remainder);
                 }
             }
         }
--- a/crates/request-log/src/request_log.rs
+++ b/crates/request-log/src/request_log.rs
@@ -1,9 +1,9 @@
-//! The request log: counts records, writes them, and publishes counts only once they are durable.
+//! The request log: counts and writes records, and publishes counts only once they are durable.
 //!
-//! Input: records, and the calls [`RequestLog::flush`] and [`RequestLog::checkpoint`] at the
-//! caller's pace. Output: files through a [`LogStorage`], the published counters, the status, and
-//! events. It reads no clock and starts no thread. Its memory is the counters and the batch since
-//! the last flush.
+//! Input: records, and calls of [`RequestLog::flush`] and [`RequestLog::checkpoint`] at intervals
+//! that the caller chooses. Output: files through a [`LogStorage`], the published counters, the
+//! status, and events. It reads no clock and starts no thread. Its memory is the counters and the
+//! batch since the last flush.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -18,12 +18,12 @@
 use crate::startup::StoredState;
 use crate::storage::LogStorage;
 
-/// How much of the request log is kept.
+/// Limits on the size of the request log.
 #[derive(Clone, Copy, Debug)]
 pub struct SegmentLimits {
-    /// Size from which a segment is followed by the next, in bytes.
+    /// Size at which a new segment is started, in bytes.
     pub segment_bytes: u64,
-    /// Segments that are kept. Segments that a checkpoint needs are kept beyond that.
+    /// Number of segments to keep. Segments that a checkpoint needs are kept in any case.
     pub segments: usize,
 }
 
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct PendingBatch {
     records: u64,
-    /// Their lines; empty without storage.
+    /// The records as lines of the log; empty without storage.
     lines: Vec<u8>,
 }
 
@@ -39,21 +39,21 @@
 pub struct RequestLog<S> {
     storage: Option<S>,
     limits: SegmentLimits,
-    /// Everything counted so far.
+    /// All counts so far, durable or not.
     counted: Counters,
-    /// What of that is durable; only this is published.
+    /// The durable counts; only these are published.
     durable: Counters,
     /// Rows that changed since the last durable mark.
     changed_rows: BTreeSet<RowKey>,
     /// Sequence number of the first record that the next mark counts.
     mark_from: u64,
-    /// Where the next line goes.
+    /// Where the next line is written.
     position: LogPosition,
-    /// The position of the older checkpoint: the log is needed from there on.
+    /// The position of the older checkpoint: a replay may need the log from there on.
     older_checkpoint: LogPosition,
-    /// Something changed since the last checkpoint.
+    /// Whether anything changed since the last checkpoint.
     checkpoint_needed: bool,
-    /// The marks may end in a torn one, of an earlier process or of this one.
+    /// Whether the marks may end in a torn mark, written by an earlier process or by this one.
     marks_may_be_torn: bool,
     pending: PendingBatch,
     status: LogStatus,
@@ -69,7 +69,8 @@
     }
 }
 
-/// Replaces the newest checkpoint, which becomes the older one, together with the marks since it.
+/// Writes a new checkpoint. The previous one becomes the older checkpoint, and the marks written
+/// since then become the older marks.
 fn write_checkpoint(storage: &mut impl LogStorage, checkpoint: &Checkpoint) -> io::Result<()> {
     storage.write(NEW_CHECKPOINT, &checkpoint.bytes())?;
     storage
@@ -81,7 +82,8 @@
 }
 
 impl<S: LogStorage> RequestLog<S> {
-    /// A log without storage: counts are published at each flush and end with the process.
+    /// Creates a log without storage: counts are published at each flush and are lost when the
+    /// process ends.
     #[must_use]
     pub fn in_memory(now_ms: u64) -> Self {
         let status = LogStatus {
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Continues from what the storage holds, in a new segment. Faults are reported and counted;
-    /// none keeps the gateway from serving. `now_ms` is Unix time in milliseconds.
+    /// Recovers the counters from storage and continues in a new segment. Faults are reported and
+    /// counted, but none prevents the gateway from serving. `now_ms` is Unix time in milliseconds.
     #[must_use]
     pub fn open(mut storage: S, limits: SegmentLimits, now_ms: u64) -> Self {
         let mut stored = StoredState::read(&storage);
@@ -170,8 +172,8 @@
         log
     }
 
-    /// Counts a record; it is written with the next flush. `unix_ms` is the time of its final
-    /// answer.
+    /// Counts a record, which the next flush writes. `unix_ms` is the Unix time of the final
+    /// answer, in milliseconds.
     pub fn record(&mut self, record: &RequestRecord, unix_ms: u64) {
         self.status.last_sequence += 1;
         self.pending.records += 1;
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Adds counts of records that were counted elsewhere and are not in the log.
+    /// Adds counts of records that were counted elsewhere and are not written to the log.
     pub fn add_unlogged(&mut self, counts: &Counters) {
         let keys = counts.rows().map(|(key, _)| key.clone());
         self.changed_rows.extend(keys);
@@ -191,10 +193,10 @@
         self.checkpoint_needed = true;
     }
 
-    /// Makes durable what was counted since the last flush, then publishes it.
+    /// Makes the counts since the last flush durable, then publishes them.
     ///
-    /// Lines that cannot be written are lost to the request log and counted as unlogged. Counts are
-    /// not lost: they are written again with the next flush.
+    /// Lines that cannot be written are missing from the request log and counted as unlogged.
+    /// Counts are not lost: the next flush writes them again.
     pub fn flush(&mut self) {
         let batch = std::mem::take(&mut self.pending);
         if self.storage.is_none() {
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Appends the lines of a batch to the segment. Returns the fault, if it failed.
+    /// Appends the lines of a batch to the segment. Returns the fault if the write failed.
     fn write_records(&mut self, batch: &PendingBatch) -> Option<String> {
         let storage = self.storage.as_mut()?;
         if batch.records == 0 {
@@ -233,20 +235,20 @@
             return None;
         };
         self.counted.unlogged += batch.records;
-        // A part of the batch may have been written. A batch appended behind it would begin in the
-        // middle of a line, and the replay would find a corrupt record. The next batch goes to a
-        // new segment, so a failing truncation does no harm: the replay finds a torn end.
+        // A part of the batch may have been written. A batch appended after it would begin in the
+        // middle of a line, and the replay would find a corrupt record. The next batch is written
+        // to a new segment, so a failed truncation is harmless: the replay finds a torn end.
         let _ = storage.truncate(&file, self.position.offset);
         self.position = LogPosition::start_of(self.position.segment + 1);
         Some(format!("the request log cannot be written: {e}"))
     }
 
-    /// Appends a mark of the rows that changed, and publishes. Returns the fault, if it failed.
+    /// Appends a mark with the changed rows, and publishes. Returns the fault if the write failed.
     fn write_mark(&mut self) -> Option<String> {
         let storage = self.storage.as_mut()?;
         let mut line = vec![];
-        // A mark appended to a torn one would be lost with it, and so would counts that were
-        // already published. An empty line ends the torn mark; the replay skips it.
+        // A mark appended to a torn mark could not be parsed, and published counts would be lost.
+        // The line feed ends the torn mark; the replay skips empty lines.
         if self.marks_may_be_torn {
             line.push(b'\n');
         }
@@ -268,14 +270,14 @@
         }
     }
 
-    /// Everything counted is durable.
+    /// Publishes all counts, which are durable now.
     fn publish(&mut self) {
         self.durable = self.counted.clone();
         self.changed_rows.clear();
         self.mark_from = self.status.last_sequence + 1;
     }
 
-    /// Sets or clears the current fault; its begin and its end are reported once each.
+    /// Sets or clears the current fault. The start and the end of a fault are reported once each.
     fn set_fault(&mut self, fault: Option<String>) {
         match (&fault, &self.status.fault) {
             (Some(fault), None) => self.events.push(LogEvent::WritesFailing(fault.clone())),
@@ -286,8 +288,8 @@
         self.status.fault = fault;
     }
 
-    /// Writes all counters, if they changed since the last checkpoint, so that the log is needed
-    /// from here on only.
+    /// Writes all counters if they changed since the last checkpoint. A replay from this checkpoint
+    /// needs only the part of the log after it.
     pub fn checkpoint(&mut self) {
         if !std::mem::take(&mut self.checkpoint_needed) {
             return;
@@ -321,7 +323,8 @@
         }
     }
 
-    /// Removes the oldest segments beyond the limit, as far as no checkpoint needs them.
+    /// Removes the oldest segments beyond the limit, except those from number `needed` on, which a
+    /// checkpoint needs.
     fn remove_segments_before(&mut self, needed: u64) {
         let Some(storage) = &mut self.storage else {
             return;
@@ -346,13 +349,13 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The counters that may be published: everything in them is durable, or there is no storage.
+    /// The counters that may be published: all their counts are durable, or there is no storage.
     #[must_use]
     pub const fn durable_counters(&self) -> &Counters {
         &self.durable
     }
 
-    /// The status.
+    /// The status of the log, including the current fault.
     #[must_use]
     pub const fn status(&self) -> &LogStatus {
         &self.status
--- a/crates/request-log/src/startup.rs
+++ b/crates/request-log/src/startup.rs
@@ -1,5 +1,5 @@
-//! Reads the state directory at the start: checkpoints, marks and segments, in the order that
-//! [`Replay`] needs.
+//! Reads the state directory when the process starts: checkpoints, marks and segments, in the order
+//! that [`Replay`] needs.
 
 use std::io;
 
@@ -10,26 +10,26 @@
 use crate::replay::{Recovered, Replay};
 use crate::storage::LogStorage;
 
-/// 2020-01-01 as Unix time in milliseconds.
+/// 2020-01-01T00:00:00Z as Unix time in milliseconds.
 const BOOTS_EPOCH_MS: u64 = 1_577_836_800_000;
 const MS_PER_MINUTE: u64 = 60_000;
 /// The largest number of engine boots (RFC 3414, section 2.2.2).
 const MAX_BOOTS: u32 = 2_147_483_647;
 
-/// What the state directory held.
+/// The content of the state directory.
 pub(crate) struct StoredState {
     /// Names of all files.
     pub(crate) names: Vec<String>,
-    /// What the replay of the files gave.
+    /// The result of the replay of the files.
     pub(crate) recovered: Recovered,
-    /// Errors of listing and reading; each is counted in `recovered.fault_count` too.
+    /// Errors from listing and reading files; each is also counted in `recovered.fault_count`.
     pub(crate) read_errors: Vec<String>,
-    /// The files could be listed.
+    /// Whether the files could be listed.
     listed: bool,
 }
 
 impl StoredState {
-    /// Reads everything; what cannot be read is reported and left out.
+    /// Reads all files; files that cannot be read are reported and skipped.
     pub(crate) fn read(storage: &impl LogStorage) -> Self {
         let mut read_errors = vec![];
         let (names, listed) = match storage.list() {
@@ -49,11 +49,11 @@
         }
     }
 
-    /// The number of this start of the program.
+    /// The number of this start of the gateway, for the SNMP engine boots.
     ///
-    /// SNMP managers reject an agent whose boots went back. Where the count was lost, the minutes
-    /// since 2020 stand in for it: a program starts less than once a minute over its life, so that
-    /// number is above the lost one.
+    /// SNMP managers reject an agent whose engine boots decreased. If the count was lost, the
+    /// number of minutes since 2020 replaces it: a gateway starts less than once a minute over its
+    /// lifetime, so this number is higher than the lost count.
     pub(crate) fn next_boots(&self, now_ms: u64) -> u32 {
         let stored = self.recovered.checkpoint.boots;
         let was_used = !self.listed || self.names.iter().any(|name| name != LOCK);
@@ -66,7 +66,7 @@
         (boots + 1).min(MAX_BOOTS)
     }
 
-    /// The start of a segment that no process has written to.
+    /// The start of the next segment, which no process has written to.
     pub(crate) fn next_position(&self) -> LogPosition {
         let last_file = segment_numbers(&self.names).last().copied().unwrap_or(0);
         let last = last_file.max(self.recovered.checkpoint.position.segment);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads a file; a missing one is not an error.
+/// Reads a file; a missing file is not an error.
 fn read_file(
     storage: &impl LogStorage,
     name: &str,
--- a/crates/request-log/src/storage.rs
+++ b/crates/request-log/src/storage.rs
@@ -1,10 +1,10 @@
-//! The file operations that the request log needs. The program implements them over a directory,
-//! tests in memory.
+//! The file operations that the request log needs. The gateway implements them over a directory,
+//! tests implement them in memory.
 
 use std::io;
 
-/// Files by name in one directory. What a call did is durable when it returns, except for
-/// [`LogStorage::rename`] and [`LogStorage::remove`], which [`LogStorage::sync`] makes durable.
+/// Files by name in one directory. The effect of a call is durable when the call returns, except
+/// for [`LogStorage::rename`] and [`LogStorage::remove`], which [`LogStorage::sync`] makes durable.
 pub trait LogStorage: Send {
     /// Lists the names of all files.
     ///
--- a/crates/request-log/tests/outcome_metrics.rs
+++ b/crates/request-log/tests/outcome_metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics of final answers and attempts, in the form that is scraped.
+//! Metrics of final answers and attempts, in the format that is scraped.
 
 use valehatch_request_log::outcome_metrics::text;
 use valehatch_request_log::*;
 
-/// The metrics of a class.
+/// Names of the metrics of a class.
 const COUNTS: [&str; 4] = ["fulfilled", "throttled", "faulted", "relayed"];
 
 #[test]
@@ -25,12 +25,12 @@
     }
     metrics.set_gauges(14, 5, 1);
     let text = metrics.text();
-    let want = "balancer.operations.basket.fulfilled:0|c\nbalancer.operations.basket.throttled:0|c\n\
+    let expected = "balancer.operations.basket.fulfilled:0|c\nbalancer.operations.basket.throttled:0|c\n\
              balancer.operations.basket.faulted:0|c\nbalancer.operations.basket.relayed:3|c\n\
              balancer.operations.order.fulfilled:2|c\nbalancer.operations.order.throttled:1|c\n\
              balancer.operations.order.faulted:1|c\nbalancer.operations.order.relayed:0|c\n\
              balancer.open_requests:14|g\nbalancer.registry_entries:5|g\nbalancer.out_of_rotation:1|g\n";
-    assert_eq!(text, want);
+    assert_eq!(text, expected);
 }
 
 #[test]
@@ -44,22 +44,22 @@
     one.set_gauges(3, 2, 1);
     two.set_gauges(4, 3, 0);
     let both = text([&one, &two]);
-    let wants = [
+    let expected_lines = [
         "read.fulfilled:2|c",
         "read.relayed:1|c",
         "book.fulfilled:0|c",
         "stay.throttled:1|c",
     ];
     assert!(
-        wants
+        expected_lines
             .iter()
-            .all(|want| both.contains(&format!("balancer.operations.{want}\n"))),
+            .all(|expected| both.contains(&format!("balancer.operations.{expected}\n"))),
         "{both}"
     );
     assert_eq!(
         both.matches("operations.read.").count(),
         COUNTS.len(),
-        "one class of a name"
+        "classes with the same name are one class"
     );
     assert!(both.ends_with(
         "open_requests:7|g\nbalancer.registry_entries:5|g\nbalancer.out_of_rotation:1|g\n"
--- a/crates/request-log/tests/replay.rs
+++ b/crates/request-log/tests/replay.rs
@@ -1,5 +1,5 @@
-//! Replay after a crash: whichever single file is torn, truncated, corrupt or missing, no published counter falls; if
-//! nothing is damaged, the counters are exactly the sum of the records.
+//! Replay after a crash. If any single file is torn, truncated, corrupt or missing, no published
+//! counter decreases. If nothing is damaged, the counters are exactly the sum of the records.
 
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A gateway's disk: the log in segments, marks, two checkpoints; and the published counters.
+/// The files of a gateway (log segments, marks, two checkpoints) and its published counters.
 #[derive(Default)]
 struct Disk {
     segments: Vec<Vec<u8>>,
@@ -52,8 +52,8 @@
 }
 
 impl Disk {
-    /// Writes batches of these sizes; a checkpoint follows every `checkpoint_every`th, a new segment every
-    /// `segment_every`th.
+    /// Writes batches of these sizes. Every `checkpoint_every`th batch is followed by a checkpoint,
+    /// every `segment_every`th by a new segment.
     fn write(sizes: &[u64], checkpoint_every: usize, segment_every: usize) -> Self {
         let mut disk = Self {
             segments: vec![vec![]],
@@ -142,7 +142,7 @@
     #[test]
     fn torn_end_is_truncated_and_loses_no_count(sizes in sizes(), checkpoint_every in 1..6_usize, cut in 1..400_usize) {
         let mut disk = Disk::write(&sizes, checkpoint_every, 100);
-        // One more record, half of it on the disk: it was not published yet.
+        // One more record is partly written; its counts were not published yet.
         let mut next = vec![];
         record(disk.last_sequence + 1).append_line(&mut next, disk.last_sequence + 1, 0);
         next.truncate(cut.min(next.len() - 1));
@@ -179,7 +179,7 @@
         let back = disk.replay();
         prop_assert!(back.checkpoint.counters.covers(&disk.counters), "{:?}", back.issues);
         prop_assert!(!back.counts_lost);
-        // Sequence numbers continue after the last, so that none is used twice.
+        // Sequence numbers continue after the last one, so none is used twice.
         prop_assert_eq!(back.checkpoint.last_sequence, disk.last_sequence);
     }
 
@@ -217,7 +217,7 @@
 
 #[test]
 fn mark_of_other_batch_does_not_hide_lost_record() {
-    // The mark of batch 2 and its record are both missing; the mark of batch 3 must not hide that.
+    // The mark and the record of batch 2 are both missing. The mark of batch 3 must not hide that.
     let mut disk = Disk::write(&[1, 1, 1], 100, 100);
     let keep = |bytes: &[u8], n: usize| -> Vec<u8> {
         let lines = bytes
--- a/crates/request-log/tests/request_log.rs
+++ b/crates/request-log/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! The request log over storage that fails, fills up, and loses power at any call.
+//! The request log over storage that fails, fills up or loses power at any call.
 
 mod support;
 
@@ -14,7 +14,7 @@
     request_log.flush();
 }
 
-/// Writes batches, every third followed by a checkpoint. Returns the published counters.
+/// Writes batches, with a checkpoint after every third one. Returns the published counters.
 fn write_batches(request_log: &mut RequestLog<Memory>, batches: u64) -> Counters {
     for batch in 0..batches {
         write_batch(request_log, batch);
@@ -28,35 +28,35 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Power is lost at any call to the storage, which may be half done. Published counts must all be there after the
-    /// next start.
+    /// Power is lost at any call to the storage, which may be partly done. All published counts
+    /// must be recovered at the next start.
     #[test]
-    fn power_loss_at_any_call_keeps_published_counts(calls in 0..200_usize, half in any::<bool>(), batches in 1..30_u64) {
+    fn power_loss_at_any_call_keeps_published_counts(calls in 0..200_usize, partial in any::<bool>(), batches in 1..30_u64) {
         let storage = Memory::default();
         let mut request_log = RequestLog::open(storage.clone(), SIZES, 7);
-        storage.limit(Some(calls), half);
+        storage.limit(Some(calls), partial);
         let published = write_batches(&mut request_log, batches);
         let last_sequence = request_log.status().last_sequence;
         drop(request_log);
         storage.limit(None, false);
         let back = RequestLog::open(storage, SIZES, 9);
         prop_assert!(back.durable_counters().covers(&published));
-        prop_assert_eq!(back.status().since_ms, 7, "without a gap");
+        prop_assert_eq!(back.status().since_ms, 7, "the counters cover the period from the first start");
         prop_assert!(back.status().last_sequence <= last_sequence && back.status().boots >= 2);
     }
 
-    /// The disk fills up at any call and has space again later. Meanwhile published counts must not fall, and
-    /// afterwards every record must be counted.
+    /// The disk fills up at any call and has space again later. Published counts must not decrease
+    /// while it is full, and every record must be counted afterwards.
     #[test]
-    fn full_disk_publishes_nothing_new_and_loses_no_count(calls in 0..100_usize, half in any::<bool>(), batches in 1..20_u64) {
+    fn full_disk_publishes_nothing_new_and_loses_no_count(calls in 0..100_usize, partial in any::<bool>(), batches in 1..20_u64) {
         let storage = Memory::default();
         let mut request_log = RequestLog::open(storage.clone(), SIZES, 7);
         write_batches(&mut request_log, 2);
-        storage.limit(Some(calls), half);
+        storage.limit(Some(calls), partial);
         let mut before = request_log.durable_counters().clone();
         for batch in 0..batches {
             write_batch(&mut request_log, batch);
-            prop_assert!(request_log.durable_counters().covers(&before), "published counts never fall");
+            prop_assert!(request_log.durable_counters().covers(&before), "published counts never decrease");
             before = request_log.durable_counters().clone();
         }
         storage.limit(None, false);
@@ -71,14 +71,14 @@
         let mut published = request_log.durable_counters().clone();
         published.unlogged = 0;
         prop_assert_eq!(&published, &all);
-        // The same holds after a start.
+        // The same holds after a restart.
         let again = RequestLog::open(storage, SIZES, 9);
         prop_assert!(again.durable_counters().covers(&all));
     }
 }
 
 #[test]
-fn full_disk_is_reported_once_and_so_is_its_end() {
+fn full_disk_and_recovery_are_reported_once_each() {
     let storage = Memory::default();
     let mut request_log = RequestLog::open(storage.clone(), SIZES, 7);
     assert_eq!(request_log.take_events().len(), 1);
@@ -116,12 +116,12 @@
     assert_eq!(
         *RequestLog::open(storage, SIZES, 9).durable_counters(),
         published,
-        "the older checkpoint and the log behind it"
+        "recovered from the older checkpoint and the log after it"
     );
 }
 
 #[test]
-fn unlogged_counts_outlive_the_process() {
+fn unlogged_counts_survive_restart() {
     let storage = Memory::default();
     let mut request_log = RequestLog::open(storage.clone(), SIZES, 7);
     let mut unlogged = Counters::default();
--- a/crates/request-log/tests/stored_forms.rs
+++ b/crates/request-log/tests/stored_forms.rs
@@ -1,5 +1,6 @@
-//! Formats of the files that hold the request log and its counters, and the names in them. The files in
-//! `fixtures/folder/` were written by version 0.4.0; later versions must replay them and write the same bytes.
+//! Formats of the files that hold the request log and its counters, and the names in them. The
+//! files in `fixtures/folder/` were written by version 0.4.0; later versions must replay them and
+//! write the same bytes.
 
 mod support;
 
@@ -118,7 +119,7 @@
     for record in &records() {
         counted.count(record);
     }
-    // Any one kind of file may be lost: the others have its counts.
+    // Any one kind of file may be lost: the others hold the same counts.
     for lost in ["", "requests-", "marks", "checkpoint"] {
         let memory = Memory::default();
         let kept = folder()
--- a/crates/request-log/tests/support/mod.rs
+++ b/crates/request-log/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Storage in memory that fails as a disk does, and records to write to it.
+//! In-memory storage that fails like a disk, and records to write to it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -7,35 +7,36 @@
 
 use valehatch_request_log::*;
 
-/// Storage in memory. After a number of writing calls it fails: further calls do nothing, the first may do half.
+/// In-memory storage. After a limited number of writing calls it fails: the first failing call may
+/// do half of its work, further calls do nothing.
 #[derive(Clone, Default)]
 pub(crate) struct Memory(pub Arc<Mutex<Inner>>);
 
 #[derive(Default)]
 pub(crate) struct Inner {
     pub files: BTreeMap<String, Vec<u8>>,
-    /// Calls that still succeed; `None`: all do.
-    left: Option<usize>,
-    /// The first call that fails does half of its work.
-    half: bool,
+    /// Number of further calls that succeed; `None` if all do.
+    remaining_calls: Option<usize>,
+    /// Whether the first failing call does half of its work.
+    partial: bool,
 }
 
 impl Memory {
-    pub(crate) fn limit(&self, left: Option<usize>, half: bool) {
+    pub(crate) fn limit(&self, remaining_calls: Option<usize>, partial: bool) {
         let mut inner = self.0.lock().unwrap();
-        (inner.left, inner.half) = (left, half);
+        (inner.remaining_calls, inner.partial) = (remaining_calls, partial);
     }
 
     fn call(&self, work: impl FnOnce(&mut BTreeMap<String, Vec<u8>>, bool)) -> io::Result<()> {
         let mut inner = self.0.lock().unwrap();
-        match inner.left {
+        match inner.remaining_calls {
             Some(0) => {
-                if std::mem::take(&mut inner.half) {
+                if std::mem::take(&mut inner.partial) {
                     work(&mut inner.files, true);
                 }
                 return Err(io::Error::other("no space is left"));
             }
-            Some(n) => inner.left = Some(n - 1),
+            Some(n) => inner.remaining_calls = Some(n - 1),
             None => {}
         }
         work(&mut inner.files, false);
@@ -57,16 +58,28 @@
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let cut = |half| &bytes[..if half { bytes.len() / 2 } else { bytes.len() }];
-        self.call(|files, half| drop(files.insert(name.into(), cut(half).to_vec())))
+        let written = |partial| {
+            &bytes[..if partial {
+                bytes.len() / 2
+            } else {
+                bytes.len()
+            }]
+        };
+        self.call(|files, partial| drop(files.insert(name.into(), written(partial).to_vec())))
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let cut = |half| &bytes[..if half { bytes.len() / 2 } else { bytes.len() }];
-        self.call(|files, half| {
+        let written = |partial| {
+            &bytes[..if partial {
+                bytes.len() / 2
+            } else {
+                bytes.len()
+            }]
+        };
+        self.call(|files, partial| {
             files
                 .entry(name.into())
                 .or_default()
-                .extend_from_slice(cut(half))
+                .extend_from_slice(written(partial))
         })
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
@@ -77,9 +90,9 @@
         if !self.0.lock().unwrap().files.contains_key(from) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        // A rename is atomic.
-        self.call(|files, half| {
-            if let (false, Some(bytes)) = (half, files.get(from).cloned()) {
+        // A rename is atomic: a call that does half of its work does nothing.
+        self.call(|files, partial| {
+            if let (false, Some(bytes)) = (partial, files.get(from).cloned()) {
                 files.remove(from);
                 files.insert(to.into(), bytes);
             }
--- a/crates/request-log/tests/torn_mark.rs
+++ b/crates/request-log/tests/torn_mark.rs
@@ -1,13 +1,14 @@
-//! A full disk leaves a torn mark behind.
+//! A torn mark after writes to a full disk.
 
 mod support;
 
 use support::{Memory, SIZES, record};
 use valehatch_request_log::RequestLog;
 
-/// Counts that the request log never had are in the marks alone. The disk is full twice, the second time in the middle
-/// of a mark, then has space again. If the next mark were appended to the torn one, a power loss would take both, and
-/// published counts would go back.
+/// Counts of records that were never written to the request log are in the marks only. The disk is
+/// full twice, the second time in the middle of a mark, and then has space again. If the next mark
+/// were appended to the torn one, neither could be parsed after a power loss, and published counts
+/// would decrease.
 #[test]
 fn mark_after_torn_mark_survives_power_loss() {
     let memory = Memory::default();
@@ -34,6 +35,6 @@
     assert_eq!(
         *again.durable_counters(),
         published,
-        "published counts go back"
+        "published counts decreased"
     );
 }
