--- a/crates/management/src/connection_table.rs
+++ b/crates/management/src/connection_table.rs
@@ -1,17 +1,17 @@
-//! Which connections there are, when each expires, and which is evicted for a new one. No I/O.
+//! The open connections, when each expires, and which one is evicted for a new one. No I/O.
 //!
 //! The table has a fixed number of slots. When all are taken, [`ConnectionTable::decide_accept`]
-//! names the connection whose loss costs least.
+//! names the connection whose loss matters least.
 
 use std::time::{Duration, Instant};
 
-/// How long a connection is safe from eviction after its stage began.
+/// Time after entering a stage during which a connection is not evicted.
 pub(crate) const EVICTION_GRACE: Duration = Duration::from_millis(2);
-/// How long input is drained after the response. Closing with unread input would send a reset, and
-/// the client could lose the response.
+/// Time for which input is drained after the response. Closing with unread input would send a
+/// reset, and the client could lose the response.
 pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The stage of a connection.
+/// The stage of a connection, in the order in which a connection passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// The request head is not complete.
@@ -29,14 +29,14 @@
     stage: Stage,
 }
 
-/// What to do about a new connection.
+/// How to handle a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptDecision {
     /// Accept it into this free slot.
     Slot(usize),
     /// Accept it once the connection in this slot is closed.
     Evict(usize),
-    /// No connection may be evicted before then.
+    /// No connection may be evicted before this time.
     WaitUntil(Instant),
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl ConnectionTable {
-    /// An empty table; each connection may take `timeout` from its accept.
+    /// Creates an empty table; each connection expires at `timeout` after its accept at the latest.
     pub(crate) fn new(slots: usize, timeout: Duration) -> Self {
         Self {
             connections: vec![None; slots.max(1)],
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Number of slots.
+    /// Number of slots, at least 1.
     pub(crate) fn slots(&self) -> usize {
         self.connections.len()
     }
@@ -66,7 +66,7 @@
         self.connections[slot].map(|connection| connection.stage)
     }
 
-    /// A connection was accepted into a slot.
+    /// Records that a connection was accepted into a slot.
     pub(crate) fn on_accept(&mut self, slot: usize, now: Instant) {
         self.connections[slot] = Some(Connection {
             accepted_at: now,
@@ -75,20 +75,20 @@
         });
     }
 
-    /// The connection in a slot has reached a stage.
+    /// Records that the connection in a slot has reached a stage.
     pub(crate) fn on_stage(&mut self, slot: usize, stage: Stage, now: Instant) {
         if let Some(connection) = &mut self.connections[slot] {
             (connection.stage, connection.stage_since) = (stage, now);
         }
     }
 
-    /// The connection in a slot is closed.
+    /// Records that the connection in a slot is closed.
     pub(crate) fn on_close(&mut self, slot: usize) {
         self.connections[slot] = None;
     }
 
-    /// Where a new connection can go: a free slot, else the oldest connection of the lowest
-    /// eviction rank.
+    /// Chooses a slot for a new connection: a free one, or else that of the oldest connection with
+    /// the lowest eviction rank.
     pub(crate) fn decide_accept(&self, now: Instant) -> AcceptDecision {
         if let Some(slot) = self.connections.iter().position(Option::is_none) {
             return AcceptDecision::Slot(slot);
@@ -121,7 +121,7 @@
         })
     }
 
-    /// When the next connection expires.
+    /// When the next connection expires; `None` if there is no connection.
     pub(crate) fn next_expiry(&self) -> Option<Instant> {
         self.connections
             .iter()
@@ -141,8 +141,8 @@
         }
     }
 
-    /// The lowest is evicted first: a response long delivered, no request yet, a response just
-    /// delivered, one being written.
+    /// The connection with the lowest rank is evicted first. In ascending order: response delivered
+    /// some time ago, request incomplete, response just delivered, response being written.
     fn eviction_rank(&self, now: Instant) -> u8 {
         match self.stage {
             Stage::Draining if self.stage_since + LINGER_TIMEOUT / 4 <= now => 0,
--- a/crates/management/src/connection_table/tests.rs
+++ b/crates/management/src/connection_table/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use rstest::rstest;
 
-/// Stage, ms from the accept, ms in this stage.
+/// Stage, milliseconds since the accept, milliseconds since the stage began.
 type Given = (Stage, u64, u64);
 
 fn table(given: &[Given], slots: usize, now: Instant) -> ConnectionTable {
@@ -17,21 +17,21 @@
 
 #[rstest]
 #[case::empty(&[], 2, AcceptDecision::Slot(0))]
-#[case::one_left(&[(Stage::Reading, 3_000, 3_000)], 2, AcceptDecision::Slot(1))]
+#[case::one_free(&[(Stage::Reading, 3_000, 3_000)], 2, AcceptDecision::Slot(1))]
 #[case::oldest(&[(Stage::Reading, 30, 30), (Stage::Reading, 40, 40)], 2, AcceptDecision::Evict(1))]
-#[case::silent_before_answered(&[(Stage::Draining, 90, 80), (Stage::Reading, 40, 40)], 2, AcceptDecision::Evict(1))]
+#[case::no_request_before_just_answered(&[(Stage::Draining, 90, 80), (Stage::Reading, 40, 40)], 2, AcceptDecision::Evict(1))]
 #[case::long_answered_first(&[(Stage::Reading, 900, 900), (Stage::Draining, 800, 250)], 2, AcceptDecision::Evict(1))]
-#[case::answered_before_being_answered(
+#[case::answered_before_responding(
     &[(Stage::Responding, 900, 900), (Stage::Draining, 80, 80)], 2, AcceptDecision::Evict(1))]
-#[case::last_of_all(&[(Stage::Responding, 90, 90), (Stage::Responding, 80, 80)], 2, AcceptDecision::Evict(0))]
-#[case::too_young_is_passed_over(&[(Stage::Reading, 1, 1), (Stage::Draining, 9, 9)], 2, AcceptDecision::Evict(1))]
+#[case::responding_if_no_other(&[(Stage::Responding, 90, 90), (Stage::Responding, 80, 80)], 2, AcceptDecision::Evict(0))]
+#[case::in_grace_is_skipped(&[(Stage::Reading, 1, 1), (Stage::Draining, 9, 9)], 2, AcceptDecision::Evict(1))]
 fn new_connection_takes_free_slot_or_evicts(
     #[case] given: &[Given],
     #[case] slots: usize,
-    #[case] room: AcceptDecision,
+    #[case] expected: AcceptDecision,
 ) {
     let now = Instant::now() + Duration::from_secs(10);
-    assert_eq!(table(given, slots, now).decide_accept(now), room);
+    assert_eq!(table(given, slots, now).decide_accept(now), expected);
 }
 
 #[test]
@@ -44,7 +44,7 @@
 }
 
 #[rstest]
-#[case::silent(Stage::Reading, 100, 100, 3_900)]
+#[case::no_request(Stage::Reading, 100, 100, 3_900)]
 #[case::no_reader(Stage::Responding, 1_000, 10, 3_000)]
 #[case::answered(Stage::Draining, 1_000, 100, 900)]
 #[case::answered_late(Stage::Draining, 3_900, 100, 100)]
@@ -52,11 +52,11 @@
     #[case] stage: Stage,
     #[case] age: u64,
     #[case] stage_since: u64,
-    #[case] left: u64,
+    #[case] remaining: u64,
 ) {
     let now = Instant::now() + Duration::from_secs(10);
     let mut table = table(&[(stage, age, stage_since)], 3, now);
-    let end = now + Duration::from_millis(left);
+    let end = now + Duration::from_millis(remaining);
     assert_eq!(table.next_expiry(), Some(end));
     assert_eq!(table.expired(end - Duration::from_millis(1)), None);
     assert_eq!(table.expired(end), Some(0));
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -1,9 +1,9 @@
-//! The management endpoint: health, metrics and decisions over HTTP/1.1, one request for each
+//! The management endpoint: health, metrics and decisions over HTTP/1.1, one request per
 //! connection.
 //!
-//! It answers in bounded time whatever else the process does and whoever else connects: one thread,
-//! a fixed number of connections, no blocking operation. Paths: `/admin/health`, `/admin/stats`,
-//! `/admin/decisions`.
+//! The endpoint answers in bounded time, independent of the load of the process and of other
+//! clients: it has its own thread, a fixed number of connections and no blocking operation. Paths:
+//! `/admin/health`, `/admin/stats`, `/admin/decisions`.
 
 #![forbid(unsafe_code)]
 
@@ -16,24 +16,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections at once.
+/// Default limit on concurrent connections.
 const MAX_CONNECTIONS: usize = 24;
-/// How long a connection may take from its accept.
+/// Default time that a connection may take from its accept.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Stack of the endpoint's thread, in bytes.
+/// Stack size of the endpoint's thread, in bytes.
 const STACK_SIZE: usize = 128 * 1024;
 
-/// What the responses are made of. Its methods run on the thread of the endpoint and must not
+/// Provides the content of the responses. The methods run on the endpoint's thread and must not
 /// block.
 pub trait Source: Send + Sync + 'static {
-    /// Whether this process is ready to serve.
+    /// The text for a process that is ready to serve.
     ///
     /// # Errors
-    /// Why it is not.
+    /// The reason why the process is not ready, as text.
     fn health(&self) -> Result<String, String>;
-    /// The metrics, one a line.
+    /// The metrics, one per line.
     fn stats(&self) -> String;
-    /// Counts of denials by reason and of violated invariants, one a line.
+    /// Counts of denials by reason and of violated invariants, one per line.
     fn decisions(&self) -> String;
 }
 
@@ -42,14 +42,14 @@
 pub struct ManagementEndpoint {
     /// The address to listen on.
     pub listen: SocketAddr,
-    /// Connections at once; one more evicts the one whose loss costs least.
+    /// Limit on concurrent connections; a further one evicts the one whose loss matters least.
     pub max_connections: usize,
-    /// How long a connection may take from its accept.
+    /// Time that a connection may take from its accept.
     pub timeout: Duration,
 }
 
 impl ManagementEndpoint {
-    /// The usual limits: 24 connections, 4 s each.
+    /// An endpoint with the default limits: 24 connections, 4 s each.
     #[must_use]
     pub const fn new(listen: SocketAddr) -> Self {
         Self {
@@ -60,11 +60,11 @@
     }
 }
 
-/// Listens, and serves on a thread of its own for as long as the process lives; returns the bound
+/// Starts the endpoint on its own thread, where it serves until the process ends. Returns the bound
 /// address.
 ///
 /// # Errors
-/// The address cannot be listened on, or the thread cannot be started.
+/// The address cannot be bound, or the thread cannot be started.
 pub fn start(endpoint: ManagementEndpoint, source: Arc<dyn Source>) -> io::Result<SocketAddr> {
     let mut server = server::ManagementServer::new(endpoint, source)?;
     let address = server.address()?;
--- a/crates/management/src/request.rs
+++ b/crates/management/src/request.rs
@@ -1,16 +1,16 @@
-//! The HTTP requests that are understood, and their responses as bytes. No I/O.
+//! Parses HTTP requests and builds the bytes of their responses. No I/O.
 
 use std::io::Write;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use crate::Source;
 
-/// Longest request head that is read, in bytes.
+/// Maximum size of a request head, in bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Most headers of a request.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
-/// What the client wants to read.
+/// The resource that a request reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Resource {
     /// `/admin/health`
@@ -21,26 +21,26 @@
     Decisions,
 }
 
-/// Whether the response carries its body: not for HEAD.
+/// Whether the response includes its body, which it omits for HEAD.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseBody {
     Sent,
     Omitted,
 }
 
-/// What the bytes received so far say.
+/// The result of parsing the bytes received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ManagementRequest {
-    /// The head is not complete; as a response it is a 408.
+    /// The head is not complete. If the connection expires in this state, the response is a 408.
     Incomplete,
-    /// A resource is to be read.
+    /// A valid request for a resource.
     Read(Resource, ResponseBody),
-    /// The response is this status alone.
+    /// A request that is answered with this error status.
     Rejected(u16, ResponseBody),
 }
 
 impl ManagementRequest {
-    /// Parses a request head; `is_end` says that nothing more will come.
+    /// Parses a request head; `is_end` means that the client sends no more bytes.
     pub(crate) fn parse(bytes: &[u8], is_end: bool) -> Self {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Writes the complete response to `out`, in place of what was in it.
+    /// Writes the complete response to `out`, replacing its content.
     pub(crate) fn respond(self, source: &dyn Source, out: &mut Vec<u8>) {
         let body = match self {
             Self::Read(_, body) | Self::Rejected(_, body) => body,
             Self::Incomplete => ResponseBody::Sent,
         };
-        // A panic in the source must not end the thread that answers all other operators.
+        // A panic in the source must not end the thread, which serves all other clients.
         let content = catch_unwind(AssertUnwindSafe(|| self.content(source)));
         match content {
             Ok((status, text)) => write_response(out, status, text, body),
@@ -108,7 +108,7 @@
     }
 }
 
-/// The path of a request target, which may be absolute and have a query.
+/// The path of a request target, which may be in absolute form and have a query.
 fn path_of(target: &str) -> &str {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     match path.strip_prefix("http://") {
--- a/crates/management/src/server.rs
+++ b/crates/management/src/server.rs
@@ -1,4 +1,4 @@
-//! The sockets of the management endpoint, polled on one thread: no operation on a connection
+//! The sockets of the management endpoint. One thread polls them; no operation on a connection
 //! blocks.
 
 use std::io::{self, ErrorKind, Read, Write};
@@ -14,19 +14,20 @@
 use crate::request::{MAX_HEAD_BYTES, ManagementRequest};
 use crate::{ManagementEndpoint, Source};
 
-/// Connections that may wait to be accepted: more than a burst brings while the thread does not
-/// run.
+/// Connections that may wait to be accepted: more than arrive in a burst while the thread is not
+/// scheduled.
 const BACKLOG: i32 = 1024;
-/// Connections accepted before the others are served again.
+/// Connections accepted in one turn, before open connections are served again.
 const MAX_ACCEPTS: usize = 64;
-/// Reads of discarded input before the other connections are served again.
+/// Reads of discarded input in one turn, before other connections are served again.
 const MAX_DRAIN_READS: usize = 16;
-/// Pause after the system has failed to accept or to poll.
+/// Pause after an error of accept or poll.
 const ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// Buffer of each slot, in bytes; a longer response grows it until the connection is closed.
+/// Buffer capacity of each slot, in bytes; a longer response increases it until the connection is
+/// closed.
 const BUFFER_BYTES: usize = 2 * MAX_HEAD_BYTES;
 
-/// A slot: its connection, and the bytes of the request head, then of the response.
+/// A slot with its connection, if any. The buffer holds the request head, then the response.
 struct Slot {
     stream: Option<TcpStream>,
     bytes: Vec<u8>,
@@ -39,11 +40,11 @@
     source: Arc<dyn Source>,
     table: ConnectionTable,
     slots: Vec<Slot>,
-    /// Receives each read.
+    /// Buffer for reads, shared by all connections.
     scratch: Box<[u8]>,
-    /// Slots that the last poll found ready.
+    /// Whether the last poll found each slot ready.
     ready: Vec<bool>,
-    /// Set after an error of accept.
+    /// End of the pause after an error of accept.
     accept_paused_until: Option<Instant>,
 }
 
@@ -84,7 +85,7 @@
         self.listener.local_addr()
     }
 
-    /// Closes expired connections, waits until one is ready, and serves those that are.
+    /// Closes expired connections, waits until a connection is ready, and serves the ready ones.
     pub(crate) fn poll_once(&mut self) {
         let now = Instant::now();
         while let Some(slot) = self.table.expired(now) {
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Polls until a connection is ready, the time is over or, if `accepting`, a connection can be
-    /// accepted; says whether one can.
+    /// Polls until a connection is ready, the time has passed or, if `accepting`, a connection can
+    /// be accepted. Returns whether a connection can be accepted.
     fn wait(&mut self, accepting: bool, time: Option<Duration>) -> bool {
         let mut fds = Vec::with_capacity(self.slots.len() + 1);
         let wanted = |stage| {
@@ -157,7 +158,7 @@
         has_new_connections
     }
 
-    /// Accepts connections from the backlog for as long as there are slots.
+    /// Accepts connections from the backlog while there are slots, at most [`MAX_ACCEPTS`].
     fn accept(&mut self) {
         for _ in 0..MAX_ACCEPTS {
             let now = Instant::now();
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Closes a connection for a new one, unless it makes progress now.
+    /// Closes a connection to free its slot, unless it can make progress now.
     fn evict(&mut self, slot: usize) {
         let before = self.table.stage(slot);
         self.serve(slot);
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Closes an expired connection; one with an incomplete head gets a 408.
+    /// Closes an expired connection, with a 408 if a part of its request head was received.
     fn expire(&mut self, slot: usize) {
         let begun = !self.slots[slot].bytes.is_empty();
         if begun && self.table.stage(slot) == Some(Stage::Reading) {
@@ -239,7 +240,8 @@
         }
     }
 
-    /// Reads more of the head. The next stage, or `None` if the client has closed.
+    /// Reads more of the head. Returns the next stage, or `None` if the client closed the
+    /// connection without sending anything.
     fn read(&mut self, slot: usize) -> io::Result<Option<Stage>> {
         let connection = &mut self.slots[slot];
         let Some(stream) = &mut connection.stream else {
@@ -266,7 +268,7 @@
         connection.written = 0;
     }
 
-    /// Writes more of the response. The next stage, or `None` if the client has closed.
+    /// Writes more of the response. Returns the next stage, or `None` if no more can be written.
     fn write(&mut self, slot: usize) -> io::Result<Option<Stage>> {
         let connection = &mut self.slots[slot];
         let Some(stream) = &mut connection.stream else {
@@ -282,7 +284,7 @@
         Ok(Some(Stage::Draining))
     }
 
-    /// Discards input; `WouldBlock` if there may be more, `None` at its end.
+    /// Discards input. Returns `WouldBlock` if there may be more, `None` at its end.
     fn drain(&mut self, slot: usize) -> io::Result<Option<Stage>> {
         let Some(stream) = &mut self.slots[slot].stream else {
             return Ok(None);
--- a/crates/management/tests/management.rs
+++ b/crates/management/tests/management.rs
@@ -1,4 +1,4 @@
-//! The endpoint on real sockets, between well-behaved and misbehaving clients.
+//! The endpoint on real sockets, with well-behaved and misbehaving clients.
 
 use rstest::rstest;
 use std::io::{ErrorKind, Read, Write};
@@ -56,7 +56,8 @@
     stream
 }
 
-/// Sends this and reads to the end, which must be an orderly one.
+/// Sends bytes and reads the response until the server closes the connection, which must not be a
+/// reset.
 fn request(endpoint: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = connect(endpoint);
     stream.write_all(bytes).unwrap();
@@ -65,10 +66,11 @@
     answer
 }
 
-/// The status and the body, whose length is the one told unless it is left out.
+/// The status and the body of a response. The body's length must be the Content-Length, or 0
+/// without a body.
 fn parts(answer: &str, with_body: bool) -> (u16, &str) {
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
-    let told: usize = head
+    let content_length: usize = head
         .split_once("Content-Length: ")
         .unwrap()
         .1
@@ -78,8 +80,12 @@
         .parse()
         .unwrap();
     assert!(head.contains("Connection: close"), "{head}");
-    assert_eq!(body.len(), if with_body { told } else { 0 }, "{answer}");
-    assert!(told > 0);
+    assert_eq!(
+        body.len(),
+        if with_body { content_length } else { 0 },
+        "{answer}"
+    );
+    assert!(content_length > 0);
     (head.split(' ').nth(1).unwrap().parse().unwrap(), body)
 }
 
@@ -88,19 +94,19 @@
 #[case::stats("GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n", 200, "a:1|c\nb:2|g\n")]
 #[case::decisions("GET /admin/decisions HTTP/1.1\r\nHost: a\r\n\r\n", 200, "d:3|c\n")]
 #[case::query("GET /admin/health?now=1 HTTP/1.0\r\n\r\n", 200, "ready\n")]
-#[case::whole_address("GET http://a:1/admin/health HTTP/1.1\r\n\r\n", 200, "ready\n")]
+#[case::absolute_form("GET http://a:1/admin/health HTTP/1.1\r\n\r\n", 200, "ready\n")]
 #[case::unknown("GET /admin HTTP/1.1\r\n\r\n", 404, "not found\n")]
 #[case::unknown_post("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", 404, "not found\n")]
 #[case::post("POST /admin/stats HTTP/1.1\r\n\r\n", 405, "method not allowed\n")]
-#[case::unreadable("what is this\r\n\r\n", 400, "bad request\n")]
+#[case::malformed("what is this\r\n\r\n", 400, "bad request\n")]
 #[case::other_protocol("\x16\x03\x01\x02", 400, "bad request\n")]
-#[case::second_ignored(
+#[case::second_request_ignored(
     "GET /admin/health HTTP/1.1\r\n\r\nGET /admin/stats HTTP/1.1\r\n\r\n",
     200,
     "ready\n"
 )]
-fn request_gets_its_response(#[case] call: &str, #[case] status: u16, #[case] body: &str) {
-    let answer = request(ready_endpoint(), call.as_bytes());
+fn request_gets_its_response(#[case] request_text: &str, #[case] status: u16, #[case] body: &str) {
+    let answer = request(ready_endpoint(), request_text.as_bytes());
     assert_eq!(parts(&answer, true), (status, body));
     assert_eq!(answer.contains("\r\nAllow: GET, HEAD\r\n"), status == 405);
 }
@@ -129,23 +135,23 @@
 }
 
 #[rstest]
-#[case::one_long(format!("GET /admin/health HTTP/1.1\r\na: {}\r\n\r\n", "x".repeat(20_000)))]
-#[case::many(format!("GET /admin/health HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(70)))]
-fn too_large_head_returns_431(#[case] call: String) {
+#[case::one_long_header(format!("GET /admin/health HTTP/1.1\r\na: {}\r\n\r\n", "x".repeat(20_000)))]
+#[case::many_headers(format!("GET /admin/health HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(70)))]
+fn too_large_head_returns_431(#[case] request_text: String) {
     assert_eq!(
-        parts(&request(ready_endpoint(), call.as_bytes()), true).0,
+        parts(&request(ready_endpoint(), request_text.as_bytes()), true).0,
         431
     );
 }
 
 #[test]
 fn request_with_body_does_not_reset_response() {
-    let call = format!(
+    let request_text = format!(
         "GET /admin/health HTTP/1.1\r\nContent-Length: 300000\r\n\r\n{}",
         "b".repeat(300_000)
     );
     assert_eq!(
-        parts(&request(ready_endpoint(), call.as_bytes()), true),
+        parts(&request(ready_endpoint(), request_text.as_bytes()), true),
         (200, "ready\n")
     );
 }
@@ -160,7 +166,8 @@
     assert_eq!(parts(&answer, true).0, 400);
 }
 
-/// Waits until the other side has closed, in whatever way; how long that took.
+/// Waits until the server has closed the connection, orderly or by reset. Returns the time since
+/// `since`.
 fn closed(stream: &mut TcpStream, since: Instant) -> Duration {
     let mut bytes = [0; 4096];
     loop {
@@ -180,12 +187,12 @@
     let since = Instant::now();
     let (mut silent, mut slow) = (connect(endpoint), connect(endpoint));
     let mut writer = slow.try_clone().unwrap();
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let writing = std::thread::spawn({
-        let over = over.clone();
+        let stop = stop.clone();
         move || {
             for byte in "GET /admin/health HTTP/1.1\r\n".bytes() {
-                if over.load(Ordering::Relaxed) || writer.write_all(&[byte]).is_err() {
+                if stop.load(Ordering::Relaxed) || writer.write_all(&[byte]).is_err() {
                     return;
                 }
                 std::thread::sleep(Duration::from_millis(200));
@@ -193,23 +200,23 @@
         }
     });
     let slow = closed(&mut slow, since);
-    let through = writing.is_finished();
-    over.store(true, Ordering::Relaxed);
+    let completed = writing.is_finished();
+    stop.store(true, Ordering::Relaxed);
     let silent = closed(&mut silent, since);
     println!("slow closed after {slow:?}, silent after {silent:?}");
-    // It takes over 5 s to write all, and longer where the machine is slow.
-    assert!(slow >= timeout && !through, "{slow:?}");
+    // Writing the whole head takes over 5 s, and longer on a slow machine.
+    assert!(slow >= timeout && !completed, "{slow:?}");
     assert!(silent >= timeout, "{silent:?}");
     writing.join().unwrap();
 }
 
 #[test]
-fn client_that_does_not_read_blocks_no_other_and_is_closed() {
+fn client_that_does_not_read_is_closed_and_blocks_no_other() {
     let text = "figure:1|g\n".repeat(1_000_000);
     let timeout = Duration::from_secs(3);
     let endpoint = endpoint(timeout, true, &text);
-    let mut deaf: Vec<_> = (0..3).map(|_| connect(endpoint)).collect();
-    for stream in &mut deaf {
+    let mut not_reading: Vec<_> = (0..3).map(|_| connect(endpoint)).collect();
+    for stream in &mut not_reading {
         stream
             .write_all(b"GET /admin/stats HTTP/1.1\r\n\r\n")
             .unwrap();
@@ -225,58 +232,63 @@
     );
     assert!(
         since.elapsed() < timeout,
-        "before any of them is cut off: {:?}",
+        "answered before any of the others is closed: {:?}",
         since.elapsed()
     );
-    // This one came later: once it is closed, the others have had their time as well.
+    // This connection is newer: once it is closed, the timeout of the others has passed as well.
     closed(&mut connect(endpoint), since);
-    for stream in &mut deaf {
+    for stream in &mut not_reading {
         let mut got = Vec::new();
         let _ = stream.read_to_end(&mut got);
         assert!(
             got.len() < text.len(),
-            "all of it was given to one who did not read"
+            "the complete response was sent to a client that did not read"
         );
     }
 }
 
 #[test]
-fn two_thousand_silent_clients_do_not_lock_one_out() {
+fn two_thousand_silent_clients_do_not_block_a_request() {
     let endpoint = ready_endpoint();
-    let over = Arc::new(AtomicBool::new(false));
-    let crowd = std::thread::spawn({
-        let over = over.clone();
+    let stop = Arc::new(AtomicBool::new(false));
+    let silent_clients = std::thread::spawn({
+        let stop = stop.clone();
         move || {
             for batch in 0..10 {
-                let mut held: Vec<_> = (0..200).map(|_| connect(endpoint)).collect();
+                let mut connections: Vec<_> = (0..200).map(|_| connect(endpoint)).collect();
                 if batch % 2 == 1 {
-                    held.iter_mut()
+                    connections
+                        .iter_mut()
                         .for_each(|stream| drop(stream.write_all(b"GET /adm")));
                 }
-                // All but those who have a place have been sent away.
-                for stream in held.iter_mut().take(200 - 24) {
+                // All connections but those that have a slot are evicted.
+                for stream in connections.iter_mut().take(200 - 24) {
                     closed(stream, Instant::now());
                 }
             }
-            over.store(true, Ordering::Relaxed);
+            stop.store(true, Ordering::Relaxed);
         }
     });
-    let mut took = vec![];
-    while !over.load(Ordering::Relaxed) || took.len() < 20 {
+    let mut durations = vec![];
+    while !stop.load(Ordering::Relaxed) || durations.len() < 20 {
         let since = Instant::now();
         let answer = request(endpoint, b"GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n");
-        took.push(since.elapsed());
+        durations.push(since.elapsed());
         assert_eq!(parts(&answer, true).0, 200);
     }
-    crowd.join().unwrap();
-    took.sort();
-    let (calls, most, slowest) = (took.len(), took[took.len() * 9 / 10], took[took.len() - 1]);
+    silent_clients.join().unwrap();
+    durations.sort();
+    let (count, p90, slowest) = (
+        durations.len(),
+        durations[durations.len() * 9 / 10],
+        durations[durations.len() - 1],
+    );
     println!(
-        "{calls} good calls between 2,000 silent ones, nine of ten within {most:?}, all within {slowest:?}"
+        "{count} requests beside 2,000 silent clients, nine of ten within {p90:?}, all within {slowest:?}"
     );
-    assert!(most < Duration::from_secs(1), "{most:?}");
+    assert!(p90 < Duration::from_secs(1), "{p90:?}");
     assert!(
         slowest < Duration::from_secs(4),
-        "none waited until a silent one was sent away: {slowest:?}"
+        "a request waited for the timeout of a silent client: {slowest:?}"
     );
 }
