--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,28 +1,28 @@
-//! What can be wrong with settings. The texts are shown to operators; each names the key.
+//! Errors in settings. The texts are shown to operators; each names the key at fault.
 
 use std::error::Error;
 use std::fmt;
 
 use crate::names::UnusableName;
 
-/// Settings that cannot be used.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
     /// A line of the settings text is not of the form `key=value`.
     NotAKeyValueLine(String),
-    /// The settings are not a JSON object; the value as JSON.
+    /// The settings are not a JSON object but this value, as JSON.
     NotAnObject(String),
-    /// A key is at fault.
+    /// A key is missing or its value is invalid.
     Key {
         /// The key with its path.
         key: String,
-        /// What is wrong with it.
+        /// Why the key is at fault.
         problem: KeyProblem,
     },
 }
 
 impl SettingsError {
-    /// A key at fault.
+    /// An error of a key.
     pub(crate) fn key(key: impl Into<String>, problem: KeyProblem) -> Self {
         Self::Key {
             key: key.into(),
@@ -50,67 +50,67 @@
     }
 }
 
-/// What is wrong with a key.
+/// Why a key is at fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyProblem {
-    /// It is missing.
+    /// The key is missing.
     Missing,
-    /// It is not a number within its bounds.
+    /// The value is not a number within the bounds.
     NotANumberWithin {
         /// The value as given.
         value: String,
-        /// The lower bound, included.
+        /// The lower bound, inclusive.
         min: f64,
-        /// The upper bound, included.
+        /// The upper bound, inclusive.
         max: f64,
     },
-    /// It is not a whole number.
+    /// The value is not a whole number.
     NotWhole(f64),
-    /// It is none of its choices.
+    /// The value is not one of the choices.
     NotAChoice {
         /// The value as given.
         value: String,
-        /// The choices.
+        /// All valid values.
         choices: Vec<String>,
     },
-    /// It is a list with too few items.
+    /// The list has no item at this index.
     MissingItem(usize),
-    /// It is not a list of tenants.
+    /// The value, as given, is not a list of tenants.
     NotAListOfTenants(String),
-    /// It is not a list of names; the value as JSON.
+    /// The value, as JSON, is not a list of names.
     NotAListOfNames(String),
-    /// It is not a text; the value as JSON.
+    /// The value, as JSON, is not a text.
     NotAText(String),
-    /// It holds a text that cannot name a value of a load report.
+    /// The list contains a text that cannot be the name of a load report value.
     NotAValueName(String),
-    /// It is a name that no request can hold.
+    /// The name cannot occur in a request comment.
     Unusable(UnusableName),
-    /// It is a name that another key has.
+    /// Another key has the same name as its value.
     DuplicateOf {
-        /// The name.
+        /// The name that both keys have.
         name: String,
-        /// The other key.
+        /// The other key, with its path.
         other: String,
     },
-    /// It holds a name twice.
+    /// The list contains this name twice.
     RepeatedName(String),
-    /// It holds more names than there are numbers for them.
+    /// The list contains this many names, more than an 8-bit number can identify.
     TooManyNames(usize),
-    /// It has another number of names than of items.
+    /// The number of names is not the number of items.
     NameCount {
-        /// Names.
+        /// Number of names.
         names: usize,
-        /// Items.
+        /// Number of items.
         items: usize,
     },
-    /// It is the index of a zone that the list of zones does not have.
+    /// The list of zones has no zone at this index.
     NoSuchZone {
-        /// The index.
+        /// Index of the zone, from 0.
         zone: usize,
-        /// Zones on the list.
+        /// Number of zones on the list.
         zones: usize,
     },
-    /// It is a name that metrics cannot hold.
+    /// The name cannot occur in metrics.
     UnusableInMetrics(String),
 }
 
@@ -136,11 +136,14 @@
             Self::TooManyNames(count) => write!(f, "holds {count} names, more than 254"),
             Self::NameCount { names, items } => write!(f, "has {names} names for {items} items"),
             Self::NoSuchZone { zone, zones } => {
-                write!(f, "is {zone}, and areas has {zones} names, from 0 on")
+                write!(
+                    f,
+                    "is {zone}, but areas has only {zones} names, counted from 0"
+                )
             }
             Self::UnusableInMetrics(name) => write!(
                 f,
-                "is {name:?}: with figures for operators it must hold neither ':' nor '|'"
+                "is {name:?}: where metrics are served, it must contain neither ':' nor '|'"
             ),
         }
     }
--- a/crates/config/src/flatten.rs
+++ b/crates/config/src/flatten.rs
@@ -1,10 +1,10 @@
-//! Nested JSON to settings text: lines of the form `path=value`, as the simulator's first message
-//! has them.
+//! Converts nested JSON to settings text: lines of the form `path=value`, as in the first message
+//! of the simulator.
 //!
-//! A list of plain values is joined with commas; a list of objects gets its length under `.count`.
-//! Spaces and commas in values become `_`, as do line breaks, and `=` in keys, so that no value can
-//! write another key. A list of one value, where no list belongs, keeps its brackets, so that it is
-//! not taken for the value.
+//! A list of plain values becomes one line, joined with commas. A list of objects becomes one line
+//! for each value, and its length under `.count`. Spaces, commas and line breaks in values and `=`
+//! and line breaks in keys become `_`, so that no key or value can set another key. A list of one
+//! value in a place that takes no list keeps its brackets, so that it is not taken for the value.
 
 use serde_json::Value;
 
@@ -18,7 +18,7 @@
     "family-info.staleness-bound-ms",
 ];
 
-/// The settings text of a JSON value.
+/// Converts a JSON value to settings text.
 #[must_use]
 pub fn flatten(value: &Value) -> String {
     let mut out = String::new();
@@ -37,7 +37,8 @@
     }
 }
 
-/// The path of a key, which may neither begin a line nor end itself.
+/// The path of a key. `=` and line breaks in the key are replaced, so that it can neither end early
+/// nor start another line.
 fn child(path: &str, key: &str) -> String {
     let key = key.replace(['=', '\n', '\r'], "_");
     if path.is_empty() {
@@ -67,7 +68,7 @@
         }
         return;
     };
-    // An empty list may be one of objects, whose length is read.
+    // An empty list may be a list of objects, for which the parser reads the length.
     if values.is_empty() {
         append_line(out, &child(path, "count"), "0");
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,23 +1,23 @@
-//! The one place where configuration is read, checked and given defaults. Errors name the key at
-//! fault.
+//! Reads and checks the configuration and fills in defaults; no other package does so. Errors name
+//! the key at fault.
 //!
 //! There are two sources: the platform's JSON with the settings of one deployment, and the
-//! operators' TOML file with any number of fronts. Both end in the decision module's settings,
-//! through the same parser. Keys that operators type keep their names; [`settings`] maps them to
-//! the terms of the code, and no other package knows them.
+//! operators' TOML file with any number of fronts. The same parser turns both into the settings of
+//! the decision module. The keys that operators write are a stable interface; [`settings`] maps
+//! them to the terms of the code, and no other package uses them.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
-//! | [`settings`] | settings text to the decision module's settings |
-//! | [`error`] | what can be wrong with settings |
+//! | [`settings`] | parses settings text into the decision module's settings |
+//! | [`error`] | errors in settings |
 //! | [`names`] | names of classes, tenants, zones and machine kinds |
 //! | [`site`] | the settings and names of one deployment |
-//! | [`mod@flatten`] | nested JSON to settings text |
+//! | [`mod@flatten`] | converts nested JSON to settings text |
 //! | [`platform`] | the platform's JSON |
-//! | [`reader`] | reads TOML key by key and keeps every fault with its line |
+//! | [`reader`] | reads TOML key by key and collects all faults with their lines |
 //! | [`operators`] | the operators' file |
-//! | [`peers`] | its section `[peers]` |
-//! | [`snmp`] | its section `[snmp]` |
+//! | [`peers`] | section `[peers]` of the operators' file |
+//! | [`snmp`] | section `[snmp]` of the operators' file |
 
 #![forbid(unsafe_code)]
 
--- a/crates/config/src/names.rs
+++ b/crates/config/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that clients and discovery use: of classes, tenants, zones and machine kinds.
+//! Names that clients and discovery use, for classes, tenants, zones and machine kinds.
 
 use std::error::Error;
 use std::fmt;
@@ -8,8 +8,9 @@
 
 use crate::error::{KeyProblem, SettingsError};
 
-/// The number of an endpoint from its name, the same at every gateway and whatever else the list
-/// holds: the eight hexadecimal digits that the name ends in, or else its FNV-1a hash.
+/// The id of an endpoint, derived from its name alone, so that it is the same at every gateway and
+/// does not depend on the rest of the endpoint list. A name whose last part (parts are separated by
+/// `-`) is eight hexadecimal digits has these digits as its id, any other name its FNV-1a hash.
 #[must_use]
 pub fn endpoint_id(name: &str) -> EndpointId {
     const FNV_OFFSET_BASIS: u32 = 2_166_136_261;
@@ -25,7 +26,7 @@
     EndpointId(hash)
 }
 
-/// A name that no request's comment can hold.
+/// A name that cannot occur in a request comment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnusableName(pub String);
 
@@ -33,7 +34,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "is {:?}, which no request can say: empty, with a space around it, or with ',', '*/' or a control character",
+            "is {:?}, which cannot occur in a request comment: empty, with a space around it, or with ',', '*/' or a control character",
             self.0
         )
     }
@@ -41,11 +42,11 @@
 
 impl Error for UnusableName {}
 
-/// Checks that a request's comment can hold a name: a comma ends a name there, `*/` ends the
+/// Checks that a name can occur in a request comment, where a comma ends a name, `*/` ends the
 /// comment, and space around a name is ignored.
 ///
 /// # Errors
-/// The name, if it cannot.
+/// The name, if it cannot occur there.
 pub fn validate_request_name(name: &str) -> Result<(), UnusableName> {
     let trimmed = name.trim() == name;
     let ends_comment = name.contains(',') || name.contains("*/");
@@ -56,12 +57,12 @@
     Ok(())
 }
 
-/// Whether metrics can hold a name: it ends at `:` there, and a value at `|`.
+/// Whether a name can occur in metrics, where `:` ends a name and `|` ends a value.
 pub(crate) fn fits_metrics(name: &str) -> bool {
     !name.contains([':', '|'])
 }
 
-/// The names of a deployment, each list in the settings' order.
+/// The names of a deployment; each list is in the order of the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Request classes.
@@ -75,10 +76,10 @@
 }
 
 impl Names {
-    /// Reads names from the settings as JSON: settings text does not keep them as they are.
+    /// Reads names from the settings as JSON, since settings text does not keep them unchanged.
     ///
     /// # Errors
-    /// The key of a name that is missing, no text, used twice, or unusable in a request.
+    /// The key of a name that is missing, not a text, used twice, or cannot occur in a request.
     pub(crate) fn read(settings: &Value) -> Result<Self, SettingsError> {
         Ok(Self {
             classes: item_names(settings, "classes")?,
@@ -89,7 +90,8 @@
     }
 }
 
-/// The names of a list of objects. All must have one: the settings' order numbers them.
+/// The names of a list of objects. Each object must have a name; the order of the list numbers
+/// them.
 fn item_names(settings: &Value, list: &str) -> Result<Vec<String>, SettingsError> {
     let items = settings
         .get(list)
@@ -120,8 +122,8 @@
     Ok(name.clone())
 }
 
-/// A list of names that only discovery uses; it may be missing. Numbers are of 8 bits, and the last
-/// stands for names that are not listed.
+/// A list of names that only discovery uses; it may be missing. The names have 8-bit numbers, the
+/// last of which is reserved for names that are not listed.
 fn listed_names(settings: &Value, list: &str) -> Result<Vec<String>, SettingsError> {
     let value = settings.get(list).unwrap_or(&Value::Null);
     if value.is_null() {
--- a/crates/config/src/operators/contracts.rs
+++ b/crates/config/src/operators/contracts.rs
@@ -1,5 +1,6 @@
-//! Contracts: the request classes of a front, the list `[[front.contract]]`. A Cassandra front
-//! knows a request's contract by how its statement begins; a PostgreSQL front's requests name it.
+//! Contracts: the request classes of a front, in the list `[[front.contract]]`. On a Cassandra
+//! front the beginning of a statement determines its contract; on a PostgreSQL front the request
+//! names it.
 
 use super::Protocol;
 use super::endpoints::read_group;
@@ -8,35 +9,35 @@
 use crate::reader::Section;
 use crate::settings::MIN_DEADLINE_MS;
 
-/// A day in milliseconds: longer than any client waits.
+/// A day in milliseconds, which is longer than any client waits.
 pub(super) const DAY_MS: f64 = 86_400_000.0;
 const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 /// Default deadline of the built-in contracts, in milliseconds.
 const BUILT_IN_DEADLINE_MS: f64 = 5000.0;
-/// Part of the deadline that is the latency objective of the built-in contracts.
+/// Latency objective of the built-in contracts, as a share of the deadline.
 const BUILT_IN_OBJECTIVE: f64 = 0.25;
 
-/// The class, tenant and group of a kind of statement.
+/// The class, tenant and group of the statements that a contract covers.
 #[derive(Clone, Debug)]
 pub struct Contract {
-    /// The request class, in the settings' order.
+    /// Index of the request class, in the order of the settings.
     pub class: usize,
-    /// The tenant, in the settings' order, if it has one.
+    /// Index of the tenant, in the order of the settings; `None` without a budget.
     pub tenant: Option<usize>,
-    /// The endpoint group that holds the data.
+    /// Number of the endpoint group that holds the data.
     pub group: u16,
-    /// How its statements begin, normalized by [`normalize`].
+    /// Prefixes of the contract's statements, normalized by [`normalize`].
     prefixes: Vec<String>,
 }
 
-/// The contracts of a front. A Cassandra front has two more than the file: for unknown statements
-/// and for PREPARE.
+/// The contracts of a front. A Cassandra front has two contracts in addition to those of the file:
+/// for unknown statements and for PREPARE.
 #[derive(Clone, Debug)]
 pub struct Contracts(Vec<Contract>);
 
 impl Contracts {
-    /// The contract of a statement: the first of the file with a prefix of it, or else the one for
-    /// unknown statements.
+    /// The contract of a statement: the first in the file with a matching prefix, or else the
+    /// contract for unknown statements.
     #[must_use]
     pub fn for_statement(&self, statement: &str) -> &Contract {
         let prefixes = self.0.iter().flat_map(|contract| &contract.prefixes);
@@ -51,20 +52,20 @@
         self.for_unknown()
     }
 
-    /// The contract of unknown statements: writes that must not be repeated.
+    /// The contract of unknown statements, which are treated as writes that must not be repeated.
     #[must_use]
     pub fn for_unknown(&self) -> &Contract {
         &self.0[self.0.len() - 2]
     }
 
-    /// The contract of PREPARE, which has no effect and which any endpoint can serve.
+    /// The contract of PREPARE, which changes no data and which any endpoint can serve.
     #[must_use]
     pub fn for_prepare(&self) -> &Contract {
         &self.0[self.0.len() - 1]
     }
 }
 
-/// Whether a statement begins with a prefix that does not end within a word of it.
+/// Whether a statement begins with a prefix, and the prefix does not end in the middle of a word.
 fn has_statement_prefix(statement: &str, prefix: &str) -> bool {
     let is_word = |c: char| c.is_alphanumeric() || c == '_';
     let Some(rest) = statement.strip_prefix(prefix) else {
@@ -73,8 +74,8 @@
     !(prefix.ends_with(is_word) && rest.starts_with(is_word))
 }
 
-/// A statement for comparing: in lower case, with one space between words and no semicolon at the
-/// end. It is cut once it is longer than `max_bytes`.
+/// Normalizes a statement for comparison: lower case, one space between words, no semicolon at the
+/// end. The result is truncated once it is longer than `max_bytes`.
 fn normalize(statement: &str, max_bytes: usize) -> String {
     let mut text = String::with_capacity(max_bytes.min(statement.len()) + 8);
     for word in statement.trim().trim_end_matches(';').split_whitespace() {
@@ -91,10 +92,10 @@
     text
 }
 
-/// A contract as the file has it, with the values that settings text has.
+/// A contract as read from the file, with the values that settings text takes.
 pub(super) struct ContractSection {
     pub(super) name: String,
-    /// The name of its budget.
+    /// Name of the budget; `None` if the contract has none.
     budget: Option<String>,
     group: u16,
     statements: Vec<String>,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// A contract of a Cassandra front that the file does not list; `deadline_key` of the front
-    /// sets its deadline.
+    /// A contract of a Cassandra front that the file does not list. The key `deadline_key` of the
+    /// front sets the deadline.
     fn built_in(
         front: &Section<'_>,
         name: &str,
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Checks keys against each other, against the budgets, and against the groups that have an
-    /// endpoint.
+    /// Checks keys against each other, against the budgets, and against the groups that have
+    /// endpoints.
     fn check(
         &self,
         section: &Section<'_>,
@@ -222,7 +223,7 @@
     }
 }
 
-/// The values of `need`, with those of `family-info.needs-by-class`.
+/// The values of the key `need`, with the corresponding values of `family-info.needs-by-class`.
 const fn consistency_levels(protocol: Protocol) -> &'static [(&'static str, &'static str)] {
     match protocol {
         Protocol::Cassandra => &[("any", "eventual"), ("write", "mutate")],
@@ -236,14 +237,14 @@
     }
 }
 
-/// Whether metrics are served, which cannot hold every name.
+/// Whether metrics are served, which restricts the names of contracts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Metrics {
     Served,
     NotServed,
 }
 
-/// Reads `[[front.contract]]`.
+/// Reads the list `[[front.contract]]`.
 pub(super) fn read_contracts(
     front: &Section<'_>,
     protocol: Protocol,
@@ -285,21 +286,21 @@
     contracts
 }
 
-/// Reports the first budget whose name no request can hold.
+/// Reports the first budget whose name cannot occur in a request comment.
 fn check_budget_names(front: &Section<'_>, budgets: &[Budget]) {
     for budget in budgets {
         if let Err(unusable) = validate_request_name(&budget.name) {
             front.fault(
                 "protocol",
-                format!("is postgresql, where requests say a budget's name, and one {unusable}"),
+                format!("is postgresql, where requests name their budget, but a budget's name {unusable}"),
             );
             return;
         }
     }
 }
 
-/// The contracts that a Cassandra front has beside those of the file, in the order that
-/// [`Contracts`] needs.
+/// The contracts that a Cassandra front has in addition to those of the file, in the order that
+/// [`Contracts`] requires.
 pub(super) fn built_in_contracts(
     front: &Section<'_>,
     groups: Option<&[u16]>,
--- a/crates/config/src/operators/endpoints.rs
+++ b/crates/config/src/operators/endpoints.rs
@@ -1,4 +1,4 @@
-//! Where a front's endpoints are known from: `discovery`, or the list `[[front.member]]`.
+//! The source of a front's endpoint list: `discovery`, or the list `[[front.member]]`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,18 +10,18 @@
 
 const MAX_WEIGHT: f64 = 1e6;
 
-/// `[[front.member]]`.
+/// An entry of the list `[[front.member]]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StaticEndpoint {
-    /// Its name.
+    /// `name`: the name of the endpoint.
     pub name: Arc<str>,
-    /// Its record, as an endpoint list would have it.
+    /// The record of the endpoint, as in an endpoint list from discovery.
     pub record: EndpointRecord,
-    /// Where it listens.
+    /// `address`: the address on which the endpoint listens.
     pub address: SocketAddr,
 }
 
-/// Where a front's endpoints are known from.
+/// The source of a front's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointSource {
     /// The file lists them.
@@ -34,8 +34,11 @@
     pub(super) fn read(front: &Section<'_>) -> Self {
         if front.has("discovery") {
             if front.has("member") {
-                front.fault("member", "is given beside discovery: one of them must go");
-                // Reports the faults of the endpoints too.
+                front.fault(
+                    "member",
+                    "is given in addition to discovery: remove one of them",
+                );
+                // Reads the endpoints to report their faults too.
                 for section in front.list("member") {
                     let _ = read_endpoint(&section);
                 }
@@ -51,7 +54,7 @@
                 section.fault(
                     "name",
                     format!(
-                        "is {:?}, which cannot be told from another's",
+                        "is {:?}, which gives the same id as another member's name",
                         endpoint.name
                     ),
                 );
@@ -66,7 +69,7 @@
         Self::Static(endpoints)
     }
 
-    /// The groups that have an endpoint; `None` if only discovery knows them.
+    /// The groups that have endpoints; `None` if the endpoint list comes from discovery.
     pub(super) fn groups(&self) -> Option<Vec<u16>> {
         match self {
             Self::Static(endpoints) => Some(endpoints.iter().map(|e| e.record.group.0).collect()),
@@ -82,7 +85,8 @@
         ("leaving", EndpointState::Draining),
     ];
     let record = EndpointRecord {
-        // From the name, so that it stays the same when other endpoints are removed from the file.
+        // The id is derived from the name, so that it does not change when other endpoints are
+        // removed from the file.
         endpoint: endpoint_id(&name),
         group: GroupId(read_group(section)),
         zone: ZoneId(0),
--- a/crates/config/src/operators/front_settings.rs
+++ b/crates/config/src/operators/front_settings.rs
@@ -1,5 +1,5 @@
-//! A front's part of the operators' file as settings text, which goes through the same parser as
-//! the platform's.
+//! Converts the sections of a front to settings text, which the parser of the platform's settings
+//! reads.
 
 use std::fmt::{Display, Write};
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The settings text of a front. Reads its sections `limits`, `rules` and `database`.
+/// The settings text of a front. Reads the front's sections `limits`, `rules` and `database`.
 pub(super) fn settings_text(
     front: &Section<'_>,
     protocol: Protocol,
@@ -125,7 +125,7 @@
     front.put("rules", rules.finish());
 }
 
-/// `[front.database]` of a PostgreSQL front.
+/// Adds `[front.database]` of a PostgreSQL front.
 fn put_database(text: &mut TextBuilder, front: &Section<'_>) {
     let database = front.section("database");
     let checks = database.choice(
@@ -164,8 +164,8 @@
     text.put("telemetry.source", reports);
 }
 
-/// What stands for `[front.database]` at other fronts: all endpoints are equal and send no load
-/// reports.
+/// Adds the values used instead of `[front.database]` for other fronts, where all endpoints are
+/// equal and send no load reports.
 fn put_no_database(text: &mut TextBuilder) {
     text.put("family-info.role-listed", "static");
     text.put("family-info.server-checks", "off");
@@ -173,7 +173,7 @@
     text.put("telemetry.source", "off");
 }
 
-/// Settings that the operators' file does not have.
+/// Adds settings that have no key in the operators' file.
 fn put_constants(text: &mut TextBuilder) {
     text.put("rules.ask-within-ms", 10_000);
     text.put("over-share-worth", 0.2);
--- a/crates/config/src/operators/fronts.rs
+++ b/crates/config/src/operators/fronts.rs
@@ -1,4 +1,4 @@
-//! `[[front]]`: where clients connect, with the endpoints, contracts and settings behind it.
+//! `[[front]]`: an address on which clients connect, with its endpoints, contracts and settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,35 +12,36 @@
 use crate::reader::Section;
 use crate::site::Site;
 
-/// `[[front]]`.
+/// An entry of the list `[[front]]`.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
-    /// Its name.
+    /// `name`: the name of the front; default the name of its protocol.
     pub name: Arc<str>,
-    /// The protocol of its clients and endpoints.
+    /// `protocol`: the protocol of the front's clients and endpoints.
     pub protocol: Protocol,
-    /// Where its clients connect.
+    /// `listen`: the address on which clients connect.
     pub listen: SocketAddr,
-    /// Most descriptors, 64 to 1,048,576; default that of `[gateway]`.
+    /// `sockets`: limit on descriptors, 64 to 1,048,576; default the value of `[gateway]`.
     pub sockets: usize,
-    /// Most memory, in megabytes, 16 to 1,048,576; default that of `[gateway]`.
+    /// `memory-mb`: limit on memory, in megabytes, 16 to 1,048,576; default the value of
+    /// `[gateway]`.
     pub memory_mb: usize,
-    /// Where its endpoints are known from.
+    /// The source of the front's endpoint list.
     pub endpoints: EndpointSource,
-    /// Settings and names.
+    /// Settings and names of the front.
     pub site: Site,
-    /// The contracts of its statements.
+    /// The contracts of the front's statements.
     pub contracts: Contracts,
 }
 
-/// What all fronts of a file share.
+/// Settings that all fronts of a file share.
 pub(super) struct SharedSettings<'a> {
     pub(super) gateway: &'a GatewaySection,
     pub(super) budgets: &'a [Budget],
     pub(super) metrics: Metrics,
 }
 
-/// Reads a front; `None` if it has faults that leave it without settings.
+/// Reads a front; `None` if its settings cannot be built because of faults or a lack of contracts.
 pub(super) fn read_front(
     section: &Section<'_>,
     shared: &SharedSettings<'_>,
--- a/crates/config/src/operators/mod.rs
+++ b/crates/config/src/operators/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' file: all fronts of a gateway, their endpoints, contracts and budgets, and what
-//! monitors them.
+//! The operators' file: all fronts of a gateway with their endpoints, contracts and budgets, and
+//! the settings of its monitoring.
 //!
-//! Input: TOML. Output: [`OperatorConfig`], or every fault with its key and line. A front's part is
-//! turned into settings text and goes through the same parser as the platform's settings.
+//! Input: TOML. Output: [`OperatorConfig`], or all faults with their keys and lines. The sections
+//! of a front are converted to settings text, which the parser of the platform's settings reads.
 //!
 //! | module | sections of the file |
 //! | --- | --- |
@@ -38,7 +38,7 @@
 use crate::reader::{ConfigError, Section, Source};
 use crate::snmp::{EngineBoots, SnmpSettings};
 
-/// The protocol of a front.
+/// The protocol of a front's clients and endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// PostgreSQL's protocol, version 3, in the platform's form.
@@ -53,7 +53,7 @@
         ("cassandra", Self::Cassandra),
     ];
 
-    /// Its name in the file.
+    /// The name of the protocol in the file.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -63,37 +63,37 @@
     }
 }
 
-/// The operators' file.
+/// The content of the operators' file.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
-    /// The gateway's name.
+    /// `gateway.name`: the name of the gateway.
     pub name: Arc<str>,
-    /// `[log]`.
+    /// `[log]`: level and format of the log.
     pub log: LogSettings,
-    /// `[state]`; without it nothing outlives the process.
+    /// `[state]`: the state directory; without it no state survives a restart.
     pub state: Option<StateSettings>,
-    /// `[peers]`; without it this gateway knows of no other.
+    /// `[peers]`: the other gateways; without it the gateway does not contact any.
     pub peers: Option<PeerSettings>,
     /// `gateway.routers`: gateways that share the endpoints, 1 to 100,000, default 1.
     pub gateways: u32,
-    /// `mgmt.listen`: where operators reach health and metrics; without it nowhere.
+    /// `mgmt.listen`: the address of the management endpoint; without it there is none.
     pub management: Option<SocketAddr>,
-    /// `[door]`: admission control; without it requests reach the decision module as they come.
+    /// `[door]`: admission control; without it requests go to the decision module directly.
     pub admission: Option<AdmissionSettings>,
-    /// The tenants' quotas as shares of the capacity, in the settings' order.
+    /// The tenants' quotas as shares of the capacity, in the order of the settings.
     pub quota_shares: Vec<f64>,
-    /// The fronts, in the file's order.
+    /// All fronts, in the order of the file.
     pub fronts: Vec<FrontSettings>,
-    /// `[snmp]`; without it there is no agent.
+    /// `[snmp]`: the SNMP agent; without it there is no agent.
     pub snmp: Option<SnmpSettings>,
 }
 
-/// A file that cannot be used.
+/// The faults of an operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors {
-    /// The file's path.
+    /// Path of the file.
     pub file: String,
-    /// All its faults, by line.
+    /// All faults, ordered by line.
     pub list: Vec<ConfigError>,
 }
 
@@ -111,16 +111,16 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Every fault, with its key and line.
+    /// All faults, with their keys and lines.
     pub fn load(path: &Path) -> Result<Self, ConfigErrors> {
         let (config, _) = Self::load_with_defaults(path)?;
         Ok(config)
     }
 
-    /// Reads and checks a file; also returns its text with every default filled in.
+    /// Reads and checks a file; also returns the file's text with all defaults filled in.
     ///
     /// # Errors
-    /// Every fault, with its key and line.
+    /// All faults, with their keys and lines.
     pub fn load_with_defaults(path: &Path) -> Result<(Self, String), ConfigErrors> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -137,10 +137,10 @@
         }
     }
 
-    /// Reads and checks a text; also returns it with every default filled in.
+    /// Reads and checks a text; also returns the text with all defaults filled in.
     ///
     /// # Errors
-    /// Every fault, with its key and line.
+    /// All faults, with their keys and lines.
     pub fn parse(text: String) -> Result<(Self, String), Vec<ConfigError>> {
         let source = Source::new(text);
         let Some(document) = source.document() else {
@@ -203,7 +203,8 @@
     }
 }
 
-/// `[mgmt]`: the address of health and metrics.
+/// `[mgmt]`: the management endpoint. The section stays open until the fronts are read, since their
+/// addresses are checked against it.
 struct ManagementSection<'a> {
     section: Section<'a>,
     listen: SocketAddr,
@@ -246,7 +247,8 @@
     fronts
 }
 
-/// Reports names and addresses of a front that another front or the management address has too.
+/// Reports the name or address of a front that another front has too, and an address that the
+/// management endpoint has too.
 fn check_unique(
     section: &Section<'_>,
     front: &FrontSettings,
--- a/crates/config/src/operators/sections.rs
+++ b/crates/config/src/operators/sections.rs
@@ -15,14 +15,14 @@
 const HOUR_MS: i64 = 3_600_000;
 const BYTES_PER_KB: u64 = 1024;
 
-/// `[gateway]`.
+/// The section `[gateway]`.
 pub(super) struct GatewaySection {
     pub(super) name: Arc<str>,
-    /// Gateways that share the endpoints.
+    /// `routers`: number of gateways that share the endpoints.
     pub(super) gateways: u32,
-    /// Most descriptors of a front that does not say its own.
+    /// `sockets`: limit on descriptors of a front without a limit of its own.
     pub(super) sockets: usize,
-    /// Most memory of a front that does not say its own, in megabytes.
+    /// `memory-mb`: limit on memory of a front without a limit of its own, in megabytes.
     pub(super) memory_mb: usize,
 }
 
@@ -45,24 +45,24 @@
 /// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogLevel {
-    /// Faults that need an operator.
+    /// Faults that require an operator's action.
     Error,
-    /// Faults that may need an operator.
+    /// Faults that may require an operator's action.
     Warn,
-    /// Events.
+    /// Normal events, such as starts and changes of state.
     Info,
-    /// What is done about each request.
+    /// The handling of each request.
     Debug,
 }
 
-/// `[log]`.
+/// The section `[log]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSettings {
     /// `level`: the least severe level that is logged; default info.
     pub level: LogLevel,
-    /// `format`: JSON lines instead of text; default text.
+    /// `format`: whether lines are JSON instead of text; default text.
     pub json: bool,
-    /// `lines-per-s`: most lines in a second, 1 to 1,000,000, default 50.
+    /// `lines-per-s`: maximum number of lines per second, 1 to 1,000,000, default 50.
     pub lines_per_s: u32,
 }
 
@@ -97,25 +97,26 @@
     }
 }
 
-/// `[state]`: the request log and the counters that outlive the process.
+/// `[state]`: the request log and the counters that survive a restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateSettings {
     /// `dir`: the state directory.
     pub dir: PathBuf,
-    /// `sync-ms`: how often records are made durable, in milliseconds, 1 to 10,000, default 200.
+    /// `sync-ms`: interval at which records are made durable, in milliseconds, 1 to 10,000, default
+    /// 200.
     pub sync_ms: u64,
-    /// `checkpoint-ms`: how often a checkpoint is written, in milliseconds, 1 to 3,600,000, default
-    /// 10,000.
+    /// `checkpoint-ms`: interval at which a checkpoint is written, in milliseconds, 1 to 3,600,000,
+    /// default 10,000.
     pub checkpoint_ms: u64,
-    /// `segment-kb`: size from which a segment of the request log is followed by the next, in
-    /// bytes; 4 to 4,194,304 KB, default 65,536 KB.
+    /// `segment-kb`: size at which a new segment of the request log is started, here in bytes; 4 to
+    /// 4,194,304 KB, default 65,536 KB.
     pub segment_bytes: u64,
-    /// `segments`: segments that are kept, 2 to 10,000, default 8.
+    /// `segments`: number of segments to keep, 2 to 10,000, default 8.
     pub segments: usize,
-    /// `queue`: records that may wait to be written, 16 to 1,048,576, default 16,384.
+    /// `queue`: maximum number of records that wait to be written, 16 to 1,048,576, default 16,384.
     pub max_queued: usize,
-    /// `snapshot-ms`: how often the snapshot for the next start is written, in milliseconds, 1 to
-    /// 3,600,000, default 1,000.
+    /// `snapshot-ms`: interval at which the snapshot for the next start is written, in
+    /// milliseconds, 1 to 3,600,000, default 1,000.
     pub snapshot_ms: u64,
 }
 
@@ -149,12 +150,13 @@
 /// `[door]`: admission control, fair queues in front of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// `most`: requests of each front that may wait, 1 to 1,000,000, default 10,000.
+    /// `most`: maximum number of waiting requests of each front, 1 to 1,000,000, default 10,000.
     pub max_waiting: usize,
-    /// `buckets`: buckets that the clients of a tenant are hashed into, 1 to 65,536, default 4,096.
+    /// `buckets`: number of buckets into which the clients of a tenant are hashed, 1 to 65,536,
+    /// default 4,096.
     pub client_buckets: u32,
-    /// `lanes`: endpoint groups that may have waiting requests at once, for writes and for reads
-    /// each, 1 to 100,000, default 64.
+    /// `lanes`: maximum number of endpoint groups with waiting requests, separately for writes and
+    /// for reads, 1 to 100,000, default 64.
     pub max_active_groups: usize,
 }
 
@@ -174,11 +176,11 @@
 
 /// `[[budget]]`: the quota of a tenant.
 pub(super) struct Budget {
-    /// The tenant's name.
+    /// `name`: the name of the tenant.
     pub(super) name: String,
-    /// `share` of the capacity, above 0 to 1.
+    /// `share`: share of the capacity, above 0 to 1.
     pub(super) share: f64,
-    /// `allowance-per-s`: requests in a second over all gateways, above 0 to 1e9.
+    /// `allowance-per-s`: requests per second over all gateways, above 0 to 1e9.
     pub(super) allowance_per_s: f64,
 }
 
--- a/crates/config/src/peers.rs
+++ b/crates/config/src/peers.rs
@@ -1,4 +1,4 @@
-//! `[peers]`: the other gateways of the fleet, and how they are reached.
+//! `[peers]`: the other gateways of the fleet and how to reach them.
 
 use std::net::SocketAddr;
 
@@ -10,27 +10,28 @@
 const MINUTE_MS: i64 = 60_000;
 const DAY_MS: i64 = 86_400_000;
 
-/// `[peers]`.
+/// The section `[peers]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
     /// `listen`: where datagrams are received; an address of this machine with a port.
     pub listen: SocketAddr,
-    /// `advertise`: the address that the others send to; default that of `listen`.
+    /// `advertise`: the address that other gateways send to; default the value of `listen`.
     pub advertise: SocketAddr,
     /// `fleet`: the fleet's name; datagrams of another fleet are dropped.
     pub fleet: String,
     /// `seeds`: gateways that are contacted first; default none.
     pub seeds: Vec<SocketAddr>,
-    /// `from`: networks that gateways may be in; nothing is received from or sent to other
-    /// addresses but the seeds.
+    /// `from`: networks that gateways may be in; datagrams are exchanged only with addresses in
+    /// these networks and with the seeds.
     pub allowed_networks: Vec<IpNet>,
     /// `probe-ms`: time between two probes, in milliseconds, 50 to 60,000, default 500.
     pub probe_interval_ms: i64,
-    /// `most`: gateways that are known at most, 1 to 10,000, default 1,024.
+    /// `most`: maximum number of known gateways, 1 to 10,000, default 1,024.
     pub max_gateways: usize,
-    /// `bytes-per-s`: bytes sent in a second on average, 1,024 to 1,048,576, default 8,192.
+    /// `bytes-per-s`: limit on the bytes sent per second on average, 1,024 to 1,048,576, default
+    /// 8,192.
     pub bytes_per_s: u32,
-    /// `settle-ms`: how long the fleet must have been smaller before its size is lowered, in
+    /// `settle-ms`: time for which the fleet must have been smaller before its size is lowered, in
     /// milliseconds, 0 to 86,400,000, default 30,000.
     pub shrink_delay_ms: i64,
 }
@@ -51,7 +52,7 @@
         if allowed_networks.is_empty() && seeds.iter().all(|seed| *seed == advertise) {
             section.fault(
                 "seeds",
-                "names nobody else, and from allows nobody: there would be no peers",
+                "lists no other gateway, and from lists no network: there would be no peers",
             );
         }
         let bytes_per_s = section.integer("bytes-per-s", Some(8192), 1024..=1_048_576);
@@ -88,7 +89,7 @@
     } else {
         listen
     };
-    // A missing port of `listen` is reported there.
+    // `read_listen` reports a missing port of `listen`.
     let without_port = advertise.port() == 0 && given;
     if advertise.ip().is_unspecified() || without_port {
         section.fault(
@@ -110,7 +111,10 @@
             continue;
         };
         if seed.port() == 0 || seed.ip().is_unspecified() {
-            section.fault("seeds", format!("holds {seed}, which nobody can be at"));
+            section.fault(
+                "seeds",
+                format!("holds {seed}, not an address that a gateway can have"),
+            );
         } else if seed.is_ipv4() != listen.is_ipv4() {
             section.fault(
                 "seeds",
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's JSON: one front and its settings.
+//! The platform's JSON, which configures one front and its settings.
 
 use std::error::Error;
 use std::fmt;
@@ -10,42 +10,42 @@
 use crate::error::SettingsError;
 use crate::site::Site;
 
-/// Descriptors, where nothing says so.
+/// Default limit on descriptors.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Megabytes, where nothing says so.
+/// Default limit on memory, in megabytes.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Fewest descriptors.
+/// Lowest limit on descriptors.
 const MIN_SOCKETS: f64 = 64.0;
-/// Least memory, in megabytes.
+/// Lowest limit on memory, in megabytes.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// Most descriptors, and megabytes.
+/// Highest limit on descriptors, and on memory in megabytes.
 const MAX_LIMIT: f64 = 1_048_576.0;
 
 /// The platform's configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators reach health and metrics, if they may.
+    /// Address of the management endpoint; `None` if there is none.
     pub management: Option<SocketAddr>,
-    /// Seed of random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most descriptors: 64 to 1,048,576, default 1,024.
+    /// Limit on descriptors: 64 to 1,048,576, default 1,024.
     pub sockets: usize,
-    /// Most memory, in megabytes: 16 to 1,048,576, default 192.
+    /// Limit on memory, in megabytes: 16 to 1,048,576, default 192.
     pub memory_mb: usize,
-    /// The endpoint list as last cached, in discovery's form; null if there is none.
+    /// The cached endpoint list, in the form that discovery sends; null if there is none.
     pub cached_endpoints: Value,
-    /// Settings and names.
+    /// Settings and names of the deployment.
     pub site: Site,
 }
 
-/// Why the platform's configuration cannot be used. The texts are shown to operators; each names
-/// the key.
+/// Why the platform's configuration is invalid. The texts are shown to operators; each names the
+/// key at fault.
 #[derive(Debug)]
 pub enum PlatformConfigError {
     /// The text is not JSON.
@@ -65,7 +65,7 @@
         key: &'static str,
         /// The text.
         text: String,
-        /// What it should be.
+        /// Description of a valid text.
         expected: &'static str,
     },
     /// A limit is not a whole number within its bounds.
@@ -74,19 +74,19 @@
         key: &'static str,
         /// The value as JSON.
         value: String,
-        /// The lower bound, included.
+        /// The lower bound, inclusive.
         min: f64,
-        /// The upper bound, included.
+        /// The upper bound, inclusive.
         max: f64,
     },
-    /// The settings are at fault.
+    /// The settings are invalid.
     Settings(SettingsError),
 }
 
 impl fmt::Display for PlatformConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotJson(error) => write!(f, "config: no JSON: {error}"),
+            Self::NotJson(error) => write!(f, "config: not JSON: {error}"),
             Self::Missing(key) => write!(f, "config: {key} is missing"),
             Self::NotAText { key, value } => write!(f, "config: {key} is {value}, not a text"),
             Self::Unparsable {
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,6 +1,6 @@
-//! Reads a TOML document key by key. Every fault is kept with its key and line, so that one run
-//! reports all of them, and every value that was read or filled in is kept, so that the file can be
-//! printed with its defaults.
+//! Reads a TOML document key by key. All faults are collected with their keys and lines, so that
+//! one run reports all of them. All values, read or defaulted, are collected too, so that the file
+//! can be printed with its defaults.
 
 mod invalid_value;
 
@@ -15,14 +15,14 @@
 use strsim::levenshtein;
 use toml_edit::{Array, ArrayOfTables, Document, Item, Table, TableLike, Value};
 
-/// A fault in a file.
+/// A fault in the operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The line, from 1; 0 if the file cannot be read.
     pub line: usize,
     /// The key with its path; empty if the file as such is at fault.
     pub key: String,
-    /// What is wrong with it, to be read after the key.
+    /// Description of the fault, worded to follow the key.
     pub what: String,
 }
 
@@ -39,14 +39,14 @@
 
 impl Error for ConfigError {}
 
-/// The text that is read, and the faults found in it.
+/// The text of a file, and the faults found in it so far.
 pub struct Source {
     text: String,
     faults: RefCell<Vec<ConfigError>>,
 }
 
 impl Source {
-    /// A text without faults so far.
+    /// Creates a source without faults.
     #[must_use]
     pub const fn new(text: String) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The document. If the text is not TOML, that is a fault and there is none.
+    /// Parses the text as TOML. If it is not TOML, adds a fault and returns `None`.
     #[must_use]
     pub fn document(&self) -> Option<Document<&str>> {
         match Document::parse(self.text.as_str()) {
@@ -81,7 +81,7 @@
             .push(ConfigError { line, key, what });
     }
 
-    /// All faults, by line.
+    /// All faults, ordered by line.
     #[must_use]
     pub fn faults(&self) -> Vec<ConfigError> {
         let mut faults = self.faults.borrow().clone();
@@ -90,21 +90,21 @@
     }
 }
 
-/// A table of the document, or a missing one whose keys all have their defaults.
+/// A table of the document; in a missing table all keys have their defaults.
 pub struct Section<'a> {
     source: &'a Source,
     path: String,
     table: Option<&'a dyn TableLike>,
     /// Line of the table's header.
     line: usize,
-    /// Keys that were asked for: others are unknown.
+    /// Keys that were read; other keys in the table are reported as unknown.
     known_keys: RefCell<BTreeSet<String>>,
     /// The table with its defaults.
     completed: RefCell<Table>,
 }
 
 impl<'a> Section<'a> {
-    /// The document's root.
+    /// The root table of a document.
     #[must_use]
     pub fn root(source: &'a Source, document: &'a Document<&str>) -> Self {
         Self::new(source, String::new(), Some(document.as_table()), 1)
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A key with this section's path.
+    /// A key with the path of this section.
     fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -140,7 +140,7 @@
         self.table?.get(key).filter(|item| !item.is_none())
     }
 
-    /// The line of a span; without one, the section's.
+    /// The line of a span; the section's line without a span.
     fn line_at(&self, span: Option<Range<usize>>) -> usize {
         span.map_or(self.line, |span| self.source.line(span.start))
     }
@@ -161,14 +161,14 @@
         self.table.is_some_and(|table| table.get(key).is_some())
     }
 
-    /// Adds a fault of a key: on the key's line, or on the section's if it is missing.
+    /// Adds a fault of a key, on the key's line or, if the key is missing, on the section's line.
     pub fn fault(&self, key: &str, what: impl Into<String>) {
         self.source
             .add_fault(self.line_of(key), self.path_of(key), what.into());
     }
 
-    /// The value of a key, or its default. A missing key without a default is a fault, and so is a
-    /// value that cannot be used; `fallback` then stands in for it, so that reading goes on.
+    /// The value of a key, or its default. A missing key without a default is a fault, and so is an
+    /// invalid value; reading then continues with `fallback`.
     fn value<T: Clone>(
         &self,
         key: &str,
@@ -197,7 +197,7 @@
         value
     }
 
-    /// A text; an empty one stands in for an invalid value.
+    /// A text; after a fault, an empty text is returned.
     #[must_use]
     pub fn text(&self, key: &str, default: Option<&str>) -> String {
         self.value(
@@ -209,13 +209,14 @@
         )
     }
 
-    /// A text that may be missing.
+    /// A text; `None` if the key is missing.
     #[must_use]
     pub fn optional_text(&self, key: &str) -> Option<String> {
         self.has(key).then(|| self.text(key, None))
     }
 
-    /// A name: 1 to 32 printable ASCII characters without a space, since SNMP shows it as an index.
+    /// A name: 1 to 32 printable ASCII characters without a space, since SNMP uses it as an index.
+    /// After a fault, `?` is returned.
     #[must_use]
     pub fn name(&self, key: &str, default: Option<&str>) -> String {
         let read = |value: &Value| {
@@ -232,7 +233,7 @@
         })
     }
 
-    /// A whole number within bounds; the lower bound stands in for an invalid value.
+    /// A whole number within bounds; after a fault, the lower bound is returned.
     #[must_use]
     pub fn integer(&self, key: &str, default: Option<i64>, bounds: RangeInclusive<i64>) -> i64 {
         let read = |value: &Value| {
@@ -248,15 +249,15 @@
         self.value(key, default, *bounds.start(), read, |n| Value::from(*n))
     }
 
-    /// A whole number within bounds, as a size.
+    /// A whole number within bounds, as a `usize`; after a fault, the lower bound is returned.
     #[must_use]
     pub fn size(&self, key: &str, default: usize, bounds: RangeInclusive<i64>) -> usize {
         let default = i64::try_from(default).unwrap_or(i64::MAX);
         usize::try_from(self.integer(key, Some(default), bounds)).unwrap_or(0)
     }
 
-    /// A number within bounds; a whole number will do, and the lower bound stands in for an invalid
-    /// value.
+    /// A number within bounds, with or without a fraction; after a fault, the lower bound is
+    /// returned.
     #[must_use]
     pub fn number(&self, key: &str, default: Option<f64>, bounds: RangeInclusive<f64>) -> f64 {
         let read = |value: &Value| {
@@ -270,7 +271,7 @@
         self.value(key, default, *bounds.start(), read, |n| Value::from(*n))
     }
 
-    /// A number above 0, at most `max`; `max` stands in for an invalid value.
+    /// A number above 0 and at most `max`; after a fault, `max` is returned.
     #[must_use]
     pub fn above_zero(&self, key: &str, default: Option<f64>, max: f64) -> f64 {
         let read = |value: &Value| {
@@ -284,7 +285,7 @@
         self.value(key, default, max, read, |n| Value::from(*n))
     }
 
-    /// `true` or `false`.
+    /// A Boolean; after a fault, the default is returned.
     #[must_use]
     pub fn flag(&self, key: &str, default: bool) -> bool {
         let read = |value: &Value| {
@@ -295,7 +296,7 @@
         self.value(key, Some(default), default, read, |flag| Value::from(*flag))
     }
 
-    /// An address with a port, which must be there; 127.0.0.1:0 stands in for an invalid value.
+    /// A required address with a port; after a fault, 127.0.0.1:0 is returned.
     #[must_use]
     pub fn address(&self, key: &str) -> SocketAddr {
         let read = |value: &Value| {
@@ -311,7 +312,7 @@
         })
     }
 
-    /// One of some texts; the first stands in for an invalid value.
+    /// The value of one of the given texts; after a fault, the first value is returned.
     #[must_use]
     pub fn choice<T: Copy + PartialEq>(
         &self,
@@ -337,7 +338,7 @@
         self.value(key, default.and_then(by_name), choices[0].1, read, show)
     }
 
-    /// A list of texts; an empty one stands in for an invalid value.
+    /// A list of texts; after a fault, an empty list is returned.
     #[must_use]
     pub fn texts(&self, key: &str, default: Option<&[&str]>) -> Vec<String> {
         let read = |value: &Value| {
@@ -355,7 +356,7 @@
         self.value(key, default, vec![], read, show)
     }
 
-    /// A table within this one, which may be missing.
+    /// A table within this table, which may be missing.
     #[must_use]
     pub fn section(&self, key: &str) -> Section<'a> {
         let item = self.item(key);
@@ -366,7 +367,7 @@
         Section::new(self.source, self.path_of(key), table, self.line_of(key))
     }
 
-    /// A table within this one; `None` if the file does not have it.
+    /// A table within this table; `None` if the file does not have it.
     #[must_use]
     pub fn optional_section(&self, key: &str) -> Option<Section<'a>> {
         self.has(key).then(|| self.section(key))
@@ -396,7 +397,7 @@
                     sections.push(Section::new(self.source, path, table, line));
                 }
             }
-            _ => self.fault(key, "is no list of tables"),
+            _ => self.fault(key, "is not a list of tables"),
         }
         sections
     }
@@ -418,12 +419,12 @@
         self.completed.into_inner()
     }
 
-    /// Sets a table of the completed file.
+    /// Adds a table to the file with its defaults.
     pub fn put(&self, key: &str, table: Table) {
         self.completed.borrow_mut().insert(key, Item::Table(table));
     }
 
-    /// Sets a list of tables of the completed file, if it has any.
+    /// Adds a list of tables to the file with its defaults, unless the list is empty.
     pub fn put_list(&self, key: &str, tables: Vec<Table>) {
         if tables.is_empty() {
             return;
@@ -435,7 +436,7 @@
     }
 }
 
-/// The known key that an unknown one is probably a misspelling of.
+/// The known key that is most similar to an unknown one, if it is similar enough to suggest.
 fn similar_key<'k>(known: &'k BTreeSet<String>, key: &str) -> Option<&'k String> {
     const MAX_DISTANCE: usize = 3;
     let nearest = known
--- a/crates/config/src/reader/invalid_value.rs
+++ b/crates/config/src/reader/invalid_value.rs
@@ -1,15 +1,15 @@
-//! Values of a file that cannot be used, with the texts that operators see.
+//! Invalid values in a file, and the texts in which operators see them.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
 use toml_edit::Value;
 
-/// Why a value cannot be used.
+/// Why a value is invalid.
 pub(super) enum InvalidValue {
-    /// It is a table.
+    /// A table where a value is expected.
     Table,
-    /// It has another type; the value as TOML.
+    /// A value of another type, with the value as TOML.
     WrongType {
         value: String,
         expected: &'static str,
@@ -26,7 +26,7 @@
         text: String,
         choices: Vec<String>,
     },
-    /// It is a list with an item that is not a text.
+    /// A list with an item that is not a text.
     ItemNotAText,
 }
 
@@ -68,7 +68,7 @@
     value.as_str().ok_or_else(|| wrong_type(value, "a text"))
 }
 
-/// A number; a whole number will do.
+/// A number, with or without a fraction.
 #[allow(clippy::cast_precision_loss)]
 pub(super) fn as_number(value: &Value) -> Result<f64, InvalidValue> {
     let integer = value.as_integer().map(|n| n as f64);
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,10 +1,10 @@
-//! Settings text to the decision module's settings.
+//! Parses settings text into the decision module's settings.
 //!
 //! Input: lines of the form `key=value`, from the platform's JSON ([`mod@crate::flatten`]), the
 //! operators' file ([`crate::operators`]) or the simulator. Output: [`Settings`] and
 //! [`WireSettings`], or the first key at fault. Unknown keys are ignored.
 //!
-//! This is the one place where the keys that operators type are mapped to the terms of the code.
+//! Only this module maps the keys that operators write to the terms of the code.
 //! "required" means that a missing key is an error; `30 d` is [`MAX_SPAN_MS`]; `classes.N` and
 //! `tenants.N` count from 0.
 //!
@@ -64,31 +64,31 @@
 pub use self::wire::{LoadReportField, WireSettings};
 use crate::error::{KeyProblem, SettingsError};
 
-/// The longest length of time, in milliseconds: 30 days.
+/// The longest duration, in milliseconds: 30 days.
 pub const MAX_SPAN_MS: f64 = 2_592_000_000.0;
-/// The shortest length of time above 0, in milliseconds: the decision module counts microseconds.
+/// The shortest duration above 0, in milliseconds: the decision module counts in microseconds.
 const MIN_SPAN_MS: f64 = 0.001;
 /// The shortest deadline, in milliseconds. A final answer is sent some time before the deadline,
 /// and attempts need time before that.
 pub const MIN_DEADLINE_MS: f64 = 10.0;
-/// Attempts of one request, whatever the settings allow: more of them only add to the load that
-/// failed the first ones.
+/// Upper limit on the attempts of a request, even if the settings allow more: further attempts only
+/// add to the load that made the first ones fail.
 pub const MAX_ATTEMPTS: u32 = 6;
 const MAX_ATTEMPTS_SETTING: f64 = 1e9;
 /// Default of `limits.connect-timeout-ms`, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 const MIN_CONNECT_TIMEOUT_MS: f64 = 1.0;
 const MAX_CONNECT_TIMEOUT_MS: f64 = 60_000.0;
-/// Default of `rules.ask-within-ms` where the list is watched, in milliseconds.
+/// Default of `rules.ask-within-ms` if the endpoint list is watched, in milliseconds.
 const DEFAULT_POLL_INTERVAL_MS: f64 = 10_000.0;
-/// The shortest `rules.ask-within-ms` where the list is polled, in milliseconds: a poll waits a
-/// quarter of it.
+/// The shortest `rules.ask-within-ms` if the endpoint list is polled, in milliseconds: a poll waits
+/// a quarter of it.
 const MIN_POLL_INTERVAL_MS: f64 = 100.0;
-/// Most classes, and most tenants.
+/// Maximum number of classes, and of tenants.
 const MAX_ITEMS: f64 = 65_536.0;
 const MAX_GATEWAYS: f64 = 1e6;
 const MAX_ZONE: f64 = 254.0;
-/// Pending requests are scheduled every other tick: shorter ticks would take a whole core.
+/// Pending requests are scheduled every other tick: shorter ticks would use a whole core.
 const MIN_TICK_MS: f64 = 0.1;
 const MAX_TICK_MS: f64 = 1000.0;
 const MAX_OPEN_REQUESTS: f64 = 1e7;
@@ -96,17 +96,17 @@
 const MIN_OVERLOAD_MULTIPLE: f64 = 0.001;
 const MAX_OVERLOAD_MULTIPLE: f64 = 1e6;
 
-/// Milliseconds, as settings and the simulator's wire give them, to whole microseconds.
+/// Converts milliseconds, as in settings and on the simulator's wire, to whole microseconds.
 #[must_use]
 #[allow(clippy::cast_possible_truncation)]
 pub fn ms_to_micros(ms: f64) -> i64 {
     (ms * 1000.0).round() as i64
 }
 
-/// A connection attempt that takes longer has failed, in milliseconds: 1 to 60,000, default 250.
+/// The time-out of a connection attempt, in milliseconds: 1 to 60,000, default 250.
 ///
 /// # Errors
-/// The key, if it holds anything else.
+/// The key, if its value is invalid.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn connect_timeout_ms(source: &str) -> Result<u64, SettingsError> {
     let text = SettingsText::parse(source)?;
@@ -121,7 +121,7 @@
 /// Parses settings text. Unknown keys are ignored.
 ///
 /// # Errors
-/// The first key that is missing or out of bounds.
+/// The first key that is missing or invalid.
 pub fn parse(source: &str) -> Result<(Settings, WireSettings), SettingsError> {
     let text = SettingsText::parse(source)?;
     let class_count = text.integer("classes.count", 1.0..=MAX_ITEMS)? as usize;
@@ -159,7 +159,8 @@
     Ok((settings, wire))
 }
 
-/// Tenants, of which there may be none. A value that is not a list is an error, not an empty list.
+/// Parses the tenants; the list may be missing or empty. A value that is not a list is an error and
+/// does not count as an empty list.
 fn parse_tenants(text: &SettingsText<'_>) -> Result<Vec<Tenant>, SettingsError> {
     let count = if text.find("tenants.count").is_some() {
         text.integer("tenants.count", 0.0..=MAX_ITEMS)?
@@ -242,8 +243,8 @@
     })
 }
 
-/// How often the list has to be polled. Where it is watched this bounds pauses between tries only,
-/// and 0 means the default.
+/// The interval within which the endpoint list has to be polled. If the list is watched, this
+/// limits only the pauses between tries, and 0 means the default.
 fn parse_max_poll_interval(
     text: &SettingsText<'_>,
     mode: DiscoveryMode,
--- a/crates/config/src/settings/text.rs
+++ b/crates/config/src/settings/text.rs
@@ -1,4 +1,4 @@
-//! Settings text: lines of the form `key=value`, read by key with bounds.
+//! Settings text: lines of the form `key=value`, read by key and checked against bounds.
 
 use std::collections::BTreeMap;
 use std::ops::{Bound, RangeInclusive};
@@ -8,10 +8,10 @@
 use super::{MAX_SPAN_MS, ms_to_micros};
 use crate::error::{KeyProblem, SettingsError};
 
-/// The value of a key that holds further keys.
+/// The value of a key that has further keys below it.
 const OBJECT: &str = "an object";
 
-/// The lines of a settings text, by key.
+/// The values of a settings text, by key.
 pub(super) struct SettingsText<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> SettingsText<'a> {
@@ -29,8 +29,8 @@
         Ok(Self(lines))
     }
 
-    /// The value of a key. An empty value, as JSON's null gives, counts as missing; a key that
-    /// holds further keys has the value [`OBJECT`], which no check accepts.
+    /// The value of a key. An empty value, which results from a JSON null, counts as missing. A key
+    /// that has further keys below it has the value [`OBJECT`], which no check accepts.
     pub(super) fn find(&self, key: &str) -> Option<&'a str> {
         if let Some(value) = self.0.get(key) {
             return Some(*value).filter(|value| !value.is_empty());
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A whole number. JSON may write it as `3.0`.
+    /// A whole number, which JSON may write as `3.0`.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub(super) fn integer(
         &self,
@@ -82,7 +82,7 @@
         Ok(value as u32)
     }
 
-    /// A length of time in milliseconds, from `min_ms` to [`MAX_SPAN_MS`].
+    /// A duration in milliseconds, from `min_ms` to [`MAX_SPAN_MS`].
     pub(super) fn span(&self, key: &str, min_ms: f64) -> Result<Span, SettingsError> {
         let ms = self.number(key, min_ms..=MAX_SPAN_MS)?;
         Ok(Span(ms_to_micros(ms)))
@@ -109,7 +109,7 @@
     }
 }
 
-/// A number within bounds, which neither NaN nor an infinity is.
+/// Parses a number within bounds; NaN and infinities are never within them.
 pub(super) fn parse_number(
     key: &str,
     text: &str,
--- a/crates/config/src/settings/wire.rs
+++ b/crates/config/src/settings/wire.rs
@@ -1,4 +1,4 @@
-//! How load reports and sessions look on the wire.
+//! The form of load reports and sessions on the wire.
 
 use valehatch_policy::{LoadReport, SessionTracking, Time};
 
@@ -6,19 +6,19 @@
 use super::text::SettingsText;
 use crate::error::{KeyProblem, SettingsError};
 
-/// Bounds of the time at which positions begin to count, in milliseconds.
+/// Largest distance of position zero from time 0, in milliseconds.
 const MAX_POSITION_ZERO_MS: f64 = 1e15;
 
-/// What a value of a load report means.
+/// The meaning of a value in a load report.
 #[derive(Clone, Copy, Debug)]
 pub enum LoadReportField {
-    /// The log position.
+    /// The log position of the endpoint, in seconds.
     Position,
-    /// Whether the endpoint was the primary.
+    /// Whether the endpoint was the primary: a value above 0.
     Primary,
-    /// Share of its cores in use.
+    /// Share of the endpoint's cores in use.
     Busy,
-    /// Nothing that the decision module uses.
+    /// A value that the decision module does not use.
     Other,
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// What reading the wire needs beside the decision module's settings.
+/// Settings that are needed to parse messages, in addition to those of the decision module.
 #[derive(Clone, Debug)]
 pub struct WireSettings {
-    /// The values of a load report, in their order; empty if there are no reports.
+    /// The meaning of each value of a load report, in order; empty if endpoints send no reports.
     pub report_fields: Vec<LoadReportField>,
-    /// The time at which positions begin to count.
+    /// The time of log position 0.
     pub position_zero: Time,
-    /// Session reads carry the age of their last write.
+    /// Whether session reads carry the age of the session's last write.
     pub client_provided_sessions: bool,
     /// Number of request classes.
     pub classes: usize,
@@ -49,8 +49,8 @@
 }
 
 impl WireSettings {
-    /// The load report that an endpoint's values make; `None` without values. `position_time` turns
-    /// a position in seconds into a time.
+    /// Creates a load report from the values that an endpoint sent; `None` if there are no values.
+    /// `position_time` converts a position in seconds to a time.
     pub fn report(
         &self,
         values: &[f64],
--- a/crates/config/src/site.rs
+++ b/crates/config/src/site.rs
@@ -8,33 +8,33 @@
 use crate::names::{Names, fits_metrics};
 use crate::settings::{self, WireSettings};
 
-/// The decision module's settings and the names that go with them.
+/// The settings of a deployment, and the names of its classes, tenants, zones and machine kinds.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// The decision module's settings.
     pub settings: Settings,
-    /// How load reports and sessions look on the wire.
+    /// The form of load reports and sessions on the wire.
     pub wire: WireSettings,
-    /// Request classes by name, in the settings' order.
+    /// Names of the request classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Tenants by name, in the settings' order.
+    /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Zones by name, in the settings' order.
+    /// Names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// Machine kinds by name, in the settings' order.
+    /// Names of the machine kinds, in the order of the settings.
     pub kinds: Vec<String>,
-    /// A connection attempt that takes longer has failed, in milliseconds.
+    /// Time-out of a connection attempt, in milliseconds.
     pub connect_timeout_ms: u64,
 }
 
 impl Site {
-    /// From settings text, and the names that go with it.
+    /// Creates a site from settings text and its names.
     ///
     /// # Errors
     /// The key at fault.
     pub fn new(text: &str, names: Names) -> Result<Self, SettingsError> {
         let (settings, wire) = settings::parse(text)?;
-        // Keys that the settings' JSON already writes flat bring no names.
+        // If the JSON has keys in flat form, there are items without names.
         check_count("classes", &names.classes, wire.classes)?;
         check_count("tenants", &names.tenants, wire.tenants)?;
         let zone = usize::from(settings.zone.0);
@@ -57,7 +57,7 @@
         })
     }
 
-    /// From the platform's settings as JSON, which must be an object.
+    /// Creates a site from the platform's settings as JSON, which must be an object.
     ///
     /// # Errors
     /// The key at fault.
@@ -66,15 +66,16 @@
             return Err(SettingsError::NotAnObject(settings.to_string()));
         }
         let text = flatten(settings);
-        // A fault of a list says more than the fault of its names that follows from it.
+        // The settings are parsed first: a fault of a list is more specific than the fault of its
+        // names that results from it.
         settings::parse(&text)?;
         Self::new(&text, Names::read(settings)?)
     }
 
-    /// Checks that metrics can hold the names of the classes.
+    /// Checks that the names of the classes can occur in metrics.
     ///
     /// # Errors
-    /// The key of the first name that they cannot hold.
+    /// The key of the first name that cannot.
     pub fn validate_metric_names(&self) -> Result<(), SettingsError> {
         for (n, name) in self.classes.iter().enumerate() {
             if !fits_metrics(name) {
--- a/crates/config/src/snmp/access.rs
+++ b/crates/config/src/snmp/access.rs
@@ -1,4 +1,4 @@
-//! Who may read what: `[[snmp.view]]`, `[[snmp.community]]` and `[[snmp.user]]`.
+//! Access control: `[[snmp.view]]`, `[[snmp.community]]` and `[[snmp.user]]`.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -8,23 +8,23 @@
 use super::{AUTH_KEY, EngineBoots, PRIV_KEY};
 use crate::reader::Section;
 
-/// The view that every file has, unless it defines its own of that name.
-const VIEW_OF_ALL: &str = "all";
+/// The predefined view, unless the file defines a view of that name.
+const DEFAULT_VIEW: &str = "all";
 /// `iso.org.dod.internet`.
 const INTERNET: [u32; 4] = [1, 3, 6, 1];
-/// Most numbers of an object's name (RFC 3416, section 4).
+/// Maximum number of sub-identifiers in an object name (RFC 3416, section 4).
 const MAX_OBJECT_NAME: usize = 128;
 const LOOPBACK: [&str; 2] = ["127.0.0.0/8", "::1/128"];
 
-/// `[[snmp.view]]`: subtrees that may be read. The longest subtree that an object is in decides
-/// (RFC 3415, section 4, without masks).
+/// `[[snmp.view]]`: subtrees that may be read. The longest subtree that contains an object
+/// determines its access (RFC 3415, section 4, without masks).
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct SnmpView {
-    /// Its name.
+    /// `name`: the name of the view.
     pub name: String,
-    /// Subtrees that may be read.
+    /// `include`: subtrees that may be read.
     pub include: Vec<Vec<u32>>,
-    /// Subtrees of those that may not.
+    /// `exclude`: subtrees within the included ones that may not be read.
     pub exclude: Vec<Vec<u32>>,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The length of the longest subtree that an object is in; `None` if it is in none.
+/// The length of the longest subtree that contains an object; `None` if none contains it.
 fn longest_match(subtrees: &[Vec<u32>], object: &[u32]) -> Option<usize> {
     let matching = subtrees
         .iter()
@@ -60,32 +60,32 @@
 /// `[[snmp.community]]`, for SNMPv2c.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Community {
-    /// The community string.
+    /// `name`: the community string.
     pub name: String,
-    /// What it may read.
+    /// `view`: the view that the community may read.
     pub view: SnmpView,
-    /// From where.
+    /// `from`: networks that requests may come from.
     pub from: AllowedNetworks,
 }
 
 /// `[[snmp.user]]`, for SNMPv3.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SnmpUser {
-    /// The user's name.
+    /// `name`: the name of the user.
     pub name: String,
-    /// The localized key for HMAC-SHA-256.
+    /// `auth-key`: the localized key for HMAC-SHA-256.
     pub auth_key: [u8; AUTH_KEY],
-    /// The localized key for AES-128, if the user may encrypt.
+    /// `priv-key`: the localized key for AES-128; `None` if the user cannot encrypt.
     pub privacy_key: Option<[u8; PRIV_KEY]>,
-    /// Whether requests that are not encrypted are answered too.
+    /// `level`: whether requests that are not encrypted are answered too.
     pub allow_unencrypted: bool,
-    /// What the user may read.
+    /// `view`: the view that the user may read.
     pub view: SnmpView,
-    /// From where.
+    /// `from`: networks that requests may come from.
     pub from: AllowedNetworks,
 }
 
-/// Without the keys, which must not reach a log.
+/// Omits the keys, which must not appear in a log.
 impl fmt::Debug for SnmpUser {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("User")
@@ -95,7 +95,7 @@
     }
 }
 
-/// An object's name: numbers with dots between, at most 128.
+/// Parses an object name: at most 128 numbers, separated by dots.
 fn parse_object_name(text: &str) -> Option<Vec<u32>> {
     let mut name = vec![];
     for part in text.trim_start_matches('.').split('.') {
@@ -110,7 +110,7 @@
     if let Some(text) = invalid {
         section.fault(
             key,
-            format!("holds {text:?}, not numbers with dots between"),
+            format!("holds {text:?}, not numbers separated by dots"),
         );
     }
     texts
@@ -135,9 +135,9 @@
         completed.push(section.finish());
     }
     snmp.put_list("view", completed);
-    if !views.iter().any(|view| view.name == VIEW_OF_ALL) {
+    if !views.iter().any(|view| view.name == DEFAULT_VIEW) {
         views.push(SnmpView {
-            name: VIEW_OF_ALL.into(),
+            name: DEFAULT_VIEW.into(),
             include: vec![INTERNET.to_vec()],
             exclude: vec![],
         });
@@ -212,9 +212,9 @@
     }
 }
 
-/// `view`: the name of a view; default [`VIEW_OF_ALL`].
+/// Reads `view`, the name of a view; default [`DEFAULT_VIEW`].
 fn read_view_name(section: &Section<'_>, views: &[SnmpView]) -> SnmpView {
-    let name = section.text("view", Some(VIEW_OF_ALL));
+    let name = section.text("view", Some(DEFAULT_VIEW));
     let Some(view) = views.iter().find(|view| view.name == name) else {
         section.fault("view", format!("is {name:?}, which no view is named"));
         return SnmpView::default();
@@ -235,7 +235,7 @@
     AllowedNetworks(networks.collect())
 }
 
-/// A network, or an address as the network of one.
+/// Parses a network, or an address as the network that contains it alone.
 pub(crate) fn parse_network(text: &str) -> Option<IpNet> {
     if let Ok(network) = text.parse() {
         return Some(network);
@@ -243,7 +243,7 @@
     text.parse::<IpAddr>().ok().map(IpNet::from)
 }
 
-/// A localized key in hexadecimal digits.
+/// Reads a localized key in hexadecimal digits.
 pub(super) fn read_key<const N: usize>(section: &Section<'_>, name: &str) -> [u8; N] {
     let text = section.text(name, None);
     let bytes = hex::decode(&text).unwrap_or_default();
--- a/crates/config/src/snmp/mod.rs
+++ b/crates/config/src/snmp/mod.rs
@@ -1,4 +1,4 @@
-//! `[snmp]`: the agent's address and identity, who may read what, who gets notifications, and
+//! `[snmp]`: the address and identity of the agent, access control, receivers of notifications, and
 //! limits.
 //!
 //! | module | sections |
@@ -6,7 +6,7 @@
 //! | `access` | `[[snmp.view]]`, `[[snmp.community]]`, `[[snmp.user]]` |
 //! | `receivers` | `[[snmp.receiver]]` |
 //! | `notifications` | `[snmp.notify]` |
-//! | this one | `[snmp]`, `[snmp.limits]` |
+//! | this module | `[snmp]`, `[snmp.limits]` |
 
 pub(crate) mod access;
 mod notifications;
@@ -19,34 +19,34 @@
 pub use self::receivers::{Credentials, NotificationReceiver};
 use crate::reader::Section;
 
-/// Bytes of a localized key for HMAC-SHA-256 (RFC 7860, section 4.2.2).
+/// Length in bytes of a localized key for HMAC-SHA-256 (RFC 7860, section 4.2.2).
 pub const AUTH_KEY: usize = 32;
-/// Bytes of a localized key for AES-128 (RFC 3826, section 3.1.2.1).
+/// Length in bytes of a localized key for AES-128 (RFC 3826, section 3.1.2.1).
 pub const PRIV_KEY: usize = 16;
-/// The root of the program's objects, in the subtree that Net-SNMP leaves free for experiments.
+/// The root of the gateway's objects, in the subtree that Net-SNMP reserves for experiments.
 pub const ROOT: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 5739];
 
 /// Net-SNMP's enterprise number.
 const NET_SNMP: u32 = 8072;
 /// The first bit of an engine id of RFC 3411's format.
 const RFC_3411_FORMAT: u32 = 0x8000_0000;
-/// The format of an engine id that ends in a text.
+/// Format octet of an engine id that consists of text.
 const TEXT_FORMAT: u8 = 4;
-/// Most bytes of the text in an engine id.
+/// Maximum length of the text in an engine id, in bytes.
 const MAX_ENGINE_TEXT: usize = 27;
 
-/// `[snmp.limits]`: what the agent may use.
+/// `[snmp.limits]`: limits on the resources of the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// `max-size`: the longest response, in bytes, 484 to 65,507, default 1,400.
+    /// `max-size`: maximum size of a response, in bytes, 484 to 65,507, default 1,400.
     pub max_size: usize,
-    /// `max-bindings`: variable bindings in a request, 1 to 10,000, default 64.
+    /// `max-bindings`: maximum number of variable bindings in a request, 1 to 10,000, default 64.
     pub max_bindings: usize,
-    /// `per-source-per-s`: requests in a second from one address, 1 to 1,000,000, default 2,000.
+    /// `per-source-per-s`: requests per second from one address, 1 to 1,000,000, default 2,000.
     pub per_source: u32,
-    /// `total-per-s`: requests in a second, 1 to 1,000,000, default 5,000.
+    /// `total-per-s`: requests per second from all addresses, 1 to 1,000,000, default 5,000.
     pub total: u32,
-    /// `cpu-share`: share of one core, above 0 to 1, default 0.1.
+    /// `cpu-share`: maximum share of one core, above 0 to 1, default 0.1.
     pub cpu_share: f64,
 }
 
@@ -69,26 +69,27 @@
     }
 }
 
-/// `[snmp]`.
+/// The section `[snmp]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnmpSettings {
-    /// Where the agent listens.
+    /// `listen`: the address on which the agent listens.
     pub listen: SocketAddr,
-    /// `engine-id`: 5 to 32 bytes (RFC 3411, section 5); default from the gateway's name.
+    /// `engine-id`: 5 to 32 bytes (RFC 3411, section 5); default [`engine_id`] of the gateway's
+    /// name.
     pub engine: Vec<u8>,
-    /// sysContact; default empty.
+    /// `contact`: the value of sysContact; default empty.
     pub contact: String,
-    /// sysLocation; default empty.
+    /// `location`: the value of sysLocation; default empty.
     pub location: String,
-    /// Who may read with SNMPv2c.
+    /// `[[snmp.community]]`: communities that may read with SNMPv2c.
     pub communities: Vec<Community>,
-    /// Who may read with SNMPv3.
+    /// `[[snmp.user]]`: users that may read with SNMPv3.
     pub users: Vec<SnmpUser>,
-    /// Who gets notifications.
+    /// `[[snmp.receiver]]`: receivers of notifications.
     pub receivers: Vec<NotificationReceiver>,
-    /// When notifications are sent.
+    /// `[snmp.notify]`: thresholds of notifications.
     pub notify: NotificationSettings,
-    /// What the agent may use.
+    /// `[snmp.limits]`: limits on the resources of the agent.
     pub limits: Limits,
 }
 
@@ -115,7 +116,7 @@
 }
 
 impl SnmpSettings {
-    /// Reads the section of the gateway with this name.
+    /// Reads the section; `gateway` is the gateway's name.
     pub(super) fn read(section: &Section<'_>, gateway: &str, boots: EngineBoots) -> Self {
         let listen = section.address("listen");
         let default_engine = hex::encode(engine_id(gateway));
--- a/crates/config/src/snmp/notifications.rs
+++ b/crates/config/src/snmp/notifications.rs
@@ -6,8 +6,8 @@
 const MAX_PER_S: f64 = 1e9;
 const MAX_PERMILLE: i64 = 1_000_000;
 
-/// `[snmp.notify]`. A condition is notified when it begins, at its rising threshold, and when it
-/// ends, below its falling one. Times are 1 to 86,400,000 ms.
+/// The section `[snmp.notify]`. A condition begins at its rising threshold and ends below its
+/// falling threshold; a notification is sent for both. Times are 1 to 86,400,000 ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NotificationSettings {
     /// `no-primary-ms`: time without a primary from which a group is reported, in milliseconds,
@@ -16,9 +16,9 @@
     /// `search-lasting-ms`: time from which a primary search is reported, in milliseconds, default
     /// 2,000.
     pub search_lasting_ms: u64,
-    /// `refusals-rising-per-s`: rejections of a class in a second, default 10.
+    /// `refusals-rising-per-s`: rejections of a class per second, default 10.
     pub rejections_rising_per_s: f64,
-    /// `refusals-falling-per-s`: rejections of a class in a second, default 2; below the rising
+    /// `refusals-falling-per-s`: rejections of a class per second, default 2; below the rising
     /// threshold.
     pub rejections_falling_per_s: f64,
     /// `refusals-over-ms`: the time over which rejections are averaged, in milliseconds, default
@@ -35,10 +35,10 @@
     /// `queue-falling-ms`: longest wait in a tenant's admission queue, in milliseconds, default
     /// 100; at most the rising threshold.
     pub queue_wait_falling_ms: u64,
-    /// `storm`: notifications within the storm's window, 1 to 100,000, default 20; further ones are
-    /// sent as one.
+    /// `storm`: maximum number of notifications within the window of `storm-window-ms`, 1 to
+    /// 100,000, default 20; further ones are combined into one.
     pub storm_limit: usize,
-    /// `storm-window-ms`: the window, in milliseconds, default 10,000.
+    /// `storm-window-ms`: the window of `storm`, in milliseconds, default 10,000.
     pub storm_window_ms: u64,
 }
 
@@ -81,7 +81,7 @@
         read
     }
 
-    /// Checks that a condition ends below where it begins.
+    /// Checks each falling threshold against its rising threshold.
     fn check(&self, section: &Section<'_>) {
         if self.rejections_falling_per_s >= self.rejections_rising_per_s {
             section.fault(
--- a/crates/config/src/snmp/receivers.rs
+++ b/crates/config/src/snmp/receivers.rs
@@ -1,4 +1,4 @@
-//! `[[snmp.receiver]]`: who gets notifications, and how.
+//! `[[snmp.receiver]]`: receivers of notifications, and how notifications are sent to them.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use super::parse_engine_id;
 use crate::reader::Section;
 
-/// How a receiver knows that a notification is genuine.
+/// The credentials by which a receiver authenticates notifications.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Credentials {
     /// SNMPv2c: the community string.
@@ -16,21 +16,22 @@
     User(SnmpUser, Option<Vec<u8>>),
 }
 
-/// `[[snmp.receiver]]`.
+/// An entry of the list `[[snmp.receiver]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotificationReceiver {
-    /// Where it listens.
+    /// `address`: the address on which the receiver listens.
     pub address: SocketAddr,
-    /// `kind`: whether it acknowledges notifications (inform) or not (trap, the default).
+    /// `kind`: whether the receiver acknowledges notifications (inform) or not (trap, the default).
     pub inform: bool,
-    /// `community` or `user`.
+    /// `community` or `user`: the credentials of notifications.
     pub credentials: Credentials,
     /// `timeout-ms`: time until the first retransmission of an inform, in milliseconds, 10 to
     /// 600,000, default 1,000; twice as long before each further one.
     pub timeout_ms: u64,
     /// `retries`: retransmissions of an inform, 0 to 100, default 5.
     pub retries: u32,
-    /// `queue`: notifications that may wait for it, 1 to 100,000, default 256.
+    /// `queue`: maximum number of notifications that wait for the receiver, 1 to 100,000, default
+    /// 256.
     pub queue: usize,
 }
 
@@ -55,7 +56,7 @@
         (None, true) if inform => read_inform_user(section),
         (None, true) => find_trap_user(section, users),
         _ => {
-            section.fault("community", "or user: exactly one of them must be there");
+            section.fault("community", "or user: exactly one of them must be given");
             Credentials::Community(String::new())
         }
     };
@@ -71,8 +72,8 @@
     }
 }
 
-/// The user of informs. The receiver's engine is authoritative for an inform, so the keys are
-/// localized to that engine and stand in the receiver's own section.
+/// Reads the user of informs. The receiver's engine is authoritative for an inform, so the keys are
+/// localized to that engine and are read from the receiver's section.
 fn read_inform_user(section: &Section<'_>) -> Credentials {
     let name = section.name("user", None);
     let engine = parse_engine_id(&section.text("engine-id", None));
@@ -92,7 +93,8 @@
     Credentials::User(user, engine)
 }
 
-/// The user of traps: one of `[[snmp.user]]`, since this engine is authoritative for a trap.
+/// Finds the user of traps in `[[snmp.user]]`, since the agent's engine is authoritative for a
+/// trap.
 fn find_trap_user(section: &Section<'_>, users: &[SnmpUser]) -> Credentials {
     let name = section.text("user", None);
     let Some(user) = users.iter().find(|user| user.name == name) else {
--- a/crates/config/tests/operators.rs
+++ b/crates/config/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' file: rules of its own keys.
+//! The operators' file: checks of its keys.
 
 use std::path::PathBuf;
 
@@ -52,7 +52,8 @@
         .map_or(String::new(), |faults| faults.to_string())
 }
 
-/// A request to a PostgreSQL front names its contract in a comment; a Cassandra front knows contracts by statements.
+/// A request to a PostgreSQL front names its contract in a comment; a Cassandra front finds the
+/// contract of a statement by its prefix.
 #[rstest]
 #[case("postgresql", "read", "acme", "")]
 #[case("postgresql", "read,all", "acme", "front.0.contract.0.name")]
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -1,5 +1,5 @@
-//! Whatever settings are accepted, a router made from them works: it does not panic, has no NaN or infinity in its state,
-//! and every request ends.
+//! A router works with any accepted settings: it does not panic, has no NaN or infinity in its
+//! state, and every request ends.
 
 mod site;
 
@@ -12,13 +12,13 @@
 use valehatch_config::Site;
 use valehatch_policy::*;
 
-/// Values at and beyond the ends of what each key may hold, and some in between.
+/// Values at, beyond and between the bounds of the keys.
 const NUMBERS: [f64; 16] = [
     0.0, 1e-9, 0.001, 0.1, 0.5, 1.0, 2.0, 7.0, 100.0, 1000.0, 60_000.0, 1e6, 1e9, 2.592e9, 1e300,
     -1.0,
 ];
 
-const KEYS: [&str; 24] = [
+const NUMBER_KEYS: [&str; 24] = [
     "classes.0.slo-ms",
     "classes.0.deadline-ms",
     "classes.0.worth",
@@ -64,7 +64,7 @@
 
 fn changes() -> impl Strategy<Value = Vec<Change>> {
     let one = prop_oneof![
-        12 => (0..KEYS.len(), 0..NUMBERS.len()).prop_map(|(k, n)| Change::Number(k, n)),
+        12 => (0..NUMBER_KEYS.len(), 0..NUMBERS.len()).prop_map(|(k, n)| Change::Number(k, n)),
         3 => (0..FLAGS.len(), any::<bool>()).prop_map(|(f, on)| Change::Flag(f, on)),
         1 => Just(Change::Ask),
         1 => Just(Change::NoChecks),
@@ -78,7 +78,7 @@
     let mut all = settings();
     for change in changes {
         let (key, value) = match change {
-            Change::Number(key, n) => (KEYS[*key], json!(NUMBERS[*n])),
+            Change::Number(key, n) => (NUMBER_KEYS[*key], json!(NUMBERS[*n])),
             Change::Flag(flag, on) => (FLAGS[*flag], json!(on)),
             Change::Ask => ("membership-mode", json!("ask")),
             Change::NoChecks => ("family-info.server-checks", json!("off")),
@@ -93,8 +93,8 @@
     all
 }
 
-/// A client and the endpoints, driven by random numbers.
-struct World {
+/// A simulated client and endpoints, driven by random numbers.
+struct Simulation {
     router: Router,
     now: Time,
     timer: Option<Time>,
@@ -105,7 +105,7 @@
     attempts: u32,
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self, events: &[PolicyEvent]) {
         let mut actions = vec![];
         self.router.step(self.now, events, &mut actions);
@@ -117,7 +117,7 @@
                     let n = self.sent.entry(request).or_default();
                     assert!(
                         *n < self.attempts,
-                        "{request:?} is sent more often than allowed"
+                        "{request:?} has more attempts than allowed"
                     );
                     self.out.insert((request, *n), (endpoint, self.now));
                     *n += 1;
@@ -135,18 +135,18 @@
                 Action::Cancel { .. } | Action::RefreshEndpointList => {}
             }
         }
-        let shown = format!("{:?}", self.router);
+        let state = format!("{:?}", self.router);
         assert!(
-            !shown.contains("NaN") && !shown.contains(": inf") && !shown.contains("[inf"),
-            "{shown}"
+            !state.contains("NaN") && !state.contains(": inf") && !state.contains("[inf"),
+            "{state}"
         );
     }
 
-    fn end(&mut self, how: u8) {
+    fn end(&mut self, choice: u8) {
         let Some(((request, attempt), (endpoint, sent))) = self.out.pop_first() else {
             return;
         };
-        let (outcome, role) = match how % 7 {
+        let (outcome, role) = match choice % 7 {
             0 | 1 => (Outcome::Ok, Some(Role::Primary)),
             2 => (Outcome::Misdirected, Some(Role::Replica)),
             3 => (Outcome::Rejected, None),
@@ -175,11 +175,11 @@
     }
 }
 
-fn play(site: &Site, moves: &[(u8, u8, u16)]) {
+fn simulate(site: &Site, steps: &[(u8, u8, u16)]) {
     let settings = site.settings.clone();
     let (classes, attempts) = (settings.classes.clone(), settings.limits.max_attempts);
-    let router = Router::new(settings, 7).expect("accepted settings are sound");
-    let mut world = World {
+    let router = Router::new(settings, 7).expect("accepted settings are valid");
+    let mut sim = Simulation {
         router,
         now: Time(1_000_000_000),
         timer: None,
@@ -202,48 +202,51 @@
     let list = vec![
         entry(1, None),
         entry(2, None),
-        entry(3, Some(world.now)),
-        entry(4, Some(world.now)),
+        entry(3, Some(sim.now)),
+        entry(4, Some(sim.now)),
     ];
-    world.step(&[PolicyEvent::EndpointList {
+    sim.step(&[PolicyEvent::EndpointList {
         complete: true,
         entries: list,
     }]);
-    for (n, (what, how, after)) in moves.iter().enumerate() {
+    for (n, (what, choice, after)) in steps.iter().enumerate() {
         match what % 6 {
             0 | 1 => {
-                let (id, class) = (RequestId(n as u64 + 1), usize::from(*how) % classes.len());
+                let (id, class) = (
+                    RequestId(n as u64 + 1),
+                    usize::from(*choice) % classes.len(),
+                );
                 let time_left = classes[class].deadline;
-                world.open.insert(id, world.now + time_left);
-                world.step(&[PolicyEvent::Request(Request {
+                sim.open.insert(id, sim.now + time_left);
+                sim.step(&[PolicyEvent::Request(Request {
                     id,
                     session: Some(SessionKey(5)),
                     time_left,
                     group: GroupId(0),
                     class: ClassId(class),
                     tenant: None,
-                    work: Some(Span::from_millis(i64::from(*how))),
+                    work: Some(Span::from_millis(i64::from(*choice))),
                     is_client_retry: false,
                     since_last_write: None,
                 })]);
             }
-            2 | 3 => world.end(*how),
+            2 | 3 => sim.end(*choice),
             4 => {
-                let Some(endpoint) = world.probes.pop() else {
+                let Some(endpoint) = sim.probes.pop() else {
                     continue;
                 };
-                let position = Some(world.now - Span::from_millis(i64::from(*how)));
+                let position = Some(sim.now - Span::from_millis(i64::from(*choice)));
                 let report = Some(LoadReport {
                     position,
                     primary: Some(endpoint == EndpointId(1)),
                     busy: None,
                 });
-                let outcome = if how % 3 > 0 {
+                let outcome = if choice % 3 > 0 {
                     Outcome::Ok
                 } else {
                     Outcome::ConnectFailed
                 };
-                world.step(&[PolicyEvent::HealthCheckEnded {
+                sim.step(&[PolicyEvent::HealthCheckEnded {
                     endpoint,
                     outcome,
                     latency: Span(900),
@@ -251,25 +254,25 @@
                 }]);
             }
             _ => {
-                world.now = world.now + Span(i64::from(*after).pow(2));
-                world.step(&[PolicyEvent::Timer(0), PolicyEvent::DiscoveryFailed]);
+                sim.now = sim.now + Span(i64::from(*after).pow(2));
+                sim.step(&[PolicyEvent::Timer(0), PolicyEvent::DiscoveryFailed]);
             }
         }
     }
-    // Attempts in flight end, whatever is retried, and time passes until no request is open.
-    while !world.open.is_empty() {
-        let deadlines = world.open.values().copied().min().expect("one is open");
-        let soon = world.timer.take().unwrap_or(deadlines).min(deadlines);
-        world.now = world.now.max(soon) + Span(1);
-        if world.out.is_empty() {
-            world.step(&[PolicyEvent::Timer(0)]);
-            let late = world
+    // Attempts in flight end, including retries, and time passes until no request is open.
+    while !sim.open.is_empty() {
+        let deadlines = sim.open.values().copied().min().expect("one is open");
+        let next = sim.timer.take().unwrap_or(deadlines).min(deadlines);
+        sim.now = sim.now.max(next) + Span(1);
+        if sim.out.is_empty() {
+            sim.step(&[PolicyEvent::Timer(0)]);
+            let late = sim
                 .open
                 .values()
-                .any(|at| world.now - *at > Span::from_millis(10_000));
-            assert!(!late, "no end for {:?}", world.open);
+                .any(|at| sim.now - *at > Span::from_millis(10_000));
+            assert!(!late, "no end for {:?}", sim.open);
         } else {
-            world.end(6);
+            sim.end(6);
         }
     }
 }
@@ -283,19 +286,19 @@
     };
     let mut runner =
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[29; 32]));
-    let moves = prop::collection::vec(any::<(u8, u8, u16)>(), 1..80);
+    let steps = prop::collection::vec(any::<(u8, u8, u16)>(), 1..80);
     let accepted = std::cell::Cell::new(0);
     runner
-        .run(&(changes(), moves), |(changes, moves)| {
+        .run(&(changes(), steps), |(changes, steps)| {
             let settings = changed(&changes);
             match Site::from_json(&settings) {
                 Ok(site) => {
                     accepted.set(accepted.get() + 1);
-                    play(&site, &moves);
+                    simulate(&site, &steps);
                 }
                 Err(error) => {
                     let message = error.to_string();
-                    let names = |c: &Change| matches!(c, Change::Number(key, _) if named(&message, KEYS[*key]));
+                    let names = |c: &Change| matches!(c, Change::Number(key, _) if named(&message, NUMBER_KEYS[*key]));
                     let poll_interval = message.contains("rules.ask-within-ms");
                     prop_assert!(poll_interval || changes.iter().any(names), "{message} names none of {changes:?}");
                 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Every key of the platform's settings, with values that are missing, null, 0, negative, huge or of another type: a
-//! stated default, or an error that names the key.
+//! Every key of the platform's settings, with values that are missing, null, 0, negative, huge or
+//! of another type: the result is the documented default or an error that names the key.
 
 mod site;
 
@@ -14,10 +14,10 @@
 }
 
 fn shown(settings: &Value) -> String {
-    format!("{:?}", read(settings).expect("settings that can be served"))
+    format!("{:?}", read(settings).expect("valid settings"))
 }
 
-/// The variants of a key, in the order of the letters of a row.
+/// The variants of a key, in the order of the letters in a row.
 fn variants(key: &str) -> [(&'static str, Value); 9] {
     [
         ("missing", without(key)),
@@ -28,11 +28,11 @@
         ("a text", with(key, json!("NaN"))),
         ("a list", with(key, json!([5]))),
         ("an object", with(key, json!({"a": 5}))),
-        ("a truth", with(key, json!(true))),
+        ("a Boolean", with(key, json!(true))),
     ]
 }
 
-/// E: an error that names the key. A: accepted as given. D: the same as with the default.
+/// E: an error that names the key. A: accepted as given. D: the same result as with the default.
 #[rstest]
 #[case("areas", "DDEEEEEEE", json!([]))]
 #[case("skus", "DDEEEEEEE", json!([]))]
@@ -83,7 +83,7 @@
         let got = read(&tried);
         match expected {
             'E' => {
-                let message = got.expect_err(&format!("{key}, {what}, is refused"));
+                let message = got.expect_err(&format!("{key}, {what}, is rejected"));
                 assert!(message.contains(key), "{key}, {what}: {message}");
             }
             'A' => assert!(got.is_ok(), "{key}, {what}: {got:?}"),
@@ -112,7 +112,11 @@
 #[case("rules.tip-multiple", &[0.001, 1e6], &[0.0, 1.1e6])]
 #[case("tenants.0.allowance-per-s", &[0.0, 1e9], &[1.1e9])]
 #[case("over-share-worth", &[0.0, 1.0], &[1.01])]
-fn stated_bounds_hold(#[case] key: &str, #[case] good: &[f64], #[case] bad: &[f64]) {
+fn values_within_bounds_are_accepted_and_others_rejected(
+    #[case] key: &str,
+    #[case] good: &[f64],
+    #[case] bad: &[f64],
+) {
     for value in good {
         let got = read(&with(key, json!(value)));
         assert!(got.is_ok(), "{key}={value}: {got:?}");
@@ -132,7 +136,7 @@
     assert_eq!(site.kinds, ["std 4"]);
 }
 
-/// Settings text cannot hold these names apart; names are read from the JSON.
+/// These names are not distinct in settings text; names are read from the JSON.
 #[rstest]
 #[case("areas", json!(["hal a", "hal_a"]))]
 #[case("areas", json!(["a,b", "c"]))]
@@ -157,7 +161,7 @@
 #[case("areas", json!(["hal a", "hal a"]), "hal a")]
 #[case("areas", json!(["hal a", 7]), "7")]
 fn unusable_name_is_reported(#[case] key: &str, #[case] name: Value, #[case] what: &str) {
-    let message = read(&with(key, name)).expect_err("refused");
+    let message = read(&with(key, name)).expect_err("rejected");
     assert!(message.contains(key) && message.contains(what), "{message}");
 }
 
@@ -168,7 +172,7 @@
         let site = read(&with("classes.1.name", json!(name))).unwrap();
         let message = site
             .validate_metric_names()
-            .expect_err("refused")
+            .expect_err("rejected")
             .to_string();
         assert!(
             message.contains("classes.1.name") && message.contains(name),
@@ -179,19 +183,19 @@
 
 #[test]
 fn class_without_name_is_reported() {
-    let message = read(&without("classes.1.name")).expect_err("refused");
+    let message = read(&without("classes.1.name")).expect_err("rejected");
     assert!(message.contains("classes.1.name"), "{message}");
 }
 
-/// Whatever the settings allow, a request has at most six attempts.
+/// A request has at most six attempts, even if the settings allow more.
 #[rstest]
 #[case(1, 1)]
 #[case(6, 6)]
 #[case(7, 6)]
 #[case(100, 6)]
-fn attempts_are_capped_at_six(#[case] allowed: u32, #[case] made: u32) {
+fn attempts_are_capped_at_six(#[case] allowed: u32, #[case] expected: u32) {
     let site = read(&with("limits.max-attempts", json!(allowed))).unwrap();
-    assert_eq!(site.settings.limits.max_attempts, made);
+    assert_eq!(site.settings.limits.max_attempts, expected);
 }
 
 /// A key at another place of the JSON is missing at its own.
@@ -206,7 +210,7 @@
     moved["elsewhere"] = json!({ "moved": value });
     assert!(
         read(&moved)
-            .expect_err("refused")
+            .expect_err("rejected")
             .contains(&format!("{key} is missing"))
     );
 }
@@ -218,7 +222,7 @@
         asked["membership-mode"] = json!("ask");
         assert!(
             read(&asked)
-                .expect_err("refused")
+                .expect_err("rejected")
                 .contains("rules.ask-within-ms")
         );
     }
@@ -292,19 +296,20 @@
 #[case(json!([]))]
 #[case(Value::Null)]
 #[case(json!({}))]
-fn settings_that_are_no_object_are_reported(#[case] none: Value) {
-    let message = read(&none).expect_err("refused");
+fn settings_that_are_not_an_object_are_reported(#[case] value: Value) {
+    let message = read(&value).expect_err("rejected");
     assert!(message.contains("settings"), "{message}");
 }
 
-/// A key of the JSON may hold a line break or `=`. If it were copied as it is, it would set another key.
+/// A key of the JSON may contain a line break or `=`. If it were copied unchanged, it would set
+/// another key.
 #[test]
 fn json_key_cannot_forge_another() {
     let mut forged = without("limits.cancel");
     forged["x\nlimits.cancel"] = json!(true);
     assert!(
         read(&forged)
-            .expect_err("refused")
+            .expect_err("rejected")
             .contains("limits.cancel is missing")
     );
     let mut named = settings();
--- a/crates/config/tests/site/mod.rs
+++ b/crates/config/tests/site/mod.rs
@@ -1,9 +1,10 @@
-//! A complete settings object, as the platform's JSON holds one.
+//! A complete settings object, as in the platform's JSON.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
 
-/// Four classes, two tenants and two zones, with names as people write them; every key that may be missing is there.
+/// Four classes, two tenants and two zones, with names that contain spaces and non-ASCII letters;
+/// all optional keys are present.
 pub(crate) fn settings() -> Value {
     let class = |name: &str, idempotency: &str, priority_weight: f64| {
         json!({"name": name, "effect": idempotency, "group": "cell", "deadline-ms": 3000.0, "slo-ms": 600.0,
@@ -34,12 +35,12 @@
     })
 }
 
-/// The JSON pointer of a key in the settings' own form.
+/// The JSON pointer of a key with dots.
 pub(crate) fn pointer(key: &str) -> String {
     format!("/{}", key.replace('.', "/"))
 }
 
-/// The settings with another value of a key.
+/// The settings with another value for a key.
 pub(crate) fn with(key: &str, value: Value) -> Value {
     let mut all = settings();
     *all.pointer_mut(&pointer(key))
@@ -50,11 +51,11 @@
 /// The settings without a key.
 pub(crate) fn without(key: &str) -> Value {
     let mut all = settings();
-    let (above, name) = key
+    let (parent, name) = key
         .rsplit_once('.')
         .map_or((String::new(), key), |(a, n)| (pointer(a), n));
     let object = all
-        .pointer_mut(&above)
+        .pointer_mut(&parent)
         .and_then(Value::as_object_mut)
         .expect("an object");
     object
