--- a/crates/config/src/operators/mod.rs
+++ b/crates/config/src/operators/mod.rs
@@ -129,7 +129,7 @@
                 let error = ConfigError {
                     line: 0,
                     key: String::new(),
-                    what: error.to_string(),
+                    message: error.to_string(),
                 };
                 let list = vec![error];
                 Err(ConfigErrors { file, list })
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -23,16 +23,16 @@
     /// The key with its path; empty if the file as such is at fault.
     pub key: String,
     /// Description of the fault, worded to follow the key.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { line, key, what } = self;
+        let Self { line, key, message } = self;
         if key.is_empty() {
-            write!(f, "line {line}: {what}")
+            write!(f, "line {line}: {message}")
         } else {
-            write!(f, "line {line}: {key} {what}")
+            write!(f, "line {line}: {key} {message}")
         }
     }
 }
@@ -62,8 +62,8 @@
             Ok(document) => Some(document),
             Err(e) => {
                 let offset = e.span().map_or(0, |span| span.start);
-                let what = format!("is no TOML: {}", e.message());
-                self.add_fault(self.line(offset), String::new(), what);
+                let message = format!("is no TOML: {}", e.message());
+                self.add_fault(self.line(offset), String::new(), message);
                 None
             }
         }
@@ -75,10 +75,10 @@
         1 + before.filter(|byte| *byte == b'\n').count()
     }
 
-    fn add_fault(&self, line: usize, key: String, what: String) {
+    fn add_fault(&self, line: usize, key: String, message: String) {
         self.faults
             .borrow_mut()
-            .push(ConfigError { line, key, what });
+            .push(ConfigError { line, key, message });
     }
 
     /// All faults, ordered by line.
@@ -162,9 +162,9 @@
     }
 
     /// Adds a fault of a key, on the key's line or, if the key is missing, on the section's line.
-    pub fn fault(&self, key: &str, what: impl Into<String>) {
+    pub fn fault(&self, key: &str, message: impl Into<String>) {
         self.source
-            .add_fault(self.line_of(key), self.path_of(key), what.into());
+            .add_fault(self.line_of(key), self.path_of(key), message.into());
     }
 
     /// The value of a key, or its default. A missing key without a default is a fault, and so is an
@@ -412,8 +412,8 @@
             }
             let line = self.line_at(self.key_span(key));
             let hint = similar_key(&known, key).map(|near| format!("; is {near} meant?"));
-            let what = format!("is not known{}", hint.unwrap_or_default());
-            self.source.add_fault(line, self.path_of(key), what);
+            let message = format!("is not known{}", hint.unwrap_or_default());
+            self.source.add_fault(line, self.path_of(key), message);
         }
         drop(known);
         self.completed.into_inner()
--- a/crates/request-log/src/counters.rs
+++ b/crates/request-log/src/counters.rs
@@ -10,7 +10,7 @@
 use crate::outcomes::{AttemptOutcome, FailureReason, FinalOutcome, RejectionReason};
 use crate::record::RequestRecord;
 
-/// What the name of a row refers to.
+/// The kind of name that a row has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
@@ -23,7 +23,7 @@
 /// The key of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowKey {
-    /// What `name` refers to.
+    /// Whether `name` is a class or a tenant.
     pub scope: Scope,
     /// The front's name.
     pub front: Arc<str>,
