--- a/crates/gateway/tests/cluster_test.rs
+++ b/crates/gateway/tests/cluster_test.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use rstest::rstest;
-use valehatch_testbed::cluster_test::{Plan, Way};
+use valehatch_testbed::cluster_test::{Plan, Variant};
 
 fn plan(seconds: f64, events: &str) -> Result<Plan, String> {
     // The fault waits until service is whole, and the play ends when it is whole again: on a loaded machine it takes longer.
@@ -46,7 +46,12 @@
         .collect();
     let plan = plan(60.0, &events).unwrap();
     let row = plan
-        .play(Path::new(env!("CARGO_BIN_EXE_valehatch")), Way::Kept, 5, 1)
+        .play(
+            Path::new(env!("CARGO_BIN_EXE_valehatch")),
+            Variant::Kept,
+            5,
+            1,
+        )
         .unwrap();
     assert_eq!(row.broken, Vec::<String>::new());
     assert!(row.full_s.is_some(), "never whole again: {:?}", row.curve);
@@ -56,7 +61,12 @@
 fn the_stage_sees_a_fleet_that_does_not_come_back() {
     let plan = plan(11.0, &event(4.0, "kill", "share = 0.6")).unwrap();
     let row = plan
-        .play(Path::new(env!("CARGO_BIN_EXE_valehatch")), Way::Kept, 5, 1)
+        .play(
+            Path::new(env!("CARGO_BIN_EXE_valehatch")),
+            Variant::Kept,
+            5,
+            1,
+        )
         .unwrap();
     assert!(row.full_s.is_none(), "{:?}", row.curve);
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -11,7 +11,7 @@
 
 use rstest::rstest;
 use support::*;
-use valehatch_testbed::relay::{Relays, Weather};
+use valehatch_testbed::relay::{NetworkConditions, Relays};
 
 struct Fleet {
     relays: Arc<Relays>,
@@ -244,9 +244,9 @@
     fleet.agrees("all know all");
     let halves: Vec<(usize, usize)> = (0..3).flat_map(|a| (3..6).map(move |b| (a, b))).collect();
     let back = halves.iter().filter(|_| both).map(|(a, b)| (*b, *a));
-    fleet.relays.set(Weather {
+    fleet.relays.set(NetworkConditions {
         cut: halves.iter().copied().chain(back).collect(),
-        ..Weather::default()
+        ..NetworkConditions::default()
     });
     let other_half: BTreeSet<SocketAddr> = (0..3).map(|n| fleet.known(n)).collect();
     wait_until(
@@ -257,7 +257,7 @@
         (0..6).all(|n| fleet.view(n).is_some_and(|v| v.0 == 3))
     });
     fleet.serves();
-    fleet.relays.set(Weather::default());
+    fleet.relays.set(NetworkConditions::default());
     fleet.agrees("one fleet again");
     fleet.settles(6, "all hold the same after the cut");
 }
@@ -265,11 +265,11 @@
 #[test]
 fn with_half_the_datagrams_lost_and_the_rest_late_and_doubled_a_start_of_all_finds_all() {
     let mut fleet = Fleet::new(5);
-    fleet.relays.set(Weather {
+    fleet.relays.set(NetworkConditions {
         lost: 0.5,
-        doubled: 0.5,
+        duplicated: 0.5,
         delay: Duration::from_millis(60),
-        ..Weather::default()
+        ..NetworkConditions::default()
     });
     fleet.kill(&[0, 1, 2, 3, 4]);
     (0..5).for_each(|n| fleet.start(n));
@@ -282,7 +282,7 @@
     };
     wait_until("each has met each", || (0..5).all(found));
     fleet.serves();
-    fleet.relays.set(Weather::default());
+    fleet.relays.set(NetworkConditions::default());
     fleet.agrees("in fair weather all is well");
     fleet.settles(5, "and all hold the same");
     // 256 bytes are the most that the platform's networks carry whole.
@@ -336,9 +336,9 @@
     let mut fleet = Fleet::new(5);
     fleet.kill(&[4]);
     fleet.settles(4, "four without the fifth");
-    fleet.relays.set(Weather {
-        namesake: Some((4, 3)),
-        ..Weather::default()
+    fleet.relays.set(NetworkConditions {
+        shared_address: Some((4, 3)),
+        ..NetworkConditions::default()
     });
     fleet.start_as(4, fleet.known(3));
     wait_until("both are told", || {
--- a/crates/testbed/src/cluster_test.rs
+++ b/crates/testbed/src/cluster_test.rs
@@ -17,7 +17,7 @@
 
 use crate::load::Front;
 use crate::members::{Client, http_head, is_ended, message, pg_message, row};
-use crate::relay::{Relays, Weather};
+use crate::relay::{NetworkConditions, Relays};
 
 /// The width of what rates are counted in.
 const BIN: Duration = Duration::from_millis(100);
@@ -49,7 +49,7 @@
     #[serde(default)]
     pub until_full: bool,
     /// The ways that are compared.
-    pub ways: Vec<Way>,
+    pub ways: Vec<Variant>,
     /// When what is measured begins: the first fault.
     #[serde(default)]
     pub event: Vec<FaultEvent>,
@@ -58,14 +58,14 @@
 /// How gateways are set up.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum Variant {
     /// Nothing kept, nobody known.
     Plain,
     /// With a state folder, and knowing each other.
     Kept,
 }
 
-impl Way {
+impl Variant {
     /// Its name.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -422,7 +422,7 @@
 
     fn file(
         &self,
-        way: Way,
+        way: Variant,
         size: usize,
         front: SocketAddr,
         discovery: SocketAddr,
@@ -444,7 +444,7 @@
             dir.file_name()
                 .map(|n| n.to_string_lossy())
                 .unwrap_or_default(),
-            if way == Way::Kept {
+            if way == Variant::Kept {
                 kept
             } else {
                 String::new()
@@ -455,7 +455,13 @@
     }
 
     /// Plays one fleet with one seed.
-    pub fn play(&self, program: &Path, way: Way, size: usize, seed: u64) -> Result<Row, String> {
+    pub fn play(
+        &self,
+        program: &Path,
+        way: Variant,
+        size: usize,
+        seed: u64,
+    ) -> Result<Row, String> {
         let named = |e: io::Error| format!("{}: {e}", self.name);
         let play = next_play();
         let stage = Arc::new(Stage {
@@ -630,23 +636,23 @@
             }
             What::Silence => stage.silent.store(true, Ordering::Relaxed),
             What::Speak => stage.silent.store(false, Ordering::Relaxed),
-            What::Weather => relays.set(Weather {
+            What::Weather => relays.set(NetworkConditions {
                 lost: event.lost,
-                doubled: event.lost,
+                duplicated: event.lost,
                 delay: Duration::from_millis(event.delay_ms),
-                ..Weather::default()
+                ..NetworkConditions::default()
             }),
             What::Cut => {
                 let pairs = (0..size).flat_map(|a| (0..size).map(move |b| (a, b)));
                 let cut = pairs
                     .filter(|(a, b)| drawn.contains(a) != drawn.contains(b))
                     .collect();
-                relays.set(Weather {
+                relays.set(NetworkConditions {
                     cut,
-                    ..Weather::default()
+                    ..NetworkConditions::default()
                 });
             }
-            What::Fair => relays.set(Weather::default()),
+            What::Fair => relays.set(NetworkConditions::default()),
             What::Primaries => lock(&stage.primaries)
                 .iter_mut()
                 .for_each(|p| *p = (*p + 1) % 3),
@@ -695,7 +701,13 @@
     full.map(|at| from + at - fault)
 }
 
-fn judge(way: Way, gateways: usize, seed: u64, (fault, from): (usize, usize), seen: Seen) -> Row {
+fn judge(
+    way: Variant,
+    gateways: usize,
+    seed: u64,
+    (fault, from): (usize, usize),
+    seen: Seen,
+) -> Row {
     let after = after(&seen.bins, fault);
     let most = |what: usize| after.iter().map(|b| b[what]).max().unwrap_or(0);
     Row {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -236,7 +236,7 @@
             .iter()
             .flat_map(|s| plan.ways.iter().map(move |w| (*s, *w)))
         {
-            let program = if way == cluster_test::Way::Plain {
+            let program = if way == cluster_test::Variant::Plain {
                 before
             } else {
                 program
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -14,16 +14,16 @@
 
 /// How datagrams fare.
 #[derive(Clone, Debug, Default)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Parts of all that are lost and that come twice.
     pub lost: f64,
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Drawn for each from nothing to this: later ones overtake earlier ones.
     pub delay: Duration,
     /// Pairs, from and to, between which nothing passes.
     pub cut: Vec<(usize, usize)>,
     /// One that goes by another's address: what it sends comes from there, and what is sent there reaches either.
-    pub namesake: Option<(usize, usize)>,
+    pub shared_address: Option<(usize, usize)>,
 }
 
 struct Held {
@@ -55,7 +55,7 @@
     sockets: Vec<UdpSocket>,
     /// Where the gateways themselves listen.
     real: Vec<SocketAddr>,
-    weather: Mutex<Weather>,
+    weather: Mutex<NetworkConditions>,
     rng: Mutex<Xoshiro256PlusPlus>,
     held: Mutex<BinaryHeap<Held>>,
     /// Datagrams that each gateway sent, and their bytes.
@@ -113,7 +113,7 @@
     }
 
     /// From now on.
-    pub fn set(&self, weather: Weather) {
+    pub fn set(&self, weather: NetworkConditions) {
         *lock(&self.weather) = weather;
     }
 
@@ -133,16 +133,17 @@
             if weather.cut.contains(&(from, to)) || rng.random_bool(weather.lost) {
                 continue;
             }
-            let (other, name) = weather.namesake.unwrap_or((from, from));
+            let (other, name) = weather.shared_address.unwrap_or((from, from));
             let shown = if other == from { name } else { from };
-            let to =
-                if weather.namesake.is_some() && name == to && (from == to || rng.random_bool(0.5))
-                {
-                    other
-                } else {
-                    to
-                };
-            let copies = 1 + usize::from(rng.random_bool(weather.doubled));
+            let to = if weather.shared_address.is_some()
+                && name == to
+                && (from == to || rng.random_bool(0.5))
+            {
+                other
+            } else {
+                to
+            };
+            let copies = 1 + usize::from(rng.random_bool(weather.duplicated));
             for _ in 0..copies {
                 let due = Instant::now() + weather.delay.mul_f64(rng.random());
                 lock(&self.held).push(Held {
