--- a/crates/testbed/src/soak/agents.rs
+++ b/crates/testbed/src/soak/agents.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for discovery: each gateway has an agent of its own, reached through a proxy that holds, splits and resets.
+//! Stub discovery agents: each gateway has its own, behind a proxy that can hold back, fragment and
+//! reset the stream.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,35 +11,36 @@
 use super::world::World;
 use crate::members::http_head;
 
-const STACK: usize = 128 * 1024;
-const LOOK: Duration = Duration::from_millis(2);
-/// Bytes that the proxy passes on at once while it splits.
-const PIECE: usize = 7;
+const STACK_BYTES: usize = 128 * 1024;
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Bytes that the proxy forwards per write while it fragments the stream.
+const FRAGMENT_BYTES: usize = 7;
 
-/// What the path between a gateway and its agent does.
+/// Fault state of the proxy between a gateway and its agent.
 #[derive(Debug, Default)]
 pub struct AgentPath {
-    /// Bytes wait in the proxy.
-    pub held: AtomicBool,
-    /// Bytes come in small pieces.
-    pub splits: AtomicBool,
-    /// Connections up to this number are reset.
+    /// The proxy forwards nothing.
+    pub held_back: AtomicBool,
+    /// The proxy forwards in small fragments.
+    pub fragments: AtomicBool,
+    /// Connections numbered up to this one are reset.
     pub reset_below: AtomicU64,
     connections: AtomicU64,
 }
 
 impl AgentPath {
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset_open(&self) {
         self.reset_below
             .store(self.connections.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 }
 
-/// Starts an agent that tells a gateway the list with these addresses, and a proxy before it; the proxy's address.
+/// Starts an agent that serves a gateway the endpoint list with these addresses, and its proxy;
+/// returns the proxy's address.
 ///
 /// # Errors
-/// An address cannot be listened on, or there is no thread.
+/// Binding an address or starting a thread failed.
 pub fn start(
     world: &Arc<World>,
     path: &Arc<AgentPath>,
@@ -63,7 +65,7 @@
         };
         let (world, back) = (Arc::clone(&shared), Arc::clone(&path));
         let _ = Builder::new()
-            .stack_size(STACK)
+            .stack_size(STACK_BYTES)
             .spawn(move || relay(&world, &back, number, &to, &from));
         relay(&shared, &path, number, &stream, &onward);
     })?;
@@ -76,21 +78,21 @@
     serve: impl Fn(TcpStream) + Send + Sync + 'static,
 ) -> io::Result<()> {
     let (world, serve) = (Arc::clone(world), Arc::new(serve));
-    Builder::new().stack_size(STACK).spawn(move || {
+    Builder::new().stack_size(STACK_BYTES).spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             if world.is_over() {
                 return;
             }
             let serve = Arc::clone(&serve);
             let _ = Builder::new()
-                .stack_size(STACK)
+                .stack_size(STACK_BYTES)
                 .spawn(move || serve(stream));
         }
     })?;
     Ok(())
 }
 
-/// Passes bytes on in one direction until either side ends.
+/// Forwards bytes in one direction until either side closes.
 fn relay(world: &World, path: &AgentPath, number: u64, from: &TcpStream, to: &TcpStream) {
     let _ = from.set_read_timeout(Some(Duration::from_millis(20)));
     let mut buffer = [0; 16 * 1024];
@@ -117,11 +119,11 @@
             }
             Err(_) => break,
         };
-        while path.held.load(Ordering::SeqCst) && !world.is_over() {
-            sleep(LOOK);
+        while path.held_back.load(Ordering::SeqCst) && !world.is_over() {
+            sleep(POLL_INTERVAL);
         }
-        let piece = if path.splits.load(Ordering::SeqCst) {
-            PIECE
+        let piece = if path.fragments.load(Ordering::SeqCst) {
+            FRAGMENT_BYTES
         } else {
             buffer.len()
         };
@@ -136,7 +138,7 @@
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// Serves lists and watches.
+/// Serves list requests and long-poll watches.
 fn serve(world: &World, addresses: &[SocketAddr], stream: &TcpStream) -> io::Result<()> {
     let mut from = io::BufReader::new(stream);
     loop {
@@ -154,12 +156,12 @@
             Duration::from_millis(number("hold_ms=").unwrap_or(0)),
         );
         let until = Instant::now() + hold;
-        let news = || since.is_none_or(|since| world.version.load(Ordering::SeqCst) > since);
-        while !news() && Instant::now() < until && !world.is_over() {
-            sleep(LOOK);
+        let changed = || since.is_none_or(|since| world.version.load(Ordering::SeqCst) > since);
+        while !changed() && Instant::now() < until && !world.is_over() {
+            sleep(POLL_INTERVAL);
         }
-        let body = if news() {
-            world.list(addresses)
+        let body = if changed() {
+            world.discovery_list(addresses)
         } else {
             format!(
                 r#"{{"rev":{},"all":false,"targets":[]}}"#,
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of one gateway: they ask, leave, stop half-way and send many requests at once, and tell the oracle what they
-//! were answered.
+//! Simulated clients of one gateway: they send requests, disconnect, stall in the middle of a
+//! request and pipeline, and report each request and answer to the invariant checker.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,155 +12,158 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use socket2::SockRef;
 
-use super::processes::Lifetimes;
+use super::processes::ProcessExits;
 use super::world::{CLASSES, Class, World};
 use crate::members::{message, pg_message};
 
-/// Requests that are sent at once by a client that does not wait for answers.
+/// Requests in a pipelined batch.
 const PIPELINE: usize = 8;
-/// Time between two of a client's requests, in the mean.
-const GAP: Duration = Duration::from_millis(50);
-/// How long after its time a client gives an answer up.
-const PATIENCE: Duration = Duration::from_millis(900);
-/// A request that was written so shortly before its connection ended crossed that end, if its process ended then: it is
-/// asked once more.
-const CROSSING: Duration = Duration::from_millis(5);
-/// So long after a process has ended that is noted at the latest.
-const END_NOTED: Duration = Duration::from_millis(100);
-/// How long a client that stops in the middle of a request waits for its end: so long it is owed one.
-const STOPS: Duration = Duration::from_millis(3_000);
+/// Mean time between two requests of a client.
+const MEAN_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after a request's deadline at which a client stops waiting for the answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(900);
+/// A request written at most this long before its connection closed may have raced with the exit of
+/// the gateway process; it is not counted as lost, since a client may send it again.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(5);
+/// Longest delay between the exit of a process and its detection by the harness.
+const EXIT_DETECTION_DELAY: Duration = Duration::from_millis(100);
+/// Time within which the gateway must close the connection of a client that stalls in the middle of
+/// a request.
+const STALL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// One client of a gateway, with connections one after another.
+/// A client of one gateway that uses one connection at a time.
 pub struct Client {
     pub world: Arc<World>,
     pub gateway: usize,
     pub address: SocketAddr,
-    pub lifetimes: Arc<Lifetimes>,
+    pub process_exits: Arc<ProcessExits>,
     pub groups: usize,
-    /// Time between two requests.
+    /// Mean time between two requests.
     pub gap: Duration,
-    /// Whether it looks for an end before it sends on a connection that rested.
-    pub looks_first: bool,
+    /// Whether the client checks an idle connection for a close before it sends on it.
+    pub checks_before_reuse: bool,
     pub rng: Xoshiro256PlusPlus,
 }
 
-/// A request that was written.
-struct Asked {
+/// A request that was sent.
+struct SentRequest {
     id: String,
     at: Duration,
     deadline: Duration,
 }
 
-/// An answer: the value, or an error.
 enum Answer {
     Value(String),
     Error,
-    /// The last word on a connection that ends.
-    Farewell,
+    /// A FATAL error; the gateway closes the connection after it.
+    ConnectionClosing,
 }
 
 impl Client {
-    /// A client with its own random numbers.
+    /// A client with its own random number generator.
     #[must_use]
     pub fn new(
         world: &Arc<World>,
         gateway: usize,
         address: SocketAddr,
-        lifetimes: &Arc<Lifetimes>,
+        process_exits: &Arc<ProcessExits>,
         seed: u64,
     ) -> Self {
         let groups = super::world::lock(&world.primaries).len();
-        let (world, lifetimes) = (Arc::clone(world), Arc::clone(lifetimes));
+        let (world, process_exits) = (Arc::clone(world), Arc::clone(process_exits));
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let looks_first = rng.random_bool(0.5);
+        let checks_before_reuse = rng.random_bool(0.5);
         Self {
             world,
             gateway,
             address,
-            lifetimes,
+            process_exits,
             groups,
-            gap: GAP,
-            looks_first,
+            gap: MEAN_REQUEST_INTERVAL,
+            checks_before_reuse,
             rng,
         }
     }
 
-    /// Asks until the run is over.
+    /// Sends requests until the run is over.
     pub fn run(mut self) {
         let mut connection = None;
         while !self.world.is_over() {
             sleep(self.gap.mul_f64(0.5 + self.rng.random::<f64>()));
-            let rested = connection.take();
-            let stream = match rested.filter(|stream| !self.looks_first || !has_come(stream)) {
+            let idle = connection.take();
+            let stream = match idle
+                .filter(|stream| !self.checks_before_reuse || !has_pending_input(stream))
+            {
                 Some(stream) => stream,
                 None => match connect(self.address) {
                     Ok(stream) => stream,
-                    // Down, or about to be: readiness is judged by who starts it.
+                    // The gateway is down or stopping; the injector checks that it becomes ready in
+                    // time.
                     Err(_) => continue,
                 },
             };
-            connection = self.talk(stream);
+            connection = self.send_requests(stream);
         }
     }
 
-    /// Asks on a connection; it, if it can be used again.
-    fn talk(&mut self, mut stream: TcpStream) -> Option<TcpStream> {
-        let manners = &self.world.manners;
-        if manners.stop.load(Ordering::Relaxed) && self.rng.random_bool(0.15) {
-            return self.stop_half_way(stream);
+    /// Sends one request or one pipelined batch; returns the connection if it can be reused.
+    fn send_requests(&mut self, mut stream: TcpStream) -> Option<TcpStream> {
+        let client_behavior = &self.world.client_behavior;
+        if client_behavior.stall.load(Ordering::Relaxed) && self.rng.random_bool(0.15) {
+            return self.stall_mid_request(stream);
         }
-        let leaves = manners.leave.load(Ordering::Relaxed) && self.rng.random_bool(0.4);
-        let many = manners.pipeline.load(Ordering::Relaxed) && self.rng.random_bool(0.3);
-        let count = if many { PIPELINE } else { 1 };
-        let mut asked = vec![];
+        let disconnects =
+            client_behavior.disconnect.load(Ordering::Relaxed) && self.rng.random_bool(0.4);
+        let pipelines =
+            client_behavior.pipeline.load(Ordering::Relaxed) && self.rng.random_bool(0.3);
+        let count = if pipelines { PIPELINE } else { 1 };
+        let mut sent = vec![];
         let mut bytes = vec![];
         for _ in 0..count {
             let class = self.draw_class();
-            let id = format!("q{}x{}", self.gateway, self.world.next());
+            let id = format!("q{}x{}", self.gateway, self.world.next_id());
             let at = self.world.now();
             bytes.extend(self.query(&id, class));
-            // Noted before it is written: its endpoint may have it at once.
+            // Recorded before the write, since the endpoint may receive the request at once.
             self.world
                 .oracle()
                 .on_request(&id, class.effect, class.deadline, at);
-            asked.push(Asked {
+            sent.push(SentRequest {
                 id,
                 at,
                 deadline: class.deadline,
             });
         }
         if stream.write_all(&bytes).is_err() {
-            // No gateway has taken what was not written whole.
-            asked
-                .iter()
-                .for_each(|asked| self.world.oracle().on_excused(&asked.id));
+            // The gateway cannot have accepted a request that was not written completely.
+            sent.iter()
+                .for_each(|sent| self.world.oracle().on_excused(&sent.id));
             return None;
         }
-        if leaves {
+        if disconnects {
             sleep(Duration::from_millis(self.rng.random_range(0..60)));
             if self.rng.random_bool(0.5) {
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
             drop(stream);
             let at = self.world.now();
-            asked
-                .iter()
-                .for_each(|asked| self.world.oracle().on_client_left(&asked.id, at));
+            sent.iter()
+                .for_each(|sent| self.world.oracle().on_client_left(&sent.id, at));
             return None;
         }
-        self.read_answers(stream, &asked)
+        self.read_answers(stream, &sent)
     }
 
-    fn read_answers(&self, mut stream: TcpStream, asked: &[Asked]) -> Option<TcpStream> {
+    fn read_answers(&self, mut stream: TcpStream, sent: &[SentRequest]) -> Option<TcpStream> {
         let mut ahead = Duration::ZERO;
-        for (n, request) in asked.iter().enumerate() {
-            let end = request.at + request.deadline + ahead + PATIENCE;
+        for (n, request) in sent.iter().enumerate() {
+            let end = request.at + request.deadline + ahead + ANSWER_GRACE;
             match answer(&mut stream, end.saturating_sub(self.world.now())) {
-                Ok(Answer::Farewell) => {
+                Ok(Answer::ConnectionClosing) => {
                     let at = self.world.now();
                     self.world.oracle().on_answer(&request.id, None, ahead, at);
-                    // One last word answers all that was asked behind it.
-                    asked[n + 1..]
+                    // A FATAL error answers all requests pipelined behind this one as well.
+                    sent[n + 1..]
                         .iter()
                         .for_each(|rest| self.world.oracle().on_excused(&rest.id));
                     return None;
@@ -176,8 +179,8 @@
                     ahead = at - request.at;
                 }
                 Err(e) => {
-                    self.give_up(
-                        &asked[n..],
+                    self.resolve_unanswered(
+                        &sent[n..],
                         &format!("its connection ended with no answer: {e}"),
                     );
                     return None;
@@ -187,16 +190,21 @@
         Some(stream)
     }
 
-    /// Requests whose connection ended: lost, unless their gateway was killed or they crossed the end of its process.
-    fn give_up(&self, asked: &[Asked], why: &str) {
+    /// Handles requests whose connection closed: they are lost unless the gateway was killed or
+    /// they raced with its exit.
+    fn resolve_unanswered(&self, sent: &[SentRequest], why: &str) {
         let now = self.world.now();
-        sleep(END_NOTED);
-        for request in asked {
-            let killed = self.lifetimes.killed_between(self.gateway, request.at, now);
-            let crossed = now.saturating_sub(request.at) < CROSSING
-                && self
-                    .lifetimes
-                    .ended_between(self.gateway, request.at, now + END_NOTED);
+        sleep(EXIT_DETECTION_DELAY);
+        for request in sent {
+            let killed = self
+                .process_exits
+                .killed_between(self.gateway, request.at, now);
+            let crossed = now.saturating_sub(request.at) < CLOSE_RACE_WINDOW
+                && self.process_exits.ended_between(
+                    self.gateway,
+                    request.at,
+                    now + EXIT_DETECTION_DELAY,
+                );
             if killed || crossed || self.world.is_over() {
                 self.world.oracle().on_excused(&request.id);
             } else {
@@ -210,22 +218,22 @@
         }
     }
 
-    /// Stops in the middle of a request and stays; the gateway must end that in time.
-    fn stop_half_way(&mut self, mut stream: TcpStream) -> Option<TcpStream> {
+    /// Sends half a request and keeps the connection open; the gateway must close it in time.
+    fn stall_mid_request(&mut self, mut stream: TcpStream) -> Option<TcpStream> {
         let class = self.draw_class();
         let bytes = self.query("half", class);
         let from = self.world.now();
         let _ = stream.write_all(&bytes[..bytes.len() / 2]);
-        let _ = stream.set_read_timeout(Some(STOPS));
+        let _ = stream.set_read_timeout(Some(STALL_TIMEOUT));
         let ended =
             !matches!(stream.read(&mut [0; 512]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         let now = self.world.now();
         let excused =
-            self.lifetimes.killed_between(self.gateway, from, now) || self.world.is_over();
+            self.process_exits.killed_between(self.gateway, from, now) || self.world.is_over();
         if !ended && !excused {
             self.world.oracle().on_lost(
                 "half",
-                "a client that stopped half-way was left without an end",
+                "the connection of a client that stalled in the middle of a request was not closed in time",
                 now,
             );
         }
@@ -264,17 +272,17 @@
     }
 }
 
-/// Whether bytes or the end have come on a connection that rests.
-fn has_come(stream: &TcpStream) -> bool {
+/// Whether an idle connection has unread bytes or was closed.
+fn has_pending_input(stream: &TcpStream) -> bool {
     let mut one = [std::mem::MaybeUninit::uninit()];
     let got = SockRef::from(stream).recv_with_flags(&mut one, libc::MSG_PEEK | libc::MSG_DONTWAIT);
     !matches!(got, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Connects and greets.
+/// Connects and completes the PostgreSQL startup handshake.
 ///
 /// # Errors
-/// The gateway does not take the connection.
+/// The gateway does not accept the connection.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
     stream.set_nodelay(true)?;
@@ -286,7 +294,7 @@
     Ok(stream)
 }
 
-/// The next answer, waited for no longer than this.
+/// Reads the next answer; fails after `wait` without input.
 fn answer(stream: &mut TcpStream, wait: Duration) -> io::Result<Answer> {
     stream.set_read_timeout(Some(wait.max(Duration::from_millis(1))))?;
     let mut given = Answer::Error;
@@ -300,7 +308,7 @@
                 );
             }
             (b'E', body) if String::from_utf8_lossy(&body).starts_with("SFATAL") => {
-                return Ok(Answer::Farewell);
+                return Ok(Answer::ConnectionClosing);
             }
             (b'E', _) => given = Answer::Error,
             (b'Z', _) => return Ok(given),
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,4 +1,5 @@
-//! `valehatch-testbed soak`: plays seeds or a schedule from a file, says what broke, and makes what broke smaller.
+//! `valehatch-testbed soak`: runs the schedules of a range of seeds, or one schedule from a file,
+//! reports violated invariants, and shrinks failing schedules.
 
 use std::path::PathBuf;
 
@@ -16,7 +17,8 @@
     /// A schedule, in TOML, in place of those that the seeds draw.
     #[arg(long)]
     pub schedule: Option<PathBuf>,
-    /// Drop faults one by one from what breaks, for as long as the rest still breaks in one of so many plays.
+    /// Drop faults one by one from what breaks, for as long as the rest still breaks in one of so
+    /// many plays.
     #[arg(long, default_value_t = 0)]
     pub shrink: usize,
     /// Gateways, from 1 to 40.
@@ -33,14 +35,14 @@
     pub out: PathBuf,
 }
 
-/// Requests of mean work that an endpoint can do in a second, for each gateway that sends.
+/// Share of an endpoint group's capacity for each gateway, in requests of mean work per second.
 const CAPACITY_FOR_EACH_GATEWAY: f64 = 8.0;
 
 impl Soak {
-    /// Plays all; says on standard output what came of each.
+    /// Runs all seeds and prints the result of each to standard output.
     ///
     /// # Errors
-    /// What cannot be played, or how many runs broke an invariant.
+    /// A run could not be set up, or the number of runs that violated an invariant.
     pub fn run(&self, seeds: &[u64]) -> Result<(), String> {
         let plan = self.plan()?;
         let given = self.schedule.as_ref().map(|path| {
@@ -106,7 +108,8 @@
         })
     }
 
-    /// Keeps the smallest schedule that still breaks the first invariant, beside the logs.
+    /// Writes the smallest schedule found that still violates the first violated invariant next to
+    /// the logs.
     fn shrink(
         &self,
         plan: &Plan,
--- a/crates/testbed/src/soak/endpoints.rs
+++ b/crates/testbed/src/soak/endpoints.rs
@@ -1,5 +1,5 @@
-//! Stand-in databases: they serve PostgreSQL's protocol as the protocol page says, misbehave as the schedule says, and
-//! tell the oracle of each attempt when its last byte has arrived.
+//! Stub endpoints: they serve the PostgreSQL protocol, misbehave as the schedule says, and report
+//! each attempt to the invariant checker when its last byte has arrived.
 
 use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,12 +14,12 @@
 use super::world::{CLASSES, World, lock, mean_work};
 use crate::members::{is_ended, message, pg_message, row};
 
-const STACK: usize = 128 * 1024;
-const LOOK: Duration = Duration::from_millis(5);
-/// How late a connection is greeted that comes up late.
+const STACK_BYTES: usize = 128 * 1024;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Handshake delay while connections come up late.
 const DIAL_DELAY: Duration = Duration::from_millis(700);
 
-/// A connection from a gateway.
+/// A connection from a gateway to a stub endpoint.
 struct Exchange<'a> {
     world: &'a World,
     endpoint: usize,
@@ -28,16 +28,16 @@
     stream: &'a TcpStream,
 }
 
-/// Starts an endpoint's stand-in as one gateway reaches it: each has an address of its own for each endpoint, which tells
-/// who sent what. It serves until the run is over.
+/// Starts the listener of a stub endpoint for one gateway and serves until the run is over. Each
+/// pair of gateway and endpoint has its own address, which identifies the sender of a request.
 ///
 /// # Errors
-/// The address cannot be listened on, or there is no thread.
+/// Binding the address or starting the thread failed.
 pub fn start(world: &Arc<World>, endpoint: usize, gateway: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let world = Arc::clone(world);
-    Builder::new().stack_size(STACK).spawn(move || {
+    Builder::new().stack_size(STACK_BYTES).spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             if world.is_over() {
                 return;
@@ -48,8 +48,8 @@
                 continue;
             }
             let world = Arc::clone(&world);
-            let _ = Builder::new().stack_size(STACK).spawn(move || {
-                let connection = world.next();
+            let _ = Builder::new().stack_size(STACK_BYTES).spawn(move || {
+                let connection = world.next_id();
                 let exchange = Exchange {
                     world: &world,
                     endpoint,
@@ -64,12 +64,12 @@
     Ok(address)
 }
 
-/// Has the next close of a connection reset it.
+/// Makes the next close of the connection send a reset.
 fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A value of a request's comment.
+/// Value of a field in the request's leading comment.
 fn field<'t>(text: &'t str, name: &str) -> Option<&'t str> {
     let comment = text.strip_prefix("/* ")?.split(" */").next()?;
     comment
@@ -89,12 +89,12 @@
             &mut from.by_ref().take(u64::from(u32::from_be_bytes(head)) - 4),
             &mut io::sink(),
         )?;
-        if state.dials_late.load(Ordering::SeqCst) {
+        if state.delays_handshake.load(Ordering::SeqCst) {
             sleep(DIAL_DELAY);
         }
         self.write(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat())?;
-        // A process that ends resets all its connections.
-        self.stream.set_read_timeout(Some(LOOK))?;
+        // The timeout lets the loop notice an endpoint restart, which resets all connections.
+        self.stream.set_read_timeout(Some(POLL_INTERVAL))?;
         loop {
             if self.world.is_over() || state.incarnation.load(Ordering::SeqCst) != incarnation {
                 reset(self.stream);
@@ -113,7 +113,7 @@
             };
             self.stream.set_read_timeout(None)?;
             let (kind, body) = pg_message(&mut from)?;
-            self.stream.set_read_timeout(Some(LOOK))?;
+            self.stream.set_read_timeout(Some(POLL_INTERVAL))?;
             if kind != b'Q' {
                 return Ok(());
             }
@@ -160,11 +160,11 @@
             .load(Ordering::SeqCst)
     }
 
-    /// Serves a request; whether the connection goes on.
+    /// Serves a request; returns whether the connection stays open.
     fn answer(&self, text: &str, incarnation: u64) -> io::Result<bool> {
         let (world, state) = (self.world, &self.world.endpoints[self.endpoint]);
         let id = field(text, "id").unwrap_or_default().to_owned();
-        let told_ms = field(text, "d")
+        let remaining_ms = field(text, "d")
             .and_then(|d| d.parse().ok())
             .unwrap_or(u64::MAX / 2);
         let class = CLASSES
@@ -172,7 +172,7 @@
             .find(|class| field(text, "c") == Some(class.name))
             .unwrap_or(&CLASSES[0]);
         let write = class.need == "mutate";
-        // Read before the oracle is told: the age that the request met.
+        // Read first: the data age when the request arrived.
         let age = class.bound.map(|bound| (world.age(self.endpoint), bound));
         let earlier_ended = self.note_out(&id);
         let attempt = Attempt {
@@ -180,7 +180,7 @@
             endpoint: self.endpoint,
             gateway: self.gateway,
             connection: self.connection,
-            told_ms,
+            remaining_ms,
             work: class.work.as_secs_f64() / mean_work().as_secs_f64(),
             age,
             earlier_ended,
@@ -193,7 +193,7 @@
             if state.incarnation.load(Ordering::SeqCst) != incarnation {
                 break;
             }
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
         let primary = world.is_primary(self.endpoint);
         let refused = write && !primary;
@@ -203,13 +203,13 @@
         } else {
             row(&id, tag)
         };
-        if state.resets.load(Ordering::SeqCst) && world.next().is_multiple_of(2) {
+        if state.resets.load(Ordering::SeqCst) && world.next_id().is_multiple_of(2) {
             self.write(&answer[..answer.len() / 2])?;
             over(false);
             reset(self.stream);
             return Ok(false);
         }
-        if state.spoils.load(Ordering::SeqCst) && world.next().is_multiple_of(2) {
+        if state.corrupts_answers.load(Ordering::SeqCst) && world.next_id().is_multiple_of(2) {
             self.write(&[0, 0xff, 0xff, 0xff, 0xff, 1, 2, 3])?;
             over(false);
             return Ok(false);
@@ -224,31 +224,33 @@
             bytes.extend(message(b'S', position.as_bytes()));
         }
         bytes.extend(message(b'Z', b"I"));
-        // Over before the answer leaves: what the gateway does next may arrive at once.
+        // Recorded before the answer is sent, since the gateway's next attempt may arrive at once.
         over(refused);
         self.write(&bytes)?;
         Ok(true)
     }
 
-    /// Keeps this connection as the one that carries a request; whether the one before it has been ended.
+    /// Records this connection as that of the newest attempt; returns whether the previous
+    /// attempt's connection has ended.
     fn note_out(&self, id: &str) -> bool {
         let Ok(stream) = self.stream.try_clone() else {
             return true;
         };
-        let before = lock(&self.world.carriers).insert(id.to_owned(), (self.connection, stream));
+        let before =
+            lock(&self.world.open_attempts).insert(id.to_owned(), (self.connection, stream));
         before.is_none_or(|(_, before)| is_ended(&before))
     }
 
-    /// The attempt is over: it ended here, or its connection is about to.
+    /// Records that the attempt has ended, or that its connection is about to close.
     fn note_over(&self, id: &str, never_ran: bool) {
-        let mut carriers = lock(&self.world.carriers);
-        if carriers
+        let mut open_attempts = lock(&self.world.open_attempts);
+        if open_attempts
             .get(id)
             .is_some_and(|(connection, _)| *connection == self.connection)
         {
-            carriers.remove(id);
+            open_attempts.remove(id);
         }
-        drop(carriers);
+        drop(open_attempts);
         self.world
             .oracle()
             .on_attempt_over(id, self.connection, never_ran);
--- a/crates/testbed/src/soak/inject.rs
+++ b/crates/testbed/src/soak/inject.rs
@@ -1,4 +1,5 @@
-//! Turns the faults of a schedule on and off, and tells the oracle what gateways count as told.
+//! Starts and ends the faults of a schedule, and reports to the invariant checker which changes
+//! each gateway must know.
 
 use std::collections::BTreeMap;
 use std::process::Child;
@@ -10,102 +11,107 @@
 
 use super::agents::AgentPath;
 use super::oracle::Invariant;
-use super::processes::{Gateway, Lifetimes, signal_to};
+use super::processes::{Gateway, ProcessExits, signal_to};
 use super::schedule::{Fault, FaultKind, Schedule};
 use super::world::{GROUP_SIZE, World, lock};
 
-/// A planned stop is over by then: the longest deadline, 3 s at most, and 0.7 s; and the rig's own lateness.
-const STOP_MOST: Duration = Duration::from_millis(3_700 + 150);
-/// The earliest time from SIGTERM to SIGKILL that the page allows: the longest deadline of the classes, and 0.7 s.
-const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
-/// A second process of a gateway has so long to say that it is ready.
-const SECOND_READY: Duration = Duration::from_millis(6_000);
-/// A new configuration counts after this.
-const RELOADED: Duration = Duration::from_secs(4);
-/// How long a process is stopped, and how often, while its machine pauses.
-const PAUSE: Duration = Duration::from_millis(120);
-const PAUSES_EACH: Duration = Duration::from_millis(400);
-/// How long a group has no primary while that changes.
-const NO_PRIMARY: Duration = Duration::from_millis(500);
-/// How long an endpoint that restarts is down.
-const DOWN: Duration = Duration::from_millis(400);
-/// The agent's silence ends for a gateway at the latest this long after it was reachable again.
-const AGENT_BACK: Duration = Duration::from_millis(300);
-/// Offsets of a wall clock, chosen by the fault's first number.
-const OFFSETS_S: [i64; 6] = [3_600, -3_600, 2, -2, 30, -1];
-
-/// A process that is on its way out.
-struct Leaving {
+/// Limit for a planned stop: the longest deadline (at most 3 s) and 0.7 s, with 0.15 s for delays
+/// of the harness.
+const STOP_TIMEOUT: Duration = Duration::from_millis(3_700 + 150);
+/// Shortest time from SIGTERM to SIGKILL that operators may configure: the longest class deadline
+/// and 0.7 s.
+const MIN_KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Time limit for a hot restart's successor to become ready.
+const SUCCESSOR_READY_TIMEOUT: Duration = Duration::from_millis(6_000);
+/// Time after which a reloaded configuration must be in effect.
+const RELOAD_GRACE: Duration = Duration::from_secs(4);
+/// Length of one pause of a process, and the time between pauses.
+const PAUSE_LENGTH: Duration = Duration::from_millis(120);
+const PAUSE_INTERVAL: Duration = Duration::from_millis(400);
+/// Time without a primary during a change of primary.
+const PRIMARY_GAP: Duration = Duration::from_millis(500);
+/// Downtime of a restarting endpoint.
+const ENDPOINT_DOWNTIME: Duration = Duration::from_millis(400);
+/// Time limit for a gateway to hear from its agent after the agent is reachable again.
+const AGENT_RECOVERY: Duration = Duration::from_millis(300);
+/// Wall-clock offsets in hot_restarts, selected by the first target of the fault.
+const CLOCK_OFFSETS_S: [i64; 6] = [3_600, -3_600, 2, -2, 30, -1];
+
+/// A process that was asked to stop and has not exited yet.
+struct StoppingProcess {
     child: Child,
     gateway: usize,
     by: Duration,
-    /// When it is killed as the platform does; `None` if it has to end by itself.
+    /// Time of the platform's SIGKILL; `None` if the process must exit by itself.
     killed_at: Option<Duration>,
-    /// The next process starts once this one has ended.
+    /// Whether a new process starts after this one has exited.
     restarts: bool,
 }
 
-/// Half of the gateways are killed at the earliest, the others must show that they end by themselves.
+/// Half of the gateways are killed at the earliest permitted time; the others must exit by
+/// themselves.
 fn planned_kill(gateway: usize, now: Duration) -> Option<Duration> {
-    gateway.is_multiple_of(2).then_some(now + EARLIEST_KILL)
+    gateway.is_multiple_of(2).then_some(now + MIN_KILL_DELAY)
 }
 
-/// A second process that is starting beside the first.
-struct Second {
+/// A hot restart in progress: the successor is starting beside the first process.
+struct HotRestart {
     first: Option<Child>,
     gateway: usize,
     by: Duration,
 }
 
-/// Something to be done later.
-enum Later {
-    PrimaryIs(usize, usize),
+/// An action with a due time.
+enum DeferredAction {
+    SetPrimary(usize, usize),
     EndpointUp(usize),
     Continue(usize),
 }
 
-/// Plays a schedule.
+/// Applies the faults of a schedule to gateways, endpoints and clients.
 pub struct Injector {
     world: Arc<World>,
-    lifetimes: Arc<Lifetimes>,
+    process_exits: Arc<ProcessExits>,
     pub gateways: Vec<Gateway>,
     paths: Vec<Arc<AgentPath>>,
-    /// Faults that are on, by place in the schedule; those that are over.
+    /// Active faults by index in the schedule, and indexes of the ended ones.
     on: BTreeMap<usize, Fault>,
     over: Vec<usize>,
-    leaving: Vec<Leaving>,
-    seconds: Vec<Second>,
-    later: Vec<(Duration, Later)>,
-    /// Until when a gateway's agent cannot be reached, and from when its last configuration counts.
+    stopping: Vec<StoppingProcess>,
+    hot_restarts: Vec<HotRestart>,
+    deferred: Vec<(Duration, DeferredAction)>,
+    /// Time up to which a gateway's agent is unreachable or its reloaded configuration may not be
+    /// in effect yet.
     unreachable: BTreeMap<usize, Duration>,
     paused: BTreeMap<usize, Duration>,
 }
 
 impl Injector {
-    /// With all well.
+    /// An injector with no active fault.
     #[must_use]
     pub fn new(
         world: Arc<World>,
-        lifetimes: Arc<Lifetimes>,
+        process_exits: Arc<ProcessExits>,
         gateways: Vec<Gateway>,
         paths: Vec<Arc<AgentPath>>,
     ) -> Self {
         Self {
             world,
-            lifetimes,
+            process_exits,
             gateways,
             paths,
             on: BTreeMap::new(),
             over: vec![],
-            leaving: vec![],
-            seconds: vec![],
-            later: vec![],
+            stopping: vec![],
+            hot_restarts: vec![],
+            deferred: vec![],
             unreachable: BTreeMap::new(),
             paused: BTreeMap::new(),
         }
     }
 
-    /// Brings all up to a time since the faults' beginning.
+    /// Starts and ends the faults due at `at`, measured from the start of the schedule, and runs
+    /// the periodic work.
     pub fn step(&mut self, at: Duration, schedule: &Schedule) {
         let at_ms = u64::try_from(at.as_millis()).unwrap_or(u64::MAX);
         for (n, fault) in schedule.fault.iter().enumerate() {
@@ -123,10 +129,10 @@
                 self.end(&fault);
             }
         }
-        self.tend();
+        self.poll();
     }
 
-    fn chosen(fault: &Fault, of: usize) -> Vec<usize> {
+    fn select_targets(fault: &Fault, of: usize) -> Vec<usize> {
         let mut chosen: Vec<usize> = fault.targets.iter().map(|target| target % of).collect();
         chosen.sort_unstable();
         chosen.dedup();
@@ -134,11 +140,11 @@
     }
 
     fn gateways_of(&self, fault: &Fault) -> Vec<usize> {
-        Self::chosen(fault, self.gateways.len())
+        Self::select_targets(fault, self.gateways.len())
     }
 
     fn endpoints_of(&self, fault: &Fault) -> Vec<usize> {
-        Self::chosen(fault, self.world.endpoints.len())
+        Self::select_targets(fault, self.world.endpoints.len())
     }
 
     fn begin(&mut self, fault: &Fault) {
@@ -158,13 +164,13 @@
             FaultKind::Reload => {
                 for n in self.gateways_of(fault) {
                     let _ = self.gateways[n].reload(n);
-                    self.unreachable_until(n, self.world.now() + RELOADED);
+                    self.unreachable_until(n, self.world.now() + RELOAD_GRACE);
                 }
             }
             FaultKind::Pauses => {}
             FaultKind::WallClock => {
-                let offset =
-                    OFFSETS_S[fault.targets.first().copied().unwrap_or(0) % OFFSETS_S.len()];
+                let offset = CLOCK_OFFSETS_S
+                    [fault.targets.first().copied().unwrap_or(0) % CLOCK_OFFSETS_S.len()];
                 self.switch(fault, Switch::WallClockOffset, offset * 1_000_000);
             }
             FaultKind::AcceptFails => self.switch(fault, Switch::AcceptFails, 300),
@@ -180,35 +186,51 @@
             FaultKind::LateWrites => self.switch(fault, Switch::PauseBeforeWrite, 100_000),
             FaultKind::AgentSilent => {
                 for n in self.gateways_of(fault) {
-                    self.paths[n].held.store(true, Ordering::SeqCst);
+                    self.paths[n].held_back.store(true, Ordering::SeqCst);
                     self.unreachable_until(
                         n,
-                        self.world.now() + Duration::from_millis(fault.for_ms) + AGENT_BACK,
+                        self.world.now() + Duration::from_millis(fault.for_ms) + AGENT_RECOVERY,
                     );
                 }
             }
             FaultKind::AgentResets => self.gateways_of(fault).into_iter().for_each(|n| {
                 self.paths[n].reset_open();
-                self.paths[n].splits.store(true, Ordering::SeqCst);
+                self.paths[n].fragments.store(true, Ordering::SeqCst);
             }),
-            FaultKind::EndpointHangs => self.flag(fault, |e| &e.hangs, true),
-            FaultKind::EndpointResets => self.flag(fault, |e| &e.resets, true),
-            FaultKind::EndpointDialsLate => self.flag(fault, |e| &e.dials_late, true),
-            FaultKind::EndpointSpoils => self.flag(fault, |e| &e.spoils, true),
+            FaultKind::EndpointHangs => self.set_endpoint_flag(fault, |e| &e.hangs, true),
+            FaultKind::EndpointResets => self.set_endpoint_flag(fault, |e| &e.resets, true),
+            FaultKind::EndpointDialsLate => {
+                self.set_endpoint_flag(fault, |e| &e.delays_handshake, true)
+            }
+            FaultKind::EndpointSpoils => {
+                self.set_endpoint_flag(fault, |e| &e.corrupts_answers, true)
+            }
             FaultKind::EndpointRestarts => self.restart_endpoints(fault),
             FaultKind::EndpointDrains => self.drain(fault),
             FaultKind::ReplicasLag => {
                 let since = u64::try_from(self.world.now().as_micros()).unwrap_or(1);
                 for n in self.endpoints_of(fault) {
                     self.world.endpoints[n]
-                        .lags_since_us
+                        .lag_started_us
                         .store(since, Ordering::SeqCst);
                 }
             }
             FaultKind::PrimaryMoves => self.move_primaries(fault),
-            FaultKind::ClientsLeave => self.world.manners.leave.store(true, Ordering::SeqCst),
-            FaultKind::ClientsStop => self.world.manners.stop.store(true, Ordering::SeqCst),
-            FaultKind::ClientsPipeline => self.world.manners.pipeline.store(true, Ordering::SeqCst),
+            FaultKind::ClientsLeave => self
+                .world
+                .client_behavior
+                .disconnect
+                .store(true, Ordering::SeqCst),
+            FaultKind::ClientsStop => self
+                .world
+                .client_behavior
+                .stall
+                .store(true, Ordering::SeqCst),
+            FaultKind::ClientsPipeline => self
+                .world
+                .client_behavior
+                .pipeline
+                .store(true, Ordering::SeqCst),
         }
     }
 
@@ -236,30 +258,44 @@
             FaultKind::AgentSilent => {
                 self.gateways_of(fault)
                     .into_iter()
-                    .for_each(|n| self.paths[n].held.store(false, Ordering::SeqCst));
+                    .for_each(|n| self.paths[n].held_back.store(false, Ordering::SeqCst));
             }
             FaultKind::AgentResets => {
                 self.gateways_of(fault)
                     .into_iter()
-                    .for_each(|n| self.paths[n].splits.store(false, Ordering::SeqCst));
+                    .for_each(|n| self.paths[n].fragments.store(false, Ordering::SeqCst));
+            }
+            FaultKind::EndpointHangs => self.set_endpoint_flag(fault, |e| &e.hangs, false),
+            FaultKind::EndpointResets => self.set_endpoint_flag(fault, |e| &e.resets, false),
+            FaultKind::EndpointDialsLate => {
+                self.set_endpoint_flag(fault, |e| &e.delays_handshake, false)
+            }
+            FaultKind::EndpointSpoils => {
+                self.set_endpoint_flag(fault, |e| &e.corrupts_answers, false)
             }
-            FaultKind::EndpointHangs => self.flag(fault, |e| &e.hangs, false),
-            FaultKind::EndpointResets => self.flag(fault, |e| &e.resets, false),
-            FaultKind::EndpointDialsLate => self.flag(fault, |e| &e.dials_late, false),
-            FaultKind::EndpointSpoils => self.flag(fault, |e| &e.spoils, false),
             FaultKind::EndpointDrains => self.undrain(fault),
             FaultKind::ReplicasLag => {
                 for n in self.endpoints_of(fault) {
                     self.world.endpoints[n]
-                        .lags_since_us
+                        .lag_started_us
                         .store(0, Ordering::SeqCst);
                 }
             }
-            FaultKind::ClientsLeave => self.world.manners.leave.store(false, Ordering::SeqCst),
-            FaultKind::ClientsStop => self.world.manners.stop.store(false, Ordering::SeqCst),
-            FaultKind::ClientsPipeline => {
-                self.world.manners.pipeline.store(false, Ordering::SeqCst)
-            }
+            FaultKind::ClientsLeave => self
+                .world
+                .client_behavior
+                .disconnect
+                .store(false, Ordering::SeqCst),
+            FaultKind::ClientsStop => self
+                .world
+                .client_behavior
+                .stall
+                .store(false, Ordering::SeqCst),
+            FaultKind::ClientsPipeline => self
+                .world
+                .client_behavior
+                .pipeline
+                .store(false, Ordering::SeqCst),
         }
     }
 
@@ -269,7 +305,7 @@
         }
     }
 
-    fn flag(
+    fn set_endpoint_flag(
         &self,
         fault: &Fault,
         of: impl Fn(&super::world::Endpoint) -> &AtomicBool,
@@ -285,8 +321,8 @@
         *now = until.max(*now);
     }
 
-    /// When a gateway counts as told of a change of the list that is made now.
-    fn told_at(&self, gateway: usize) -> Duration {
+    /// Time from which a gateway must know a change of the endpoint list that is made now.
+    fn list_known_at(&self, gateway: usize) -> Duration {
         self.world
             .now()
             .max(self.unreachable.get(&gateway).copied().unwrap_or_default())
@@ -294,8 +330,8 @@
 
     /// Whether a gateway's process is being replaced.
     fn is_replaced(&self, gateway: usize) -> bool {
-        self.leaving.iter().any(|l| l.gateway == gateway)
-            || self.seconds.iter().any(|s| s.gateway == gateway)
+        self.stopping.iter().any(|l| l.gateway == gateway)
+            || self.hot_restarts.iter().any(|s| s.gateway == gateway)
     }
 
     fn terminate(&mut self, n: usize) {
@@ -304,8 +340,8 @@
         }
         self.gateways[n].signal(libc::SIGTERM);
         if let Some(child) = self.gateways[n].take() {
-            let by = self.world.now() + STOP_MOST;
-            self.leaving.push(Leaving {
+            let by = self.world.now() + STOP_TIMEOUT;
+            self.stopping.push(StoppingProcess {
                 child,
                 gateway: n,
                 by,
@@ -320,8 +356,8 @@
             return;
         }
         if let Ok(first) = self.gateways[n].start_second() {
-            let by = self.world.now() + SECOND_READY;
-            self.seconds.push(Second {
+            let by = self.world.now() + SUCCESSOR_READY_TIMEOUT;
+            self.hot_restarts.push(HotRestart {
                 first,
                 gateway: n,
                 by,
@@ -333,18 +369,18 @@
         if self.is_replaced(n) {
             return;
         }
-        self.lifetimes.on_killed(n, self.world.now());
+        self.process_exits.on_killed(n, self.world.now());
         self.gateways[n].kill();
-        self.lifetimes.on_killed(n, self.world.now());
-        self.start_again(n);
+        self.process_exits.on_killed(n, self.world.now());
+        self.restart(n);
     }
 
-    fn start_again(&mut self, n: usize) {
+    fn restart(&mut self, n: usize) {
         let _ = self.gateways[n].start();
         let ready = self.gateways[n].is_ready();
         if !ready {
             let now = self.world.now();
-            self.world.oracle().breaks(
+            self.world.oracle().record_violation(
                 Invariant::NotInTime,
                 now,
                 format!("gateway {n} was not ready in 10 s"),
@@ -358,7 +394,8 @@
             let endpoint = &self.world.endpoints[n];
             endpoint.down.store(true, Ordering::SeqCst);
             endpoint.incarnation.fetch_add(1, Ordering::SeqCst);
-            self.later.push((now + DOWN, Later::EndpointUp(n)));
+            self.deferred
+                .push((now + ENDPOINT_DOWNTIME, DeferredAction::EndpointUp(n)));
         }
     }
 
@@ -369,8 +406,10 @@
                 .store(true, Ordering::SeqCst);
             self.world.list_changed();
             for gateway in 0..self.gateways.len() {
-                let told = self.told_at(gateway);
-                self.world.oracle().on_drain_told(gateway, n, Some(told));
+                let known_at = self.list_known_at(gateway);
+                self.world
+                    .oracle()
+                    .on_drain_announced(gateway, n, Some(known_at));
             }
         }
     }
@@ -381,7 +420,7 @@
                 .draining
                 .store(false, Ordering::SeqCst);
             (0..self.gateways.len())
-                .for_each(|gateway| self.world.oracle().on_drain_told(gateway, n, None));
+                .for_each(|gateway| self.world.oracle().on_drain_announced(gateway, n, None));
             self.world.list_changed();
         }
     }
@@ -389,85 +428,91 @@
     fn move_primaries(&mut self, fault: &Fault) {
         let now = self.world.now();
         let mut primaries = lock(&self.world.primaries);
-        for group in Self::chosen(fault, primaries.len()) {
+        for group in Self::select_targets(fault, primaries.len()) {
             if let Some(old) = primaries[group].take() {
-                self.later.push((
-                    now + NO_PRIMARY,
-                    Later::PrimaryIs(group, (old + 1) % GROUP_SIZE),
+                self.deferred.push((
+                    now + PRIMARY_GAP,
+                    DeferredAction::SetPrimary(group, (old + 1) % GROUP_SIZE),
                 ));
             }
         }
     }
 
-    /// What goes on by itself: processes that end and start, pauses, and what was put off.
-    fn tend(&mut self) {
+    /// Periodic work: processes that exit and restart, pauses, and due actions.
+    fn poll(&mut self) {
         let now = self.world.now();
-        self.tend_leaving(now);
-        self.tend_seconds(now);
-        self.tend_pauses(now);
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.later)
+        self.poll_stopping(now);
+        self.poll_hot_restarts(now);
+        self.poll_pauses(now);
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.deferred)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.later = rest;
-        due.into_iter().for_each(|(_, later)| self.do_later(later));
+        self.deferred = rest;
+        due.into_iter()
+            .for_each(|(_, deferred)| self.run_deferred(deferred));
         for n in 0..self.gateways.len() {
             if let Some(status) = self.gateways[n].has_ended() {
-                self.world.oracle().breaks(
+                self.world.oracle().record_violation(
                     Invariant::Crash,
                     now,
                     format!("gateway {n} ended by itself: {status}"),
                 );
                 let _ = self.gateways[n].take();
-                self.start_again(n);
+                self.restart(n);
             }
         }
     }
 
-    fn tend_leaving(&mut self, now: Duration) {
+    fn poll_stopping(&mut self, now: Duration) {
         let mut ended = vec![];
-        for leaving in &mut self.leaving {
-            let mut done = matches!(leaving.child.try_wait(), Ok(Some(_)));
-            // What it has not answered by then is lost: no kill that comes unannounced.
-            if !done && leaving.killed_at.is_some_and(|at| now >= at) {
-                let _ = leaving.child.kill();
-                let _ = leaving.child.wait();
+        for stopping in &mut self.stopping {
+            let mut done = matches!(stopping.child.try_wait(), Ok(Some(_)));
+            // Requests left unanswered count as lost: this kill was announced by SIGTERM.
+            if !done && stopping.killed_at.is_some_and(|at| now >= at) {
+                let _ = stopping.child.kill();
+                let _ = stopping.child.wait();
                 done = true;
             }
             if done {
-                self.lifetimes.on_ended(leaving.gateway, self.world.now());
+                self.process_exits
+                    .on_ended(stopping.gateway, self.world.now());
             }
-            if !done && now > leaving.by {
+            if !done && now > stopping.by {
                 let what = format!(
                     "gateway {} had not ended after a planned stop",
-                    leaving.gateway
+                    stopping.gateway
                 );
-                self.world.oracle().breaks(Invariant::NotInTime, now, what);
-                self.lifetimes.on_killed(leaving.gateway, now);
-                let _ = leaving.child.kill();
-                let _ = leaving.child.wait();
+                self.world
+                    .oracle()
+                    .record_violation(Invariant::NotInTime, now, what);
+                self.process_exits.on_killed(stopping.gateway, now);
+                let _ = stopping.child.kill();
+                let _ = stopping.child.wait();
             }
-            ended.push(done || now > leaving.by);
+            ended.push(done || now > stopping.by);
         }
         let mut ended = ended.into_iter();
-        let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.leaving)
+        let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.stopping)
             .into_iter()
             .partition(|_| ended.next().unwrap_or(false));
-        self.leaving = rest;
+        self.stopping = rest;
         gone.into_iter()
-            .filter(|leaving| leaving.restarts)
-            .for_each(|leaving| self.start_again(leaving.gateway));
+            .filter(|stopping| stopping.restarts)
+            .for_each(|stopping| self.restart(stopping.gateway));
     }
 
-    fn tend_seconds(&mut self, now: Duration) {
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.seconds)
+    fn poll_hot_restarts(&mut self, now: Duration) {
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.hot_restarts)
             .into_iter()
-            .partition(|second| now + SECOND_READY > second.by + Duration::from_millis(600));
-        self.seconds = rest;
+            .partition(|second| {
+                now + SUCCESSOR_READY_TIMEOUT > second.by + Duration::from_millis(600)
+            });
+        self.hot_restarts = rest;
         for second in due {
             if let Some(child) = second.first {
                 signal_to(&child, libc::SIGTERM);
-                let by = now + STOP_MOST;
-                self.leaving.push(Leaving {
+                let by = now + STOP_TIMEOUT;
+                self.stopping.push(StoppingProcess {
                     child,
                     gateway: second.gateway,
                     by,
@@ -478,37 +523,38 @@
         }
     }
 
-    fn tend_pauses(&mut self, now: Duration) {
+    fn poll_pauses(&mut self, now: Duration) {
         let faults = self
             .on
             .values()
             .filter(|fault| fault.kind == FaultKind::Pauses);
         let paused: Vec<usize> = faults
-            .flat_map(|fault| Self::chosen(fault, self.gateways.len()))
+            .flat_map(|fault| Self::select_targets(fault, self.gateways.len()))
             .collect();
         for n in paused {
             if self
                 .paused
                 .get(&n)
-                .is_none_or(|last| now > *last + PAUSES_EACH)
+                .is_none_or(|last| now > *last + PAUSE_INTERVAL)
             {
                 self.paused.insert(n, now);
                 self.gateways[n].signal(libc::SIGSTOP);
-                self.later.push((now + PAUSE, Later::Continue(n)));
+                self.deferred
+                    .push((now + PAUSE_LENGTH, DeferredAction::Continue(n)));
             }
         }
     }
 
-    fn do_later(&mut self, later: Later) {
-        match later {
-            Later::PrimaryIs(group, place) => {
+    fn run_deferred(&mut self, deferred: DeferredAction) {
+        match deferred {
+            DeferredAction::SetPrimary(group, place) => {
                 lock(&self.world.primaries)[group] = Some(place);
                 self.world.endpoints[group * GROUP_SIZE + place]
-                    .lags_since_us
+                    .lag_started_us
                     .store(0, Ordering::SeqCst);
                 self.world.list_changed();
             }
-            Later::EndpointUp(n) => {
+            DeferredAction::EndpointUp(n) => {
                 let unix = UNIX_EPOCH
                     .elapsed()
                     .map_or(1, |d| u64::try_from(d.as_millis()).unwrap_or(1));
@@ -519,15 +565,15 @@
                 let now = self.world.now();
                 self.world.oracle().on_endpoint_started(n, now);
             }
-            Later::Continue(n) => self.gateways[n].signal(libc::SIGCONT),
+            DeferredAction::Continue(n) => self.gateways[n].signal(libc::SIGCONT),
         }
     }
 
-    /// All faults are over: switches off, processes running.
+    /// Ends all faults: clears the fault switches and resumes paused processes.
     pub fn finish(&mut self) {
         for n in 0..self.gateways.len() {
             self.gateways[n].signal(libc::SIGCONT);
-            self.gateways[n].calm();
+            self.gateways[n].clear_faults();
         }
     }
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,14 +1,15 @@
-//! A fault soak: real processes of the program on loopback, between stand-ins that misbehave, under schedules of faults
-//! that overlap in time. What the stand-ins saw is judged by the rig's clock.
+//! Fault soak: real gateway processes on loopback between misbehaving stub endpoints, stub
+//! discovery agents and clients, under schedules of faults that overlap in time. Invariants are
+//! checked against what the stubs and clients observed, by the clock of the test harness.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`schedule`] | faults as data: drawn, printed, read again, made smaller; which overlaps were covered |
-//! | [`oracle`] | the invariants |
-//! | [`world`] | what all stand-ins share |
-//! | [`endpoints`], [`agents`], [`clients`] | the stand-ins |
-//! | [`processes`] | the gateways |
-//! | [`inject`] | each fault, turned on and off |
+//! | [`schedule`] | fault schedules: random generation, TOML form, shrinking, coverage of overlaps |
+//! | [`oracle`] | the invariant checker |
+//! | [`world`] | state shared by all stubs |
+//! | [`endpoints`], [`agents`], [`clients`] | stub endpoints, stub discovery agents and simulated clients |
+//! | [`processes`] | the gateway processes |
+//! | [`inject`] | starts and ends each fault |
 
 pub mod agents;
 pub mod clients;
@@ -32,32 +33,33 @@
 use agents::AgentPath;
 use inject::Injector;
 use oracle::{Invariant, Violation};
-use processes::{Common, DESCRIPTORS, Gateway, Lifetimes, MEMORY_MB};
+use processes::{CommonConfig, Gateway, MAX_DESCRIPTORS, MAX_MEMORY_MB, ProcessExits};
 use schedule::Schedule;
 use world::{GROUP_SIZE, World};
 
-const STACK: usize = 256 * 1024;
-/// How often the injector and the limits are looked at.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time between the last fault's end and the end of the load: the longest deadline and some more.
-const SETTLES: Duration = Duration::from_millis(4_500);
-/// Clients of each gateway.
-const CLIENTS: usize = 2;
+const STACK_BYTES: usize = 256 * 1024;
+/// Interval at which the injector advances and the resource limits are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time from the end of the last fault to the end of the load: the longest deadline with a margin.
+const SETTLE_TIME: Duration = Duration::from_millis(4_500);
+const CLIENTS_PER_GATEWAY: usize = 2;
 
-/// How a run is set up.
+/// Setup of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Gateway executable.
     pub program: PathBuf,
+    /// Fault-injection library that is preloaded into each gateway.
     pub library: PathBuf,
-    /// Where folders of runs are made.
+    /// Parent of the folders of the runs.
     pub folder: PathBuf,
     pub gateways: usize,
     pub groups: usize,
-    /// Requests a second that each endpoint can do.
+    /// Capacity of each endpoint, in requests per second.
     pub capacity: f64,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub seed: u64,
@@ -66,11 +68,11 @@
     pub answers: u64,
     /// Load average of the machine at the end of the run.
     pub load: f64,
-    /// Where the logs are.
+    /// Folder with the logs and the schedule of the run.
     pub folder: PathBuf,
 }
 
-/// An address of this run's own, with a port that the machine gives nobody by itself.
+/// A loopback address unique to this run, with a port outside the ephemeral range.
 fn gateway_address(n: usize) -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -83,21 +85,22 @@
     SocketAddr::from((ip, (20_000 + process / 30 % 9_000) as u16 + (n % 2) as u16))
 }
 
-/// Plays a schedule.
+/// Runs a schedule against real gateway processes.
 ///
 /// # Errors
 /// The run could not be set up.
 pub fn play(plan: &Plan, seed: u64, schedule: &Schedule) -> Result<Report, String> {
     let named = |e: std::io::Error| format!("soak, seed {seed}: {e}");
-    let folder = processes::folder(&plan.folder.join(format!("seed-{seed}"))).map_err(named)?;
+    let folder =
+        processes::create_empty_folder(&plan.folder.join(format!("seed-{seed}"))).map_err(named)?;
     std::fs::write(
         folder.join("schedule.toml"),
         toml::to_string(schedule).unwrap_or_default(),
     )
     .map_err(named)?;
     let world = Arc::new(World::new(plan.groups, plan.capacity));
-    let lifetimes = Arc::new(Lifetimes::default());
-    let common = Common {
+    let process_exits = Arc::new(ProcessExits::default());
+    let common = CommonConfig {
         program: plan.program.clone(),
         library: plan.library.clone(),
         folder: folder.clone(),
@@ -112,7 +115,7 @@
         let path = Arc::new(AgentPath::default());
         let first = agents::start(&world, &path, &endpoints).map_err(named)?;
         let second = agents::start(&world, &path, &endpoints).map_err(named)?;
-        let known = world.list(&endpoints);
+        let known = world.discovery_list(&endpoints);
         let mut gateway =
             Gateway::new(&common, n, gateway_address(n), [first, second], &known).map_err(named)?;
         gateway.start().map_err(named)?;
@@ -121,7 +124,7 @@
     }
     for (n, gateway) in gateways.iter().enumerate() {
         if !gateway.is_ready() {
-            world.oracle().breaks(
+            world.oracle().record_violation(
                 Invariant::NotInTime,
                 world.now(),
                 format!("gateway {n} was not ready"),
@@ -130,24 +133,24 @@
     }
     let mut clients = vec![];
     for (n, gateway) in gateways.iter().enumerate() {
-        for client in 0..CLIENTS {
-            let seed = seed.wrapping_mul(1_000) + (n * CLIENTS + client) as u64;
-            let client = clients::Client::new(&world, n, gateway.address, &lifetimes, seed);
+        for client in 0..CLIENTS_PER_GATEWAY {
+            let seed = seed.wrapping_mul(1_000) + (n * CLIENTS_PER_GATEWAY + client) as u64;
+            let client = clients::Client::new(&world, n, gateway.address, &process_exits, seed);
             clients.push(
                 Builder::new()
-                    .stack_size(STACK)
+                    .stack_size(STACK_BYTES)
                     .spawn(move || client.run())
                     .map_err(named)?,
             );
         }
     }
-    let mut injector = Injector::new(Arc::clone(&world), lifetimes, gateways, paths);
+    let mut injector = Injector::new(Arc::clone(&world), process_exits, gateways, paths);
     let began = world.now();
-    let end = Duration::from_millis(schedule.ends_ms()) + SETTLES;
+    let end = Duration::from_millis(schedule.ends_ms()) + SETTLE_TIME;
     while world.now() - began < end {
         injector.step(world.now() - began, schedule);
         check_limits(&world, &injector);
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
     injector.finish();
     world.over.store(true, Ordering::SeqCst);
@@ -157,7 +160,7 @@
     oracle.finish(now);
     for (n, gateway) in injector.gateways.iter().enumerate() {
         for line in gateway.faults_in_log() {
-            oracle.breaks(Invariant::Crash, now, format!("gateway {n}: {line}"));
+            oracle.record_violation(Invariant::Crash, now, format!("gateway {n}: {line}"));
         }
     }
     let (attempts, answers) = (oracle.attempts, oracle.answers);
@@ -182,11 +185,11 @@
         let Some((descriptors, megabytes)) = gateway.usage() else {
             continue;
         };
-        if descriptors > DESCRIPTORS || megabytes > MEMORY_MB {
+        if descriptors > MAX_DESCRIPTORS || megabytes > MAX_MEMORY_MB {
             let what = format!("gateway {n} has {descriptors} descriptors and {megabytes} MB");
             world
                 .oracle()
-                .breaks(Invariant::OverLimit, world.now(), what);
+                .record_violation(Invariant::OverLimit, world.now(), what);
         }
     }
 }
--- a/crates/testbed/src/soak/oracle.rs
+++ b/crates/testbed/src/soak/oracle.rs
@@ -1,11 +1,12 @@
-//! Judges what the stand-ins saw, by the rig's own clock: each invariant names a rule of the protocol page or the terms.
+//! Invariant checker over the events that stubs and clients observed, by the clock of the test
+//! harness. Each invariant states a rule of the gateway's protocol or service terms.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// What a class allows.
+/// Repeatability of a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// May be repeated at will.
@@ -16,7 +17,7 @@
     Unsafe,
 }
 
-/// A rule that was broken.
+/// A rule that the gateways must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Invariant {
@@ -24,48 +25,51 @@
     Unanswered,
     /// A request got two final answers.
     AnsweredTwice,
-    /// A value was not made for the request that it answers.
+    /// A request was answered with the value of another request.
     WrongValue,
-    /// An attempt began while an earlier one was out.
+    /// An attempt began while an earlier one of the same request was open.
     SecondCopy,
-    /// An attempt was repeated against its class.
+    /// A request was repeated although its class forbids it.
     Repeated,
-    /// An attempt began after its client had left.
+    /// An attempt began after its client had disconnected.
     BeganForNobody,
-    /// An endpoint was told that its client waits longer than it does.
+    /// The deadline sent to an endpoint was later than the client's.
     DeadlineTooLong,
-    /// An attempt began at an endpoint that drains.
+    /// An attempt was sent to a draining endpoint.
     SentToDraining,
-    /// An endpoint in slow start was sent more than its budget.
+    /// An endpoint in slow start received more than its budget.
     SlowStartOverload,
     /// A read was sent to data older than its class allows.
     StaleRead,
-    /// A process ended by itself, or said that one of its own invariants was broken.
+    /// A process exited by itself, or logged a panic or a violated internal invariant.
     Crash,
-    /// A process was not ready, or had not ended, in time.
+    /// A process was not ready or had not exited in time.
     NotInTime,
-    /// A process went over its memory or descriptors.
+    /// A process exceeded its limit on memory or descriptors.
     OverLimit,
 }
 
-/// One break of an invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
     pub invariant: Invariant,
-    /// From the beginning of the run, in milliseconds.
+    /// Milliseconds since the start of the run.
     pub at_ms: u64,
+    /// Description with the request, gateway and endpoint concerned.
     pub what: String,
 }
 
-/// After a client has left no attempt may begin later than this (0.1 s, and the slack of sockets).
-const LEFT: Duration = Duration::from_millis(150);
-/// The slack of the deadline that an endpoint is told.
-const TOLD_MORE: Duration = Duration::from_millis(150);
-/// The grace of a drain with its slack, and the time that a gateway may be held up between clock and write.
+/// Time after a client's disconnect within which an attempt may still begin: 0.1 s and the slack of
+/// sockets.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(150);
+/// Slack on the deadline sent to an endpoint.
+const DEADLINE_SLACK: Duration = Duration::from_millis(150);
+/// Grace period of a drain (500 ms) with its slack (50 ms), and the longest injected delay between
+/// clock read and write.
 const DRAIN_GRACE: Duration = Duration::from_millis(500 + 50 + 150);
-/// The slack on the age of data: 50 ms, and the same hold-up.
+/// Slack on the age of data: 50 ms, and the same injected delay.
 const AGE_SLACK: Duration = Duration::from_millis(200);
-/// How much after its time an answer may come; by then the rig may be late as well.
+/// Time after its deadline at which an answer is late; includes delays of the harness itself.
 const ANSWER_SLACK: Duration = Duration::from_millis(600);
 
 #[derive(Debug)]
@@ -75,28 +79,30 @@
     deadline: Duration,
     left: Option<Duration>,
     answered: bool,
-    /// Connection of the attempt that is out.
+    /// Connection of the open attempt.
     out: Option<u64>,
-    /// When the first attempt began that may have run, and the newest one.
+    /// Start of the first attempt that may have run, and of the newest one.
     first_attempt: Option<Duration>,
     newest_attempt: Duration,
 }
 
-/// What a slow-start budget is made of.
+/// Parameters of the slow-start budget.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Requests of mean work that a warm endpoint can do in a second.
+    /// Capacity of a warm endpoint, in requests of mean work per second.
     pub capacity: f64,
-    /// The part of that which it can do as it starts, and how long until it is warm.
+    /// Share of the capacity available right after a start.
     pub slow_start_initial_capacity: f64,
+    /// Time from a start until full capacity.
     pub cold: Duration,
-    /// So many times what it can do within the window overload it.
+    /// Multiple of the capacity within the window above which the endpoint counts as overloaded.
     pub multiple: f64,
     pub window: Duration,
 }
 
 impl SlowStart {
-    /// Requests of mean work within the window from which an endpoint that started so long ago overloads.
+    /// Largest load within the window that an endpoint started `age` ago may receive, in requests
+    /// of mean work.
     #[must_use]
     pub fn bound(&self, age: Duration) -> f64 {
         let grown = (age.as_secs_f64() / self.cold.as_secs_f64()).min(1.0);
@@ -111,31 +117,32 @@
     }
 }
 
-/// An attempt as its endpoint saw it.
+/// An attempt as the stub endpoint observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
     pub id: &'a str,
     pub endpoint: usize,
     pub gateway: usize,
     pub connection: u64,
-    /// Milliseconds that the endpoint was told the client will wait.
-    pub told_ms: u64,
-    /// Work, in requests of mean work.
+    /// Remaining time in milliseconds that the gateway sent to the endpoint.
+    pub remaining_ms: u64,
+    /// Work relative to the mean request.
     pub work: f64,
-    /// How old the endpoint's data is, and how old the class allows it to be, if it does not take any.
+    /// Age of the endpoint's data, and the age that the class allows; `None` if the class accepts
+    /// any age.
     pub age: Option<(Duration, Duration)>,
-    /// An earlier attempt's connection has been ended by the gateway.
+    /// Whether the gateway has closed the connection of the earlier attempt.
     pub earlier_ended: bool,
 }
 
-/// Keeps the history and finds what breaks an invariant.
+/// Keeps the history of requests and attempts, and finds violations.
 #[derive(Debug)]
 pub struct Oracle {
     slow_start: SlowStart,
     requests: BTreeMap<String, Request>,
-    /// When each gateway counts as told that an endpoint drains.
+    /// Time from which each gateway (first) must know that an endpoint (second) drains.
     draining: BTreeMap<(usize, usize), Duration>,
-    /// When each endpoint started, and what it was sent since, by gateways that had been told.
+    /// Start of each restarted endpoint, and the work sent to it since.
     started: BTreeMap<usize, (Duration, Vec<(Duration, f64)>)>,
     overloaded: BTreeSet<usize>,
     pub violations: Vec<Violation>,
@@ -144,7 +151,7 @@
 }
 
 impl Oracle {
-    /// An empty history.
+    /// A checker with an empty history.
     #[must_use]
     pub fn new(slow_start: SlowStart) -> Self {
         Self {
@@ -159,8 +166,8 @@
         }
     }
 
-    /// Notes a violation.
-    pub fn breaks(&mut self, invariant: Invariant, at: Duration, what: String) {
+    /// Records a violation.
+    pub fn record_violation(&mut self, invariant: Invariant, at: Duration, what: String) {
         let at_ms = u64::try_from(at.as_millis()).unwrap_or(u64::MAX);
         self.violations.push(Violation {
             invariant,
@@ -169,7 +176,7 @@
         });
     }
 
-    /// A client has written a request whole.
+    /// Records a request that a client is about to send.
     pub fn on_request(&mut self, id: &str, effect: Effect, deadline: Duration, at: Duration) {
         let request = Request {
             effect,
@@ -184,7 +191,7 @@
         self.requests.insert(id.to_owned(), request);
     }
 
-    /// A client has closed its connection.
+    /// Records that the client of a request has disconnected.
     pub fn on_client_left(&mut self, id: &str, at: Duration) {
         self.requests
             .get_mut(id)
@@ -192,8 +199,8 @@
             .for_each(|request| request.left = Some(at));
     }
 
-    /// A request got its final answer; a value if it was served. `waited_ahead` is the time spent behind the answers of
-    /// requests before it on its connection.
+    /// Records the final answer of a request; `value` is `None` if it failed. `waited_ahead` is the
+    /// time that the answer waited for those of earlier requests on the same connection.
     pub fn on_answer(
         &mut self,
         id: &str,
@@ -209,21 +216,21 @@
         let late = at > request.sent + request.deadline + waited_ahead + ANSWER_SLACK;
         let took = at - request.sent;
         if twice {
-            self.breaks(
+            self.record_violation(
                 Invariant::AnsweredTwice,
                 at,
                 format!("{id} got two answers"),
             );
         }
         if value.is_some_and(|value| value != id) {
-            self.breaks(
+            self.record_violation(
                 Invariant::WrongValue,
                 at,
                 format!("{id} was answered by {value:?}"),
             );
         }
         if late {
-            self.breaks(
+            self.record_violation(
                 Invariant::Unanswered,
                 at,
                 format!("{id} was answered after {took:?}"),
@@ -231,26 +238,28 @@
         }
     }
 
-    /// A request will get no answer any more, by no fault of its client.
+    /// Records that a request can get no answer any more, through no fault of its client.
     pub fn on_lost(&mut self, id: &str, why: &str, at: Duration) {
-        self.breaks(Invariant::Unanswered, at, format!("{id}: {why}"));
+        self.record_violation(Invariant::Unanswered, at, format!("{id}: {why}"));
     }
 
-    /// A gateway counts as told from then on that an endpoint drains; `None` that it is active.
-    pub fn on_drain_told(&mut self, gateway: usize, endpoint: usize, at: Option<Duration>) {
+    /// Sets the time from which a gateway must know that an endpoint drains; `None`: the endpoint
+    /// is active again.
+    pub fn on_drain_announced(&mut self, gateway: usize, endpoint: usize, at: Option<Duration>) {
         match at {
             Some(at) => drop(self.draining.insert((gateway, endpoint), at)),
             None => drop(self.draining.remove(&(gateway, endpoint))),
         }
     }
 
-    /// An endpoint has started.
+    /// Records a restart of an endpoint.
     pub fn on_endpoint_started(&mut self, endpoint: usize, at: Duration) {
         self.started.insert(endpoint, (at, vec![]));
         self.overloaded.remove(&endpoint);
     }
 
-    /// An attempt's last byte has reached an endpoint.
+    /// Records an attempt whose last byte has reached its endpoint, and checks the rules on
+    /// attempts.
     pub fn on_attempt(&mut self, attempt: &Attempt, at: Duration) {
         self.attempts += 1;
         let Attempt {
@@ -273,26 +282,26 @@
                 Effect::Keyed(window) => at > first + window,
                 Effect::Unsafe => repeats,
             };
-            let left = request.left.filter(|left| at > *left + LEFT);
-            let deadline_at = request.sent + request.deadline + TOLD_MORE;
-            let told = at + Duration::from_millis(attempt.told_ms);
+            let left = request.left.filter(|left| at > *left + DISCONNECT_SLACK);
+            let deadline_at = request.sent + request.deadline + DEADLINE_SLACK;
+            let told = at + Duration::from_millis(attempt.remaining_ms);
             let sent = request.sent;
             if out.is_some() {
-                self.breaks(
+                self.record_violation(
                     Invariant::SecondCopy,
                     at,
                     format!("{id} has two attempts out, at {endpoint}"),
                 );
             }
             if window_over && repeats {
-                self.breaks(
+                self.record_violation(
                     Invariant::Repeated,
                     at,
                     format!("{id} was repeated {:?} after its first", at - first),
                 );
             }
             if let Some(left) = left {
-                self.breaks(
+                self.record_violation(
                     Invariant::BeganForNobody,
                     at,
                     format!("{id} began {:?} after its client left", at - left),
@@ -300,7 +309,7 @@
             }
             if told > deadline_at {
                 let more = told - deadline_at;
-                self.breaks(
+                self.record_violation(
                     Invariant::DeadlineTooLong,
                     at,
                     format!("{id}, sent at {sent:?}, told {endpoint} {more:?} more than its client has left"),
@@ -313,13 +322,13 @@
             .is_some_and(|told| at > *told + DRAIN_GRACE)
         {
             let what = format!("gateway {gateway} sent {id} to {endpoint}, which drains");
-            self.breaks(Invariant::SentToDraining, at, what);
+            self.record_violation(Invariant::SentToDraining, at, what);
         }
         if let Some((age, bound)) = attempt.age.filter(|(age, bound)| *age > *bound + AGE_SLACK) {
             let what = format!(
                 "gateway {gateway} sent {id} to {endpoint}, whose data is {age:?} old ({bound:?})"
             );
-            self.breaks(Invariant::StaleRead, at, what);
+            self.record_violation(Invariant::StaleRead, at, what);
         }
         self.count_slow_start(endpoint, attempt.work, at);
     }
@@ -345,11 +354,11 @@
             let what = format!(
                 "{endpoint}, {age:?} after its start, was sent {units:.1} of {bound:.1} within its window"
             );
-            self.breaks(Invariant::SlowStartOverload, at, what);
+            self.record_violation(Invariant::SlowStartOverload, at, what);
         }
     }
 
-    /// An attempt is over: its endpoint has answered it, or has ended the connection.
+    /// Records the end of an attempt: its endpoint has answered it or closed the connection.
     pub fn on_attempt_over(&mut self, id: &str, connection: u64, never_ran: bool) {
         if let Some(request) = self.requests.get_mut(id) {
             request.out.take_if(|out| *out == connection);
@@ -360,7 +369,7 @@
         }
     }
 
-    /// Requests that have had no answer though their time is over.
+    /// Reports the requests without an answer whose deadline has passed.
     pub fn finish(&mut self, at: Duration) {
         let open = |r: &Request| {
             !r.answered && r.left.is_none() && at > r.sent + r.deadline + ANSWER_SLACK
@@ -375,7 +384,7 @@
             .for_each(|id| self.on_lost(id, "no answer at all", at));
     }
 
-    /// A request that was excused: its gateway was killed.
+    /// Excuses a request from needing an answer, for instance because its gateway was killed.
     pub fn on_excused(&mut self, id: &str) {
         self.requests
             .get_mut(id)
--- a/crates/testbed/src/soak/processes.rs
+++ b/crates/testbed/src/soak/processes.rs
@@ -1,4 +1,4 @@
-//! The gateways: real processes of the program, each with its folder, its fault switches and its agent.
+//! Gateway processes, each with its own folder, fault switches and discovery agent.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -15,37 +15,39 @@
 use super::world::{CLASSES, lock, slow_start};
 use crate::members::pg_message;
 
-/// Limits of each process.
-pub const DESCRIPTORS: usize = 256;
-pub const MEMORY_MB: u64 = 48;
-/// A process that starts must answer an empty query by then.
-const READY: Duration = Duration::from_secs(10);
+/// Limit on open descriptors of each gateway process.
+pub const MAX_DESCRIPTORS: usize = 256;
+/// Limit on peak resident memory of each gateway process.
+pub const MAX_MEMORY_MB: u64 = 48;
+/// Time within which a started process must answer an empty query.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When gateways were killed or down: what was asked of them then is excused.
+/// Exit times of gateway processes; requests sent around them are excused.
 #[derive(Debug, Default)]
-pub struct Lifetimes {
+pub struct ProcessExits {
     killed: Mutex<Vec<(usize, Duration)>>,
     ended: Mutex<Vec<(usize, Duration)>>,
 }
 
-impl Lifetimes {
+impl ProcessExits {
+    /// Records that a gateway was killed.
     pub fn on_killed(&self, gateway: usize, at: Duration) {
         lock(&self.killed).push((gateway, at));
     }
 
-    /// A process has ended after a planned stop.
+    /// Records that a process has exited after a planned stop.
     pub fn on_ended(&self, gateway: usize, at: Duration) {
         lock(&self.ended).push((gateway, at));
     }
 
-    /// Whether a process of a gateway was seen to have ended within a time.
+    /// Whether a process of the gateway exited between `from` and `to`.
     pub fn ended_between(&self, gateway: usize, from: Duration, to: Duration) -> bool {
         lock(&self.ended)
             .iter()
             .any(|(ended, at)| *ended == gateway && (from..=to).contains(at))
     }
 
-    /// Whether a gateway was killed within a time, or up to a moment before it.
+    /// Whether the gateway was killed between `from` and `to`, or up to 100 ms before.
     pub fn killed_between(&self, gateway: usize, from: Duration, to: Duration) -> bool {
         let before = from.saturating_sub(Duration::from_millis(100));
         lock(&self.killed)
@@ -54,13 +56,13 @@
     }
 }
 
-/// One gateway.
+/// A gateway with its current process.
 #[derive(Debug)]
 pub struct Gateway {
     pub address: SocketAddr,
     pub control: FaultControl,
     folder: PathBuf,
-    /// The agents it may ask, of which the configuration names one.
+    /// Discovery agents; the configuration names one of them.
     agents: [SocketAddr; 2],
     agent: usize,
     program: PathBuf,
@@ -69,24 +71,24 @@
     log: PathBuf,
 }
 
-/// What all gateways of a run have in common.
+/// Configuration shared by all gateways of a run.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct CommonConfig {
     pub program: PathBuf,
     pub library: PathBuf,
     pub folder: PathBuf,
     pub gateways: usize,
-    /// Requests a second that tenants may ask of all endpoints.
+    /// Tenants' allowance over all endpoints, in requests per second.
     pub allowance: f64,
 }
 
 impl Gateway {
-    /// Prepares one; it is not started.
+    /// Prepares the folder and configuration of a gateway without starting its process.
     ///
     /// # Errors
-    /// Its folder cannot be made.
+    /// The folder or a file in it cannot be written.
     pub fn new(
-        common: &Common,
+        common: &CommonConfig,
         n: usize,
         address: SocketAddr,
         agents: [SocketAddr; 2],
@@ -118,7 +120,7 @@
         let known = std::fs::read_to_string(self.folder.join("known"))?;
         let (listen, discovery) = (self.address, self.agents[self.agent]);
         let text = format!(
-            r#"{{"name":"g{n}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be9{n:02x}","limits":{{"sockets":{DESCRIPTORS},"memory_mb":{MEMORY_MB}}},"known":{known},"settings":{settings}}}"#
+            r#"{{"name":"g{n}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be9{n:02x}","limits":{{"sockets":{MAX_DESCRIPTORS},"memory_mb":{MAX_MEMORY_MB}}},"known":{known},"settings":{settings}}}"#
         );
         std::fs::write(self.folder.join("config.json"), text)
     }
@@ -140,28 +142,29 @@
             .spawn()
     }
 
-    /// Starts the process, over whatever ran before.
+    /// Starts a process on the gateway's folder with the state that an earlier process left there.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
         self.child = Some(self.spawn()?);
         Ok(())
     }
 
-    /// Starts a second process and hands back the first.
+    /// Starts a second process and returns the first.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started.
     pub fn start_second(&mut self) -> io::Result<Option<Child>> {
         let second = self.spawn()?;
         Ok(self.child.replace(second))
     }
 
-    /// Waits until it answers an empty query; whether it did in time.
+    /// Waits until the gateway answers an empty query; false if it did not within
+    /// [`READY_TIMEOUT`].
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let end = Instant::now() + READY;
+        let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
             if self.answers_empty_query().is_ok() {
                 return true;
@@ -179,10 +182,10 @@
         Ok(())
     }
 
-    /// Moves its configuration to the other agent and has it read again.
+    /// Switches the configuration to the other agent and sends SIGHUP.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// The configuration file cannot be written.
     pub fn reload(&mut self, n: usize) -> io::Result<()> {
         self.agent = 1 - self.agent;
         self.configure(n)?;
@@ -202,22 +205,22 @@
         }
     }
 
-    /// Takes the process out, to wait for its end.
+    /// Takes the process out, so that the caller can wait for its exit.
     pub fn take(&mut self) -> Option<Child> {
         self.child.take()
     }
 
-    /// How it ended, if it has by itself.
+    /// Exit status if the process has exited by itself.
     pub fn has_ended(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         Some(status.to_string())
     }
 
-    /// Open descriptors and resident memory at its highest, in megabytes.
+    /// Open descriptors, and peak resident memory in megabytes; `None` if no process runs.
     #[must_use]
     pub fn usage(&self) -> Option<(usize, u64)> {
         let id = self.child.as_ref()?.id();
-        // Before it has become the program it still has the rig's own descriptors.
+        // Before exec the child still has the descriptors of the test harness.
         let program = std::fs::read_link(format!("/proc/{id}/exe")).ok()?;
         if program.file_name() != self.program.file_name() {
             return None;
@@ -231,8 +234,8 @@
         Some((descriptors, kb / 1024))
     }
 
-    /// Turns all faults of its machine off.
-    pub fn calm(&self) {
+    /// Clears all fault switches but the wall-clock offset.
+    pub fn clear_faults(&self) {
         for switch in Switch::ALL
             .into_iter()
             .filter(|switch| *switch != Switch::WallClockOffset)
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Lines of its log that say that something is wrong with the program itself.
+    /// Log lines that report a panic or a violated internal invariant.
     #[must_use]
     pub fn faults_in_log(&self) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
@@ -256,7 +259,7 @@
     }
 }
 
-/// Sends a signal to a process of the rig's own.
+/// Sends a signal to a process that the harness started.
 pub fn signal_to(child: &Child, signal: i32) {
     let name = match signal {
         libc::SIGTERM => "TERM",
@@ -269,8 +272,8 @@
         .status();
 }
 
-/// The settings of all gateways, as the platform writes them.
-fn settings(common: &Common) -> String {
+/// Settings of all gateways in the platform's format.
+fn settings(common: &CommonConfig) -> String {
     let class = |class: &super::world::Class| {
         let (effect, window) = match class.effect {
             Effect::Safe => ("safe", 0),
@@ -308,11 +311,11 @@
     )
 }
 
-/// A folder for a run, empty.
+/// Creates an empty folder, removing what was there.
 ///
 /// # Errors
-/// It cannot be made.
-pub fn folder(path: &Path) -> io::Result<PathBuf> {
+/// The folder cannot be created.
+pub fn create_empty_folder(path: &Path) -> io::Result<PathBuf> {
     let _ = std::fs::remove_dir_all(path);
     std::fs::create_dir_all(path)?;
     Ok(path.to_owned())
--- a/crates/testbed/src/soak/schedule.rs
+++ b/crates/testbed/src/soak/schedule.rs
@@ -1,4 +1,5 @@
-//! Faults as data: a schedule is drawn from a seed, printed, read again from a file, and made smaller.
+//! Fault schedules: generated from a seed, stored as TOML, and shrunk to a minimal failing
+//! schedule.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,60 +8,60 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// SIGTERM; the next process starts when this one has ended.
+    /// SIGTERM to a gateway; its next process starts when this one has exited.
     PlannedRestart,
-    /// A second process starts over the same folder, then the first gets SIGTERM.
+    /// A second process starts on the same folder, then the first one receives SIGTERM.
     HotRestart,
-    /// SIGKILL; the next process starts at once.
+    /// SIGKILL to a gateway; its next process starts at once.
     Kill,
-    /// SIGHUP with discovery at another address.
+    /// SIGHUP to a gateway whose configuration names another discovery address.
     Reload,
-    /// SIGSTOP and SIGCONT, 0.12 s apart, again and again.
+    /// Repeated SIGSTOP and SIGCONT, 0.12 s apart.
     Pauses,
-    /// The wall clock of a gateway's machine is an hour or some seconds off.
+    /// The wall clock of a gateway is off by an hour or by some seconds.
     WallClock,
-    /// Calls of accept fail for a moment.
+    /// Some `accept` calls fail.
     AcceptFails,
-    /// Calls of connect and socket fail with errors of the own machine.
+    /// Some `connect` and `socket` calls fail with local errors.
     ConnectFails,
     /// Reads and writes are short or interrupted.
     ShortTransfers,
-    /// 0.1 s pass between reading the clock and writing.
+    /// Each write is delayed by 0.1 s after the clock was read.
     LateWrites,
-    /// The agent says nothing on any connection.
+    /// The discovery agent sends nothing on any connection.
     AgentSilent,
-    /// Connections to the agent are reset.
+    /// Connections to the discovery agent are reset.
     AgentResets,
-    /// An endpoint takes requests and says nothing.
+    /// An endpoint accepts requests and does not answer.
     EndpointHangs,
-    /// It resets connections in the middle of its answers.
+    /// An endpoint resets connections in the middle of its answers.
     EndpointResets,
-    /// Connections to it come up late.
+    /// An endpoint completes the handshake of new connections late.
     EndpointDialsLate,
-    /// Its answers are cut short or cannot be read.
+    /// An endpoint sends answers that cannot be parsed.
     EndpointSpoils,
-    /// It ends and starts again, cold.
+    /// An endpoint restarts cold.
     EndpointRestarts,
-    /// It is told to drain, and is active again at the end.
+    /// An endpoint drains, and is active again when the fault ends.
     EndpointDrains,
-    /// Replicas of a group apply nothing.
+    /// Replicas stop applying changes.
     ReplicasLag,
-    /// A group's primary changes; for a moment there is none.
+    /// The primary of a group changes; the group has none for a moment.
     PrimaryMoves,
-    /// Clients close under their requests.
+    /// Clients disconnect while their requests are open.
     ClientsLeave,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients stop in the middle of a request and keep the connection open.
     ClientsStop,
-    /// Clients send many requests at once.
+    /// Clients send many requests without waiting for answers.
     ClientsPipeline,
 }
 
 impl FaultKind {
-    /// All of them.
+    /// All kinds, in the order from which schedules draw.
     pub const ALL: [Self; 23] = [
         Self::PlannedRestart,
         Self::HotRestart,
@@ -88,46 +89,50 @@
     ];
 }
 
-/// One fault, for some time, at some gateways or endpoints.
+/// A fault of limited duration at some gateways or endpoints.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fault {
-    /// When it begins, in milliseconds from when all gateways were ready.
+    /// Start, in milliseconds after all gateways were ready.
     pub at_ms: u64,
-    /// How long it lasts.
+    /// Duration in milliseconds.
     pub for_ms: u64,
     pub kind: FaultKind,
-    /// Numbers that choose whom it meets: gateways or endpoints, modulo how many there are.
+    /// Affected gateways, endpoints or groups: indexes modulo their number.
     pub targets: Vec<usize>,
 }
 
 impl Fault {
-    /// Whether two are on at the same time.
+    /// Whether both faults are active at some point in time.
     #[must_use]
     pub const fn overlaps(&self, other: &Self) -> bool {
         self.at_ms < other.at_ms + other.for_ms && other.at_ms < self.at_ms + self.for_ms
     }
 }
 
-/// All that goes wrong in one run.
+/// The faults of one run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Schedule {
     pub fault: Vec<Fault>,
 }
 
-/// Faults of one cluster of overlapping faults, and clusters of a schedule.
+/// Number of faults in a cluster of overlapping faults.
 const CLUSTER_SIZES: std::ops::RangeInclusive<usize> = 2..=3;
+/// Number of clusters in a schedule.
 const CLUSTERS: u64 = 3;
-/// Where a cluster begins behind the one before it, and how long its faults last.
-const CLUSTER_EACH_MS: u64 = 3_000;
-const LASTS_MS: std::ops::Range<u64> = 700..2_200;
-/// Faults of a cluster mostly meet the same few gateways and endpoints.
+/// Time from the start of one cluster to the start of the next.
+const CLUSTER_INTERVAL_MS: u64 = 3_000;
+/// Duration of a fault.
+const DURATION_MS: std::ops::Range<u64> = 700..2_200;
+/// Targets that the faults of a cluster share, so that most of them hit the same few gateways and
+/// endpoints.
 const SHARED_TARGETS: usize = 3;
-const MEETS_SHARED: f64 = 0.75;
-/// How far apart the beginnings of a cluster's faults are.
-const APART_MS: u64 = 600;
+/// Probability that a target is one of the shared ones.
+const SHARED_TARGET_PROBABILITY: f64 = 0.75;
+/// Range within which the faults of a cluster start.
+const START_SPREAD_MS: u64 = 600;
 
-/// Pairs and triples of kinds that were on at the same time, and how often.
+/// Pairs of fault kinds that overlapped, with their counts, and triples that did.
 #[derive(Clone, Debug, Default)]
 pub struct Coverage {
     pub pairs: BTreeMap<(FaultKind, FaultKind), u32>,
@@ -135,7 +140,7 @@
 }
 
 impl Coverage {
-    /// Adds what a schedule covers.
+    /// Adds the overlaps of a schedule.
     pub fn add(&mut self, schedule: &Schedule) {
         let all = &schedule.fault;
         for (n, first) in all.iter().enumerate() {
@@ -162,7 +167,7 @@
         }
     }
 
-    /// Pairs of different kinds that there are.
+    /// Number of pairs of different fault kinds.
     #[must_use]
     pub const fn possible_pairs() -> usize {
         FaultKind::ALL.len() * (FaultKind::ALL.len() - 1) / 2
@@ -178,7 +183,8 @@
 }
 
 impl Schedule {
-    /// Draws clusters of faults that overlap in time. Kinds that have met seldom so far are drawn together.
+    /// Draws clusters of faults that overlap in time, preferring pairs of kinds that `covered`
+    /// holds fewest often.
     #[must_use]
     pub fn draw(seed: u64, covered: &Coverage) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -191,36 +197,41 @@
                 .collect();
             let size = rng.random_range(CLUSTER_SIZES);
             while kinds.len() < size {
-                let met = |kind: &FaultKind| -> u32 {
+                let overlaps = |kind: &FaultKind| -> u32 {
                     kinds
                         .iter()
                         .map(|k| covered.pairs.get(&ordered(*k, *kind)).copied().unwrap_or(0))
                         .sum()
                 };
                 let others = FaultKind::ALL.iter().filter(|kind| !kinds.contains(kind));
-                let others: Vec<(u32, FaultKind)> = others.map(|kind| (met(kind), *kind)).collect();
-                let least = others.iter().map(|(met, _)| *met).min().unwrap_or(0);
-                let seldom: Vec<FaultKind> = others
+                let others: Vec<(u32, FaultKind)> =
+                    others.map(|kind| (overlaps(kind), *kind)).collect();
+                let fewest = others
                     .iter()
-                    .filter(|(met, _)| *met == least)
+                    .map(|(overlaps, _)| *overlaps)
+                    .min()
+                    .unwrap_or(0);
+                let least_covered: Vec<FaultKind> = others
+                    .iter()
+                    .filter(|(overlaps, _)| *overlaps == fewest)
                     .map(|(_, kind)| *kind)
                     .collect();
-                kinds.extend(seldom.choose(&mut rng));
+                kinds.extend(least_covered.choose(&mut rng));
             }
-            let from = 500 + cluster * CLUSTER_EACH_MS;
+            let from = 500 + cluster * CLUSTER_INTERVAL_MS;
             let shared: [usize; SHARED_TARGETS] =
                 std::array::from_fn(|_| rng.random_range(0..1_000));
             for kind in kinds {
-                let mut target = || match rng.random_bool(MEETS_SHARED) {
+                let mut target = || match rng.random_bool(SHARED_TARGET_PROBABILITY) {
                     true => shared[rng.random_range(0..SHARED_TARGETS)],
                     false => rng.random_range(0..1_000),
                 };
                 let mut targets = vec![target(), target(), target()];
                 targets.truncate(rng.random_range(1..=3));
-                let at_ms = from + rng.random_range(0..APART_MS);
+                let at_ms = from + rng.random_range(0..START_SPREAD_MS);
                 fault.push(Fault {
                     at_ms,
-                    for_ms: rng.random_range(LASTS_MS),
+                    for_ms: rng.random_range(DURATION_MS),
                     kind,
                     targets,
                 });
@@ -230,7 +241,7 @@
         Self { fault }
     }
 
-    /// When the last fault is over.
+    /// End of the last fault, in milliseconds.
     #[must_use]
     pub fn ends_ms(&self) -> u64 {
         self.fault
@@ -240,14 +251,15 @@
             .unwrap_or(0)
     }
 
-    /// Drops faults one by one for as long as the rest still breaks; `breaks` plays a schedule.
+    /// Removes faults one by one while the remaining schedule still fails; `fails` runs a schedule
+    /// and says whether it does.
     #[must_use]
-    pub fn shrink(mut self, mut breaks: impl FnMut(&Self) -> bool) -> Self {
+    pub fn shrink(mut self, mut fails: impl FnMut(&Self) -> bool) -> Self {
         let mut at = 0;
         while at < self.fault.len() && self.fault.len() > 1 {
             let mut smaller = self.clone();
             smaller.fault.remove(at);
-            if breaks(&smaller) {
+            if fails(&smaller) {
                 self = smaller;
             } else {
                 at += 1;
--- a/crates/testbed/src/soak/world.rs
+++ b/crates/testbed/src/soak/world.rs
@@ -1,4 +1,5 @@
-//! What all stand-ins of a run share: the rig's clock, the state of each endpoint and group, and the oracle.
+//! State shared by all stubs of a run: the clock of the test harness, endpoint and group states,
+//! and the invariant checker.
 
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -8,20 +9,21 @@
 
 use super::oracle::{Effect, Oracle, SlowStart};
 
-/// Endpoints of a group; the first is its primary at the beginning.
+/// Endpoints in a group; the first one is the initial primary.
 pub const GROUP_SIZE: usize = 3;
 
-/// A class of requests as all gateways are configured.
+/// A request class, as configured in all gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
+    /// Class name in the gateways' settings and in requests.
     pub name: &'static str,
     pub effect: Effect,
     pub need: &'static str,
-    /// How old its data may be, if that is bounded.
+    /// Maximum age of the data that a request may read; `None` if any age is accepted.
     pub bound: Option<Duration>,
     pub deadline: Duration,
     pub work: Duration,
-    /// How many of a hundred requests are of it.
+    /// Share of the load, in percent.
     pub share: u32,
 }
 
@@ -29,7 +31,7 @@
     Duration::from_millis(n)
 }
 
-/// The classes, in the order of the settings.
+/// All request classes, in the order of the settings.
 pub const CLASSES: [Class; 5] = [
     Class {
         name: "read",
@@ -78,7 +80,7 @@
     },
 ];
 
-/// Work of the mean request.
+/// Mean work of a request over the mix of classes.
 #[must_use]
 pub fn mean_work() -> Duration {
     CLASSES
@@ -88,7 +90,8 @@
         / 100
 }
 
-/// The rule on endpoints that have just started, as the settings give it: the capacity is what tenants may ask of each.
+/// Slow-start rule for restarted endpoints, as in the settings; `capacity` is the tenants'
+/// allowance for each endpoint.
 #[must_use]
 pub const fn slow_start(capacity: f64) -> SlowStart {
     SlowStart {
@@ -100,55 +103,57 @@
     }
 }
 
-/// An endpoint's state; the rig changes it, its stand-in obeys.
+/// State of an endpoint; the fault injector changes it, the stub endpoint acts on it.
 #[derive(Debug, Default)]
 pub struct Endpoint {
     pub hangs: AtomicBool,
     pub resets: AtomicBool,
-    pub dials_late: AtomicBool,
-    pub spoils: AtomicBool,
-    /// Connections of an earlier process are gone: each stand-in thread ends when this has grown.
+    pub delays_handshake: AtomicBool,
+    pub corrupts_answers: AtomicBool,
+    /// Process generation; a stub thread resets its connection when this has grown since it was
+    /// accepted.
     pub incarnation: AtomicU64,
     pub down: AtomicBool,
-    /// Since when it applies nothing, in microseconds of the rig's clock; 0 where it applies all.
-    pub lags_since_us: AtomicU64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time since which the replica applies no changes, in microseconds of the harness clock; 0 if
+    /// it applies all.
+    pub lag_started_us: AtomicU64,
+    /// Last start, in Unix milliseconds; 0 for long ago.
     pub boot_ms: AtomicU64,
     pub draining: AtomicBool,
 }
 
-/// What clients do beside asking one thing at a time.
+/// Client misbehavior that is switched on by faults.
 #[derive(Debug, Default)]
-pub struct ClientManners {
-    pub leave: AtomicBool,
-    pub stop: AtomicBool,
+pub struct ClientBehavior {
+    pub disconnect: AtomicBool,
+    pub stall: AtomicBool,
     pub pipeline: AtomicBool,
 }
 
-/// All that is shared.
+/// Shared state of a run.
 #[derive(Debug)]
 pub struct World {
     began: Instant,
     pub endpoints: Vec<Endpoint>,
-    /// The primary of each group, by place in it; none while it changes.
+    /// Index of the primary within each group; `None` while it changes.
     pub primaries: Mutex<Vec<Option<usize>>>,
-    /// The version of the list.
+    /// Version of the endpoint list that discovery serves.
     pub version: AtomicU64,
-    pub manners: ClientManners,
+    pub client_behavior: ClientBehavior,
     pub over: AtomicBool,
-    /// The connection that carries the newest attempt of each request, while it is out.
-    pub carriers: Mutex<BTreeMap<String, (u64, TcpStream)>>,
-    next: AtomicU64,
+    /// Connection id and stream of the newest open attempt of each request.
+    pub open_attempts: Mutex<BTreeMap<String, (u64, TcpStream)>>,
+    next_id: AtomicU64,
     oracle: Mutex<Oracle>,
 }
 
-/// Locks, also where a thread that held the lock has panicked.
+/// Locks a mutex, ignoring poisoning by a thread that panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl World {
-    /// A cluster in which all is well.
+    /// A cluster without faults.
     #[must_use]
     pub fn new(groups: usize, capacity: f64) -> Self {
         Self {
@@ -158,15 +163,15 @@
                 .collect(),
             primaries: Mutex::new(vec![Some(0); groups]),
             version: AtomicU64::new(1),
-            manners: ClientManners::default(),
+            client_behavior: ClientBehavior::default(),
             over: AtomicBool::new(false),
-            carriers: Mutex::default(),
-            next: AtomicU64::new(0),
+            open_attempts: Mutex::default(),
+            next_id: AtomicU64::new(0),
             oracle: Mutex::new(Oracle::new(slow_start(capacity))),
         }
     }
 
-    /// Time since the beginning.
+    /// Time since the start of the run.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.began.elapsed()
@@ -176,9 +181,9 @@
         lock(&self.oracle)
     }
 
-    /// A number that nobody else has.
-    pub fn next(&self) -> u64 {
-        self.next.fetch_add(1, Ordering::Relaxed)
+    /// Returns an id that is unique within the run.
+    pub fn next_id(&self) -> u64 {
+        self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
     pub fn is_over(&self) -> bool {
@@ -189,10 +194,10 @@
         lock(&self.primaries)[endpoint / GROUP_SIZE] == Some(endpoint % GROUP_SIZE)
     }
 
-    /// How old an endpoint's data is.
+    /// Age of the data at an endpoint.
     pub fn age(&self, endpoint: usize) -> Duration {
         let since = self.endpoints[endpoint]
-            .lags_since_us
+            .lag_started_us
             .load(Ordering::SeqCst);
         if since == 0 || self.is_primary(endpoint) {
             return Duration::ZERO;
@@ -200,13 +205,13 @@
         self.now().saturating_sub(Duration::from_micros(since))
     }
 
-    /// The list has changed.
+    /// Advances the version of the endpoint list.
     pub fn list_changed(&self) {
         self.version.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// The whole list in discovery's form.
-    pub fn list(&self, addresses: &[std::net::SocketAddr]) -> String {
+    /// Full endpoint list as a discovery response.
+    pub fn discovery_list(&self, addresses: &[std::net::SocketAddr]) -> String {
         let entry = |(n, at): (usize, &std::net::SocketAddr)| {
             let endpoint = &self.endpoints[n];
             let state = if endpoint.draining.load(Ordering::SeqCst) {
--- a/crates/testbed/tests/soak_oracle.rs
+++ b/crates/testbed/tests/soak_oracle.rs
@@ -1,4 +1,5 @@
-//! The soak's oracle finds each break of an invariant, and nothing in the history beside it that keeps it.
+//! The soak's invariant checker reports each violation, and reports nothing for the closest history
+//! without one.
 
 use std::time::Duration;
 
@@ -19,30 +20,30 @@
         endpoint: 2,
         gateway: 1,
         connection,
-        told_ms: 900,
+        remaining_ms: 900,
         work: 1.0,
         age: None,
         earlier_ended: false,
     }
 }
 
-/// An oracle that has seen a request of this class sent at 1 s.
-fn asked(effect: Effect) -> Oracle {
+/// A checker that has recorded a request with this effect sent at 1 s.
+fn checker_with_request(effect: Effect) -> Oracle {
     let mut oracle = Oracle::new(slow_start(40.0));
     oracle.on_request("a", effect, DEADLINE, ms(1_000));
     oracle
 }
 
-fn found(oracle: &Oracle) -> Vec<Invariant> {
+fn violated(oracle: &Oracle) -> Vec<Invariant> {
     let mut found: Vec<Invariant> = oracle.violations.iter().map(|v| v.invariant).collect();
     found.dedup();
     found
 }
 
-/// Whether just this was found, where it was broken, and nothing, where it was not.
-fn judged(oracle: &Oracle, invariant: Invariant, broken: bool) {
+/// Asserts that exactly this invariant was violated if `broken`, and none otherwise.
+fn assert_violation(oracle: &Oracle, invariant: Invariant, broken: bool) {
     assert_eq!(
-        found(oracle),
+        violated(oracle),
         if broken { vec![invariant] } else { vec![] },
         "{:?}",
         oracle.violations
@@ -50,8 +51,11 @@
 }
 
 #[rstest]
-fn second_copy(#[values(false, true)] broken: bool, #[values(false, true)] by_end: bool) {
-    let mut oracle = asked(Effect::Safe);
+fn overlapping_attempts_are_reported_as_second_copy(
+    #[values(false, true)] broken: bool,
+    #[values(false, true)] by_end: bool,
+) {
+    let mut oracle = checker_with_request(Effect::Safe);
     oracle.on_attempt(&attempt("a", 1), ms(1_010));
     if !broken && !by_end {
         oracle.on_attempt_over("a", 1, false);
@@ -61,7 +65,7 @@
         ..attempt("a", 2)
     };
     oracle.on_attempt(&second, ms(1_020));
-    judged(&oracle, Invariant::SecondCopy, broken);
+    assert_violation(&oracle, Invariant::SecondCopy, broken);
 }
 
 #[rstest]
@@ -70,33 +74,33 @@
 #[case::keyed_inside_its_window(Effect::Keyed(ms(500)), 400, false, false)]
 #[case::keyed_behind_its_window(Effect::Keyed(ms(500)), 600, false, true)]
 #[case::safe(Effect::Safe, 600, false, false)]
-fn repeated(
+fn repeat_against_class_is_reported(
     #[case] effect: Effect,
     #[case] after: u64,
     #[case] never_ran: bool,
     #[case] broken: bool,
 ) {
-    let mut oracle = asked(effect);
+    let mut oracle = checker_with_request(effect);
     oracle.on_attempt(&attempt("a", 1), ms(1_010));
     oracle.on_attempt_over("a", 1, never_ran);
     oracle.on_attempt(
         &Attempt {
-            told_ms: 100,
+            remaining_ms: 100,
             ..attempt("a", 2)
         },
         ms(1_010 + after),
     );
-    judged(&oracle, Invariant::Repeated, broken);
+    assert_violation(&oracle, Invariant::Repeated, broken);
 }
 
 #[rstest]
-fn a_write_that_ran_and_then_missed_has_still_run() {
-    let mut oracle = asked(Effect::Keyed(ms(500)));
+fn write_that_ran_then_refused_still_counts_as_run() {
+    let mut oracle = checker_with_request(Effect::Keyed(ms(500)));
     oracle.on_attempt(&attempt("a", 1), ms(1_010));
     oracle.on_attempt_over("a", 1, false);
     oracle.on_attempt(
         &Attempt {
-            told_ms: 100,
+            remaining_ms: 100,
             ..attempt("a", 2)
         },
         ms(1_100),
@@ -104,79 +108,84 @@
     oracle.on_attempt_over("a", 2, true);
     oracle.on_attempt(
         &Attempt {
-            told_ms: 100,
+            remaining_ms: 100,
             ..attempt("a", 3)
         },
         ms(1_600),
     );
-    judged(&oracle, Invariant::Repeated, true);
+    assert_violation(&oracle, Invariant::Repeated, true);
 }
 
 #[rstest]
 #[case(100, false)]
 #[case(200, true)]
-fn began_for_nobody(#[case] after: u64, #[case] broken: bool) {
-    let mut oracle = asked(Effect::Safe);
+fn attempt_after_disconnect_is_reported(#[case] after: u64, #[case] broken: bool) {
+    let mut oracle = checker_with_request(Effect::Safe);
     oracle.on_client_left("a", ms(1_050));
     oracle.on_attempt(
         &Attempt {
-            told_ms: 500,
+            remaining_ms: 500,
             ..attempt("a", 1)
         },
         ms(1_050 + after),
     );
-    judged(&oracle, Invariant::BeganForNobody, broken);
+    assert_violation(&oracle, Invariant::BeganForNobody, broken);
 }
 
 #[rstest]
 #[case(1_100, false)]
 #[case(1_200, true)]
-fn deadline_too_long(#[case] told_ms: u64, #[case] broken: bool) {
-    let mut oracle = asked(Effect::Safe);
+fn deadline_beyond_client_is_reported(#[case] remaining_ms: u64, #[case] broken: bool) {
+    let mut oracle = checker_with_request(Effect::Safe);
     oracle.on_attempt(
         &Attempt {
-            told_ms,
+            remaining_ms,
             ..attempt("a", 1)
         },
         ms(1_020),
     );
-    judged(&oracle, Invariant::DeadlineTooLong, broken);
+    assert_violation(&oracle, Invariant::DeadlineTooLong, broken);
 }
 
 #[rstest]
 #[case::within_its_grace(1, 600, false)]
 #[case::behind_its_grace(1, 800, true)]
 #[case::told_to_another_gateway(3, 800, false)]
-fn sent_to_draining(#[case] told: usize, #[case] after: u64, #[case] broken: bool) {
-    let mut oracle = asked(Effect::Safe);
-    oracle.on_drain_told(told, 2, Some(ms(1_000)));
+fn attempt_at_draining_endpoint_is_reported(
+    #[case] gateway: usize,
+    #[case] after: u64,
+    #[case] broken: bool,
+) {
+    let mut oracle = checker_with_request(Effect::Safe);
+    oracle.on_drain_announced(gateway, 2, Some(ms(1_000)));
     oracle.on_attempt(
         &Attempt {
-            told_ms: 100,
+            remaining_ms: 100,
             ..attempt("a", 1)
         },
         ms(1_000 + after),
     );
-    judged(&oracle, Invariant::SentToDraining, broken);
-    oracle.on_drain_told(told, 2, None);
+    assert_violation(&oracle, Invariant::SentToDraining, broken);
+    oracle.on_drain_announced(gateway, 2, None);
     oracle.on_attempt_over("a", 1, false);
     oracle.on_attempt(
         &Attempt {
-            told_ms: 100,
+            remaining_ms: 100,
             ..attempt("a", 2)
         },
         ms(1_900),
     );
-    judged(&oracle, Invariant::SentToDraining, broken);
+    assert_violation(&oracle, Invariant::SentToDraining, broken);
 }
 
-/// The budget of the window is 40 requests of mean work as the endpoint starts, and 55 with the slack for chance.
+/// Right after a start the budget of the window is 40 requests of mean work, and 55 with the slack
+/// for random variation.
 #[rstest]
 #[case::spread_over_time(80, 200, 1.0, false)]
 #[case::at_once(80, 10, 1.0, true)]
 #[case::few_but_long(6, 10, 12.0, true)]
 #[case::few(6, 10, 1.0, false)]
-fn slow_start_overload(
+fn load_above_slow_start_budget_is_reported(
     #[case] count: u64,
     #[case] gap: u64,
     #[case] work: f64,
@@ -193,14 +202,14 @@
             ms(600 + n * gap),
         );
     }
-    judged(&oracle, Invariant::SlowStartOverload, broken);
+    assert_violation(&oracle, Invariant::SlowStartOverload, broken);
 }
 
 #[rstest]
 #[case(550, false)]
 #[case(700, true)]
-fn stale_read(#[case] age: u64, #[case] broken: bool) {
-    let mut oracle = asked(Effect::Safe);
+fn read_of_data_beyond_age_bound_is_reported(#[case] age: u64, #[case] broken: bool) {
+    let mut oracle = checker_with_request(Effect::Safe);
     oracle.on_attempt(
         &Attempt {
             age: Some((ms(age), ms(400))),
@@ -208,7 +217,7 @@
         },
         ms(1_010),
     );
-    judged(&oracle, Invariant::StaleRead, broken);
+    assert_violation(&oracle, Invariant::StaleRead, broken);
 }
 
 #[rstest]
@@ -216,31 +225,35 @@
 #[case::late(Some(2_700), None, true)]
 #[case::never(None, None, true)]
 #[case::its_client_left(None, Some(1_200), false)]
-fn unanswered(#[case] answered: Option<u64>, #[case] left: Option<u64>, #[case] broken: bool) {
-    let mut oracle = asked(Effect::Safe);
+fn missing_or_late_answer_is_reported(
+    #[case] answered: Option<u64>,
+    #[case] left: Option<u64>,
+    #[case] broken: bool,
+) {
+    let mut oracle = checker_with_request(Effect::Safe);
     answered
         .into_iter()
         .for_each(|at| oracle.on_answer("a", Some("a"), Duration::ZERO, ms(at)));
     left.into_iter()
         .for_each(|at| oracle.on_client_left("a", ms(at)));
     oracle.finish(ms(5_000));
-    judged(&oracle, Invariant::Unanswered, broken);
+    assert_violation(&oracle, Invariant::Unanswered, broken);
 }
 
 #[test]
-fn answered_twice_and_by_another_request() {
-    let mut oracle = asked(Effect::Safe);
+fn second_answer_and_foreign_value_are_reported() {
+    let mut oracle = checker_with_request(Effect::Safe);
     oracle.on_answer("a", None, Duration::ZERO, ms(1_010));
-    judged(&oracle, Invariant::AnsweredTwice, false);
+    assert_violation(&oracle, Invariant::AnsweredTwice, false);
     oracle.on_answer("a", None, Duration::ZERO, ms(1_020));
-    judged(&oracle, Invariant::AnsweredTwice, true);
-    let mut oracle = asked(Effect::Safe);
+    assert_violation(&oracle, Invariant::AnsweredTwice, true);
+    let mut oracle = checker_with_request(Effect::Safe);
     oracle.on_answer("a", Some("b"), Duration::ZERO, ms(1_010));
-    judged(&oracle, Invariant::WrongValue, true);
+    assert_violation(&oracle, Invariant::WrongValue, true);
 }
 
 #[test]
-fn schedules_are_the_same_from_a_seed_and_from_a_file_and_overlap() {
+fn schedules_are_reproducible_from_seed_and_file_and_overlap() {
     let mut covered = Coverage::default();
     for seed in 1..=40 {
         let schedule = Schedule::draw(seed, &covered);
@@ -249,7 +262,7 @@
         assert_eq!(schedule, toml::from_str(&text).unwrap());
         covered.add(&schedule);
     }
-    // 40 schedules of three clusters: most draws meet a pair that was not covered yet.
+    // 40 schedules of three clusters: most draws overlap in a pair that was not covered yet.
     assert!(covered.pairs.len() > 120, "{} pairs", covered.pairs.len());
     assert!(
         covered.triples.len() > 20,
@@ -259,7 +272,7 @@
 }
 
 #[test]
-fn shrinking_keeps_what_breaks() {
+fn shrinking_keeps_the_failing_faults() {
     let fault = |kind, at_ms| Fault {
         at_ms,
         for_ms: 100,
