--- a/crates/testbed/src/cluster_test.rs
+++ b/crates/testbed/src/cluster_test.rs
@@ -1,5 +1,6 @@
-//! Several processes of the real program between stand-in databases and discovery, under a timetable of faults. Rules are
-//! judged at the stand-ins while it plays, by true time.
+//! Cluster test: several real gateway processes between stub endpoints and a stub discovery
+//! service, under a scripted sequence of fault events. The stubs check the invariants during the
+//! run, in real time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -19,54 +20,58 @@
 use crate::members::{Client, http_head, is_ended, message, pg_message, row};
 use crate::relay::{NetworkConditions, Relays};
 
-/// The width of what rates are counted in.
-const BIN: Duration = Duration::from_millis(100);
-/// The part of what was served before that has to be served again, and for how many bins on end.
-const FULL: f64 = 0.98;
-const STEADY: usize = 20;
-const STACK: usize = 128 * 1024;
+/// Width of the bins in which events are counted.
+const BIN_WIDTH: Duration = Duration::from_millis(100);
+/// Share of the success rate before the fault that counts as full service.
+const FULL_SERVICE_SHARE: f64 = 0.98;
+/// Number of consecutive bins for which service must be full.
+const STEADY_BINS: usize = 20;
+const STACK_BYTES: usize = 128 * 1024;
 
 /// An experiment, in TOML.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
-    /// Always "stage".
+    /// Always "stage"; tells this kind of experiment from others.
     pub kind: String,
-    /// Its name, and what it is to show.
+    /// Name of the experiment; error messages begin with it.
     pub name: String,
+    /// Purpose of the experiment.
     pub about: String,
-    /// Gateways, by size of fleet.
+    /// Fleet sizes to run, in gateways.
     pub gateways: Vec<usize>,
-    /// Groups of three databases each.
+    /// Number of groups, of three stub endpoints each.
     pub groups: usize,
+    /// Duration of a run.
     pub seconds: f64,
-    /// Requests a second at each gateway; one in ten is a write that must not be repeated.
+    /// Requests per second at each gateway; one in ten is a write that must not be repeated.
     pub rate: f64,
-    /// What a call takes discovery, which answers one at a time.
+    /// Time that discovery takes for a call; it answers one call at a time.
     pub discovery_ms: u64,
-    /// Waits with the first fault until service is whole, at the most for `seconds`, and ends as soon as it is whole again behind the
-    /// last one: for a verdict that does not hang on how fast the machine is.
+    /// Delays the first event until service is full, by `seconds` at most, and ends the run as soon
+    /// as service is full again after the last event, so that the result does not depend on the
+    /// speed of the machine.
     #[serde(default)]
     pub until_full: bool,
-    /// The ways that are compared.
+    /// Variants to compare.
     pub ways: Vec<Variant>,
-    /// When what is measured begins: the first fault.
+    /// Fault events in order of time; measurement begins at the first.
     #[serde(default)]
     pub event: Vec<FaultEvent>,
 }
 
-/// How gateways are set up.
+/// Setup of the gateways.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Variant {
-    /// Nothing kept, nobody known.
+    /// No state folder and no peers.
     Plain,
-    /// With a state folder, and knowing each other.
+    /// A state folder, and the other gateways as peers.
     Kept,
 }
 
 impl Variant {
-    /// Its name.
+    /// Name in experiment files and results.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -76,63 +81,85 @@
     }
 }
 
-/// Something that happens.
+/// A fault event at a point in time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FaultEvent {
+    /// Seconds from the start of the run.
     pub at_s: f64,
-    pub what: What,
-    /// To what part of the gateways, drawn by the seed; those that were drawn last time unless it is given.
+    pub what: FaultKind,
+    /// Share of the gateways that is affected, drawn from the seed; without it, the gateways
+    /// drawn last.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Of the datagrams, for `weather`: what part is lost and comes twice, and how late they are at the most.
+    /// Share of datagrams that is lost and share that is duplicated, for
+    /// [`FaultKind::DegradeNetwork`].
     #[serde(default)]
     pub lost: f64,
+    /// Longest delay of a datagram, for [`FaultKind::DegradeNetwork`].
     #[serde(default)]
     pub delay_ms: u64,
 }
 
-/// Kinds of happenings.
+/// A kind of fault event.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// SIGKILL, SIGTERM, SIGSTOP, SIGCONT.
+pub enum FaultKind {
+    /// SIGKILL.
     Kill,
+    /// SIGTERM.
     Term,
+    /// SIGSTOP.
     Stop,
+    /// SIGCONT.
     Cont,
-    /// The program is started again, with its folder; without it; with one byte of its snapshot flipped.
+    /// Restart with the state folder.
     Start,
-    StartBare,
-    StartSpoilt,
-    /// Discovery says nothing; it answers again.
-    Silence,
-    Speak,
-    /// Datagrams are lost and late; gateways that are drawn and the others do not hear each other; all is well again.
-    Weather,
-    Cut,
-    Fair,
-    /// The primaries hand over to the next of their group.
+    /// Restart with the state folder removed.
+    #[serde(rename = "start-bare")]
+    StartWithoutState,
+    /// Restart with one bit of the snapshot flipped.
+    #[serde(rename = "start-spoilt")]
+    StartWithCorruptSnapshot,
+    /// Discovery stops answering.
+    #[serde(rename = "silence")]
+    DiscoverySilent,
+    /// Discovery answers again.
+    #[serde(rename = "speak")]
+    DiscoveryBack,
+    /// Datagrams between gateways are lost, duplicated and delayed.
+    #[serde(rename = "weather")]
+    DegradeNetwork,
+    /// Network partition between the drawn gateways and the others.
+    #[serde(rename = "cut")]
+    Partition,
+    /// The network between gateways is healthy again.
+    #[serde(rename = "fair")]
+    HealNetwork,
+    /// The primary role of each group moves to its next member.
     Primaries,
 }
 
-/// One play.
+/// Result of one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Row {
+    /// Name of the variant.
     pub way: String,
     pub gateways: usize,
     pub seed: u64,
-    /// From the first fault until service was full again, if it was.
+    /// Seconds from the first fault until service was full again; `None` if it never was.
     pub full_s: Option<f64>,
-    /// Served of what was asked, from the first fault on.
+    /// Share of requests that were served, from the first fault on.
     pub served: f64,
-    /// Most in a bin after the first fault, over all stand-ins.
+    /// Peak number of connections to stub endpoints in a bin after the first fault.
     pub connects: u64,
+    /// Peak number of probes in a bin after the first fault.
     pub probes: u64,
+    /// Peak number of discovery calls in a bin after the first fault.
     pub lists: u64,
-    /// Rules that were broken, as said at the stand-ins and the clients.
+    /// Violations that the stubs and the clients found.
     pub broken: Vec<String>,
-    /// Served of asked, by bin.
+    /// Requests sent and requests served in each bin.
     pub curve: Vec<(u64, u64)>,
 }
 
@@ -140,41 +167,42 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What the stand-ins saw.
+/// Observations of the stubs and clients.
 #[derive(Default)]
-struct Seen {
-    /// By bin: connects, probes, calls for the list, asked, served.
+struct Observations {
+    /// Counts in each bin: connects, probes, discovery calls, requests sent, requests served.
     bins: Vec<[u64; 5]>,
-    /// Requests that are out, each with the connection that carries it, and writes that ran.
+    /// Open attempts by request id, each with its connection.
     out: BTreeMap<String, TcpStream>,
+    /// Ids of executed writes.
     ran: BTreeSet<String>,
     broken: Vec<String>,
 }
 
-struct Stage {
+struct Cluster {
     began: Instant,
-    seen: Mutex<Seen>,
-    /// The primary of each group, by place in it.
+    observed: Mutex<Observations>,
+    /// Index of the primary within each group.
     primaries: Mutex<Vec<usize>>,
     silent: AtomicBool,
     over: AtomicBool,
 }
 
-impl Stage {
+impl Cluster {
     fn count(&self, what: usize) {
-        let bin = (self.began.elapsed().as_millis() / BIN.as_millis()) as usize;
-        let mut seen = lock(&self.seen);
+        let bin = (self.began.elapsed().as_millis() / BIN_WIDTH.as_millis()) as usize;
+        let mut seen = lock(&self.observed);
         if seen.bins.len() <= bin {
             seen.bins.resize(bin + 1, [0; 5]);
         }
         seen.bins[bin][what] += 1;
     }
 
-    fn breaks(&self, what: String) {
-        lock(&self.seen).broken.push(what);
+    fn record_violation(&self, what: String) {
+        lock(&self.observed).broken.push(what);
     }
 
-    /// A database: tells its role with each answer, takes writes as a primary alone.
+    /// Stub endpoint: reports its role with each answer and accepts writes only as primary.
     fn database(&self, group: usize, place: usize, stream: &TcpStream) -> io::Result<()> {
         self.count(0);
         stream.set_nodelay(true)?;
@@ -212,18 +240,21 @@
                 .unwrap_or_default()
                 .to_owned();
             let write = text.contains("INSERT");
-            // One that was called off ended with its connection, whatever is still done for it here.
-            let before = lock(&self.seen).out.insert(id.clone(), stream.try_clone()?);
+            // A cancelled attempt counts as ended once its connection closed, even if work on it
+            // continues here.
+            let before = lock(&self.observed)
+                .out
+                .insert(id.clone(), stream.try_clone()?);
             if before.is_some_and(|before| !is_ended(&before)) {
-                self.breaks(format!("two attempts of {id} out at once"));
+                self.record_violation(format!("two attempts of {id} out at once"));
             }
-            // Some work, in which the next of a doubled attempt would be seen.
+            // Simulated work: leaves time for a duplicate attempt to arrive while this one is open.
             sleep(Duration::from_millis(3));
             let refused = write && !primary;
-            if write && primary && !lock(&self.seen).ran.insert(id.clone()) {
-                self.breaks(format!("{id} was booked twice"));
+            if write && primary && !lock(&self.observed).ran.insert(id.clone()) {
+                self.record_violation(format!("{id} was booked twice"));
             }
-            lock(&self.seen).out.remove(&id);
+            lock(&self.observed).out.remove(&id);
             let answer = if refused {
                 message(b'E', b"SERROR\0C25006\0Mreplica\0\0")
             } else {
@@ -233,7 +264,8 @@
         }
     }
 
-    /// Discovery: one call at a time, so that many wait for each other. The list never changes.
+    /// Stub discovery: handles one call at a time, so that concurrent calls queue. The list never
+    /// changes.
     fn discovery(
         &self,
         turn: &Mutex<()>,
@@ -268,7 +300,8 @@
         }
     }
 
-    /// A gateway's clients: each request has its time, whatever became of those before.
+    /// Client of a gateway. Requests have fixed send times; a late answer does not move the
+    /// following ones.
     fn clients(&self, n: usize, groups: usize, rate: f64, front: SocketAddr) {
         let (mut client, mut id) = (None, 0_u64);
         let first = Instant::now();
@@ -293,9 +326,9 @@
             );
             match open.query(&query) {
                 Ok(Some(value)) if value == name => self.count(4),
-                Ok(Some(value)) => self.breaks(format!("{name} was answered by {value}")),
+                Ok(Some(value)) => self.record_violation(format!("{name} was answered by {value}")),
                 Ok(None) => {}
-                // Its gateway was killed, or ended the connection: what was asked on it is asked no more.
+                // The gateway was killed or closed the connection; its request is not sent again.
                 Err(_) => client = None,
             }
         }
@@ -303,27 +336,27 @@
 }
 
 fn serve(
-    stage: &Arc<Stage>,
+    cluster: &Arc<Cluster>,
     address: SocketAddr,
-    each: impl Fn(&Stage, &TcpStream) -> io::Result<()> + Send + Sync + 'static,
+    each: impl Fn(&Cluster, &TcpStream) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
-    let (stage, each, at) = (Arc::clone(stage), Arc::new(each), listener.local_addr()?);
-    Builder::new().stack_size(STACK).spawn(move || {
+    let (cluster, each, at) = (Arc::clone(cluster), Arc::new(each), listener.local_addr()?);
+    Builder::new().stack_size(STACK_BYTES).spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (stage, each) = (Arc::clone(&stage), Arc::clone(&each));
-            if stage.over.load(Ordering::Relaxed) {
+            let (cluster, each) = (Arc::clone(&cluster), Arc::clone(&each));
+            if cluster.over.load(Ordering::Relaxed) {
                 return;
             }
             let _ = Builder::new()
-                .stack_size(STACK)
-                .spawn(move || drop(each(&stage, &stream)));
+                .stack_size(STACK_BYTES)
+                .spawn(move || drop(each(&cluster, &stream)));
         }
     })?;
     Ok(at)
 }
 
-/// The gateways as processes.
+/// The gateway processes of a run.
 struct Gateways {
     program: PathBuf,
     dir: PathBuf,
@@ -369,13 +402,13 @@
     }
 }
 
-/// The number of a play of this process: several may be under way.
-fn next_play() -> u32 {
+/// Number of a run within this process; several runs may be active at once.
+fn next_run() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// An address of this play's own, with a port that the machine gives nobody by itself.
+/// A loopback address unique to this run, with a port outside the ephemeral range.
 fn address(play: u32, n: usize) -> SocketAddr {
     let process = std::process::id();
     let ip = [
@@ -388,7 +421,7 @@
 }
 
 impl Plan {
-    /// Reads and checks a text.
+    /// Parses and validates an experiment in TOML.
     pub fn parse(text: &str) -> Result<Self, String> {
         let read: Self = toml::from_str(text).map_err(|e| e.to_string())?;
         if read.gateways.is_empty() || read.gateways.iter().any(|g| !(1..=200).contains(g)) {
@@ -420,9 +453,9 @@
         Ok(read)
     }
 
-    fn file(
+    fn config_file(
         &self,
-        way: Variant,
+        variant: Variant,
         size: usize,
         front: SocketAddr,
         discovery: SocketAddr,
@@ -444,7 +477,7 @@
             dir.file_name()
                 .map(|n| n.to_string_lossy())
                 .unwrap_or_default(),
-            if way == Variant::Kept {
+            if variant == Variant::Kept {
                 kept
             } else {
                 String::new()
@@ -454,19 +487,19 @@
         )
     }
 
-    /// Plays one fleet with one seed.
+    /// Runs one fleet size and variant with one seed.
     pub fn play(
         &self,
         program: &Path,
-        way: Variant,
+        variant: Variant,
         size: usize,
         seed: u64,
     ) -> Result<Row, String> {
         let named = |e: io::Error| format!("{}: {e}", self.name);
-        let play = next_play();
-        let stage = Arc::new(Stage {
+        let play = next_run();
+        let cluster = Arc::new(Cluster {
             began: Instant::now(),
-            seen: Mutex::default(),
+            observed: Mutex::default(),
             primaries: Mutex::new(vec![0; self.groups]),
             silent: AtomicBool::new(false),
             over: AtomicBool::new(false),
@@ -474,7 +507,8 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut targets = vec![];
         for (group, place) in (0..self.groups).flat_map(|g| (0..3).map(move |p| (g, p))) {
-            let at = serve(&stage, any, move |s, c| s.database(group, place, c)).map_err(named)?;
+            let at =
+                serve(&cluster, any, move |s, c| s.database(group, place, c)).map_err(named)?;
             let mode = if place == 0 {
                 "read-write"
             } else {
@@ -489,8 +523,10 @@
             Mutex::new(()),
             Duration::from_millis(self.discovery_ms),
         );
-        let discovery =
-            serve(&stage, any, move |s, c| s.discovery(&turn, takes, &list, c)).map_err(named)?;
+        let discovery = serve(&cluster, any, move |s, c| {
+            s.discovery(&turn, takes, &list, c)
+        })
+        .map_err(named)?;
         let fronts: Vec<SocketAddr> = (0..size).map(|n| address(play, n)).collect();
         let relays = Relays::start(fronts.clone(), seed).map_err(named)?;
         let dir =
@@ -515,8 +551,8 @@
                 seeds.join(", ")
             );
             let path = dir.join(format!("{n}.toml"));
-            let text = self.file(
-                way,
+            let text = self.config_file(
+                variant,
                 size,
                 fronts[n],
                 discovery,
@@ -529,31 +565,31 @@
         }
         let clients: Vec<_> = (0..size)
             .map(|n| {
-                let (stage, front, groups, rate) =
-                    (Arc::clone(&stage), fronts[n], self.groups, self.rate);
+                let (cluster, front, groups, rate) =
+                    (Arc::clone(&cluster), fronts[n], self.groups, self.rate);
                 thread::Builder::new()
-                    .stack_size(STACK)
-                    .spawn(move || stage.clients(n, groups, rate, front))
+                    .stack_size(STACK_BYTES)
+                    .spawn(move || cluster.clients(n, groups, rate, front))
             })
             .collect::<io::Result<_>>()
             .map_err(named)?;
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let (mut drawn, mut begins) = (vec![], stage.began);
+        let (mut selected, mut begins) = (vec![], cluster.began);
         let pause = |until: Instant| sleep(until.saturating_duration_since(Instant::now()));
         if self.until_full {
-            let (first, patience) = (
+            let (first, limit) = (
                 Duration::from_secs_f64(self.event[0].at_s),
                 Duration::from_secs_f64(self.seconds),
             );
             pause(begins + first);
-            while share(last(&lock(&stage.seen).bins)) < FULL
-                && stage.began.elapsed() < first + patience
+            while served_share(last_bins(&lock(&cluster.observed).bins)) < FULL_SERVICE_SHARE
+                && cluster.began.elapsed() < first + limit
             {
-                sleep(BIN);
+                sleep(BIN_WIDTH);
             }
             begins = Instant::now() - first;
         }
-        let at = |event: &FaultEvent| bin((begins - stage.began).as_secs_f64() + event.at_s);
+        let at = |event: &FaultEvent| bin((begins - cluster.began).as_secs_f64() + event.at_s);
         let fault = at(&self.event[0]);
         let from = if self.until_full {
             self.event.last().map_or(fault, at)
@@ -562,26 +598,33 @@
         };
         for event in &self.event {
             pause(begins + Duration::from_secs_f64(event.at_s));
-            self.happens(event, &stage, &relays, &mut gateways, &mut drawn, &mut rng)
-                .map_err(named)?;
+            self.apply_event(
+                event,
+                &cluster,
+                &relays,
+                &mut gateways,
+                &mut selected,
+                &mut rng,
+            )
+            .map_err(named)?;
         }
         let end = begins + Duration::from_secs_f64(self.seconds);
         while self.until_full
             && Instant::now() < end
-            && full(&lock(&stage.seen).bins, fault, from).is_none()
+            && recovery_bins(&lock(&cluster.observed).bins, fault, from).is_none()
         {
-            sleep(BIN);
+            sleep(BIN_WIDTH);
         }
         if !self.until_full {
             pause(end);
         }
-        stage.over.store(true, Ordering::Relaxed);
+        cluster.over.store(true, Ordering::Relaxed);
         clients.into_iter().for_each(|c| drop(c.join()));
         relays.stop();
         drop(gateways);
-        let mut seen = lock(&stage.seen);
-        Ok(judge(
-            way,
+        let mut seen = lock(&cluster.observed);
+        Ok(result_row(
+            variant,
             size,
             seed,
             (fault, from),
@@ -589,13 +632,13 @@
         ))
     }
 
-    fn happens(
+    fn apply_event(
         &self,
         event: &FaultEvent,
-        stage: &Stage,
+        cluster: &Cluster,
         relays: &Relays,
         gateways: &mut Gateways,
-        drawn: &mut Vec<usize>,
+        selected: &mut Vec<usize>,
         rng: &mut Xoshiro256PlusPlus,
     ) -> io::Result<()> {
         let size = gateways.running.len();
@@ -606,21 +649,23 @@
                 all.swap(at, rng.random_range(at..size));
             }
             all.truncate(count);
-            *drawn = all;
+            *selected = all;
         }
         let folder = |n: usize| gateways.dir.join(format!("g{n}"));
         match event.what {
-            What::Kill => drawn.iter().for_each(|n| gateways.end(*n)),
-            What::Term => drawn.iter().for_each(|n| gateways.signal(*n, "TERM")),
-            What::Stop => drawn.iter().for_each(|n| gateways.signal(*n, "STOP")),
-            What::Cont => drawn.iter().for_each(|n| gateways.signal(*n, "CONT")),
-            What::Start | What::StartBare | What::StartSpoilt => {
-                for n in drawn.iter().copied() {
+            FaultKind::Kill => selected.iter().for_each(|n| gateways.end(*n)),
+            FaultKind::Term => selected.iter().for_each(|n| gateways.signal(*n, "TERM")),
+            FaultKind::Stop => selected.iter().for_each(|n| gateways.signal(*n, "STOP")),
+            FaultKind::Cont => selected.iter().for_each(|n| gateways.signal(*n, "CONT")),
+            FaultKind::Start
+            | FaultKind::StartWithoutState
+            | FaultKind::StartWithCorruptSnapshot => {
+                for n in selected.iter().copied() {
                     let dir = folder(n);
-                    if event.what == What::StartBare {
+                    if event.what == FaultKind::StartWithoutState {
                         let _ = std::fs::remove_dir_all(&dir);
                     }
-                    if let (What::StartSpoilt, Ok(mut bytes)) =
+                    if let (FaultKind::StartWithCorruptSnapshot, Ok(mut bytes)) =
                         (event.what, std::fs::read(dir.join("snapshot")))
                     {
                         let at = rng.random_range(0..bytes.len().max(1));
@@ -628,32 +673,32 @@
                         std::fs::write(dir.join("snapshot"), bytes)?;
                     }
                 }
-                drawn.iter().for_each(|n| gateways.end(*n));
-                drawn
+                selected.iter().for_each(|n| gateways.end(*n));
+                selected
                     .clone()
                     .into_iter()
                     .try_for_each(|n| gateways.start(n))?;
             }
-            What::Silence => stage.silent.store(true, Ordering::Relaxed),
-            What::Speak => stage.silent.store(false, Ordering::Relaxed),
-            What::Weather => relays.set(NetworkConditions {
+            FaultKind::DiscoverySilent => cluster.silent.store(true, Ordering::Relaxed),
+            FaultKind::DiscoveryBack => cluster.silent.store(false, Ordering::Relaxed),
+            FaultKind::DegradeNetwork => relays.set(NetworkConditions {
                 lost: event.lost,
                 duplicated: event.lost,
                 delay: Duration::from_millis(event.delay_ms),
                 ..NetworkConditions::default()
             }),
-            What::Cut => {
+            FaultKind::Partition => {
                 let pairs = (0..size).flat_map(|a| (0..size).map(move |b| (a, b)));
                 let cut = pairs
-                    .filter(|(a, b)| drawn.contains(a) != drawn.contains(b))
+                    .filter(|(a, b)| selected.contains(a) != selected.contains(b))
                     .collect();
                 relays.set(NetworkConditions {
                     cut,
                     ..NetworkConditions::default()
                 });
             }
-            What::Fair => relays.set(NetworkConditions::default()),
-            What::Primaries => lock(&stage.primaries)
+            FaultKind::HealNetwork => relays.set(NetworkConditions::default()),
+            FaultKind::Primaries => lock(&cluster.primaries)
                 .iter_mut()
                 .for_each(|p| *p = (*p + 1) % 3),
         }
@@ -664,11 +709,11 @@
 type Bins = [[u64; 5]];
 
 fn bin(s: f64) -> usize {
-    (s * 1000.0 / BIN.as_millis() as f64) as usize
+    (s * 1000.0 / BIN_WIDTH.as_millis() as f64) as usize
 }
 
-/// Served of what was asked.
-fn share(bins: &Bins) -> f64 {
+/// Share of requests that were served; 1 if none was sent.
+fn served_share(bins: &Bins) -> f64 {
     let (asked, served) = bins.iter().fold((0, 0), |(a, s), b| (a + b[3], s + b[4]));
     if asked == 0 {
         1.0
@@ -677,54 +722,60 @@
     }
 }
 
-/// The last of them, for as long as service has to be steady.
-fn last(bins: &Bins) -> &Bins {
-    &bins[bins.len().saturating_sub(STEADY)..]
+/// The last [`STEADY_BINS`] bins.
+fn last_bins(bins: &Bins) -> &Bins {
+    &bins[bins.len().saturating_sub(STEADY_BINS)..]
 }
 
-/// From a fault on. The last bins are left out: what was asked in them may be answered after the end.
-fn after(bins: &Bins, fault: usize) -> &Bins {
+/// Bins from a fault on, without the last five: requests sent in those may be answered after the
+/// end.
+fn bins_after(bins: &Bins, fault: usize) -> &Bins {
     bins.get(fault..bins.len().saturating_sub(5)).unwrap_or(&[])
 }
 
-/// How many bins after a fault service was full again, if it was: looked for `from` a bin on.
-fn full(bins: &Bins, fault: usize, from: usize) -> Option<usize> {
-    // What was asked before those bins and answered in them makes more than all of it: no more than all can be wanted.
-    let wanted = FULL * share(last(&bins[..fault.min(bins.len())])).min(1.0);
-    let after = after(bins, from);
-    let full = (0..after.len().saturating_sub(STEADY)).find(|at| {
-        // From there on for so long, and with no bin in it in which nearly nothing was served.
-        after[*at..].len() >= STEADY
-            && share(&after[*at..*at + STEADY]) >= wanted
-            && share(&after[*at..=*at]) >= wanted / 2.0
+/// Number of bins from a fault until service was full again, searching from bin `from` on; `None`
+/// if it never was.
+fn recovery_bins(bins: &Bins, fault: usize, from: usize) -> Option<usize> {
+    // Answers to requests sent before these bins can push the share above 1; the target is capped
+    // at 1.
+    let wanted =
+        FULL_SERVICE_SHARE * served_share(last_bins(&bins[..fault.min(bins.len())])).min(1.0);
+    let after = bins_after(bins, from);
+    let full = (0..after.len().saturating_sub(STEADY_BINS)).find(|at| {
+        // Full over the next STEADY_BINS bins, and the first of them at no less than half the
+        // target.
+        after[*at..].len() >= STEADY_BINS
+            && served_share(&after[*at..*at + STEADY_BINS]) >= wanted
+            && served_share(&after[*at..=*at]) >= wanted / 2.0
     });
     full.map(|at| from + at - fault)
 }
 
-fn judge(
-    way: Variant,
+fn result_row(
+    variant: Variant,
     gateways: usize,
     seed: u64,
     (fault, from): (usize, usize),
-    seen: Seen,
+    seen: Observations,
 ) -> Row {
-    let after = after(&seen.bins, fault);
-    let most = |what: usize| after.iter().map(|b| b[what]).max().unwrap_or(0);
+    let after = bins_after(&seen.bins, fault);
+    let peak = |what: usize| after.iter().map(|b| b[what]).max().unwrap_or(0);
     Row {
-        way: way.name().into(),
+        way: variant.name().into(),
         gateways,
         seed,
-        full_s: full(&seen.bins, fault, from).map(|bins| bins as f64 * BIN.as_secs_f64()),
-        served: share(after),
-        connects: most(0),
-        probes: most(1),
-        lists: most(2),
+        full_s: recovery_bins(&seen.bins, fault, from)
+            .map(|bins| bins as f64 * BIN_WIDTH.as_secs_f64()),
+        served: served_share(after),
+        connects: peak(0),
+        probes: peak(1),
+        lists: peak(2),
         broken: seen.broken,
         curve: seen.bins.iter().map(|b| (b[3], b[4])).collect(),
     }
 }
 
-/// The table that is printed.
+/// Formats the results as the table that is printed.
 #[must_use]
 pub fn table(rows: &[Row]) -> String {
     let mut out = format!(
@@ -752,29 +803,30 @@
             .iter()
             .map(|r| r.full_s.unwrap_or(f64::INFINITY))
             .collect();
-        let most = |f: fn(&Row) -> u64| ours.iter().map(|r| f(r)).max().unwrap_or(0);
+        let peak = |f: fn(&Row) -> u64| ours.iter().map(|r| f(r)).max().unwrap_or(0);
         out += &format!(
             "{way:<6} {gateways:>8} {:>6} {:>10.2} {:>10.2} {:>8.3} {:>10} {:>8} {:>8} {:>8}\n",
             ours.len(),
             crate::membership::quantile(full.clone(), 0.5),
             full.iter().copied().fold(0.0, f64::max),
             ours.iter().map(|r| r.served).sum::<f64>() / ours.len() as f64,
-            most(|r| r.connects),
-            most(|r| r.probes),
-            most(|r| r.lists),
+            peak(|r| r.connects),
+            peak(|r| r.probes),
+            peak(|r| r.lists),
             ours.iter().map(|r| r.broken.len()).sum::<usize>(),
         );
     }
     out
 }
 
-/// Writes results into a folder: the experiment, a table, all of it in JSON, and served of asked by bin in CSV and a chart.
+/// Writes results into a folder: the experiment, the table, all rows as JSON, and the requests sent
+/// and served by bin as CSV and as a chart.
 pub fn write(dir: &Path, plan: &Plan, rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
     let mut csv = crate::report::folder(dir, plan, &rows, &table(rows))?;
     csv.write_record(["way", "gateways", "seed", "ms", "asked", "served"])?;
     for row in rows {
         for (bin, (asked, served)) in row.curve.iter().enumerate() {
-            let ms = bin as u128 * BIN.as_millis();
+            let ms = bin as u128 * BIN_WIDTH.as_millis();
             csv.serialize((&row.way, row.gateways, row.seed, ms, asked, served))?;
         }
     }
@@ -786,82 +838,84 @@
 mod tests {
     use super::*;
 
-    /// A stage of one database, and where it listens.
-    fn stage() -> (Arc<Stage>, SocketAddr) {
-        let stage = Arc::new(Stage {
+    /// A cluster of one stub endpoint, and its address.
+    fn cluster() -> (Arc<Cluster>, SocketAddr) {
+        let cluster = Arc::new(Cluster {
             began: Instant::now(),
-            seen: Mutex::default(),
+            observed: Mutex::default(),
             primaries: Mutex::new(vec![0]),
             silent: AtomicBool::new(false),
             over: AtomicBool::new(false),
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let at = serve(&stage, any, |s, c| s.database(0, 0, c)).unwrap();
-        (stage, at)
+        let at = serve(&cluster, any, |s, c| s.database(0, 0, c)).unwrap();
+        (cluster, at)
     }
 
-    fn asks(id: &str, verb: &str) -> String {
+    fn query_text(id: &str, verb: &str) -> String {
         format!("/* id={id},c=x,d=1000,cluster=0 */ {verb} pitches WHERE n = 'x'\0")
     }
 
     #[test]
-    fn two_attempts_out_at_once_are_seen_and_one_behind_the_other_are_none() {
-        let (stage, at) = stage();
+    fn overlapping_attempts_are_reported_and_sequential_ones_are_not() {
+        let (cluster, at) = cluster();
         let client = || Client::connect(Front::Postgresql, at).unwrap();
-        let (mut one, mut two) = (client(), client());
+        let (mut first, mut second) = (client(), client());
         for n in 0..50 {
-            // One behind the other, over two connections.
+            // Sequential attempts over two connections.
             assert!(
-                one.query(&asks(&format!("a{n}"), "SELECT body FROM"))
+                first
+                    .query(&query_text(&format!("a{n}"), "SELECT body FROM"))
                     .unwrap()
                     .is_some()
             );
             assert!(
-                two.query(&asks(&format!("a{n}"), "SELECT body FROM"))
+                second
+                    .query(&query_text(&format!("a{n}"), "SELECT body FROM"))
                     .unwrap()
                     .is_some()
             );
         }
-        assert_eq!(lock(&stage.seen).broken, Vec::<String>::new());
+        assert_eq!(lock(&cluster.observed).broken, Vec::<String>::new());
         let seen = || {
-            lock(&stage.seen)
+            lock(&cluster.observed)
                 .broken
                 .iter()
                 .any(|b| b.contains("two attempts of b"))
         };
         for n in 0..1000 {
-            let text = asks(&format!("b{n}"), "SELECT body FROM");
+            let text = query_text(&format!("b{n}"), "SELECT body FROM");
             let other = text.clone();
-            let late = thread::spawn(move || (two.query(&other).unwrap(), two));
-            one.query(&text).unwrap();
-            two = late.join().unwrap().1;
+            let late = thread::spawn(move || (second.query(&other).unwrap(), second));
+            first.query(&text).unwrap();
+            second = late.join().unwrap().1;
             if seen() {
                 return;
             }
         }
-        panic!("a thousand pairs at once, and none was seen");
+        panic!("no overlap was reported in a thousand concurrent pairs");
     }
 
     #[test]
-    fn late_answers_before_a_fault_do_not_make_more_than_all_be_wanted_after_it() {
+    fn late_answers_before_fault_do_not_raise_recovery_target_above_one() {
         let [steady, none, late] = [[0, 0, 0, 5, 5], [0, 0, 0, 5, 0], [0, 0, 0, 5, 10]];
-        // Of two seconds before the fault the first bin brings what was asked before them.
+        // In the two seconds before the fault the first bins hold answers to earlier requests.
         let before = [vec![none; 3], vec![late; 3], vec![steady; 17]].concat();
         let fault = before.len();
         let back = [&before[..], &[none; 4], &[steady; 40]].concat();
-        assert!(share(last(&back[..fault])) * FULL > 1.0);
-        assert_eq!(full(&back, fault, fault), Some(4));
+        assert!(served_share(last_bins(&back[..fault])) * FULL_SERVICE_SHARE > 1.0);
+        assert_eq!(recovery_bins(&back, fault, fault), Some(4));
         let away = [&before[..], &[none; 44]].concat();
-        assert_eq!(full(&away, fault, fault), None);
+        assert_eq!(recovery_bins(&away, fault, fault), None);
     }
 
     #[test]
-    fn a_write_that_runs_twice_is_seen() {
-        let (stage, at) = stage();
+    fn write_executed_twice_is_reported() {
+        let (cluster, at) = cluster();
         let mut client = Client::connect(Front::Postgresql, at).unwrap();
-        client.query(&asks("w", "INSERT INTO")).unwrap();
-        assert_eq!(lock(&stage.seen).broken, Vec::<String>::new());
-        client.query(&asks("w", "INSERT INTO")).unwrap();
-        assert_eq!(lock(&stage.seen).broken, ["w was booked twice"]);
+        client.query(&query_text("w", "INSERT INTO")).unwrap();
+        assert_eq!(lock(&cluster.observed).broken, Vec::<String>::new());
+        client.query(&query_text("w", "INSERT INTO")).unwrap();
+        assert_eq!(lock(&cluster.observed).broken, ["w was booked twice"]);
     }
 }
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on sockets for the load: members that answer at once, and clients that ask one thing at a time.
+//! Stub members that answer at once, and clients that send one request at a time, for load on
+//! sockets.
 
 use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,36 +10,36 @@
 
 use crate::load::Front;
 
-const STACK: usize = 128 * 1024;
+const STACK_BYTES: usize = 128 * 1024;
 
-/// Starts a member; it serves until the process ends.
+/// Starts a stub member that serves until the process exits.
 pub(crate) fn start(front: Front, primary: bool) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     Builder::new().spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let serve = move || match front {
-                Front::Postgresql => database(&stream, primary),
-                Front::Cassandra => endpoint(&stream),
+                Front::Postgresql => serve_postgresql(&stream, primary),
+                Front::Cassandra => serve_cassandra(&stream),
             };
             let _ = Builder::new()
-                .stack_size(STACK)
+                .stack_size(STACK_BYTES)
                 .spawn(move || drop(serve()));
         }
     })?;
     Ok(address)
 }
 
-/// Answers what has come in by one write for as much of it as there is.
-fn endpoint(stream: &TcpStream) -> io::Result<()> {
+/// Serves the Cassandra protocol; answers all frames that are buffered with one write.
+fn serve_cassandra(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut from, mut out) = (BufReader::with_capacity(64 * 1024, stream), vec![]);
     loop {
-        let (head, _) = frame(&mut from)?;
+        let (head, _) = read_frame(&mut from)?;
         let (op, body): (u8, &[u8]) = match head[4] {
             0x01 => (0x02, &[]),
             0x05 => (0x06, &[0, 0]),
-            // One row of one column that is not described.
+            // A result of one row and one column, without metadata.
             _ => (
                 0x08,
                 &[
@@ -57,8 +58,8 @@
     }
 }
 
-/// Header and body of a frame.
-fn frame(from: &mut impl Read) -> io::Result<([u8; 9], Vec<u8>)> {
+/// Reads a frame: header and body.
+fn read_frame(from: &mut impl Read) -> io::Result<([u8; 9], Vec<u8>)> {
     let mut head = [0; 9];
     from.read_exact(&mut head)?;
     let mut body = vec![0; u32::from_be_bytes([head[5], head[6], head[7], head[8]]) as usize];
@@ -66,7 +67,7 @@
     Ok((head, body))
 }
 
-fn database(stream: &TcpStream, primary: bool) -> io::Result<()> {
+fn serve_postgresql(stream: &TcpStream, primary: bool) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut from = BufReader::with_capacity(16 * 1024, stream);
     let mut head = [0; 4];
@@ -124,7 +125,7 @@
     Ok((head[0], body))
 }
 
-/// Whether the other side has ended a connection: it has been closed, or torn down.
+/// Whether the peer has closed or reset a connection.
 pub(crate) fn is_ended(stream: &TcpStream) -> bool {
     let mut one = [std::mem::MaybeUninit::uninit()];
     match SockRef::from(stream).recv_with_flags(&mut one, libc::MSG_PEEK | libc::MSG_DONTWAIT) {
@@ -133,20 +134,20 @@
     }
 }
 
-/// A result of one row and one column.
+/// PostgreSQL messages of a result with one row and one column.
 pub(crate) fn row(value: &str, tag: &str) -> Vec<u8> {
     let length = u32::try_from(value.len()).unwrap_or(0).to_be_bytes();
-    let described = message(b'T', &[&[0, 1], &b"body\0"[..], &[0; 18]].concat());
+    let description = message(b'T', &[&[0, 1], &b"body\0"[..], &[0; 18]].concat());
     let data = message(b'D', &[&[0, 1], &length[..], value.as_bytes()].concat());
     [
-        described,
+        description,
         data,
         message(b'C', format!("{tag}\0").as_bytes()),
     ]
     .concat()
 }
 
-/// The head of an HTTP request.
+/// Reads the head of an HTTP request.
 pub(crate) fn http_head(from: &mut impl Read) -> io::Result<String> {
     let mut head = vec![];
     while !head.ends_with(b"\r\n\r\n") {
@@ -157,7 +158,7 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// A client's connection.
+/// A client connection to a gateway.
 pub(crate) struct Client {
     front: Front,
     stream: TcpStream,
@@ -165,7 +166,7 @@
 }
 
 impl Client {
-    /// Connects and greets.
+    /// Connects and completes the startup handshake of the protocol.
     pub(crate) fn connect(front: Front, address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -181,7 +182,7 @@
                 client.stream.write_all(
                     &[&[4, 0, 0, 0, 1, 0, 0, 0, body.len() as u8], &body[..]].concat(),
                 )?;
-                frame(&mut client.from)?;
+                read_frame(&mut client.from)?;
             }
             Front::Postgresql => {
                 let fields = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
@@ -193,7 +194,7 @@
         Ok(client)
     }
 
-    /// Asks and waits; whether it was served.
+    /// Sends a request and waits for the answer; returns whether it was served.
     pub(crate) fn ask(&mut self, id: u64) -> io::Result<bool> {
         match self.front {
             Front::Cassandra => {
@@ -207,7 +208,7 @@
                 let stream = ((id & 0x7f) as u16).to_be_bytes();
                 let head = [4, 0, stream[0], stream[1], 7, 0, 0, 0, body.len() as u8];
                 self.stream.write_all(&[&head, &body[..]].concat())?;
-                let (head, _) = frame(&mut self.from)?;
+                let (head, _) = read_frame(&mut self.from)?;
                 Ok(head[4] == 0x08 && head[2..4] == stream)
             }
             Front::Postgresql => {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Asks over PostgreSQL's protocol and waits; the value, if it was served.
+    /// Sends a PostgreSQL query and waits for the answer; `None` if it failed.
     pub(crate) fn query(&mut self, text: &str) -> io::Result<Option<String>> {
         self.stream.write_all(&message(b'Q', text.as_bytes()))?;
         let mut value = None;
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,6 @@
-//! Relays between real gateways: every datagram from one to another goes through here and may be lost, delayed, doubled,
-//! reordered or cut. Each gateway is known to the others by its relay's address.
+//! UDP relays between real gateways: every datagram passes through a relay, which may drop, delay,
+//! duplicate or reorder it, or block a direction altogether. Gateways know each other by the
+//! addresses of their relays.
 
 use std::collections::BinaryHeap;
 use std::io;
@@ -12,54 +13,59 @@
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// How datagrams fare.
+/// Network conditions for datagrams between gateways.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkConditions {
-    /// Parts of all that are lost and that come twice.
+    /// Share of datagrams that is dropped, from 0 to 1.
     pub lost: f64,
+    /// Share of datagrams that is delivered twice, from 0 to 1.
     pub duplicated: f64,
-    /// Drawn for each from nothing to this: later ones overtake earlier ones.
+    /// Longest delay; each datagram's delay is drawn between zero and this, so that datagrams are
+    /// reordered.
     pub delay: Duration,
-    /// Pairs, from and to, between which nothing passes.
+    /// Blocked directions, as pairs of sender and receiver.
     pub cut: Vec<(usize, usize)>,
-    /// One that goes by another's address: what it sends comes from there, and what is sent there reaches either.
+    /// A gateway (first) that uses the address of another (second): its datagrams carry that source
+    /// address, and datagrams to that address reach either of the two.
     pub shared_address: Option<(usize, usize)>,
 }
 
-struct Held {
+/// A datagram waiting for delivery.
+struct DelayedDatagram {
     due: Instant,
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-impl Ord for Held {
+impl Ord for DelayedDatagram {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         other.due.cmp(&self.due)
     }
 }
-impl PartialOrd for Held {
+impl PartialOrd for DelayedDatagram {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl PartialEq for Held {
+impl PartialEq for DelayedDatagram {
     fn eq(&self, other: &Self) -> bool {
         self.due == other.due
     }
 }
-impl Eq for Held {}
+impl Eq for DelayedDatagram {}
 
-/// All relays of a fleet.
+/// The relays of a fleet, one for each gateway.
 pub struct Relays {
     sockets: Vec<UdpSocket>,
-    /// Where the gateways themselves listen.
+    /// Addresses on which the gateways themselves listen.
     real: Vec<SocketAddr>,
-    weather: Mutex<NetworkConditions>,
+    conditions: Mutex<NetworkConditions>,
     rng: Mutex<Xoshiro256PlusPlus>,
-    held: Mutex<BinaryHeap<Held>>,
-    /// Datagrams that each gateway sent, and their bytes.
+    delayed: Mutex<BinaryHeap<DelayedDatagram>>,
+    /// Datagrams sent by each gateway.
     pub sent: Vec<AtomicU64>,
+    /// Bytes sent by each gateway.
     pub bytes: Vec<AtomicU64>,
     over: AtomicBool,
 }
@@ -69,10 +75,10 @@
 }
 
 impl Relays {
-    /// Listens for so many gateways on an address each; `real` is where they listen themselves.
+    /// Starts a relay for each gateway; `real` holds the addresses on which the gateways listen.
     ///
     /// # Errors
-    /// An address cannot be listened on, or there is no thread.
+    /// Binding an address or starting a thread failed.
     pub fn start(real: Vec<SocketAddr>, seed: u64) -> io::Result<Arc<Self>> {
         let sockets = real
             .iter()
@@ -83,38 +89,38 @@
         let relays = Arc::new(Self {
             sockets,
             real,
-            weather: Mutex::default(),
+            conditions: Mutex::default(),
             rng: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(seed)),
-            held: Mutex::default(),
+            delayed: Mutex::default(),
             sent,
             bytes,
             over: AtomicBool::new(false),
         });
         for to in 0..relays.sockets.len() {
-            let ours = Arc::clone(&relays);
-            ours.sockets[to].set_read_timeout(Some(Duration::from_millis(100)))?;
+            let shared = Arc::clone(&relays);
+            shared.sockets[to].set_read_timeout(Some(Duration::from_millis(100)))?;
             Builder::new()
                 .stack_size(128 * 1024)
-                .spawn(move || ours.receive(to))?;
+                .spawn(move || shared.receive(to))?;
         }
-        let ours = Arc::clone(&relays);
+        let shared = Arc::clone(&relays);
         Builder::new()
             .stack_size(128 * 1024)
-            .spawn(move || ours.deliver())?;
+            .spawn(move || shared.deliver())?;
         Ok(relays)
     }
 
-    /// The address by which the others know a gateway.
+    /// Relay address by which the other gateways reach gateway `n`.
     ///
     /// # Errors
-    /// The machine does not tell it.
+    /// The local address of the socket cannot be read.
     pub fn address(&self, n: usize) -> io::Result<SocketAddr> {
         self.sockets[n].local_addr()
     }
 
-    /// From now on.
-    pub fn set(&self, weather: NetworkConditions) {
-        *lock(&self.weather) = weather;
+    /// Sets the conditions for datagrams received from now on.
+    pub fn set(&self, conditions: NetworkConditions) {
+        *lock(&self.conditions) = conditions;
     }
 
     fn receive(&self, to: usize) {
@@ -128,14 +134,14 @@
             };
             self.sent[from].fetch_add(1, Ordering::Relaxed);
             self.bytes[from].fetch_add(length as u64, Ordering::Relaxed);
-            let weather = lock(&self.weather).clone();
+            let conditions = lock(&self.conditions).clone();
             let mut rng = lock(&self.rng);
-            if weather.cut.contains(&(from, to)) || rng.random_bool(weather.lost) {
+            if conditions.cut.contains(&(from, to)) || rng.random_bool(conditions.lost) {
                 continue;
             }
-            let (other, name) = weather.shared_address.unwrap_or((from, from));
-            let shown = if other == from { name } else { from };
-            let to = if weather.shared_address.is_some()
+            let (other, name) = conditions.shared_address.unwrap_or((from, from));
+            let apparent_sender = if other == from { name } else { from };
+            let to = if conditions.shared_address.is_some()
                 && name == to
                 && (from == to || rng.random_bool(0.5))
             {
@@ -143,12 +149,12 @@
             } else {
                 to
             };
-            let copies = 1 + usize::from(rng.random_bool(weather.duplicated));
+            let copies = 1 + usize::from(rng.random_bool(conditions.duplicated));
             for _ in 0..copies {
-                let due = Instant::now() + weather.delay.mul_f64(rng.random());
-                lock(&self.held).push(Held {
+                let due = Instant::now() + conditions.delay.mul_f64(rng.random());
+                lock(&self.delayed).push(DelayedDatagram {
                     due,
-                    from: shown,
+                    from: apparent_sender,
                     to,
                     bytes: bytes[..length].to_vec(),
                 });
@@ -160,13 +166,13 @@
         while !self.over.load(Ordering::Relaxed) {
             let now = Instant::now();
             loop {
-                let mut held = lock(&self.held);
-                if held.peek().is_none_or(|h| h.due > now) {
+                let mut delayed = lock(&self.delayed);
+                if delayed.peek().is_none_or(|h| h.due > now) {
                     break;
                 }
-                let Some(next) = held.pop() else { break };
-                drop(held);
-                // It comes from the address by which its sender is known.
+                let Some(next) = delayed.pop() else { break };
+                drop(delayed);
+                // Sent from the relay of the sender, the address by which others know it.
                 let _ = self.sockets[next.from].send_to(&next.bytes, self.real[next.to]);
             }
             std::thread::sleep(Duration::from_millis(1));
