--- a/crates/testbed/src/cluster_test.rs
+++ b/crates/testbed/src/cluster_test.rs
@@ -822,7 +822,7 @@
 /// Writes results into a folder: the experiment, the table, all rows as JSON, and the requests sent
 /// and served by bin as CSV and as a chart.
 pub fn write(dir: &Path, plan: &Plan, rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
-    let mut csv = crate::report::folder(dir, plan, &rows, &table(rows))?;
+    let mut csv = crate::report::create_result_folder(dir, plan, &rows, &table(rows))?;
     csv.write_record(["way", "gateways", "seed", "ms", "asked", "served"])?;
     for row in rows {
         for (bin, (asked, served)) in row.curve.iter().enumerate() {
@@ -831,7 +831,7 @@
         }
     }
     csv.flush()?;
-    crate::report::served(&dir.join("served.svg"), rows)
+    crate::report::draw_served_chart(&dir.join("served.svg"), rows)
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,4 +1,5 @@
-//! What is tried: a TOML file. Times are in milliseconds, rates in requests a second, unless their names say otherwise.
+//! Experiment files in TOML. Times are in milliseconds and rates in requests per second, unless
+//! their names say otherwise.
 
 use std::path::Path;
 
@@ -8,65 +9,66 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
-    /// What it is to show.
+    /// Purpose of the experiment.
     pub about: String,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// From when on it is measured, in seconds.
+    /// Start of the measurement, in seconds.
     #[serde(default)]
     pub measured_from: u64,
-    /// Gateways, each with a reducer of its own.
+    /// Number of gateways, each with its own reducer.
     pub gateways: usize,
-    /// Members of the one group, the first of them its primary.
+    /// Number of members in the single group; the first one is the initial primary.
     pub members: usize,
-    /// Cores of each.
+    /// Cores of each member.
     pub cores: usize,
-    /// Requests that may wait at each.
+    /// Queue length of each member.
     pub queue: usize,
-    /// One way over the network.
+    /// Mean one-way network delay.
     pub net_ms: f64,
-    /// How far replicas are behind.
+    /// Replication lag of the replicas.
     pub lag_ms: f64,
-    /// The longest time to come back that clients heed.
+    /// Longest retry-after time that gateways send to clients.
     pub max_hint_ms: f64,
-    /// Requests that may wait at a door.
-    #[serde(default = "most")]
-    pub most: usize,
-    /// The ways that are compared.
-    pub doors: Vec<Way>,
-    /// The classes.
+    /// Limit on requests that wait in the admission control of a gateway.
+    #[serde(rename = "most", default = "default_max_waiting")]
+    pub max_waiting: usize,
+    /// Admission modes to compare.
+    #[serde(rename = "doors")]
+    pub admission_modes: Vec<AdmissionMode>,
+    /// Request classes; at least one.
     pub class: Vec<Class>,
-    /// The tenants.
+    /// Tenants; at least one.
     pub tenant: Vec<Tenant>,
-    /// What happens.
+    /// Fault events, in any order.
     #[serde(default)]
     pub event: Vec<FaultEvent>,
 }
 
-const fn most() -> usize {
+const fn default_max_waiting() -> usize {
     10_000
 }
 
-/// What stands before the decision module.
+/// Admission control in front of the decision module.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
-    /// Nothing, as before there was a door.
+pub enum AdmissionMode {
+    /// No admission control.
     None,
-    /// One queue for all.
+    /// One first-in, first-out queue for all tenants.
     Fifo,
-    /// Tenants in turn, whatever their share, and no more.
+    /// One queue per tenant, served round-robin with equal shares.
     RoundRobin,
-    /// The door.
+    /// Weighted fair queueing by the tenants' shares.
     Fair,
-    /// The door, on a day on which no tenant asks for more than usual.
+    /// Like [`AdmissionMode::Fair`], without the tenants' bursts.
     Calm,
 }
 
-impl Way {
-    /// Its name.
+impl AdmissionMode {
+    /// Name in experiment files, results and the `--door` flag.
     pub const fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -78,30 +80,30 @@
     }
 }
 
-/// A class.
+/// A request class.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Only the primary takes it, and it must not be repeated.
+    /// Whether only the primary may run it, and a repeat is forbidden.
     #[serde(default)]
     pub write: bool,
-    /// How much of what is asked is of it.
+    /// Weight of the class in the request mix.
     pub part: f64,
-    /// Mean time of work.
+    /// Mean service time.
     pub work_ms: f64,
-    /// How much that varies: the coefficient of variation of a log-normal distribution.
+    /// Coefficient of variation of the log-normal service time.
     #[serde(default = "spread")]
     pub spread: f64,
-    /// Wanted within.
+    /// Latency objective.
     pub aim_ms: f64,
-    /// Given up after.
+    /// Deadline; clients draw their timeouts from 0.7 of it up to all of it.
     pub deadline_ms: f64,
-    /// Worth of one.
+    /// Priority weight of a request.
     #[serde(default = "one")]
     pub worth: f64,
-    /// Part of it that a late one earns.
+    /// Priority weight of a request that is answered after its latency objective.
     #[serde(default)]
     pub late_worth: f64,
 }
@@ -114,37 +116,41 @@
     1.0
 }
 
-/// What a client does with a time to come back.
+/// Reaction of clients to a rejection with a retry-after hint.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Heeds {
-    /// Comes back then, to the microsecond.
-    Hint,
-    /// Does not come back.
-    Nothing,
-    /// Comes back at once, again and again.
-    Abuses,
+pub enum RetryBehavior {
+    /// Retries exactly at the hinted time.
+    #[serde(rename = "hint")]
+    FollowHint,
+    /// Does not retry.
+    #[serde(rename = "nothing")]
+    GiveUp,
+    /// Ignores the hint and retries after 20 ms each time.
+    #[serde(rename = "abuses")]
+    RetryAtOnce,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share.
+    /// Weight of the tenant in fair queueing.
     pub share: f64,
-    /// Requests a second, as a Poisson process.
+    /// Mean rate of a Poisson process, in requests per second.
     pub rate: f64,
-    /// Clients that they come from; 0: each from a new one.
+    /// Number of clients; 0: a new client for each request.
     pub clients: u64,
-    /// What these do when they are refused.
-    pub heeds: Heeds,
-    /// From when to when, in seconds, it asks so many times as often.
+    /// Reaction of the clients to a rejection.
+    #[serde(rename = "heeds")]
+    pub retry_behavior: RetryBehavior,
+    /// Burst: start and end in seconds, and the factor on the rate.
     #[serde(default)]
     pub burst: Option<(f64, f64, f64)>,
-    /// Requests a second that it may ask of all gateways together, where that is told: from these the decision module
-    /// takes what a member can do at the least.
+    /// Allowance over all gateways, in requests per second; unlimited by default. The decision
+    /// module derives a lower bound on the capacity of a member from the allowances.
     #[serde(default = "no_limit")]
     pub allowance_per_s: f64,
 }
@@ -153,43 +159,44 @@
     1e9
 }
 
-/// What happens to a member.
+/// A fault event at a member.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FaultEvent {
-    /// When, in seconds.
+    /// Time in seconds.
     pub at_s: f64,
-    /// To which.
+    /// Affected member, counted from 0.
     pub member: usize,
-    /// What.
-    pub what: What,
+    /// Kind of the event.
+    pub what: FaultKind,
 }
 
-/// Kinds of happenings.
+/// A kind of fault event.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// It dies: its connections break, new ones are refused. Of the group the next member takes over 2 s later.
+pub enum FaultKind {
+    /// The member dies: its connections are reset, new ones are refused. If it was the primary, the
+    /// next member takes over 2 s later.
     Dies,
-    /// It comes back, cold, as a replica.
+    /// The member restarts cold, as a replica.
     Starts,
-    /// It is listed for the first time, cold, as a replica.
+    /// The member is listed for the first time, cold, as a replica.
     Joins,
-    /// The list says that it drains.
+    /// The endpoint list marks the member as draining.
     Drains,
-    /// It works at a third of its speed.
+    /// The member runs at a third of its speed.
     Slows,
-    /// At its usual speed.
+    /// The member runs at its usual speed again.
     Recovers,
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and validates an experiment file.
     pub fn load(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let read: Self = toml::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
         let fault = |key: &str, what: &str| Err(format!("{}: {key} {what}", path.display()));
-        if read.class.is_empty() || read.tenant.is_empty() || read.doors.is_empty() {
+        if read.class.is_empty() || read.tenant.is_empty() || read.admission_modes.is_empty() {
             return fault("class, tenant, doors", "must each have one at least");
         }
         if read.members == 0
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of gateways' memberships in virtual time, from one seed: the real heart, a network that loses, delays, doubles,
-//! reorders and cuts, gateways that stand still, die and start again. After each step what is promised is checked.
+//! A fleet of gateway memberships under a virtual clock, reproducible from one seed: the real
+//! membership code on a simulated network that loses, delays, duplicates and reorders datagrams and
+//! can be partitioned; gateways pause, die and restart. Invariants are checked after each step.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -12,29 +13,31 @@
 use valehatch_membership::{Effect, Membership, MembershipEvent, Settings};
 use valehatch_policy::{Span, Time};
 
-use crate::judge::Judge;
+use crate::view_checker::ViewChecker;
 
 pub const START: Time = Time(100_000_000_000);
-/// Datagrams that wait at a gateway that stands still; more are lost.
-const WAITING: usize = 256;
-/// Only the last ones may be given another's name.
-const NAMESAKES: usize = 2;
+/// Receive queue of a paused gateway, in datagrams; more are lost.
+const RECEIVE_QUEUE: usize = 256;
+/// Number of gateways, the last ones, that may be given the address of another.
+const MAX_SHARED_ADDRESSES: usize = 2;
 
-/// How the network is.
+/// Network conditions.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// Of so many datagrams, this part is lost, and this part comes twice.
+    /// Share of datagrams that is lost.
     pub lost: f64,
-    pub doubled: f64,
-    /// One way, at the least and at the most, drawn for each: later ones overtake earlier ones.
+    /// Share of datagrams that is delivered twice.
+    pub duplicated: f64,
+    /// Shortest and longest one-way delay; drawn for each datagram, so that datagrams are
+    /// reordered.
     pub delay: (Span, Span),
 }
 
-/// What may not be.
+/// A violated invariant, with a description.
 #[derive(Clone, Debug)]
-pub struct Broken(pub String);
+pub struct Violation(pub String);
 
-enum Ev {
+enum SimEvent {
     Tick(usize, u32),
     Deliver {
         from: usize,
@@ -45,49 +48,49 @@
 }
 
 struct Gateway {
-    heart: Option<Membership>,
-    /// Counts its starts.
-    life: u32,
-    /// Stands still until then.
-    still: Option<Time>,
+    membership: Option<Membership>,
+    /// Number of starts.
+    generation: u32,
+    /// End of the pause, while the gateway is paused.
+    paused_until: Option<Time>,
     waiting: Vec<(usize, Vec<u8>)>,
     due: Time,
-    /// Bytes sent in the second under way, and its number.
+    /// The current second, and bytes sent in it.
     second: (i64, usize),
     bytes: u64,
     seen: Incarnation,
 }
 
-/// Something that a gateway noted, when.
+/// A membership event with its time and the gateway that reported it.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct RecordedEvent {
     pub at: Time,
     pub by: usize,
     pub note: MembershipEvent,
 }
 
-/// What is done to a heart as it starts.
-pub type Prepare = Box<dyn Fn(&mut Membership)>;
+/// A hook that is run on a new membership before its gateway starts.
+pub type StartHook = Box<dyn Fn(&mut Membership)>;
 
 pub struct Fleet {
     pub now: Time,
     pub network: Network,
-    pub notes: Vec<Seen>,
+    pub notes: Vec<RecordedEvent>,
     gateways: Vec<Gateway>,
     seeds: usize,
     period: Span,
     bytes_s: u32,
     rng: Xoshiro256PlusPlus,
     events: BinaryHeap<Reverse<(Time, u64, usize)>>,
-    pending: BTreeMap<usize, Ev>,
+    pending: BTreeMap<usize, SimEvent>,
     next: u64,
-    /// Whether what the first sends reaches the second.
+    /// Whether datagrams of the first gateway reach the second; `None`: all do.
     reach: Option<Box<dyn Fn(usize, usize) -> bool>>,
-    /// By which number's address each is known: its own, unless it has another's name.
-    names: Vec<usize>,
-    /// Done to each heart as it starts.
-    pub prepare: Option<Prepare>,
-    pub judge: Judge,
+    /// Index of the address that each gateway uses: its own, unless it shares another's.
+    address_of: Vec<usize>,
+    /// Hook for each starting gateway, used to inject faults.
+    pub start_hook: Option<StartHook>,
+    pub checker: ViewChecker,
     pub steps: u64,
 }
 
@@ -106,7 +109,7 @@
 }
 
 impl Fleet {
-    /// So many gateways, none started; the first `seeds` of them are what each begins with.
+    /// A fleet of `size` gateways, none started; each knows the first `seeds` of them at its start.
     pub fn new(
         size: usize,
         seeds: usize,
@@ -116,9 +119,9 @@
         seed: u64,
     ) -> Self {
         let gateway = || Gateway {
-            heart: None,
-            life: 0,
-            still: None,
+            membership: None,
+            generation: 0,
+            paused_until: None,
             waiting: vec![],
             due: START,
             second: (0, 0),
@@ -141,21 +144,21 @@
             pending: BTreeMap::new(),
             next: 0,
             reach: None,
-            names: (0..size).collect(),
-            prepare: None,
-            judge: Judge::new(size),
+            address_of: (0..size).collect(),
+            start_hook: None,
+            checker: ViewChecker::new(size),
             steps: 0,
         }
     }
 
-    /// Starts a gateway with nothing in memory; its wall clock is off by so many milliseconds.
+    /// Starts a gateway without saved state, its wall clock off by `clock_off_ms`.
     pub fn start(&mut self, n: usize, clock_off_ms: i64) -> Result<(), String> {
         let size = self.gateways.len();
         let wall = (self.now.0 / 1000)
             .saturating_add(1_700_000_000_000)
             .saturating_add(clock_off_ms);
         let set = Settings {
-            local_address: self.name(n),
+            local_address: self.address_used(n),
             seeds: (0..self.seeds).map(address).collect(),
             zone: 0,
             version: 1,
@@ -165,49 +168,53 @@
             configured_fleet_size: u32::try_from(size).unwrap_or(u32::MAX),
             shrink_delay: self.period.times(60.0),
         };
-        let heart = Membership::new(set, wall.max(0).unsigned_abs(), self.rng.random(), self.now);
+        let membership =
+            Membership::new(set, wall.max(0).unsigned_abs(), self.rng.random(), self.now);
         let gateway = &mut self.gateways[n];
-        let mut heart = heart.map_err(|e| e.to_string())?;
-        self.prepare.iter().for_each(|prepare| prepare(&mut heart));
-        self.judge.started(n);
-        gateway.seen = heart.incarnation();
-        (gateway.heart, gateway.still) = (Some(heart), None);
-        gateway.life += 1;
+        let mut membership = membership.map_err(|e| e.to_string())?;
+        self.start_hook
+            .iter()
+            .for_each(|hook| hook(&mut membership));
+        self.checker.started(n);
+        gateway.seen = membership.incarnation();
+        (gateway.membership, gateway.paused_until) = (Some(membership), None);
+        gateway.generation += 1;
         gateway.waiting.clear();
-        self.arm(n);
+        self.schedule_tick(n);
         Ok(())
     }
 
-    /// Ends a gateway at once.
+    /// Kills a gateway without notice to the others.
     pub fn kill(&mut self, n: usize) {
-        self.gateways[n].heart = None;
+        self.gateways[n].membership = None;
     }
 
-    /// Ends a gateway as planned: it says so.
-    pub fn leave(&mut self, n: usize) -> Result<(), Broken> {
+    /// Stops a gateway as planned, announcing it to the others.
+    pub fn leave(&mut self, n: usize) -> Result<(), Violation> {
         let (now, mut out) = (self.now, vec![]);
-        if let Some(heart) = &mut self.gateways[n].heart {
-            heart.leave(now, &mut out);
+        if let Some(membership) = &mut self.gateways[n].membership {
+            membership.leave(now, &mut out);
         }
-        self.carry_out(n, out)?;
+        self.apply_effects(n, out)?;
         self.kill(n);
         Ok(())
     }
 
-    /// A gateway stands still for so long.
-    pub fn stop(&mut self, n: usize, span: Span) {
+    /// Pauses a gateway for a time.
+    pub fn pause(&mut self, n: usize, span: Span) {
         let until = self.now + span;
-        self.gateways[n].still = Some(until);
-        self.push(until, Ev::Wake(n));
+        self.gateways[n].paused_until = Some(until);
+        self.push(until, SimEvent::Wake(n));
     }
 
-    /// Gateways of different parts hear each other no more; `one_way`: those of other parts still hear part 0.
-    pub fn cut(&mut self, parts: Vec<usize>, one_way: bool) {
-        self.cut_by(move |from, to| parts[from] == parts[to] || one_way && parts[from] == 0);
+    /// Partitions the network by group number; with `one_way`, datagrams from group 0 still reach
+    /// the others.
+    pub fn partition(&mut self, parts: Vec<usize>, one_way: bool) {
+        self.partition_by(move |from, to| parts[from] == parts[to] || one_way && parts[from] == 0);
     }
 
-    /// What the first sends reaches the second where this says so.
-    pub fn cut_by(&mut self, reach: impl Fn(usize, usize) -> bool + 'static) {
+    /// Partitions the network: a datagram passes only if `reach(from, to)` holds.
+    pub fn partition_by(&mut self, reach: impl Fn(usize, usize) -> bool + 'static) {
         self.reach = Some(Box::new(reach));
     }
 
@@ -215,122 +222,129 @@
         self.reach = None;
     }
 
-    /// From its next start on a gateway goes by another's name too: what is sent to that reaches either, as it falls.
-    pub fn rename(&mut self, n: usize, like: usize) {
-        self.names[n] = like;
+    /// From its next start on, gateway `n` uses the address of gateway `other`; a datagram to it
+    /// reaches one of the two at random.
+    pub fn share_address(&mut self, n: usize, other: usize) {
+        self.address_of[n] = other;
     }
 
-    fn name(&self, n: usize) -> SocketAddr {
-        address(self.names[n])
+    fn address_used(&self, n: usize) -> SocketAddr {
+        address(self.address_of[n])
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
         self.reach.as_ref().is_none_or(|reach| reach(from, to))
     }
 
-    /// What a gateway says of how far it is.
-    pub fn phase(&mut self, n: usize, phase: Phase) -> Result<(), Broken> {
+    /// Sets the lifecycle phase that a gateway announces.
+    pub fn set_phase(&mut self, n: usize, phase: Phase) -> Result<(), Violation> {
         let (now, mut out) = (self.now, vec![]);
-        if let Some(heart) = &mut self.gateways[n].heart {
-            heart.set_phase(phase, now, &mut out);
+        if let Some(membership) = &mut self.gateways[n].membership {
+            membership.set_phase(phase, now, &mut out);
         }
-        self.carry_out(n, out)
+        self.apply_effects(n, out)
     }
 
-    /// Whether all that run and move say that their view is settled, hold the same as all within reach both ways, and have in
-    /// it just those, in their present lives.
-    pub fn settled(&self) -> bool {
-        let moving =
-            |n: &usize| self.gateways[*n].heart.is_some() && self.gateways[*n].still.is_none();
+    /// Whether each running, unpaused gateway reports a converged view, agrees with all gateways
+    /// that it can reach in both directions, and has exactly those in its view, in their current
+    /// incarnations.
+    pub fn converged(&self) -> bool {
+        let moving = |n: &usize| {
+            self.gateways[*n].membership.is_some() && self.gateways[*n].paused_until.is_none()
+        };
         let all: Vec<usize> = (0..self.gateways.len()).filter(moving).collect();
-        let mut looked: Vec<(u64, usize)> = vec![];
+        let mut checked: Vec<(u64, usize)> = vec![];
         all.iter().all(|n| {
-            let Some(heart) = self.heart(*n) else {
+            let Some(membership) = self.membership(*n) else {
                 return true;
             };
-            let shared = heart.view_status();
+            let shared = membership.view_status();
             if shared.converged_at.is_none() {
                 return false;
             }
             let both = |o: &&usize| self.reaches(*n, **o) && self.reaches(**o, *n);
             let near = || all.iter().filter(both);
             let same = |o: &usize| {
-                self.heart(*o)
+                self.membership(*o)
                     .is_some_and(|h| h.view_status().digest == shared.digest)
             };
             if self.reach.is_some() && !near().all(same) {
                 return false;
             }
-            // Whoever holds the same digest has the same view: one of them is looked at member by member.
-            if looked.iter().any(|(digest, _)| *digest == shared.digest) {
+            // Equal digests mean equal views, so one gateway per digest is compared member by
+            // member.
+            if checked.iter().any(|(digest, _)| *digest == shared.digest) {
                 return true;
             }
-            let names: BTreeSet<SocketAddr> = near().chain([n]).map(|o| self.name(*o)).collect();
-            let lives = |name: &SocketAddr, life: &Incarnation| {
-                let of = all.iter().filter(|o| self.name(**o) == *name);
-                of.filter_map(|o| self.heart(*o))
-                    .any(|h| h.incarnation().nonce == life.nonce)
+            let names: BTreeSet<SocketAddr> =
+                near().chain([n]).map(|o| self.address_used(*o)).collect();
+            let runs_incarnation = |name: &SocketAddr, generation: &Incarnation| {
+                let of = all.iter().filter(|o| self.address_used(**o) == *name);
+                of.filter_map(|o| self.membership(*o))
+                    .any(|h| h.incarnation().nonce == generation.nonce)
             };
-            let there: Vec<_> = heart
+            let there: Vec<_> = membership
                 .members()
                 .filter(|m| m.status != MemberStatus::Gone)
                 .collect();
-            looked.push((shared.digest, *n));
+            checked.push((shared.digest, *n));
             there.len() == names.len()
-                && there
-                    .iter()
-                    .all(|m| names.contains(&m.address) && lives(&m.address, &m.incarnation))
-        }) && (self.reach.is_some() || looked.len() <= 1)
+                && there.iter().all(|m| {
+                    names.contains(&m.address) && runs_incarnation(&m.address, &m.incarnation)
+                })
+        }) && (self.reach.is_some() || checked.len() <= 1)
     }
 
-    /// Whether each gateway's changes have led to its view.
-    pub fn followed(&self) -> Result<(), Broken> {
+    /// Checks that the reported changes of each gateway add up to its view.
+    pub fn check_changes(&self) -> Result<(), Violation> {
         let mut all = self.running();
-        all.try_for_each(|(n, h)| self.judge.followed(n, h, self.name(n)))
-            .map_err(|e| Broken(format!("changes: {e}")))
+        all.try_for_each(|(n, h)| self.checker.check_changes(n, h, self.address_used(n)))
+            .map_err(|e| Violation(format!("changes: {e}")))
     }
 
-    pub fn heart(&self, n: usize) -> Option<&Membership> {
-        self.gateways[n].heart.as_ref()
+    pub fn membership(&self, n: usize) -> Option<&Membership> {
+        self.gateways[n].membership.as_ref()
     }
 
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.gateways
             .iter()
             .enumerate()
-            .filter_map(|(n, g)| Some((n, g.heart.as_ref()?)))
+            .filter_map(|(n, g)| Some((n, g.membership.as_ref()?)))
     }
 
-    /// Bytes that a gateway has sent since its start or the last time this was asked.
+    /// Bytes sent by a gateway since the last call.
     pub fn take_bytes(&mut self, n: usize) -> u64 {
         std::mem::take(&mut self.gateways[n].bytes)
     }
 
-    /// Whether all that run and move take just those for living that run, suspects among them.
+    /// Whether each running, unpaused gateway considers exactly the running gateways as live,
+    /// counting suspects as live.
     pub fn agreed(&self) -> bool {
         let all: Vec<SocketAddr> = self.running().map(|(n, _)| address(n)).collect();
         let moving = self
             .running()
-            .filter(|(n, _)| self.gateways[*n].still.is_none());
+            .filter(|(n, _)| self.gateways[*n].paused_until.is_none());
         moving.into_iter().all(|(n, h)| {
             let others = all.iter().filter(|a| **a != address(n));
             h.live_members().eq(others.copied())
         })
     }
 
-    /// Goes on until `when`, or until `until` holds, which is looked at five times a period; whether it did.
-    pub fn run(&mut self, when: Span, until: impl Fn(&Self) -> bool) -> Result<bool, Broken> {
+    /// Simulates for a time, or until `until` holds, which is checked five times a period; returns
+    /// whether it holds.
+    pub fn run(&mut self, when: Span, until: impl Fn(&Self) -> bool) -> Result<bool, Violation> {
         let end = self.now + when;
-        let mut look = self.now;
+        let mut next_check = self.now;
         while let Some(Reverse((at, _, id))) = self.events.peek().copied() {
             if at > end {
                 break;
             }
-            if at >= look {
+            if at >= next_check {
                 if until(self) {
                     return Ok(true);
                 }
-                look = at + self.period.times(0.2);
+                next_check = at + self.period.times(0.2);
             }
             self.events.pop();
             self.now = self.now.max(at);
@@ -343,84 +357,90 @@
         Ok(until(self))
     }
 
-    fn push(&mut self, at: Time, event: Ev) {
+    fn push(&mut self, at: Time, event: SimEvent) {
         self.next += 1;
         let id = usize::try_from(self.next).unwrap_or(0);
         self.pending.insert(id, event);
         self.events.push(Reverse((at, self.next, id)));
     }
 
-    fn arm(&mut self, n: usize) {
-        let Some(heart) = &self.gateways[n].heart else {
+    fn schedule_tick(&mut self, n: usize) {
+        let Some(membership) = &self.gateways[n].membership else {
             return;
         };
-        let due = heart.next_due().max(self.now + Span(1_000));
-        let life = self.gateways[n].life;
+        let due = membership.next_due().max(self.now + Span(1_000));
+        let generation = self.gateways[n].generation;
         self.gateways[n].due = due;
-        self.push(due, Ev::Tick(n, life));
+        self.push(due, SimEvent::Tick(n, generation));
     }
 
-    fn step(&mut self, event: Ev) -> Result<(), Broken> {
+    fn step(&mut self, event: SimEvent) -> Result<(), Violation> {
         self.steps += 1;
         let (now, mut out) = (self.now, vec![]);
         match event {
-            Ev::Tick(n, life) => {
+            SimEvent::Tick(n, generation) => {
                 let gateway = &mut self.gateways[n];
-                // An earlier look than this one was asked for meanwhile, or it is not there to look.
-                if gateway.life != life || gateway.due > now || gateway.still.is_some() {
+                // The tick is stale: the gateway restarted, was rescheduled or is paused.
+                if gateway.generation != generation
+                    || gateway.due > now
+                    || gateway.paused_until.is_some()
+                {
                     return Ok(());
                 }
-                let Some(heart) = &mut gateway.heart else {
+                let Some(membership) = &mut gateway.membership else {
                     return Ok(());
                 };
-                heart.tick(now, &mut out);
-                self.carry_out(n, out)?;
-                self.arm(n);
+                membership.tick(now, &mut out);
+                self.apply_effects(n, out)?;
+                self.schedule_tick(n);
             }
-            Ev::Deliver { from, to, bytes } => {
+            SimEvent::Deliver { from, to, bytes } => {
                 let gateway = &mut self.gateways[to];
-                if gateway.still.is_some() {
-                    if gateway.waiting.len() < WAITING {
+                if gateway.paused_until.is_some() {
+                    if gateway.waiting.len() < RECEIVE_QUEUE {
                         gateway.waiting.push((from, bytes));
                     }
                     return Ok(());
                 }
-                let Some(heart) = &mut gateway.heart else {
+                let Some(membership) = &mut gateway.membership else {
                     return Ok(());
                 };
                 let due = gateway.due;
-                heart.receive(now, address(self.names[from]), &bytes, &mut out);
-                let sooner = heart.next_due() < due;
-                self.carry_out(to, out)?;
-                if sooner {
-                    self.arm(to);
+                membership.receive(now, address(self.address_of[from]), &bytes, &mut out);
+                let earlier = membership.next_due() < due;
+                self.apply_effects(to, out)?;
+                if earlier {
+                    self.schedule_tick(to);
                 }
             }
-            Ev::Wake(n) => {
-                if self.gateways[n].still.is_none_or(|until| until > now) {
+            SimEvent::Wake(n) => {
+                if self.gateways[n]
+                    .paused_until
+                    .is_none_or(|until| until > now)
+                {
                     return Ok(());
                 }
-                self.gateways[n].still = None;
+                self.gateways[n].paused_until = None;
                 for (from, bytes) in std::mem::take(&mut self.gateways[n].waiting) {
-                    self.step(Ev::Deliver { from, to: n, bytes })?;
+                    self.step(SimEvent::Deliver { from, to: n, bytes })?;
                 }
-                self.arm(n);
+                self.schedule_tick(n);
             }
         }
         Ok(())
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Effect>) -> Result<(), Broken> {
-        let broken = |what: String| Err(Broken(format!("gateway {n}: {what}")));
-        if let Some(heart) = &self.gateways[n].heart {
-            let (now, before) = (heart.incarnation(), self.gateways[n].seen);
+    fn apply_effects(&mut self, n: usize, out: Vec<Effect>) -> Result<(), Violation> {
+        let broken = |what: String| Err(Violation(format!("gateway {n}: {what}")));
+        if let Some(membership) = &self.gateways[n].membership {
+            let (now, before) = (membership.incarnation(), self.gateways[n].seen);
             if now < before || now.nonce != before.nonce {
-                return broken(format!("its incarnation went from {before:?} to {now:?}"));
+                return broken(format!("incarnation changed from {before:?} to {now:?}"));
             }
-            let names = &self.names;
+            let names = &self.address_of;
             let named = |a: &SocketAddr| {
                 let number = number(*a);
-                let other = (names.len().saturating_sub(NAMESAKES)..names.len())
+                let other = (names.len().saturating_sub(MAX_SHARED_ADDRESSES)..names.len())
                     .filter(|p| names[*p] == number);
                 let own = names
                     .get(number)
@@ -430,21 +450,21 @@
                     .chain(other.filter(|p| *p != number))
                     .collect()
             };
-            if let Err(what) = self.judge.look(n, heart, named) {
+            if let Err(what) = self.checker.check(n, membership, named) {
                 return broken(what);
             }
             self.gateways[n].seen = now;
         }
         for effect in out {
             match effect {
-                Effect::Event(note) => self.notes.push(Seen {
+                Effect::Event(note) => self.notes.push(RecordedEvent {
                     at: self.now,
                     by: n,
                     note,
                 }),
                 Effect::Send { to, bytes } => {
                     if bytes.len() > MAX_DATAGRAM_BYTES {
-                        return broken(format!("a datagram of {} bytes", bytes.len()));
+                        return broken(format!("sent a datagram of {} bytes", bytes.len()));
                     }
                     let gateway = &mut self.gateways[n];
                     gateway.bytes += bytes.len() as u64;
@@ -458,22 +478,22 @@
                     let most = 2 * usize::try_from(self.bytes_s).unwrap_or(0);
                     if gateway.second.1 > most {
                         return broken(format!(
-                            "{} bytes in a second, {most} at most",
+                            "sent {} bytes in a second, limit {most}",
                             gateway.second.1
                         ));
                     }
-                    self.carry(n, to, bytes);
+                    self.transmit(n, to, bytes);
                 }
             }
         }
         Ok(())
     }
 
-    fn carry(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+    fn transmit(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let name = number(to);
-        let from_end = self.names.len().saturating_sub(NAMESAKES);
-        let other = (from_end..self.names.len())
-            .find(|p| self.names[*p] == name && *p != name && *p != from);
+        let from_end = self.address_of.len().saturating_sub(MAX_SHARED_ADDRESSES);
+        let other = (from_end..self.address_of.len())
+            .find(|p| self.address_of[*p] == name && *p != name && *p != from);
         let to = match other.filter(|_| name == from || self.rng.random_bool(0.5)) {
             Some(other) => other,
             None => name,
@@ -484,13 +504,13 @@
         {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(self.network.doubled));
+        let copies = 1 + usize::from(self.rng.random_bool(self.network.duplicated));
         for _ in 0..copies {
             let (least, most) = self.network.delay;
             let delay = Span(self.rng.random_range(least.0..=most.0));
             self.push(
                 self.now + delay,
-                Ev::Deliver {
+                SimEvent::Deliver {
                     from,
                     to,
                     bytes: bytes.clone(),
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,5 @@
-//! Experiments in virtual time with the real hearts, load on sockets, and stages of several real processes.
+//! Test bed: experiments under a virtual clock with the real reducer and membership, load on
+//! sockets, and fault tests with real gateway processes.
 
 #![forbid(unsafe_code)]
 #![expect(
@@ -11,7 +12,6 @@
 pub mod cluster_test;
 pub mod experiment;
 pub mod fleet;
-pub mod judge;
 pub mod load;
 mod members;
 pub mod membership;
@@ -19,4 +19,5 @@
 pub mod report;
 pub mod soak;
 pub mod view;
+pub mod view_checker;
 pub mod world;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,8 +1,10 @@
-//! Load on sockets: the real program between stand-in members and clients, and the same load straight to the stand-ins.
+//! Load on sockets: a real gateway process between stub members and clients, and the same load
+//! directly on the stub members.
 //!
-//! Closed loop: each connection asks again as soon as it is answered. Open loop: each has a schedule, and a latency
-//! counts from when its request should have left, so that what was held up behind a slow one counts too (corrected for
-//! coordinated omission). CPU is the program's own, user and system, as the process accounts for it in ticks of 10 ms.
+//! Closed loop: each connection sends its next request as soon as the last one is answered. Open
+//! loop: each connection has a schedule, and latencies count from the scheduled send time, so that
+//! delays behind a slow request are included (corrected for coordinated omission). CPU time is user
+//! and system time of the gateway process, accounted in ticks of 10 ms.
 
 use std::io::Write as _;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,7 +20,7 @@
 
 use crate::members;
 
-/// Which protocol is spoken.
+/// Client protocol.
 #[derive(Clone, Copy, Debug, ValueEnum, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Front {
@@ -28,44 +30,44 @@
     Cassandra,
 }
 
-/// What is measured.
+/// Options of the load measurement.
 #[derive(Args)]
 pub struct Load {
-    /// Which front.
+    /// Front to measure.
     #[arg(long, value_enum)]
     front: Front,
-    /// Connections from clients, one or several numbers.
+    /// Numbers of client connections to measure.
     #[arg(long, value_delimiter = ',', default_value = "1,8,64,256")]
     connections: Vec<usize>,
-    /// Requests a second over all connections, open loop. Without it: closed loop, and then open loop at half of what
-    /// that gave.
+    /// Open-loop rate over all connections, in requests per second. Without it: a closed-loop
+    /// measurement, then an open-loop one at half of its throughput.
     #[arg(long)]
     rate: Option<u64>,
-    /// How long each measurement lasts, in seconds, behind half a second to warm up.
+    /// Length of each measurement in seconds, after half a second of warm-up.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Members behind the gateway; they answer at once.
+    /// Number of stub members behind the gateway; they answer at once.
     #[arg(long, default_value_t = 3)]
     members: usize,
-    /// Turns: in each one every program is measured, and the medians are printed.
+    /// Rounds: each one measures every program once; medians are printed.
     #[arg(long, default_value_t = 1)]
     turns: usize,
-    /// The program, or several to be measured side by side.
+    /// Gateway executable, or several to compare.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "target/release/valehatch"
     )]
     program: Vec<PathBuf>,
-    /// Parts of an operators' file for each program, in the same order; `-` for none.
+    /// Files with additional configuration for each program, in the same order; `-` for none.
     #[arg(long, value_delimiter = ',')]
     more: Vec<PathBuf>,
-    /// Where the results go, as JSON.
+    /// File for the results as JSON.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// A measurement.
+/// Results of a measurement.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Figures {
     per_s: f64,
@@ -75,21 +77,22 @@
     failed: f64,
 }
 
-/// One line of the table.
+/// Results of one program in one round.
 #[derive(Debug, Serialize)]
 struct Line {
     connections: usize,
-    way: String,
+    #[serde(rename = "way")]
+    program: String,
     closed: Option<Figures>,
-    /// Requests a second against the stand-in itself.
+    /// Throughput relative to the same load directly on the stub members.
     of_direct: f64,
     open_rate: u64,
     open: Figures,
-    /// Without the gateway, at the same rate.
+    /// Directly on the stub members, at the same rate.
     open_direct: Figures,
 }
 
-/// The program as it serves.
+/// A running gateway process and its folder; dropping it kills the process and removes the folder.
 struct Program(Child, PathBuf);
 
 impl Drop for Program {
@@ -158,7 +161,7 @@
         Ok((program, listen))
     }
 
-    /// User and system time so far, in microseconds.
+    /// User and system time of the process so far, in microseconds.
     fn cpu_us(&self) -> f64 {
         let stat = i32::try_from(self.0.id())
             .ok()
@@ -168,13 +171,13 @@
     }
 }
 
-/// What one connection saw: latencies in microseconds, and requests that were not answered as they should be.
-struct Seen {
+/// Latencies in microseconds and failed requests of a connection.
+struct ConnectionStats {
     times: Histogram<u64>,
     failed: u64,
 }
 
-impl Seen {
+impl ConnectionStats {
     fn new() -> Result<Self, String> {
         Ok(Self {
             times: Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?,
@@ -183,34 +186,35 @@
     }
 }
 
-/// When a measurement begins and ends, and how far apart a connection's requests are, if they have a schedule.
+/// Start and end of a measurement, and in open loop the interval between the requests of a
+/// connection.
 #[derive(Clone, Copy)]
-struct Plan {
+struct MeasurementWindow {
     from: Instant,
     until: Instant,
-    gap: Option<Duration>,
+    interval: Option<Duration>,
 }
 
-/// One connection's requests.
-fn ask(
+/// Sends the requests of one connection.
+fn run_connection(
     front: Front,
     address: SocketAddr,
     number: usize,
     of: usize,
-    plan: Plan,
+    plan: MeasurementWindow,
     stop: &AtomicBool,
-) -> Result<Seen, String> {
-    let mut seen = Seen::new()?;
+) -> Result<ConnectionStats, String> {
+    let mut stats = ConnectionStats::new()?;
     let mut client =
         members::Client::connect(front, address).map_err(|e| format!("{address}: {e}"))?;
     let began = Instant::now();
     for n in 0_u32.. {
-        let due = match plan.gap {
-            // Connections take turns within a gap.
-            Some(gap) => {
+        let due = match plan.interval {
+            // The connections are spread evenly over an interval.
+            Some(interval) => {
                 began
-                    + gap * n
-                    + gap * u32::try_from(number).unwrap_or(0) / u32::try_from(of).unwrap_or(1)
+                    + interval * n
+                    + interval * u32::try_from(number).unwrap_or(0) / u32::try_from(of).unwrap_or(1)
             }
             None => Instant::now(),
         };
@@ -223,25 +227,25 @@
             continue;
         }
         match answered {
-            Ok(true) if Instant::now() <= plan.until || plan.gap.is_some() => {
-                let _ = seen
+            Ok(true) if Instant::now() <= plan.until || plan.interval.is_some() => {
+                let _ = stats
                     .times
                     .record(u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX));
             }
             Ok(true) => {}
-            Ok(false) => seen.failed += 1,
+            Ok(false) => stats.failed += 1,
             Err(_) => {
-                seen.failed += 1;
+                stats.failed += 1;
                 client = members::Client::connect(front, address)
                     .map_err(|e| format!("{address}: {e}"))?;
             }
         }
     }
-    Ok(seen)
+    Ok(stats)
 }
 
 impl Load {
-    /// Loads addresses with so many connections, each on its own thread.
+    /// Applies load over a number of connections, each on its own thread, and measures it.
     fn measure(
         &self,
         addresses: &[SocketAddr],
@@ -251,14 +255,21 @@
     ) -> Result<Figures, String> {
         let from = Instant::now() + Duration::from_millis(500);
         let until = from + Duration::from_secs_f64(self.seconds);
-        let gap = rate.map(|r| Duration::from_secs_f64(connections as f64 / r.max(1) as f64));
-        let (plan, stop) = (Plan { from, until, gap }, AtomicBool::new(false));
+        let interval = rate.map(|r| Duration::from_secs_f64(connections as f64 / r.max(1) as f64));
+        let (plan, stop) = (
+            MeasurementWindow {
+                from,
+                until,
+                interval,
+            },
+            AtomicBool::new(false),
+        );
         let mut cpu = 0.0;
         let all = thread::scope(|scope| {
             let stop = &stop;
             let one = |n: usize| {
                 let address = addresses[n % addresses.len()];
-                let work = move || ask(self.front, address, n, connections, plan, stop);
+                let work = move || run_connection(self.front, address, n, connections, plan, stop);
                 Builder::new()
                     .stack_size(128 * 1024)
                     .spawn_scoped(scope, work)
@@ -272,17 +283,18 @@
                 cpu = program.cpu_us() - before;
             }
             let join = |t: Result<thread::ScopedJoinHandle<'_, _>, String>| {
-                t?.join().map_err(|_| "a client has panicked".to_owned())?
+                t?.join()
+                    .map_err(|_| "a client thread panicked".to_owned())?
             };
             threads
                 .into_iter()
                 .map(join)
-                .collect::<Result<Vec<Seen>, String>>()
+                .collect::<Result<Vec<ConnectionStats>, String>>()
         })?;
-        let mut sum = Seen::new()?;
-        for seen in all {
-            sum.times.add(seen.times).map_err(|e| e.to_string())?;
-            sum.failed += seen.failed;
+        let mut sum = ConnectionStats::new()?;
+        for stats in all {
+            sum.times.add(stats.times).map_err(|e| e.to_string())?;
+            sum.failed += stats.failed;
         }
         let count = sum.times.len() as f64;
         Ok(Figures {
@@ -297,7 +309,7 @@
     fn line(
         &self,
         connections: usize,
-        way: &Path,
+        path: &Path,
         address: SocketAddr,
         direct: &[SocketAddr],
         program: &Program,
@@ -317,7 +329,7 @@
             .map_or(open.per_s / open_direct.per_s, |(c, d)| c.per_s / d);
         Ok(Line {
             connections,
-            way: way.display().to_string(),
+            program: path.display().to_string(),
             closed,
             of_direct,
             open_rate,
@@ -326,7 +338,7 @@
         })
     }
 
-    /// Measures and prints.
+    /// Runs all measurements and prints the table.
     pub fn run(&self) -> Result<(), String> {
         if self.members == 0
             || self.turns == 0
@@ -340,7 +352,8 @@
         }
         let members: Vec<SocketAddr> = (0..self.members)
             .map(|n| {
-                members::start(self.front, n == 0).map_err(|e| format!("a stand-in member: {e}"))
+                members::start(self.front, n == 0)
+                    .map_err(|e| format!("cannot start a stub member: {e}"))
             })
             .collect::<Result<_, _>>()?;
         let mut lines: Vec<Vec<Line>> = vec![];
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! `valehatch-testbed`: experiments in virtual time with the real reducer, door and decision module.
+//! `valehatch-testbed`: experiments under a virtual clock with the real reducer, admission control
+//! and decision module, load on sockets, and fault tests with real processes.
 
 #![forbid(unsafe_code)]
 #![allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
@@ -8,11 +9,11 @@
 
 use clap::{Parser, Subcommand};
 use indicatif::ProgressBar;
-use valehatch_testbed::experiment::{Experiment, Way};
+use valehatch_testbed::experiment::{AdmissionMode, Experiment};
 use valehatch_testbed::world::{Outcome, World};
 use valehatch_testbed::{cluster_test, load, membership, report, soak, view};
 
-/// Experiments in virtual time.
+/// Experiments with gateways: emulation under a virtual clock, load on sockets, and fault tests.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -22,7 +23,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run an experiment with each of its doors and seeds; write table, CSV, JSON and charts.
+    /// Run an experiment with each of its admission modes and seeds; write table, CSV, JSON and
+    /// charts.
     Run {
         /// The experiment, in TOML.
         experiment: PathBuf,
@@ -33,7 +35,7 @@
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Play several processes of the real program under a timetable of faults; write table, CSV and JSON.
+    /// Run several real gateway processes under scripted faults; write table, CSV and JSON.
     #[command(name = "cluster-test", alias = "stage")]
     ClusterTest {
         /// The experiment, in TOML.
@@ -44,42 +46,44 @@
         /// The program.
         #[arg(long, default_value = "target/release/valehatch")]
         program: PathBuf,
-        /// Another build, played as `plain` in place of the program.
+        /// Another build that runs the variant `plain` in place of the program.
         #[arg(long)]
         before: Option<PathBuf>,
         /// Where the results go.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Play real processes under schedules of faults that overlap in time, and judge what the stand-ins saw.
+    /// Run real gateway processes under random schedules of overlapping faults, and check
+    /// invariants.
     Soak(soak::command::Soak),
-    /// Run one seed again and print the last steps if a rule is broken.
+    /// Run one seed again; print the last steps if an invariant is violated.
     Replay {
         /// The experiment, in TOML.
         experiment: PathBuf,
-        /// The seed.
+        /// Seed to run.
         #[arg(long)]
         seed: u64,
-        /// The door; the first of the experiment's if none is named.
+        /// Admission mode; the first one of the experiment by default.
         #[arg(long)]
         door: Option<String>,
-        /// Print so many of the last steps in any case, 400 at the most.
+        /// Number of last steps to print even without a violation, 400 at most.
         #[arg(long, default_value_t = 0)]
         steps: usize,
     },
-    /// List the experiments of a folder.
+    /// List the experiments in a folder.
     List {
-        /// The folder.
+        /// Folder with experiment files.
         #[arg(default_value = "experiments")]
         folder: PathBuf,
     },
-    /// Load the real program on sockets, between stand-in members and clients, and the stand-ins themselves.
+    /// Measure a real gateway process under load on sockets, and the stub members directly for
+    /// comparison.
     Load(load::Load),
     /// Compare the results in two folders, by bootstrap over the seeds.
     Compare {
-        /// The first.
+        /// Folder with the first results.
         first: PathBuf,
-        /// The second.
+        /// Folder with the second results.
         second: PathBuf,
     },
 }
@@ -102,20 +106,27 @@
     }
 }
 
-/// One run; a broken rule names the seed that shows it again.
-fn one(plan: &Experiment, way: Way, seed: u64, trace: bool) -> Result<Outcome, String> {
-    World::new(plan, way, seed, trace)?.run().map_err(|broken| {
-        let again = format!("seed {seed}, door {}: {}", way.name(), broken.rule);
-        if broken.last.is_empty() {
-            again
-        } else {
-            format!("{}\n{again}", broken.last.join("\n"))
-        }
-    })
+/// Runs one seed; the error of a violation names the seed and admission mode that reproduce it.
+fn run_seed(
+    plan: &Experiment,
+    mode: AdmissionMode,
+    seed: u64,
+    trace: bool,
+) -> Result<Outcome, String> {
+    World::new(plan, mode, seed, trace)?
+        .run()
+        .map_err(|broken| {
+            let again = format!("seed {seed}, door {}: {}", mode.name(), broken.rule);
+            if broken.last.is_empty() {
+                again
+            } else {
+                format!("{}\n{again}", broken.last.join("\n"))
+            }
+        })
 }
 
-/// Does all jobs on all cores; the results come in the order of the jobs.
-fn all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
+/// Runs all jobs on all cores; results are in the order of the jobs.
+fn run_parallel<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let bar = ProgressBar::new(jobs.len() as u64);
     let next = std::sync::atomic::AtomicUsize::new(0);
     let done = std::sync::Mutex::new(vec![]);
@@ -145,7 +156,7 @@
     done.into_iter().map(|(_, result)| result).collect()
 }
 
-/// What an experiment is of, where its file says so.
+/// Kind of an experiment, if its file names one.
 fn kind(path: &Path) -> Result<Option<String>, String> {
     let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
@@ -167,7 +178,7 @@
     let jobs: Vec<(usize, f64, u64)> = kinds
         .flat_map(|(s, l)| seeds.iter().map(move |n| (s, l, *n)))
         .collect();
-    let rows = all(&jobs, |(size, lost, seed)| {
+    let rows = run_parallel(&jobs, |(size, lost, seed)| {
         let row = plan.play(*size, *lost, *seed);
         row.map_err(|b| format!("size {size}, lost {lost}, seed {seed}: {}", b.0))
     });
@@ -194,7 +205,7 @@
     let jobs: Vec<_> = kinds
         .flat_map(|(s, c)| seeds.iter().map(move |n| (s, c, *n)))
         .collect();
-    let rows = all(&jobs, |(size, case, seed)| {
+    let rows = run_parallel(&jobs, |(size, case, seed)| {
         let row = plan.play(*size, *case, *seed);
         row.map_err(|b| format!("size {size}, case {case:?}, seed {seed}: {}", b.0))
     });
@@ -219,8 +230,8 @@
     }
 }
 
-/// One play after the other: they share the machine's time.
-fn run_stage(
+/// Runs one after the other, since concurrent runs would compete for CPU time.
+fn run_cluster_test(
     path: &Path,
     seeds: &[u64],
     program: &Path,
@@ -232,16 +243,16 @@
     let plan = cluster_test::Plan::parse(&text).map_err(|e| named(&e))?;
     let mut rows = vec![];
     for size in &plan.gateways {
-        for (seed, way) in seeds
+        for (seed, variant) in seeds
             .iter()
             .flat_map(|s| plan.ways.iter().map(move |w| (*s, *w)))
         {
-            let program = if way == cluster_test::Variant::Plain {
+            let program = if variant == cluster_test::Variant::Plain {
                 before
             } else {
                 program
             };
-            rows.push(plan.play(program, way, *size, seed)?);
+            rows.push(plan.play(program, variant, *size, seed)?);
         }
     }
     print!("{}", cluster_test::table(&rows));
@@ -267,26 +278,26 @@
     match kind(path)?.as_deref() {
         Some("membership") => return run_membership(path, seeds, out),
         Some("view") => return run_view(path, seeds, out),
-        Some(other) => return Err(format!("{}: kind {other:?} is not known", path.display())),
+        Some(other) => return Err(format!("{}: unknown kind {other:?}", path.display())),
         None => {}
     }
     let plan = Experiment::load(path)?;
-    let jobs: Vec<(Way, u64)> = plan
-        .doors
+    let jobs: Vec<(AdmissionMode, u64)> = plan
+        .admission_modes
         .iter()
         .flat_map(|d| seeds.iter().map(|s| (*d, *s)))
         .collect();
-    let outcomes = all(&jobs, |(way, seed)| one(&plan, *way, *seed, false));
+    let outcomes = run_parallel(&jobs, |(mode, seed)| run_seed(&plan, *mode, *seed, false));
     let (mut lines, mut memory, mut steps) = (vec![], vec![], 0);
-    for ((way, seed), outcome) in jobs.iter().zip(outcomes) {
+    for ((mode, seed), outcome) in jobs.iter().zip(outcomes) {
         let outcome = outcome.map_err(|e| {
             format!(
                 "{e}\nsee it again: valehatch-testbed replay {} --seed {seed} --door {}",
                 path.display(),
-                way.name()
+                mode.name()
             )
         })?;
-        lines.extend(report::lines(&plan, way.name(), *seed, &outcome));
+        lines.extend(report::lines(&plan, mode.name(), *seed, &outcome));
         steps += outcome.steps;
         memory.push(outcome.memory_kb);
     }
@@ -318,7 +329,7 @@
             out,
         } => {
             let before = before.unwrap_or_else(|| program.clone());
-            seeds(&seed).and_then(|s| run_stage(&experiment, &s, &program, &before, out))
+            seeds(&seed).and_then(|s| run_cluster_test(&experiment, &s, &program, &before, out))
         }
         Command::Replay {
             experiment,
@@ -326,13 +337,18 @@
             door,
             steps,
         } => Experiment::load(&experiment).and_then(|plan| {
-            let named = |name: &String| plan.doors.iter().find(|d| d.name() == name).copied();
-            let way = match &door {
-                None => plan.doors[0],
+            let named = |name: &String| {
+                plan.admission_modes
+                    .iter()
+                    .find(|d| d.name() == name)
+                    .copied()
+            };
+            let mode = match &door {
+                None => plan.admission_modes[0],
                 Some(name) => named(name)
                     .ok_or_else(|| format!("--door: {name:?} is none of the experiment's"))?,
             };
-            let outcome = one(&plan, way, seed, true)?;
+            let outcome = run_seed(&plan, mode, seed, true)?;
             outcome
                 .last
                 .iter()
@@ -342,7 +358,7 @@
                 .for_each(|step| println!("{step}"));
             print!(
                 "{}",
-                report::table(&report::lines(&plan, way.name(), seed, &outcome))
+                report::table(&report::lines(&plan, mode.name(), seed, &outcome))
             );
             Ok(())
         }),
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -1,4 +1,5 @@
-//! What membership costs and how soon it sees: fleets of several sizes, on networks that lose more or less.
+//! Membership experiments: bandwidth and detection times of fleets of several sizes, at several
+//! rates of datagram loss.
 
 use std::path::Path;
 
@@ -6,60 +7,67 @@
 use valehatch_membership::MembershipEvent;
 use valehatch_policy::{Span, Time};
 
-use crate::fleet::{Broken, Fleet, Network, address};
+use crate::fleet::{Fleet, Network, Violation, address};
 
 /// An experiment, in TOML.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
-    /// Always "membership": what tells it from other experiments.
+    /// Always "membership"; tells this kind of experiment from others.
     pub kind: String,
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
-    /// What it is to show.
+    /// Purpose of the experiment.
     pub about: String,
-    /// Gateways.
+    /// Fleet sizes to run, in gateways.
     pub sizes: Vec<usize>,
-    /// Parts of the datagrams that are lost; half as many come twice.
+    /// Loss rates to run, from 0 to below 1; half as many datagrams are duplicated.
     pub lost: Vec<f64>,
-    /// Gateways that each begins with.
+    /// Number of seed gateways that each gateway knows at its start.
     pub seeds: usize,
-    /// Time between two questions, and bytes a second.
+    /// Probe interval.
     pub period_ms: i64,
+    /// Bandwidth limit of a gateway, in bytes per second.
     pub bytes_s: u32,
-    /// One way over the network at the most.
+    /// Longest one-way network delay.
     pub delay_ms: i64,
-    /// How long nothing happens, for false suspicions and bytes.
+    /// Length of the phase without faults in which false suspicions and bandwidth are measured.
     pub quiet_s: i64,
-    /// Gateways that are killed one after the other, and how long each time is given.
+    /// Number of gateways that are killed, one after the other.
     pub kills: usize,
+    /// Time within which all other gateways must have noticed a kill.
     pub kill_s: i64,
 }
 
-/// One fleet of one seed.
+/// Result of one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Row {
     pub size: usize,
     pub lost: f64,
     pub seed: u64,
-    /// From the start of all until all know all, or nothing if that was not within a minute.
+    /// Seconds from the start of all gateways until all know each other; `None` if not within a
+    /// minute.
     pub together_s: Option<f64>,
-    /// False words an hour, over the whole fleet, while nothing happened.
+    /// False suspicions per hour in the whole fleet, without faults.
     pub suspicions_h: f64,
+    /// False failure reports per hour in the whole fleet, without faults.
     pub deaths_h: f64,
-    /// Bytes a second of one gateway, in the mean and the most of any.
+    /// Mean bytes per second of a gateway.
     pub bytes_s: f64,
+    /// Highest bytes per second of any gateway.
     pub most_bytes_s: f64,
-    /// From a kill until the first suspects, the first takes it for dead, and all do.
+    /// Seconds from each kill to the first suspicion.
     pub suspected_s: Vec<f64>,
+    /// Seconds from each kill until the first gateway reports the failure.
     pub failed_s: Vec<f64>,
+    /// Seconds from each kill until all gateways have noticed the failure.
     pub known_s: Vec<f64>,
-    /// Kills that not all had seen in their time.
+    /// Kills that not all gateways noticed in time.
     pub unseen: usize,
 }
 
 impl Plan {
-    /// Reads and checks a text.
+    /// Parses and validates an experiment in TOML.
     pub fn parse(text: &str) -> Result<Self, String> {
         let read: Self = toml::from_str(text).map_err(|e| e.to_string())?;
         let fault = |key: &str, what: &str| Err(format!("{key} {what}"));
@@ -75,17 +83,17 @@
         Ok(read)
     }
 
-    /// Plays one fleet.
-    pub fn play(&self, size: usize, lost: f64, seed: u64) -> Result<Row, Broken> {
+    /// Simulates one fleet.
+    pub fn play(&self, size: usize, lost: f64, seed: u64) -> Result<Row, Violation> {
         let network = Network {
             lost,
-            doubled: lost / 2.0,
+            duplicated: lost / 2.0,
             delay: (Span(200), Span::from_millis(self.delay_ms)),
         };
         let period = Span::from_millis(self.period_ms);
         let mut fleet = Fleet::new(size, self.seeds, period, self.bytes_s, network, seed);
         for n in 0..size {
-            fleet.start(n, 0).map_err(Broken)?;
+            fleet.start(n, 0).map_err(Violation)?;
         }
         let began = fleet.now;
         let together = fleet.run(Span::from_millis(60_000), Fleet::agreed)?;
@@ -100,7 +108,7 @@
             fleet.notes.iter().filter(|n| what(n.note)).count() as f64 / self.quiet_s as f64
                 * 3600.0
         };
-        // Each hears of it: what was said first by whoever it was counts once.
+        // Every gateway reports an event once, so the count is divided by the number of receivers.
         let suspicions_h = said(|n| matches!(n, MembershipEvent::Suspected(_))) / (size - 1) as f64;
         let deaths_h = said(|n| matches!(n, MembershipEvent::Failed(_))) / (size - 1) as f64;
         let all: Vec<f64> = (0..size)
@@ -121,12 +129,12 @@
             unseen: 0,
         };
         for kill in 0..self.kills.min(size.saturating_sub(2)) {
-            // Those that all begin with stay; which goes is drawn by the seed.
+            // Seed gateways are not killed; the seed of the run selects one of the others.
             let n = size
                 - 1
                 - (kill * 7 + usize::try_from(seed).unwrap_or(0))
                     % size.saturating_sub(self.seeds).max(1);
-            if fleet.heart(n).is_none() {
+            if fleet.membership(n).is_none() {
                 continue;
             }
             fleet.notes.clear();
@@ -156,7 +164,7 @@
             row.known_s
                 .extend(last.filter(|_| known).map(|s| seconds(at, s.at)));
             row.unseen += usize::from(!known);
-            fleet.start(n, 0).map_err(Broken)?;
+            fleet.start(n, 0).map_err(Violation)?;
             fleet.run(period.times(20.0), |_| false)?;
         }
         Ok(row)
@@ -167,7 +175,7 @@
     (to - from).as_f64() / 1e6
 }
 
-/// Of all values, the one below which this part lies.
+/// Value at a quantile from 0 to 1 (nearest rank); NaN without values.
 #[must_use]
 pub fn quantile(mut values: Vec<f64>, part: f64) -> f64 {
     values.sort_by(f64::total_cmp);
@@ -175,7 +183,7 @@
     values.get(at as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// The table that is printed.
+/// Formats the results as the table that is printed.
 #[must_use]
 pub fn table(rows: &[Row]) -> String {
     let mut out = format!(
@@ -223,9 +231,9 @@
     out
 }
 
-/// Writes results into a folder.
+/// Writes the experiment, the rows and the table into a folder.
 pub fn write(dir: &Path, plan: &Plan, rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
-    let mut csv = crate::report::folder(dir, plan, &rows, &table(rows))?;
+    let mut csv = crate::report::create_result_folder(dir, plan, &rows, &table(rows))?;
     csv.write_record(["size", "lost", "seed", "what", "value"])?;
     for row in rows {
         let one = |what: &str, value: f64| {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What runs came to: a table, CSV and JSON beside the experiment, charts, and comparisons by bootstrap over seeds.
+//! Results of runs: table, CSV, JSON and charts, and comparisons by bootstrap over the seeds.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -13,7 +13,7 @@
 use crate::experiment::Experiment;
 use crate::world::Outcome;
 
-/// One tenant in one run.
+/// Results of one tenant in one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Line {
     pub door: String,
@@ -24,9 +24,10 @@
     pub late: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Work that it got, as a part of all members' cores.
+    /// Work done for the tenant, as a share of the capacity of all members.
     pub work: f64,
-    /// Of min(what it asked for, its share of that): how much of it it got.
+    /// Work done relative to the work due: the smaller of the requested work and the tenant's
+    /// share; at most 1.
     pub of_due: f64,
     pub wait_p50_ms: f64,
     pub wait_p99_ms: f64,
@@ -36,11 +37,11 @@
     pub too_late: u64,
     pub memory_first_kb: u64,
     pub memory_last_kb: u64,
-    /// Arrivals at a hinted time: the fullest tenth of a second over the mean.
+    /// Peak of the retries over their mean, over sliding windows of half a second.
     pub returns_peak: f64,
 }
 
-/// The lines of a run.
+/// Result lines of a run, one for each tenant.
 pub fn lines(plan: &Experiment, door: &str, seed: u64, outcome: &Outcome) -> Vec<Line> {
     let seconds = (plan.seconds - plan.measured_from) as f64;
     let parts: f64 = plan.class.iter().map(|c| c.part).sum();
@@ -89,7 +90,7 @@
 
 type Metric = (&'static str, fn(&Line) -> f64);
 
-/// What is compared.
+/// Metrics that [`compare`] compares.
 pub const METRICS: [Metric; 6] = [
     ("of-due", |l| l.of_due),
     ("wait-p99-ms", |l| l.wait_p99_ms),
@@ -120,7 +121,8 @@
     groups
 }
 
-/// The table that is printed: means over the seeds, and the worst seed where that is what counts.
+/// Formats the results as the table that is printed: means over the seeds, and the worst seed for
+/// the work due.
 pub fn table(lines: &[Line]) -> String {
     let mut out = format!(
         "{:<12} {:<14} {:>8} {:>8} {:>8} {:>8} {:>7} {:>7} {:>9} {:>9} {:>9} {:>7} {:>8} {:>8}\n",
@@ -162,7 +164,7 @@
     out
 }
 
-/// Writes results and charts into a folder.
+/// Writes the experiment, results and charts into a folder.
 pub fn write(
     dir: &Path,
     plan: &Experiment,
@@ -205,30 +207,32 @@
     fs::write(dir.join("results.csv"), csv)?;
     fs::write(dir.join("table.txt"), table(lines))?;
     let (svg, png) = (dir.join("shares.svg"), dir.join("shares.png"));
-    bars(
+    draw_due_chart(
         SVGBackend::new(&svg, (900, 420)).into_drawing_area(),
         lines,
         true,
     )?;
-    // Without a font of its own the picture has no words; the order is that of the table.
-    bars(
+    // The bitmap backend has no font here, so the PNG has no text; bars are in the order of the
+    // table.
+    draw_due_chart(
         BitMapBackend::new(&png, (900, 420)).into_drawing_area(),
         lines,
         false,
     )?;
     let svg = dir.join("memory.svg");
-    curve(
+    draw_memory_chart(
         SVGBackend::new(&svg, (900, 420)).into_drawing_area(),
         memory,
     )?;
     Ok(())
 }
 
-/// How much of its due each tenant got, by door, mean over the seeds.
-fn bars<B: DrawingBackend>(
+/// Bar chart of the work done relative to the work due, by admission mode and tenant, mean over the
+/// seeds.
+fn draw_due_chart<B: DrawingBackend>(
     area: DrawingArea<B, plotters::coord::Shift>,
     lines: &[Line],
-    words: bool,
+    with_text: bool,
 ) -> Result<(), Box<dyn Error>>
 where
     B::ErrorType: 'static,
@@ -237,7 +241,7 @@
     let groups: Vec<_> = grouped(lines).into_iter().collect();
     let mut builder = ChartBuilder::on(&area);
     builder.margin(20);
-    if words {
+    if with_text {
         builder.caption(
             "part of min(asked, share) that each got",
             ("sans-serif", 18),
@@ -246,7 +250,7 @@
     }
     let count = i32::try_from(groups.len())?;
     let mut chart = builder.build_cartesian_2d(0..count, 0.0..1.05)?;
-    if words {
+    if with_text {
         let names: Vec<String> = groups
             .iter()
             .map(|((d, t), _)| format!("{d}/{t}"))
@@ -280,8 +284,8 @@
     Ok(())
 }
 
-/// Resident memory over the time of each run.
-fn curve<B: DrawingBackend>(
+/// Line chart of the resident memory of each run over time.
+fn draw_memory_chart<B: DrawingBackend>(
     area: DrawingArea<B, plotters::coord::Shift>,
     runs: &[Vec<u64>],
 ) -> Result<(), Box<dyn Error>>
@@ -290,13 +294,13 @@
 {
     area.fill(&WHITE)?;
     let most = runs.iter().flatten().copied().max().unwrap_or(1) as f64 / 1024.0;
-    let long = runs.iter().map(Vec::len).max().unwrap_or(1);
+    let length = runs.iter().map(Vec::len).max().unwrap_or(1);
     let mut builder = ChartBuilder::on(&area);
     builder
         .margin(20)
         .caption("resident memory, MB, by second", ("sans-serif", 18));
     builder.x_label_area_size(30).y_label_area_size(50);
-    let mut chart = builder.build_cartesian_2d(0..long, 0.0..most * 1.1)?;
+    let mut chart = builder.build_cartesian_2d(0..length, 0.0..most * 1.1)?;
     chart.configure_mesh().draw()?;
     for (n, run) in runs.iter().enumerate() {
         let points = run
@@ -309,8 +313,9 @@
     Ok(())
 }
 
-/// A folder with the experiment, its results in JSON and a table; what the CSV holds is still to be written.
-pub fn folder(
+/// Creates a folder with the experiment, the results as JSON and the table; returns the writer for
+/// its CSV file.
+pub fn create_result_folder(
     dir: &Path,
     plan: &impl Serialize,
     rows: &impl Serialize,
@@ -323,12 +328,16 @@
     Ok(csv::Writer::from_path(dir.join("results.csv"))?)
 }
 
-/// Served of asked by second, each way's plays of the largest fleet added up.
-pub fn served(path: &Path, rows: &[crate::cluster_test::Row]) -> Result<(), Box<dyn Error>> {
+/// Line chart of the served share of requests by second, for each variant, summed over its runs of
+/// the largest fleet.
+pub fn draw_served_chart(
+    path: &Path,
+    rows: &[crate::cluster_test::Row],
+) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let size = rows.iter().map(|r| r.gateways).max().unwrap_or(0);
-    let long = rows.iter().map(|r| r.curve.len()).max().unwrap_or(1) as f64 / 10.0;
+    let length = rows.iter().map(|r| r.curve.len()).max().unwrap_or(1) as f64 / 10.0;
     let mut builder = ChartBuilder::on(&area);
     let caption = format!("served of asked, {size} gateways, by second");
     builder
@@ -336,15 +345,15 @@
         .caption(caption, ("sans-serif", 18))
         .x_label_area_size(30)
         .y_label_area_size(50);
-    let mut chart = builder.build_cartesian_2d(0.0..long, 0.0..1.05)?;
+    let mut chart = builder.build_cartesian_2d(0.0..length, 0.0..1.05)?;
     chart.configure_mesh().draw()?;
-    let mut ways: Vec<&str> = rows.iter().map(|r| r.way.as_str()).collect();
-    ways.sort_unstable();
-    ways.dedup();
-    for (n, way) in ways.into_iter().enumerate() {
+    let mut variants: Vec<&str> = rows.iter().map(|r| r.way.as_str()).collect();
+    variants.sort_unstable();
+    variants.dedup();
+    for (n, variant) in variants.into_iter().enumerate() {
         let ours: Vec<_> = rows
             .iter()
-            .filter(|r| r.way == way && r.gateways == size)
+            .filter(|r| r.way == variant && r.gateways == size)
             .collect();
         let bins = ours.iter().map(|r| r.curve.len()).min().unwrap_or(0);
         let point = |bin: usize| {
@@ -357,7 +366,7 @@
         let colour = Palette99::pick(n).mix(0.9);
         let series = chart.draw_series(LineSeries::new((0..bins).map(point), colour))?;
         series
-            .label(way)
+            .label(variant)
             .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled()));
     }
     chart
@@ -368,7 +377,8 @@
     Ok(())
 }
 
-/// Compares two folders' results: the interval in which the difference of the means lies, by bootstrap over the seeds.
+/// Compares the results of two folders: 95 % confidence intervals of the differences of the means,
+/// by bootstrap over the seeds.
 pub fn compare(a: &Path, b: &Path) -> Result<String, Box<dyn Error>> {
     let read = |dir: &Path| -> Result<Vec<Line>, Box<dyn Error>> {
         let path = dir.join("results.json");
--- a/crates/testbed/src/view.rs
+++ b/crates/testbed/src/view.rs
@@ -1,4 +1,5 @@
-//! How soon a fleet's view settles after faults, what it costs, by size: the real heart in virtual time, judged throughout.
+//! Convergence time and bandwidth of a fleet's membership view after faults, by fleet size: the
+//! real membership code under a virtual clock, with all invariants checked.
 
 use std::path::Path;
 
@@ -9,44 +10,46 @@
 use valehatch_membership::wire::Phase;
 use valehatch_policy::Span;
 
-use crate::fleet::{Broken, Fleet, Network};
+use crate::fleet::{Fleet, Network, Violation};
 use crate::membership::quantile;
 
-/// What happens to a fleet that is settled.
+/// A fault scenario for a fleet whose view has converged.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Case {
-    /// Nothing but the start of all at once.
+    /// No fault after the simultaneous start of all gateways.
     Start,
-    /// Two halves for 10 s, and three islands for 20 s.
+    /// Network partition into two groups for 10 s.
     Halves,
+    /// Network partition into three groups for 20 s.
     Islands,
-    /// One half does not hear the other for 20 s.
+    /// One-way partition for 20 s: one half does not receive from the other.
     OneWay,
-    /// One hears all and is heard by none for 30 s.
+    /// One gateway receives from all and reaches none for 30 s.
     Unheard,
-    /// 7 of 10 are killed at once and back under the same names 2 s later.
+    /// 7 of 10 gateways are killed at once and restart with the same addresses 2 s later.
     Killed,
-    /// One is started again every 1.4 s for 30 s.
+    /// One gateway is killed and restarted every 1.4 s for 30 s.
     CrashLoop,
-    /// Between two halves nothing passes for a second of each two, for 60 s.
+    /// Partition into two groups for one second of every two, for 60 s.
     Flapping,
-    /// A tenth stands still for 20 s.
+    /// A tenth of the gateways is paused for 20 s.
     Stopped,
-    /// A tenth starts again with its clock an hour back.
+    /// A tenth of the gateways restarts with wall clocks set back by an hour.
     ClockBack,
-    /// Half of the datagrams are lost, the rest late and doubled, while all start.
+    /// All gateways restart while half of the datagrams are lost, half are duplicated and all are
+    /// delayed.
     Weather,
-    /// Each ends as planned and starts again, one tenth after the other.
+    /// Rolling restart, a tenth of the gateways at a time.
     Rolling,
-    /// One more whose seeds are this fleet's, and to which nobody speaks: it is of another.
+    /// An extra gateway of another fleet has the seeds of this one; no datagrams pass between them.
     Foreign,
-    /// Two under one name.
+    /// Two gateways use the same address.
     Namesakes,
 }
 
 impl Case {
-    /// All.
+    /// All cases.
     pub const ALL: [Self; 14] = [
         Self::Start,
         Self::Halves,
@@ -69,43 +72,54 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
-    /// Always "view".
+    /// Always "view"; tells this kind of experiment from others.
     pub kind: String,
-    /// Its name, and what it is to show.
+    /// Name of the experiment.
     pub name: String,
+    /// Purpose of the experiment.
     pub about: String,
-    /// Gateways, cases, and the part of datagrams that is lost; half as many come twice.
+    /// Fleet sizes to run, in gateways.
     pub sizes: Vec<usize>,
+    /// Cases to run.
     pub cases: Vec<Case>,
+    /// Share of datagrams that is lost; half as many are duplicated.
     pub lost: f64,
-    /// Gateways that each begins with.
+    /// Number of seed gateways that each gateway knows at its start.
     pub seeds: usize,
-    /// Time between two questions, bytes a second, one way over the network at the most.
+    /// Probe interval.
     pub period_ms: i64,
+    /// Bandwidth limit of a gateway, in bytes per second.
     pub bytes_s: u32,
+    /// Longest one-way network delay.
     pub delay_ms: i64,
-    /// How long bytes are counted in rest, and within what time after the last fault the view must be settled.
+    /// Length of the phase without faults in which bandwidth is measured.
     pub quiet_s: i64,
+    /// Time within which the view must converge after the last fault.
     pub within_s: i64,
 }
 
-/// One fleet of one seed.
+/// Result of one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Row {
     pub size: usize,
     pub case: String,
     pub seed: u64,
-    /// From the start of all, and from the end of the last fault, until all say rightly that their view is settled.
+    /// Seconds from the start of all gateways until all views have converged.
     pub start_s: f64,
+    /// Seconds from the end of the last fault until all views have converged.
     pub settled_s: f64,
-    /// Bytes a second of one gateway in rest, the mean and the most of any; and from the first fault until settled.
+    /// Mean bytes per second of a gateway without faults.
     pub quiet_bytes_s: f64,
+    /// Highest bytes per second of any gateway without faults.
     pub most_bytes_s: f64,
+    /// Mean bytes per second of a gateway from the first fault until convergence.
     pub fault_bytes_s: f64,
-    /// Claims to be settled that were judged, and steps that were played.
+    /// Number of checked convergence claims.
     pub claims: u64,
+    /// Number of simulation steps.
     pub steps: u64,
-    /// Resident memory that the play added, for each gateway. Means something only where one play runs at a time.
+    /// Growth of resident memory during the run, per gateway; meaningful only if runs are not
+    /// concurrent.
     pub memory_kb: f64,
 }
 
@@ -118,7 +132,7 @@
     status.ok().and_then(|s| s.vmrss).unwrap_or(0) as f64
 }
 
-/// One fleet that is played.
+/// A simulation of one fleet.
 pub struct Play {
     pub fleet: Fleet,
     size: usize,
@@ -127,12 +141,12 @@
 }
 
 impl Play {
-    /// So many gateways, none started, and two more that some cases need.
+    /// A fleet of `size` gateways, none started, and two extra ones that some cases need.
     pub fn new(plan: &Plan, size: usize, seed: u64) -> Self {
         let delay = (Span(200), Span::from_millis(plan.delay_ms));
         let network = Network {
             lost: plan.lost,
-            doubled: plan.lost / 2.0,
+            duplicated: plan.lost / 2.0,
             delay,
         };
         let period = Span::from_millis(plan.period_ms);
@@ -152,34 +166,35 @@
         }
     }
 
-    fn wait(&mut self, span: Span) -> Result<(), Broken> {
+    fn wait(&mut self, span: Span) -> Result<(), Violation> {
         self.fleet.run(span, |_| false).map(drop)
     }
 
-    fn start(&mut self, n: usize, off_ms: i64) -> Result<(), Broken> {
-        self.fleet.start(n, off_ms).map_err(Broken)
+    fn start(&mut self, n: usize, off_ms: i64) -> Result<(), Violation> {
+        self.fleet.start(n, off_ms).map_err(Violation)
     }
 
-    /// All start at once; how long until it is settled, if that was in time.
-    pub fn begin(&mut self, within: Span) -> Result<f64, Broken> {
+    /// Starts all gateways at once; returns the seconds until all views have converged, or an error
+    /// after `within`.
+    pub fn start_all(&mut self, within: Span) -> Result<f64, Violation> {
         for n in 0..self.size {
             self.start(n, 0)?;
         }
-        self.settle(within)
+        self.await_convergence(within)
     }
 
-    /// Seconds until all say rightly that their view is settled.
-    pub fn settle(&mut self, within: Span) -> Result<f64, Broken> {
+    /// Seconds until all views have converged; an error after `within`.
+    pub fn await_convergence(&mut self, within: Span) -> Result<f64, Violation> {
         let began = self.fleet.now;
-        if self.fleet.run(within, Fleet::settled)? {
+        if self.fleet.run(within, Fleet::converged)? {
             return Ok((self.fleet.now - began).as_f64() / 1e6);
         }
         let mut said: Vec<_> = self.fleet.running().map(|(_, h)| h.view_status()).collect();
         said.sort_by_key(|s| (s.digest, s.agreeing_members));
         said.dedup_by_key(|s| s.digest);
         said.truncate(8);
-        Err(Broken(format!(
-            "not settled after {} s: {said:?}",
+        Err(Violation(format!(
+            "views not converged after {} s: {said:?}",
             within.0 / 1_000_000
         )))
     }
@@ -191,8 +206,8 @@
         all
     }
 
-    /// What happens. After it the network is well and all run.
-    pub fn happens(&mut self, case: Case) -> Result<(), Broken> {
+    /// Applies a fault scenario. Afterwards the network is healthy and all gateways run.
+    pub fn apply_case(&mut self, case: Case) -> Result<(), Violation> {
         let size = self.size;
         let part: Vec<usize> = (0..size + 2).map(|_| self.rng.random_range(0..6)).collect();
         let half = part.clone();
@@ -201,18 +216,18 @@
             Case::Halves | Case::Islands => {
                 let parts = if case == Case::Halves { 2 } else { 3 };
                 self.fleet
-                    .cut_by(move |a, b| part[a] % parts == part[b] % parts);
+                    .partition_by(move |a, b| part[a] % parts == part[b] % parts);
                 self.wait(s(if parts == 2 { 10 } else { 20 }))?;
             }
             Case::OneWay => {
                 let half: Vec<usize> = part.iter().map(|p| p % 2).collect();
                 self.fleet
-                    .cut_by(move |a, b| half[a] == half[b] || half[a] == 0);
+                    .partition_by(move |a, b| half[a] == half[b] || half[a] == 0);
                 self.wait(s(20))?;
             }
             Case::Unheard => {
                 let one = self.drawn(1)[0];
-                self.fleet.cut_by(move |a, _| a != one);
+                self.fleet.partition_by(move |a, _| a != one);
                 self.wait(s(30))?;
             }
             Case::Killed => {
@@ -233,7 +248,8 @@
             Case::Flapping => {
                 for _ in 0..30 {
                     let part = half.clone();
-                    self.fleet.cut_by(move |a, b| part[a] % 2 == part[b] % 2);
+                    self.fleet
+                        .partition_by(move |a, b| part[a] % 2 == part[b] % 2);
                     self.wait(s(1))?;
                     self.fleet.heal();
                     self.wait(s(1))?;
@@ -241,7 +257,7 @@
             }
             Case::Stopped => {
                 let which = self.drawn(size / 10);
-                which.iter().for_each(|n| self.fleet.stop(*n, s(20)));
+                which.iter().for_each(|n| self.fleet.pause(*n, s(20)));
                 self.wait(s(20))?;
             }
             Case::ClockBack => {
@@ -256,7 +272,7 @@
                 let delay = (Span(200), Span::from_millis(80));
                 self.fleet.network = Network {
                     lost: 0.5,
-                    doubled: 0.5,
+                    duplicated: 0.5,
                     delay,
                 };
                 (0..size).try_for_each(|n| self.start(n, 0))?;
@@ -267,26 +283,27 @@
                 let all = self.drawn(size);
                 for some in all.chunks(tenth) {
                     some.iter()
-                        .try_for_each(|n| self.fleet.phase(*n, Phase::Draining))?;
+                        .try_for_each(|n| self.fleet.set_phase(*n, Phase::Draining))?;
                     self.wait(s(1))?;
                     some.iter().try_for_each(|n| self.fleet.leave(*n))?;
                     self.wait(s(1))?;
                     some.iter().try_for_each(|n| self.start(*n, 0))?;
                     self.wait(s(1))?;
                     some.iter()
-                        .try_for_each(|n| self.fleet.phase(*n, Phase::Full))?;
+                        .try_for_each(|n| self.fleet.set_phase(*n, Phase::Full))?;
                 }
             }
             Case::Foreign => {
-                // The link drops what is of another fleet: neither hears the other, whoever asks.
-                self.fleet.cut_by(move |a, b| (a == size) == (b == size));
+                // Gateways drop datagrams of another fleet, so none pass in either direction.
+                self.fleet
+                    .partition_by(move |a, b| (a == size) == (b == size));
                 self.start(size, 0)?;
                 self.wait(s(20))?;
                 self.fleet.kill(size);
             }
             Case::Namesakes => {
                 let one = self.drawn(1)[0];
-                self.fleet.rename(size + 1, one);
+                self.fleet.share_address(size + 1, one);
                 let off = self.rng.random_range(-60_000..60_000);
                 self.start(size + 1, off)?;
                 self.wait(s(20))?;
@@ -305,7 +322,7 @@
 }
 
 impl Plan {
-    /// Reads and checks a text.
+    /// Parses and validates an experiment in TOML.
     pub fn parse(text: &str) -> Result<Self, String> {
         let read: Self = toml::from_str(text).map_err(|e| e.to_string())?;
         if read.sizes.is_empty() || read.sizes.iter().any(|s| !(3..=10_000).contains(s)) {
@@ -320,11 +337,12 @@
         Ok(read)
     }
 
-    /// Plays one fleet: it starts and settles, rests, the case happens, it settles again.
-    pub fn play(&self, size: usize, case: Case, seed: u64) -> Result<Row, Broken> {
+    /// Simulates one fleet: start and convergence, a phase without faults, the fault scenario,
+    /// convergence again.
+    pub fn play(&self, size: usize, case: Case, seed: u64) -> Result<Row, Violation> {
         let (before, within) = (resident(), s(self.within_s));
         let mut play = Play::new(self, size, seed);
-        let start_s = play.begin(within)?;
+        let start_s = play.start_all(within)?;
         play.wait(s(10))?;
         play.bytes();
         play.wait(s(self.quiet_s))?;
@@ -335,13 +353,13 @@
             .collect();
         let memory_kb = (resident() - before) / size as f64;
         let began = play.fleet.now;
-        play.happens(case)?;
+        play.apply_case(case)?;
         let settled_s = if case == Case::Start {
             0.0
         } else {
-            play.settle(within)?
+            play.await_convergence(within)?
         };
-        play.fleet.followed()?;
+        play.fleet.check_changes()?;
         let took = ((play.fleet.now - began).as_f64() / 1e6).max(1.0);
         let fault = play.bytes().iter().sum::<f64>() / size as f64 / took;
         Ok(Row {
@@ -356,14 +374,14 @@
             quiet_bytes_s: quiet.iter().sum::<f64>() / size as f64,
             most_bytes_s: quiet.iter().copied().fold(0.0, f64::max),
             fault_bytes_s: fault,
-            claims: play.fleet.judge.claims,
+            claims: play.fleet.checker.claims,
             steps: play.fleet.steps,
             memory_kb,
         })
     }
 }
 
-/// The table that is printed.
+/// Formats the results as the table that is printed.
 #[must_use]
 pub fn table(rows: &[Row]) -> String {
     let head = [
@@ -407,9 +425,9 @@
     out
 }
 
-/// Writes results into a folder.
+/// Writes the experiment, the rows and the table into a folder.
 pub fn write(dir: &Path, plan: &Plan, rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
-    let mut csv = crate::report::folder(dir, plan, &rows, &table(rows))?;
+    let mut csv = crate::report::create_result_folder(dir, plan, &rows, &table(rows))?;
     rows.iter().try_for_each(|row| csv.serialize(row))?;
     csv.flush()?;
     Ok(())
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -1,5 +1,6 @@
-//! The emulator: gateways, members and clients in virtual time, from one seed. The gateways are the real reducer with the
-//! real door and decision module; members, network and clients are models. After every step the rules are checked.
+//! The emulator: gateways, members and clients under a virtual clock, reproducible from one seed.
+//! The gateways run the real reducer with the real admission control and decision module; members,
+//! network and clients are models. Invariants are checked during the simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -16,57 +17,62 @@
 };
 use valehatch_policy::*;
 
-use crate::experiment::{Experiment, Heeds, Way, What};
+use crate::experiment::{AdmissionMode, Experiment, FaultKind, RetryBehavior};
 
 const START: i64 = 100_000_000_000;
-const GRACE: Span = Span::from_millis(500);
-/// A member is cold for so long from its start, can do so much of its usual work then, and is pushed over by so many times
-/// what it can do within so long.
-pub const COLD: Span = Span::from_millis(17_000);
-pub const COLD_FROM: f64 = 0.24;
-pub const TIP_MULTIPLE: f64 = 3.0;
-pub const TIP_AFTER: Span = Span::from_millis(2_000);
-/// From a primary's death to its successor.
-const ELECTION: Span = Span::from_millis(2_000);
-/// Steps that are remembered, for when a rule is broken.
-const REMEMBERED: usize = 400;
+/// Time for which requests may still be sent to a draining member.
+const DRAIN_GRACE: Span = Span::from_millis(500);
+/// Time for which a member is cold after its start.
+pub const COLD_DURATION: Span = Span::from_millis(17_000);
+/// Share of the usual capacity that a member has right after its start.
+pub const COLD_INITIAL_CAPACITY: f64 = 0.24;
+/// Multiple of its capacity within [`OVERLOAD_WINDOW`] that overloads a cold member.
+pub const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// Window over which the load on a cold member is summed.
+pub const OVERLOAD_WINDOW: Span = Span::from_millis(2_000);
+/// Time from the death of a primary to the election of its successor.
+const ELECTION_DELAY: Span = Span::from_millis(2_000);
+/// Number of trace lines that are kept for the report of a violation.
+const MAX_TRACE_LINES: usize = 400;
 
-enum Ev {
-    /// A tenant's next request.
-    Arrive(usize),
-    /// A client comes back: tenant, client, class.
-    Return(usize, u64, usize, Time),
-    /// A gateway takes a turn.
-    Turn(usize),
-    /// An event reaches a gateway.
-    Tell(usize, Box<Event>),
+enum SimEvent {
+    /// The next request of a tenant arrives.
+    Arrival(usize),
+    /// A rejected client retries: tenant, client, class, time of the rejection.
+    Retry(usize, u64, usize, Time),
+    /// A gateway runs its reducer.
+    ReducerTurn(usize),
+    /// A core event reaches a gateway.
+    Deliver(usize, Box<Event>),
     /// A job reaches a member.
-    Work(usize, Piece),
-    /// A member is done with one, if it is still the same process.
-    Done(usize, u64, Piece),
-    Happens(usize),
-    Elect,
+    JobArrival(usize, Job),
+    /// A member finishes a job: member, generation that started the job, job.
+    JobDone(usize, u64, Job),
+    /// A scripted fault event is due, by index.
+    FaultDue(usize),
+    /// The group elects a new primary.
+    Election,
 }
 
 #[derive(Clone, Debug)]
-struct Piece {
+struct Job {
     gateway: usize,
     connection: ConnectionId,
-    /// `None`: a probe.
-    ask: Option<u64>,
+    /// Request id; `None` for a health check.
+    request: Option<u64>,
 }
 
 struct Server {
     name: Arc<str>,
     busy: usize,
-    waiting: VecDeque<Piece>,
+    waiting: VecDeque<Job>,
     alive: bool,
     listed: bool,
     draining: bool,
     primary: bool,
     slow: f64,
-    /// Counts its starts; what an earlier one held is gone.
-    life: u64,
+    /// Process generation; jobs of earlier generations are lost.
+    generation: u64,
     started: Option<Time>,
 }
 
@@ -74,48 +80,48 @@
     state: State,
     inbox: Vec<Event>,
     turn_at: Time,
-    conns: BTreeMap<ConnectionId, (usize, Option<u64>)>,
-    known: BTreeSet<u64>,
-    /// When it was told that a member drains or is gone.
-    told: BTreeMap<usize, Time>,
+    connections: BTreeMap<ConnectionId, (usize, Option<u64>)>,
+    known_clients: BTreeSet<u64>,
+    /// Time at which the gateway learned that a member drains.
+    drain_known_at: BTreeMap<usize, Time>,
     next_ticket: u64,
     tickets: BTreeMap<u64, u64>,
 }
 
-struct Asked {
+struct SentRequest {
     tenant: usize,
     client: u64,
     class: usize,
     at: Time,
     deadline: Time,
     answered: bool,
-    out: u32,
+    open_attempts: u32,
     effects: u32,
-    /// When it was refused before, and told to come back.
+    /// Time of the earlier rejection, and the hinted time of the retry.
     hinted: Option<(Time, Time)>,
     first: Option<Time>,
 }
 
-/// What is measured of a tenant.
-pub struct Seen {
+/// Measurements of a tenant.
+pub struct TenantStats {
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
     pub failed: u64,
     pub work_ms: f64,
-    /// From arrival to the first attempt, in microseconds, of those that were served.
+    /// Time from arrival to the first attempt of served requests, in microseconds.
     pub waits: Histogram<u64>,
-    /// From arrival to the answer.
+    /// Time from arrival to the answer of served requests, in microseconds.
     pub answers: Histogram<u64>,
     pub hints_kept: u64,
     pub hints_right: u64,
 }
 
-impl Seen {
+impl TenantStats {
     fn new() -> Self {
         let waits: Histogram<u64> =
-            Histogram::new_with_bounds(1, 600_000_000, 3).expect("bounds that are sound");
+            Histogram::new_with_bounds(1, 600_000_000, 3).expect("histogram bounds are valid");
         let answers = waits.clone();
         let (asked, in_time, late, refused, failed) = (0, 0, 0, 0, 0);
         Self {
@@ -133,25 +139,25 @@
     }
 }
 
-/// What a run came to.
+/// Result of a run.
 pub struct Outcome {
-    pub tenants: Vec<Seen>,
-    /// Clients that came back as told, in each tenth of a second.
+    pub tenants: Vec<TenantStats>,
+    /// Retries by clients in each tenth of a second.
     pub returns: Vec<u32>,
-    /// Resident memory in kilobytes, each second of the experiment.
+    /// Resident memory in kilobytes, sampled each second of the experiment.
     pub memory_kb: Vec<u64>,
-    /// Answers that came after the client had stopped waiting.
+    /// Answers after the client's timeout.
     pub too_late: u64,
-    /// Requests that reached a cold member, in their order.
-    pub cold: Vec<Cold>,
+    /// Requests that reached a cold member, in order of arrival.
+    pub cold: Vec<ColdRequest>,
     pub steps: u64,
-    /// The last steps, where they are remembered.
+    /// The last trace lines; empty unless tracing is on.
     pub last: Vec<String>,
 }
 
-/// A request that reached a member which had started a short while before.
+/// A request that reached a member within [`COLD_DURATION`] after its start.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct ColdRequest {
     pub at: Time,
     pub member: usize,
     pub gateway: usize,
@@ -159,32 +165,33 @@
     pub primary: bool,
 }
 
-/// What a member that started so long ago can do of its usual work.
+/// Share of its usual capacity that a member has at an age since its start.
 #[must_use]
-pub fn warm_part(age: Span) -> f64 {
-    (COLD_FROM + (1.0 - COLD_FROM) * age.as_f64() / COLD.as_f64()).min(1.0)
+pub fn warm_capacity(age: Span) -> f64 {
+    (COLD_INITIAL_CAPACITY + (1.0 - COLD_INITIAL_CAPACITY) * age.as_f64() / COLD_DURATION.as_f64())
+        .min(1.0)
 }
 
-/// A broken rule, and what led to it.
-pub struct Broken {
+/// A violated invariant, and the trace lines before it.
+pub struct Violation {
     pub rule: String,
     pub last: Vec<String>,
 }
 
 pub struct World<'a> {
     plan: &'a Experiment,
-    way: Way,
+    mode: AdmissionMode,
     now: Time,
     seq: u64,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
-    events: BTreeMap<u64, Ev>,
+    events: BTreeMap<u64, SimEvent>,
     rng: Xoshiro256PlusPlus,
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
-    asks: BTreeMap<u64, Asked>,
-    next_ask: u64,
+    requests: BTreeMap<u64, SentRequest>,
+    next_request: u64,
     next_client: u64,
-    room: Arc<AtomicUsize>,
+    memory_in_use: Arc<AtomicUsize>,
     outcome: Outcome,
     last: VecDeque<String>,
     trace: bool,
@@ -196,7 +203,12 @@
 }
 
 impl<'a> World<'a> {
-    pub fn new(plan: &'a Experiment, way: Way, seed: u64, trace: bool) -> Result<Self, String> {
+    pub fn new(
+        plan: &'a Experiment,
+        mode: AdmissionMode,
+        seed: u64,
+        trace: bool,
+    ) -> Result<Self, String> {
         let class = |c: &crate::experiment::Class| RequestClass {
             consistency: if c.write {
                 Consistency::Write
@@ -244,19 +256,21 @@
             },
             rules: Rules {
                 max_poll_interval: Span::from_millis(10_000),
-                slow_start_initial_capacity: COLD_FROM,
-                slow_start_duration: COLD,
-                overload_multiple: TIP_MULTIPLE,
-                overload_duration: TIP_AFTER,
+                slow_start_initial_capacity: COLD_INITIAL_CAPACITY,
+                slow_start_duration: COLD_DURATION,
+                overload_multiple: OVERLOAD_MULTIPLE,
+                overload_duration: OVERLOAD_WINDOW,
                 removal_is_advisory: false,
             },
         };
-        let shares: Vec<f64> = match way {
-            Way::None | Way::Fifo => vec![],
-            Way::RoundRobin => plan.tenant.iter().map(|_| 1.0).collect(),
-            Way::Fair | Way::Calm => plan.tenant.iter().map(|t| t.share).collect(),
+        let shares: Vec<f64> = match mode {
+            AdmissionMode::None | AdmissionMode::Fifo => vec![],
+            AdmissionMode::RoundRobin => plan.tenant.iter().map(|_| 1.0).collect(),
+            AdmissionMode::Fair | AdmissionMode::Calm => {
+                plan.tenant.iter().map(|t| t.share).collect()
+            }
         };
-        let door = (way != Way::None).then(|| valehatch_admission::Settings {
+        let admission = (mode != AdmissionMode::None).then(|| valehatch_admission::Settings {
             quotas: shares,
             classes: settings
                 .classes
@@ -269,8 +283,8 @@
                     write: c.consistency == Consistency::Write,
                 })
                 .collect(),
-            max_waiting: plan.most,
-            client_buckets: if matches!(way, Way::Fair | Way::Calm) {
+            max_waiting: plan.max_waiting,
+            client_buckets: if matches!(mode, AdmissionMode::Fair | AdmissionMode::Calm) {
                 4096
             } else {
                 1
@@ -282,7 +296,7 @@
         for n in 0..plan.gateways {
             let facts = CoreConfig {
                 metrics: None,
-                admission: door.clone(),
+                admission: admission.clone(),
                 observability: None,
                 settings: settings.clone(),
                 decisions: Arc::default(),
@@ -296,9 +310,9 @@
                 state,
                 inbox: vec![],
                 turn_at: Time(i64::MAX),
-                conns: BTreeMap::new(),
-                known: BTreeSet::new(),
-                told: BTreeMap::new(),
+                connections: BTreeMap::new(),
+                known_clients: BTreeSet::new(),
+                drain_known_at: BTreeMap::new(),
                 next_ticket: 0,
                 tickets: BTreeMap::new(),
             });
@@ -311,18 +325,18 @@
             listed: !plan
                 .event
                 .iter()
-                .any(|e| e.member == n && e.what == What::Joins),
+                .any(|e| e.member == n && e.what == FaultKind::Joins),
             draining: false,
             primary: n == 0,
             slow: 1.0,
-            life: 0,
+            generation: 0,
             started: None,
         };
-        let tenants = plan.tenant.iter().map(|_| Seen::new()).collect();
+        let tenants = plan.tenant.iter().map(|_| TenantStats::new()).collect();
         let (returns, memory_kb) = (vec![], vec![]);
         let mut world = Self {
             plan,
-            way,
+            mode,
             now: Time(START),
             seq: 0,
             queue: BinaryHeap::new(),
@@ -330,10 +344,10 @@
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             gateways,
             servers: (0..plan.members).map(server).collect(),
-            asks: BTreeMap::new(),
-            next_ask: 0,
+            requests: BTreeMap::new(),
+            next_request: 0,
             next_client: 0,
-            room: Arc::default(),
+            memory_in_use: Arc::default(),
             outcome: Outcome {
                 tenants,
                 returns,
@@ -346,23 +360,23 @@
             last: VecDeque::new(),
             trace,
         };
-        world.tell_list();
+        world.publish_list();
         for tenant in 0..plan.tenant.len() {
             world.next_arrival(tenant);
         }
         for (n, event) in plan.event.iter().enumerate() {
-            world.at(Time(START) + ms(event.at_s * 1000.0), Ev::Happens(n));
+            world.schedule(Time(START) + ms(event.at_s * 1000.0), SimEvent::FaultDue(n));
         }
         Ok(world)
     }
 
-    fn at(&mut self, at: Time, event: Ev) {
+    fn schedule(&mut self, at: Time, event: SimEvent) {
         self.seq += 1;
         self.queue.push(Reverse((at.max(self.now), self.seq)));
         self.events.insert(self.seq, event);
     }
 
-    fn net(&mut self) -> Span {
+    fn network_delay(&mut self) -> Span {
         let part = self.rng.random_range(0.8..1.2);
         ms(self.plan.net_ms * part)
     }
@@ -371,17 +385,18 @@
         Time(START) + Span::from_millis(i64::try_from(self.plan.seconds).unwrap_or(0) * 1000)
     }
 
-    /// Tells a gateway how many there are.
-    pub fn tell_routers(&mut self, gateway: usize, routers: u32) {
+    /// Sets the number of gateways that a gateway assumes.
+    pub fn set_gateway_count(&mut self, gateway: usize, routers: u32) {
         let at = self.now;
-        self.at(
+        self.schedule(
             at,
-            Ev::Tell(gateway, Box::new(Event::GatewayCount(routers))),
+            SimEvent::Deliver(gateway, Box::new(Event::GatewayCount(routers))),
         );
     }
 
-    /// Runs to the end, and until all is answered.
-    pub fn run(mut self) -> Result<Outcome, Broken> {
+    /// Runs until the end of the experiment and until all requests are answered, for 30 s more at
+    /// most.
+    pub fn run(mut self) -> Result<Outcome, Violation> {
         let mut sampled = 0;
         while let Some(Reverse((at, seq))) = self.queue.pop() {
             let Some(event) = self.events.remove(&seq) else {
@@ -400,16 +415,16 @@
             if at > self.end() + Span::from_millis(30_000) {
                 break;
             }
-            self.step(event).map_err(|rule| Broken {
+            self.step(event).map_err(|rule| Violation {
                 rule,
                 last: self.last.iter().cloned().collect(),
             })?;
         }
         self.outcome.last = self.last.iter().cloned().collect();
-        let open = self.asks.values().filter(|a| !a.answered).count();
+        let open = self.requests.values().filter(|a| !a.answered).count();
         if open > 0 {
-            let rule = format!("{open} requests never had a final answer");
-            return Err(Broken {
+            let rule = format!("{open} requests got no final answer");
+            return Err(Violation {
                 rule,
                 last: self.last.into_iter().collect(),
             });
@@ -417,9 +432,9 @@
         Ok(self.outcome)
     }
 
-    fn note(&mut self, what: impl FnOnce() -> String) {
+    fn trace_step(&mut self, what: impl FnOnce() -> String) {
         if self.trace && self.now < self.end() {
-            if self.last.len() == REMEMBERED {
+            if self.last.len() == MAX_TRACE_LINES {
                 self.last.pop_front();
             }
             self.last
@@ -431,9 +446,9 @@
         at >= Time(START) + ms(self.plan.measured_from as f64 * 1000.0) && at < self.end()
     }
 
-    fn step(&mut self, event: Ev) -> Result<(), String> {
+    fn step(&mut self, event: SimEvent) -> Result<(), String> {
         match event {
-            Ev::Arrive(tenant) => {
+            SimEvent::Arrival(tenant) => {
                 let plan = &self.plan.tenant[tenant];
                 let client = if plan.clients == 0 {
                     self.next_client += 1;
@@ -447,37 +462,37 @@
                     draw -= c.part;
                     draw < 0.0
                 });
-                self.ask(tenant, client, class.unwrap_or(0), None);
+                self.send_request(tenant, client, class.unwrap_or(0), None);
                 self.next_arrival(tenant);
             }
-            Ev::Return(tenant, client, class, refused) => {
+            SimEvent::Retry(tenant, client, class, refused) => {
                 let tenth = usize::try_from((self.now.0 - START) / 100_000).unwrap_or(0);
                 if self.outcome.returns.len() <= tenth {
                     self.outcome.returns.resize(tenth + 1, 0);
                 }
                 self.outcome.returns[tenth] += 1;
-                self.ask(tenant, client, class, Some((refused, self.now)));
+                self.send_request(tenant, client, class, Some((refused, self.now)));
             }
-            Ev::Turn(n) => {
+            SimEvent::ReducerTurn(n) => {
                 if self.gateways[n].turn_at <= self.now {
                     self.gateways[n].turn_at = Time(i64::MAX);
                     self.turn(n)?;
                 }
             }
-            Ev::Tell(n, event) => {
+            SimEvent::Deliver(n, event) => {
                 self.gateways[n].inbox.push(*event);
                 self.wake(n, self.now);
             }
-            Ev::Work(n, piece) => self.work(n, piece),
-            Ev::Done(n, life, piece) => {
-                if self.servers[n].life == life && self.servers[n].alive {
+            SimEvent::JobArrival(n, job) => self.work(n, job),
+            SimEvent::JobDone(n, generation, job) => {
+                if self.servers[n].generation == generation && self.servers[n].alive {
                     self.servers[n].busy -= 1;
-                    self.finish(n, &piece)?;
+                    self.finish(n, &job)?;
                     self.start_work(n);
                 }
             }
-            Ev::Happens(n) => self.happens(n),
-            Ev::Elect => {
+            SimEvent::FaultDue(n) => self.apply_fault(n),
+            SimEvent::Election => {
                 let next = self
                     .servers
                     .iter()
@@ -485,8 +500,8 @@
                 if !self.servers.iter().any(|s| s.alive && s.primary) {
                     next.into_iter()
                         .for_each(|n| self.servers[n].primary = true);
-                    self.note(|| format!("member {next:?} is primary"));
-                    self.tell_list();
+                    self.trace_step(|| format!("member {next:?} is primary"));
+                    self.publish_list();
                 }
             }
         }
@@ -496,36 +511,42 @@
     fn next_arrival(&mut self, tenant: usize) {
         let plan = &self.plan.tenant[tenant];
         let second = (self.now.0 - START) as f64 / 1e6;
-        let burst = plan
-            .burst
-            .filter(|(from, to, _)| self.way != Way::Calm && (*from..*to).contains(&second));
+        let burst = plan.burst.filter(|(from, to, _)| {
+            self.mode != AdmissionMode::Calm && (*from..*to).contains(&second)
+        });
         let rate = plan.rate * burst.map_or(1.0, |(_, _, times)| times);
         let gap = Exp::new(rate.max(1e-6)).map_or(1.0, |d| d.sample(&mut self.rng));
         let at = self.now + ms(gap * 1000.0);
         if at < self.end() {
-            self.at(at, Ev::Arrive(tenant));
+            self.schedule(at, SimEvent::Arrival(tenant));
         }
     }
 
-    fn ask(&mut self, tenant: usize, client: u64, class: usize, hinted: Option<(Time, Time)>) {
-        self.next_ask += 1;
-        let ask = self.next_ask;
-        // A client stays with one gateway.
+    fn send_request(
+        &mut self,
+        tenant: usize,
+        client: u64,
+        class: usize,
+        hinted: Option<(Time, Time)>,
+    ) {
+        self.next_request += 1;
+        let request = self.next_request;
+        // A client always uses the same gateway.
         let n = usize::try_from(client.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33).unwrap_or(0)
             % self.gateways.len();
         let plan = &self.plan.class[class];
-        let patience = ms(plan.deadline_ms * self.rng.random_range(0.7..1.0));
+        let client_timeout = ms(plan.deadline_ms * self.rng.random_range(0.7..1.0));
         let at = self.now;
-        self.asks.insert(
-            ask,
-            Asked {
+        self.requests.insert(
+            request,
+            SentRequest {
                 tenant,
                 client,
                 class,
                 at,
-                deadline: at + patience,
+                deadline: at + client_timeout,
                 answered: false,
-                out: 0,
+                open_attempts: 0,
                 effects: 0,
                 hinted,
                 first: None,
@@ -535,17 +556,17 @@
             self.outcome.tenants[tenant].asked += 1;
         }
         let gateway = &mut self.gateways[n];
-        if gateway.known.insert(client) {
+        if gateway.known_clients.insert(client) {
             gateway.inbox.push(Event::ClientConnected(ClientId(client)));
         }
         gateway.next_ticket += 1;
         let ticket = gateway.next_ticket;
-        gateway.tickets.insert(ticket, ask);
+        gateway.tickets.insert(ticket, request);
         let write = self.plan.class[class].write;
-        let room =
-            MemoryReservation::try_acquire(&self.room, 8, usize::MAX).expect("room without end");
+        let memory = MemoryReservation::try_acquire(&self.memory_in_use, 8, usize::MAX)
+            .expect("a reservation without a limit succeeds");
         let payload = Arc::new(Payload {
-            bytes: ask.to_be_bytes().to_vec(),
+            bytes: request.to_be_bytes().to_vec(),
             write,
             class: 0,
         });
@@ -559,16 +580,18 @@
                 group: GroupId(0),
                 session: None,
                 received: self.now,
-                client_timeout: patience,
+                client_timeout,
                 is_client_retry: false,
                 last_write_at: None,
                 payload,
-                memory: room,
+                memory,
                 client,
             },
         });
-        self.note(|| {
-            format!("gateway {n}: client {client:x} of tenant {tenant} asks {ask}, class {class}")
+        self.trace_step(|| {
+            format!(
+                "gateway {n}: client {client:x} of tenant {tenant} asks {request}, class {class}"
+            )
         });
         self.wake(n, self.now);
     }
@@ -577,7 +600,7 @@
         let at = at.max(self.now);
         if at < self.gateways[n].turn_at {
             self.gateways[n].turn_at = at;
-            self.at(at, Ev::Turn(n));
+            self.schedule(at, SimEvent::ReducerTurn(n));
         }
     }
 
@@ -590,13 +613,14 @@
         for effect in effects {
             self.carry_out(n, effect)?;
         }
-        // It looks at all that is held: not after each turn of a crowd of thousands.
+        // The check visits the whole state, so it runs only every 16th step; each turn would be too
+        // slow at thousands of clients.
         if self.outcome.steps.is_multiple_of(16) {
             let checked = self.gateways[n].state.check_invariants();
             checked.map_err(|violation| violation.to_string())?;
         }
         if let Some(due) = self.gateways[n].state.next_due() {
-            // The loop itself takes a moment.
+            // 20 us for the event loop itself.
             self.wake(n, due.max(self.now + Span(20)));
         }
         Ok(())
@@ -611,45 +635,52 @@
                 let member = address
                     .parse()
                     .map_err(|_| format!("no member listens at {address}"))?;
-                self.gateways[n].conns.insert(connection, (member, None));
+                self.gateways[n]
+                    .connections
+                    .insert(connection, (member, None));
             }
             Effect::Submit { connection, job } => self.submit(n, connection, &job)?,
             Effect::CloseUpstream(connection) => {
-                if let Some((member, ask)) = self.gateways[n].conns.remove(&connection) {
-                    ask.into_iter().for_each(|ask| self.over(ask));
-                    // What waits there for it is dropped; what runs goes on.
+                if let Some((member, request)) = self.gateways[n].connections.remove(&connection) {
+                    request
+                        .into_iter()
+                        .for_each(|request| self.end_attempt(request));
+                    // Queued jobs of the connection are dropped; running ones go on.
                     self.servers[member]
                         .waiting
                         .retain(|p| (p.gateway, p.connection) != (n, connection));
                 }
             }
-            Effect::Answer { ticket, answer, .. } => self.answered(n, ticket, &answer)?,
+            Effect::Answer { ticket, answer, .. } => self.on_answer(n, ticket, &answer)?,
             Effect::CloseClient(_)
             | Effect::CloseIdleClients
             | Effect::StopListening
             | Effect::Log(_)
             | Effect::Exit => {}
-            Effect::ForwardBody { .. } => return Err("no answer is too long here".into()),
+            Effect::ForwardBody { .. } => {
+                return Err("unexpected ForwardBody: all answers of the emulator are short".into());
+            }
             Effect::RecordOutcome(_) | Effect::PublishView(_) => {}
         }
         Ok(())
     }
 
-    fn over(&mut self, ask: u64) {
-        if let Some(asked) = self.asks.get_mut(&ask) {
-            asked.out = asked.out.saturating_sub(1);
+    fn end_attempt(&mut self, request: u64) {
+        if let Some(asked) = self.requests.get_mut(&request) {
+            asked.open_attempts = asked.open_attempts.saturating_sub(1);
         }
-        self.forget(ask);
+        self.remove_if_finished(request);
     }
 
-    /// What is answered and no longer out is forgotten.
-    fn forget(&mut self, ask: u64) {
+    /// Removes a request that is answered and has no open attempt; writes are kept to detect a
+    /// second execution.
+    fn remove_if_finished(&mut self, request: u64) {
         if self
-            .asks
-            .get(&ask)
-            .is_some_and(|a| a.answered && a.out == 0 && !self.plan.class[a.class].write)
+            .requests
+            .get(&request)
+            .is_some_and(|a| a.answered && a.open_attempts == 0 && !self.plan.class[a.class].write)
         {
-            self.asks.remove(&ask);
+            self.requests.remove(&request);
         }
     }
 
@@ -659,75 +690,84 @@
         connection: ConnectionId,
         job: &UpstreamJob,
     ) -> Result<(), String> {
-        let Some((member, slot)) = self.gateways[n].conns.get_mut(&connection) else {
+        let Some((member, slot)) = self.gateways[n].connections.get_mut(&connection) else {
             return Err(format!(
-                "gateway {n} writes to a connection that it has closed"
+                "gateway {n} submitted a job on a connection that it has closed"
             ));
         };
         let member = *member;
-        let ask = match job {
+        let request = match job {
             UpstreamJob::HealthCheck => None,
             UpstreamJob::Request {
                 payload, permit, ..
             } => {
                 if permit.try_acquire(self.now).is_err() {
-                    return Err(format!("gateway {n} submits what may not begin"));
+                    return Err(format!(
+                        "gateway {n} submitted a request whose permit is not valid"
+                    ));
                 }
-                let ask = u64::from_be_bytes(payload.bytes[..8].try_into().map_err(|_| "no ask")?);
-                *slot = Some(ask);
-                Some(ask)
+                let request = u64::from_be_bytes(
+                    payload.bytes[..8]
+                        .try_into()
+                        .map_err(|_| "payload without a request id")?,
+                );
+                *slot = Some(request);
+                Some(request)
             }
         };
-        if let Some(ask) = ask {
+        if let Some(request) = request {
             let now = self.now;
-            let Some(asked) = self.asks.get_mut(&ask) else {
-                return Err(format!("{ask} is sent though it is over"));
+            let Some(asked) = self.requests.get_mut(&request) else {
+                return Err(format!("{request} was sent after it had ended"));
             };
-            asked.out += 1;
+            asked.open_attempts += 1;
             asked.first = asked.first.or(Some(now));
-            if asked.out > 1 {
-                return Err(format!("{ask} has {} attempts out", asked.out));
+            if asked.open_attempts > 1 {
+                return Err(format!(
+                    "{request} has {} open attempts",
+                    asked.open_attempts
+                ));
             }
             if asked.answered {
-                return Err(format!("{ask} is sent though it had its answer"));
+                return Err(format!("{request} was sent after its final answer"));
             }
             if let Some(told) = self.gateways[n]
-                .told
+                .drain_known_at
                 .get(&member)
-                .filter(|told| now - **told > GRACE)
+                .filter(|told| now - **told > DRAIN_GRACE)
             {
                 return Err(format!(
-                    "{ask} goes to member {member}, told {} us ago to drain",
+                    "{request} was sent to member {member}, known to be draining for {} us",
                     (now - *told).0
                 ));
             }
         }
-        self.note(|| format!("gateway {n}: {ask:?} to member {member}"));
-        let at = self.now + self.net();
-        self.at(
+        self.trace_step(|| format!("gateway {n}: {request:?} to member {member}"));
+        let at = self.now + self.network_delay();
+        self.schedule(
             at,
-            Ev::Work(
+            SimEvent::JobArrival(
                 member,
-                Piece {
+                Job {
                     gateway: n,
                     connection,
-                    ask,
+                    request,
                 },
             ),
         );
         Ok(())
     }
 
-    fn work(&mut self, n: usize, piece: Piece) {
+    fn work(&mut self, n: usize, job: Job) {
         let server = &self.servers[n];
         if !server.alive {
             return self.reply(
-                &piece,
-                UpstreamReply::without_details(Outcome2::ConnectFailed),
+                &job,
+                UpstreamReply::without_details(AttemptOutcome::ConnectFailed),
                 false,
             );
         }
-        let Some(ask) = piece.ask else {
+        let Some(request) = job.request else {
             let lag = if server.primary {
                 Span(0)
             } else {
@@ -739,28 +779,31 @@
                 busy: None,
             };
             return self.reply(
-                &piece,
+                &job,
                 UpstreamReply {
                     report: Some(report),
-                    ..UpstreamReply::without_details(Outcome2::Ok)
+                    ..UpstreamReply::without_details(AttemptOutcome::Ok)
                 },
                 true,
             );
         };
-        if let Some(started) = server.started.filter(|started| self.now - *started < COLD) {
+        if let Some(started) = server
+            .started
+            .filter(|started| self.now - *started < COLD_DURATION)
+        {
             let (at, primary) = (self.now, server.primary);
-            self.outcome.cold.push(Cold {
+            self.outcome.cold.push(ColdRequest {
                 at,
                 member: n,
-                gateway: piece.gateway,
+                gateway: job.gateway,
                 started,
                 primary,
             });
         }
         let server = &self.servers[n];
         let write = self
-            .asks
-            .get(&ask)
+            .requests
+            .get(&request)
             .is_some_and(|a| self.plan.class[a.class].write);
         let role = Some(if server.primary {
             Role::Primary
@@ -769,59 +812,63 @@
         });
         if write && !server.primary {
             return self.reply(
-                &piece,
+                &job,
                 UpstreamReply {
                     role,
-                    ..UpstreamReply::without_details(Outcome2::Misdirected)
+                    ..UpstreamReply::without_details(AttemptOutcome::Misdirected)
                 },
                 true,
             );
         }
         if server.draining || server.waiting.len() >= self.plan.queue {
             return self.reply(
-                &piece,
+                &job,
                 UpstreamReply {
                     role,
-                    ..UpstreamReply::without_details(Outcome2::Rejected)
+                    ..UpstreamReply::without_details(AttemptOutcome::Rejected)
                 },
                 true,
             );
         }
-        self.servers[n].waiting.push_back(piece);
+        self.servers[n].waiting.push_back(job);
         self.start_work(n);
     }
 
     fn start_work(&mut self, n: usize) {
         while self.servers[n].busy < self.plan.cores {
-            let Some(piece) = self.servers[n].waiting.pop_front() else {
+            let Some(job) = self.servers[n].waiting.pop_front() else {
                 return;
             };
-            let class = piece
-                .ask
-                .and_then(|a| self.asks.get(&a))
+            let class = job
+                .request
+                .and_then(|a| self.requests.get(&a))
                 .map_or(0, |a| a.class);
             let class = &self.plan.class[class];
-            // Of a log-normal distribution, by its mean and its coefficient of variation.
+            // Log-normal, parametrized by mean and coefficient of variation.
             let sigma2 = class.spread.powi(2).ln_1p();
             let mean = class.work_ms.ln() - sigma2 / 2.0;
             let time = LogNormal::new(mean, sigma2.sqrt())
                 .map_or(class.work_ms, |d| d.sample(&mut self.rng));
             let server = &mut self.servers[n];
-            let warm = server.started.map_or(1.0, |at| warm_part(self.now - at));
+            let warm = server
+                .started
+                .map_or(1.0, |at| warm_capacity(self.now - at));
             server.busy += 1;
-            let (life, at) = (server.life, self.now + ms(time * server.slow / warm));
-            self.at(at, Ev::Done(n, life, piece));
+            let (generation, at) = (server.generation, self.now + ms(time * server.slow / warm));
+            self.schedule(at, SimEvent::JobDone(n, generation, job));
         }
     }
 
-    fn finish(&mut self, n: usize, piece: &Piece) -> Result<(), String> {
-        let Some(ask) = piece.ask else { return Ok(()) };
+    fn finish(&mut self, n: usize, job: &Job) -> Result<(), String> {
+        let Some(request) = job.request else {
+            return Ok(());
+        };
         let (primary, now) = (self.servers[n].primary, self.now);
-        if let Some(asked) = self.asks.get_mut(&ask) {
+        if let Some(asked) = self.requests.get_mut(&request) {
             let class = &self.plan.class[asked.class];
             asked.effects += u32::from(class.write);
             if asked.effects > 1 {
-                return Err(format!("the write {ask} ran twice"));
+                return Err(format!("write {request} was executed twice"));
             }
         }
         let role = Some(if primary {
@@ -834,47 +881,50 @@
         } else {
             ms(self.plan.lag_ms)
         };
-        let body = Some(ask.to_be_bytes().to_vec());
+        let body = Some(request.to_be_bytes().to_vec());
         let reply = UpstreamReply {
             role,
             position: Some(now - lag),
             body,
-            ..UpstreamReply::without_details(Outcome2::Ok)
+            ..UpstreamReply::without_details(AttemptOutcome::Ok)
         };
-        self.reply(piece, reply, true);
+        self.reply(job, reply, true);
         Ok(())
     }
 
-    fn reply(&mut self, piece: &Piece, reply: UpstreamReply, reusable: bool) {
-        let at = self.now + self.net();
+    fn reply(&mut self, job: &Job, reply: UpstreamReply, reusable: bool) {
+        let at = self.now + self.network_delay();
         let event = Event::AttemptEnded {
-            connection: piece.connection,
+            connection: job.connection,
             reply,
             reusable,
         };
-        // The gateway may have closed it by then: its own core passes that over.
-        if let Some((_, slot)) = self.gateways[piece.gateway]
-            .conns
-            .get_mut(&piece.connection)
+        // The gateway may have closed the connection by then; its core ignores the event.
+        if let Some((_, slot)) = self.gateways[job.gateway]
+            .connections
+            .get_mut(&job.connection)
         {
-            if let Some(ask) = slot.take() {
-                // Over from when it is told; nothing new is sent before that.
-                self.over(ask);
+            if let Some(request) = slot.take() {
+                // The attempt ends here; the gateway sends no new one before it receives the event.
+                self.end_attempt(request);
             }
-            self.at(at, Ev::Tell(piece.gateway, Box::new(event)));
+            self.schedule(at, SimEvent::Deliver(job.gateway, Box::new(event)));
         }
     }
 
-    fn answered(&mut self, n: usize, ticket: u64, answer: &FinalAnswer) -> Result<(), String> {
-        let Some(ask) = self.gateways[n].tickets.remove(&ticket) else {
-            return Err(format!("gateway {n} answers ticket {ticket} twice"));
+    fn on_answer(&mut self, n: usize, ticket: u64, answer: &FinalAnswer) -> Result<(), String> {
+        let Some(request) = self.gateways[n].tickets.remove(&ticket) else {
+            return Err(format!("gateway {n} answered ticket {ticket} twice"));
         };
-        let measured = self.asks.get(&ask).is_some_and(|a| self.measured(a.at));
-        let Some(asked) = self.asks.get_mut(&ask) else {
-            return Err(format!("{ask} is not known"));
+        let measured = self
+            .requests
+            .get(&request)
+            .is_some_and(|a| self.measured(a.at));
+        let Some(asked) = self.requests.get_mut(&request) else {
+            return Err(format!("{request} is unknown"));
         };
         if std::mem::replace(&mut asked.answered, true) {
-            return Err(format!("{ask} has two final answers"));
+            return Err(format!("{request} got two final answers"));
         }
         let (tenant, client, class, at) = (asked.tenant, asked.client, asked.class, asked.at);
         let plan = &self.plan.class[class];
@@ -892,8 +942,10 @@
         let mut back = None;
         match answer {
             FinalAnswer::Served(bytes) => {
-                if bytes[..] != ask.to_be_bytes() {
-                    return Err(format!("{ask} is served with what was made for another"));
+                if bytes[..] != request.to_be_bytes() {
+                    return Err(format!(
+                        "{request} was served with the answer to another request"
+                    ));
                 }
                 if measured {
                     let in_time = self.now - at <= ms(plan.aim_ms);
@@ -912,12 +964,12 @@
             } => {
                 seen.refused += u64::from(measured);
                 if plan.write && asked.effects > 0 {
-                    return Err(format!("the write {ask} ran and was refused"));
+                    return Err(format!("write {request} was executed and then refused"));
                 }
-                back = match self.plan.tenant[tenant].heeds {
-                    Heeds::Hint => Some(*after),
-                    Heeds::Abuses => Some(Span::from_millis(20)),
-                    Heeds::Nothing => None,
+                back = match self.plan.tenant[tenant].retry_behavior {
+                    RetryBehavior::FollowHint => Some(*after),
+                    RetryBehavior::RetryAtOnce => Some(Span::from_millis(20)),
+                    RetryBehavior::GiveUp => None,
                 };
             }
             FinalAnswer::Failed(_) => seen.failed += u64::from(measured),
@@ -931,77 +983,80 @@
             }
             FinalAnswer::Failed(why) => format!("failed: {why:?}"),
         };
-        self.note(|| format!("gateway {n}: {ask} is {said}"));
+        self.trace_step(|| format!("gateway {n}: {request} is {said}"));
         if let Some(after) = back {
             let at = self.now + after;
             if at < self.end() {
-                self.at(at, Ev::Return(tenant, client, class, self.now));
+                self.schedule(at, SimEvent::Retry(tenant, client, class, self.now));
             }
         } else if self.plan.tenant[tenant].clients == 0 {
-            // It asked once and leaves.
-            self.gateways[n].known.remove(&client);
+            // A one-shot client disconnects after its answer.
+            self.gateways[n].known_clients.remove(&client);
             self.gateways[n]
                 .inbox
                 .push(Event::ClientDisconnected(ClientId(client)));
             self.wake(n, self.now);
         }
-        self.forget(ask);
+        self.remove_if_finished(request);
         Ok(())
     }
 
-    fn happens(&mut self, n: usize) {
+    fn apply_fault(&mut self, n: usize) {
         let (member, what) = (self.plan.event[n].member, self.plan.event[n].what);
-        self.note(|| format!("member {member}: {what:?}"));
+        self.trace_step(|| format!("member {member}: {what:?}"));
         let now = self.now;
         let server = &mut self.servers[member];
         match what {
-            What::Dies => {
+            FaultKind::Dies => {
                 server.alive = false;
-                server.life += 1;
+                server.generation += 1;
                 server.busy = 0;
                 server.waiting.clear();
                 if std::mem::take(&mut server.primary) {
-                    self.at(now + ELECTION, Ev::Elect);
+                    self.schedule(now + ELECTION_DELAY, SimEvent::Election);
                 }
-                // Its connections break: what was out may have run.
+                // All its connections are reset; open attempts may have run.
                 for g in 0..self.gateways.len() {
                     let of = |(c, (m, a)): (&ConnectionId, &(usize, Option<u64>))| {
                         (*m == member).then_some((*c, *a))
                     };
-                    let broken: Vec<_> = self.gateways[g].conns.iter().filter_map(of).collect();
-                    for (connection, ask) in broken.into_iter().filter_map(|(c, a)| Some((c, a?))) {
-                        let piece = Piece {
+                    let broken: Vec<_> =
+                        self.gateways[g].connections.iter().filter_map(of).collect();
+                    for (connection, request) in
+                        broken.into_iter().filter_map(|(c, a)| Some((c, a?)))
+                    {
+                        let job = Job {
                             gateway: g,
                             connection,
-                            ask: Some(ask),
+                            request: Some(request),
                         };
                         self.reply(
-                            &piece,
-                            UpstreamReply::without_details(Outcome2::Reset),
+                            &job,
+                            UpstreamReply::without_details(AttemptOutcome::Reset),
                             false,
                         );
                     }
                 }
             }
-            What::Starts | What::Joins => {
+            FaultKind::Starts | FaultKind::Joins => {
                 server.listed = true;
                 (server.alive, server.draining, server.started) = (true, false, Some(now));
-                server.life += 1;
-                self.tell_list();
+                server.generation += 1;
+                self.publish_list();
             }
-            What::Drains => {
+            FaultKind::Drains => {
                 server.draining = true;
                 if std::mem::take(&mut server.primary) {
-                    self.at(now + ELECTION, Ev::Elect);
+                    self.schedule(now + ELECTION_DELAY, SimEvent::Election);
                 }
-                self.tell_list();
+                self.publish_list();
             }
-            What::Slows => server.slow = 3.0,
-            What::Recovers => server.slow = 1.0,
+            FaultKind::Slows => server.slow = 3.0,
+            FaultKind::Recovers => server.slow = 1.0,
         }
     }
 
-    fn tell_list(&mut self) {
+    fn publish_list(&mut self) {
         let member = |(n, s): (usize, &Server)| ListedEndpoint {
             record: EndpointRecord {
                 endpoint: EndpointId(u32::try_from(n + 1).unwrap_or(0)),
@@ -1023,21 +1078,21 @@
         let listed = self.servers.iter().enumerate().filter(|(_, s)| s.listed);
         let members: Vec<ListedEndpoint> = listed.map(member).collect();
         for n in 0..self.gateways.len() {
-            let at = self.now + self.net();
+            let at = self.now + self.network_delay();
             for (m, server) in self.servers.iter().enumerate() {
                 if server.draining {
-                    self.gateways[n].told.entry(m).or_insert(at);
+                    self.gateways[n].drain_known_at.entry(m).or_insert(at);
                 } else {
-                    self.gateways[n].told.remove(&m);
+                    self.gateways[n].drain_known_at.remove(&m);
                 }
             }
             let event = Event::EndpointList {
                 complete: true,
                 endpoints: members.clone(),
             };
-            self.at(at, Ev::Tell(n, Box::new(event)));
+            self.schedule(at, SimEvent::Deliver(n, Box::new(event)));
         }
     }
 }
 
-use valehatch_policy::Outcome as Outcome2;
+use valehatch_policy::Outcome as AttemptOutcome;
--- a/crates/testbed/tests/cold.rs
+++ b/crates/testbed/tests/cold.rs
@@ -1,45 +1,52 @@
-//! The budget of a cold member over the sum of all gateways, in virtual time with the real reducer and decision module:
-//! clients that come back, probes, a burst, a member that comes back, one that joins, and one that is made primary.
+//! The slow-start budget of a cold member, summed over all gateways, under a virtual clock with the
+//! real reducer and decision module: with retrying clients, probes, a burst, a member that
+//! restarts, one that joins and one that becomes primary.
 
 use rstest::rstest;
 use valehatch_policy::Span;
-use valehatch_testbed::experiment::{Experiment, Way};
+use valehatch_testbed::experiment::{AdmissionMode, Experiment};
 use valehatch_testbed::fleet::{Fleet, Network};
-use valehatch_testbed::world::{Cold, TIP_AFTER, TIP_MULTIPLE, World, warm_part};
+use valehatch_testbed::world::{
+    ColdRequest, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, World, warm_capacity,
+};
 
-/// What a warm member can do in a second: its cores by the mean work of a request, which is the same for all classes.
+/// Mean work of a request, the same for all classes.
 const WORK_MS: f64 = 40.0;
 
+/// Capacity of a warm member, in requests per second.
 fn capacity(plan: &Experiment) -> f64 {
     plan.cores as f64 * 1000.0 / WORK_MS
 }
 
-/// Hundreds of gateways need more clients, or hardly any would meet the cold member.
+/// Cores of each member: with hundreds of gateways the load must be higher, or hardly any request
+/// would reach the cold member.
 const fn cores(gateways: usize) -> usize {
     if gateways < 300 { 1 } else { 4 }
 }
 
-/// Who is cold, and what for.
+/// The cold member and why it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Who {
-    /// A replica that died and starts again as the burst begins.
+enum ColdMember {
+    /// A replica that died restarts during the burst.
     ComesBack,
-    /// A replica that nobody had heard of.
+    /// A new replica joins.
     Joins,
-    /// One that has just started is all that is left when the primary dies: writes have nowhere else to go.
+    /// The primary dies and a member that has just started succeeds it, so that all writes go to
+    /// the cold member.
     IsMadePrimary,
 }
 
-/// Five members, of which one is cold in the burst, at 0.7 of what they can do before it and twice that in it.
-fn plan(gateways: usize, who: Who) -> Experiment {
+/// Five members, one of them cold during a burst; the load is 0.7 of their capacity before the
+/// burst and twice that in it.
+fn plan(gateways: usize, cold_member: ColdMember) -> Experiment {
     let event = |at: f64, member: usize, what: &str| {
         format!("[[event]]\nat-s = {at}\nmember = {member}\nwhat = \"{what}\"\n")
     };
-    let events = match who {
-        Who::ComesBack => event(4.0, 2, "dies") + &event(9.0, 2, "starts"),
-        Who::Joins => event(9.0, 4, "joins"),
-        // The next in order is made primary 2 s after the death.
-        Who::IsMadePrimary => {
+    let events = match cold_member {
+        ColdMember::ComesBack => event(4.0, 2, "dies") + &event(9.0, 2, "starts"),
+        ColdMember::Joins => event(9.0, 4, "joins"),
+        // The next member becomes primary 2 s after the death.
+        ColdMember::IsMadePrimary => {
             event(4.0, 1, "dies") + &event(8.0, 1, "starts") + &event(8.1, 0, "dies")
         }
     };
@@ -66,16 +73,17 @@
     toml::from_str(&text).unwrap()
 }
 
-/// The most that a cold member got within one window, as a part of what it may get, and that window: what it got, and may.
-fn most(plan: &Experiment, cold: &[Cold]) -> (f64, usize, f64) {
+/// Highest load of a cold member within one window: its ratio to the budget, the requests received,
+/// and the budget.
+fn peak_load(plan: &Experiment, cold: &[ColdRequest]) -> (f64, usize, f64) {
     let mut found = (0.0, 0, 0.0);
     let mut first = 0;
     for (last, request) in cold.iter().enumerate() {
-        while request.at - cold[first].at >= TIP_AFTER {
+        while request.at - cold[first].at >= OVERLOAD_WINDOW {
             first += 1;
         }
-        let able = capacity(plan) * warm_part(request.at - request.started);
-        let n = TIP_MULTIPLE * able * TIP_AFTER.as_f64() / 1e6;
+        let able = capacity(plan) * warm_capacity(request.at - request.started);
+        let n = OVERLOAD_MULTIPLE * able * OVERLOAD_WINDOW.as_f64() / 1e6;
         let (got, may) = (last - first + 1, n + 2.0 * n.sqrt() + 2.0);
         if got as f64 / may > found.0 {
             found = (got as f64 / may, got, may);
@@ -84,12 +92,13 @@
     found
 }
 
-/// Plays a plan, each gateway told a number of gateways if there is one.
-fn play(plan: &Experiment, seed: u64, told: &[u32]) -> Vec<Cold> {
-    let mut world = World::new(plan, Way::None, seed, false).unwrap();
-    told.iter()
+/// Runs a plan; `gateway_counts` sets the number of gateways that each gateway assumes.
+fn run_plan(plan: &Experiment, seed: u64, gateway_counts: &[u32]) -> Vec<ColdRequest> {
+    let mut world = World::new(plan, AdmissionMode::None, seed, false).unwrap();
+    gateway_counts
+        .iter()
         .enumerate()
-        .for_each(|(gateway, routers)| world.tell_routers(gateway, *routers));
+        .for_each(|(gateway, routers)| world.set_gateway_count(gateway, *routers));
     world
         .run()
         .unwrap_or_else(|broken| panic!("{}", broken.rule))
@@ -97,73 +106,71 @@
 }
 
 #[rstest]
-fn all_gateways_together_keep_the_budget_of_a_cold_member(
+fn all_gateways_together_stay_within_budget_of_cold_member(
     #[values(3, 30, 300)] gateways: usize,
-    #[values(Who::ComesBack, Who::Joins, Who::IsMadePrimary)] who: Who,
+    #[values(ColdMember::ComesBack, ColdMember::Joins, ColdMember::IsMadePrimary)]
+    cold_member: ColdMember,
 ) {
-    let plan = plan(gateways, who);
+    let plan = plan(gateways, cold_member);
     for seed in 1..=2 {
-        let cold = play(&plan, seed, &[]);
-        let (part, got, may) = most(&plan, &cold);
+        let cold = run_plan(&plan, seed, &[]);
+        let (part, got, may) = peak_load(&plan, &cold);
         println!(
-            "{gateways} gateways, {who:?}, seed {seed}: {} in all, {got} of {may:.0} in a window",
+            "{gateways} gateways, {cold_member:?}, seed {seed}: {} in all, {got} of {may:.0} in a window",
             cold.len()
         );
         assert!(
             cold.len() > 50,
-            "{} got to the cold member: nothing is shown by that",
+            "only {} requests reached the cold member, too few for a verdict",
             cold.len()
         );
         assert!(
-            who != Who::IsMadePrimary || cold.iter().any(|c| c.primary),
-            "it was no primary"
-        );
-        assert!(
-            part <= 1.0,
-            "{got} in a window in which {may:.0} push it over"
+            cold_member != ColdMember::IsMadePrimary || cold.iter().any(|c| c.primary),
+            "the cold member never was primary"
         );
+        assert!(part <= 1.0, "{got} requests in a window, budget {may:.0}");
     }
 }
 
-/// Gateways that hear nobody else do not know how many live: each goes by the configured number, as its membership says.
+/// Isolated gateways cannot count the live ones, so their membership reports the configured number.
 #[rstest]
-fn gateways_that_do_not_know_how_many_live_keep_it_by_the_configured_number(
+fn isolated_gateways_stay_within_budget_by_configured_number(
     #[values(3, 30, 300)] gateways: usize,
 ) {
     let network = Network {
         lost: 0.0,
-        doubled: 0.0,
+        duplicated: 0.0,
         delay: (Span(200), Span::from_millis(20)),
     };
     let mut fleet = Fleet::new(gateways, 3, Span::from_millis(500), 8192, network, 7);
-    fleet.cut((0..gateways).collect(), false);
+    fleet.partition((0..gateways).collect(), false);
     (0..gateways).for_each(|n| fleet.start(n, 0).unwrap());
     fleet.run(Span::from_millis(120_000), |_| false).unwrap();
-    let told: Vec<u32> = fleet
+    let gateway_counts: Vec<u32> = fleet
         .running()
-        .map(|(_, heart)| heart.quota_divisor(valehatch_membership::Load::Overloaded))
+        .map(|(_, membership)| membership.quota_divisor(valehatch_membership::Load::Overloaded))
         .collect();
     assert!(
         fleet
             .running()
-            .all(|(_, heart)| heart.member_counts().live == 1),
-        "each hears itself alone"
+            .all(|(_, membership)| membership.member_counts().live == 1),
+        "each gateway knows only itself"
+    );
+    assert_eq!(
+        gateway_counts,
+        vec![u32::try_from(gateways).unwrap(); gateways]
     );
-    assert_eq!(told, vec![u32::try_from(gateways).unwrap(); gateways]);
-    let plan = plan(gateways, Who::IsMadePrimary);
+    let plan = plan(gateways, ColdMember::IsMadePrimary);
     for seed in 1..=2 {
-        let (part, got, may) = most(&plan, &play(&plan, seed, &told));
-        assert!(
-            part <= 1.0,
-            "{got} in a window in which {may:.0} push it over"
-        );
+        let (part, got, may) = peak_load(&plan, &run_plan(&plan, seed, &gateway_counts));
+        assert!(part <= 1.0, "{got} requests in a window, budget {may:.0}");
     }
 }
 
-/// That the plan would show it: the same gateways, each of which takes itself for the only one.
+/// Control: with the same plan, gateways that each assume to be the only one exceed the budget.
 #[test]
-fn gateways_that_take_themselves_for_the_only_one_go_over() {
-    let plan = plan(30, Who::IsMadePrimary);
-    let (part, got, may) = most(&plan, &play(&plan, 1, &[1; 30]));
+fn gateways_assuming_to_be_alone_exceed_budget() {
+    let plan = plan(30, ColdMember::IsMadePrimary);
+    let (part, got, may) = peak_load(&plan, &run_plan(&plan, 1, &[1; 30]));
     assert!(part > 1.0, "{got} of {may:.0}");
 }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Memberships of a fleet in virtual time under faults: what each believes, and how soon.
+//! Memberships of a fleet under a virtual clock and faults: which members each gateway considers
+//! live, and how soon.
 
 use rstest::rstest;
 use valehatch_membership::wire::MemberState;
@@ -16,7 +17,7 @@
 fn network(lost: f64) -> Network {
     Network {
         lost,
-        doubled: lost / 2.0,
+        duplicated: lost / 2.0,
         delay: (Span(200), Span::from_millis(20)),
     }
 }
@@ -47,7 +48,7 @@
 }
 
 #[rstest]
-fn all_that_start_together_find_each_other(
+fn gateways_started_together_discover_each_other(
     #[values((1, 0.0), (2, 0.5), (3, 0.5), (12, 0.5), (12, 0.0), (100, 0.0), (100, 0.1))] drawn: (
         usize,
         f64,
@@ -62,32 +63,33 @@
     };
     assert!(
         fleet.run(s(60), synced).unwrap(),
-        "each knows that it knows all"
+        "each reports that it is synchronized"
     );
 }
 
 #[rstest]
 #[case::half_the_datagrams(0.5, 11)]
 #[case::none_lost(0.0, 3)]
-fn one_that_is_killed_counts_as_dead_and_comes_back_as_another(
+fn killed_gateway_is_marked_dead_and_rejoins_with_new_incarnation(
     #[case] lost: f64,
     #[case] seed: u64,
 ) {
     let mut fleet = fleet(12, lost, seed);
     agree(&mut fleet, s(60), "at first");
-    let before = fleet.heart(5).unwrap().incarnation();
+    let before = fleet.membership(5).unwrap().incarnation();
     fleet.kill(5);
     agree(&mut fleet, s(120), "after the kill");
-    // Its wall clock stands an hour back, and it remembers nothing: it still outbids its former self.
+    // Without saved state and with its wall clock an hour back, its new incarnation still has to be
+    // higher.
     fleet.start(5, -3_600_000).unwrap();
     agree(&mut fleet, s(60), "after the start");
-    let now = fleet.heart(5).unwrap().incarnation();
+    let now = fleet.membership(5).unwrap().incarnation();
     assert!(
         now > before && now.nonce != before.nonce,
         "{before:?} {now:?}"
     );
     let peer = fleet
-        .heart(2)
+        .membership(2)
         .unwrap()
         .peers()
         .find(|(a, _)| **a == address(5))
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn one_that_starts_again_at_once_is_told_from_its_former_self_though_nobody_missed_it() {
+fn immediate_restart_is_recognized_as_new_incarnation_without_failure_detection() {
     let mut fleet = fleet(8, 0.0, 5);
     agree(&mut fleet, s(60), "at first");
     fleet.notes.clear();
@@ -107,7 +109,7 @@
     fleet.run(s(10), |_| false).unwrap();
     agree(&mut fleet, s(10), "after the restart");
     let who: Vec<usize> = (0..8).filter(|n| *n != 3).collect();
-    let told = |n: &usize| {
+    let reports = |n: &usize| {
         noted(&fleet, |by, note| {
             by == *n && note == MembershipEvent::Restarted(address(3))
         }) + noted(&fleet, |by, note| {
@@ -115,14 +117,14 @@
         })
     };
     assert!(
-        who.iter().all(|n| told(n) >= 1),
-        "each learns that it is another: {:?}",
+        who.iter().all(|n| reports(n) >= 1),
+        "each gateway reports the restart: {:?}",
         fleet.notes
     );
 }
 
 #[test]
-fn a_planned_end_is_known_long_before_silence_would_be_and_is_no_failure() {
+fn planned_leave_spreads_fast_and_is_not_reported_as_failure() {
     let mut fleet = fleet(40, 0.01, 9);
     agree(&mut fleet, s(60), "at first");
     fleet.notes.clear();
@@ -144,21 +146,21 @@
 #[rstest]
 #[case::both_ways(false)]
 #[case::one_way(true)]
-fn two_halves_that_were_cut_apart_are_one_again(#[case] one_way: bool) {
+fn partitioned_halves_merge_after_healing(#[case] one_way: bool) {
     let mut fleet = fleet(30, 0.01, 13);
     agree(&mut fleet, s(60), "at first");
-    fleet.cut((0..30).map(|n| n % 2).collect(), one_way);
+    fleet.partition((0..30).map(|n| n % 2).collect(), one_way);
     fleet.run(s(40), |_| false).unwrap();
     fleet.heal();
     agree(&mut fleet, s(30), "after the cut");
 }
 
 #[test]
-fn one_that_stood_still_knows_it_before_all_else_and_takes_nobody_for_dead() {
+fn paused_gateway_reports_pause_first_and_suspects_nobody() {
     let mut fleet = fleet(20, 0.0, 21);
     agree(&mut fleet, s(60), "at first");
     fleet.notes.clear();
-    fleet.stop(4, s(30));
+    fleet.pause(4, s(30));
     fleet.run(s(40), |_| false).unwrap();
     agree(&mut fleet, s(20), "after the sleep");
     let first = fleet.notes.iter().find(|n| n.by == 4).unwrap();
@@ -173,11 +175,15 @@
                 MembershipEvent::Suspected(_) | MembershipEvent::Failed(_)
             )
     };
-    assert_eq!(noted(&fleet, blamed), 0, "who was silent was itself");
+    assert_eq!(
+        noted(&fleet, blamed),
+        0,
+        "the paused gateway blamed others for its own silence"
+    );
 }
 
 #[test]
-fn with_every_tenth_datagram_lost_nobody_who_lives_is_taken_for_dead() {
+fn ten_percent_loss_causes_no_false_failure() {
     let mut fleet = fleet(60, 0.1, 17);
     agree(&mut fleet, s(60), "at first");
     fleet.notes.clear();
@@ -189,7 +195,7 @@
 }
 
 #[test]
-fn a_gateway_in_a_crash_loop_does_not_grow_what_the_others_hold() {
+fn crash_loop_does_not_grow_member_tables() {
     let mut fleet = fleet(10, 0.0, 23);
     agree(&mut fleet, s(60), "at first");
     for _ in 0..20 {
@@ -203,7 +209,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_steps_again() {
+fn same_seed_gives_same_steps() {
     let steps = |seed| {
         let mut fleet = fleet(15, 0.2, seed);
         fleet.run(s(30), |_| false).unwrap();
@@ -217,5 +223,5 @@
         )
     };
     assert_eq!(steps(4), steps(4));
-    assert_ne!(steps(4).1, steps(5).1, "and another seed others");
+    assert_ne!(steps(4).1, steps(5).1, "another seed gives other steps");
 }
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -1,10 +1,11 @@
-//! The lab as a process: a seed gives the same again, no rule is broken, and bad files are named.
+//! The test bed's executable: a seed reproduces its run, no invariant is violated, and errors name
+//! what is wrong in a file.
 
 use std::process::{Command, Output};
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
-fn lab(args: &[&str]) -> Output {
+fn testbed(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_valehatch-testbed"))
         .current_dir(ROOT)
         .args(args)
@@ -12,14 +13,14 @@
         .unwrap()
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
-fn a_seed_gives_the_same_steps_again_and_no_rule_is_broken() {
+fn replay_of_seed_repeats_steps_without_violation() {
     let replay = || {
-        lab(&[
+        testbed(&[
             "replay",
             "experiments/lost-primary.toml",
             "--seed",
@@ -36,13 +37,13 @@
         "{}",
         String::from_utf8_lossy(&first.stderr)
     );
-    assert!(out(&first).lines().count() > 400);
-    assert_eq!(out(&first), out(&second));
+    assert!(stdout(&first).lines().count() > 400);
+    assert_eq!(stdout(&first), stdout(&second));
 }
 
 #[test]
-fn on_opening_day_the_door_gives_each_its_due() {
-    let output = lab(&[
+fn fair_admission_on_opening_day_serves_tenants_their_due() {
+    let output = testbed(&[
         "replay",
         "experiments/opening-day.toml",
         "--seed",
@@ -50,7 +51,7 @@
         "--door",
         "fair",
     ]);
-    let table = out(&output);
+    let table = stdout(&output);
     for tenant in ["aaengen", "skovbakken"] {
         let line = table
             .lines()
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn invalid_experiment_or_seeds_are_rejected_with_key_name() {
     let path = std::env::temp_dir().join(format!("valehatch-testbed-{}.toml", std::process::id()));
     let text = std::fs::read_to_string(format!("{ROOT}/experiments/opening-day.toml")).unwrap();
     for (good, bad, wanted) in [
@@ -71,19 +72,19 @@
         ("heeds = \"nothing\"", "heeds = \"all\"", "heeds"),
     ] {
         std::fs::write(&path, text.replace(good, bad)).unwrap();
-        let output = lab(&["run", path.to_str().unwrap(), "--seeds", "1"]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let output = testbed(&["run", path.to_str().unwrap(), "--seeds", "1"]);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            output.status.code() == Some(2) && said.contains(wanted),
-            "{said}"
+            output.status.code() == Some(2) && stderr.contains(wanted),
+            "{stderr}"
         );
     }
     let _ = std::fs::remove_file(&path);
     assert_eq!(
-        lab(&["run", "experiments/opening-day.toml", "--seeds", "9..2"])
+        testbed(&["run", "experiments/opening-day.toml", "--seeds", "9..2"])
             .status
             .code(),
         Some(2)
     );
-    assert!(out(&lab(&["list"])).lines().count() >= 4);
+    assert!(stdout(&testbed(&["list"])).lines().count() >= 4);
 }
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -1,5 +1,6 @@
-//! The fleet's view in virtual time: after each of the hard cases it settles, on just those that run, and no claim to be
-//! settled is wrong on the way. What judges that sees a join that is spoilt.
+//! Membership views of a fleet under a virtual clock: after each fault scenario all views converge
+//! on exactly the running gateways, and no claim of convergence is wrong meanwhile. Faults injected
+//! into the merge of views must be detected.
 
 use rstest::rstest;
 use valehatch_membership::view::InjectedFault;
@@ -15,7 +16,7 @@
 }
 
 #[rstest]
-fn the_view_settles_after(
+fn views_converge_after_fault_case(
     #[values(
         Case::Start,
         Case::Halves,
@@ -42,40 +43,42 @@
     }
 }
 
-/// Where a part of what is known is long, what is named of it still fits a datagram.
+/// With many members, the part of the view that is sent still fits into one datagram.
 #[rstest]
 #[case(Case::CrashLoop, 2)]
 #[case(Case::Rolling, 3)]
-fn a_hundred_settle_and_all_fits_a_datagram(#[case] case: Case, #[case] seed: u64) {
+fn views_of_hundred_gateways_converge_within_datagram_size(#[case] case: Case, #[case] seed: u64) {
     let row = plan()
         .play(100, case, seed)
         .unwrap_or_else(|b| panic!("{}", b.0));
     assert!(row.start_s < 5.0 && row.quiet_bytes_s < 200.0, "{row:?}");
 }
 
-/// While a cut lasts each side settles by itself: those that hear each other both ways.
+/// During a partition, the gateways that reach each other in both directions converge among
+/// themselves.
 #[rstest]
 #[case::both_ways(false)]
 #[case::one_way(true)]
-fn each_half_of_a_cut_settles_by_itself(#[case] one_way: bool) {
+fn each_side_of_partition_converges_by_itself(#[case] one_way: bool) {
     let within = Span::from_millis(60_000);
     let mut play = Play::new(&plan(), 12, 3);
-    play.begin(within).unwrap();
-    play.fleet.cut((0..14).map(|n| n % 2).collect(), one_way);
-    play.settle(within).unwrap();
+    play.start_all(within).unwrap();
+    play.fleet
+        .partition((0..14).map(|n| n % 2).collect(), one_way);
+    play.await_convergence(within).unwrap();
     play.fleet.heal();
-    play.settle(within).unwrap();
+    play.await_convergence(within).unwrap();
 }
 
 #[test]
-fn two_under_one_name_are_both_told_and_all_are_settled_with_them() {
+fn gateways_with_same_address_both_report_duplicate_and_views_converge() {
     use valehatch_membership::MembershipEvent;
     let mut play = Play::new(&plan(), 12, 5);
-    play.begin(Span::from_millis(60_000)).unwrap();
+    play.start_all(Span::from_millis(60_000)).unwrap();
     play.fleet.notes.clear();
-    play.fleet.rename(13, 4);
+    play.fleet.share_address(13, 4);
     play.fleet.start(13, 0).unwrap();
-    let told = |play: &Play, n| {
+    let duplicates_reported = |play: &Play, n| {
         play.fleet
             .notes
             .iter()
@@ -85,50 +88,61 @@
     play.fleet
         .run(Span::from_millis(20_000), |_| false)
         .unwrap();
-    assert_eq!((told(&play, 4), told(&play, 13)), (1, 1));
-    play.settle(Span::from_millis(20_000)).unwrap();
-    // Neither goes on outbidding the other.
+    assert_eq!(
+        (
+            duplicates_reported(&play, 4),
+            duplicates_reported(&play, 13)
+        ),
+        (1, 1)
+    );
+    play.await_convergence(Span::from_millis(20_000)).unwrap();
+    // Neither keeps raising its incarnation above the other's.
     let before: Vec<_> = [4, 13]
-        .map(|n| play.fleet.heart(n).unwrap().incarnation())
+        .map(|n| play.fleet.membership(n).unwrap().incarnation())
         .to_vec();
     play.fleet
         .run(Span::from_millis(60_000), |_| false)
         .unwrap();
     let after: Vec<_> = [4, 13]
-        .map(|n| play.fleet.heart(n).unwrap().incarnation())
+        .map(|n| play.fleet.membership(n).unwrap().incarnation())
         .to_vec();
     assert_eq!(before, after);
 }
 
-/// Each fault in the join is seen, and seen again with the same seed.
+/// Each fault injected into the merge of views is detected, and again with the same seed.
 #[rstest]
-#[case::a_holder_counted_twice(InjectedFault::DoubleCount, Case::Killed, 30)]
-#[case::an_old_word_taken(InjectedFault::AcceptStale, Case::Killed, 30)]
-#[case::a_half_forgotten(InjectedFault::ForgetPartition, Case::Halves, 12)]
-fn a_spoilt_join_is_seen(#[case] mutant: InjectedFault, #[case] case: Case, #[case] size: usize) {
-    let judged = |mutant: Option<InjectedFault>, seed| {
+#[case::member_counted_twice(InjectedFault::DoubleCount, Case::Killed, 30)]
+#[case::stale_update_accepted(InjectedFault::AcceptStale, Case::Killed, 30)]
+#[case::partition_forgotten(InjectedFault::ForgetPartition, Case::Halves, 12)]
+fn injected_merge_fault_is_detected(
+    #[case] mutant: InjectedFault,
+    #[case] case: Case,
+    #[case] size: usize,
+) {
+    let run_case = |mutant: Option<InjectedFault>, seed| {
         let within = Span::from_millis(30_000);
         let mut play = Play::new(&plan(), size, seed);
         if let Some(mutant) = mutant {
-            play.fleet.prepare = Some(Box::new(move |heart| heart.inject_fault(mutant)));
+            play.fleet.start_hook =
+                Some(Box::new(move |membership| membership.inject_fault(mutant)));
         }
-        play.begin(within)
-            .and_then(|_| play.happens(case))
-            .and_then(|()| play.settle(within))
+        play.start_all(within)
+            .and_then(|_| play.apply_case(case))
+            .and_then(|()| play.await_convergence(within))
             .map_err(|b| b.0)
     };
-    let seen: Vec<(u64, String)> = (1..6)
-        .filter_map(|s| Some((s, judged(Some(mutant), s).err()?)))
+    let detected: Vec<(u64, String)> = (1..6)
+        .filter_map(|s| Some((s, run_case(Some(mutant), s).err()?)))
         .collect();
-    assert!(!seen.is_empty(), "not seen on five seeds");
-    let (seed, what) = &seen[0];
+    assert!(!detected.is_empty(), "not detected with five seeds");
+    let (seed, what) = &detected[0];
     assert_eq!(
-        judged(Some(mutant), *seed).as_ref().err(),
+        run_case(Some(mutant), *seed).as_ref().err(),
         Some(what),
-        "the seed shows it again"
+        "the same seed reproduces the violation"
     );
     assert!(
-        (1..6).all(|s| judged(None, s).is_ok()),
-        "and without it nothing is seen"
+        (1..6).all(|s| run_case(None, s).is_ok()),
+        "no violation without the injected fault"
     );
 }
