--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -278,10 +278,10 @@
             }
             let names: BTreeSet<SocketAddr> =
                 near().chain([n]).map(|o| self.address_used(*o)).collect();
-            let runs_incarnation = |name: &SocketAddr, generation: &Incarnation| {
+            let runs_incarnation = |name: &SocketAddr, incarnation: &Incarnation| {
                 let of = all.iter().filter(|o| self.address_used(**o) == *name);
                 of.filter_map(|o| self.membership(*o))
-                    .any(|h| h.incarnation().nonce == generation.nonce)
+                    .any(|h| h.incarnation().nonce == incarnation.nonce)
             };
             let there: Vec<_> = membership
                 .members()
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -26,30 +26,30 @@
     /// Run an experiment with each of its admission modes and seeds; write table, CSV, JSON and
     /// charts.
     Run {
-        /// The experiment, in TOML.
+        /// Experiment file in TOML.
         experiment: PathBuf,
         /// Seeds, such as 1..20 (both included) or 7.
         #[arg(long, default_value = "1..20")]
         seeds: String,
-        /// Where the results go.
+        /// Folder for the results.
         #[arg(long)]
         out: Option<PathBuf>,
     },
     /// Run several real gateway processes under scripted faults; write table, CSV and JSON.
     #[command(name = "cluster-test", alias = "stage")]
     ClusterTest {
-        /// The experiment, in TOML.
+        /// Experiment file in TOML.
         experiment: PathBuf,
         /// Seeds, such as 1..5 (both included) or 7.
         #[arg(long, default_value = "1..5")]
         seed: String,
-        /// The program.
+        /// Gateway executable.
         #[arg(long, default_value = "target/release/valehatch")]
         program: PathBuf,
         /// Another build that runs the variant `plain` in place of the program.
         #[arg(long)]
         before: Option<PathBuf>,
-        /// Where the results go.
+        /// Folder for the results.
         #[arg(long)]
         out: Option<PathBuf>,
     },
@@ -58,7 +58,7 @@
     Soak(soak::command::Soak),
     /// Run one seed again; print the last steps if an invariant is violated.
     Replay {
-        /// The experiment, in TOML.
+        /// Experiment file in TOML.
         experiment: PathBuf,
         /// Seed to run.
         #[arg(long)]
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -39,7 +39,7 @@
     pub process_exits: Arc<ProcessExits>,
     pub groups: usize,
     /// Mean time between two requests.
-    pub gap: Duration,
+    pub mean_interval: Duration,
     /// Whether the client checks an idle connection for a close before it sends on it.
     pub checks_before_reuse: bool,
     pub rng: Xoshiro256PlusPlus,
@@ -79,7 +79,7 @@
             address,
             process_exits,
             groups,
-            gap: MEAN_REQUEST_INTERVAL,
+            mean_interval: MEAN_REQUEST_INTERVAL,
             checks_before_reuse,
             rng,
         }
@@ -89,7 +89,7 @@
     pub fn run(mut self) {
         let mut connection = None;
         while !self.world.is_over() {
-            sleep(self.gap.mul_f64(0.5 + self.rng.random::<f64>()));
+            sleep(self.mean_interval.mul_f64(0.5 + self.rng.random::<f64>()));
             let idle = connection.take();
             let stream = match idle
                 .filter(|stream| !self.checks_before_reuse || !has_pending_input(stream))
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -14,28 +14,28 @@
     /// Seeds, such as 1..20 (both included) or 7.
     #[arg(long, default_value = "1..5")]
     pub seeds: String,
-    /// A schedule, in TOML, in place of those that the seeds draw.
+    /// Schedule file in TOML, used instead of schedules drawn from the seeds.
     #[arg(long)]
     pub schedule: Option<PathBuf>,
-    /// Drop faults one by one from what breaks, for as long as the rest still breaks in one of so
-    /// many plays.
+    /// Shrink failing schedules: drop faults one by one while the rest still fails in one of this
+    /// many runs; 0: do not shrink.
     #[arg(long, default_value_t = 0)]
     pub shrink: usize,
-    /// Gateways, from 1 to 40.
+    /// Number of gateways, from 1 to 40.
     #[arg(long, default_value_t = 12)]
     pub gateways: usize,
-    /// Groups of three endpoints each, from 1 to 8.
+    /// Number of groups of three endpoints each, from 1 to 8.
     #[arg(long, default_value_t = 2)]
     pub groups: usize,
-    /// The program.
+    /// Gateway executable.
     #[arg(long, default_value = "target/release/valehatch")]
     pub program: PathBuf,
-    /// Where logs of runs that broke are left.
+    /// Folder that keeps the logs of failing runs.
     #[arg(long, default_value = "target/soak")]
     pub out: PathBuf,
 }
 
-/// Share of an endpoint group's capacity for each gateway, in requests of mean work per second.
+/// Capacity of an endpoint for each gateway that sends to it, in requests of mean work per second.
 const CAPACITY_FOR_EACH_GATEWAY: f64 = 8.0;
 
 impl Soak {
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -4,10 +4,10 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`schedule`] | fault schedules: random generation, TOML form, shrinking, coverage of overlaps |
+//! | [`schedule`] | fault schedules: generation, TOML form, shrinking, coverage of overlaps |
 //! | [`oracle`] | the invariant checker |
 //! | [`world`] | state shared by all stubs |
-//! | [`endpoints`], [`agents`], [`clients`] | stub endpoints, stub discovery agents and simulated clients |
+//! | [`endpoints`], [`agents`], [`clients`] | stub endpoints, stub agents, simulated clients |
 //! | [`processes`] | the gateway processes |
 //! | [`inject`] | starts and ends each fault |
 
--- a/crates/testbed/src/soak/processes.rs
+++ b/crates/testbed/src/soak/processes.rs
@@ -161,7 +161,7 @@
     }
 
     /// Waits until the gateway answers an empty query; false if it did not within
-    /// [`READY_TIMEOUT`].
+    /// 10 s.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let end = Instant::now() + READY_TIMEOUT;
