--- a/crates/gateway/tests/cluster_test.rs
+++ b/crates/gateway/tests/cluster_test.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use rstest::rstest;
-use valehatch_testbed::cluster_test::{Plan, Way};
+use valehatch_testbed::cluster_test::{Plan, Variant};
 
 fn plan(seconds: f64, events: &str) -> Result<Plan, String> {
     // With until-full the events wait for full service and the run ends once it is restored, which
@@ -47,7 +47,12 @@
         .collect();
     let plan = plan(60.0, &events).unwrap();
     let row = plan
-        .play(Path::new(env!("CARGO_BIN_EXE_valehatch")), Way::Kept, 5, 1)
+        .play(
+            Path::new(env!("CARGO_BIN_EXE_valehatch")),
+            Variant::Kept,
+            5,
+            1,
+        )
         .unwrap();
     assert_eq!(row.broken, Vec::<String>::new());
     assert!(
@@ -61,7 +66,12 @@
 fn cluster_test_detects_gateways_that_do_not_restart() {
     let plan = plan(11.0, &event(4.0, "kill", "share = 0.6")).unwrap();
     let row = plan
-        .play(Path::new(env!("CARGO_BIN_EXE_valehatch")), Way::Kept, 5, 1)
+        .play(
+            Path::new(env!("CARGO_BIN_EXE_valehatch")),
+            Variant::Kept,
+            5,
+            1,
+        )
         .unwrap();
     assert!(row.full_s.is_none(), "{:?}", row.curve);
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -12,7 +12,7 @@
 
 use rstest::rstest;
 use support::*;
-use valehatch_testbed::relay::{Relays, Weather};
+use valehatch_testbed::relay::{NetworkConditions, Relays};
 
 /// Gateways whose peer traffic passes through relays. The n-th gateway listens for peers at
 /// `listen[n]` and advertises the address of its relay; a gateway that does not run is `None`.
@@ -259,9 +259,9 @@
         .iter()
         .filter(|_| both_directions)
         .map(|(a, b)| (*b, *a));
-    fleet.relays.set(Weather {
+    fleet.relays.set(NetworkConditions {
         cut: halves.iter().copied().chain(back).collect(),
-        ..Weather::default()
+        ..NetworkConditions::default()
     });
     let other_half: BTreeSet<SocketAddr> = (0..3).map(|n| fleet.advertised(n)).collect();
     wait_until(
@@ -272,7 +272,7 @@
         (0..6).all(|n| fleet.view(n).is_some_and(|v| v.0 == 3))
     });
     fleet.expect_all_serve();
-    fleet.relays.set(Weather::default());
+    fleet.relays.set(NetworkConditions::default());
     fleet.wait_for_agreement("the halves have merged");
     fleet.wait_for_settled_view(6, "all views are equal after the partition");
 }
@@ -280,11 +280,11 @@
 #[test]
 fn half_of_datagrams_lost_others_late_or_duplicated_all_gateways_find_each_other() {
     let mut fleet = Fleet::new(5);
-    fleet.relays.set(Weather {
+    fleet.relays.set(NetworkConditions {
         lost: 0.5,
-        doubled: 0.5,
+        duplicated: 0.5,
         delay: Duration::from_millis(60),
-        ..Weather::default()
+        ..NetworkConditions::default()
     });
     fleet.kill(&[0, 1, 2, 3, 4]);
     (0..5).for_each(|n| fleet.start(n));
@@ -299,7 +299,7 @@
         (0..5).all(has_found_all)
     });
     fleet.expect_all_serve();
-    fleet.relays.set(Weather::default());
+    fleet.relays.set(NetworkConditions::default());
     fleet.wait_for_agreement("all gateways agree once the faults have ended");
     fleet.wait_for_settled_view(5, "all views are equal once the faults have ended");
     // The platform's networks carry at most 256 bytes in one datagram.
@@ -357,9 +357,9 @@
     let mut fleet = Fleet::new(5);
     fleet.kill(&[4]);
     fleet.wait_for_settled_view(4, "four gateways without the fifth");
-    fleet.relays.set(Weather {
-        namesake: Some((4, 3)),
-        ..Weather::default()
+    fleet.relays.set(NetworkConditions {
+        shared_address: Some((4, 3)),
+        ..NetworkConditions::default()
     });
     fleet.start_as(4, fleet.advertised(3));
     wait_until("both gateways log the duplicate address", || {
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,4 +1,5 @@
-//! `valehatch-testbed soak`: plays seeds or a schedule from a file, says what broke, and makes what broke smaller.
+//! `valehatch-testbed soak`: runs the schedules of a range of seeds, or one schedule from a file,
+//! reports violated invariants, and shrinks failing schedules.
 
 use std::path::PathBuf;
 
@@ -13,34 +14,35 @@
     /// Seeds, such as 1..20 (both included) or 7.
     #[arg(long, default_value = "1..5")]
     pub seeds: String,
-    /// A schedule, in TOML, in place of those that the seeds draw.
+    /// Schedule file in TOML, used instead of schedules drawn from the seeds.
     #[arg(long)]
     pub schedule: Option<PathBuf>,
-    /// Drop faults one by one from what breaks, for as long as the rest still breaks in one of so many plays.
+    /// Shrink failing schedules: drop faults one by one while the rest still fails in one of this
+    /// many runs; 0: do not shrink.
     #[arg(long, default_value_t = 0)]
     pub shrink: usize,
-    /// Gateways, from 1 to 40.
+    /// Number of gateways, from 1 to 40.
     #[arg(long, default_value_t = 12)]
     pub gateways: usize,
-    /// Groups of three endpoints each, from 1 to 8.
+    /// Number of groups of three endpoints each, from 1 to 8.
     #[arg(long, default_value_t = 2)]
     pub groups: usize,
-    /// The program.
+    /// Gateway executable.
     #[arg(long, default_value = "target/release/valehatch")]
     pub program: PathBuf,
-    /// Where logs of runs that broke are left.
+    /// Folder that keeps the logs of failing runs.
     #[arg(long, default_value = "target/soak")]
     pub out: PathBuf,
 }
 
-/// Requests of mean work that an endpoint can do in a second, for each gateway that sends.
+/// Capacity of an endpoint for each gateway that sends to it, in requests of mean work per second.
 const CAPACITY_FOR_EACH_GATEWAY: f64 = 8.0;
 
 impl Soak {
-    /// Plays all; says on standard output what came of each.
+    /// Runs all seeds and prints the result of each to standard output.
     ///
     /// # Errors
-    /// What cannot be played, or how many runs broke an invariant.
+    /// A run could not be set up, or the number of runs that violated an invariant.
     pub fn run(&self, seeds: &[u64]) -> Result<(), String> {
         let plan = self.plan()?;
         let given = self.schedule.as_ref().map(|path| {
@@ -106,7 +108,8 @@
         })
     }
 
-    /// Keeps the smallest schedule that still breaks the first invariant, beside the logs.
+    /// Writes the smallest schedule found that still violates the first violated invariant next to
+    /// the logs.
     fn shrink(
         &self,
         plan: &Plan,
