--- a/crates/gateway/tests/support/cql.rs
+++ b/crates/gateway/tests/support/cql.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that speak the Cassandra native protocol: nodes, and a client.
+//! Stub nodes and a client that speak the Cassandra native protocol.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use super::{WAIT, listen};
+use super::{TEST_TIMEOUT, spawn_server};
 
 pub(crate) const ERROR: u8 = 0x00;
 pub(crate) const READY: u8 = 0x02;
@@ -47,7 +47,7 @@
             body,
         })
     }
-    /// Code and message of an error, behind a custom payload if there is one.
+    /// Code and message of an error, which follow the custom payload if there is one.
     pub(crate) fn error(&self) -> (u32, String) {
         assert_eq!(self.op, ERROR, "{self:?}");
         let mut at = &self.body[..];
@@ -81,12 +81,13 @@
     .concat()
 }
 
+/// Opcode and body of a QUERY.
 pub(crate) fn query(text: &str) -> (u8, Vec<u8>) {
     (0x07, [&long(text)[..], &[0, 1, 0]].concat())
 }
 
-/// A page of rows: one row of one column, which is not described.
-pub(crate) fn rows(value: &str) -> Vec<u8> {
+/// Body of a rows result: one row of one column, without metadata.
+pub(crate) fn rows_body(value: &str) -> Vec<u8> {
     [
         &[0, 0, 0, 2, 0, 0, 0, 4, 0, 0, 0, 1, 0, 0, 0, 1][..],
         &long(value),
@@ -94,49 +95,56 @@
     .concat()
 }
 
-pub(crate) fn fault(code: u32, more: &[u8]) -> Vec<u8> {
+pub(crate) fn error_body(code: u32, more: &[u8]) -> Vec<u8> {
     [&code.to_be_bytes()[..], &short(b"no"), more].concat()
 }
 
-pub(crate) enum Does {
-    Say(u8, Vec<u8>),
-    /// Part of an answer, then the end of the connection.
-    Cut,
-    /// Ends the connection before anything is said.
-    Reset,
-    /// Part of an answer, then silence, whatever else is asked on the connection.
-    Stall,
-    /// No answer, while the connection goes on.
-    Silent,
+/// How a stub node replies to a request.
+pub(crate) enum Reply {
+    /// A frame with this opcode and body.
+    Send(u8, Vec<u8>),
+    /// Part of a frame, then the end of the connection.
+    PartialThenClose,
+    /// Closes the connection without a reply.
+    Close,
+    /// Part of a frame, then nothing more on this connection, whatever is requested.
+    PartialThenStall,
+    /// No reply to this request; the connection stays in use.
+    Unanswered,
 }
 
+/// What a stub node has recorded.
 #[derive(Default)]
-pub(crate) struct Node {
-    /// Requests with their time, connection and stream.
-    pub seen: Mutex<Vec<(Instant, usize, Frame)>>,
+pub(crate) struct StubNode {
+    /// Each request with its arrival time and the number of its connection.
+    pub requests: Mutex<Vec<(Instant, usize, Frame)>>,
+    /// Number of connections accepted.
     pub opened: AtomicUsize,
+    /// Number of connections that have ended.
     pub closed: AtomicUsize,
 }
 
-/// A node as real ones are: what is asked on one connection is worked on at the same time, and answered in any order.
-pub(crate) fn node(
-    does: impl Fn(&Frame, &Node) -> Does + Send + Sync + 'static,
-) -> (SocketAddr, Arc<Node>) {
-    let node = Arc::new(Node::default());
-    let (shared, does) = (Arc::clone(&node), Arc::new(does));
-    let address = listen(move |mut stream| {
+/// Starts a stub node that, like a real one, processes the requests of a connection concurrently
+/// and answers them in any order.
+pub(crate) fn stub_node(
+    reply_to: impl Fn(&Frame, &StubNode) -> Reply + Send + Sync + 'static,
+) -> (SocketAddr, Arc<StubNode>) {
+    let node = Arc::new(StubNode::default());
+    let (shared, reply_to) = (Arc::clone(&node), Arc::new(reply_to));
+    let address = spawn_server(move |mut stream| {
         let connection = shared.opened.fetch_add(1, Ordering::SeqCst);
         let out = Arc::new(Mutex::new(stream.try_clone().unwrap()));
         while let Some(frame) = Frame::read(&mut stream) {
             if !matches!(frame.op, 0x01 | 0x05) {
                 shared
-                    .seen
+                    .requests
                     .lock()
                     .unwrap()
                     .push((Instant::now(), connection, frame.clone()));
             }
-            let (shared, does, out) = (Arc::clone(&shared), Arc::clone(&does), Arc::clone(&out));
-            std::thread::spawn(move || answer(&frame, &shared, &*does, &out));
+            let (shared, reply_to, out) =
+                (Arc::clone(&shared), Arc::clone(&reply_to), Arc::clone(&out));
+            std::thread::spawn(move || answer(&frame, &shared, &*reply_to, &out));
         }
         shared.closed.fetch_add(1, Ordering::SeqCst);
     });
@@ -145,11 +153,11 @@
 
 fn answer(
     frame: &Frame,
-    node: &Node,
-    does: &dyn Fn(&Frame, &Node) -> Does,
+    node: &StubNode,
+    reply_to: &dyn Fn(&Frame, &StubNode) -> Reply,
     out: &Mutex<TcpStream>,
 ) {
-    let whole = |op, body| {
+    let response = |op, body| {
         Frame {
             version: 0x84,
             flags: 0,
@@ -159,20 +167,23 @@
         }
         .bytes()
     };
-    let does = match frame.op {
-        0x01 => Does::Say(READY, vec![]),
-        0x05 => Does::Say(SUPPORTED, vec![0, 0]),
-        _ => does(frame, node),
+    let reply = match frame.op {
+        0x01 => Reply::Send(READY, vec![]),
+        0x05 => Reply::Send(SUPPORTED, vec![0, 0]),
+        _ => reply_to(frame, node),
     };
     let mut out = out.lock().unwrap();
-    let (bytes, ends) = match does {
-        Does::Silent => return,
-        Does::Say(op, body) => (whole(op, body), false),
-        Does::Reset => (vec![], true),
-        Does::Cut => (whole(RESULT, rows("never whole"))[..14].to_vec(), true),
-        Does::Stall => {
-            let _ = out.write_all(&whole(RESULT, rows("never whole"))[..14]);
-            // Nothing more is said before the other side ends the connection.
+    let (bytes, closes) = match reply {
+        Reply::Unanswered => return,
+        Reply::Send(op, body) => (response(op, body), false),
+        Reply::Close => (vec![], true),
+        Reply::PartialThenClose => (
+            response(RESULT, rows_body("incomplete"))[..14].to_vec(),
+            true,
+        ),
+        Reply::PartialThenStall => {
+            let _ = out.write_all(&response(RESULT, rows_body("incomplete"))[..14]);
+            // Holds the output, so that nothing more is sent before the peer closes the connection.
             while out.peek(&mut [0; 4096]).is_ok_and(|n| n > 0) {
                 std::thread::sleep(std::time::Duration::from_millis(5));
             }
@@ -180,28 +191,29 @@
         }
     };
     let _ = out.write_all(&bytes);
-    if ends {
+    if closes {
         let _ = out.shutdown(std::net::Shutdown::Both);
     }
 }
 
-pub(crate) fn served(frame: &Frame, _: &Node) -> Does {
+/// Replies with a row that holds the body of the request.
+pub(crate) fn echo_query(frame: &Frame, _: &StubNode) -> Reply {
     let text = String::from_utf8_lossy(&frame.body).into_owned();
-    Does::Say(RESULT, rows(&text))
+    Reply::Send(RESULT, rows_body(&text))
 }
 
 pub(crate) struct Client(pub TcpStream);
 
 impl Client {
-    pub(crate) fn raw(address: SocketAddr) -> Self {
+    pub(crate) fn connect_raw(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Self(stream)
     }
     pub(crate) fn connect(address: SocketAddr) -> Self {
-        let mut client = Self::raw(address);
+        let mut client = Self::connect_raw(address);
         let startup = [&[0, 1][..], &short(b"CQL_VERSION"), &short(b"3.0.0")].concat();
-        assert_eq!(client.ask(1, (0x01, startup)).op, READY);
+        assert_eq!(client.request(1, (0x01, startup)).op, READY);
         client
     }
     pub(crate) fn send(&mut self, stream: i16, (op, body): (u8, Vec<u8>)) {
@@ -221,7 +233,7 @@
     pub(crate) fn answer(&mut self) -> Frame {
         Frame::read(&mut self.0).expect("an answer")
     }
-    pub(crate) fn ask(&mut self, stream: i16, request: (u8, Vec<u8>)) -> Frame {
+    pub(crate) fn request(&mut self, stream: i16, request: (u8, Vec<u8>)) -> Frame {
         self.send(stream, request);
         let answer = self.answer();
         assert_eq!((answer.version, answer.stream), (0x84, stream));
--- a/crates/gateway/tests/support/faults.rs
+++ b/crates/gateway/tests/support/faults.rs
@@ -1,4 +1,5 @@
-//! A gateway on a machine whose system calls fail, and whose wall clock is off, as the test says.
+//! A gateway whose system calls fail and whose wall clock is off as the test says, by a preloaded
+//! library.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -6,44 +7,48 @@
 
 use valehatch_fault_control::{CONTROL_FILE_VARIABLE, FaultControl, Switch};
 
-use super::{Discovery, Program, config, folder, free_address, until};
+use super::{Discovery, GatewayProcess, config, free_address, temp_folder, wait_until};
 
-/// The library that is preloaded, built once.
-pub(crate) fn library() -> &'static PathBuf {
+/// Path of the library to preload, which is built once.
+pub(crate) fn preload_library() -> &'static PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| valehatch_fault_control::build_library().expect("the library is built"))
+    BUILT.get_or_init(|| {
+        valehatch_fault_control::build_library().expect("cannot build the fault library")
+    })
 }
 
-pub(crate) struct Faulty {
+/// A gateway with the fault library preloaded.
+pub(crate) struct FaultyGateway {
     pub address: SocketAddr,
     pub control: FaultControl,
-    program: Program,
+    program: GatewayProcess,
     discovery: Arc<Discovery>,
 }
 
-/// A gateway between these members with an edited configuration, whose machine starts with a switch set.
-pub(crate) fn faulty(
-    members: &str,
+/// Starts a gateway for these endpoints with an edited configuration and one fault switch set, if
+/// given.
+pub(crate) fn start_faulty_gateway(
+    known: &str,
     edit: impl Fn(String) -> String,
     set: Option<(Switch, i64)>,
-) -> Faulty {
-    let (discovery_at, discovery) = Discovery::start(members.to_owned());
-    let (address, place) = (free_address(), folder());
-    let path = place.join("config.json");
-    std::fs::write(&path, edit(config(address, discovery_at, members, 15_000))).unwrap();
-    let control = FaultControl::create(&place.join("faults")).unwrap();
+) -> FaultyGateway {
+    let (discovery_at, discovery) = Discovery::start(known.to_owned());
+    let (address, folder) = (free_address(), temp_folder());
+    let path = folder.join("config.json");
+    std::fs::write(&path, edit(config(address, discovery_at, known, 15_000))).unwrap();
+    let control = FaultControl::create(&folder.join("faults")).unwrap();
     set.into_iter()
         .for_each(|(switch, value)| control.set(switch, value).unwrap());
-    let faults = place.join("faults").display().to_string();
+    let faults = folder.join("faults").display().to_string();
     let variables = [
-        ("LD_PRELOAD", library().to_str().unwrap()),
+        ("LD_PRELOAD", preload_library().to_str().unwrap()),
         (CONTROL_FILE_VARIABLE, faults.as_str()),
     ];
-    let program = Program::begin(&[], Some(&path), &variables);
-    until("the gateway listens", || {
+    let program = GatewayProcess::spawn(&[], Some(&path), &variables);
+    wait_until("the gateway listens", || {
         TcpStream::connect(address).is_ok()
     });
-    Faulty {
+    FaultyGateway {
         address,
         control,
         program,
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,11 +1,12 @@
-//! What the gateway's tests stand on: the program as a process, and small stand-ins for those it talks to.
+//! Fixtures of the end-to-end tests: the gateway as a process, stub databases, a stub discovery
+//! service and scripted clients, all on loopback.
 #![allow(dead_code)]
 
 pub(crate) mod cql;
 pub(crate) mod faults;
 pub(crate) mod manager;
-pub(crate) mod script;
-pub(crate) mod watched;
+pub(crate) mod monitored;
+pub(crate) mod scripted_discovery;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,33 +17,42 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub(crate) const WAIT: Duration = Duration::from_secs(20);
+/// Upper bound on a wait for one condition, and the read timeout of clients.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds; that it never does fails the test.
-pub(crate) fn until(what: &str, holds: impl FnMut() -> bool) {
-    within(WAIT, what, holds);
+/// Polls until the condition holds; fails the test after [`TEST_TIMEOUT`].
+pub(crate) fn wait_until(condition: &str, holds: impl FnMut() -> bool) {
+    wait_until_within(TEST_TIMEOUT, condition, holds);
 }
 
-/// The same where it may take longer.
-pub(crate) fn within(wait: Duration, what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + wait;
+/// Polls until the condition holds; fails the test after `timeout`.
+pub(crate) fn wait_until_within(
+    timeout: Duration,
+    condition: &str,
+    mut holds: impl FnMut() -> bool,
+) {
+    let end = Instant::now() + timeout;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(
+            Instant::now() < end,
+            "condition not met within {timeout:?}: {condition}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Tells threads to stop when it goes: a test that fails must not wait for them for ever.
-pub(crate) struct Stops<'a>(pub &'a AtomicBool);
+/// Sets a stop flag when dropped, so that a failing test does not wait forever for its threads.
+pub(crate) struct StopOnDrop<'a>(pub &'a AtomicBool);
 
-impl Drop for Stops<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-/// On an address of its own, with a port that the machine gives nobody: one that it may give can be taken by the
-/// very connection that looks whether the gateway listens there yet.
+/// A loopback address that no other caller gets, with a port outside the ephemeral range. An
+/// ephemeral port could be taken by the very connection that checks whether the gateway listens
+/// yet.
 pub(crate) fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -55,8 +65,8 @@
     address.parse().expect("an address")
 }
 
-/// A folder of the test's own.
-pub(crate) fn folder() -> PathBuf {
+/// Creates a temporary folder that no other caller gets.
+pub(crate) fn temp_folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("valehatch-test-{}-{n}", std::process::id()));
@@ -64,24 +74,25 @@
     path
 }
 
-/// The gateway as a process, and what it logs; it is ended with the test.
-pub(crate) struct Program(pub Child, Arc<Mutex<String>>);
+/// The gateway as a child process, with its captured log. Dropping it kills the process.
+pub(crate) struct GatewayProcess(pub Child, Arc<Mutex<String>>);
 
-impl Program {
+impl GatewayProcess {
+    /// Spawns the gateway and waits until it accepts connections at `address`.
     pub(crate) fn start(args: &[&str], config: Option<&PathBuf>, address: SocketAddr) -> Self {
-        let mut program = Self::begin(args, config, &[]);
-        until("the gateway listens", || {
+        let mut program = Self::spawn(args, config, &[]);
+        wait_until("the gateway listens", || {
             assert!(
                 program.0.try_wait().unwrap().is_none(),
-                "the gateway ended at its start"
+                "the gateway exited during start-up"
             );
             TcpStream::connect(address).is_ok()
         });
         program
     }
 
-    /// Starts it, with these variables, and does not wait for it.
-    pub(crate) fn begin(
+    /// Spawns the gateway with these environment variables and returns without waiting for it.
+    pub(crate) fn spawn(
         args: &[&str],
         config: Option<&PathBuf>,
         variables: &[(&str, &str)],
@@ -101,13 +112,13 @@
             child.stderr.take().unwrap(),
             Arc::<Mutex<String>>::default(),
         );
-        let said = Arc::clone(&log);
+        let sink = Arc::clone(&log);
         thread::spawn(move || {
-            let mut some = [0; 1024];
-            while let Ok(n @ 1..) = errors.read(&mut some) {
-                said.lock()
+            let mut buffer = [0; 1024];
+            while let Ok(n @ 1..) = errors.read(&mut buffer) {
+                sink.lock()
                     .unwrap()
-                    .push_str(&String::from_utf8_lossy(&some[..n]));
+                    .push_str(&String::from_utf8_lossy(&buffer[..n]));
             }
         });
         Self(child, log)
@@ -124,36 +135,37 @@
         self.signal("TERM");
     }
 
-    /// Stops it, and waits until all its threads stand still: a signal is on its way for a moment.
+    /// Sends SIGSTOP and waits until every thread has stopped, since a signal takes a moment to
+    /// arrive.
     pub(crate) fn pause(&self) {
         self.signal("STOP");
-        let stands = |task: std::io::Result<std::fs::DirEntry>| {
+        let is_stopped = |task: std::io::Result<std::fs::DirEntry>| {
             let stat =
                 std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap_or_default();
             stat.rsplit(") ")
                 .next()
                 .is_none_or(|rest| rest.starts_with('T') || rest.is_empty())
         };
-        until("it stands still", || {
+        wait_until("all threads of the gateway are stopped", || {
             std::fs::read_dir(format!("/proc/{}/task", self.0.id()))
                 .unwrap()
-                .all(stands)
+                .all(is_stopped)
         });
     }
 
-    /// What it has logged.
+    /// The log output so far.
     pub(crate) fn log(&self) -> String {
         self.1.lock().unwrap().clone()
     }
 
-    /// Waits until the log holds something.
-    pub(crate) fn says(&self, what: &str) {
-        until(what, || self.1.lock().unwrap().contains(what));
+    /// Waits until the log contains `text`.
+    pub(crate) fn wait_for_log(&self, text: &str) {
+        wait_until(text, || self.1.lock().unwrap().contains(text));
     }
 
-    pub(crate) fn ended(&mut self) -> ExitStatus {
+    pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("the gateway ends", || {
+        wait_until("the gateway exits", || {
             status = self.0.try_wait().unwrap();
             status.is_some()
         });
@@ -161,18 +173,18 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if thread::panicking() {
-            eprintln!("the gateway had said: {}", self.1.lock().unwrap());
+            eprintln!("log of the gateway: {}", self.1.lock().unwrap());
         }
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Accepts connections in a thread each.
-pub(crate) fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Accepts connections on a free port and serves each one in a thread of its own.
+pub(crate) fn spawn_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().unwrap();
     let serve = Arc::new(serve);
@@ -201,10 +213,10 @@
 }
 
 pub(crate) fn row(value: &str) -> Vec<u8> {
-    tagged(value, "SELECT 1")
+    row_with_tag(value, "SELECT 1")
 }
 
-pub(crate) fn tagged(value: &str, tag: &str) -> Vec<u8> {
+pub(crate) fn row_with_tag(value: &str, tag: &str) -> Vec<u8> {
     let length = u32::try_from(value.len()).unwrap().to_be_bytes();
     let column = [&[0, 1], &b"body\0"[..], &[0; 18]].concat();
     let data = [&[0, 1], &length[..], value.as_bytes()].concat();
@@ -221,73 +233,79 @@
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-pub(crate) fn mode(name: &str) -> Vec<u8> {
+pub(crate) fn mode_status(name: &str) -> Vec<u8> {
     message(b'S', format!("mode\0{name}\0").as_bytes())
 }
 
-pub(crate) fn ready() -> Vec<u8> {
+pub(crate) fn ready_for_query() -> Vec<u8> {
     message(b'Z', b"I")
 }
 
-/// What a stand-in does with a query.
-pub(crate) enum Does {
-    /// Writes this and goes on.
-    Say(Vec<u8>),
-    /// Writes this in pieces of so many bytes, with a pause between them, and goes on.
-    Drip(Vec<u8>, usize, Duration),
-    /// Writes this and ends the connection.
-    Cut(Vec<u8>),
-    /// The same, and from then on connections come up late.
-    CutAndHold,
-    /// Writes this over and over, until the other side ends the connection.
-    Endless(Vec<u8>),
-    /// Writes this and nothing more, until the other side ends the connection.
-    Stall(Vec<u8>),
+/// How a stub database replies to a query.
+pub(crate) enum Reply {
+    /// Writes the bytes, then its role and `ReadyForQuery`, and reads the next query.
+    Send(Vec<u8>),
+    /// Like `Send`, but in pieces of this many bytes with a pause between them.
+    SendSlowly(Vec<u8>, usize, Duration),
+    /// Writes the bytes and closes the connection.
+    SendThenClose(Vec<u8>),
+    /// Closes the connection unanswered and sets `delay_greetings` for all later connections.
+    CloseAndDelayNew,
+    /// Writes the bytes over and over until the peer closes the connection.
+    SendEndlessly(Vec<u8>),
+    /// Writes the bytes and nothing more until the peer closes the connection.
+    SendThenStall(Vec<u8>),
 }
 
+/// What a stub database has recorded, and the switches that change how it behaves.
 #[derive(Default)]
-pub(crate) struct Seen {
-    /// The queries, with the time, and the number of their connection.
+pub(crate) struct StubDatabase {
+    /// Each query with its arrival time and the number of its connection, without probes.
     pub queries: Mutex<Vec<(Instant, String, usize)>>,
-    /// What probes are told instead of the truth, and how many came.
-    pub stats: Mutex<Option<String>>,
+    /// If set, the reply to probes in place of the actual status.
+    pub probe_reply: Mutex<Option<String>>,
+    /// Number of probes received.
     pub probes: AtomicUsize,
+    /// Number of connections accepted.
     pub opened: AtomicUsize,
+    /// Number of connections that have ended.
     pub closed: AtomicUsize,
-    /// While set no connection is greeted: dials come up late. How many have waited for that.
-    pub holds: AtomicBool,
-    pub held: AtomicUsize,
+    /// While set, new connections get no greeting, so that dials complete late.
+    pub delay_greetings: AtomicBool,
+    /// Number of connections whose greeting was delayed.
+    pub delayed_greetings: AtomicUsize,
 }
 
-impl Seen {
+impl StubDatabase {
     pub(crate) fn count(&self) -> usize {
         self.queries.lock().unwrap().len()
     }
-    pub(crate) fn query(&self, n: usize) -> String {
+    pub(crate) fn query_text(&self, n: usize) -> String {
         self.queries.lock().unwrap()[n].1.clone()
     }
 }
 
-/// A database: probes are answered, other queries as `does` says.
-pub(crate) fn database(
+/// Starts a stub database that answers probes itself and other queries by `reply_to`, which gets
+/// the number of the query, counted from 0, and its text.
+pub(crate) fn stub_database(
     role: &'static str,
-    does: impl Fn(usize, &str) -> Does + Send + Sync + 'static,
-) -> (SocketAddr, Arc<Seen>) {
-    let seen = Arc::new(Seen::default());
-    let shared = Arc::clone(&seen);
-    let address = listen(move |mut stream| {
+    reply_to: impl Fn(usize, &str) -> Reply + Send + Sync + 'static,
+) -> (SocketAddr, Arc<StubDatabase>) {
+    let database = Arc::new(StubDatabase::default());
+    let shared = Arc::clone(&database);
+    let address = spawn_server(move |mut stream| {
         let connection = shared.opened.fetch_add(1, Ordering::SeqCst);
         let mut head = [0; 4];
         if stream.read_exact(&mut head).is_ok() {
             let mut rest = vec![0; u32::from_be_bytes(head) as usize - 4];
             stream.read_exact(&mut rest).unwrap();
-            if shared.holds.load(Ordering::SeqCst) {
-                shared.held.fetch_add(1, Ordering::SeqCst);
-                while shared.holds.load(Ordering::SeqCst) {
+            if shared.delay_greetings.load(Ordering::SeqCst) {
+                shared.delayed_greetings.fetch_add(1, Ordering::SeqCst);
+                while shared.delay_greetings.load(Ordering::SeqCst) {
                     thread::sleep(Duration::from_millis(1));
                 }
             }
-            let _ = stream.write_all(&[message(b'R', &[0; 4]), ready()].concat());
+            let _ = stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat());
             while let Some((b'Q', body)) = read_message(&mut stream) {
                 let query = String::from_utf8(body)
                     .unwrap()
@@ -296,11 +314,11 @@
                 if query == "SHOW stats" {
                     let primary = u8::from(role == "read-write");
                     let now = std::time::UNIX_EPOCH.elapsed().unwrap().as_secs_f64();
-                    let stats = shared.stats.lock().unwrap().clone();
+                    let stats = shared.probe_reply.lock().unwrap().clone();
                     let stats =
                         stats.unwrap_or(format!("x0={now},x1={primary},util=0.1,inflight=0"));
                     shared.probes.fetch_add(1, Ordering::SeqCst);
-                    let _ = stream.write_all(&[row(&stats), ready()].concat());
+                    let _ = stream.write_all(&[row(&stats), ready_for_query()].concat());
                     continue;
                 }
                 let n = {
@@ -308,35 +326,36 @@
                     queries.push((Instant::now(), query.clone(), connection));
                     queries.len() - 1
                 };
-                match does(n, &query) {
-                    Does::Say(bytes) => {
-                        let _ = stream.write_all(&[bytes, mode(role), ready()].concat());
+                match reply_to(n, &query) {
+                    Reply::Send(bytes) => {
+                        let _ = stream
+                            .write_all(&[bytes, mode_status(role), ready_for_query()].concat());
                     }
-                    Does::Drip(bytes, piece, pause) => {
-                        for (n, some) in [bytes, mode(role), ready()]
+                    Reply::SendSlowly(bytes, piece, pause) => {
+                        for (n, part) in [bytes, mode_status(role), ready_for_query()]
                             .concat()
                             .chunks(piece)
                             .enumerate()
                         {
                             thread::sleep(if n > 0 { pause } else { Duration::ZERO });
-                            if stream.write_all(some).is_err() {
+                            if stream.write_all(part).is_err() {
                                 break;
                             }
                         }
                     }
-                    Does::Cut(bytes) => {
+                    Reply::SendThenClose(bytes) => {
                         let _ = stream.write_all(&bytes);
                         break;
                     }
-                    Does::Endless(bytes) => {
+                    Reply::SendEndlessly(bytes) => {
                         while stream.write_all(&bytes).is_ok() {}
                         break;
                     }
-                    Does::CutAndHold => {
-                        shared.holds.store(true, Ordering::SeqCst);
+                    Reply::CloseAndDelayNew => {
+                        shared.delay_greetings.store(true, Ordering::SeqCst);
                         break;
                     }
-                    Does::Stall(bytes) => {
+                    Reply::SendThenStall(bytes) => {
                         let _ = stream.write_all(&bytes);
                         let _ = stream.read(&mut [0]);
                         break;
@@ -344,27 +363,31 @@
                 }
             }
         }
-        // Whoever sees it counted finds it ended.
+        // The connection is closed before it is counted as closed.
         drop(stream);
         shared.closed.fetch_add(1, Ordering::SeqCst);
     });
-    (address, seen)
+    (address, database)
 }
 
-/// A client's session.
+/// A PostgreSQL client session.
 pub(crate) struct Client(pub TcpStream);
 
-/// What a query was answered: the value, or code and detail of the error.
+/// Answer to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
+    /// Value of the only column of the only row.
     Value(String),
+    /// SQLSTATE and detail of an error; the detail of a refusal is the retry hint in milliseconds.
     Error(String, Option<String>),
+    /// `EmptyQueryResponse`.
     Empty,
+    /// A completion without a row, or the end of the connection.
     Ended,
 }
 
 impl Client {
-    pub(crate) fn opening() -> Vec<u8> {
+    pub(crate) fn startup_message() -> Vec<u8> {
         let fields = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
         [
             &u32::try_from(fields.len() + 4).unwrap().to_be_bytes()[..],
@@ -373,26 +396,27 @@
         .concat()
     }
 
-    pub(crate) fn raw(address: SocketAddr) -> Self {
+    pub(crate) fn connect_raw(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the gateway listens");
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Self(stream)
     }
 
-    /// The bytes leave with the connection.
-    pub(crate) fn raw_with(address: SocketAddr, bytes: &[u8]) -> Self {
-        let mut client = Self::raw(address);
+    /// Connects and sends the bytes at once.
+    pub(crate) fn connect_and_send(address: SocketAddr, bytes: &[u8]) -> Self {
+        let mut client = Self::connect_raw(address);
         client.0.write_all(bytes).unwrap();
         client
     }
 
+    /// Opens a session: connects, sends the startup message and reads up to `ReadyForQuery`.
     pub(crate) fn connect(address: SocketAddr) -> Self {
-        let mut client = Self::raw_with(address, &Self::opening());
-        client.greeted();
+        let mut client = Self::connect_and_send(address, &Self::startup_message());
+        client.read_until_ready();
         client
     }
 
-    pub(crate) fn greeted(&mut self) {
+    pub(crate) fn read_until_ready(&mut self) {
         while read_message(&mut self.0).expect("a greeting").0 != b'Z' {}
     }
 
@@ -425,46 +449,46 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, query: &str) -> Answer {
+    pub(crate) fn query(&mut self, query: &str) -> Answer {
         self.send(query);
         self.answer()
     }
 }
 
-// ---- Queries, and how connections end ----
+// ---- Queries, and how clients disconnect ----
 
-/// A read that any member serves; the oid shows whose answer it is.
-pub(crate) fn read_of(id: u32, d: u32) -> String {
+/// A read that any endpoint serves; the oid in the answer identifies the request.
+pub(crate) fn read_query(id: u32, d: u32) -> String {
     format!(
         "/* id={id},c=read,t=acme,d={d},cluster=0 */ SELECT body FROM objects WHERE oid = 'x{id}'"
     )
 }
 
-/// A write that must not be repeated.
-pub(crate) fn once_of(id: u32, d: u32) -> String {
+/// A write that must not be retried.
+pub(crate) fn unsafe_write_query(id: u32, d: u32) -> String {
     format!(
         "/* id={id},c=once,t=acme,d={d},cluster=0 */ INSERT INTO objects (oid, body) VALUES ('x{id}', '1') RETURNING body"
     )
 }
 
-/// Reads one behind the other, as a client sends them that does not wait for answers.
-pub(crate) fn pipelined(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
-    ids.flat_map(|id| message(b'Q', format!("{}\0", read_of(id, d)).as_bytes()))
+/// Reads with these ids, as a client sends them that does not wait for answers.
+pub(crate) fn pipelined_reads(ids: std::ops::Range<u32>, d: u32) -> Vec<u8> {
+    ids.flat_map(|id| message(b'Q', format!("{}\0", read_query(id, d)).as_bytes()))
         .collect()
 }
 
-/// The oid of a query as the value.
-pub(crate) fn echo_of(query: &str) -> Vec<u8> {
+/// An answer whose value is the oid in the query.
+pub(crate) fn echo_oid(query: &str) -> Vec<u8> {
     let tag = if query.contains("INSERT") {
         "INSERT 0 1"
     } else {
         "SELECT 1"
     };
-    tagged(query.split('\'').nth(1).unwrap(), tag)
+    row_with_tag(query.split('\'').nth(1).unwrap(), tag)
 }
 
-/// The number of a query.
-pub(crate) fn id_of(query: &str) -> u32 {
+/// The id in the comment of a query.
+pub(crate) fn query_id(query: &str) -> u32 {
     query
         .split("id=")
         .nth(1)
@@ -476,33 +500,34 @@
         .unwrap()
 }
 
-/// The last word on a connection that is ended: nothing ran, and when to come back.
-pub(crate) fn is_farewell(answer: &Answer) -> bool {
+/// Whether the answer is a refusal: nothing was executed, and the hint says when to retry. It is
+/// also the last message on a connection that the gateway closes.
+pub(crate) fn is_retryable_refusal(answer: &Answer) -> bool {
     matches!(answer, Answer::Error(code, Some(after)) if code == "53300" && after != "0")
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Leaves {
-    /// It closes its connection, with nothing unread.
-    Closes,
-    /// It ends its sending, and still listens.
-    HalfCloses,
-    /// It closes over bytes that it has not read, which resets the connection.
-    Resets,
+pub(crate) enum Disconnect {
+    /// Closes its connection with nothing unread.
+    Close,
+    /// Shuts down its sending side and can still read.
+    HalfClose,
+    /// Closes with bytes unread, which resets the connection.
+    Reset,
 }
 
 impl Client {
-    /// Goes; what is given back keeps a connection that is only half closed.
-    pub(crate) fn leave(mut self, how: Leaves) -> Option<Self> {
+    /// Disconnects; returns the client if its connection is only half closed.
+    pub(crate) fn disconnect(mut self, how: Disconnect) -> Option<Self> {
         match how {
-            Leaves::Closes => None,
-            Leaves::HalfCloses => {
+            Disconnect::Close => None,
+            Disconnect::HalfClose => {
                 self.0.shutdown(std::net::Shutdown::Write).unwrap();
                 Some(self)
             }
-            Leaves::Resets => {
-                // The answer to an empty query waits unread, or what came before it.
+            Disconnect::Reset => {
+                // Leaves the answer to an empty query, or what came before it, unread.
                 self.send("");
                 self.0.peek(&mut [0]).unwrap();
                 None
@@ -510,40 +535,45 @@
         }
     }
 
-    /// Nothing more comes but the end, and that is no reset.
-    pub(crate) fn ends_cleanly(&mut self) {
+    /// Asserts that nothing more arrives and that the connection ends without a reset.
+    pub(crate) fn expect_clean_close(&mut self) {
         let end = self.0.read(&mut [0]);
         assert!(
             matches!(end, Ok(0)),
-            "{end:?} where the connection was to end"
+            "expected the end of the connection, got {end:?}"
         );
     }
 }
 
-impl Program {
-    /// Descriptors that it has open.
+impl GatewayProcess {
+    /// Number of open file descriptors.
     pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.0.id())).map_or(0, Iterator::count)
     }
 }
 
-// ---- Discovery and the platform's configuration ----
+// ---- Discovery and the JSON configuration ----
 
+/// A stub discovery service.
 #[derive(Default)]
 pub(crate) struct Discovery {
+    /// The changes to the list, each of which makes a newer version.
     pub changes: Mutex<Vec<String>>,
+    /// While set, no call is answered.
     pub silent: AtomicBool,
-    /// If not 0, the only connection, counted from 1, on which changes are told.
-    pub only: AtomicUsize,
-    /// From the end of each answer to the next call.
-    pub gaps: Mutex<Vec<Duration>>,
-    /// When each answer with news was written.
-    pub told: Mutex<Vec<Instant>>,
+    /// If not 0, the only connection, counted from 1, that gets the changes.
+    pub only_connection: AtomicUsize,
+    /// Time from the end of each answer to the next call on its connection.
+    pub rearm_delays: Mutex<Vec<Duration>>,
+    /// When each answer with changes was written.
+    pub update_times: Mutex<Vec<Instant>>,
+    /// Number of watch calls answered.
     pub watches: AtomicUsize,
-    /// Connections on which something was asked.
-    pub asked: AtomicUsize,
+    /// Number of connections with at least one call.
+    pub connections_used: AtomicUsize,
 }
 
+/// An entry of the list that discovery serves.
 pub(crate) fn target(uid: &str, address: SocketAddr, mode: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0,"mode":"{mode}"}}"#
@@ -551,12 +581,13 @@
 }
 
 impl Discovery {
-    /// Serves the list; each change pushed to `changes` is a newer version.
+    /// Starts the service with this list as version 0; each change pushed to `changes` makes a
+    /// newer version.
     pub(crate) fn start(list: String) -> (SocketAddr, Arc<Self>) {
-        let all = Arc::new(Self::default());
-        let shared = Arc::clone(&all);
+        let discovery = Arc::new(Self::default());
+        let shared = Arc::clone(&discovery);
         let count = AtomicUsize::new(0);
-        let address = listen(move |mut stream| {
+        let address = spawn_server(move |mut stream| {
             let number = 1 + count.fetch_add(1, Ordering::SeqCst);
             let mut answered: Option<Instant> = None;
             loop {
@@ -569,10 +600,10 @@
                     head.push(byte[0]);
                 }
                 if answered.is_none() {
-                    shared.asked.fetch_add(1, Ordering::SeqCst);
+                    shared.connections_used.fetch_add(1, Ordering::SeqCst);
                 }
                 if let Some(at) = answered {
-                    shared.gaps.lock().unwrap().push(at.elapsed());
+                    shared.rearm_delays.lock().unwrap().push(at.elapsed());
                 }
                 let head = String::from_utf8(head).unwrap();
                 let from = head
@@ -582,28 +613,28 @@
                     .split_once("hold_ms=")
                     .map(|(_, r)| r.split(' ').next().unwrap().parse().unwrap());
                 let end = Instant::now() + Duration::from_millis(hold.unwrap_or(0));
-                let mut news;
+                let mut changed;
                 let body = loop {
                     let changes = shared.changes.lock().unwrap();
-                    let only = shared.only.load(Ordering::SeqCst);
-                    let deaf = only != 0 && only != number;
-                    let rev = if deaf {
+                    let only = shared.only_connection.load(Ordering::SeqCst);
+                    let excluded = only != 0 && only != number;
+                    let rev = if excluded {
                         from.unwrap_or(0)
                     } else {
                         changes.len()
                     };
-                    news = from.is_some_and(|from| rev > from);
+                    changed = from.is_some_and(|from| rev > from);
                     if shared.silent.load(Ordering::SeqCst) {
                         drop(changes);
                         thread::sleep(Duration::from_millis(5));
                         continue;
                     }
                     match from {
-                        // The list as it was at first: what has changed since is told to the watch that follows.
+                        // The initial list: the watch that follows gets the later changes.
                         None => break format!(r#"{{"rev":0,"all":true,"targets":[{list}]}}"#),
                         Some(from) if rev > from || Instant::now() >= end => {
-                            let news = changes[from..].join(",");
-                            break format!(r#"{{"rev":{rev},"all":false,"targets":[{news}]}}"#);
+                            let targets = changes[from..].join(",");
+                            break format!(r#"{{"rev":{rev},"all":false,"targets":[{targets}]}}"#);
                         }
                         Some(_) => drop(changes),
                     }
@@ -618,18 +649,19 @@
                 }
                 answered = Some(Instant::now());
                 shared
-                    .told
+                    .update_times
                     .lock()
                     .unwrap()
-                    .extend(answered.filter(|_| news));
+                    .extend(answered.filter(|_| changed));
             }
         });
-        (address, all)
+        (address, discovery)
     }
 }
 
-/// A machine that is slow to connect is no member that is away: that has 2 s.
-/// Classes: `read` (any member), `book` (a keyed write), `once` (a write that must not be repeated).
+/// A JSON configuration with the classes `read` (any endpoint), `book` (a keyed write) and `once`
+/// (a write that must not be retried). The connect timeout is 2 s, so that an endpoint on a slow
+/// machine does not count as unreachable.
 pub(crate) fn config(
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -662,40 +694,42 @@
     )
 }
 
-pub(crate) struct Platform {
+/// A running gateway with its stub discovery service.
+pub(crate) struct TestGateway {
     pub address: SocketAddr,
     pub config: PathBuf,
-    pub program: Program,
+    pub program: GatewayProcess,
     pub discovery: Arc<Discovery>,
 }
 
-/// A gateway between databases, listed as `known` says, and the clients of a test.
-pub(crate) fn platform(known: &str, conn_idle_ms: u32) -> Platform {
-    platform_with(known, conn_idle_ms, false)
+/// Starts a gateway whose initial list is `known`.
+pub(crate) fn start_gateway(known: &str, conn_idle_ms: u32) -> TestGateway {
+    start_gateway_with(known, conn_idle_ms, false)
 }
 
-pub(crate) fn platform_with(known: &str, conn_idle_ms: u32, silent: bool) -> Platform {
-    platform_edited(known, conn_idle_ms, silent, |text| text)
+/// Like [`start_gateway`], with a discovery service that answers no call if `silent` is set.
+pub(crate) fn start_gateway_with(known: &str, conn_idle_ms: u32, silent: bool) -> TestGateway {
+    start_gateway_with_config(known, conn_idle_ms, silent, |text| text)
 }
 
-/// The same with another configuration.
-pub(crate) fn platform_edited(
+/// Like [`start_gateway_with`], with an edited configuration.
+pub(crate) fn start_gateway_with_config(
     known: &str,
     conn_idle_ms: u32,
     silent: bool,
     edit: impl Fn(String) -> String,
-) -> Platform {
+) -> TestGateway {
     let (discovery_at, discovery) = Discovery::start(known.to_owned());
     discovery.silent.store(silent, Ordering::SeqCst);
     let address = free_address();
-    let path = folder().join("config.json");
+    let path = temp_folder().join("config.json");
     std::fs::write(
         &path,
         edit(config(address, discovery_at, known, conn_idle_ms)),
     )
     .unwrap();
-    let program = Program::start(&[], Some(&path), address);
-    Platform {
+    let program = GatewayProcess::start(&[], Some(&path), address);
+    TestGateway {
         address,
         config: path,
         program,
